--- a/balance/balance.go
+++ b/balance/balance.go
@@ -104,42 +104,42 @@
 const queues = len(queueRates)
 
 // New makes the decisions for one co-ordinator. The error names the setting that cannot be.
-func New(s Settings, seed uint64, actions Actions) (*Balancer, error) {
+func New(s Settings, seed uint64, actions Actions) (*Scheduler, error) {
 	if actions == nil {
 		return nil, errors.New("actions: missing")
 	}
 	if err := s.check(); err != nil {
 		return nil, err
 	}
-	s.PerCall, s.Peers = max(1, s.PerCall), max(1, s.Peers)
+	s.MaxPartsPerCall, s.BrokerCount = max(1, s.MaxPartsPerCall), max(1, s.BrokerCount)
 	never := math.Inf(1)
-	b := &Balancer{s: s, act: actions, rng: seed, replicas: map[uint32]*replica{}, byID: map[uint64]*query{},
+	b := &Scheduler{s: s, act: actions, rng: seed, replicas: map[uint32]*replica{}, byID: map[uint64]*query{},
 		byGroup: map[int]*query{}, parts: map[uint64]*part{}, out: map[[2]uint64]*attempt{},
 		fleet: 1, median: 1, bestWay: 1, ways: map[int]stamp{}, room: never,
-		spare: answerSpare + s.Tick, hold: holdLeast, cores: 1, leastAim: never, wakeAt: never,
-		watchAt: never, jamAt: -never, tenants: make([]stamp, len(s.Tenants)),
-		far: map[int]*shard{}, waits: map[int]float64{}, sum: share.NewThrottle(s.Peers),
-		needs: share.NewNeeds(s.Peers), cold: share.NewCold(s.Peers), tryTime: make([]float64, len(s.Classes))}
+		spare: answerSpare + s.TimerResolution, hold: holdLeast, cores: 1, leastAim: never, wakeAt: never,
+		watchAt: never, jamAt: -never, tenants: make([]stamp, len(s.TenantRates)),
+		far: map[int]*shard{}, waits: map[int]float64{}, sum: share.NewThrottle(s.BrokerCount),
+		needs: share.NewNeeds(s.BrokerCount), cold: share.NewCold(s.BrokerCount), tryTime: make([]float64, len(s.Classes))}
 	for _, c := range s.Classes {
-		b.maxWorth, b.leastAim = max(b.maxWorth, c.Worth), min(b.leastAim, c.Aim)
+		b.maxWorth, b.leastAim = max(b.maxWorth, c.PriorityWeight), min(b.leastAim, c.LatencyObjective)
 	}
 	return b, nil
 }
 
-// ListChanged takes a report of the list of replicas.
-func (b *Balancer) ListChanged(now float64, kind ListKind, entries []Entry) {
+// EndpointsChanged takes a report of the list of replicas.
+func (b *Scheduler) EndpointsChanged(now float64, kind UpdateKind, entries []Endpoint) {
 	b.born = cmp.Or(b.born, now)
-	if kind == ListFailed {
+	if kind == UpdateFailed {
 		// A growing, spread delay guards the service from a crowd; it is short among tens, as news is told in 6 s.
 		crowd, w := b.crowd()*float64(min(len(b.order), 1)), b.watchWait // without a list nothing can be served
 		b.watchWait = min(max(watchGrow*w-(watchGrow-1.2)*watchMost, min(max(2*w, crowd), watchMost), watchMost/3),
-			max(watchMost, 2*crowd-watchMost), max(b.s.AskWithin/3, 2*min(crowd, b.s.AskWithin), b.s.Tick))
+			max(watchMost, 2*crowd-watchMost), max(b.s.MaxStaleness/3, 2*min(crowd, b.s.MaxStaleness), b.s.TimerResolution))
 		b.watchAt = now + b.watchWait*(0.5+0.5*b.random())
 		return
 	}
-	if b.watchWait, b.watchAt = 0, math.Inf(1); kind == ListCached && b.s.MustAsk {
+	if b.watchWait, b.watchAt = 0, math.Inf(1); kind == UpdateCached && b.s.PollEndpoints {
 		if b.watchAt = now; b.crowd() > 0 && len(entries) > 0 { // it may be an old list, and everybody's
-			b.watchAt += min(b.crowd(), b.s.AskWithin) / 2 * b.random()
+			b.watchAt += min(b.crowd(), b.s.MaxStaleness) / 2 * b.random()
 		}
 	}
 	seen := map[uint32]bool{}
@@ -147,34 +147,34 @@
 		seen[e.Replica] = true
 		r := b.replicas[e.Replica]
 		if r == nil {
-			r = &replica{Entry: e, warmFrom: e.ReadyAt, room: roomFirst,
+			r = &replica{Endpoint: e, warmFrom: e.StartedAt, room: roomFirst,
 				informed: math.Inf(-1)} // unless it is ready it may be one that was told gone and forgotten
 			b.replicas[e.Replica], b.order = r, append(b.order, r)
-		} else if e.ReadyAt > r.ReadyAt {
+		} else if e.StartedAt > r.StartedAt {
 			// Restarted: what was learnt of the old process is void, and the new one is cold.
-			r.level, r.fail, r.once, r.lost, r.warmFrom = stamp{}, stamp{}, stamp{}, false, e.ReadyAt
+			r.level, r.fail, r.once, r.lost, r.warmFrom = stamp{}, stamp{}, stamp{}, false, e.StartedAt
 			r.trials, r.badAt, r.slow = 0, 0, false
 		}
-		if r.State = e.State; e.State != Gone {
-			r.Cell, r.Zone, r.ReadyAt = e.Cell, e.Zone, max(e.ReadyAt, r.ReadyAt)
+		if r.State = e.State; e.State != Removed {
+			r.Cell, r.Zone, r.StartedAt = e.Cell, e.Zone, max(e.StartedAt, r.StartedAt)
 		}
 	}
 	slices.SortFunc(b.order, func(x, y *replica) int { return cmp.Compare(x.Replica, y.Replica) })
 	clear(b.holders)
 	b.byCell = map[int][]*replica{}
 	b.order = slices.DeleteFunc(b.order, func(r *replica) bool {
-		if kind != ListDelta && !seen[r.Replica] {
-			r.State = Gone
+		if kind != UpdateDelta && !seen[r.Replica] {
+			r.State = Removed
 		}
 		r.informed = min(r.informed, now)
 		if r.State == Ready {
 			r.informed = math.Inf(1)
 		}
-		if r.State == Gone && len(r.out) == 0 {
+		if r.State == Removed && len(r.out) == 0 {
 			delete(b.replicas, r.Replica)
 			return true
 		}
-		if r.State != Gone {
+		if r.State != Removed {
 			b.byCell[r.Cell] = append(b.byCell[r.Cell], r)
 		}
 		return false
@@ -182,11 +182,11 @@
 }
 
 // crowd is how long the list service needs, in ms, for a call of each peer; few are none.
-func (b *Balancer) crowd() float64 { return askEach * float64(max(0, b.s.Peers-fewPeers)) }
+func (b *Scheduler) crowd() float64 { return askEach * float64(max(0, b.s.BrokerCount-fewPeers)) }
 
 // QueryArrived takes a query; its parts follow before EndTurn.
-func (b *Balancer) QueryArrived(now float64, in Query) {
-	b.taken.add(now, max(b.s.BudgetWindow, hedgeWindow))
+func (b *Scheduler) QueryArrived(now float64, in Query) {
+	b.taken.add(now, max(b.s.RetryBudgetWindow, hedgeWindow))
 	if b.byID[in.ID] != nil {
 		return
 	}
@@ -195,35 +195,35 @@
 		return
 	}
 	c := &b.s.Classes[in.Class]
-	q := &query{Query: in, class: c, arrived: now, fresh: true, value: c.Worth, aim: now + c.Aim}
+	q := &query{Query: in, class: c, arrived: now, fresh: true, value: c.PriorityWeight, aim: now + c.LatencyObjective}
 	// A repeat with less time left than first tries have is measured from its first try: the class's deadline
 	// spans all tries. Guards against retry storms; may misjudge a repeat whose client hurries.
 	usual, left := &b.tryTime[in.Class], in.Deadline-now
-	if !in.Repeat {
+	if !in.ClientRetry {
 		*usual += (left - *usual) * meanGain
 	} else if q.value *= repeatWorth; left < *usual*tryShort {
-		if q.aim = min(q.aim, in.Deadline-c.Deadline+c.Aim); q.aim < now+b.work(1) {
-			q.value *= c.LateWorth
+		if q.aim = min(q.aim, in.Deadline-c.Deadline+c.LatencyObjective); q.aim < now+b.work(1) {
+			q.value *= c.LateFactor
 		}
 	}
 	if in.Tenant >= 0 && in.Tenant < len(b.tenants) {
 		// Tenant shares: a bucket of one second's allowance, an even share for each co-ordinator.
-		t, rate := &b.tenants[in.Tenant], b.s.Tenants[in.Tenant]/float64(b.s.Peers)
+		t, rate := &b.tenants[in.Tenant], b.s.TenantRates[in.Tenant]/float64(b.s.BrokerCount)
 		*t = stamp{now, min(t.v+(now-t.at)/1000*rate, max(rate, 1))}
 		if t.v--; t.v < 0 {
 			t.v++
-			q.value *= b.s.OverShareWorth
+			q.value *= b.s.OverQuotaFactor
 		}
 	}
 	b.queries, b.fresh = append(b.queries, q), append(b.fresh, q)
-	b.byID[in.ID], b.byGroup[in.Group] = q, q
+	b.byID[in.ID], b.byGroup[in.QueryGroup] = q, q
 }
 
 // PartArrived takes a part of a query that is held; others are ignored.
-func (b *Balancer) PartArrived(now float64, in Part) {
-	b.taken.add(now, max(b.s.BudgetWindow, hedgeWindow))
-	q := b.byGroup[in.Group]
-	if q == nil || b.s.Layout.Group(in.Shard) < 0 || b.parts[in.ID] != nil {
+func (b *Scheduler) PartArrived(now float64, in Part) {
+	b.taken.add(now, max(b.s.RetryBudgetWindow, hedgeWindow))
+	q := b.byGroup[in.QueryGroup]
+	if q == nil || b.s.Placement.Group(in.Shard) < 0 || b.parts[in.ID] != nil {
 		return
 	}
 	b.add(q, in)
@@ -233,15 +233,15 @@
 }
 
 // add makes a part of a query.
-func (b *Balancer) add(q *query, in Part) *part {
+func (b *Scheduler) add(q *query, in Part) *part {
 	p := &part{Part: in, q: q, cost: 1}
-	if in.HasHint && in.Hint > 0 && in.Hint < hintMost {
+	if in.HasCostHint && in.CostHint > 0 && in.CostHint < hintMost {
 		// The unit is the mean hint of our own traffic, so the first threshold 1 means the same everywhere.
 		b.hints++
-		b.unit += (in.Hint - b.unit) * max(unitGain, 1/b.hints)
-		p.cost = min(max(in.Hint/b.unit, minCost), maxCost)
+		b.unit += (in.CostHint - b.unit) * max(unitGain, 1/b.hints)
+		p.cost = min(max(in.CostHint/b.unit, minCost), maxCost)
 	}
-	if in.Unit > 0 {
+	if in.AtomicGroup > 0 {
 		q.join(p)
 	}
 	q.parts, b.parts[in.ID] = append(q.parts, p), p
@@ -249,7 +249,7 @@
 }
 
 // AttemptEnded takes the outcome of an attempt.
-func (b *Balancer) AttemptEnded(now float64, res Result) {
+func (b *Scheduler) AttemptEnded(now float64, res AttemptResult) {
 	key := [2]uint64{res.Part, uint64(res.Attempt)}
 	a := b.out[key]
 	if a == nil {
@@ -263,15 +263,15 @@
 	if a.call.left--; a.call.left == 0 {
 		r.calls--
 	}
-	p.live, p.over = p.live-1, p.over || res.Final
+	p.live, p.over = p.live-1, p.over || res.PartDone
 	b.learn(now, a, res)
-	if res.Outcome == Moved {
-		p.pause = now + res.Pause
+	if res.Outcome == NotHolder {
+		p.pause = now + res.RetryDelay
 	}
 	if p.q.ended || p.in {
 		return
 	}
-	if res.Outcome == OK {
+	if res.Outcome == Succeeded {
 		p.q.share += p.arrive()
 		b.cancel(p)
 	} else if p.live > 0 {
@@ -282,27 +282,27 @@
 	b.settle(now, p.q)
 }
 
-// ClientGone drops a query that its client has left.
-func (b *Balancer) ClientGone(now float64, id uint64) {
+// ClientDisconnected drops a query that its client has left.
+func (b *Scheduler) ClientDisconnected(now float64, id uint64) {
 	if q := b.byID[id]; q != nil {
 		b.drop(q)
 	}
 }
 
-// Woken takes the timer; the work is EndTurn's.
-func (b *Balancer) Woken(now float64) {
+// TimerFired takes the timer; the work is EndTurn's.
+func (b *Scheduler) TimerFired(now float64) {
 	if now >= b.wakeAt {
 		b.wakeAt = math.Inf(1)
 	}
 }
 
-// EndTurn admits the queries of this turn, sweeps what is held, and releases queued parts.
-func (b *Balancer) EndTurn(now float64) {
+// RunRound admits the queries of this turn, sweeps what is held, and releases queued parts.
+func (b *Scheduler) RunRound(now float64) {
 	b.turn++
 	b.cold.Pass(now, b.countWarm)
-	if b.s.MustAsk && now >= b.watchAt {
-		b.act.Watch()
-		b.watchAt = now + cmp.Or(b.s.AskWithin/2, math.Inf(1)) // should no answer come at all
+	if b.s.PollEndpoints && now >= b.watchAt {
+		b.act.WatchEndpoints()
+		b.watchAt = now + cmp.Or(b.s.MaxStaleness/2, math.Inf(1)) // should no answer come at all
 	}
 	for _, s := range b.active {
 		s.tidy(now)
@@ -331,27 +331,27 @@
 	}
 	if wake < b.wakeAt {
 		b.wakeAt = wake
-		b.act.Wake(max(wake-now, b.s.Tick))
+		b.act.SetTimer(max(wake-now, b.s.TimerResolution))
 	}
 }
 
 // admit refuses a query that would come too late, or queues its parts.
-func (b *Balancer) admit(now float64, q *query) {
+func (b *Scheduler) admit(now float64, q *query) {
 	// Overload: refuse at the door, least worth first. It shows in parts held and, among many peers, in the
 	// fleet's room and in how much of what is sent is served; what is larger than the room comes in at a pace.
 	// Parts that are jammed, or open nowhere soon, are missed: fatal unless an answer may lack them.
 	held, cost, missed, worth := 0.0, 0.0, 0.0, q.value/b.maxWorth
 	for _, p := range q.parts {
-		wait := b.waited(now, p) / (q.class.Aim * (shedAt + shedSpan*worth))
+		wait := b.waited(now, p) / (q.class.LatencyObjective * (shedAt + shedSpan*worth))
 		cost, held = cost+p.cost, held+p.Weight*jamWeighs*min(1, wait)
-		if p.over = p.over || q.step == 0 && wait > 1; p.over || !b.opensBy(now, p, now+openAim*q.class.Aim) {
+		if p.over = p.over || q.step == 0 && wait > 1; p.over || !b.opensBy(now, p, now+openAim*q.class.LatencyObjective) {
 			missed += p.Weight
 		}
 	}
 	room := b.room * (roomLow + worth)
 	q.last = share.Last(b.median*b.partTime, len(q.parts))
 	shed := q.step == 0 && (b.needs.Late(q.Deadline-b.spare-now, q.last) ||
-		missed > 0 && max(missed, held) > 1-q.class.Floor+weightSlack || b.load > room ||
+		missed > 0 && max(missed, held) > 1-q.class.MinCompleteness+weightSlack || b.load > room ||
 		now < b.admitted+(cost/room-1)*b.median*b.partTime || b.sum.Refuse(worth, b.random))
 	if shed && (b.load > room || held > 0) {
 		b.jamAt = now
@@ -363,13 +363,13 @@
 	b.admitted = now
 	// Where less than all is whole, the cheapest parts that suffice are asked; the others are their reserve.
 	ask, sum := slices.Clone(q.parts), 0.0
-	if q.step == 0 && q.class.Need < 1 {
+	if q.step == 0 && q.class.CompletenessTarget < 1 {
 		slices.SortStableFunc(ask, func(x, y *part) int { return cmp.Compare(x.cost*y.Weight, y.cost*x.Weight) })
 	}
 	todo := ask[:0]
 	for _, p := range ask {
 		asked := p.unit != nil && p.unit.asked // parts that count together are asked together
-		if p.reserve = q.step == 0 && sum >= q.class.Need-weightSlack && !asked; !p.reserve && !p.over {
+		if p.reserve = q.step == 0 && sum >= q.class.CompletenessTarget-weightSlack && !asked; !p.reserve && !p.over {
 			if todo = append(todo, p); p.unit != nil {
 				p.unit.asked = true
 			}
@@ -383,15 +383,15 @@
 
 // place groups parts with the same holders into calls and queues them by the bottleneck's rule. Among many
 // co-ordinators it groups only where calls are dear: a batch lands on a queue that own counts do not show.
-func (b *Balancer) place(now float64, parts []*part) {
+func (b *Scheduler) place(now float64, parts []*part) {
 	var calls []*call
-	big, most := &call{}, b.s.PerCall
-	if b.s.Peers > fewPeers && !b.dear() {
+	big, most := &call{}, b.s.MaxPartsPerCall
+	if b.s.BrokerCount > fewPeers && !b.dear() {
 		most = 1
 	}
 	for _, p := range parts {
 		i := slices.IndexFunc(calls, func(c *call) bool {
-			return len(c.parts) < most && b.s.Layout.Group(c.parts[0].Shard) == b.s.Layout.Group(p.Shard)
+			return len(c.parts) < most && b.s.Placement.Group(c.parts[0].Shard) == b.s.Placement.Group(p.Shard)
 		})
 		if i < 0 {
 			i = len(calls)
@@ -414,7 +414,7 @@
 }
 
 // dear tells that a call costs so much beside its parts that parts had better share one.
-func (b *Balancer) dear() bool { return b.s.CallCost > dearCall*cmp.Or(b.unit, b.work(1)) }
+func (b *Scheduler) dear() bool { return b.s.CallOverhead > dearCall*cmp.Or(b.unit, b.work(1)) }
 
 // queueOf is the queue of a bottleneck: threshold i <= cost < threshold i x R, the first threshold being 1.
 func queueOf(cost float64) int {
@@ -442,7 +442,7 @@
 	for i := range s.fifo {
 		s.fifo[i] = slices.DeleteFunc(s.fifo[i], func(c *call) bool {
 			q, wanted := c.parts[0].q, slices.ContainsFunc(c.parts, func(p *part) bool { return p.queued })
-			late := i > 0 && now-q.arrived > promoteAt*q.class.Aim
+			late := i > 0 && now-q.arrived > promoteAt*q.class.LatencyObjective
 			if wanted {
 				s.oldest = min(s.oldest, c.since)
 				if late {
@@ -474,7 +474,7 @@
 }
 
 // release drains a shard's queues while some usable replica of it is at its usual latency.
-func (b *Balancer) release(now float64, s *shard) {
+func (b *Scheduler) release(now float64, s *shard) {
 	for i := s.next(); i >= 0; i = s.next() {
 		c := s.fifo[i][0]
 		r, free := b.pick(now, s.id, c.cost, c.parts[0], nil)
@@ -496,7 +496,7 @@
 // Unfit replicas leave the choice unless nothing else is lawful; one that the part was tried on comes last.
 // A part that can join a call of this turn adds none. free tells that some usable replica is at its usual
 // latency, or has nothing of ours out and its turn has come (paced), so a hold cannot deadlock.
-func (b *Balancer) pick(now float64, shard int, cost float64, p, tried *part) (best *replica, free bool) {
+func (b *Scheduler) pick(now float64, shard int, cost float64, p, tried *part) (best *replica, free bool) {
 	dear, bestKey := b.dear(), [3]float64{}
 	for _, r := range b.holdersOf(shard) {
 		if b.opens(now, r, cost) > now {
@@ -504,16 +504,16 @@
 		}
 		level := b.levelOf(now, r)
 		key := [3]float64{0, float64(r.calls), level + 2*b.fade(r.fail, now) + tieNoise*b.random()}
-		if c := r.turnCall; dear && r.turn == b.turn && c.left > 0 && c.size < b.s.PerCall {
+		if c := r.turnCall; dear && r.turn == b.turn && c.left > 0 && c.size < b.s.MaxPartsPerCall {
 			key[1]--
-			key[2] -= b.s.CallCost / b.work(1)
+			key[2] -= b.s.CallOverhead / b.work(1)
 		}
-		if r.Zone != b.s.Zone {
+		if r.Zone != b.s.LocalZone {
 			key[2] += crossTie
 		}
 		if doubt := decay(r.once, now, fadeMost); !b.fit(now, r) {
 			key[0], key[1] = 1, 0
-		} else if p.q.class.Effect == Unsafe && (doubt > failUnsafe || level > slowUnsafe*b.fleet) {
+		} else if p.q.class.Idempotency == NonIdempotent && (doubt > failUnsafe || level > slowUnsafe*b.fleet) {
 			// An unsafe part is lost by one failure: others try a doubtful replica. Slow is better than failing.
 			key[0], key[1], key[2] = 0.5, 0, key[2]+doubtWeight*doubt
 		}
@@ -537,33 +537,33 @@
 // paced tells whether a part may go to a replica above its usual level that has nothing of ours out: among
 // many peers that alone keeps its queue full, so each sends one part in the time in which the replica serves
 // one of everybody's. Guards a shard whose replicas are all jammed; may hold back who has most traffic.
-func (b *Balancer) paced(now float64, r *replica, level float64) bool {
-	return b.s.Peers <= fewPeers || level <= jamLevel*b.fleet || now >= r.used+b.usual*float64(b.s.Peers)/jamPace
+func (b *Scheduler) paced(now float64, r *replica, level float64) bool {
+	return b.s.BrokerCount <= fewPeers || level <= jamLevel*b.fleet || now >= r.used+b.usual*float64(b.s.BrokerCount)/jamPace
 }
 
 // warm tells that no cold start of a replica is known, or that it is over.
-func (b *Balancer) warm(now float64, r *replica) bool {
-	return b.s.FallMultiple*b.s.FallFor <= 0 || r.warmFrom <= 0 || now >= r.warmFrom+b.s.ColdFor+b.s.FallFor
+func (b *Scheduler) warm(now float64, r *replica) bool {
+	return b.s.SlowStartWorkMultiple*b.s.SlowStartWindow <= 0 || r.warmFrom <= 0 || now >= r.warmFrom+b.s.SlowStartDuration+b.s.SlowStartWindow
 }
 
 // opens is when the rules of drains and cold replicas let a part go to a replica, by what is known now of its
 // drain, its start and what we sent it; never if our share of its allowance is less.
-func (b *Balancer) opens(now float64, r *replica, cost float64) float64 {
+func (b *Scheduler) opens(now float64, r *replica, cost float64) float64 {
 	switch warm := b.warm(now, r); {
-	case r.State == Gone || now > r.informed+b.s.DrainGrace/2 || b.handed && !warm:
+	case r.State == Removed || now > r.informed+b.s.DrainGrace/2 || b.handed && !warm:
 		return math.Inf(1)
 	case warm:
 		return now
-	case now < b.born+b.s.FallFor: // what it sent before a restart is forgotten, and still counts
-		return b.born + b.s.FallFor
+	case now < b.born+b.s.SlowStartWindow: // what it sent before a restart is forgotten, and still counts
+		return b.born + b.s.SlowStartWindow
 	}
 	left, need := b.coldMay(now, r, cost)
 	for i := len(r.cold) - 1; left >= need; i-- {
-		if i < 0 || r.cold[i].at < now-b.s.FallFor {
+		if i < 0 || r.cold[i].at < now-b.s.SlowStartWindow {
 			return now
 		}
 		if left -= r.cold[i].v; left < need {
-			return r.cold[i].at + b.s.FallFor + b.s.Tick
+			return r.cold[i].at + b.s.SlowStartWindow + b.s.TimerResolution
 		}
 	}
 	return math.Inf(1)
@@ -572,26 +572,26 @@
 // coldMay is our share of a cold replica's allowance in any window, in ms of work; it is taken for as cold as
 // half a window ago. A small share is rounded to whole parts by a turn that is spread evenly over the peers:
 // together they have the allowance. need is the part's work, or one where parts are counted.
-func (b *Balancer) coldMay(now float64, r *replica, cost float64) (may, need float64) {
-	age := max(0, now-r.warmFrom-b.s.FallFor/2)
-	one := b.s.FallMultiple * b.s.FallFor * (b.s.ColdFrom + (1-b.s.ColdFrom)*min(1, age/max(b.s.ColdFor, 1)))
-	may = b.cold.Share(coldShare*b.cores*one/float64(b.s.Peers), one)
+func (b *Scheduler) coldMay(now float64, r *replica, cost float64) (may, need float64) {
+	age := max(0, now-r.warmFrom-b.s.SlowStartWindow/2)
+	one := b.s.SlowStartWorkMultiple * b.s.SlowStartWindow * (b.s.SlowStartInitialCapacity + (1-b.s.SlowStartInitialCapacity)*min(1, age/max(b.s.SlowStartDuration, 1)))
+	may = b.cold.Share(coldShare*b.cores*one/float64(b.s.BrokerCount), one)
 	if need = b.coldWork(cost); may < coldGrant*b.coldWork(1) {
 		need = b.coldWork(1)
-		turn := math.Mod(float64(b.s.Me)/float64(b.s.Peers)+float64(r.Replica)*coldStride, 1)
+		turn := math.Mod(float64(b.s.BrokerIndex)/float64(b.s.BrokerCount)+float64(r.Replica)*coldStride, 1)
 		may = math.Floor(may/need+turn) * need
 	}
 	return may, need
 }
 
 // work is what a part is taken for, in ms: the mean hint or, should hints be untrue, what latencies say.
-func (b *Balancer) work(cost float64) float64 {
+func (b *Scheduler) work(cost float64) float64 {
 	return cmp.Or(max(b.unit, b.usual), coldUnit) * max(cost, 1)
 }
 
 // coldWork is the same for the allowance of cold replicas: latencies hold waiting too, so the hints are
 // believed unless the least usual latency of late is over three times them.
-func (b *Balancer) coldWork(cost float64) float64 {
+func (b *Scheduler) coldWork(cost float64) float64 {
 	work := b.unit
 	if b.calm > 3*b.unit {
 		work = b.calm
@@ -601,7 +601,7 @@
 
 // fit tells whether a replica is to be used as usual, by how its peers do. Guards against slow, stalled,
 // failing and unreachable replicas; may starve an unlucky one until that fades.
-func (b *Balancer) fit(now float64, r *replica) bool {
+func (b *Scheduler) fit(now float64, r *replica) bool {
 	level := b.levelOf(now, r)
 	return r.State == Ready && b.fade(r.fail, now) < failSuspect && b.wayOf(now, r.Zone) < slowWay*b.bestWay &&
 		(level < slowSuspect*b.fleet || len(r.out) == 0 && r.trials > 0 && now >= r.trialAt)
@@ -611,7 +611,7 @@
 // is slow. What one that stands held comes back late at once, or is cancelled as its copies answer; a part
 // sent after that is a trial, and one at usual latency ends the suspicion at once. After each slow trial the
 // next waits twice as long. Guards sound replicas against being left after a pause of 200 ms.
-func (b *Balancer) tried(now float64, a *attempt, x float64) {
+func (b *Scheduler) tried(now float64, a *attempt, x float64) {
 	r := a.r
 	if x < slowSuspect*b.fleet {
 		if a.sent > r.badAt && x <= b.hold {
@@ -628,13 +628,13 @@
 
 // wayOf is the level of what comes from a zone, as the fleet's is of all: a slow way there is told from slow
 // replicas by all of a zone being slow to us, and is found sooner than replica by replica.
-func (b *Balancer) wayOf(now float64, zone int) float64 {
+func (b *Scheduler) wayOf(now float64, zone int) float64 {
 	return 1 + decay(b.ways[zone], now, fadeMost)
 }
 
 // learnWay takes a latency by the usual one. A slow replica counts once until it answers as its zone does:
 // what comes late out of one that stood still says nothing of the others there.
-func (b *Balancer) learnWay(now float64, r *replica, x float64) {
+func (b *Scheduler) learnWay(now float64, r *replica, x float64) {
 	level, zone := b.wayOf(now, r.Zone), r.Zone
 	if r.slow && x > level {
 		return
@@ -649,12 +649,12 @@
 
 // fade is an observed badness now. Without news it halves in the time in which as many results come in as
 // there are replicas: guards a co-ordinator with little traffic against forgetting before the next sample.
-func (b *Balancer) fade(s stamp, now float64) float64 {
+func (b *Scheduler) fade(s stamp, now float64) float64 {
 	return decay(s, now, min(max(fadeLeast, b.gap*float64(len(b.order))), fadeMost))
 }
 
 // levelOf is a replica's latency by the usual one: the recent mean, or the age of the oldest part not passed.
-func (b *Balancer) levelOf(now float64, r *replica) float64 {
+func (b *Scheduler) levelOf(now float64, r *replica) float64 {
 	level := 1 + b.fade(r.level, now)
 	if i := slices.IndexFunc(r.out, func(a *attempt) bool { return !a.passed }); i >= 0 {
 		level = max(level, (now-r.out[i].sent)/b.expect(r.out[i]))
@@ -663,24 +663,24 @@
 }
 
 // expect is the usual time of an attempt's call at its replica.
-func (b *Balancer) expect(a *attempt) float64 {
+func (b *Scheduler) expect(a *attempt) float64 {
 	return cmp.Or(b.usual, b.work(1)) * b.callCost(a)
 }
 
 // callCost is what a latency is measured against: the part's cost and some of what shares its call.
-func (b *Balancer) callCost(a *attempt) float64 {
+func (b *Scheduler) callCost(a *attempt) float64 {
 	cost := a.part.cost + besides*(a.call.cost-a.part.cost)
 	if b.unit > 0 {
-		cost += b.s.CallCost / b.unit
+		cost += b.s.CallOverhead / b.unit
 	}
 	return max(cost, minCost)
 }
 
 // learn takes what an outcome says of its replica.
-func (b *Balancer) learn(now float64, a *attempt, res Result) {
+func (b *Scheduler) learn(now float64, a *attempt, res AttemptResult) {
 	r, bad := a.r, 1.0
-	b.sum.Ended(a.part.cost*res.tells(), res.Outcome != Full)
-	if res.Outcome == Moved {
+	b.sum.Ended(a.part.cost*res.tells(), res.Outcome != Rejected)
+	if res.Outcome == NotHolder {
 		r.used = now
 		return // it says nothing against the replica
 	}
@@ -690,17 +690,17 @@
 		r.level = stamp{now, max(0, was+levelGain*(x-1-was))}
 	}
 	quick := now-a.sent < quickReset*b.work(1)
-	if res.Alone {
+	if res.ConnectionOnly {
 		return // guards sound replicas against the faults of the way to them
 	}
-	if b.idleEnds(now, a, res.Outcome, res.Outcome == Reset && quick) {
+	if b.idleEnds(now, a, res.Outcome, res.Outcome == ConnectionReset && quick) {
 		return
 	}
-	if res.Outcome == OK || res.Outcome == Failed || res.Outcome == Full {
+	if res.Outcome == Succeeded || res.Outcome == Failed || res.Outcome == Rejected {
 		r.used = now
 	}
 	switch res.Outcome {
-	case OK:
+	case Succeeded:
 		x := res.Latency / b.callCost(a)
 		if b.warm(now, r) {
 			b.cold.Served(b.coldWork(a.part.cost))
@@ -737,7 +737,7 @@
 		} else if r.load >= r.room/2 {
 			r.room += roomGrow * a.part.cost / r.room
 		}
-		if b.s.Peers <= fewPeers || b.median*b.partTime <= roomAim*b.leastAim {
+		if b.s.BrokerCount <= fewPeers || b.median*b.partTime <= roomAim*b.leastAim {
 			b.room += roomBack * a.part.cost
 		} else {
 			b.cut(now, a.sent)
@@ -745,11 +745,11 @@
 		if bad = 0; x < b.usual {
 			b.cores = max(b.cores, min(a.load, coldMost))
 		}
-	case Full: // a jam, not a fault: it gets nothing for a while, or its quick refusals would draw all parts
+	case Rejected: // a jam, not a fault: it gets nothing for a while, or its quick refusals would draw all parts
 		observe(max(2*b.hold, b.levelOf(now, r)))
 		b.jamAt, r.shutUntil, r.room = now, now+shutFor/3*b.work(1), max(1, min(r.room, r.load))
 		return
-	case TimedOut, Cancelled, Moot:
+	case TimedOut, Cancelled, NotSent:
 		x := (now - a.sent) / b.expect(a)
 		observe(max(x, b.levelOf(now, r)))
 		if x >= slowSuspect*b.fleet {
@@ -762,10 +762,10 @@
 			b.learnWay(now, r, x)
 		}
 		return
-	case ConnectFailed, Reset:
+	case ConnectFailed, ConnectionReset:
 		// Dead processes refuse at once; a dial that times out may be slow, and must fail twice to tell.
 		r.used = 0
-		if res.Outcome == Reset || quick {
+		if res.Outcome == ConnectionReset || quick {
 			r.lost, r.fail, r.shutUntil = true, stamp{now, 1}, now+shutFor*b.work(1)
 		} else {
 			b.idleLost.v /= 2 // handshakes are slow: closing idle connections is dear
@@ -777,15 +777,15 @@
 
 // doubt notes what an outcome says of a replica for parts that must not run twice. Successes of other
 // classes say nothing: a release may break one class alone.
-func (b *Balancer) doubt(now float64, r *replica, c *Class, bad float64) {
-	if bad > 0 || c.Effect == Unsafe {
+func (b *Scheduler) doubt(now float64, r *replica, c *Class, bad float64) {
+	if bad > 0 || c.Idempotency == NonIdempotent {
 		r.once = stamp{now, decay(r.once, now, fadeMost)*(1-failGain) + failGain*bad}
 	}
 }
 
 // cut lowers the room of the fleet, once for what was sent since the last time.
-func (b *Balancer) cut(now, sent float64) {
-	if b.s.Peers > fewPeers && b.cutAt < sent {
+func (b *Scheduler) cut(now, sent float64) {
+	if b.s.BrokerCount > fewPeers && b.cutAt < sent {
 		b.room, b.cutAt = max(roomFirst, roomCut*min(b.room, b.load)), now
 	}
 }
@@ -794,13 +794,13 @@
 // reset at once, or hanging where most do, tells that idle connections are dropped unseen; then they are
 // closed before a send. Guards sound replicas and unsafe parts; costs handshakes, which may be slow. Among
 // many replicas each is met on an idle connection, so one that hangs for all says little, and once only.
-func (b *Balancer) idleEnds(now float64, a *attempt, o Outcome, reset bool) bool {
+func (b *Scheduler) idleEnds(now float64, a *attempt, o Outcome, reset bool) bool {
 	hung := (o == TimedOut || o == Cancelled) && !a.passed && now-a.sent > hedgeAfter*b.fleet*b.expect(a)
 	doubt, weight := decay(b.idleLost, now, idleMemory), min(1, math.Pow(idleFew/float64(len(b.order)+1), 2))
-	if a.idle >= idleLeast && o == OK || a.idle < idleLeast && hung { // hanging has another cause
+	if a.idle >= idleLeast && o == Succeeded || a.idle < idleLeast && hung { // hanging has another cause
 		b.idleLost = stamp{now, doubt * (1 - idleGain)}
 	}
-	if o == OK {
+	if o == Succeeded {
 		a.r.idleHung = false
 	}
 	if a.idle < idleLeast || !reset && !hung {
@@ -816,7 +816,7 @@
 }
 
 // quantile is the fleet's usual latency with one more sample.
-func (b *Balancer) quantile(x float64) float64 {
+func (b *Scheduler) quantile(x float64) float64 {
 	if len(b.first) < usualFirst {
 		i, _ := slices.BinarySearch(b.first, x)
 		b.first = slices.Insert(b.first, i, x)
@@ -829,7 +829,7 @@
 }
 
 // sweep looks after the parts of one held query that are out: late ones and failed ones.
-func (b *Balancer) sweep(now float64, q *query) {
+func (b *Scheduler) sweep(now float64, q *query) {
 	for _, p := range q.parts {
 		if p.in || p.reserve || p.queued || len(p.attempts) == 0 {
 			continue
@@ -843,21 +843,21 @@
 				a.late = true // a lost or slow way shows in what is late before anything comes back
 				b.learnWay(now, a.r, (now-a.sent)/b.expect(a))
 			}
-			due := late && now-q.arrived > hedgeAim*q.class.Aim
+			due := late && now-q.arrived > hedgeAim*q.class.LatencyObjective
 			a.copied = due && (b.standIn(now, q) || b.again(now, p, true) || b.move(now, p, a))
 		}
 	}
 }
 
 // expire ends a query whose time is up, or that cannot be answered in a useful time any more.
-func (b *Balancer) expire(now float64, q *query) bool {
+func (b *Scheduler) expire(now float64, q *query) bool {
 	c, last := q.class, q.Deadline-b.spare
-	if c.LateWorth < lateLittle {
+	if c.LateFactor < lateLittle {
 		last = min(last, q.aim)
 	}
 	// A partial answer goes when waiting is worth less; what is late and not even sent makes way for others.
 	soon := now+b.spare+sweepEvery >= q.aim
-	if now >= last || soon && q.partial() && c.PartialWorth*q.share/c.Need >= c.LateWorth ||
+	if now >= last || soon && q.partial() && c.PartialFactor*q.share/c.CompletenessTarget >= c.LateFactor ||
 		now > max(q.aim, q.arrived) && slices.ContainsFunc(q.parts, func(p *part) bool { return p.queued }) {
 		b.finish(now, q)
 	}
@@ -865,7 +865,7 @@
 }
 
 // standIn asks a reserve part of a query in place of a late or failed one.
-func (b *Balancer) standIn(now float64, q *query) bool {
+func (b *Scheduler) standIn(now float64, q *query) bool {
 	i := slices.IndexFunc(q.parts, func(p *part) bool { return p.reserve && b.mayRepeat(now, p) })
 	if i < 0 {
 		return false
@@ -881,13 +881,13 @@
 // again makes a further attempt at a part: a second copy of a late one, or a new try after a failure. It goes
 // past the queues but only to a replica that would not be held against, so retries cannot feed a jam; nor can
 // copies, where something is held at the part's own replicas or the whole fleet is slow.
-func (b *Balancer) again(now float64, p *part, second bool) bool {
+func (b *Scheduler) again(now float64, p *part, second bool) bool {
 	// The last try is kept for later: guards against a dead set using up all tries in a moment.
 	n := len(p.attempts)
 	if now < p.pause {
 		return false
 	}
-	if n >= 2 && n == b.s.MaxAttempts-1 && now < p.q.arrived+hedgeAim*p.q.class.Aim || !b.mayRepeat(now, p) ||
+	if n >= 2 && n == b.s.MaxAttempts-1 && now < p.q.arrived+hedgeAim*p.q.class.LatencyObjective || !b.mayRepeat(now, p) ||
 		second && (b.held(p.Shard, now) < now || b.median > slowFleet && now < b.jamAt+jamFor ||
 			b.copies.since(now-hedgeWindow) >= hedgeFree+hedgeShare*b.taken.since(now-hedgeWindow)) {
 		return false
@@ -899,7 +899,7 @@
 	if r == nil || !free || now < r.shutUntil || len(r.out) > 0 && b.levelOf(now, r) > b.hold {
 		return false
 	}
-	if !second && !b.fit(now, r) && now < p.q.arrived+float64(n)*trySpace*p.q.class.Aim {
+	if !second && !b.fit(now, r) && now < p.q.arrived+float64(n)*trySpace*p.q.class.LatencyObjective {
 		return false // only suspects are left: a sound one that is cold or full may have room soon
 	}
 	if second && (!b.fit(now, r) || p.tried(r)) || !b.send(now, p, r) {
@@ -913,8 +913,8 @@
 // move gives up a late attempt at a part that may be repeated, where no second copy may be out: once its
 // end is told, the next sweep tries another replica. Guards safe parts against replicas that hang or crawl;
 // throws away what was about to come, so it keeps still in a jam of its set, and of a slow fleet.
-func (b *Balancer) move(now float64, p *part, a *attempt) bool {
-	if !b.s.Cancel || b.s.SecondCopies || p.q.class.Effect != Safe ||
+func (b *Scheduler) move(now float64, p *part, a *attempt) bool {
+	if !b.s.CanCancel || b.s.AllowHedging || p.q.class.Idempotency != Idempotent ||
 		b.held(p.Shard, now) < now || b.median > moveSlow && now < b.jamAt+jamFor ||
 		b.s.MaxAttempts > 0 && len(p.attempts) >= b.s.MaxAttempts ||
 		b.copies.since(now-hedgeWindow) >= hedgeFree+hedgeShare*b.taken.since(now-hedgeWindow) {
@@ -931,10 +931,10 @@
 }
 
 // mayRepeat is the rule of effects: what a further attempt at a part needs.
-func (b *Balancer) mayRepeat(now float64, p *part) bool {
+func (b *Scheduler) mayRepeat(now float64, p *part) bool {
 	for _, a := range p.attempts {
-		if a.mayHaveRun() && (!a.ended && !b.s.SecondCopies || p.q.class.Effect == Unsafe ||
-			p.q.class.Effect == Keyed && now > a.sent+p.q.class.Window) {
+		if a.mayHaveRun() && (!a.ended && !b.s.AllowHedging || p.q.class.Idempotency == NonIdempotent ||
+			p.q.class.Idempotency == IdempotentWithKey && now > a.sent+p.q.class.DedupWindow) {
 			return false
 		}
 	}
@@ -942,15 +942,15 @@
 }
 
 // send starts an attempt. Every attempt passes here, and every rule on sending is checked here.
-func (b *Balancer) send(now float64, p *part, r *replica) bool {
+func (b *Scheduler) send(now float64, p *part, r *replica) bool {
 	q, left := p.q, p.q.Deadline-b.spare-now
 	if q.ended || p.in || left <= 0 || b.opens(now, r, p.cost) > now {
 		return false
 	}
 	if len(p.attempts) > 0 {
-		w := b.s.BudgetWindow
+		w := b.s.RetryBudgetWindow
 		if !b.mayRepeat(now, p) || w > 0 &&
-			b.extra.since(now-w-1)+1 > b.s.BudgetFree+b.s.BudgetShare*b.taken.since(now-w+1) {
+			b.extra.since(now-w-1)+1 > b.s.RetryBudgetSpare+b.s.RetryBudgetRatio*b.taken.since(now-w+1) {
 			return false
 		}
 		b.extra.add(now, w)
@@ -962,14 +962,14 @@
 		idle = now - r.used
 	}
 	if idle > idleLeast && len(r.out) == 0 && decay(b.idleLost, now, idleMemory) > idleDoubt {
-		b.act.DropIdle(r.Replica)
+		b.act.CloseIdleConnections(r.Replica)
 		idle = 0
 	}
 	r.used = now
-	r.cold = append(slices.DeleteFunc(r.cold, func(w stamp) bool { return w.at < now-b.s.FallFor }),
+	r.cold = append(slices.DeleteFunc(r.cold, func(w stamp) bool { return w.at < now-b.s.SlowStartWindow }),
 		stamp{now, b.coldWork(p.cost)})
 	c := r.turnCall
-	if r.turn != b.turn || c == nil || c.size >= b.s.PerCall || c.left == 0 {
+	if r.turn != b.turn || c == nil || c.size >= b.s.MaxPartsPerCall || c.left == 0 {
 		c = &callOut{}
 		r.turn, r.turnCall = b.turn, c
 		r.calls++
@@ -980,7 +980,7 @@
 	p.queued, r.load, b.load = false, a.load, b.load+p.cost
 	p.attempts, r.out, p.live = append(p.attempts, a), append(r.out, a), p.live+1
 	b.out[[2]uint64{p.ID, uint64(a.no)}] = a
-	if q.class.LateWorth < lateLittle {
+	if q.class.LateFactor < lateLittle {
 		left = min(left, max(q.aim-now, 1)) // so that a replica need not begin what comes too late
 	}
 	b.act.Send(p.ID, r.Replica, left)
@@ -988,12 +988,12 @@
 }
 
 // settle answers a query that is whole, and ends one that no longer can be: with what is allowed at once.
-func (b *Balancer) settle(now float64, q *query) {
+func (b *Scheduler) settle(now float64, q *query) {
 	could := 0.0
 	for _, p := range q.parts {
 		could += p.weighs(func(x *part) bool { return x.in || x.live > 0 || b.mayRepeat(now, x) })
 	}
-	hopeless := could < q.class.Floor-weightSlack || q.share >= could-weightSlack
+	hopeless := could < q.class.MinCompleteness-weightSlack || q.share >= could-weightSlack
 	if q.reaches(q.share) || !q.reaches(could) && hopeless {
 		b.finish(now, q)
 	}
@@ -1001,17 +1001,17 @@
 
 // reaches tells that so much weight makes the present step whole.
 func (q *query) reaches(weight float64) bool {
-	return len(q.parts) > 0 && (weight >= 1-weightSlack || q.step == 0 && weight >= q.class.Need-weightSlack)
+	return len(q.parts) > 0 && (weight >= 1-weightSlack || q.step == 0 && weight >= q.class.CompletenessTarget-weightSlack)
 }
 
 // partial tells that an answer that is not whole may be given.
 func (q *query) partial() bool {
-	return q.class.Floor < q.class.Need && q.share > 0 && q.share >= q.class.Floor-weightSlack
+	return q.class.MinCompleteness < q.class.CompletenessTarget && q.share > 0 && q.share >= q.class.MinCompleteness-weightSlack
 }
 
 // finish gives the one final answer: what is in if that is allowed, else a refusal if that is harmless, else
 // a failure. The first answer of a class with a second step keeps the query instead.
-func (b *Balancer) finish(now float64, q *query) {
+func (b *Scheduler) finish(now float64, q *query) {
 	c, whole := q.class, q.reaches(q.share) && (q.step == 0 || q.firstWhole)
 	b.needs.Ended(now-q.arrived, q.last*float64(1-q.step), whole) // of the first step alone
 	// What ends unanswered at its aim was served in vain: a sign of overload sooner than the median's, unless
@@ -1022,13 +1022,13 @@
 	switch {
 	case q.reaches(q.share) || q.partial():
 		b.act.Answer(q.ID, whole)
-		if q.step == 0 && c.SecondStep > 0 {
+		if q.step == 0 && c.SecondStepParts > 0 {
 			b.dropParts(q)
 			q.step, q.firstWhole = 1, whole
 			return
 		}
-	case c.Effect == Safe || q.step == 0 && !slices.ContainsFunc(q.parts, (*part).mayHaveRun):
-		b.act.Refuse(q.ID, min(q.class.Aim/2, b.s.MaxRetryAfter))
+	case c.Idempotency == Idempotent || q.step == 0 && !slices.ContainsFunc(q.parts, (*part).mayHaveRun):
+		b.act.Reject(q.ID, min(q.class.LatencyObjective/2, b.s.MaxRetryAfter))
 	default:
 		b.act.Fail(q.ID)
 	}
@@ -1036,11 +1036,11 @@
 }
 
 // drop forgets a query, takes its parts out of the queues and cancels what is out.
-func (b *Balancer) drop(q *query) {
+func (b *Scheduler) drop(q *query) {
 	q.ended = true
 	delete(b.byID, q.ID)
-	if b.byGroup[q.Group] == q {
-		delete(b.byGroup, q.Group)
+	if b.byGroup[q.QueryGroup] == q {
+		delete(b.byGroup, q.QueryGroup)
 	}
 	b.dropParts(q)
 }
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -15,7 +15,7 @@
 type rig struct {
 	t        *testing.T
 	s        Settings
-	b        *Balancer
+	b        *Scheduler
 	now      float64
 	log      []string
 	queries  map[uint64]*rigQuery
@@ -65,16 +65,16 @@
 func settings() Settings {
 	return Settings{
 		Classes: []Class{
-			{Aim: 1000, Deadline: 3000, Worth: 1, LateWorth: 0.3, Effect: Safe, Floor: 1, Need: 1},
-			{Aim: 1000, Deadline: 3000, Worth: 2, LateWorth: 0.1, Effect: Safe, Floor: 0.5, Need: 1, PartialWorth: 0.8},
-			{Aim: 1000, Deadline: 3000, Worth: 1, Effect: Unsafe, Floor: 1, Need: 1},
-			{Aim: 1000, Deadline: 3000, Worth: 2, LateWorth: 0.3, Effect: Safe, Floor: 0.67, Need: 0.67},
-			{Aim: 1000, Deadline: 3000, Worth: 1, LateWorth: 0.1, Effect: Keyed, Window: 400, Floor: 1, Need: 1},
-			{Aim: 1000, Deadline: 3000, Worth: 1, LateWorth: 0.3, Effect: Safe, Floor: 1, Need: 1, SecondStep: 2},
+			{LatencyObjective: 1000, Deadline: 3000, PriorityWeight: 1, LateFactor: 0.3, Idempotency: Idempotent, MinCompleteness: 1, CompletenessTarget: 1},
+			{LatencyObjective: 1000, Deadline: 3000, PriorityWeight: 2, LateFactor: 0.1, Idempotency: Idempotent, MinCompleteness: 0.5, CompletenessTarget: 1, PartialFactor: 0.8},
+			{LatencyObjective: 1000, Deadline: 3000, PriorityWeight: 1, Idempotency: NonIdempotent, MinCompleteness: 1, CompletenessTarget: 1},
+			{LatencyObjective: 1000, Deadline: 3000, PriorityWeight: 2, LateFactor: 0.3, Idempotency: Idempotent, MinCompleteness: 0.67, CompletenessTarget: 0.67},
+			{LatencyObjective: 1000, Deadline: 3000, PriorityWeight: 1, LateFactor: 0.1, Idempotency: IdempotentWithKey, DedupWindow: 400, MinCompleteness: 1, CompletenessTarget: 1},
+			{LatencyObjective: 1000, Deadline: 3000, PriorityWeight: 1, LateFactor: 0.3, Idempotency: Idempotent, MinCompleteness: 1, CompletenessTarget: 1, SecondStepParts: 2},
 		},
-		Peers: 2, Tick: 5, Shards: 6, Cells: 6, Reach: 3, PerCall: 1, Cancel: true, SecondCopies: true, MaxAttempts: 4,
-		MaxRetryAfter: 1000, DrainGrace: 500, ColdFrom: 0.15, ColdFor: 15000, FallMultiple: 4, FallFor: 1000,
-		BudgetFree: 5, BudgetShare: 0.05, BudgetWindow: 2000, AnswerGrace: 20,
+		BrokerCount: 2, TimerResolution: 5, Shards: 6, Cells: 6, CellsPerShard: 3, MaxPartsPerCall: 1, CanCancel: true, AllowHedging: true, MaxAttempts: 4,
+		MaxRetryAfter: 1000, DrainGrace: 500, SlowStartInitialCapacity: 0.15, SlowStartDuration: 15000, SlowStartWorkMultiple: 4, SlowStartWindow: 1000,
+		RetryBudgetSpare: 5, RetryBudgetRatio: 0.05, RetryBudgetWindow: 2000, AnswerGrace: 20,
 	}
 }
 
@@ -84,8 +84,8 @@
 		told: map[uint32]float64{}, started: map[uint32]float64{},
 		coldTold: map[uint32]float64{}, cell: map[uint32]int{}, refused: map[uint64]float64{}}
 	var err error
-	if s.Layout == nil {
-		s.Layout = slicemap.NewFixed(s.Shards, s.Cells, s.Reach)
+	if s.Placement == nil {
+		s.Placement = slicemap.NewFixed(s.Shards, s.Cells, s.CellsPerShard)
 	}
 	if g.b, err = New(s, 7, g); err != nil {
 		t.Fatal(err)
@@ -94,16 +94,16 @@
 }
 
 // fleet lists one replica a cell, numbered from 1, all long warm.
-func (g *rig) fleet(kind ListKind) {
-	var es []Entry
+func (g *rig) fleet(kind UpdateKind) {
+	var es []Endpoint
 	for i := 0; i < g.s.Cells; i++ {
-		es = append(es, Entry{Replica: uint32(i + 1), Cell: i, State: Ready})
+		es = append(es, Endpoint{Replica: uint32(i + 1), Cell: i, State: Ready})
 	}
 	g.list(kind, es...)
 	g.turn()
 }
 
-func (g *rig) list(kind ListKind, es ...Entry) {
+func (g *rig) list(kind UpdateKind, es ...Endpoint) {
 	for _, e := range es {
 		g.cell[e.Replica] = e.Cell
 		if e.State != Ready {
@@ -112,13 +112,13 @@
 			}
 		} else {
 			delete(g.told, e.Replica)
-			if e.ReadyAt > g.started[e.Replica] {
+			if e.StartedAt > g.started[e.Replica] {
 				g.coldTold[e.Replica] = g.now
 			}
-			g.started[e.Replica] = e.ReadyAt
+			g.started[e.Replica] = e.StartedAt
 		}
 	}
-	g.b.ListChanged(g.now, kind, es)
+	g.b.EndpointsChanged(g.now, kind, es)
 }
 
 // query hands over a query of a class with parts at the given shards, all hinted alike.
@@ -126,7 +126,7 @@
 
 func (g *rig) hinted(class int, hint float64, shards ...int) *rigQuery {
 	g.next++
-	q := &rigQuery{q: Query{ID: g.next, Group: int(g.next), Class: class, Deadline: g.now + 3000}}
+	q := &rigQuery{q: Query{ID: g.next, QueryGroup: int(g.next), Class: class, Deadline: g.now + 3000}}
 	g.queries[q.q.ID] = q
 	g.taken = append(g.taken, g.now)
 	g.b.QueryArrived(g.now, q.q)
@@ -138,22 +138,22 @@
 
 func (g *rig) part(q *rigQuery, shard int, hint, weight float64) {
 	g.next++
-	p := &rigPart{p: Part{ID: g.next, Group: q.q.Group, Shard: shard, Weight: weight, Hint: hint, HasHint: hint > 0}, q: q}
+	p := &rigPart{p: Part{ID: g.next, QueryGroup: q.q.QueryGroup, Shard: shard, Weight: weight, CostHint: hint, HasCostHint: hint > 0}, q: q}
 	q.parts = append(q.parts, p)
 	g.parts[p.p.ID] = p
 	g.taken = append(g.taken, g.now)
 	g.b.PartArrived(g.now, p.p)
 }
 
-func (g *rig) turn() { g.b.EndTurn(g.now) }
+func (g *rig) turn() { g.b.RunRound(g.now) }
 
 // pass lets time go by in ticks, with the timers that were asked for; reply answers the attempts.
 func (g *rig) pass(ms float64, reply func(*rigSend)) {
 	for end := g.now + ms; g.now < end; {
-		g.now += g.s.Tick
+		g.now += g.s.TimerResolution
 		for len(g.bells) > 0 && g.bells[0] <= g.now {
 			g.bells = g.bells[1:]
-			g.b.Woken(g.now)
+			g.b.TimerFired(g.now)
 		}
 		for _, a := range append([]*rigSend(nil), g.open...) {
 			if !a.done && a.cancel {
@@ -168,10 +168,10 @@
 	}
 }
 
-func (g *rig) end(a *rigSend, o Outcome) { g.finish(a, Result{Outcome: o}) }
+func (g *rig) end(a *rigSend, o Outcome) { g.finish(a, AttemptResult{Outcome: o}) }
 
 // finish ends an attempt; res says how.
-func (g *rig) finish(a *rigSend, res Result) {
+func (g *rig) finish(a *rigSend, res AttemptResult) {
 	a.done, a.out = true, res.Outcome
 	for i, x := range g.open {
 		if x == a {
@@ -179,7 +179,7 @@
 			break
 		}
 	}
-	a.part.in = a.part.in || res.Outcome == OK
+	a.part.in = a.part.in || res.Outcome == Succeeded
 	res.Part, res.Attempt, res.Replica, res.Latency = a.part.p.ID, a.no, a.replica, g.now-a.at
 	g.b.AttemptEnded(g.now, res)
 }
@@ -188,7 +188,7 @@
 func (g *rig) after(ms float64) func(*rigSend) {
 	return func(a *rigSend) {
 		if g.now >= a.at+ms {
-			g.end(a, OK)
+			g.end(a, Succeeded)
 		}
 	}
 }
@@ -213,7 +213,7 @@
 		g.t.Fatalf("part %d sent after its query's end", part)
 	}
 	off := (g.cell[replica] - p.p.Shard%g.s.Cells + g.s.Cells) % g.s.Cells
-	if off >= g.s.Reach {
+	if off >= g.s.CellsPerShard {
 		g.t.Fatalf("shard %d sent to cell %d", p.p.Shard, g.cell[replica])
 	}
 	if at, ok := g.told[replica]; ok && g.now > at+g.s.DrainGrace {
@@ -221,37 +221,37 @@
 	}
 	live := 0
 	for _, a := range p.sends {
-		mayRun := !a.done || a.out < Full
+		mayRun := !a.done || a.out < Rejected
 		if !a.done {
 			live++
 		}
-		if mayRun && (cls.Effect == Unsafe || cls.Effect == Keyed && g.now > a.at+cls.Window) {
+		if mayRun && (cls.Idempotency == NonIdempotent || cls.Idempotency == IdempotentWithKey && g.now > a.at+cls.DedupWindow) {
 			g.t.Fatalf("part %d repeated against its effect", part)
 		}
 	}
-	if live > 0 && !g.s.SecondCopies || live > 1 {
+	if live > 0 && !g.s.AllowHedging || live > 1 {
 		g.t.Fatalf("part %d has %d attempts out already", part, live)
 	}
-	if len(p.sends) > 0 && g.s.BudgetWindow > 0 {
+	if len(p.sends) > 0 && g.s.RetryBudgetWindow > 0 {
 		g.extra = append(g.extra, g.now)
-		limit := g.s.BudgetFree + g.s.BudgetShare*float64(count(g.taken, g.now-g.s.BudgetWindow))
-		if n := count(g.extra, g.now-g.s.BudgetWindow); float64(n) > limit {
+		limit := g.s.RetryBudgetSpare + g.s.RetryBudgetRatio*float64(count(g.taken, g.now-g.s.RetryBudgetWindow))
+		if n := count(g.extra, g.now-g.s.RetryBudgetWindow); float64(n) > limit {
 			g.t.Fatalf("%d further attempts in the window, %v allowed", n, limit)
 		}
 	}
 	a := &rigSend{part: p, no: len(p.sends), replica: replica, at: g.now, timeout: timeout}
 	p.sends = append(p.sends, a)
 	g.sends, g.open = append(g.sends, a), append(g.open, a)
-	if start := g.started[replica]; start > 0 && g.now < start+g.s.ColdFor && g.s.Peers <= 4 { // more take turns
+	if start := g.started[replica]; start > 0 && g.now < start+g.s.SlowStartDuration && g.s.BrokerCount <= 4 { // more take turns
 		work := 0.0
 		for _, x := range g.sends {
-			if x.replica == replica && x.at > g.now-g.s.FallFor && x.at >= g.coldTold[replica] {
-				work += x.part.p.Hint
+			if x.replica == replica && x.at > g.now-g.s.SlowStartWindow && x.at >= g.coldTold[replica] {
+				work += x.part.p.CostHint
 			}
 		}
 		// A machine of two cores, as it serves parts side by side: what it can do at present, halved for a peer.
-		ramp := math.Max(0, g.now-start) / g.s.ColdFor
-		if able := 2 * (g.s.ColdFrom + (1-g.s.ColdFrom)*ramp); work > g.s.FallMultiple*able*g.s.FallFor/float64(g.s.Peers) {
+		ramp := math.Max(0, g.now-start) / g.s.SlowStartDuration
+		if able := 2 * (g.s.SlowStartInitialCapacity + (1-g.s.SlowStartInitialCapacity)*ramp); work > g.s.SlowStartWorkMultiple*able*g.s.SlowStartWindow/float64(g.s.BrokerCount) {
 			g.t.Fatalf("cold replica %d sent %v ms of work %v ms after its start", replica, work, g.now-start)
 		}
 	}
@@ -287,23 +287,23 @@
 			share += p.p.Weight
 		}
 	}
-	if share < cls.Floor-1e-4 || whole && share < cls.Need-1e-4 || n == 0 {
+	if share < cls.MinCompleteness-1e-4 || whole && share < cls.CompletenessTarget-1e-4 || n == 0 {
 		g.t.Fatalf("query %d answered (whole %v) from %v", id, whole, share)
 	}
 	q.answers, q.whole = q.answers+1, whole
-	if cls.SecondStep > 0 && q.answers == 1 {
+	if cls.SecondStepParts > 0 && q.answers == 1 {
 		q.parts = nil
 		return
 	}
 	g.final(id, "answer")
 }
 
-func (g *rig) Refuse(id uint64, after float64) {
+func (g *rig) Reject(id uint64, after float64) {
 	q := g.final(id, "refuse")
 	g.refused[id] = after
 	for _, p := range q.parts {
 		for _, a := range p.sends {
-			if g.s.Classes[q.q.Class].Effect == Unsafe && (!a.done || a.out < Full) {
+			if g.s.Classes[q.q.Class].Idempotency == NonIdempotent && (!a.done || a.out < Rejected) {
 				g.t.Fatalf("query %d refused though a part may have run", id)
 			}
 		}
@@ -311,9 +311,9 @@
 }
 
 func (g *rig) Fail(id uint64)     { g.final(id, "fail") }
-func (g *rig) Wake(after float64) { g.bells = append(g.bells, g.now+after) }
-func (g *rig) DropIdle(r uint32)  { g.log = append(g.log, fmt.Sprintf("%v drop %d", g.now, r)) }
-func (g *rig) Watch()             { g.watches++ }
+func (g *rig) SetTimer(after float64) { g.bells = append(g.bells, g.now+after) }
+func (g *rig) CloseIdleConnections(r uint32)  { g.log = append(g.log, fmt.Sprintf("%v drop %d", g.now, r)) }
+func (g *rig) WatchEndpoints()             { g.watches++ }
 func (g *rig) Log(text string)    { g.log = append(g.log, text) }
 
 func (g *rig) mustEnd(q *rigQuery, how string) {
@@ -336,7 +336,7 @@
 func TestQueueThresholdsSeparateWhateverTheUnit(t *testing.T) {
 	for _, unit := range []float64{0.001, 1, 5000} {
 		b := newRig(t, settings())
-		b.fleet(ListFull)
+		b.fleet(UpdateFull)
 		for range 200 {
 			b.hinted(0, unit, 0)
 			b.hinted(0, unit, 1)
@@ -356,9 +356,9 @@
 
 func TestWithoutHintsCallSizesSeparate(t *testing.T) {
 	s := settings()
-	s.PerCall, s.Shards = 16, 24
+	s.MaxPartsPerCall, s.Shards = 16, 24
 	g := newRig(t, s)
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	p := func(shards ...int) (ps []*part) {
 		q := &query{class: &s.Classes[0]}
 		for i, sh := range shards {
@@ -408,7 +408,7 @@
 
 func TestHoldOnlyWhileEveryReplicaIsSlowAndNeverWithNothingOut(t *testing.T) {
 	g := newRig(t, settings())
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	g.warm()
 	var qs []*rigQuery
 	for range 100 {
@@ -425,7 +425,7 @@
 	}
 	for _, a := range append([]*rigSend(nil), g.open...) {
 		if a.replica == 1 {
-			g.end(a, OK)
+			g.end(a, Succeeded)
 		}
 	}
 	before := len(g.sends)
@@ -446,17 +446,17 @@
 	q := &query{class: &class, arrived: 0}
 	c := &call{parts: []*part{{q: q, queued: true}}, cost: 9}
 	s.fifo[3] = []*call{c}
-	if s.tidy(class.Aim * promoteAt); len(s.fifo[3]) != 1 {
+	if s.tidy(class.LatencyObjective * promoteAt); len(s.fifo[3]) != 1 {
 		t.Fatal("promoted too early")
 	}
-	if s.tidy(class.Aim*promoteAt + 1); len(s.fifo[0]) != 1 || len(s.fifo[3]) != 0 {
+	if s.tidy(class.LatencyObjective*promoteAt + 1); len(s.fifo[0]) != 1 || len(s.fifo[3]) != 0 {
 		t.Fatal("not promoted")
 	}
 }
 
 func TestFewestOwnCallsOut(t *testing.T) {
 	g := newRig(t, settings())
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	for range 3 {
 		g.query(0, 0)
 		g.turn()
@@ -472,9 +472,9 @@
 
 func TestSharedCallCountsOnceAndGoesTogether(t *testing.T) {
 	s := settings()
-	s.PerCall, s.Shards = 16, 18
+	s.MaxPartsPerCall, s.Shards = 16, 18
 	g := newRig(t, s)
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	g.query(0, 0, 6, 12)
 	g.turn()
 	if len(g.sends) != 3 || g.sends[0].replica != g.sends[1].replica || g.sends[1].replica != g.sends[2].replica {
@@ -494,7 +494,7 @@
 	g.turn()
 	g.pass(3000, nil)
 	g.mustEnd(nobody, "refuse")
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	hung := g.query(0, 0)
 	g.turn()
 	g.pass(3100, nil)
@@ -507,7 +507,7 @@
 
 func TestEffects(t *testing.T) {
 	g := newRig(t, settings())
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	g.warm()
 	q := g.query(2, 0)
 	g.turn()
@@ -534,8 +534,8 @@
 
 func TestDrainsAreKeptAndReplicasComeBack(t *testing.T) {
 	g := newRig(t, settings())
-	g.fleet(ListFull)
-	g.list(ListDelta, Entry{Replica: 1, Cell: 0, State: Draining}, Entry{Replica: 2, Cell: 1, State: Gone})
+	g.fleet(UpdateFull)
+	g.list(UpdateDelta, Endpoint{Replica: 1, Cell: 0, State: Draining}, Endpoint{Replica: 2, Cell: 1, State: Removed})
 	for range 40 {
 		g.query(0, 0)
 		g.turn()
@@ -546,7 +546,7 @@
 			t.Fatalf("replica %d got a part", a.replica)
 		}
 	}
-	g.list(ListDelta, Entry{Replica: 1, Cell: 0, State: Ready})
+	g.list(UpdateDelta, Endpoint{Replica: 1, Cell: 0, State: Ready})
 	n := len(g.sends)
 	for range 10 {
 		g.query(0, 0)
@@ -564,14 +564,14 @@
 
 func TestWatchIsRenewedWithGrowingDelay(t *testing.T) {
 	s := settings()
-	s.MustAsk, s.AskWithin = true, 10000
+	s.PollEndpoints, s.MaxStaleness = true, 10000
 	g := newRig(t, s)
-	g.fleet(ListCached)
+	g.fleet(UpdateCached)
 	if g.watches != 1 {
 		t.Fatalf("%d calls after a start with a cached list", g.watches)
 	}
 	for range 5 { // every call fails
-		g.list(ListFailed)
+		g.list(UpdateFailed)
 		g.turn()
 		n := g.watches
 		g.pass(100, nil)
@@ -583,7 +583,7 @@
 			t.Fatalf("%d calls in 4 s after a failure", g.watches-n)
 		}
 	}
-	g.list(ListDelta)
+	g.list(UpdateDelta)
 	n := g.watches
 	g.turn()
 	g.pass(20000, nil)
@@ -594,10 +594,10 @@
 
 func TestColdReplicaIsSpared(t *testing.T) {
 	g := newRig(t, settings())
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	g.warm()
 	for i := uint32(1); i <= 3; i++ {
-		g.list(ListDelta, Entry{Replica: i, Cell: int(i) - 1, State: Ready, ReadyAt: g.now})
+		g.list(UpdateDelta, Endpoint{Replica: i, Cell: int(i) - 1, State: Ready, StartedAt: g.now})
 	}
 	for range 100 { // the rig checks the allowance on every send
 		g.query(0, 0)
@@ -608,7 +608,7 @@
 
 func TestAttemptBudget(t *testing.T) {
 	g := newRig(t, settings())
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	g.warm()
 	for range 30 { // everything fails at once; the rig checks the budget
 		g.query(0, 0, 1, 2)
@@ -622,7 +622,7 @@
 
 func TestFastFailingReplicaIsLeftAndComesBack(t *testing.T) {
 	g := newRig(t, settings())
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	g.warm()
 	n, bad := len(g.sends), 0
 	run := func(fail bool) {
@@ -633,7 +633,7 @@
 				if a.replica == 1 && fail {
 					g.end(a, Failed)
 				} else if g.now >= a.at+40 {
-					g.end(a, OK)
+					g.end(a, Succeeded)
 				}
 			})
 		}
@@ -657,7 +657,7 @@
 // What a replica does well for other classes does not clear it for parts that are lost by one failure.
 func TestReplicaThatFailsOneClassAlone(t *testing.T) {
 	g := newRig(t, settings())
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	g.warm()
 	var failed, others int
 	for range 100 {
@@ -673,7 +673,7 @@
 				if a.replica == 1 {
 					others++
 				}
-				g.end(a, OK)
+				g.end(a, Succeeded)
 			}
 		})
 	}
@@ -685,9 +685,9 @@
 // A part that hangs where no second copy may be out is given up, and tried elsewhere a while after that.
 func TestLateSafePartMoves(t *testing.T) {
 	s := settings()
-	s.SecondCopies = false
+	s.AllowHedging = false
 	g := newRig(t, s)
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	g.warm()
 	var hung *rigSend
 	safe, unsafe := g.query(0, 0), g.query(2, 3)
@@ -709,14 +709,14 @@
 
 func TestStalledReplicaIsHedgedButSharedSlownessIsNot(t *testing.T) {
 	g := newRig(t, settings())
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	g.warm()
 	q := g.query(0, 0)
 	g.turn()
 	first := q.parts[0].sends[0]
 	g.pass(900, func(a *rigSend) {
 		if a != first && g.now >= a.at+100 {
-			g.end(a, OK)
+			g.end(a, Succeeded)
 		}
 	})
 	g.mustEnd(q, "answer")
@@ -745,7 +745,7 @@
 
 func TestOneStuckPartDoesNotBlockItsReplica(t *testing.T) {
 	g := newRig(t, settings())
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	g.warm()
 	var stuck []*rigSend
 	for range 3 { // one unsafe part hangs at each replica of shard 0; no copy may be made of it
@@ -759,7 +759,7 @@
 		g.turn()
 		g.pass(25, func(a *rigSend) {
 			if a != stuck[0] && a != stuck[1] && a != stuck[2] && g.now >= a.at+20 {
-				g.end(a, OK)
+				g.end(a, Succeeded)
 			}
 		})
 		if q.how == "answer" {
@@ -773,7 +773,7 @@
 
 func TestLittleLateWorthEndsAtTheAim(t *testing.T) {
 	g := newRig(t, settings())
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	little, more := g.query(4, 0), g.query(0, 1)
 	g.turn()
 	for _, a := range g.open {
@@ -790,7 +790,7 @@
 
 func TestDeadSetDoesNotBurnTries(t *testing.T) {
 	g := newRig(t, settings())
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	g.warm()
 	q := g.query(0, 0)
 	g.turn()
@@ -799,7 +799,7 @@
 		if g.now < back {
 			g.end(a, ConnectFailed)
 		} else if g.now >= a.at+50 {
-			g.end(a, OK)
+			g.end(a, Succeeded)
 		}
 	})
 	g.mustEnd(q, "answer") // its replicas refused connections for 280 ms and came back
@@ -807,16 +807,16 @@
 
 func TestStaleListDuringReleaseAndBudgetSpent(t *testing.T) {
 	g := newRig(t, settings())
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	g.warm()
 	for range 10 { // budget spent on failures while replicas 2 and 3 are replaced without the list saying so
 		g.query(0, 0, 1, 2)
 		g.turn()
 		g.pass(20, func(a *rigSend) { g.end(a, ConnectFailed) })
 	}
-	g.list(ListFull, Entry{Replica: 1, Cell: 0, State: Ready}, Entry{Replica: 22, Cell: 1, State: Ready, ReadyAt: g.now},
-		Entry{Replica: 33, Cell: 2, State: Ready, ReadyAt: g.now}, Entry{Replica: 4, Cell: 3, State: Ready},
-		Entry{Replica: 5, Cell: 4, State: Ready}, Entry{Replica: 6, Cell: 5, State: Ready})
+	g.list(UpdateFull, Endpoint{Replica: 1, Cell: 0, State: Ready}, Endpoint{Replica: 22, Cell: 1, State: Ready, StartedAt: g.now},
+		Endpoint{Replica: 33, Cell: 2, State: Ready, StartedAt: g.now}, Endpoint{Replica: 4, Cell: 3, State: Ready},
+		Endpoint{Replica: 5, Cell: 4, State: Ready}, Endpoint{Replica: 6, Cell: 5, State: Ready})
 	g.turn()
 	g.pass(4000, g.after(50))
 	answered := 0
@@ -835,12 +835,12 @@
 
 func TestFullReplicasAreNotHammered(t *testing.T) {
 	g := newRig(t, settings())
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	g.warm()
 	n := len(g.sends)
 	g.query(0, 0)
 	g.turn()
-	g.pass(900, func(a *rigSend) { g.end(a, Full) })
+	g.pass(900, func(a *rigSend) { g.end(a, Rejected) })
 	if got := len(g.sends) - n; got > 6 {
 		t.Fatalf("%d attempts at full replicas", got)
 	}
@@ -848,11 +848,11 @@
 
 func TestPartialAnswerAtTheAim(t *testing.T) {
 	g := newRig(t, settings())
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	q := g.query(1, 0, 1, 2, 3)
 	g.turn()
 	for _, a := range append([]*rigSend(nil), g.open[:3]...) {
-		g.end(a, OK)
+		g.end(a, Succeeded)
 	}
 	g.pass(995, nil)
 	g.mustEnd(q, "answer")
@@ -863,7 +863,7 @@
 
 func TestReservePartsStandIn(t *testing.T) {
 	g := newRig(t, settings())
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	q := g.query(3, 0, 1, 2, 3, 4, 5, 0, 1, 2)
 	g.turn()
 	first := len(g.sends)
@@ -882,7 +882,7 @@
 
 func TestSecondStep(t *testing.T) {
 	g := newRig(t, settings())
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	q := g.query(5, 0, 1)
 	g.turn()
 	g.pass(60, g.after(40))
@@ -901,7 +901,7 @@
 
 func TestOverloadShedsLowWorthFirstWithRetryAfter(t *testing.T) {
 	g := newRig(t, settings())
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	g.warm()
 	var low, high []*rigQuery
 	for range 300 {
@@ -930,15 +930,15 @@
 
 func TestHeldLateRepeatsGoFirst(t *testing.T) {
 	g := newRig(t, settings())
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	g.warm()
-	q := Query{ID: 900000, Group: 900000, Deadline: g.now + 1500, Repeat: true} // half of its time is gone
+	q := Query{ID: 900000, QueryGroup: 900000, Deadline: g.now + 1500, ClientRetry: true} // half of its time is gone
 	g.b.QueryArrived(g.now, q)
 	if v := g.b.byID[q.ID].value; v >= 0.3 {
 		t.Fatalf("a repeat past its aim is valued at %v", v)
 	}
 	delete(g.queries, q.ID)
-	g.b.ClientGone(g.now, q.ID)
+	g.b.ClientDisconnected(g.now, q.ID)
 	if len(g.b.byID) != 0 {
 		t.Fatal("a query is left behind")
 	}
@@ -946,7 +946,7 @@
 
 func TestUntrueHintsDoNotWidenTheColdAllowance(t *testing.T) {
 	g := newRig(t, settings())
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	for range 60 { // hints say 1 ms, the parts take 100
 		g.hinted(0, 1, 0, 2, 4)
 		g.turn()
@@ -959,9 +959,9 @@
 
 func TestCoarseTicksStillAnswerInTime(t *testing.T) {
 	s := settings()
-	s.Tick = 100
+	s.TimerResolution = 100
 	g := newRig(t, s)
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	q := g.query(0, 0)
 	q.q.Deadline += 37
 	g.turn()
@@ -971,10 +971,10 @@
 
 func TestPartThatIsOverIsNotSentAgain(t *testing.T) {
 	g := newRig(t, settings())
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	q := g.query(0, 0)
 	g.turn()
-	g.b.AttemptEnded(g.now, Result{Part: q.parts[0].p.ID, Replica: q.parts[0].sends[0].replica, Outcome: Failed, Final: true})
+	g.b.AttemptEnded(g.now, AttemptResult{Part: q.parts[0].p.ID, Replica: q.parts[0].sends[0].replica, Outcome: Failed, PartDone: true})
 	g.turn()
 	g.pass(100, nil)
 	if len(q.parts[0].sends) != 1 {
@@ -985,14 +985,14 @@
 
 func TestSettingsOutOfRangeAreNamed(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
-		"Reach":      func(s *Settings) { s.Reach = 7 },
+		"Reach":      func(s *Settings) { s.CellsPerShard = 7 },
 		"DrainGrace": func(s *Settings) { s.DrainGrace = -1 },
-		"Classes[0]": func(s *Settings) { s.Classes[0].Floor = 1.2 },
-		"BudgetFree": func(s *Settings) { s.BudgetFree = -1 },
+		"Classes[0]": func(s *Settings) { s.Classes[0].MinCompleteness = 1.2 },
+		"BudgetFree": func(s *Settings) { s.RetryBudgetSpare = -1 },
 	} {
 		s := settings()
 		change(&s)
-		s.Layout = slicemap.NewFixed(s.Shards, s.Cells, s.Reach)
+		s.Placement = slicemap.NewFixed(s.Shards, s.Cells, s.CellsPerShard)
 		if _, err := New(s, 1, &rig{}); err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -1002,7 +1002,7 @@
 // chaos plays legal events at random; the rig checks every rule on every action.
 func chaos(t *testing.T, seed int64, s Settings, steps int) *rig {
 	g, rnd := newRig(t, s), rand.New(rand.NewSource(seed))
-	g.fleet(ListCached)
+	g.fleet(UpdateCached)
 	for range steps {
 		if rnd.Float64() < 0.3 {
 			var shards []int
@@ -1011,34 +1011,34 @@
 			}
 			q := g.hinted(rnd.Intn(5), 20+180*rnd.Float64()*rnd.Float64(), shards...)
 			if rnd.Float64() < 0.02 {
-				g.b.ClientGone(g.now, q.q.ID)
+				g.b.ClientDisconnected(g.now, q.q.ID)
 				q.gone, q.finished = true, g.now
 			}
 		}
 		if rnd.Float64() < 0.02 {
 			i := rnd.Intn(s.Cells)
-			e := Entry{Replica: uint32(i + 1), Cell: i, State: State(rnd.Intn(3))}
+			e := Endpoint{Replica: uint32(i + 1), Cell: i, State: ReplicaState(rnd.Intn(3))}
 			if e.State == Ready && rnd.Float64() < 0.5 {
-				e.ReadyAt = g.now - 1000*rnd.Float64()
+				e.StartedAt = g.now - 1000*rnd.Float64()
 			} else if e.State == Ready {
-				e.ReadyAt = g.started[e.Replica]
+				e.StartedAt = g.started[e.Replica]
 			}
-			g.list(ListDelta, e)
+			g.list(UpdateDelta, e)
 		}
 		if rnd.Float64() < 0.005 {
-			g.list(ListFailed)
+			g.list(UpdateFailed)
 		}
 		g.turn()
 		g.pass(10, func(a *rigSend) {
 			switch x := rnd.Float64(); {
 			case x < 0.05:
-				g.end(a, OK)
+				g.end(a, Succeeded)
 			case x < 0.06:
-				g.end(a, Outcome(rnd.Intn(int(Moot)+1)))
+				g.end(a, Outcome(rnd.Intn(int(NotSent)+1)))
 			}
 		})
-		g.b.AttemptEnded(g.now, Result{Part: 1 << 50, Outcome: OK}) // ids not held are ignored
-		g.b.ClientGone(g.now, 1<<50)
+		g.b.AttemptEnded(g.now, AttemptResult{Part: 1 << 50, Outcome: Succeeded}) // ids not held are ignored
+		g.b.ClientDisconnected(g.now, 1<<50)
 	}
 	g.pass(3100, nil)
 	for _, q := range g.queries {
@@ -1056,10 +1056,10 @@
 	for seed := int64(1); seed <= 12; seed++ {
 		s := settings()
 		if seed%3 == 0 {
-			s.SecondCopies, s.Cancel = false, false
+			s.AllowHedging, s.CanCancel = false, false
 		}
 		if seed%2 == 0 {
-			s.PerCall, s.CallCost, s.MustAsk, s.AskWithin = 4, 25, true, 10000
+			s.MaxPartsPerCall, s.CallOverhead, s.PollEndpoints, s.MaxStaleness = 4, 25, true, 10000
 		}
 		chaos(t, seed, s, 1500)
 	}
@@ -1075,7 +1075,7 @@
 // later sends on idle connections close them first. The replica stays in use and is not taken for cold.
 func TestResetOfAnIdleConnectionIsNotTheReplicas(t *testing.T) {
 	g := newRig(t, settings())
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	g.warm()
 	for id := uint32(1); id <= 6; id++ { // every connection has carried something
 		g.b.replicas[id].used = g.now
@@ -1085,7 +1085,7 @@
 	g.turn()
 	first := g.open[0]
 	g.pass(5, nil)
-	g.end(first, Reset)
+	g.end(first, ConnectionReset)
 	g.turn()
 	if len(g.open) != 1 {
 		t.Fatalf("%d attempts out after the reset, 1 wanted", len(g.open))
@@ -1112,13 +1112,13 @@
 // A reset of a connection in use tells of the process: it is lost, and cold when it serves again.
 func TestResetInUseTellsOfTheReplica(t *testing.T) {
 	g := newRig(t, settings())
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	g.warm()
 	g.query(0, 0)
 	g.turn()
 	a := g.open[0]
 	g.pass(5, nil)
-	g.end(a, Reset)
+	g.end(a, ConnectionReset)
 	if r := g.b.replicas[a.replica]; g.b.fit(g.now, r) || !r.lost {
 		t.Fatal("a process that died is used as before")
 	}
@@ -1129,11 +1129,11 @@
 func TestNoSecondCopyInAJam(t *testing.T) {
 	for jam, want := range map[string]bool{"none": true, "elsewhere": true, "here": false, "slow fleet": false} {
 		g := newRig(t, settings())
-		g.fleet(ListFull)
+		g.fleet(UpdateFull)
 		g.warm()
 		g.query(0, 0)
 		g.turn()
-		group := g.b.s.Layout.Group(0)
+		group := g.b.s.Placement.Group(0)
 		for i := 0; i < 60 && len(g.open) < 2; i++ {
 			switch g.b.jamAt = g.now; jam {
 			case "elsewhere":
@@ -1160,7 +1160,7 @@
 // once that comes back as usual. After each slow one the next waits longer.
 func TestAStallIsOverWithTheFirstTrial(t *testing.T) {
 	g := newRig(t, settings())
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	g.warm()
 	r := g.b.replicas[3]
 	back := func(sent, x float64) {
@@ -1199,13 +1199,13 @@
 // it wait, and a new process inherits neither the trials nor the rest.
 func TestATrialAfterPartsThatWereCancelled(t *testing.T) {
 	g := newRig(t, settings())
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	g.warm()
 	r := g.b.replicas[3]
 	silent := func(sent float64) {
 		a := &attempt{r: r, sent: sent, ended: true, part: &part{q: &query{class: &g.b.s.Classes[0]}, cost: 1},
 			call: &callOut{cost: 1}}
-		g.b.learn(g.now, a, Result{Outcome: Cancelled})
+		g.b.learn(g.now, a, AttemptResult{Outcome: Cancelled})
 	}
 	silent(g.now - 30*g.b.usual)
 	if level := g.b.levelOf(g.now, r); level < slowSuspect*g.b.fleet || !g.b.fit(g.now, r) {
@@ -1226,9 +1226,9 @@
 	}
 	silent(g.now + 1)
 	silent(g.now + 1)
-	e := r.Entry
-	e.ReadyAt = g.now
-	g.list(ListDelta, e)
+	e := r.Endpoint
+	e.StartedAt = g.now
+	g.list(UpdateDelta, e)
 	if r.trials != 0 || r.badAt != 0 || r.slow {
 		t.Fatalf("a new process begins with %d trials", r.trials)
 	}
@@ -1237,7 +1237,7 @@
 // What waits at one shard of a set of replicas holds up the others of the set: they are refused as it is.
 func TestHeldBySetOfReplicas(t *testing.T) {
 	s := settings()
-	s.Shards, s.Cells, s.Reach = 6, 2, 1
+	s.Shards, s.Cells, s.CellsPerShard = 6, 2, 1
 	g := newRig(t, s)
 	g.b.queue(0, g.now).fifo[0] = []*call{{}}
 	g.b.queue(0, g.now).oldest = g.now - 200
@@ -1251,18 +1251,18 @@
 
 func TestSettingsThatAreNoNumbersAreNamed(t *testing.T) {
 	for name, spoil := range map[string]func(*Settings){
-		"Me":       func(s *Settings) { s.Me = 2 },
-		"FallFor":  func(s *Settings) { s.FallFor = math.NaN() },
-		"Tick":     func(s *Settings) { s.Tick = math.Inf(1) },
-		"ColdFrom": func(s *Settings) { s.ColdFrom = 1.5 },
-		"Classes":  func(s *Settings) { s.Classes[1].Worth = math.NaN() },
-		"Tenants":  func(s *Settings) { s.Tenants = []float64{-1} },
+		"Me":       func(s *Settings) { s.BrokerIndex = 2 },
+		"FallFor":  func(s *Settings) { s.SlowStartWindow = math.NaN() },
+		"Tick":     func(s *Settings) { s.TimerResolution = math.Inf(1) },
+		"ColdFrom": func(s *Settings) { s.SlowStartInitialCapacity = 1.5 },
+		"Classes":  func(s *Settings) { s.Classes[1].PriorityWeight = math.NaN() },
+		"Tenants":  func(s *Settings) { s.TenantRates = []float64{-1} },
 		"Shards":   func(s *Settings) { s.Shards = 0 },
 	} {
 		s := settings()
 		s.Classes = append([]Class(nil), s.Classes...)
 		spoil(&s)
-		s.Layout = slicemap.NewFixed(s.Shards, s.Cells, s.Reach)
+		s.Placement = slicemap.NewFixed(s.Shards, s.Cells, s.CellsPerShard)
 		if _, err := New(s, 1, newRig(t, settings())); err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: error %v", name, err)
 		}
@@ -1272,7 +1272,7 @@
 // A partial answer must be at the client, not only out, by the aim: it leaves before the last sweep that could miss it.
 func TestPartialAnswerLeavesInTime(t *testing.T) {
 	g := newRig(t, settings())
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	g.warm()
 	arrived := g.now
 	q := g.query(1, 0, 1, 2, 3)
@@ -1280,11 +1280,11 @@
 	stuck := g.open[0].part
 	g.pass(1000, func(a *rigSend) {
 		if a.part != stuck && g.now >= a.at+90 {
-			g.end(a, OK)
+			g.end(a, Succeeded)
 		}
 	})
 	g.mustEnd(q, "answer")
-	if early := arrived + g.s.Classes[1].Aim - q.finished; early < answerSpare {
+	if early := arrived + g.s.Classes[1].LatencyObjective - q.finished; early < answerSpare {
 		t.Fatalf("answered %v ms before the aim", early)
 	}
 }
@@ -1293,9 +1293,9 @@
 func TestManyPeersDoNotSendBatches(t *testing.T) {
 	for _, peers := range []int{2, 40} {
 		s := settings()
-		s.Peers, s.PerCall, s.Shards, s.Cells, s.Reach = peers, 16, 3, 1, 1
+		s.BrokerCount, s.MaxPartsPerCall, s.Shards, s.Cells, s.CellsPerShard = peers, 16, 3, 1, 1
 		g := newRig(t, s)
-		g.list(ListFull, Entry{Replica: 1, State: Ready}, Entry{Replica: 2, State: Ready}, Entry{Replica: 3, State: Ready})
+		g.list(UpdateFull, Endpoint{Replica: 1, State: Ready}, Endpoint{Replica: 2, State: Ready}, Endpoint{Replica: 3, State: Ready})
 		g.turn()
 		g.query(0, 0, 1, 2)
 		g.turn()
@@ -1312,7 +1312,7 @@
 // keyed hands over a query about a key.
 func (g *rig) keyed(key uint64, shards ...int) *rigQuery {
 	g.next++
-	q := &rigQuery{q: Query{ID: g.next, Group: int(g.next), Key: key, Deadline: g.now + 3000}}
+	q := &rigQuery{q: Query{ID: g.next, QueryGroup: int(g.next), Key: key, Deadline: g.now + 3000}}
 	g.queries[q.q.ID] = q
 	g.taken = append(g.taken, g.now)
 	g.b.QueryArrived(g.now, q.q)
@@ -1328,19 +1328,19 @@
 func TestColdReplicaIsSharedByTwoOrByTens(t *testing.T) {
 	for _, peers := range []int{2, 22, 84} {
 		s := settings()
-		s.Peers, s.Reach, s.FallFor = peers, 1, 3000
+		s.BrokerCount, s.CellsPerShard, s.SlowStartWindow = peers, 1, 3000
 		sent := []stamp{}
 		ready := 1e6 - 100.0
 		fed := 0
 		for me := 0; me < peers; me++ {
-			s.Me = me
+			s.BrokerIndex = me
 			g := newRig(t, s)
-			var es []Entry
+			var es []Endpoint
 			for i := 0; i < s.Cells; i++ {
-				es = append(es, Entry{Replica: uint32(i + 1), Cell: i, State: Ready, ReadyAt: ready})
+				es = append(es, Endpoint{Replica: uint32(i + 1), Cell: i, State: Ready, StartedAt: ready})
 			}
-			g.list(ListFull, es...)
-			for end := g.now + s.ColdFor; g.now < end; {
+			g.list(UpdateFull, es...)
+			for end := g.now + s.SlowStartDuration; g.now < end; {
 				g.query(0, 0)
 				g.turn()
 				g.pass(250, g.after(100))
@@ -1363,11 +1363,11 @@
 		for _, x := range sent {
 			sum := 0.0
 			for _, y := range sent {
-				if y.at > x.at-s.FallFor && y.at <= x.at {
+				if y.at > x.at-s.SlowStartWindow && y.at <= x.at {
 					sum += y.v
 				}
 			}
-			total = math.Max(total, sum/(coldMost*s.FallMultiple*(s.ColdFrom+(1-s.ColdFrom)*math.Min(1, (x.at-ready)/s.ColdFor))*s.FallFor))
+			total = math.Max(total, sum/(coldMost*s.SlowStartWorkMultiple*(s.SlowStartInitialCapacity+(1-s.SlowStartInitialCapacity)*math.Min(1, (x.at-ready)/s.SlowStartDuration))*s.SlowStartWindow))
 		}
 		if total > 1 || total == 0 {
 			t.Errorf("%d peers: %v of what a cold replica may be sent", peers, total)
@@ -1379,9 +1379,9 @@
 // refused first, and all is taken again once latencies are back.
 func TestFleetRoomRefusesAmongManyPeersAndOpensAgain(t *testing.T) {
 	s := settings()
-	s.Peers = 60
+	s.BrokerCount = 60
 	g := newRig(t, s)
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	g.warm()
 	ask := func(n int, ms float64) (refused int) {
 		for i := 0; i < n; i++ {
@@ -1410,9 +1410,9 @@
 // Parts that go out beside one on a connection that was idle share its fate: their resets are not the replica's.
 func TestPartsBesideOneOnAnIdleConnectionShareItsFate(t *testing.T) {
 	s := settings()
-	s.Reach, s.PerCall, s.Peers = 1, 1, 40
+	s.CellsPerShard, s.MaxPartsPerCall, s.BrokerCount = 1, 1, 40
 	g := newRig(t, s)
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	g.warm()
 	g.b.replicas[1].used = g.now
 	g.pass(3000, nil)
@@ -1421,7 +1421,7 @@
 	g.query(0, 0)
 	g.turn()
 	for _, a := range append([]*rigSend(nil), g.open...) {
-		g.end(a, Reset)
+		g.end(a, ConnectionReset)
 	}
 	if r := g.b.replicas[1]; r.lost || !g.b.fit(g.now, r) {
 		t.Fatal("the replica is blamed for a second part on its idle connection")
@@ -1435,19 +1435,19 @@
 // send stays inside the rule also when every one of them is busy and half of a shard is cold.
 func TestColdReplicaBesideFitOnesStaysInsideTheRule(t *testing.T) {
 	s := settings()
-	s.Peers, s.FallFor = 84, 3000
+	s.BrokerCount, s.SlowStartWindow = 84, 3000
 	ready, sent := 1e6-100.0, []float64{}
-	for me := 0; me < s.Peers; me++ {
-		s.Me = me
+	for me := 0; me < s.BrokerCount; me++ {
+		s.BrokerIndex = me
 		g := newRig(t, s)
 		for i := 0; i < s.Cells; i++ {
-			e := Entry{Replica: uint32(i + 1), Cell: i, State: Ready}
+			e := Endpoint{Replica: uint32(i + 1), Cell: i, State: Ready}
 			if i%2 == 0 {
-				e.ReadyAt = ready
+				e.StartedAt = ready
 			}
-			g.list(ListDelta, e)
+			g.list(UpdateDelta, e)
 		}
-		for end := g.now + s.ColdFor; g.now < end; {
+		for end := g.now + s.SlowStartDuration; g.now < end; {
 			g.query(0, me%6, (me+3)%6) // 84 co-ordinators: 6 ms of work in a ms, what three warm replicas can just do
 			g.turn()
 			g.pass(2800, g.after(100))
@@ -1462,8 +1462,8 @@
 		t.Errorf("the cold replica got %d parts of all co-ordinators", len(sent))
 	}
 	for _, x := range sent {
-		able := coldMost * (s.ColdFrom + (1-s.ColdFrom)*math.Min(1, (x-ready)/s.ColdFor))
-		if work := 100 * float64(count(sent, x-s.FallFor)-count(sent, x)); work > able*s.FallMultiple*s.FallFor {
+		able := coldMost * (s.SlowStartInitialCapacity + (1-s.SlowStartInitialCapacity)*math.Min(1, (x-ready)/s.SlowStartDuration))
+		if work := 100 * float64(count(sent, x-s.SlowStartWindow)-count(sent, x)); work > able*s.SlowStartWorkMultiple*s.SlowStartWindow {
 			t.Fatalf("%v ms of work sent in the window to %v", work, x-ready)
 		}
 	}
@@ -1473,7 +1473,7 @@
 // replicas stay in use; dials that then time out end that, as new connections are dear.
 func TestSilentIdleDropsAreFoundAndSlowHandshakesEndTheCure(t *testing.T) {
 	g := newRig(t, settings())
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	g.warm()
 	drops := func() (n int) {
 		for _, l := range g.log {
@@ -1492,7 +1492,7 @@
 		g.turn()
 		g.pass(1500, func(a *rigSend) { // what goes out on an idle connection hangs, copies and closed ones do not
 			if g.now >= a.at+90 && (drops() > 0 || a.no > 0) {
-				g.end(a, OK)
+				g.end(a, Succeeded)
 			}
 		})
 	}
@@ -1522,9 +1522,9 @@
 func TestSlowReplicaIsLeftWithMuchAndWithLittleTraffic(t *testing.T) {
 	for _, every := range []float64{50, 2000} {
 		s := settings()
-		s.Peers = 60
+		s.BrokerCount = 60
 		g := newRig(t, s)
-		g.fleet(ListFull)
+		g.fleet(UpdateFull)
 		g.warm()
 		slow := 800.0
 		ask := func(n int) (share float64) {
@@ -1534,7 +1534,7 @@
 				g.turn()
 				g.pass(every, func(a *rigSend) {
 					if ms := map[bool]float64{true: slow, false: 90}[a.replica == 1]; g.now >= a.at+ms {
-						g.end(a, OK)
+						g.end(a, Succeeded)
 					}
 				})
 			}
@@ -1561,7 +1561,7 @@
 // A replica that fails and recovers by turns costs no query its answer, and is back in full use once it stays sound.
 func TestFlappingReplicaComesBack(t *testing.T) {
 	g := newRig(t, settings())
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	g.warm()
 	var asked []*rigQuery
 	ask := func(n int, bad func() bool) (share float64) {
@@ -1573,7 +1573,7 @@
 				if a.replica == 1 && bad() {
 					g.end(a, Failed)
 				} else if g.now >= a.at+90 {
-					g.end(a, OK)
+					g.end(a, Succeeded)
 				}
 			})
 		}
@@ -1600,13 +1600,13 @@
 // A list that names far more replicas than the settings suggest is taken as it is; no peers means one co-ordinator.
 func TestManyReplicasAndNoPeers(t *testing.T) {
 	s := settings()
-	s.Peers, s.Me = 0, 0
+	s.BrokerCount, s.BrokerIndex = 0, 0
 	g := newRig(t, s)
-	var es []Entry
+	var es []Endpoint
 	for i := 0; i < 3000; i++ {
-		es = append(es, Entry{Replica: uint32(i + 1), Cell: i % 9, State: Ready}) // cells 6 to 8 hold nothing
+		es = append(es, Endpoint{Replica: uint32(i + 1), Cell: i % 9, State: Ready}) // cells 6 to 8 hold nothing
 	}
-	g.list(ListFull, es...)
+	g.list(UpdateFull, es...)
 	q := g.query(0, 0, 1, 2)
 	g.turn()
 	g.pass(200, g.after(90))
@@ -1618,12 +1618,12 @@
 func TestDearCallsAreSharedInARing(t *testing.T) {
 	for _, dear := range []bool{false, true} {
 		s := settings()
-		s.Peers, s.PerCall, s.CallCost = 40, 4, 10
+		s.BrokerCount, s.MaxPartsPerCall, s.CallOverhead = 40, 4, 10
 		if dear {
-			s.CallCost = 80
+			s.CallOverhead = 80
 		}
 		g := newRig(t, s)
-		g.fleet(ListFull)
+		g.fleet(UpdateFull)
 		g.query(0, 0, 1, 2, 3, 4, 5)
 		g.turn()
 		used := map[uint32]bool{}
@@ -1649,9 +1649,9 @@
 // The parts of a long query come back sorted by latency: the fastest is not the usual one.
 func TestUsualLatencyOfALongQuery(t *testing.T) {
 	s := settings()
-	s.Shards, s.BudgetWindow, s.FallMultiple = 60, 0, 0
+	s.Shards, s.RetryBudgetWindow, s.SlowStartWorkMultiple = 60, 0, 0
 	g := newRig(t, s)
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	for i := 0; i < 3; i++ {
 		var shards []int
 		for k := range 20 {
@@ -1661,7 +1661,7 @@
 		g.turn()
 		for n := 0; len(g.open) > 0; n++ {
 			g.now += 5
-			g.end(g.open[0], OK)
+			g.end(g.open[0], Succeeded)
 		}
 		g.turn()
 	}
@@ -1674,13 +1674,13 @@
 // replicas are all jammed; they go at a pace, and freely again when the replicas are sound.
 func TestJammedShardGetsPartsAtAPace(t *testing.T) {
 	s := settings()
-	s.Peers, s.Classes[0].Aim, s.Classes[0].Deadline = 40, 2900, 3000
+	s.BrokerCount, s.Classes[0].LatencyObjective, s.Classes[0].Deadline = 40, 2900, 3000
 	g := newRig(t, s)
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	g.warm()
 	slow := func(a *rigSend) { // the replicas of shard 0 are 8 times slower than the others
 		if g.now >= a.at+100 && a.replica > 3 || g.now >= a.at+800 {
-			g.end(a, OK)
+			g.end(a, Succeeded)
 		}
 	}
 	ask := func(n int, reply func(*rigSend)) (sent int) {
@@ -1714,10 +1714,10 @@
 // when each co-ordinator has only one at a time; a client in a hurry is no such sign, and sound answers open the door.
 func TestWastedLongQueriesCloseTheDoor(t *testing.T) {
 	s := settings()
-	s.Peers, s.Shards, s.BudgetWindow, s.SecondCopies, s.MaxAttempts = 40, 60, 0, false, 1
-	s.Classes[0].LateWorth = 0.1
+	s.BrokerCount, s.Shards, s.RetryBudgetWindow, s.AllowHedging, s.MaxAttempts = 40, 60, 0, false, 1
+	s.Classes[0].LateFactor = 0.1
 	g := newRig(t, s)
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	g.warm()
 	ask := func(n int, patience, ms float64, stuck bool) (refused int) {
 		for range n {
@@ -1731,7 +1731,7 @@
 			refused += len(g.refused) - was
 			g.pass(patience, func(a *rigSend) {
 				if g.now >= a.at+ms && !(stuck && a.part.p.Shard == 7) {
-					g.end(a, OK)
+					g.end(a, Succeeded)
 				}
 			})
 		}
@@ -1753,9 +1753,9 @@
 // A query larger than the fleet's room is let in once in the time in which the room could have carried it.
 func TestQueryLargerThanTheRoomWaitsForItsPace(t *testing.T) {
 	s := settings()
-	s.Peers, s.Shards = 40, 60
+	s.BrokerCount, s.Shards = 40, 60
 	g := newRig(t, s)
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	g.warm() // calls take 100 ms
 	shards := make([]int, 40)
 	for k := range shards {
@@ -1779,13 +1779,13 @@
 // choice within seconds, though each has had but a few parts, and come back when the way is sound.
 func TestSlowWayToAZoneIsLeftAndComesBack(t *testing.T) {
 	s := settings()
-	s.Peers, s.Shards, s.Cells, s.Reach, s.Zone = 40, 10, 10, 1, 2 // two other zones, equally good
+	s.BrokerCount, s.Shards, s.Cells, s.CellsPerShard, s.LocalZone = 40, 10, 10, 1, 2 // two other zones, equally good
 	g := newRig(t, s)
-	var es []Entry
+	var es []Endpoint
 	for i := range uint32(200) {
-		es = append(es, Entry{Replica: i + 1, Cell: int(i % 10), Zone: int(i/10) % 2, State: Ready})
+		es = append(es, Endpoint{Replica: i + 1, Cell: int(i % 10), Zone: int(i/10) % 2, State: Ready})
 	}
-	g.list(ListFull, es...)
+	g.list(UpdateFull, es...)
 	g.turn()
 	across := func(n int, ms float64) (sent int) {
 		before := len(g.sends)
@@ -1794,7 +1794,7 @@
 			g.turn()
 			g.pass(50, func(a *rigSend) {
 				if zone := (a.replica - 1) / 10 % 2; g.now >= a.at+100 && zone == 0 || g.now >= a.at+ms {
-					g.end(a, OK)
+					g.end(a, Succeeded)
 				}
 			})
 		}
@@ -1820,9 +1820,9 @@
 // sends it nothing, then as usual.
 func TestRestartDoesNotSpendAColdAllowanceTwice(t *testing.T) {
 	s := settings()
-	s.Cells, s.Shards, s.Reach = 1, 1, 1
+	s.Cells, s.Shards, s.CellsPerShard = 1, 1, 1
 	g := newRig(t, s)
-	g.list(ListCached, Entry{Replica: 1, State: Ready, ReadyAt: g.now - 2000}, Entry{Replica: 2, State: Ready})
+	g.list(UpdateCached, Endpoint{Replica: 1, State: Ready, StartedAt: g.now - 2000}, Endpoint{Replica: 2, State: Ready})
 	sent := func(ms float64) (n int) {
 		before := len(g.sends)
 		for range int(ms / 50) {
@@ -1850,13 +1850,13 @@
 func TestKeyIsNotBlamedForReplicasLostAtOnce(t *testing.T) {
 	s := settings()
 	g := newRig(t, s)
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	g.warm()
 	g.turned(g.keyed(77, 0, 2, 4))
 	g.turned(g.keyed(5, 1, 3, 5))
 	g.pass(20, nil)
 	for _, a := range append([]*rigSend(nil), g.open...) {
-		g.end(a, Reset)
+		g.end(a, ConnectionReset)
 	}
 	g.turn()
 	g.pass(400, g.after(60))
@@ -1868,7 +1868,7 @@
 // One replica that stood still brings many late parts back at once: they say nothing of the others in its zone.
 func TestAStallIsNoSlowWay(t *testing.T) {
 	g := newRig(t, settings())
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	g.warm()
 	r := g.b.replicas[3]
 	for range 40 {
@@ -1886,14 +1886,14 @@
 // A zone that goes silent shows in what is late there, long before a time-out tells of it.
 func TestSilentZoneIsLeftBeforeAnyTimeOut(t *testing.T) {
 	s := settings()
-	s.Peers, s.Shards, s.Cells, s.Reach, s.Zone = 40, 10, 10, 1, 2
-	s.Classes[0].Aim, s.Classes[0].Deadline, s.SecondCopies = 2900, 3000, false
+	s.BrokerCount, s.Shards, s.Cells, s.CellsPerShard, s.LocalZone = 40, 10, 10, 1, 2
+	s.Classes[0].LatencyObjective, s.Classes[0].Deadline, s.AllowHedging = 2900, 3000, false
 	g := newRig(t, s)
-	var es []Entry
+	var es []Endpoint
 	for i := range uint32(200) {
-		es = append(es, Entry{Replica: i + 1, Cell: int(i % 10), Zone: int(i/10) % 2, State: Ready})
+		es = append(es, Endpoint{Replica: i + 1, Cell: int(i % 10), Zone: int(i/10) % 2, State: Ready})
 	}
-	g.list(ListFull, es...)
+	g.list(UpdateFull, es...)
 	g.turn()
 	silent := func(a *rigSend) bool { return (a.replica-1)/10%2 == 1 }
 	ask := func(n int, lost bool) (sent int) {
@@ -1903,7 +1903,7 @@
 			g.turn()
 			g.pass(25, func(a *rigSend) {
 				if g.now >= a.at+100 && !(lost && silent(a)) {
-					g.end(a, OK)
+					g.end(a, Succeeded)
 				}
 			})
 		}
@@ -1930,14 +1930,14 @@
 			if since > 4000 {
 				g.end(a, ConnectFailed)
 			} else if g.now >= a.at+100+since/3 {
-				g.end(a, OK)
+				g.end(a, Succeeded)
 			}
 		},
 	} {
 		s := settings()
-		s.Peers = 30
+		s.BrokerCount = 30
 		g := newRig(t, s)
-		g.fleet(ListFull)
+		g.fleet(UpdateFull)
 		g.warm()
 		ask := func(ms float64, reply func(*rigSend)) (sent, failed int) {
 			before, start := len(g.sends), g.now
@@ -1964,7 +1964,7 @@
 			if a.replica == 3 {
 				bad(g, a, g.now-start)
 			} else if g.now >= a.at+100 {
-				g.end(a, OK)
+				g.end(a, Succeeded)
 			}
 		}
 		usual, _ := ask(3000, g.after(100))
@@ -1993,9 +1993,9 @@
 // were refused.
 func surge(t *testing.T, overShare float64) [2]int {
 	s := settings()
-	s.Peers, s.Tenants, s.OverShareWorth = 1, []float64{10, 10}, overShare
+	s.BrokerCount, s.TenantRates, s.OverQuotaFactor = 1, []float64{10, 10}, overShare
 	g := newRig(t, s)
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	g.warm()
 	count := func(tick float64, reply float64) (refused [2]int) {
 		for i := range 60 {
@@ -2005,7 +2005,7 @@
 					tenant = 1
 				}
 				g.next++
-				q := &rigQuery{q: Query{ID: g.next, Group: int(g.next), Tenant: tenant, Deadline: g.now + 3000}}
+				q := &rigQuery{q: Query{ID: g.next, QueryGroup: int(g.next), Tenant: tenant, Deadline: g.now + 3000}}
 				g.queries[q.q.ID] = q
 				g.b.QueryArrived(g.now, q.q)
 				g.part(q, (i+n)%6, 100, 1)
@@ -2027,7 +2027,7 @@
 func TestSecondStepInOddCases(t *testing.T) {
 	for name, odd := range map[string]func(g *rig, q *rigQuery){
 		"no holders": func(g *rig, q *rigQuery) {
-			g.list(ListFull, Entry{Replica: 5, Cell: 4, State: Ready})
+			g.list(UpdateFull, Endpoint{Replica: 5, Cell: 4, State: Ready})
 			g.part(q, 0, 100, 0.5)
 			g.part(q, 1, 100, 0.5)
 		},
@@ -2035,7 +2035,7 @@
 		"no parts at all": func(*rig, *rigQuery) {},
 	} {
 		g := newRig(t, settings())
-		g.fleet(ListFull)
+		g.fleet(UpdateFull)
 		q := g.turned(g.query(5, 0, 1))
 		g.pass(150, g.after(100))
 		if q.answers != 1 {
@@ -2053,7 +2053,7 @@
 // Zones of any number in the list are taken as they are.
 func TestOddZonesInTheList(t *testing.T) {
 	g := newRig(t, settings())
-	g.list(ListFull, Entry{Replica: 1, State: Ready, Zone: -7}, Entry{Replica: 2, State: Ready, Zone: 1 << 40})
+	g.list(UpdateFull, Endpoint{Replica: 1, State: Ready, Zone: -7}, Endpoint{Replica: 2, State: Ready, Zone: 1 << 40})
 	q := g.turned(g.query(0, 0))
 	g.pass(200, g.after(100))
 	g.mustEnd(q, "answer")
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -18,12 +18,12 @@
 
 func (q *quiet) Send(uint64, uint32, float64) {}
 func (q *quiet) Cancel(uint64, int)           {}
-func (q *quiet) DropIdle(uint32)              {}
+func (q *quiet) CloseIdleConnections(uint32)              {}
 func (q *quiet) Answer(uint64, bool)          {}
-func (q *quiet) Refuse(uint64, float64)       {}
+func (q *quiet) Reject(uint64, float64)       {}
 func (q *quiet) Fail(uint64)                  {}
-func (q *quiet) Wake(float64)                 {}
-func (q *quiet) Watch()                       { q.asked = true }
+func (q *quiet) SetTimer(float64)                 {}
+func (q *quiet) WatchEndpoints()                       { q.asked = true }
 func (q *quiet) Log(string)                   {}
 
 // listService serves calls in turn, each for 100 ms; a call that has waited for 2 s fails, and its turn comes
@@ -49,17 +49,17 @@
 func subscribe(t *testing.T, peers, told, seconds int) []int {
 	t.Helper()
 	var acts []*quiet
-	var all []*Balancer
+	var all []*Scheduler
 	for i := range peers {
 		s := settings()
-		s.Peers, s.Me, s.MustAsk, s.AskWithin = told, i%told, true, 10000
-		s.Layout = slicemap.NewFixed(s.Shards, s.Cells, s.Reach)
+		s.BrokerCount, s.BrokerIndex, s.PollEndpoints, s.MaxStaleness = told, i%told, true, 10000
+		s.Placement = slicemap.NewFixed(s.Shards, s.Cells, s.CellsPerShard)
 		a := &quiet{}
 		b, err := New(s, uint64(i)*7919+11, a)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.ListChanged(1000, ListCached, []Entry{{Replica: 1, State: Ready}})
+		b.EndpointsChanged(1000, UpdateCached, []Endpoint{{Replica: 1, State: Ready}})
 		acts, all = append(acts, a), append(all, b)
 	}
 	var l listService
@@ -67,7 +67,7 @@
 	for now := 1000.0; now < 1000+1000*float64(seconds); now += 5 {
 		for len(l.line) > 0 && now >= l.until {
 			if c := l.line[0]; now-c.at <= listWaits {
-				all[c.who].ListChanged(now, ListDelta, nil)
+				all[c.who].EndpointsChanged(now, UpdateDelta, nil)
 				watching[c.who] = true
 			}
 			l.line, l.until = l.line[1:], l.until+listServes
@@ -75,16 +75,16 @@
 		for _, c := range l.line {
 			if now-c.at > listWaits && !failed[c.who] {
 				failed[c.who] = true
-				all[c.who].ListChanged(now, ListFailed, nil)
+				all[c.who].EndpointsChanged(now, UpdateFailed, nil)
 			}
 		}
 		for i, b := range all {
-			b.Woken(now)
-			if b.EndTurn(now); !acts[i].asked {
+			b.TimerFired(now)
+			if b.RunRound(now); !acts[i].asked {
 				continue
 			}
 			if acts[i].asked = false; len(l.line) >= listLine {
-				b.ListChanged(now, ListFailed, nil)
+				b.EndpointsChanged(now, UpdateFailed, nil)
 				continue
 			}
 			if len(l.line) == 0 {
@@ -154,7 +154,7 @@
 type member struct {
 	quiet
 	f     *fleet
-	b     *Balancer
+	b     *Scheduler
 	tries map[uint64][]*fleetTry
 }
 
@@ -166,17 +166,17 @@
 func newFleet(t *testing.T, peers int) *fleet {
 	t.Helper()
 	f := &fleet{t: t, now: 1e6, rnd: rand.New(rand.NewSource(5)), s: Settings{
-		Classes: []Class{{Aim: 400, Deadline: 1000, Worth: 1, LateWorth: 0.3, Effect: Safe, Floor: 1, Need: 1}},
-		Peers:   peers, Tick: 1, Shards: 12, Cells: 6, Reach: 3, PerCall: 1, Cancel: true, MaxAttempts: 4,
-		MaxRetryAfter: 1000, DrainGrace: 1000, ColdFrom: 0.21, ColdFor: 18000, FallMultiple: 2.5, FallFor: 1500}}
-	f.s.Layout = slicemap.NewFixed(f.s.Shards, f.s.Cells, f.s.Reach)
+		Classes: []Class{{LatencyObjective: 400, Deadline: 1000, PriorityWeight: 1, LateFactor: 0.3, Idempotency: Idempotent, MinCompleteness: 1, CompletenessTarget: 1}},
+		BrokerCount:   peers, TimerResolution: 1, Shards: 12, Cells: 6, CellsPerShard: 3, MaxPartsPerCall: 1, CanCancel: true, MaxAttempts: 4,
+		MaxRetryAfter: 1000, DrainGrace: 1000, SlowStartInitialCapacity: 0.21, SlowStartDuration: 18000, SlowStartWorkMultiple: 2.5, SlowStartWindow: 1500}}
+	f.s.Placement = slicemap.NewFixed(f.s.Shards, f.s.Cells, f.s.CellsPerShard)
 	for range f.s.Cells {
 		f.replicas = append(f.replicas, &server{})
 	}
 	for i := range peers {
 		m := &member{f: f, tries: map[uint64][]*fleetTry{}}
 		s := f.s
-		s.Me = i
+		s.BrokerIndex = i
 		var err error
 		if m.b, err = New(s, uint64(i)*7919+3, m); err != nil {
 			t.Fatal(err)
@@ -189,12 +189,12 @@
 
 // list tells everybody of all replicas.
 func (f *fleet) list() {
-	var es []Entry
+	var es []Endpoint
 	for i, r := range f.replicas {
-		es = append(es, Entry{Replica: uint32(i), Cell: i, State: Ready, ReadyAt: r.ready})
+		es = append(es, Endpoint{Replica: uint32(i), Cell: i, State: Ready, StartedAt: r.ready})
 	}
 	for _, m := range f.all {
-		m.b.ListChanged(f.now, ListFull, es)
+		m.b.EndpointsChanged(f.now, UpdateFull, es)
 	}
 }
 
@@ -203,8 +203,8 @@
 	if r.ready == 0 {
 		return fleetCores
 	}
-	ramp := min(1, (at-r.ready)/f.s.ColdFor)
-	return fleetCores * (f.s.ColdFrom + (1-f.s.ColdFrom)*ramp)
+	ramp := min(1, (at-r.ready)/f.s.SlowStartDuration)
+	return fleetCores * (f.s.SlowStartInitialCapacity + (1-f.s.SlowStartInitialCapacity)*ramp)
 }
 
 func (m *member) Send(part uint64, replica uint32, timeout float64) {
@@ -222,7 +222,7 @@
 	r.busy = max(r.busy, f.now) + work/f.able(r, f.now)
 	// One part alone takes a core's time, not that of two.
 	if done := max(r.busy, f.now+work/f.able(r, f.now)*fleetCores); done < e.end {
-		e.end, e.outcome = done, OK
+		e.end, e.outcome = done, Succeeded
 	}
 	i, _ := slices.BinarySearchFunc(f.due, e, func(x, y *fleetTry) int { return cmp.Compare(x.end, y.end) })
 	f.due = slices.Insert(f.due, i, e)
@@ -243,24 +243,24 @@
 		for len(f.due) > 0 && f.due[0].end <= f.now {
 			e := f.due[0]
 			f.due, e.over = f.due[1:], true
-			e.m.b.AttemptEnded(f.now, Result{Part: e.part, Attempt: e.no, Replica: e.replica, Outcome: e.outcome,
+			e.m.b.AttemptEnded(f.now, AttemptResult{Part: e.part, Attempt: e.no, Replica: e.replica, Outcome: e.outcome,
 				Latency: f.now - e.sent})
 		}
 		if f.rnd.Float64() < rate/1000 {
 			m := f.all[f.rnd.Intn(len(f.all))]
 			f.next++
 			q := f.next
-			m.b.QueryArrived(f.now, Query{ID: q, Group: int(q), Deadline: f.now + 1000})
+			m.b.QueryArrived(f.now, Query{ID: q, QueryGroup: int(q), Deadline: f.now + 1000})
 			first := f.rnd.Intn(f.s.Shards)
 			for i := range parts {
 				f.next++
-				m.b.PartArrived(f.now, Part{ID: f.next, Group: int(q), Shard: (first + i) % f.s.Shards,
-					Weight: 1 / float64(parts), Hint: fleetWork, HasHint: true})
+				m.b.PartArrived(f.now, Part{ID: f.next, QueryGroup: int(q), Shard: (first + i) % f.s.Shards,
+					Weight: 1 / float64(parts), CostHint: fleetWork, HasCostHint: true})
 			}
 		}
 		for _, m := range f.all {
-			m.b.Woken(f.now)
-			m.b.EndTurn(f.now)
+			m.b.TimerFired(f.now)
+			m.b.RunRound(f.now)
 		}
 	}
 }
@@ -269,11 +269,11 @@
 func (f *fleet) pressure(r *server, from float64) (most float64) {
 	for i, x := range r.work {
 		sum := 0.0
-		for j := i; j >= 0 && r.work[j].at > x.at-f.s.FallFor; j-- {
+		for j := i; j >= 0 && r.work[j].at > x.at-f.s.SlowStartWindow; j-- {
 			sum += r.work[j].v
 		}
 		if x.at > from {
-			most = max(most, sum/(f.able(r, x.at-f.s.FallFor/2)*f.s.FallMultiple*f.s.FallFor))
+			most = max(most, sum/(f.able(r, x.at-f.s.SlowStartWindow/2)*f.s.SlowStartWorkMultiple*f.s.SlowStartWindow))
 		}
 	}
 	return most
@@ -320,7 +320,7 @@
 // a replica that starts meanwhile is counted in what they took before.
 func TestWaitingIsNoWork(t *testing.T) {
 	g := newRig(t, settings())
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	for range 60 {
 		g.hinted(0, 20, 0, 2, 4)
 		g.turn()
@@ -345,13 +345,13 @@
 	f.replicas[0].ready = f.now
 	f.list()
 	f.run(2000, 80, 6)
-	one := f.s.FallMultiple * f.s.FallFor * (f.s.ColdFrom + (1-f.s.ColdFrom)*(2000-f.s.FallFor/2)/f.s.ColdFor)
+	one := f.s.SlowStartWorkMultiple * f.s.SlowStartWindow * (f.s.SlowStartInitialCapacity + (1-f.s.SlowStartInitialCapacity)*(2000-f.s.SlowStartWindow/2)/f.s.SlowStartDuration)
 	sum, least, most := 0.0, 1e9, 0.0
 	for _, m := range f.all {
 		x := m.b.cold.Share(coldShare*one/80, one)
 		sum, least, most = sum+x, min(least, x), max(most, x)
 	}
-	rule := f.able(f.replicas[0], f.now-f.s.FallFor/2) * f.s.FallMultiple * f.s.FallFor
+	rule := f.able(f.replicas[0], f.now-f.s.SlowStartWindow/2) * f.s.SlowStartWorkMultiple * f.s.SlowStartWindow
 	t.Logf("%.2f of the rule in all, shares from %.1f to %.1f ms", sum/rule, least, most)
 	if sum > rule || sum < 0.4*rule || most < 2*least {
 		t.Fatalf("shares of %v ms of work in all, from %v to %v, the rule allows %v", sum, least, most, rule)
@@ -366,9 +366,9 @@
 		drops bool
 	}{{9, false}, {60, true}} {
 		s := settings()
-		s.Peers, s.Cells, s.Shards, s.SecondCopies = 80, 60, 60, false
+		s.BrokerCount, s.Cells, s.Shards, s.AllowHedging = 80, 60, 60, false
 		g := newRig(t, s)
-		g.fleet(ListFull)
+		g.fleet(UpdateFull)
 		for i := range 30 {
 			var shards []int
 			for j := range 24 {
@@ -379,7 +379,7 @@
 			bad := func(a *rigSend) bool { return i >= 10 && a.replica <= c.hung }
 			g.pass(600, func(a *rigSend) {
 				if g.now >= a.at+20 && !bad(a) {
-					g.end(a, OK)
+					g.end(a, Succeeded)
 				}
 			})
 		}
@@ -399,16 +399,16 @@
 // counted whole; and one quick sample is not what parts take from then on.
 func TestDearPartsAndFirstSamplesDoNotWidenAColdAllowance(t *testing.T) {
 	g := newRig(t, settings())
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	g.warm()
 	r := g.b.replicas[1]
 	r.warmFrom = g.now
-	g.b.s.ColdFrom = 0.5
+	g.b.s.SlowStartInitialCapacity = 0.5
 	if left, need := g.b.coldMay(g.now, r, 10); need != g.b.coldWork(10) || left <= 0 {
 		t.Fatalf("a dear part needs %v of %v", need, left)
 	}
 	h := newRig(t, settings())
-	h.fleet(ListFull)
+	h.fleet(UpdateFull)
 	h.query(0, 0)
 	h.turn()
 	h.pass(10, h.after(1))
--- a/balance/handover_test.go
+++ b/balance/handover_test.go
@@ -7,13 +7,13 @@
 // hand-over, and the new one uses it in its first window, which a start alone would not.
 func TestHandOverKeepsOneShare(t *testing.T) {
 	s := settings()
-	s.Cells, s.Shards, s.Reach = 1, 1, 1
+	s.Cells, s.Shards, s.CellsPerShard = 1, 1, 1
 	start := 0.0
 	cold := func(g *rig) {
 		if start == 0 {
 			start = g.now - 2000
 		}
-		g.list(ListCached, Entry{Replica: 1, State: Ready, ReadyAt: start}, Entry{Replica: 2, State: Ready})
+		g.list(UpdateCached, Endpoint{Replica: 1, State: Ready, StartedAt: start}, Endpoint{Replica: 2, State: Ready})
 	}
 	drive := func(g *rig, ms float64) {
 		for range int(ms / 50) {
@@ -27,7 +27,7 @@
 	alone := newRig(t, s)
 	cold(alone)
 	drive(alone, 4000)
-	most := windowMost(alone.sends, s.FallFor)
+	most := windowMost(alone.sends, s.SlowStartWindow)
 	start = 0
 
 	old, next := newRig(t, s), newRig(t, s)
@@ -49,12 +49,12 @@
 		}
 	}
 	both := append(append([]*rigSend(nil), old.sends...), next.sends...)
-	if got := windowMost(both, s.FallFor); got > most {
+	if got := windowMost(both, s.SlowStartWindow); got > most {
 		t.Fatalf("%d parts in a window to the cold replica from both, one process alone gives %d", got, most)
 	}
 	first := 0
 	for _, a := range next.sends {
-		if a.replica == 1 && a.at < taken+s.FallFor {
+		if a.replica == 1 && a.at < taken+s.SlowStartWindow {
 			first++
 		}
 	}
@@ -85,12 +85,12 @@
 func TestProcessesSideBySideKeepOneShare(t *testing.T) {
 	for _, handed := range []bool{false, true} {
 		s := settings()
-		s.Cells, s.Shards, s.Reach = 1, 1, 1
+		s.Cells, s.Shards, s.CellsPerShard = 1, 1, 1
 		drive := func(ms float64, sharing bool, gs ...*rig) {
 			for range int(ms / 50) {
 				for i, g := range gs {
 					if sharing && i == 1 {
-						g.b.Shares(g.now)
+						g.b.OtherProcessActive(g.now)
 					}
 					for range 6 {
 						g.query(0, 0)
@@ -100,9 +100,9 @@
 				}
 			}
 		}
-		list := func(state State, start float64, gs ...*rig) {
+		list := func(state ReplicaState, start float64, gs ...*rig) {
 			for _, g := range gs {
-				g.list(ListFull, Entry{Replica: 1, State: state, ReadyAt: start}, Entry{Replica: 2, State: Ready})
+				g.list(UpdateFull, Endpoint{Replica: 1, State: state, StartedAt: start}, Endpoint{Replica: 2, State: Ready})
 			}
 		}
 		alone, old, next := newRig(t, s), newRig(t, s), newRig(t, s)
@@ -120,7 +120,7 @@
 		}
 		drive(4000, false, alone)
 		drive(4000, true, old, next)
-		most, got := windowMost(alone.sends, s.FallFor), windowMost(append(old.sends, next.sends...), s.FallFor)
+		most, got := windowMost(alone.sends, s.SlowStartWindow), windowMost(append(old.sends, next.sends...), s.SlowStartWindow)
 		if got > most || got == 0 {
 			t.Fatalf("%d parts in a window to the cold replica from both, one process alone gives %d", got, most)
 		}
@@ -128,8 +128,8 @@
 			next.b.TakeOver(next.now, old.b.HandOver(old.now))
 		}
 		next.sends = nil
-		drive(2*s.FallFor, false, next)
-		if windowMost(next.sends, s.FallFor) == 0 {
+		drive(2*s.SlowStartWindow, false, next)
+		if windowMost(next.sends, s.SlowStartWindow) == 0 {
 			t.Fatalf("the new process does not use the replica, handed over %v", handed)
 		}
 	}
@@ -139,11 +139,11 @@
 // served; with one of the last two back and cold it is served within the cold share, and nothing goes to the other.
 func TestAllReplicasOfASetSuspended(t *testing.T) {
 	s := settings()
-	s.Shards, s.Cells, s.Reach = 6, 6, 2
+	s.Shards, s.Cells, s.CellsPerShard = 6, 6, 2
 	g := newRig(t, s)
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	g.warm()
-	g.list(ListDelta, Entry{Replica: 1, Cell: 0, State: Draining}, Entry{Replica: 2, Cell: 1, State: Draining})
+	g.list(UpdateDelta, Endpoint{Replica: 1, Cell: 0, State: Draining}, Endpoint{Replica: 2, Cell: 1, State: Draining})
 	g.pass(s.DrainGrace+100, g.after(40))
 	g.sends = nil
 	gone, whole := g.query(0, 0), g.query(0, 3)
@@ -155,7 +155,7 @@
 	if whole.how != "answer" {
 		t.Fatalf("a query elsewhere ended as %q", whole.how)
 	}
-	g.list(ListDelta, Entry{Replica: 2, Cell: 1, State: Ready, ReadyAt: g.now - 200})
+	g.list(UpdateDelta, Endpoint{Replica: 2, Cell: 1, State: Ready, StartedAt: g.now - 200})
 	served := 0
 	for range 100 {
 		q := g.query(0, 0)
@@ -170,8 +170,8 @@
 			t.Fatal("a suspended replica was sent to")
 		}
 	}
-	most := s.FallMultiple * s.FallFor * (s.ColdFrom + 5000/s.ColdFor) / 100 // parts of 100 ms, as it is 5 s on
-	if got := windowMostTo(g.sends, 2, s.FallFor); served == 0 || float64(got) > most {
+	most := s.SlowStartWorkMultiple * s.SlowStartWindow * (s.SlowStartInitialCapacity + 5000/s.SlowStartDuration) / 100 // parts of 100 ms, as it is 5 s on
+	if got := windowMostTo(g.sends, 2, s.SlowStartWindow); served == 0 || float64(got) > most {
 		t.Fatalf("%d served by the cold one, %d in a window, %v allowed", served, got, most)
 	}
 }
--- a/balance/hard_test.go
+++ b/balance/hard_test.go
@@ -6,7 +6,7 @@
 // enough of a query is held, it is answered in part as ever.
 func TestNoHolderListed(t *testing.T) {
 	g := newRig(t, settings())
-	g.list(ListFull, Entry{Replica: 4, Cell: 3, State: Ready})
+	g.list(UpdateFull, Endpoint{Replica: 4, Cell: 3, State: Ready})
 	q := g.query(0, 0)
 	g.turn()
 	g.mustEnd(q, "refuse")
@@ -25,18 +25,18 @@
 // at the old ones and what comes next is answered, by the new ones too.
 func TestTwoThirdsOfTheListReplacedAtOnce(t *testing.T) {
 	g := newRig(t, settings())
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	g.warm()
 	var qs []*rigQuery
 	for i := range 4 {
 		qs = append(qs, g.query(0, i, i+1, i+2))
 	}
 	g.turn()
-	es := []Entry{{Replica: 5, Cell: 4, State: Ready}, {Replica: 6, Cell: 5, State: Ready}}
+	es := []Endpoint{{Replica: 5, Cell: 4, State: Ready}, {Replica: 6, Cell: 5, State: Ready}}
 	for i := range 4 {
-		es = append(es, Entry{Replica: uint32(101 + i), Cell: i, State: Ready, ReadyAt: g.now - 100})
+		es = append(es, Endpoint{Replica: uint32(101 + i), Cell: i, State: Ready, StartedAt: g.now - 100})
 	}
-	g.list(ListFull, es...)
+	g.list(UpdateFull, es...)
 	old := len(g.sends)
 	g.pass(100, g.after(20))
 	for i := range 100 {
@@ -65,18 +65,18 @@
 // whether the replica stands.
 func TestWhatIsPassedTakesNoRoom(t *testing.T) {
 	g := newRig(t, settings())
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	g.warm()
 	r := g.b.replicas[3]
 	stuck := &attempt{part: &part{cost: 2}, r: r, call: &callOut{left: 1, cost: 2}, sent: g.now - 50, weight: 2}
 	next := &attempt{part: &part{q: &query{class: &g.s.Classes[0]}, cost: 1}, r: r, call: &callOut{left: 1, cost: 1},
 		sent: g.now - 10, weight: 1}
 	r.out, r.load = []*attempt{stuck, next}, 3
-	g.b.learn(g.now, next, Result{Outcome: OK, Latency: 60})
+	g.b.learn(g.now, next, AttemptResult{Outcome: Succeeded, Latency: 60})
 	if r.load != 1 || !stuck.passed || stuck.weight != 0 {
 		t.Fatalf("load %v, passed %v", r.load, stuck.passed)
 	}
-	g.b.learn(g.now, next, Result{Outcome: OK, Latency: 60})
+	g.b.learn(g.now, next, AttemptResult{Outcome: Succeeded, Latency: 60})
 	if r.load != 1 {
 		t.Fatalf("it is taken off twice: load %v", r.load)
 	}
--- a/balance/layout.go
+++ b/balance/layout.go
@@ -17,12 +17,12 @@
 	asked  bool // none of them is a reserve
 }
 
-// LayoutChanged tells that the layout has changed.
-func (b *Balancer) LayoutChanged() { clear(b.holders) }
+// PlacementChanged tells that the layout has changed.
+func (b *Scheduler) PlacementChanged() { clear(b.holders) }
 
-// PartReplaced puts parts in the place of one of whose attempts none is out: its shard is others' now. What
+// ReplacePart puts parts in the place of one of whose attempts none is out: its shard is others' now. What
 // was tried of it counts for each of them. It tells whether it did; a part without a unit cannot be replaced.
-func (b *Balancer) PartReplaced(now float64, id uint64, by []Part) bool {
+func (b *Scheduler) ReplacePart(now float64, id uint64, by []Part) bool {
 	p := b.parts[id]
 	if p == nil || p.in || p.live > 0 || p.q.ended || p.unit == nil {
 		return false
@@ -33,7 +33,7 @@
 	delete(b.parts, id)
 	var todo []*part
 	for _, in := range by {
-		in.Unit = u.number
+		in.AtomicGroup = u.number
 		x := b.add(q, in)
 		x.attempts, x.reserve, x.pause = slices.Clone(p.attempts), p.reserve, p.pause
 		todo = append(todo, x)
@@ -48,8 +48,8 @@
 	return true
 }
 
-// Resume ends the pause of a part: what it waited for has come.
-func (b *Balancer) Resume(id uint64) {
+// ResumePart ends the pause of a part: what it waited for has come.
+func (b *Scheduler) ResumePart(id uint64) {
 	if p := b.parts[id]; p != nil {
 		p.pause = 0
 	}
@@ -59,7 +59,7 @@
 const nearShards = 4096
 
 // shard is the shard of an id if something was queued at it, else nil.
-func (b *Balancer) shard(id int) *shard {
+func (b *Scheduler) shard(id int) *shard {
 	if id < len(b.near) {
 		return b.near[id]
 	}
@@ -67,7 +67,7 @@
 }
 
 // queue is the shard's queues, to which something is about to be added.
-func (b *Balancer) queue(id int, now float64) *shard {
+func (b *Scheduler) queue(id int, now float64) *shard {
 	s := b.shard(id)
 	if s == nil {
 		s = &shard{id: id}
@@ -88,24 +88,24 @@
 
 // noteHeld notes since when calls are held at each set of replicas: what waits at one of their shards says
 // how long a part of another one would.
-func (b *Balancer) noteHeld(now float64) {
+func (b *Scheduler) noteHeld(now float64) {
 	clear(b.waits)
 	for _, s := range b.active {
 		if s.oldest < now {
-			g := b.s.Layout.Group(s.id)
+			g := b.s.Placement.Group(s.id)
 			b.waits[g] = min(s.oldest, cmp.Or(b.waits[g], s.oldest))
 		}
 	}
 }
 
 // held tells since when the oldest call of a shard's replicas is held, as of the turn's beginning.
-func (b *Balancer) held(id int, now float64) float64 {
-	return cmp.Or(b.waits[b.s.Layout.Group(id)], now)
+func (b *Scheduler) held(id int, now float64) float64 {
+	return cmp.Or(b.waits[b.s.Placement.Group(id)], now)
 }
 
 // waited is how long the oldest call is held at the replicas of a part's shard, or of one that counts with
 // it, in ms.
-func (b *Balancer) waited(now float64, p *part) (ms float64) {
+func (b *Scheduler) waited(now float64, p *part) (ms float64) {
 	for _, x := range p.legs() {
 		ms = max(ms, now-b.held(x.Shard, now))
 	}
@@ -113,14 +113,14 @@
 }
 
 // opensBy tells that some replica of a part's shard opens for it by then.
-func (b *Balancer) opensBy(now float64, p *part, then float64) bool {
+func (b *Scheduler) opensBy(now float64, p *part, then float64) bool {
 	return slices.ContainsFunc(b.holdersOf(p.Shard), func(r *replica) bool {
 		return b.opens(now, r, p.cost) <= then
 	})
 }
 
 // sortActive sorts the active shards, so that a turn does the same whatever came first.
-func (b *Balancer) sortActive() {
+func (b *Scheduler) sortActive() {
 	if !b.sorted {
 		slices.SortFunc(b.active, func(x, y *shard) int { return cmp.Compare(x.id, y.id) })
 		b.sorted = true
@@ -128,7 +128,7 @@
 }
 
 // rest takes the shards at which nothing is queued off the list of active ones.
-func (b *Balancer) rest() {
+func (b *Scheduler) rest() {
 	b.active = slices.DeleteFunc(b.active, func(s *shard) bool {
 		for i := range s.fifo {
 			if len(s.fifo[i]) > 0 {
@@ -144,8 +144,8 @@
 }
 
 // holdersOf are the replicas that hold a shard, by id.
-func (b *Balancer) holdersOf(shard int) []*replica {
-	g := b.s.Layout.Group(shard)
+func (b *Scheduler) holdersOf(shard int) []*replica {
+	g := b.s.Placement.Group(shard)
 	if g < 0 {
 		return nil
 	}
@@ -153,11 +153,11 @@
 		return b.holders[g]
 	}
 	list := []*replica{}
-	for _, cell := range b.s.Layout.Cells(g) {
+	for _, cell := range b.s.Placement.Cells(g) {
 		list = append(list, b.byCell[cell]...)
 	}
-	for _, id := range b.s.Layout.Replicas(g) {
-		if r := b.replicas[id]; r != nil && r.State != Gone {
+	for _, id := range b.s.Placement.Replicas(g) {
+		if r := b.replicas[id]; r != nil && r.State != Removed {
 			list = append(list, r)
 		}
 	}
@@ -203,9 +203,9 @@
 
 // join puts a part of a query into its unit.
 func (q *query) join(p *part) {
-	i := slices.IndexFunc(q.parts, func(x *part) bool { return x.unit != nil && x.unit.number == p.Unit })
+	i := slices.IndexFunc(q.parts, func(x *part) bool { return x.unit != nil && x.unit.number == p.AtomicGroup })
 	if i < 0 {
-		p.unit = &unit{number: p.Unit}
+		p.unit = &unit{number: p.AtomicGroup}
 	} else {
 		p.unit = q.parts[i].unit
 	}
--- a/balance/mass_test.go
+++ b/balance/mass_test.go
@@ -16,9 +16,9 @@
 func TestTooLittleTimeIsRefusedAtTheDoorOfMany(t *testing.T) {
 	for _, peers := range []int{3, 6, 300} {
 		s := settings()
-		s.Peers, s.SecondCopies = peers, false
+		s.BrokerCount, s.AllowHedging = peers, false
 		g := newRig(t, s)
-		g.fleet(ListFull)
+		g.fleet(UpdateFull)
 		g.warm()
 		for i := range 120 {
 			g.query(0, i%6)
@@ -27,7 +27,7 @@
 		}
 		take := func(left float64, shards ...int) bool {
 			g.next++
-			q := &rigQuery{q: Query{ID: g.next, Group: int(g.next), Deadline: g.now + left}}
+			q := &rigQuery{q: Query{ID: g.next, QueryGroup: int(g.next), Deadline: g.now + left}}
 			g.queries[q.q.ID] = q
 			g.b.QueryArrived(g.now, q.q)
 			for _, sh := range shards {
@@ -68,9 +68,9 @@
 func TestFullReplicasElsewhereBarNoMove(t *testing.T) {
 	for _, slow := range []bool{false, true} {
 		s := settings()
-		s.SecondCopies, s.Peers = false, 300
+		s.AllowHedging, s.BrokerCount = false, 300
 		g := newRig(t, s)
-		g.fleet(ListFull)
+		g.fleet(UpdateFull)
 		g.warm()
 		took := 40.0
 		if slow {
@@ -79,7 +79,7 @@
 		reply := func(a *rigSend) {
 			switch {
 			case a.replica >= 4 && a.no == 0:
-				g.end(a, Full)
+				g.end(a, Rejected)
 			case a.replica != 1:
 				g.after(took)(a)
 			case slow:
@@ -111,14 +111,14 @@
 	ends := map[string]int{}
 	for me := range 300 {
 		s := settings()
-		s.Peers, s.Me, s.FallMultiple = 300, me, 10
+		s.BrokerCount, s.BrokerIndex, s.SlowStartWorkMultiple = 300, me, 10
 		g := newRig(t, s)
-		g.fleet(ListFull)
+		g.fleet(UpdateFull)
 		g.warm()
 		g.pass(2000, g.after(40))
 		g.b.cold = share.NewCold(300) // with its even share, under a tenth of a part
 		for i := 1; i <= 3; i++ {
-			g.list(ListDelta, Entry{Replica: uint32(i), Cell: i - 1, State: Ready, ReadyAt: g.now})
+			g.list(UpdateDelta, Endpoint{Replica: uint32(i), Cell: i - 1, State: Ready, StartedAt: g.now})
 		}
 		closed, open := g.query(0, 0), g.query(0, 3) // held by 1 to 3, and by 4 to 6
 		g.turn()
@@ -166,9 +166,9 @@
 func TestConnectionsTurnedAwayDoNotCloseTheDoor(t *testing.T) {
 	for _, alone := range []bool{true, false} {
 		s := settings()
-		s.Peers, s.BudgetFree = 30, 1e6
+		s.BrokerCount, s.RetryBudgetSpare = 30, 1e6
 		g := newRig(t, s)
-		g.fleet(ListFull)
+		g.fleet(UpdateFull)
 		g.warm()
 		n := 0
 		for range 400 {
@@ -177,7 +177,7 @@
 			g.pass(60, func(a *rigSend) {
 				if a.no == 0 && n%2 == 0 {
 					n++
-					g.finish(a, Result{Outcome: Full, Alone: alone})
+					g.finish(a, AttemptResult{Outcome: Rejected, ConnectionOnly: alone})
 					return
 				}
 				g.after(40)(a)
--- a/balance/state.go
+++ b/balance/state.go
@@ -10,8 +10,8 @@
 
 // What balance.go holds between events, and its tools. Nothing here decides.
 
-// Balancer is one co-ordinator's decisions. It shares nothing with others.
-type Balancer struct {
+// Scheduler is one co-ordinator's decisions. It shares nothing with others.
+type Scheduler struct {
 	s                    Settings
 	act                  Actions
 	rng                  uint64
@@ -119,7 +119,7 @@
 }
 
 type replica struct {
-	Entry
+	Endpoint
 	informed    float64 // when the list first called it draining or gone
 	warmFrom    float64 // start of its cold ramp
 	level, fail stamp   // latency as a multiple of usual, above 1; share of failures: both fade
@@ -155,15 +155,15 @@
 // tells is how much a result says of whether the fleet takes what it is sent, 0 or 1: nothing if no answer
 // came, as hung replicas and cut ways look like that too, if the part was never meant for the replica, or if
 // it was turned away for its connection, as that says nothing of the replica's queue.
-func (res Result) tells() float64 {
-	if o := res.Outcome; o == TimedOut || o == Cancelled || o == Moot || o == Moved || o == Full && res.Alone {
+func (res AttemptResult) tells() float64 {
+	if o := res.Outcome; o == TimedOut || o == Cancelled || o == NotSent || o == NotHolder || o == Rejected && res.ConnectionOnly {
 		return 0
 	}
 	return 1
 }
 
 // countWarm is how many replicas are listed as ready and not known to be cold.
-func (b *Balancer) countWarm(now float64) (n int) {
+func (b *Scheduler) countWarm(now float64) (n int) {
 	for _, r := range b.order {
 		if r.State == Ready && b.warm(now, r) {
 			n++
@@ -172,14 +172,14 @@
 	return n
 }
 
-func (a *attempt) mayHaveRun() bool { return !a.ended || a.outcome < Full }
+func (a *attempt) mayHaveRun() bool { return !a.ended || a.outcome < Rejected }
 
 func (p *part) tried(r *replica) bool {
 	return slices.ContainsFunc(p.attempts, func(a *attempt) bool { return a.r == r })
 }
 
 // dropParts takes the parts of a query out of the queues and cancels what is out.
-func (b *Balancer) dropParts(q *query) {
+func (b *Scheduler) dropParts(q *query) {
 	for _, p := range q.parts {
 		p.queued = false
 		delete(b.parts, p.ID)
@@ -189,9 +189,9 @@
 }
 
 // cancel stops waiting for what is out of a part.
-func (b *Balancer) cancel(p *part) {
+func (b *Scheduler) cancel(p *part) {
 	for _, a := range p.attempts {
-		if !a.ended && b.s.Cancel {
+		if !a.ended && b.s.CanCancel {
 			b.act.Cancel(p.ID, a.no)
 		}
 	}
@@ -210,7 +210,7 @@
 func (w window) since(from float64) float64 { return float64(len(w) - sort.SearchFloat64s(w, from)) }
 
 // random is a number in [0, 1) from the seed (splitmix64).
-func (b *Balancer) random() float64 {
+func (b *Scheduler) random() float64 {
 	b.rng += 0x9e3779b97f4a7c15
 	z := b.rng
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
--- a/balance/turns_test.go
+++ b/balance/turns_test.go
@@ -11,10 +11,10 @@
 // wholeParts is what coldMay gives a broker, in parts, of an even share of so many.
 func wholeParts(parts float64, me, n int, node uint32) float64 {
 	const ramp, window, unit = 18_000.0, 1500.0, 100.0
-	s := Settings{Me: me, Peers: n, ColdFrom: 1, ColdFor: ramp, FallFor: window}
-	s.FallMultiple = parts * unit * float64(n) / coldShare / s.FallFor
-	b := &Balancer{s: s, unit: unit, cores: 1, born: -ramp}
-	may, _ := b.coldMay(1, &replica{Entry: Entry{Replica: node}, warmFrom: 1}, 1)
+	s := Settings{BrokerIndex: me, BrokerCount: n, SlowStartInitialCapacity: 1, SlowStartDuration: ramp, SlowStartWindow: window}
+	s.SlowStartWorkMultiple = parts * unit * float64(n) / coldShare / s.SlowStartWindow
+	b := &Scheduler{s: s, unit: unit, cores: 1, born: -ramp}
+	may, _ := b.coldMay(1, &replica{Endpoint: Endpoint{Replica: node}, warmFrom: 1}, 1)
 	return may / unit
 }
 
@@ -57,9 +57,9 @@
 // whole is refused; and where the others are held too, so is the first.
 func TestJammedShardIsLeftOut(t *testing.T) {
 	s := settings()
-	s.Shards, s.Cells, s.Reach, s.Cancel = 12, 12, 1, false
+	s.Shards, s.Cells, s.CellsPerShard, s.CanCancel = 12, 12, 1, false
 	g := newRig(t, s)
-	g.fleet(ListFull)
+	g.fleet(UpdateFull)
 	g.warm()
 	stuck := map[uint32]bool{1: true}
 	reply := func(a *rigSend) {
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -21,7 +21,7 @@
 
 func run(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<16), bufio.NewWriterSize(out, 1<<16)
-	h := &host{instances: map[uint32]*instance{}, pools: map[uint8][]balance.Entry{}}
+	h := &host{instances: map[uint32]*instance{}, pools: map[uint8][]balance.Endpoint{}}
 	for {
 		b, err := wire.ReadBatch(r)
 		if errors.Is(err, io.EOF) && b == nil {
@@ -46,7 +46,7 @@
 // host holds the instances of this process; they share nothing but the reply being written.
 type host struct {
 	instances map[uint32]*instance
-	pools     map[uint8][]balance.Entry
+	pools     map[uint8][]balance.Endpoint
 	reply     wire.Reply
 	touched   []*instance
 }
@@ -55,7 +55,7 @@
 // in the batch voids them.
 type instance struct {
 	id      uint32
-	module  *balance.Balancer
+	module  *balance.Scheduler
 	actions []func(*wire.Reply)
 	touched bool
 }
@@ -78,10 +78,10 @@
 			if err != nil {
 				return err
 			}
-			list := make([]balance.Entry, len(es))
+			list := make([]balance.Endpoint, len(es))
 			for j, e := range es {
-				list[j] = balance.Entry{Replica: e.Replica, Cell: int(e.Cell), Zone: int(e.Zone), ReadyAt: e.ReadyAt,
-					State: balance.State(e.State)}
+				list[j] = balance.Endpoint{Replica: e.Replica, Cell: int(e.Cell), Zone: int(e.Zone), StartedAt: e.ReadyAt,
+					State: balance.ReplicaState(e.State)}
 			}
 			h.pools[r.U8(1)] = list
 			continue
@@ -96,7 +96,7 @@
 	for _, in := range h.touched {
 		in.touched = false
 		if in.module != nil {
-			in.guard(func() { in.module.EndTurn(b.Clock) })
+			in.guard(func() { in.module.RunRound(b.Clock) })
 		}
 		if len(in.actions) > 0 {
 			h.reply.As(in.id)
@@ -144,28 +144,28 @@
 	switch r.Code() {
 	case wire.EvTopology:
 		kind := r.U8(1)
-		if kind > uint8(balance.ListFailed) {
+		if kind > uint8(balance.UpdateFailed) {
 			return fmt.Errorf("frame %d: list form %d is unknown", b.Index, kind)
 		}
-		var list []balance.Entry
-		if balance.ListKind(kind) != balance.ListFailed {
+		var list []balance.Endpoint
+		if balance.UpdateKind(kind) != balance.UpdateFailed {
 			list = h.pools[r.U8(6)]
 		}
-		in.guard(func() { m.ListChanged(now, balance.ListKind(kind), list) })
+		in.guard(func() { m.EndpointsChanged(now, balance.UpdateKind(kind), list) })
 	case wire.EvReq:
 		group, bits := int(r.F32(39)), r.U16(51)
 		if r.F32(43) < 0 {
-			q := balance.Query{ID: r.U64(1), Group: group, Class: int(r.U16(9)), Tenant: int(r.U32(11)),
-				Deadline: r.F64(23), Key: r.U64(15), Repeat: bits&2 != 0}
+			q := balance.Query{ID: r.U64(1), QueryGroup: group, Class: int(r.U16(9)), Tenant: int(r.U32(11)),
+				Deadline: r.F64(23), Key: r.U64(15), ClientRetry: bits&2 != 0}
 			in.guard(func() { m.QueryArrived(now, q) })
 			return nil
 		}
-		p := balance.Part{ID: r.U64(1), Group: group, Shard: int(r.F32(43)), Key: r.U64(15), Weight: r.F32(47),
-			Hint: r.F64(31), HasHint: bits&1 != 0}
+		p := balance.Part{ID: r.U64(1), QueryGroup: group, Shard: int(r.F32(43)), Key: r.U64(15), Weight: r.F32(47),
+			CostHint: r.F64(31), HasCostHint: bits&1 != 0}
 		in.guard(func() { m.PartArrived(now, p) })
 	case wire.EvResponse:
-		res := balance.Result{Part: r.U64(1), Attempt: int(r.U16(9)), Replica: r.U32(11), Latency: r.F64(17),
-			Final: r.U8(25) != 0}
+		res := balance.AttemptResult{Part: r.U64(1), Attempt: int(r.U16(9)), Replica: r.U32(11), Latency: r.F64(17),
+			PartDone: r.U8(25) != 0}
 		known := true
 		if res.Outcome, known = outcomes[r.U16(15)]; !known {
 			return fmt.Errorf("frame %d: outcome %d is unknown", b.Index, r.U16(15))
@@ -173,16 +173,16 @@
 		in.guard(func() { m.AttemptEnded(now, res) })
 	case wire.EvNoteFrom: // nothing is said to peers, and nothing is expected of them
 	case wire.EvClientGone:
-		in.guard(func() { m.ClientGone(now, r.U64(1)) })
+		in.guard(func() { m.ClientDisconnected(now, r.U64(1)) })
 	case wire.EvBell:
-		in.guard(func() { m.Woken(now) })
+		in.guard(func() { m.TimerFired(now) })
 	}
 	return nil
 }
 
-var outcomes = map[uint16]balance.Outcome{200: balance.OK, 502: balance.Failed, 429: balance.Full,
-	408: balance.TimedOut, 521: balance.ConnectFailed, 520: balance.Reset, 444: balance.Cancelled,
-	409: balance.Moot}
+var outcomes = map[uint16]balance.Outcome{200: balance.Succeeded, 502: balance.Failed, 429: balance.Rejected,
+	408: balance.TimedOut, 521: balance.ConnectFailed, 520: balance.ConnectionReset, 444: balance.Cancelled,
+	409: balance.NotSent}
 
 // guard turns a panic of the module into the wire's fault action.
 func (in *instance) guard(f func()) {
@@ -209,27 +209,27 @@
 	in.do(func(w *wire.Reply) { w.UndoSend(part, uint16(attempt)) })
 }
 
-// DropIdle closes idle connections.
-func (in *instance) DropIdle(replica uint32) { in.do(func(w *wire.Reply) { w.DropConns(replica) }) }
+// CloseIdleConnections closes idle connections.
+func (in *instance) CloseIdleConnections(replica uint32) { in.do(func(w *wire.Reply) { w.DropConns(replica) }) }
 
 // Answer answers a query.
 func (in *instance) Answer(query uint64, whole bool) {
 	in.do(func(w *wire.Reply) { w.Respond(query, whole) })
 }
 
-// Refuse refuses a query.
-func (in *instance) Refuse(query uint64, after float64) {
+// Reject refuses a query.
+func (in *instance) Reject(query uint64, after float64) {
 	in.do(func(w *wire.Reply) { w.NotNow(query, after) })
 }
 
 // Fail fails a query.
 func (in *instance) Fail(query uint64) { in.do(func(w *wire.Reply) { w.GiveUp(query) }) }
 
-// Wake sets a timer.
-func (in *instance) Wake(after float64) { in.do(func(w *wire.Reply) { w.After(after, 0) }) }
+// SetTimer sets a timer.
+func (in *instance) SetTimer(after float64) { in.do(func(w *wire.Reply) { w.After(after, 0) }) }
 
-// Watch subscribes to the list.
-func (in *instance) Watch() { in.do((*wire.Reply).Track) }
+// WatchEndpoints subscribes to the list.
+func (in *instance) WatchEndpoints() { in.do((*wire.Reply).Track) }
 
 // Log writes a report line.
 func (in *instance) Log(text string) { in.do(func(w *wire.Reply) { w.Remark(text) }) }
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -188,7 +188,7 @@
 	}
 }
 
-func newModule(t *testing.T, in *instance) *balance.Balancer {
+func newModule(t *testing.T, in *instance) *balance.Scheduler {
 	t.Helper()
 	s, err := wire.ParseSettings([]byte(settingsText))
 	if err != nil {
--- a/cmd/ternstage/extras.go
+++ b/cmd/ternstage/extras.go
@@ -64,7 +64,7 @@
 	}
 	m := slicemap.New(slicemap.Options{Slices: o.Most, Versions: o.Versions, History: o.History,
 		Number: nodes.Number})
-	cfg.Module.Layout, cfg.Book.Slices = m, true
+	cfg.Module.Placement, cfg.Book.Slices = m, true
 	return m
 }
 
--- a/cmd/ternstage/main.go
+++ b/cmd/ternstage/main.go
@@ -100,7 +100,7 @@
 	switch s := x.file.Slices; s {
 	case nil:
 		c.Printf("%d shards on %d cells, each on %d; they do not move\n", cfg.Module.Shards, cfg.Module.Cells,
-			cfg.Module.Reach)
+			cfg.Module.CellsPerShard)
 	default:
 		c.Printf("slices move, as the catalogue at %s says\n", s.Catalogue)
 	}
--- a/cmd/ternstage/serve.go
+++ b/cmd/ternstage/serve.go
@@ -109,12 +109,12 @@
 		back = flight.NewNodes(l, c, log, flight.NodeOptions{Streams: cfg.Streams, DialTimeout: cfg.DialTimeout,
 			KeepAlive: cfg.KeepAlive, Sockets: files / leafShare}, nodes.Address)
 	} else {
-		back = backends.NewPool(l, c, log, backends.Options{PerCall: cfg.Module.PerCall, Streams: cfg.Streams,
+		back = backends.NewPool(l, c, log, backends.Options{PerCall: cfg.Module.MaxPartsPerCall, Streams: cfg.Streams,
 			DialTimeout: cfg.DialTimeout, KeepAlive: cfg.KeepAlive, Sockets: files / leafShare, Slices: m != nil,
 			Room: server.MakeRoom}, nodes.Address)
 	}
-	reader := membership.NewReader(membership.Options{Pushed: !cfg.Module.MustAsk,
-		DrainGrace: cfg.Module.DrainGrace, Me: cfg.Module.Me, Peers: cfg.Module.Peers})
+	reader := membership.NewReader(membership.Options{Pushed: !cfg.Module.PollEndpoints,
+		DrainGrace: cfg.Module.DrainGrace, Me: cfg.Module.BrokerIndex, Peers: cfg.Module.BrokerCount})
 	watch := discovery.NewWatcher(l, c, log, nodes, reader, cfg.Discovery, server.MakeRoom)
 	c.Attach(back, watch)
 	var ops *control.Control
@@ -123,8 +123,8 @@
 		ops = control.New(l, log, filepath.Join(os.TempDir(), heldFile), nodes, c, server)
 		nodes.SuspendBy(ops.Suspensions())
 		if cfg.Inherited > 0 {
-			ops.HandOverBy(&control.Hand{Path: filepath.Join(os.TempDir(), handFile), Window: cfg.Module.FallFor,
-				Started: float64(started.UnixMicro()) / 1000, Peers: cfg.Module.Peers, Core: c,
+			ops.HandOverBy(&control.Hand{Path: filepath.Join(os.TempDir(), handFile), Window: cfg.Module.SlowStartWindow,
+				Started: float64(started.UnixMicro()) / 1000, Peers: cfg.Module.BrokerCount, Core: c,
 				Known: func(x uint32) bool { return nodes.Address(x) != "" }})
 		}
 		d, err := adminapi.Listen(l, ops, log, cfg.Mgmt)
--- a/internal/backends/conn.go
+++ b/internal/backends/conn.go
@@ -140,17 +140,17 @@
 	c.served++
 	switch a.end {
 	case endOK:
-		c.pool.core.Ended(o.a, balance.OK, slices.Clone(a.value))
+		c.pool.core.Ended(o.a, balance.Succeeded, slices.Clone(a.value))
 	case endErr:
 		c.pool.core.Ended(o.a, balance.Failed, nil)
 	case endBusy:
 		if c.served == 1 && c.ended {
 			c.crowded(o)
 		}
-		c.pool.core.Ended(o.a, balance.Full, nil)
+		c.pool.core.Ended(o.a, balance.Rejected, nil)
 	case endGone:
 		o.a.NodeEpoch = a.epoch
-		c.pool.core.Ended(o.a, balance.Moved, nil)
+		c.pool.core.Ended(o.a, balance.NotHolder, nil)
 	}
 	return o, nil
 }
@@ -169,7 +169,7 @@
 	if c.served++; !o.over {
 		o.over = true
 		c.done(o)
-		c.pool.core.Ended(o.a, balance.Full, nil)
+		c.pool.core.Ended(o.a, balance.Rejected, nil)
 	}
 }
 
@@ -331,7 +331,7 @@
 	c.s.Close()
 	c.pool.conns--
 	alone := c.alone(code)
-	broken := balance.Reset
+	broken := balance.ConnectionReset
 	if code == logs.LeafBadFrame || code == logs.LeafQuiet {
 		broken = balance.Cancelled // it is we who end it
 	}
@@ -346,7 +346,7 @@
 			if !o.over {
 				end := outcome
 				if o.over, o.a.Alone = true, alone; o == c.first {
-					if end = balance.Full; code == logs.LeafEnded || code == logs.LeafReset {
+					if end = balance.Rejected; code == logs.LeafEnded || code == logs.LeafReset {
 						c.crowded(o)
 					}
 				}
--- a/internal/backends/limit_test.go
+++ b/internal/backends/limit_test.go
@@ -118,7 +118,7 @@
 	}
 	var limit connLimit
 	o.next = func(round int) bool {
-		switch served := o.got[round-1][told{balance.OK, false}]; {
+		switch served := o.got[round-1][told{balance.Succeeded, false}]; {
 		case h.queue:
 			return false
 		case served < 6 && round < 6:
@@ -134,13 +134,13 @@
 	send(6)
 	p.Flush()
 	require.NoError(t, l.Run())
-	assert.Positive(t, o.got[0][told{balance.Full, true}], o.got[0])
+	assert.Positive(t, o.got[0][told{balance.Rejected, true}], o.got[0])
 	last := len(o.got) - 1
 	for _, got := range o.got[:last] {
-		assert.Zero(t, got[told{balance.Full, false}], got)
+		assert.Zero(t, got[told{balance.Rejected, false}], got)
 	}
-	assert.Equal(t, map[told]int{{balance.OK, false}: 6}, o.got[last-1], "they share what stands: %v", o.got)
-	assert.Equal(t, map[told]int{{balance.Full, false}: 4}, o.got[last])
+	assert.Equal(t, map[told]int{{balance.Succeeded, false}: 6}, o.got[last-1], "they share what stands: %v", o.got)
+	assert.Equal(t, map[told]int{{balance.Rejected, false}: 4}, o.got[last])
 	assert.Equal(t, limit, p.limit, "a full queue says nothing of connections")
 	assert.Less(t, limit.now(l.Now()), spread)
 	p.Close()
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -43,11 +43,11 @@
 		b.Fatal(err)
 	}
 	c.Attach(x, x)
-	var es []balance.Entry
+	var es []balance.Endpoint
 	for i := range 12 {
-		es = append(es, balance.Entry{Replica: uint32(i + 1), Cell: i, State: balance.Ready})
+		es = append(es, balance.Endpoint{Replica: uint32(i + 1), Cell: i, State: balance.Ready})
 	}
-	c.ListChanged(balance.ListFull, es)
+	c.ListChanged(balance.UpdateFull, es)
 	c.Turn()
 	return x, c
 }
@@ -72,7 +72,7 @@
 		x.ask(b, c, i, 4, 24)
 		c.Turn()
 		for len(x.sent) > 80 {
-			c.Ended(x.sent[0], balance.OK, []byte("v"))
+			c.Ended(x.sent[0], balance.Succeeded, []byte("v"))
 			x.sent = x.sent[1:]
 		}
 		c.Turn()
@@ -92,7 +92,7 @@
 					if len(x.sent) < 100 && i%150 != 0 {
 						break
 					}
-					c.Ended(x.sent[0], balance.OK, []byte("v"))
+					c.Ended(x.sent[0], balance.Succeeded, []byte("v"))
 					x.sent = x.sent[1:]
 				}
 				if i == 2000 {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -186,7 +186,7 @@
 
 // Core is one broker's state.
 type Core struct {
-	module  *balance.Balancer
+	module  *balance.Scheduler
 	classes []balance.Class
 	shards  int
 	tries   int
@@ -300,12 +300,12 @@
 		return nil
 	}
 	c.nextID++
-	r.id, r.unsafe = c.nextID, c.classes[r.Class].Effect == balance.Unsafe
+	r.id, r.unsafe = c.nextID, c.classes[r.Class].Idempotency == balance.NonIdempotent
 	group := int(r.id)
 	c.requests[r.id], c.names[r.Name] = r, true
 	c.open += 1 + count
-	c.module.QueryArrived(now, balance.Query{ID: r.id, Group: group, Class: r.Class, Tenant: r.Tenant,
-		Deadline: r.Deadline, Repeat: r.Repeat})
+	c.module.QueryArrived(now, balance.Query{ID: r.id, QueryGroup: group, Class: r.Class, Tenant: r.Tenant,
+		Deadline: r.Deadline, ClientRetry: r.Repeat})
 	if c.slices != nil {
 		c.begin(now, r)
 		return nil
@@ -314,8 +314,8 @@
 		c.nextID++
 		x := &part{Part: p, id: c.nextID, req: r}
 		r.parts, c.parts[x.id] = append(r.parts, x), x
-		c.module.PartArrived(now, balance.Part{ID: x.id, Group: group, Shard: p.Shard, Key: p.Key,
-			Weight: p.Weight, Hint: p.Cost, HasHint: p.Hinted})
+		c.module.PartArrived(now, balance.Part{ID: x.id, QueryGroup: group, Shard: p.Shard, Key: p.Key,
+			Weight: p.Weight, CostHint: p.Cost, HasCostHint: p.Hinted})
 	}
 	return nil
 }
@@ -331,7 +331,7 @@
 // leave ends a request whose client has gone. A part that must not run twice and may be running is waited for
 // all the same: its outcome is learnt and logged. Guards against a cancel that crosses a good answer.
 func (c *Core) leave(now float64, r *Request) {
-	c.module.ClientGone(now, r.id)
+	c.module.ClientDisconnected(now, r.id)
 	if c.release(r); !r.unsafe || !slices.ContainsFunc(r.parts, (*part).out) {
 		c.conclude(r)
 	}
@@ -356,7 +356,7 @@
 	if a.place >= 0 {
 		heap.Remove(&c.due, a.place)
 	}
-	if p := a.part; o == balance.OK && !p.in {
+	if p := a.part; o == balance.Succeeded && !p.in {
 		p.in, p.value = true, value
 		c.arrived(p)
 	}
@@ -370,8 +370,8 @@
 }
 
 // ListChanged passes the list on.
-func (c *Core) ListChanged(kind balance.ListKind, entries []balance.Entry) {
-	c.module.ListChanged(c.clock.Now(), kind, entries)
+func (c *Core) ListChanged(kind balance.UpdateKind, entries []balance.Endpoint) {
+	c.module.EndpointsChanged(c.clock.Now(), kind, entries)
 }
 
 // Open is how many requests are held.
@@ -395,10 +395,10 @@
 		a := e.a
 		delete(c.out, [2]uint64{a.part.id, uint64(a.no)})
 		_, held := c.requests[a.part.req.id]
-		c.module.AttemptEnded(now, balance.Result{Part: a.part.id, Attempt: a.no, Replica: a.Node,
-			Outcome: e.outcome, Latency: now - a.sent, Alone: a.Alone,
-			Final: e.outcome == balance.OK || !held, Pause: c.pause(a, e.outcome)})
-		if c.slices != nil && e.outcome != balance.OK {
+		c.module.AttemptEnded(now, balance.AttemptResult{Part: a.part.id, Attempt: a.no, Replica: a.Node,
+			Outcome: e.outcome, Latency: now - a.sent, ConnectionOnly: a.Alone,
+			PartDone: e.outcome == balance.Succeeded || !held, RetryDelay: c.pause(a, e.outcome)})
+		if c.slices != nil && e.outcome != balance.Succeeded {
 			c.reroute(now, a.part)
 		}
 		if r := a.part.req; r.left && c.requests[r.id] == r && !slices.ContainsFunc(r.parts, (*part).out) {
@@ -407,9 +407,9 @@
 	}
 	if now >= c.wakeAt {
 		c.wakeAt = math.Inf(1)
-		c.module.Woken(now)
+		c.module.TimerFired(now)
 	}
-	c.module.EndTurn(now)
+	c.module.RunRound(now)
 	c.back.Flush()
 	next := c.wakeAt
 	if len(c.due) > 0 {
@@ -512,7 +512,7 @@
 	p.attempts = append(p.attempts, a)
 	c.out[[2]uint64{id, uint64(a.no)}] = a
 	if c.tries > 0 && a.no >= c.tries || deadline <= now {
-		c.Later(a, balance.Moot)
+		c.Later(a, balance.NotSent)
 		return
 	}
 	heap.Push(&c.due, a)
@@ -523,12 +523,12 @@
 // for a repeat that is dropped only within the window of the first attempt, within that.
 func (c *Core) sendBy(now float64, p *part) float64 {
 	by, class := now+c.hold, &c.classes[p.req.Class]
-	if class.Effect != balance.Keyed {
+	if class.Idempotency != balance.IdempotentWithKey {
 		return by
 	}
 	for _, a := range p.attempts {
-		if !a.ended || a.how < balance.Full {
-			by = min(by, a.sent+class.Window)
+		if !a.ended || a.how < balance.Rejected {
+			by = min(by, a.sent+class.DedupWindow)
 		}
 	}
 	return by
@@ -548,25 +548,25 @@
 	c.Later(a, balance.Cancelled)
 }
 
-// DropIdle closes idle connections.
-func (c *Core) DropIdle(node uint32) { c.back.DropIdle(node) }
+// CloseIdleConnections closes idle connections.
+func (c *Core) CloseIdleConnections(node uint32) { c.back.DropIdle(node) }
 
 // Answer answers a request from the parts that are in.
 func (c *Core) Answer(id uint64, whole bool) { c.finish(id, Answer{Kind: Answered, Whole: whole}) }
 
-// Refuse refuses a request.
-func (c *Core) Refuse(id uint64, after float64) {
+// Reject refuses a request.
+func (c *Core) Reject(id uint64, after float64) {
 	c.finish(id, Answer{Kind: Refused, RetryAfter: after})
 }
 
 // Fail fails a request.
 func (c *Core) Fail(id uint64) { c.finish(id, Answer{Kind: Failed}) }
 
-// Wake asks for a turn.
-func (c *Core) Wake(after float64) { c.wakeAt = min(c.wakeAt, c.clock.Now()+after) }
+// SetTimer asks for a turn.
+func (c *Core) SetTimer(after float64) { c.wakeAt = min(c.wakeAt, c.clock.Now()+after) }
 
-// Watch subscribes to the list.
-func (c *Core) Watch() { c.list.Watch() }
+// WatchEndpoints subscribes to the list.
+func (c *Core) WatchEndpoints() { c.list.Watch() }
 
 // Log writes the module's line.
 func (c *Core) Log(text string) { c.log.Module(text) }
--- a/internal/core/moving.go
+++ b/internal/core/moving.go
@@ -127,8 +127,8 @@
 
 // told is the part as the module hears of it.
 func (p *part) told(group int) balance.Part {
-	return balance.Part{ID: p.id, Group: group, Shard: p.Shard, Key: p.Key, Weight: p.Weight, Hint: p.Cost,
-		HasHint: p.Hinted, Unit: p.unit.number}
+	return balance.Part{ID: p.id, QueryGroup: group, Shard: p.Shard, Key: p.Key, Weight: p.Weight, CostHint: p.Cost,
+		HasCostHint: p.Hinted, AtomicGroup: p.unit.number}
 }
 
 // unlink forgets a part's place under its slice.
@@ -184,7 +184,7 @@
 	if p.leg == nil {
 		return 0
 	}
-	if o != balance.Moved {
+	if o != balance.NotHolder {
 		p.row = 0
 		return 0
 	}
@@ -214,7 +214,7 @@
 		if !a.ended {
 			return // it is looked at when that ends
 		}
-		mayHaveRun = mayHaveRun || a.how < balance.Full
+		mayHaveRun = mayHaveRun || a.how < balance.Rejected
 	}
 	var buf [8]slicemap.Leg
 	legs, verdict := c.slices.Again(buf[:0], p.Leg, p.req.unsafe, mayHaveRun)
@@ -233,7 +233,7 @@
 		c.unlink(x)
 		r.parts = slices.DeleteFunc(r.parts, func(y *part) bool { return y == x })
 	}
-	if !c.module.PartReplaced(now, p.id, told) {
+	if !c.module.ReplacePart(now, p.id, told) {
 		for _, x := range parts {
 			drop(x)
 		}
@@ -252,7 +252,7 @@
 // MapChanged tells that the map has changed: retired are the slices that are in it no more.
 func (c *Core) MapChanged(retired []slicemap.ID) {
 	now, epoch := c.clock.Now(), c.slices.Current().Epoch
-	c.module.LayoutChanged()
+	c.module.PlacementChanged()
 	for _, id := range retired {
 		for _, p := range slices.Clone(c.bySlice[id]) {
 			if n := len(p.attempts); n > 0 && !p.attempts[n-1].ended {
@@ -266,7 +266,7 @@
 			return false
 		}
 		p.wait = 0
-		c.module.Resume(p.id)
+		c.module.ResumePart(p.id)
 		return true
 	})
 	c.clock.WakeAt(0) // what waited is decided on now
@@ -304,11 +304,11 @@
 
 // HandOver ends what this process sends to cold replicas and gives what it sent to them in the window of
 // their allowance, for the process that takes over (see balance.Balancer.HandOver).
-func (c *Core) HandOver() []balance.Sent { return c.module.HandOver(c.clock.Now()) }
+func (c *Core) HandOver() []balance.WarmupSend { return c.module.HandOver(c.clock.Now()) }
 
 // TakeOver counts what the process that handed over sent to cold replicas, and ends the wait of the first
 // window after a start (see balance.Balancer.TakeOver).
-func (c *Core) TakeOver(sent []balance.Sent) { c.module.TakeOver(c.clock.Now(), sent) }
+func (c *Core) TakeOver(sent []balance.WarmupSend) { c.module.TakeOver(c.clock.Now(), sent) }
 
 // Shares tells that another process of the aggregator serves beside this one (see balance.Balancer.Shares).
-func (c *Core) Shares() { c.module.Shares(c.clock.Now()) }
+func (c *Core) Shares() { c.module.OtherProcessActive(c.clock.Now()) }
--- a/internal/flight/nodes.go
+++ b/internal/flight/nodes.go
@@ -226,7 +226,7 @@
 			return // given up before: a late answer is ignored
 		}
 		x.over = true
-		if o == balance.OK {
+		if o == balance.Succeeded {
 			x.ch.served++
 		}
 		x.NodeEpoch = x.nodeEpoch
@@ -259,7 +259,7 @@
 	defer func() {
 		// Guards the program against a stream whose messages break the reader.
 		if e := recover(); e != nil && value == nil {
-			o = balance.Reset
+			o = balance.ConnectionReset
 		}
 	}()
 	ask := ticket{ID: fmt.Sprintf("%s.%d", x.Request, x.Shard), Shard: x.Shard,
@@ -269,7 +269,7 @@
 	}
 	t, err := json.Marshal(ask)
 	if err != nil {
-		return balance.Moot, nil
+		return balance.NotSent, nil
 	}
 	s, err := x.ch.client.DoGet(ctx, &flight.Ticket{Ticket: t})
 	if err != nil {
@@ -299,7 +299,7 @@
 	if !core.Usable(value) {
 		return balance.Failed, nil
 	}
-	return balance.OK, value
+	return balance.Succeeded, value
 }
 
 // connected waits until a connection is up, for so long at most. A refused one tells at once.
@@ -342,7 +342,7 @@
 			if i, ok := d.(*errdetails.ErrorInfo); ok && i.Reason == reasonMoved {
 				if epoch, err := strconv.ParseUint(i.Metadata[metaEpoch], 10, 63); err == nil && epoch > 0 {
 					x.nodeEpoch = epoch
-					return balance.Moved
+					return balance.NotHolder
 				}
 			}
 		}
@@ -355,15 +355,15 @@
 func outcomeOf(err error) balance.Outcome {
 	var st interface{ GRPCStatus() *status.Status }
 	if !errors.As(err, &st) {
-		return balance.Reset // a stream that ended early or cannot be read
+		return balance.ConnectionReset // a stream that ended early or cannot be read
 	}
 	switch st.GRPCStatus().Code() {
 	case codes.ResourceExhausted:
-		return balance.Full
+		return balance.Rejected
 	case codes.DeadlineExceeded:
 		return balance.TimedOut
 	case codes.Unavailable, codes.Canceled:
-		return balance.Reset
+		return balance.ConnectionReset
 	}
 	return balance.Failed
 }
--- a/internal/lab/exp/exp.go
+++ b/internal/lab/exp/exp.go
@@ -217,19 +217,19 @@
 }
 
 // Settings are what a broker's module is told.
-func (e *Experiment) Settings(me int, layout balance.Layout) balance.Settings {
+func (e *Experiment) Settings(me int, layout balance.Placement) balance.Settings {
 	told := e.ToldBrokers()
-	s := balance.Settings{Me: me % told, Peers: told, Tick: 5, Shards: e.Slices, Cells: e.Nodes, Reach: e.Reach,
-		Zone: e.ZoneOf(me), SecondCopies: e.Copies,
-		Layout: layout, PerCall: 1, MustAsk: !e.Pushed, AskWithin: 10_000, Cancel: true, MaxAttempts: e.Tries,
-		MaxRetryAfter: 1000, DrainGrace: 1000, ColdFrom: e.Node.ColdFrom, ColdFor: e.Node.Warm,
-		FallMultiple: e.Node.FallMultiple, FallFor: e.Node.FallFor, AnswerGrace: 20}
+	s := balance.Settings{BrokerIndex: me % told, BrokerCount: told, TimerResolution: 5, Shards: e.Slices, Cells: e.Nodes, CellsPerShard: e.Reach,
+		LocalZone: e.ZoneOf(me), AllowHedging: e.Copies,
+		Placement: layout, MaxPartsPerCall: 1, PollEndpoints: !e.Pushed, MaxStaleness: 10_000, CanCancel: true, MaxAttempts: e.Tries,
+		MaxRetryAfter: 1000, DrainGrace: 1000, SlowStartInitialCapacity: e.Node.ColdFrom, SlowStartDuration: e.Node.Warm,
+		SlowStartWorkMultiple: e.Node.FallMultiple, SlowStartWindow: e.Node.FallFor, AnswerGrace: 20}
 	for _, c := range e.Classes {
-		k := balance.Class{Aim: c.Aim, Deadline: c.Deadline, Worth: c.Worth, LateWorth: c.Late, Floor: c.Floor,
-			Need:         1,
-			PartialWorth: c.Partial}
+		k := balance.Class{LatencyObjective: c.Aim, Deadline: c.Deadline, PriorityWeight: c.Worth, LateFactor: c.Late, MinCompleteness: c.Floor,
+			CompletenessTarget:         1,
+			PartialFactor: c.Partial}
 		if c.Once() && e.Arm != Naive {
-			k.Effect = balance.Unsafe
+			k.Idempotency = balance.NonIdempotent
 		}
 		s.Classes = append(s.Classes, k)
 	}
--- a/internal/lab/world/fleet.go
+++ b/internal/lab/world/fleet.go
@@ -23,7 +23,7 @@
 	sim    *World
 	index  int
 	number uint32
-	state  balance.State
+	state  balance.ReplicaState
 	gen    int // of its process
 	taking int
 	busy   bool // in trouble
@@ -44,7 +44,7 @@
 // listNews is one line of news of the list.
 type listNews struct {
 	node    *node
-	state   balance.State
+	state   balance.ReplicaState
 	started float64
 }
 
@@ -349,7 +349,7 @@
 	to.taking++
 	r, gen := at.Range, to.gen // a process that has started anew has no copy
 	s.at(s.now+copying, func() {
-		if early || to.gen != gen || to.state == balance.Gone {
+		if early || to.gen != gen || to.state == balance.Removed {
 			f.each(r, from, to.ID, slicemap.Abort)
 			to.taking--
 			return
@@ -357,7 +357,7 @@
 		f.each(r, from, to.ID, slicemap.Handover)
 		s.at(s.now+handing, func() {
 			kind := slicemap.Done
-			if abort || to.gen != gen || to.state == balance.Gone {
+			if abort || to.gen != gen || to.state == balance.Removed {
 				kind = slicemap.Abort
 			}
 			f.each(r, from, to.ID, kind)
@@ -381,7 +381,7 @@
 }
 
 // tell puts news of a node on the list; each broker hears of it late.
-func (f *fleet) tell(n *node, state balance.State) {
+func (f *fleet) tell(n *node, state balance.ReplicaState) {
 	s := f.sim
 	n.state = state
 	f.news = append(f.news, listNews{n, state, n.Started})
@@ -537,7 +537,7 @@
 	for _, b := range s.brokers {
 		b.reset(n)
 	}
-	f.tell(n, balance.Gone)
+	f.tell(n, balance.Removed)
 }
 
 // back starts a node's process anew, cold.
@@ -609,7 +609,7 @@
 		s.at(s.now+long, func() {
 			f.cut = -1
 			for _, n := range f.nodes {
-				if n.wire != nil && n.state != balance.Gone {
+				if n.wire != nil && n.state != balance.Removed {
 					n.wire.restored()
 				}
 			}
--- a/internal/lab/world/servers.go
+++ b/internal/lab/world/servers.go
@@ -78,13 +78,13 @@
 		if s.Fault.IgnoreDrain {
 			x.state = balance.Ready
 		}
-		if !whole && !changed || whole && x.state == balance.Gone {
+		if !whole && !changed || whole && x.state == balance.Removed {
 			continue
 		}
 		m := discovery.Member{ID: n.ID, Address: d.b.way(n.wire.(sockets)[s.e.ZoneOf(d.b.index)]),
 			Locality: zoneName(n.zone), Cell: n.index, Size: 1,
-			Phase: map[balance.State]string{balance.Ready: "SERVING", balance.Draining: "DRAINING",
-				balance.Gone: "DELETED"}[x.state]}
+			Phase: map[balance.ReplicaState]string{balance.Ready: "SERVING", balance.Draining: "DRAINING",
+				balance.Removed: "DELETED"}[x.state]}
 		if x.started > 0 {
 			m.UpSinceMS = float64(s.live.unix(x.started))
 		}
--- a/internal/lab/world/virtual.go
+++ b/internal/lab/world/virtual.go
@@ -149,7 +149,7 @@
 	for _, x := range slices.Clone(b.out) {
 		if x.node == n && x.there {
 			x.gone()
-			x.ends(balance.Reset, nil)
+			x.ends(balance.ConnectionReset, nil)
 		}
 	}
 }
@@ -214,22 +214,22 @@
 		if b.asked = false; gen != b.gen || b.core == nil {
 			return
 		}
-		var es []balance.Entry
+		var es []balance.Endpoint
 		for _, n := range s.fleet.nodes {
 			es = append(es, b.entry(n, n.state))
 		}
 		b.seen = len(s.fleet.news)
-		b.core.ListChanged(balance.ListFull, es)
+		b.core.ListChanged(balance.UpdateFull, es)
 		b.touch()
 	})
 }
 
 // entry is what the list says of a node, as it is told to this broker.
-func (b *virtual) entry(n *node, state balance.State) balance.Entry {
+func (b *virtual) entry(n *node, state balance.ReplicaState) balance.Endpoint {
 	s := b.sim
 	if state == balance.Ready || s.Fault.IgnoreDrain {
 		b.listed[n.number] = true
-	} else if state == balance.Gone {
+	} else if state == balance.Removed {
 		delete(b.listed, n.number)
 	}
 	if state == balance.Ready {
@@ -247,7 +247,7 @@
 	if s.Fault.HideStart {
 		started = 0
 	}
-	return balance.Entry{Replica: n.number, Cell: n.index, ReadyAt: started, State: state}
+	return balance.Endpoint{Replica: n.number, Cell: n.index, StartedAt: started, State: state}
 }
 
 // drainGrace is the rule's, in ms, as Settings state it.
@@ -283,10 +283,10 @@
 
 // bring gives the module what the agent has: the whole list, or what is new.
 func (b *virtual) bring(whole bool) {
-	s, kind := b.sim, balance.ListDelta
-	var es []balance.Entry
+	s, kind := b.sim, balance.UpdateDelta
+	var es []balance.Endpoint
 	if whole {
-		kind = balance.ListFull
+		kind = balance.UpdateFull
 		for _, n := range s.fleet.nodes {
 			x := listNews{node: n, state: balance.Ready}
 			for _, news := range s.fleet.news[:b.agent] {
@@ -328,12 +328,12 @@
 	if b.core == nil || b.seen >= upTo || len(b.listed) == 0 {
 		return
 	}
-	var es []balance.Entry
+	var es []balance.Endpoint
 	for _, n := range b.sim.fleet.news[b.seen:upTo] {
 		es = append(es, b.entry(n.node, n.state))
 	}
 	b.seen = upTo
-	b.core.ListChanged(balance.ListDelta, es)
+	b.core.ListChanged(balance.UpdateDelta, es)
 	b.touch()
 }
 
@@ -488,14 +488,14 @@
 	f.gone()
 	switch end {
 	case model.OK:
-		f.ends(balance.OK, []byte(model.Value(f.a.Request, f.a.Districts)))
+		f.ends(balance.Succeeded, []byte(model.Value(f.a.Request, f.a.Districts)))
 	case model.Err:
 		f.ends(balance.Failed, nil)
 	case model.Busy:
-		f.ends(balance.Full, nil)
+		f.ends(balance.Rejected, nil)
 	case model.Moved:
 		f.a.NodeEpoch = f.node.Epoch()
-		f.ends(balance.Moved, nil)
+		f.ends(balance.NotHolder, nil)
 	}
 }
 
--- a/internal/ops/control/control.go
+++ b/internal/ops/control/control.go
@@ -29,12 +29,12 @@
 
 // List is the module as it hears of the list.
 type List interface {
-	ListChanged(kind balance.ListKind, entries []balance.Entry)
+	ListChanged(kind balance.UpdateKind, entries []balance.Endpoint)
 }
 
 // Members gives the module's form of a listed leaf, with what holds applied.
 type Members interface {
-	Entry(id string) (balance.Entry, bool)
+	Entry(id string) (balance.Endpoint, bool)
 }
 
 // Front is the clients' front as sending them away needs it.
@@ -75,8 +75,8 @@
 	Started float64 // Unix ms: when this process started
 	Peers   int     // of the settings
 	Core    interface {
-		HandOver() []balance.Sent
-		TakeOver(sent []balance.Sent)
+		HandOver() []balance.WarmupSend
+		TakeOver(sent []balance.WarmupSend)
 		Shares()
 	}
 	Known func(replica uint32) bool // the leaf is listed here
@@ -321,14 +321,14 @@
 
 // tell has the module hear of a leaf that is held or freed, as the list would tell it.
 func (u *Control) tell(ids ...string) {
-	es := make([]balance.Entry, 0, len(ids))
+	es := make([]balance.Endpoint, 0, len(ids))
 	for _, id := range ids {
 		if e, ok := u.members.Entry(id); ok {
 			es = append(es, e)
 		}
 	}
 	if len(es) > 0 {
-		u.list.ListChanged(balance.ListDelta, es)
+		u.list.ListChanged(balance.UpdateDelta, es)
 	}
 }
 
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -64,36 +64,36 @@
 	if err := json.Unmarshal(text, &t); err != nil {
 		return balance.Settings{}, fmt.Errorf("settings: %w", err)
 	}
-	s := balance.Settings{OverShareWorth: t.OverShare, Me: t.Me, Peers: t.Balancers, Zone: t.Zone, Tick: t.Tick,
-		Shards: t.Domain.Slices, Cells: t.Domain.Sets, Reach: t.Domain.Width, PerCall: t.Domain.PerCall,
-		CallCost: t.Domain.CallCost, MustAsk: t.Discovery == "on_request", AskWithin: t.Rules.AskWithin,
-		Cancel: t.Limits.Cancel, SecondCopies: t.Limits.Parallel,
+	s := balance.Settings{OverQuotaFactor: t.OverShare, BrokerIndex: t.Me, BrokerCount: t.Balancers, LocalZone: t.Zone, TimerResolution: t.Tick,
+		Shards: t.Domain.Slices, Cells: t.Domain.Sets, CellsPerShard: t.Domain.Width, MaxPartsPerCall: t.Domain.PerCall,
+		CallOverhead: t.Domain.CallCost, PollEndpoints: t.Discovery == "on_request", MaxStaleness: t.Rules.AskWithin,
+		CanCancel: t.Limits.Cancel, AllowHedging: t.Limits.Parallel,
 		MaxAttempts: t.Limits.Tries,
-		DrainGrace:  t.Rules.Grace, ColdFrom: t.Rules.ColdFrom, ColdFor: t.Rules.WarmIn,
-		FallMultiple: t.Rules.FallTimes, FallFor: t.Rules.FallFor, BudgetFree: t.Rules.Spare,
-		BudgetShare: t.Rules.Share, BudgetWindow: t.Rules.Window, AnswerGrace: t.Rules.Answer}
-	s.Layout = slicemap.NewFixed(s.Shards, s.Cells, s.Reach)
+		DrainGrace:  t.Rules.Grace, SlowStartInitialCapacity: t.Rules.ColdFrom, SlowStartDuration: t.Rules.WarmIn,
+		SlowStartWorkMultiple: t.Rules.FallTimes, SlowStartWindow: t.Rules.FallFor, RetryBudgetSpare: t.Rules.Spare,
+		RetryBudgetRatio: t.Rules.Share, RetryBudgetWindow: t.Rules.Window, AnswerGrace: t.Rules.Answer}
+	s.Placement = slicemap.NewFixed(s.Shards, s.Cells, s.CellsPerShard)
 	if t.Limits.RetryAfter {
 		s.MaxRetryAfter = t.Limits.MaxWait
 	}
 	for i, c := range t.Categories {
-		k := balance.Class{Aim: c.Aim, Deadline: c.Deadline, Worth: c.Worth, LateWorth: c.Late, Window: c.Window,
-			Floor: at(t.Domain.Floor, i, 1), Need: at(t.Domain.Need, i, 1), PartialWorth: at(t.Domain.Partial, i, 0),
-			SecondStep: at(t.Domain.Fetch, i, 0)}
+		k := balance.Class{LatencyObjective: c.Aim, Deadline: c.Deadline, PriorityWeight: c.Worth, LateFactor: c.Late, DedupWindow: c.Window,
+			MinCompleteness: at(t.Domain.Floor, i, 1), CompletenessTarget: at(t.Domain.Need, i, 1), PartialFactor: at(t.Domain.Partial, i, 0),
+			SecondStepParts: at(t.Domain.Fetch, i, 0)}
 		switch c.Effect {
 		case "read_like":
-			k.Effect = balance.Safe
+			k.Idempotency = balance.Idempotent
 		case "idempotency_key":
-			k.Effect = balance.Keyed
+			k.Idempotency = balance.IdempotentWithKey
 		case "non_idempotent":
-			k.Effect = balance.Unsafe
+			k.Idempotency = balance.NonIdempotent
 		default:
 			return s, fmt.Errorf("settings: categories[%d].effect %q is unknown", i, c.Effect)
 		}
 		s.Classes = append(s.Classes, k)
 	}
 	for _, c := range t.Customers {
-		s.Tenants = append(s.Tenants, c.Allowance)
+		s.TenantRates = append(s.TenantRates, c.Allowance)
 	}
 	return s, nil
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -114,7 +114,7 @@
 	}
 	s, err := ParseSettings([]byte(`{"unheard_of": 1, "discovery": "on_request", "categories":
 		[{"aim_ms": 10, "deadline_ms": 20, "effect": "non_idempotent"}], "domain": {"min_share": [0.5]}}`))
-	if err != nil || !s.MustAsk || len(s.Classes) != 1 || s.Classes[0].Floor != 0.5 || s.Classes[0].Need != 1 {
+	if err != nil || !s.PollEndpoints || len(s.Classes) != 1 || s.Classes[0].MinCompleteness != 0.5 || s.Classes[0].CompletenessTarget != 1 {
 		t.Fatalf("%+v %v", s, err)
 	}
 }
