--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -8,7 +8,7 @@
 	"io"
 	"os"
 
-	"ternstage/balance"
+	"ternstage/internal/decision/scheduler"
 	"ternstage/internal/wire"
 )
 
@@ -21,7 +21,7 @@
 
 func run(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<16), bufio.NewWriterSize(out, 1<<16)
-	h := &host{instances: map[uint32]*instance{}, pools: map[uint8][]balance.Endpoint{}}
+	h := &host{instances: map[uint32]*instance{}, pools: map[uint8][]scheduler.Endpoint{}}
 	for {
 		b, err := wire.ReadBatch(r)
 		if errors.Is(err, io.EOF) && b == nil {
@@ -46,7 +46,7 @@
 // host holds the instances of this process; they share nothing but the reply being written.
 type host struct {
 	instances map[uint32]*instance
-	pools     map[uint8][]balance.Endpoint
+	pools     map[uint8][]scheduler.Endpoint
 	reply     wire.Reply
 	touched   []*instance
 }
@@ -55,7 +55,7 @@
 // in the batch voids them.
 type instance struct {
 	id      uint32
-	module  *balance.Scheduler
+	module  *scheduler.Scheduler
 	actions []func(*wire.Reply)
 	touched bool
 }
@@ -78,10 +78,10 @@
 			if err != nil {
 				return err
 			}
-			list := make([]balance.Endpoint, len(es))
+			list := make([]scheduler.Endpoint, len(es))
 			for j, e := range es {
-				list[j] = balance.Endpoint{Replica: e.Replica, Cell: int(e.Cell), Zone: int(e.Zone), StartedAt: e.ReadyAt,
-					State: balance.ReplicaState(e.State)}
+				list[j] = scheduler.Endpoint{Replica: e.Replica, Cell: int(e.Cell), Zone: int(e.Zone), StartedAt: e.ReadyAt,
+					State: scheduler.ReplicaState(e.State)}
 			}
 			h.pools[r.U8(1)] = list
 			continue
@@ -122,7 +122,7 @@
 		if err != nil {
 			return err
 		}
-		if in.module, err = balance.New(s, r.U64(1), in); err != nil {
+		if in.module, err = scheduler.New(s, r.U64(1), in); err != nil {
 			return fmt.Errorf("settings: %w", err)
 		}
 	case wire.EvTeardown:
@@ -144,27 +144,27 @@
 	switch r.Code() {
 	case wire.EvTopology:
 		kind := r.U8(1)
-		if kind > uint8(balance.UpdateFailed) {
+		if kind > uint8(scheduler.UpdateFailed) {
 			return fmt.Errorf("frame %d: list form %d is unknown", b.Index, kind)
 		}
-		var list []balance.Endpoint
-		if balance.UpdateKind(kind) != balance.UpdateFailed {
+		var list []scheduler.Endpoint
+		if scheduler.UpdateKind(kind) != scheduler.UpdateFailed {
 			list = h.pools[r.U8(6)]
 		}
-		in.guard(func() { m.EndpointsChanged(now, balance.UpdateKind(kind), list) })
+		in.guard(func() { m.EndpointsChanged(now, scheduler.UpdateKind(kind), list) })
 	case wire.EvReq:
 		group, bits := int(r.F32(39)), r.U16(51)
 		if r.F32(43) < 0 {
-			q := balance.Query{ID: r.U64(1), QueryGroup: group, Class: int(r.U16(9)), Tenant: int(r.U32(11)),
+			q := scheduler.Query{ID: r.U64(1), QueryGroup: group, Class: int(r.U16(9)), Tenant: int(r.U32(11)),
 				Deadline: r.F64(23), Key: r.U64(15), ClientRetry: bits&2 != 0}
 			in.guard(func() { m.QueryArrived(now, q) })
 			return nil
 		}
-		p := balance.Part{ID: r.U64(1), QueryGroup: group, Shard: int(r.F32(43)), Key: r.U64(15), Weight: r.F32(47),
+		p := scheduler.Part{ID: r.U64(1), QueryGroup: group, Shard: int(r.F32(43)), Key: r.U64(15), Weight: r.F32(47),
 			CostHint: r.F64(31), HasCostHint: bits&1 != 0}
 		in.guard(func() { m.PartArrived(now, p) })
 	case wire.EvResponse:
-		res := balance.AttemptResult{Part: r.U64(1), Attempt: int(r.U16(9)), Replica: r.U32(11), Latency: r.F64(17),
+		res := scheduler.AttemptResult{Part: r.U64(1), Attempt: int(r.U16(9)), Replica: r.U32(11), Latency: r.F64(17),
 			PartDone: r.U8(25) != 0}
 		known := true
 		if res.Outcome, known = outcomes[r.U16(15)]; !known {
@@ -180,9 +180,9 @@
 	return nil
 }
 
-var outcomes = map[uint16]balance.Outcome{200: balance.Succeeded, 502: balance.Failed, 429: balance.Rejected,
-	408: balance.TimedOut, 521: balance.ConnectFailed, 520: balance.ConnectionReset, 444: balance.Cancelled,
-	409: balance.NotSent}
+var outcomes = map[uint16]scheduler.Outcome{200: scheduler.Succeeded, 502: scheduler.Failed, 429: scheduler.Rejected,
+	408: scheduler.TimedOut, 521: scheduler.ConnectFailed, 520: scheduler.ConnectionReset, 444: scheduler.Cancelled,
+	409: scheduler.NotSent}
 
 // guard turns a panic of the module into the wire's fault action.
 func (in *instance) guard(f func()) {
@@ -199,7 +199,7 @@
 
 func (in *instance) do(act func(*wire.Reply)) { in.actions = append(in.actions, act) }
 
-// Send implements balance.Actions; so do the methods below.
+// Send implements scheduler.Actions; so do the methods below.
 func (in *instance) Send(part uint64, replica uint32, timeout float64) {
 	in.do(func(w *wire.Reply) { w.Dispatch(part, timeout, replica) })
 }
@@ -210,7 +210,9 @@
 }
 
 // CloseIdleConnections closes idle connections.
-func (in *instance) CloseIdleConnections(replica uint32) { in.do(func(w *wire.Reply) { w.DropConns(replica) }) }
+func (in *instance) CloseIdleConnections(replica uint32) {
+	in.do(func(w *wire.Reply) { w.DropConns(replica) })
+}
 
 // Answer answers a query.
 func (in *instance) Answer(query uint64, whole bool) {
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"ternstage/balance"
+	"ternstage/internal/decision/scheduler"
 	"ternstage/internal/wire"
 )
 
@@ -188,13 +188,13 @@
 	}
 }
 
-func newModule(t *testing.T, in *instance) *balance.Scheduler {
+func newModule(t *testing.T, in *instance) *scheduler.Scheduler {
 	t.Helper()
 	s, err := wire.ParseSettings([]byte(settingsText))
 	if err != nil {
 		t.Fatal(err)
 	}
-	m, err := balance.New(s, 1, in)
+	m, err := scheduler.New(s, 1, in)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/backends/conn.go
+++ b/internal/backends/conn.go
@@ -8,7 +8,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"ternstage/balance"
+	"ternstage/internal/decision/scheduler"
 	"ternstage/internal/logs"
 	"ternstage/internal/loop"
 )
@@ -140,17 +140,17 @@
 	c.served++
 	switch a.end {
 	case endOK:
-		c.pool.core.Ended(o.a, balance.Succeeded, slices.Clone(a.value))
+		c.pool.core.Ended(o.a, scheduler.Succeeded, slices.Clone(a.value))
 	case endErr:
-		c.pool.core.Ended(o.a, balance.Failed, nil)
+		c.pool.core.Ended(o.a, scheduler.Failed, nil)
 	case endBusy:
 		if c.served == 1 && c.ended {
 			c.crowded(o)
 		}
-		c.pool.core.Ended(o.a, balance.Rejected, nil)
+		c.pool.core.Ended(o.a, scheduler.Rejected, nil)
 	case endGone:
 		o.a.NodeEpoch = a.epoch
-		c.pool.core.Ended(o.a, balance.NotHolder, nil)
+		c.pool.core.Ended(o.a, scheduler.NotHolder, nil)
 	}
 	return o, nil
 }
@@ -169,7 +169,7 @@
 	if c.served++; !o.over {
 		o.over = true
 		c.done(o)
-		c.pool.core.Ended(o.a, balance.Rejected, nil)
+		c.pool.core.Ended(o.a, scheduler.Rejected, nil)
 	}
 }
 
@@ -186,7 +186,7 @@
 	}
 	if o != nil && !o.over {
 		o.over = true
-		c.pool.core.Ended(o.a, balance.Failed, nil)
+		c.pool.core.Ended(o.a, scheduler.Failed, nil)
 	}
 	c.close(logs.LeafBadFrame, err)
 }
@@ -297,7 +297,7 @@
 			if !o.over && now >= o.a.SendBy {
 				o.over = true
 				c.done(o)
-				c.pool.core.Later(o.a, balance.ConnectFailed)
+				c.pool.core.Later(o.a, scheduler.ConnectFailed)
 			}
 		}
 	}
@@ -331,14 +331,14 @@
 	c.s.Close()
 	c.pool.conns--
 	alone := c.alone(code)
-	broken := balance.ConnectionReset
+	broken := scheduler.ConnectionReset
 	if code == logs.LeafBadFrame || code == logs.LeafQuiet {
-		broken = balance.Cancelled // it is we who end it
+		broken = scheduler.Cancelled // it is we who end it
 	}
 	c.node.conns = slices.DeleteFunc(c.node.conns, func(x *conn) bool { return x == c })
 	c.pool.log.Conn(code, c.node.addr, c.served, err)
 	for _, k := range c.calls {
-		outcome := balance.ConnectFailed
+		outcome := scheduler.ConnectFailed
 		if k.end > 0 && k.end <= c.s.Wrote {
 			outcome = broken
 		}
@@ -346,7 +346,7 @@
 			if !o.over {
 				end := outcome
 				if o.over, o.a.Alone = true, alone; o == c.first {
-					if end = balance.Rejected; code == logs.LeafEnded || code == logs.LeafReset {
+					if end = scheduler.Rejected; code == logs.LeafEnded || code == logs.LeafReset {
 						c.crowded(o)
 					}
 				}
--- a/internal/backends/limit_test.go
+++ b/internal/backends/limit_test.go
@@ -15,8 +15,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"ternstage/balance"
 	"ternstage/internal/core"
+	"ternstage/internal/decision/scheduler"
 	"ternstage/internal/lab/loopback"
 	"ternstage/internal/logs"
 	"ternstage/internal/loop"
@@ -63,7 +63,7 @@
 }
 
 type told struct {
-	outcome balance.Outcome
+	outcome scheduler.Outcome
 	alone   bool
 }
 
@@ -75,8 +75,8 @@
 	next func(round int) (more bool)
 }
 
-func (o *rounds) Ended(a *core.Attempt, x balance.Outcome, _ []byte) { o.Later(a, x) }
-func (o *rounds) Later(a *core.Attempt, x balance.Outcome) {
+func (o *rounds) Ended(a *core.Attempt, x scheduler.Outcome, _ []byte) { o.Later(a, x) }
+func (o *rounds) Later(a *core.Attempt, x scheduler.Outcome) {
 	o.got[len(o.got)-1][told{x, a.Alone}]++
 	if o.left--; o.left == 0 && !o.next(len(o.got)) {
 		o.loop.Stop()
@@ -118,7 +118,7 @@
 	}
 	var limit connLimit
 	o.next = func(round int) bool {
-		switch served := o.got[round-1][told{balance.Succeeded, false}]; {
+		switch served := o.got[round-1][told{scheduler.Succeeded, false}]; {
 		case h.queue:
 			return false
 		case served < 6 && round < 6:
@@ -134,13 +134,13 @@
 	send(6)
 	p.Flush()
 	require.NoError(t, l.Run())
-	assert.Positive(t, o.got[0][told{balance.Rejected, true}], o.got[0])
+	assert.Positive(t, o.got[0][told{scheduler.Rejected, true}], o.got[0])
 	last := len(o.got) - 1
 	for _, got := range o.got[:last] {
-		assert.Zero(t, got[told{balance.Rejected, false}], got)
+		assert.Zero(t, got[told{scheduler.Rejected, false}], got)
 	}
-	assert.Equal(t, map[told]int{{balance.Succeeded, false}: 6}, o.got[last-1], "they share what stands: %v", o.got)
-	assert.Equal(t, map[told]int{{balance.Rejected, false}: 4}, o.got[last])
+	assert.Equal(t, map[told]int{{scheduler.Succeeded, false}: 6}, o.got[last-1], "they share what stands: %v", o.got)
+	assert.Equal(t, map[told]int{{scheduler.Rejected, false}: 4}, o.got[last])
 	assert.Equal(t, limit, p.limit, "a full queue says nothing of connections")
 	assert.Less(t, limit.now(l.Now()), spread)
 	p.Close()
--- a/internal/backends/pool.go
+++ b/internal/backends/pool.go
@@ -7,8 +7,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"ternstage/balance"
 	"ternstage/internal/core"
+	"ternstage/internal/decision/scheduler"
 	"ternstage/internal/logs"
 	"ternstage/internal/loop"
 )
@@ -39,8 +39,8 @@
 
 // Core takes the outcomes.
 type Core interface {
-	Ended(a *core.Attempt, o balance.Outcome, value []byte)
-	Later(a *core.Attempt, o balance.Outcome)
+	Ended(a *core.Attempt, o scheduler.Outcome, value []byte)
+	Later(a *core.Attempt, o scheduler.Outcome)
 }
 
 // Pool holds the connections to all backends. It implements core.Backend.
@@ -151,7 +151,7 @@
 	if best == nil {
 		for _, o := range k.parts {
 			o.over = true
-			p.core.Later(o.a, balance.ConnectFailed)
+			p.core.Later(o.a, scheduler.ConnectFailed)
 		}
 		return
 	}
--- a/internal/backends/pool_test.go
+++ b/internal/backends/pool_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"ternstage/balance"
 	"ternstage/internal/core"
+	"ternstage/internal/decision/scheduler"
 	"ternstage/internal/lab/loopback"
 	"ternstage/internal/logs"
 	"ternstage/internal/loop"
@@ -21,12 +21,12 @@
 // outcomes notes what becomes of attempts, and stops the loop.
 type outcomes struct {
 	loop *loop.Loop
-	got  []balance.Outcome
+	got  []scheduler.Outcome
 	at   float64
 }
 
-func (o *outcomes) Ended(_ *core.Attempt, x balance.Outcome, _ []byte) { o.Later(nil, x) }
-func (o *outcomes) Later(_ *core.Attempt, x balance.Outcome) {
+func (o *outcomes) Ended(_ *core.Attempt, x scheduler.Outcome, _ []byte) { o.Later(nil, x) }
+func (o *outcomes) Later(_ *core.Attempt, x scheduler.Outcome) {
 	o.got, o.at = append(o.got, x), o.loop.Now()
 	o.loop.Stop()
 }
@@ -54,7 +54,7 @@
 	p.Send(&core.Attempt{Request: "a", Node: 1, Deadline: begin + 5000, SendBy: begin + 60})
 	p.Flush()
 	require.NoError(t, p.loop.Run())
-	assert.Equal(t, []balance.Outcome{balance.ConnectFailed}, o.got)
+	assert.Equal(t, []scheduler.Outcome{scheduler.ConnectFailed}, o.got)
 	assert.InDelta(t, begin+80, o.at, 25)
 	got := make(chan []byte)
 	go func() {
@@ -89,7 +89,7 @@
 	require.NoError(t, err)
 	defer c.Close()
 	require.NoError(t, p.loop.Run())
-	assert.Equal(t, []balance.Outcome{balance.ConnectFailed}, o.got)
+	assert.Equal(t, []scheduler.Outcome{scheduler.ConnectFailed}, o.got)
 	assert.Less(t, o.at, now+300)
 	assert.Zero(t, p.Open())
 	n, _ := io.Copy(io.Discard, c)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -10,8 +10,8 @@
 	"os"
 	"strconv"
 
-	"ternstage/balance"
 	"ternstage/internal/contract"
+	"ternstage/internal/decision/scheduler"
 	"ternstage/internal/discovery"
 	"ternstage/internal/wire"
 )
@@ -29,7 +29,7 @@
 	Sockets   int
 	Known     discovery.List
 	Zones     []string
-	Module    balance.Settings
+	Module    scheduler.Settings
 	Book      *contract.Book
 	Settings  any // as written, to tell one configuration from another
 
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"testing"
 
-	"ternstage/balance"
 	"ternstage/internal/core"
+	"ternstage/internal/decision/scheduler"
 	"ternstage/internal/wire"
 )
 
@@ -43,11 +43,11 @@
 		b.Fatal(err)
 	}
 	c.Attach(x, x)
-	var es []balance.Endpoint
+	var es []scheduler.Endpoint
 	for i := range 12 {
-		es = append(es, balance.Endpoint{Replica: uint32(i + 1), Cell: i, State: balance.Ready})
+		es = append(es, scheduler.Endpoint{Replica: uint32(i + 1), Cell: i, State: scheduler.Ready})
 	}
-	c.ListChanged(balance.UpdateFull, es)
+	c.ListChanged(scheduler.UpdateFull, es)
 	c.Turn()
 	return x, c
 }
@@ -72,7 +72,7 @@
 		x.ask(b, c, i, 4, 24)
 		c.Turn()
 		for len(x.sent) > 80 {
-			c.Ended(x.sent[0], balance.Succeeded, []byte("v"))
+			c.Ended(x.sent[0], scheduler.Succeeded, []byte("v"))
 			x.sent = x.sent[1:]
 		}
 		c.Turn()
@@ -92,7 +92,7 @@
 					if len(x.sent) < 100 && i%150 != 0 {
 						break
 					}
-					c.Ended(x.sent[0], balance.Succeeded, []byte("v"))
+					c.Ended(x.sent[0], scheduler.Succeeded, []byte("v"))
 					x.sent = x.sent[1:]
 				}
 				if i == 2000 {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -12,7 +12,7 @@
 	"slices"
 	"unicode/utf8"
 
-	"ternstage/balance"
+	"ternstage/internal/decision/scheduler"
 	"ternstage/internal/slicemap"
 )
 
@@ -108,7 +108,7 @@
 // late tells that the last attempt of a part is still waited for, or was in vain.
 func (p *part) late() bool {
 	n := len(p.attempts)
-	return n > 0 && (!p.attempts[n-1].ended || p.attempts[n-1].how == balance.TimedOut)
+	return n > 0 && (!p.attempts[n-1].ended || p.attempts[n-1].how == scheduler.TimedOut)
 }
 
 // Attempt is one try of a part at a node.
@@ -134,7 +134,7 @@
 	no    int
 	sent  float64
 	ended bool
-	how   balance.Outcome // once it has ended
+	how   scheduler.Outcome // once it has ended
 }
 
 // Backend carries attempts to nodes. It must not call back into Core from within these methods: what it
@@ -181,13 +181,13 @@
 
 type result struct {
 	a       *Attempt
-	outcome balance.Outcome
+	outcome scheduler.Outcome
 }
 
 // Core is one broker's state.
 type Core struct {
-	module  *balance.Scheduler
-	classes []balance.Class
+	module  *scheduler.Scheduler
+	classes []scheduler.Class
 	shards  int
 	tries   int
 	maxOpen int
@@ -232,7 +232,7 @@
 }
 
 // New makes the core and its module.
-func New(s balance.Settings, seed uint64, o Options) (*Core, error) {
+func New(s scheduler.Settings, seed uint64, o Options) (*Core, error) {
 	c := &Core{classes: s.Classes, shards: s.Shards, tries: s.MaxAttempts, maxOpen: o.MaxOpen,
 		retry: s.MaxRetryAfter, hold: holdMost, clock: o.Clock, log: o.Log, requests: map[uint64]*Request{},
 		parts: map[uint64]*part{}, names: map[string]bool{},
@@ -241,7 +241,7 @@
 	if s.DrainGrace > 0 {
 		c.hold = min(c.hold, s.DrainGrace*holdShare)
 	}
-	m, err := balance.New(s, seed, c)
+	m, err := scheduler.New(s, seed, c)
 	if err != nil {
 		return nil, fmt.Errorf("decision module: %w", err)
 	}
@@ -300,11 +300,11 @@
 		return nil
 	}
 	c.nextID++
-	r.id, r.unsafe = c.nextID, c.classes[r.Class].Idempotency == balance.NonIdempotent
+	r.id, r.unsafe = c.nextID, c.classes[r.Class].Idempotency == scheduler.NonIdempotent
 	group := int(r.id)
 	c.requests[r.id], c.names[r.Name] = r, true
 	c.open += 1 + count
-	c.module.QueryArrived(now, balance.Query{ID: r.id, QueryGroup: group, Class: r.Class, Tenant: r.Tenant,
+	c.module.QueryArrived(now, scheduler.Query{ID: r.id, QueryGroup: group, Class: r.Class, Tenant: r.Tenant,
 		Deadline: r.Deadline, ClientRetry: r.Repeat})
 	if c.slices != nil {
 		c.begin(now, r)
@@ -314,7 +314,7 @@
 		c.nextID++
 		x := &part{Part: p, id: c.nextID, req: r}
 		r.parts, c.parts[x.id] = append(r.parts, x), x
-		c.module.PartArrived(now, balance.Part{ID: x.id, QueryGroup: group, Shard: p.Shard, Key: p.Key,
+		c.module.PartArrived(now, scheduler.Part{ID: x.id, QueryGroup: group, Shard: p.Shard, Key: p.Key,
 			Weight: p.Weight, CostHint: p.Cost, HasCostHint: p.Hinted})
 	}
 	return nil
@@ -348,7 +348,7 @@
 }
 
 // Ended reports the outcome of an attempt, once; later reports are ignored. value is what an OK brought.
-func (c *Core) Ended(a *Attempt, o balance.Outcome, value []byte) {
+func (c *Core) Ended(a *Attempt, o scheduler.Outcome, value []byte) {
 	if a.ended {
 		return
 	}
@@ -356,7 +356,7 @@
 	if a.place >= 0 {
 		heap.Remove(&c.due, a.place)
 	}
-	if p := a.part; o == balance.Succeeded && !p.in {
+	if p := a.part; o == scheduler.Succeeded && !p.in {
 		p.in, p.value = true, value
 		c.arrived(p)
 	}
@@ -364,13 +364,13 @@
 }
 
 // Later reports an outcome learnt while the back end was being called: the module hears of it next turn.
-func (c *Core) Later(a *Attempt, o balance.Outcome) {
+func (c *Core) Later(a *Attempt, o scheduler.Outcome) {
 	c.Ended(a, o, nil)
 	c.clock.WakeAt(0)
 }
 
 // ListChanged passes the list on.
-func (c *Core) ListChanged(kind balance.UpdateKind, entries []balance.Endpoint) {
+func (c *Core) ListChanged(kind scheduler.UpdateKind, entries []scheduler.Endpoint) {
 	c.module.EndpointsChanged(c.clock.Now(), kind, entries)
 }
 
@@ -395,10 +395,10 @@
 		a := e.a
 		delete(c.out, [2]uint64{a.part.id, uint64(a.no)})
 		_, held := c.requests[a.part.req.id]
-		c.module.AttemptEnded(now, balance.AttemptResult{Part: a.part.id, Attempt: a.no, Replica: a.Node,
+		c.module.AttemptEnded(now, scheduler.AttemptResult{Part: a.part.id, Attempt: a.no, Replica: a.Node,
 			Outcome: e.outcome, Latency: now - a.sent, ConnectionOnly: a.Alone,
-			PartDone: e.outcome == balance.Succeeded || !held, RetryDelay: c.pause(a, e.outcome)})
-		if c.slices != nil && e.outcome != balance.Succeeded {
+			PartDone: e.outcome == scheduler.Succeeded || !held, RetryDelay: c.pause(a, e.outcome)})
+		if c.slices != nil && e.outcome != scheduler.Succeeded {
 			c.reroute(now, a.part)
 		}
 		if r := a.part.req; r.left && c.requests[r.id] == r && !slices.ContainsFunc(r.parts, (*part).out) {
@@ -431,9 +431,9 @@
 	}
 	slices.SortFunc(due, func(x, y *Attempt) int { return int(int64(x.part.id) - int64(y.part.id)) })
 	for _, a := range due {
-		o := balance.TimedOut
+		o := scheduler.TimedOut
 		if c.back.Abandon(a) {
-			o = balance.ConnectFailed // it never left us: proved never to have run
+			o = scheduler.ConnectFailed // it never left us: proved never to have run
 		}
 		c.Ended(a, o, nil)
 	}
@@ -447,7 +447,7 @@
 		c.unlink(p)
 		for _, a := range p.attempts {
 			if !a.ended && c.back.Withdraw(a) {
-				c.Later(a, balance.Cancelled)
+				c.Later(a, scheduler.Cancelled)
 			}
 		}
 	}
@@ -493,7 +493,7 @@
 	}
 }
 
-// Send implements balance.Actions; so do the methods below.
+// Send implements scheduler.Actions; so do the methods below.
 func (c *Core) Send(id uint64, node uint32, timeout float64) {
 	p, now := c.parts[id], c.clock.Now()
 	if p == nil {
@@ -512,7 +512,7 @@
 	p.attempts = append(p.attempts, a)
 	c.out[[2]uint64{id, uint64(a.no)}] = a
 	if c.tries > 0 && a.no >= c.tries || deadline <= now {
-		c.Later(a, balance.NotSent)
+		c.Later(a, scheduler.NotSent)
 		return
 	}
 	heap.Push(&c.due, a)
@@ -523,11 +523,11 @@
 // for a repeat that is dropped only within the window of the first attempt, within that.
 func (c *Core) sendBy(now float64, p *part) float64 {
 	by, class := now+c.hold, &c.classes[p.req.Class]
-	if class.Idempotency != balance.IdempotentWithKey {
+	if class.Idempotency != scheduler.IdempotentWithKey {
 		return by
 	}
 	for _, a := range p.attempts {
-		if !a.ended || a.how < balance.Rejected {
+		if !a.ended || a.how < scheduler.Rejected {
 			by = min(by, a.sent+class.DedupWindow)
 		}
 	}
@@ -545,7 +545,7 @@
 		return
 	}
 	c.back.Abandon(a)
-	c.Later(a, balance.Cancelled)
+	c.Later(a, scheduler.Cancelled)
 }
 
 // CloseIdleConnections closes idle connections.
--- a/internal/core/leaving_test.go
+++ b/internal/core/leaving_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"ternstage/balance"
+	"ternstage/internal/decision/scheduler"
 	"ternstage/internal/slicemap"
 )
 
@@ -25,16 +25,16 @@
 	return true
 }
 
-func newSide(t *testing.T, grace float64, cancel bool, class balance.Class) *side {
+func newSide(t *testing.T, grace float64, cancel bool, class scheduler.Class) *side {
 	s := &side{rig: &rig{t: t, now: 1e6, wake: 1e12}, begun: map[*Attempt]bool{}}
 	class.LatencyObjective, class.Deadline, class.PriorityWeight, class.MinCompleteness, class.CompletenessTarget = 1000, 2000, 1, 1, 1
 	var err error
-	s.c, err = New(balance.Settings{BrokerCount: 1, TimerResolution: 5, Shards: 1, Cells: 1, CellsPerShard: 1, Placement: slicemap.NewFixed(1, 1, 1),
+	s.c, err = New(scheduler.Settings{BrokerCount: 1, TimerResolution: 5, Shards: 1, Cells: 1, CellsPerShard: 1, Placement: slicemap.NewFixed(1, 1, 1),
 		MaxPartsPerCall: 1, CanCancel: cancel, MaxAttempts: 4, MaxRetryAfter: 1000, DrainGrace: grace,
-		Classes: []balance.Class{class}}, 7, Options{Clock: s, Log: s})
+		Classes: []scheduler.Class{class}}, 7, Options{Clock: s, Log: s})
 	require.NoError(t, err)
 	s.c.Attach(s, s)
-	s.c.ListChanged(balance.UpdateFull, []balance.Endpoint{{Replica: 1, State: balance.Ready}, {Replica: 2, State: balance.Ready}})
+	s.c.ListChanged(scheduler.UpdateFull, []scheduler.Endpoint{{Replica: 1, State: scheduler.Ready}, {Replica: 2, State: scheduler.Ready}})
 	s.turns(1)
 	return s
 }
@@ -52,17 +52,17 @@
 // that may have run begins within its class's window from the first attempt.
 func TestSendBy(t *testing.T) {
 	for grace, hold := range map[float64]float64{0: 400, 2000: 400, 800: 320} {
-		s := newSide(t, grace, true, balance.Class{Idempotency: balance.IdempotentWithKey, DedupWindow: 250})
+		s := newSide(t, grace, true, scheduler.Class{Idempotency: scheduler.IdempotentWithKey, DedupWindow: 250})
 		s.query()
 		first := s.every[0]
 		assert.Equal(t, s.now+hold, first.SendBy)
-		s.c.Ended(first, balance.Failed, nil)
+		s.c.Ended(first, scheduler.Failed, nil)
 		s.turns(30)
 		require.Len(t, s.every, 2)
 		assert.Equal(t, first.sent+250, s.every[1].SendBy)
-		s = newSide(t, grace, true, balance.Class{Idempotency: balance.IdempotentWithKey, DedupWindow: 250})
+		s = newSide(t, grace, true, scheduler.Class{Idempotency: scheduler.IdempotentWithKey, DedupWindow: 250})
 		s.query()
-		s.c.Ended(s.every[0], balance.Rejected, nil) // it never ran: the next is a first one
+		s.c.Ended(s.every[0], scheduler.Rejected, nil) // it never ran: the next is a first one
 		s.turns(100)
 		require.Len(t, s.every, 2)
 		assert.Equal(t, s.every[1].sent+hold, s.every[1].SendBy)
@@ -73,8 +73,8 @@
 // begun may be cancelled; one that must not run twice and has begun is waited for, and is the request's last.
 func TestLeftWithdraws(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
-		for _, effect := range []balance.Idempotency{balance.Idempotent, balance.NonIdempotent} {
-			s := newSide(t, 1000, cancel, balance.Class{Idempotency: effect})
+		for _, effect := range []scheduler.Idempotency{scheduler.Idempotent, scheduler.NonIdempotent} {
+			s := newSide(t, 1000, cancel, scheduler.Class{Idempotency: effect})
 			s.c.Left(s.query())
 			s.turns(1)
 			assert.Empty(t, s.sent)
@@ -83,8 +83,8 @@
 			s.begun[s.every[1]] = true
 			s.c.Left(r)
 			s.turns(1)
-			assert.Equal(t, effect == balance.NonIdempotent, s.c.Open() == 1)
-			s.c.Ended(s.every[1], balance.Rejected, nil)
+			assert.Equal(t, effect == scheduler.NonIdempotent, s.c.Open() == 1)
+			s.c.Ended(s.every[1], scheduler.Rejected, nil)
 			s.turns(100)
 			assert.Zero(t, s.c.Open())
 			assert.Len(t, s.every, 2, "turned away, and no further try")
--- a/internal/core/moving.go
+++ b/internal/core/moving.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"slices"
 
-	"ternstage/balance"
+	"ternstage/internal/decision/scheduler"
 	"ternstage/internal/slicemap"
 )
 
@@ -126,8 +126,8 @@
 }
 
 // told is the part as the module hears of it.
-func (p *part) told(group int) balance.Part {
-	return balance.Part{ID: p.id, QueryGroup: group, Shard: p.Shard, Key: p.Key, Weight: p.Weight, CostHint: p.Cost,
+func (p *part) told(group int) scheduler.Part {
+	return scheduler.Part{ID: p.id, QueryGroup: group, Shard: p.Shard, Key: p.Key, Weight: p.Weight, CostHint: p.Cost,
 		HasCostHint: p.Hinted, AtomicGroup: p.unit.number}
 }
 
@@ -179,12 +179,12 @@
 }
 
 // pause is for how long a part that a node does not hold is not tried again.
-func (c *Core) pause(a *Attempt, o balance.Outcome) float64 {
+func (c *Core) pause(a *Attempt, o scheduler.Outcome) float64 {
 	p := a.part
 	if p.leg == nil {
 		return 0
 	}
-	if o != balance.NotHolder {
+	if o != scheduler.NotHolder {
 		p.row = 0
 		return 0
 	}
@@ -214,7 +214,7 @@
 		if !a.ended {
 			return // it is looked at when that ends
 		}
-		mayHaveRun = mayHaveRun || a.how < balance.Rejected
+		mayHaveRun = mayHaveRun || a.how < scheduler.Rejected
 	}
 	var buf [8]slicemap.Leg
 	legs, verdict := c.slices.Again(buf[:0], p.Leg, p.req.unsafe, mayHaveRun)
@@ -222,7 +222,7 @@
 		return
 	}
 	r, u := p.req, p.unit
-	parts, told := make([]*part, 0, len(legs)), make([]balance.Part, 0, len(legs))
+	parts, told := make([]*part, 0, len(legs)), make([]scheduler.Part, 0, len(legs))
 	for _, l := range legs {
 		x := c.makeLeg(r, u, l)
 		x.attempts = slices.Clone(p.attempts)
@@ -303,12 +303,12 @@
 func (c *Core) Epoch() uint64 { return c.slices.Current().Epoch }
 
 // HandOver ends what this process sends to cold replicas and gives what it sent to them in the window of
-// their allowance, for the process that takes over (see balance.Balancer.HandOver).
-func (c *Core) HandOver() []balance.WarmupSend { return c.module.HandOver(c.clock.Now()) }
+// their allowance, for the process that takes over (see scheduler.Balancer.HandOver).
+func (c *Core) HandOver() []scheduler.WarmupSend { return c.module.HandOver(c.clock.Now()) }
 
 // TakeOver counts what the process that handed over sent to cold replicas, and ends the wait of the first
-// window after a start (see balance.Balancer.TakeOver).
-func (c *Core) TakeOver(sent []balance.WarmupSend) { c.module.TakeOver(c.clock.Now(), sent) }
+// window after a start (see scheduler.Balancer.TakeOver).
+func (c *Core) TakeOver(sent []scheduler.WarmupSend) { c.module.TakeOver(c.clock.Now(), sent) }
 
-// Shares tells that another process of the aggregator serves beside this one (see balance.Balancer.Shares).
+// Shares tells that another process of the aggregator serves beside this one (see scheduler.Balancer.Shares).
 func (c *Core) Shares() { c.module.OtherProcessActive(c.clock.Now()) }
--- a/internal/core/moving_test.go
+++ b/internal/core/moving_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"ternstage/balance"
+	"ternstage/internal/decision/scheduler"
 	"ternstage/internal/slicemap"
 )
 
@@ -61,20 +61,20 @@
 func newRig(t *testing.T) *rig {
 	r := &rig{t: t, now: 1e6, wake: 1e12}
 	r.m = slicemap.New(slicemap.Options{Versions: 8, Number: func(n string) (uint32, bool) { return numberOf(n), true }})
-	s := balance.Settings{BrokerCount: 1, TimerResolution: 5, Shards: 8, Cells: 4, CellsPerShard: 2, Placement: r.m, MaxPartsPerCall: 1, CanCancel: true,
-		MaxAttempts: 4, MaxRetryAfter: 1000, DrainGrace: 1000, Classes: []balance.Class{
-			{LatencyObjective: 1000, Deadline: 2000, PriorityWeight: 2, LateFactor: 0.5, Idempotency: balance.NonIdempotent, MinCompleteness: 1, CompletenessTarget: 1},
+	s := scheduler.Settings{BrokerCount: 1, TimerResolution: 5, Shards: 8, Cells: 4, CellsPerShard: 2, Placement: r.m, MaxPartsPerCall: 1, CanCancel: true,
+		MaxAttempts: 4, MaxRetryAfter: 1000, DrainGrace: 1000, Classes: []scheduler.Class{
+			{LatencyObjective: 1000, Deadline: 2000, PriorityWeight: 2, LateFactor: 0.5, Idempotency: scheduler.NonIdempotent, MinCompleteness: 1, CompletenessTarget: 1},
 			{LatencyObjective: 1000, Deadline: 2000, PriorityWeight: 3, LateFactor: 0.5, MinCompleteness: 0.7, CompletenessTarget: 1, PartialFactor: 0.9}}}
 	var err error
 	r.c, err = New(s, 7, Options{Clock: r, Log: r, Slices: r.m})
 	require.NoError(t, err)
 	r.c.Attach(r, r)
 	r.c.OnHint(func(e uint64) { r.hints = append(r.hints, e) })
-	var es []balance.Endpoint
+	var es []scheduler.Endpoint
 	for i, n := range []string{"a", "b", "c", "d"} {
-		es = append(es, balance.Endpoint{Replica: numberOf(n), Cell: i, State: balance.Ready})
+		es = append(es, scheduler.Endpoint{Replica: numberOf(n), Cell: i, State: scheduler.Ready})
 	}
-	r.c.ListChanged(balance.UpdateFull, es)
+	r.c.ListChanged(scheduler.UpdateFull, es)
 	w := slicemap.Whole{Epoch: 1, Districts: 80}
 	for i := range 8 {
 		w.Slices = append(w.Slices, &slicemap.Slice{ID: i, Range: slicemap.Range{Lo: 10 * i, Hi: 10*i + 10},
@@ -122,7 +122,7 @@
 	r.change(slicemap.Change{Kind: slicemap.Done, Slice: id})
 }
 
-func (r *rig) end(a *Attempt, o balance.Outcome) {
+func (r *rig) end(a *Attempt, o scheduler.Outcome) {
 	r.take(a)
 	r.c.Ended(a, o, []byte(fmt.Sprint(a.Districts)))
 	r.turns(1)
@@ -146,17 +146,17 @@
 // what is proved never to have run goes to the new holder.
 func TestBindPartIsOutWhenItsSliceMoves(t *testing.T) {
 	for name, c := range map[string]struct {
-		o    balance.Outcome
+		o    scheduler.Outcome
 		tell func(*Attempt)
 		kind Kind
 		more bool
 	}{
-		"the old holder answers":    {o: balance.Succeeded, kind: Answered},
-		"it fails":                  {o: balance.Failed, kind: Failed},
-		"its connection resets":     {o: balance.ConnectionReset, kind: Failed},
-		"moved":                     {o: balance.NotHolder, more: true},
-		"busy":                      {o: balance.Rejected, more: true},
-		"the connection is refused": {o: balance.ConnectFailed, more: true},
+		"the old holder answers":    {o: scheduler.Succeeded, kind: Answered},
+		"it fails":                  {o: scheduler.Failed, kind: Failed},
+		"its connection resets":     {o: scheduler.ConnectionReset, kind: Failed},
+		"moved":                     {o: scheduler.NotHolder, more: true},
+		"busy":                      {o: scheduler.Rejected, more: true},
+		"the connection is refused": {o: scheduler.ConnectFailed, more: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
@@ -178,7 +178,7 @@
 			require.Len(t, r.every, 2)
 			require.NotEqual(t, old, nodeOf(r.every[1]), "by the map of now it is another's")
 			require.EqualValues(t, 4, r.every[1].Epoch)
-			r.end(r.every[1], balance.Succeeded)
+			r.end(r.every[1], scheduler.Succeeded)
 			require.Equal(t, Answered, r.one(e).Kind)
 		})
 	}
@@ -194,7 +194,7 @@
 		r := newRig(t)
 		e := r.ask(bind, 1, 0)
 		r.change(slicemap.Change{Kind: slicemap.Split, Slice: 0, At: 4, Into: []int{8, 9}})
-		r.end(r.sent[0], balance.ConnectionReset)
+		r.end(r.sent[0], scheduler.ConnectionReset)
 		r.turns(200)
 		require.Equal(t, Failed, r.one(e).Kind)
 		require.Len(t, r.every, 1)
@@ -209,7 +209,7 @@
 	first := r.sent[0]
 	require.Equal(t, 0, first.Shard)
 	r.change(slicemap.Change{Kind: slicemap.Split, Slice: 0, At: 4, Into: []int{8, 9}})
-	r.end(first, balance.Failed)
+	r.end(first, scheduler.Failed)
 	r.turns(50)
 	require.Len(t, r.every, 6)
 	halves := r.every[4:]
@@ -218,7 +218,7 @@
 	require.EqualValues(t, 1, r.c.Moves().Split)
 	for _, a := range append([]*Attempt(nil), r.sent...) {
 		if a != halves[1] {
-			r.end(a, balance.Succeeded)
+			r.end(a, scheduler.Succeeded)
 		}
 	}
 	require.Empty(t, e.got, "three parts and a half are not whole")
@@ -237,10 +237,10 @@
 	e := r.ask(compare, 1, 0, 1)
 	first := r.sent[0]
 	r.change(slicemap.Change{Kind: slicemap.Split, Slice: 0, At: 4, Into: []int{8, 9}})
-	r.end(first, balance.Failed)
+	r.end(first, scheduler.Failed)
 	r.turns(50)
 	for len(r.sent) > 0 {
-		r.end(r.sent[0], balance.Succeeded)
+		r.end(r.sent[0], scheduler.Succeeded)
 	}
 	a := r.one(e)
 	require.True(t, a.Whole)
@@ -260,13 +260,13 @@
 	require.Len(t, r.sent, 2)
 	r.change(slicemap.Change{Kind: slicemap.Merge, Slice: 8, Other: 9, Into: []int{10}})
 	old := append([]*Attempt(nil), r.sent...)
-	r.end(old[0], balance.Failed)
+	r.end(old[0], scheduler.Failed)
 	r.turns(50)
 	again := r.every[2]
 	require.Equal(t, 10, again.Shard)
 	require.Equal(t, slicemap.Range{Lo: 0, Hi: 4}, again.Districts)
-	r.end(old[1], balance.Succeeded) // the old name's holder answers after the merge: good
-	r.end(again, balance.Succeeded)
+	r.end(old[1], scheduler.Succeeded) // the old name's holder answers after the merge: good
+	r.end(again, scheduler.Succeeded)
 	a := r.one(e)
 	require.True(t, a.Whole)
 	require.Len(t, a.Values, 2)
@@ -282,7 +282,7 @@
 	r.move(0, old, "d")
 	r.move(0, "d", old)
 	r.change(slicemap.Change{Kind: slicemap.Split, Slice: 0, At: 4, Into: []int{8, 9}})
-	r.end(first, balance.Succeeded)
+	r.end(first, scheduler.Succeeded)
 	require.Equal(t, Answered, r.one(e).Kind)
 	require.Len(t, r.every, 1)
 }
@@ -295,7 +295,7 @@
 	e := r.ask(compare, 1, 0, 1)
 	require.Len(t, r.sent, 3, "one part, two calls")
 	for len(r.sent) > 0 {
-		r.end(r.sent[0], balance.Succeeded)
+		r.end(r.sent[0], scheduler.Succeeded)
 	}
 	require.True(t, r.one(e).Whole)
 
@@ -326,7 +326,7 @@
 		require.Len(t, r.every, i+1)
 		a := r.every[i]
 		a.NodeEpoch = 4
-		r.end(a, balance.NotHolder)
+		r.end(a, scheduler.NotHolder)
 		r.turns(20)
 	}
 	require.NotEqual(t, r.every[0].Node, r.every[1].Node)
@@ -337,7 +337,7 @@
 	r.turns(20)
 	require.Len(t, r.every, 3, "the map has come: it waits no more")
 	require.Contains(t, []string{"c", "d"}, nodeOf(r.every[2]))
-	r.end(r.every[2], balance.Succeeded)
+	r.end(r.every[2], scheduler.Succeeded)
 	require.Equal(t, Answered, r.one(e).Kind)
 }
 
@@ -372,10 +372,10 @@
 	require.Len(t, cs, 200)
 	require.NoError(t, r.c.TakeChanges(cs, nil))
 	require.Error(t, r.c.TakeChanges([]slicemap.Change{{Base: 7, Epoch: epoch + 9, Kind: slicemap.Handover}}, nil))
-	r.end(r.sent[0], balance.Failed)
+	r.end(r.sent[0], scheduler.Failed)
 	r.turns(50)
 	for len(r.sent) > 0 {
-		r.end(r.sent[0], balance.Succeeded)
+		r.end(r.sent[0], scheduler.Succeeded)
 	}
 	a := r.one(e)
 	require.True(t, a.Whole)
@@ -394,7 +394,7 @@
 	require.Equal(t, 8, r.m.Stats().Kept)
 	require.Contains(t, r.lines, "map versions at their bound: 1 let go, 5 in all")
 	for len(r.sent) > 0 {
-		r.end(r.sent[0], balance.Succeeded)
+		r.end(r.sent[0], scheduler.Succeeded)
 	}
 	for _, e := range all {
 		require.True(t, r.one(e).Whole)
@@ -405,8 +405,8 @@
 func TestNoMapNoService(t *testing.T) {
 	r := newRig(t)
 	m := slicemap.New(slicemap.Options{})
-	s := balance.Settings{BrokerCount: 1, TimerResolution: 5, Shards: 8, Cells: 4, CellsPerShard: 2, Placement: m, MaxRetryAfter: 1000,
-		Classes: []balance.Class{{LatencyObjective: 1, Deadline: 2, PriorityWeight: 2, MinCompleteness: 1, CompletenessTarget: 1}}}
+	s := scheduler.Settings{BrokerCount: 1, TimerResolution: 5, Shards: 8, Cells: 4, CellsPerShard: 2, Placement: m, MaxRetryAfter: 1000,
+		Classes: []scheduler.Class{{LatencyObjective: 1, Deadline: 2, PriorityWeight: 2, MinCompleteness: 1, CompletenessTarget: 1}}}
 	var err error
 	r.c, err = New(s, 7, Options{Clock: r, Log: r, Slices: m})
 	require.NoError(t, err)
--- a/balance/api.go
+++ b/internal/decision/scheduler/api.go
@@ -5,7 +5,7 @@
 // All times are milliseconds of one monotonic clock that the caller passes in. A Balancer is not safe for
 // concurrent use. Call the event methods in the order in which things happened, and EndTurn once after the
 // events of one moment: it admits the new queries and releases queued parts through the Actions.
-package balance
+package scheduler
 
 import (
 	"fmt"
@@ -17,50 +17,50 @@
 
 // The effects of a class.
 const (
-	Idempotent   Idempotency = iota // may be repeated freely
-	IdempotentWithKey                // repeats inside Class.Window are dropped by the replica
-	NonIdempotent               // must not run twice
+	Idempotent        Idempotency = iota // may be repeated freely
+	IdempotentWithKey                    // repeats inside Class.Window are dropped by the replica
+	NonIdempotent                        // must not run twice
 )
 
 // Class is one sort of query.
 type Class struct {
 	LatencyObjective, Deadline float64 // full worth within Aim; the client's whole patience is Deadline
-	PriorityWeight         float64 // worth of a whole answer in time
-	LateFactor     float64 // fraction of Worth after the aim
-	Idempotency        Idempotency
-	DedupWindow        float64 // Keyed: how long after the first attempt repeats are dropped
-	MinCompleteness         float64 // least share of weight for an answer
-	CompletenessTarget          float64 // share of weight that makes a whole answer
-	PartialFactor  float64 // worth factor of an answer that is not whole
-	SecondStepParts    int     // parts of a second step; 0 for none
+	PriorityWeight             float64 // worth of a whole answer in time
+	LateFactor                 float64 // fraction of Worth after the aim
+	Idempotency                Idempotency
+	DedupWindow                float64 // Keyed: how long after the first attempt repeats are dropped
+	MinCompleteness            float64 // least share of weight for an answer
+	CompletenessTarget         float64 // share of weight that makes a whole answer
+	PartialFactor              float64 // worth factor of an answer that is not whole
+	SecondStepParts            int     // parts of a second step; 0 for none
 }
 
 // Settings is what the deployment states. Zero values switch off what depends on them.
 type Settings struct {
-	Classes        []Class
-	TenantRates        []float64 // allowance of each tenant in queries a second, over all co-ordinators
-	OverQuotaFactor float64   // worth factor beyond a tenant's allowance
-	BrokerIndex, BrokerCount      int       // this co-ordinator's index and how many there are
-	LocalZone           int
-	TimerResolution           float64 // shortest time between turns
+	Classes                  []Class
+	TenantRates              []float64 // allowance of each tenant in queries a second, over all co-ordinators
+	OverQuotaFactor          float64   // worth factor beyond a tenant's allowance
+	BrokerIndex, BrokerCount int       // this co-ordinator's index and how many there are
+	LocalZone                int
+	TimerResolution          float64 // shortest time between turns
 
-	Shards, Cells, CellsPerShard int    // of a fixed layout: how many there are, and how many cells hold a shard
-	Placement               Placement // who holds a shard
-	MaxPartsPerCall              int    // most parts in one call
-	CallOverhead             float64
+	Shards, Cells, CellsPerShard int       // of a fixed layout: how many there are, and how many cells hold a shard
+	Placement                    Placement // who holds a shard
+	MaxPartsPerCall              int       // most parts in one call
+	CallOverhead                 float64
 
-	PollEndpoints   bool    // the list of replicas comes only when watched or fetched
-	MaxStaleness float64 // not having asked for so long counts as being informed
+	PollEndpoints bool    // the list of replicas comes only when watched or fetched
+	MaxStaleness  float64 // not having asked for so long counts as being informed
 
 	CanCancel, AllowHedging bool
-	MaxAttempts          int // attempts for one part, 0 for no limit
-	MaxRetryAfter        float64
+	MaxAttempts             int // attempts for one part, 0 for no limit
+	MaxRetryAfter           float64
 
-	DrainGrace                               float64
+	DrainGrace                                                                          float64
 	SlowStartInitialCapacity, SlowStartDuration, SlowStartWorkMultiple, SlowStartWindow float64
 
 	RetryBudgetSpare, RetryBudgetRatio, RetryBudgetWindow float64 // BudgetWindow 0: no attempt budget
-	AnswerGrace                           float64
+	AnswerGrace                                           float64
 }
 
 // Placement says who holds a shard. It may change between events; LayoutChanged tells of that.
@@ -121,23 +121,23 @@
 
 // Query is a client's query as it arrives; its parts follow before EndTurn.
 type Query struct {
-	ID       uint64
-	QueryGroup    int // the number its parts carry
-	Class    int
-	Tenant   int
-	Deadline float64 // when the client leaves
-	Key      uint64  // what it is about; 0 if that is not known
-	ClientRetry   bool    // the client says it asked before
+	ID          uint64
+	QueryGroup  int // the number its parts carry
+	Class       int
+	Tenant      int
+	Deadline    float64 // when the client leaves
+	Key         uint64  // what it is about; 0 if that is not known
+	ClientRetry bool    // the client says it asked before
 }
 
 // Part is one shard's share of a query.
 type Part struct {
-	ID      uint64
-	QueryGroup   int
-	Shard   int
-	Key     uint64
-	Weight  float64 // share of the query; a step's weights add up to 1
-	AtomicGroup    int     // parts of a query with the same number above 0 count only when all of them are in
+	ID          uint64
+	QueryGroup  int
+	Shard       int
+	Key         uint64
+	Weight      float64 // share of the query; a step's weights add up to 1
+	AtomicGroup int     // parts of a query with the same number above 0 count only when all of them are in
 	CostHint    float64 // expected work, in any unit
 	HasCostHint bool
 }
@@ -154,11 +154,11 @@
 
 // Endpoint is one line of the list of replicas.
 type Endpoint struct {
-	Replica uint32
-	Cell    int
-	Zone    int
+	Replica   uint32
+	Cell      int
+	Zone      int
 	StartedAt float64 // when it last started, 0 for long ago
-	State   ReplicaState
+	State     ReplicaState
 }
 
 // UpdateKind says what a report of the list holds.
@@ -167,9 +167,9 @@
 // The kinds of list reports.
 const (
 	UpdateDelta  UpdateKind = iota // changed entries only
-	UpdateFull                   // everything; what is missing is gone
-	UpdateCached                 // everything as last seen, possibly stale
-	UpdateFailed                 // a call failed or the watch dropped; no entries
+	UpdateFull                     // everything; what is missing is gone
+	UpdateCached                   // everything as last seen, possibly stale
+	UpdateFailed                   // a call failed or the watch dropped; no entries
 )
 
 // Outcome is how an attempt ended.
@@ -177,27 +177,27 @@
 
 // The outcomes of an attempt.
 const (
-	Succeeded            Outcome = iota
-	Failed                // the replica returned an error; possibly ran
-	TimedOut              // no reply in time; possibly ran
-	ConnectionReset                 // the connection dropped; possibly ran
-	Cancelled             // by us; possibly ran
-	Rejected                  // turned away unseen; never ran
-	ConnectFailed         // no connection; never ran
-	NotSent                  // not sent at all
-	NotHolder                 // the replica does not hold the shard, or not yet; never ran
+	Succeeded       Outcome = iota
+	Failed                  // the replica returned an error; possibly ran
+	TimedOut                // no reply in time; possibly ran
+	ConnectionReset         // the connection dropped; possibly ran
+	Cancelled               // by us; possibly ran
+	Rejected                // turned away unseen; never ran
+	ConnectFailed           // no connection; never ran
+	NotSent                 // not sent at all
+	NotHolder               // the replica does not hold the shard, or not yet; never ran
 )
 
 // AttemptResult reports one attempt's end; every Send gets exactly one.
 type AttemptResult struct {
-	Part    uint64
-	Attempt int
-	Replica uint32
-	Outcome Outcome
-	Latency float64
-	PartDone   bool    // the part is over: answered, abandoned, or its query has ended
-	ConnectionOnly   bool    // it was the connection that failed, or for Full was one too many: the replica stands
-	RetryDelay   float64 // Moved: ms in which the part is not tried again, unless Resume ends that sooner
+	Part           uint64
+	Attempt        int
+	Replica        uint32
+	Outcome        Outcome
+	Latency        float64
+	PartDone       bool    // the part is over: answered, abandoned, or its query has ended
+	ConnectionOnly bool    // it was the connection that failed, or for Full was one too many: the replica stands
+	RetryDelay     float64 // Moved: ms in which the part is not tried again, unless Resume ends that sooner
 }
 
 // Actions is what the co-ordinator does for the module.
--- a/balance/balance.go
+++ b/internal/decision/scheduler/balance.go
@@ -1,4 +1,4 @@
-package balance
+package scheduler
 
 // The decisions of a co-ordinator. The interface is in api.go, what is held between events in state.go. A
 // query's life: QueryArrived and PartArrived take it in. EndTurn admits or refuses it (admit), groups its
--- a/balance/balance_test.go
+++ b/internal/decision/scheduler/balance_test.go
@@ -1,4 +1,4 @@
-package balance
+package scheduler
 
 import (
 	"fmt"
@@ -310,11 +310,13 @@
 	}
 }
 
-func (g *rig) Fail(id uint64)     { g.final(id, "fail") }
+func (g *rig) Fail(id uint64)         { g.final(id, "fail") }
 func (g *rig) SetTimer(after float64) { g.bells = append(g.bells, g.now+after) }
-func (g *rig) CloseIdleConnections(r uint32)  { g.log = append(g.log, fmt.Sprintf("%v drop %d", g.now, r)) }
-func (g *rig) WatchEndpoints()             { g.watches++ }
-func (g *rig) Log(text string)    { g.log = append(g.log, text) }
+func (g *rig) CloseIdleConnections(r uint32) {
+	g.log = append(g.log, fmt.Sprintf("%v drop %d", g.now, r))
+}
+func (g *rig) WatchEndpoints() { g.watches++ }
+func (g *rig) Log(text string) { g.log = append(g.log, text) }
 
 func (g *rig) mustEnd(q *rigQuery, how string) {
 	g.t.Helper()
--- a/balance/fleet_test.go
+++ b/internal/decision/scheduler/fleet_test.go
@@ -1,4 +1,4 @@
-package balance
+package scheduler
 
 import (
 	"cmp"
@@ -18,12 +18,12 @@
 
 func (q *quiet) Send(uint64, uint32, float64) {}
 func (q *quiet) Cancel(uint64, int)           {}
-func (q *quiet) CloseIdleConnections(uint32)              {}
+func (q *quiet) CloseIdleConnections(uint32)  {}
 func (q *quiet) Answer(uint64, bool)          {}
 func (q *quiet) Reject(uint64, float64)       {}
 func (q *quiet) Fail(uint64)                  {}
-func (q *quiet) SetTimer(float64)                 {}
-func (q *quiet) WatchEndpoints()                       { q.asked = true }
+func (q *quiet) SetTimer(float64)             {}
+func (q *quiet) WatchEndpoints()              { q.asked = true }
 func (q *quiet) Log(string)                   {}
 
 // listService serves calls in turn, each for 100 ms; a call that has waited for 2 s fails, and its turn comes
@@ -166,8 +166,8 @@
 func newFleet(t *testing.T, peers int) *fleet {
 	t.Helper()
 	f := &fleet{t: t, now: 1e6, rnd: rand.New(rand.NewSource(5)), s: Settings{
-		Classes: []Class{{LatencyObjective: 400, Deadline: 1000, PriorityWeight: 1, LateFactor: 0.3, Idempotency: Idempotent, MinCompleteness: 1, CompletenessTarget: 1}},
-		BrokerCount:   peers, TimerResolution: 1, Shards: 12, Cells: 6, CellsPerShard: 3, MaxPartsPerCall: 1, CanCancel: true, MaxAttempts: 4,
+		Classes:     []Class{{LatencyObjective: 400, Deadline: 1000, PriorityWeight: 1, LateFactor: 0.3, Idempotency: Idempotent, MinCompleteness: 1, CompletenessTarget: 1}},
+		BrokerCount: peers, TimerResolution: 1, Shards: 12, Cells: 6, CellsPerShard: 3, MaxPartsPerCall: 1, CanCancel: true, MaxAttempts: 4,
 		MaxRetryAfter: 1000, DrainGrace: 1000, SlowStartInitialCapacity: 0.21, SlowStartDuration: 18000, SlowStartWorkMultiple: 2.5, SlowStartWindow: 1500}}
 	f.s.Placement = slicemap.NewFixed(f.s.Shards, f.s.Cells, f.s.CellsPerShard)
 	for range f.s.Cells {
--- a/balance/handover.go
+++ b/internal/decision/scheduler/handover.go
@@ -1,12 +1,12 @@
-package balance
+package scheduler
 
 import "math"
 
 // WarmupSend is work that one process of an aggregator sent to a cold replica within the window of its allowance.
 type WarmupSend struct {
 	Replica uint32  `json:"replica"`
-	AgeMs     float64 `json:"ago_ms"`  // before the hand-over, in ms
-	WorkMs    float64 `json:"work_ms"` // in ms of work
+	AgeMs   float64 `json:"ago_ms"`  // before the hand-over, in ms
+	WorkMs  float64 `json:"work_ms"` // in ms of work
 }
 
 // HandOver ends what this process sends to cold replicas and gives what it sent to them in the window of
--- a/balance/state.go
+++ b/internal/decision/scheduler/state.go
@@ -1,4 +1,4 @@
-package balance
+package scheduler
 
 import (
 	"math"
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -9,7 +9,7 @@
 	"hash/fnv"
 	"net/netip"
 
-	"ternstage/balance"
+	"ternstage/internal/decision/scheduler"
 )
 
 // List is the list in discovery's form.
@@ -54,16 +54,16 @@
 	return nil
 }
 
-var phases = map[string]balance.ReplicaState{"SERVING": balance.Ready, "DRAINING": balance.Draining,
-	"DELETED": balance.Removed}
+var phases = map[string]scheduler.ReplicaState{"SERVING": scheduler.Ready, "DRAINING": scheduler.Draining,
+	"DELETED": scheduler.Removed}
 
 // Nodes numbers the members and knows their addresses.
 type Nodes struct {
 	zones   map[string]int
 	byID    map[string]uint32
 	address map[uint32]string
-	listed  map[string]float64       // members that are listed, with their starts as the list says them
-	entries map[string]balance.Endpoint // of members that are listed, as the list says them
+	listed  map[string]float64            // members that are listed, with their starts as the list says them
+	entries map[string]scheduler.Endpoint // of members that are listed, as the list says them
 	hold    Suspender
 	ended   map[string]ending // of members that were told to drain or to be gone
 }
@@ -86,14 +86,14 @@
 func (n *Nodes) SuspendBy(h Suspender) { n.hold = h }
 
 // Entry is the module's form of a listed member, with what holds applied; false for one that is not listed.
-func (n *Nodes) Entry(id string) (balance.Endpoint, bool) {
+func (n *Nodes) Entry(id string) (scheduler.Endpoint, bool) {
 	e, ok := n.entries[id]
 	return n.suspended(id, e), ok
 }
 
-func (n *Nodes) suspended(id string, e balance.Endpoint) balance.Endpoint {
-	if n.hold != nil && e.State == balance.Ready && n.hold.Suspended(id) {
-		e.State = balance.Draining
+func (n *Nodes) suspended(id string, e scheduler.Endpoint) scheduler.Endpoint {
+	if n.hold != nil && e.State == scheduler.Ready && n.hold.Suspended(id) {
+		e.State = scheduler.Draining
 	}
 	return e
 }
@@ -101,7 +101,7 @@
 // NewNodes makes an empty table; zones are the settings' names in order.
 func NewNodes(zones []string) *Nodes {
 	n := &Nodes{zones: map[string]int{}, byID: map[string]uint32{}, address: map[uint32]string{},
-		listed: map[string]float64{}, entries: map[string]balance.Endpoint{}, ended: map[string]ending{}}
+		listed: map[string]float64{}, entries: map[string]scheduler.Endpoint{}, ended: map[string]ending{}}
 	for i, z := range zones {
 		n.zones[z] = i
 	}
@@ -138,14 +138,14 @@
 // recall is the state in which a member is listed. What was told of a drain or an end holds until the member
 // has started anew, or a list of a higher version says otherwise: a service that answers from an older list,
 // or has started anew and counts from elsewhere, does not bring a member back.
-func (n *Nodes) recall(m Member, revision uint64) balance.ReplicaState {
+func (n *Nodes) recall(m Member, revision uint64) scheduler.ReplicaState {
 	state := phases[m.Phase]
 	was, ended := n.ended[m.ID]
 	switch {
-	case state != balance.Ready:
+	case state != scheduler.Ready:
 		n.end(m.ID, ending{m.UpSinceMS, max(revision, was.revision)})
 	case ended && m.UpSinceMS <= was.started && revision <= was.revision:
-		return balance.Draining
+		return scheduler.Draining
 	case ended:
 		delete(n.ended, m.ID)
 	}
@@ -180,19 +180,19 @@
 }
 
 // Apply takes a list and gives the module's form of it. shift turns a wall clock reading into the loop's.
-func (n *Nodes) Apply(l List, shift float64) []balance.Endpoint {
+func (n *Nodes) Apply(l List, shift float64) []scheduler.Endpoint {
 	if l.Complete {
 		n.absent(l)
 		clear(n.listed)
 	}
-	es := make([]balance.Endpoint, 0, len(l.Members))
+	es := make([]scheduler.Endpoint, 0, len(l.Members))
 	for _, m := range l.Members {
-		e := balance.Endpoint{Replica: n.number(m.ID), Cell: m.Cell, Zone: n.zones[m.Locality],
+		e := scheduler.Endpoint{Replica: n.number(m.ID), Cell: m.Cell, Zone: n.zones[m.Locality],
 			State: n.recall(m, l.Revision)}
 		if m.UpSinceMS > 0 {
 			e.StartedAt = max(m.UpSinceMS+shift, 1)
 		}
-		if e.State == balance.Removed {
+		if e.State == scheduler.Removed {
 			delete(n.listed, m.ID)
 		} else {
 			n.listed[m.ID] = m.UpSinceMS
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -8,7 +8,7 @@
 	"go.uber.org/zap"
 	"golang.org/x/sys/unix"
 
-	"ternstage/balance"
+	"ternstage/internal/decision/scheduler"
 	"ternstage/internal/httpanswer"
 	"ternstage/internal/logs"
 	"ternstage/internal/loop"
@@ -23,7 +23,7 @@
 
 // Core takes the list.
 type Core interface {
-	ListChanged(kind balance.UpdateKind, entries []balance.Endpoint)
+	ListChanged(kind scheduler.UpdateKind, entries []scheduler.Endpoint)
 }
 
 // Watcher keeps the list up to date over one connection, by what its reader decides. It implements core.List.
@@ -70,7 +70,7 @@
 func (w *Watcher) Known(l List) {
 	w.reader.Known(l.Revision, len(l.Members))
 	l.Complete = true
-	w.core.ListChanged(balance.UpdateCached, w.nodes.Apply(l, w.shift()))
+	w.core.ListChanged(scheduler.UpdateCached, w.nodes.Apply(l, w.shift()))
 }
 
 // shift takes a reading of the wall clock to the loop's.
@@ -221,9 +221,9 @@
 			zap.Uint64("revision", l.Revision), zap.Error(next.Err))
 	}
 	if next.Take {
-		kind := balance.UpdateDelta
+		kind := scheduler.UpdateDelta
 		if l.Complete {
-			kind = balance.UpdateFull
+			kind = scheduler.UpdateFull
 		}
 		w.core.ListChanged(kind, w.nodes.Apply(l, w.shift()))
 	}
@@ -264,7 +264,7 @@
 	next := w.reader.Failed(w.loop.Now(), code == logs.DiscoveryTimeout)
 	if next.Tell {
 		w.calling = false
-		w.core.ListChanged(balance.UpdateFailed, nil)
+		w.core.ListChanged(scheduler.UpdateFailed, nil)
 		return
 	}
 	if !w.silent {
--- a/internal/flight/nodes.go
+++ b/internal/flight/nodes.go
@@ -18,16 +18,16 @@
 	"google.golang.org/grpc/credentials/insecure"
 	"google.golang.org/grpc/status"
 
-	"ternstage/balance"
 	"ternstage/internal/core"
+	"ternstage/internal/decision/scheduler"
 	"ternstage/internal/logs"
 	"ternstage/internal/slicemap"
 )
 
 // Outcomes takes what became of attempts, on the loop.
 type Outcomes interface {
-	Ended(a *core.Attempt, o balance.Outcome, value []byte)
-	Later(a *core.Attempt, o balance.Outcome)
+	Ended(a *core.Attempt, o scheduler.Outcome, value []byte)
+	Later(a *core.Attempt, o scheduler.Outcome)
 }
 
 // NodeOptions are the limits of the back end, from the settings.
@@ -106,7 +106,7 @@
 		}
 		if x.ch = n.channel(x.Node); x.ch == nil {
 			x.over = true
-			n.core.Later(x.Attempt, balance.ConnectFailed)
+			n.core.Later(x.Attempt, scheduler.ConnectFailed)
 			continue
 		}
 		x.ch.out++
@@ -226,7 +226,7 @@
 			return // given up before: a late answer is ignored
 		}
 		x.over = true
-		if o == balance.Succeeded {
+		if o == scheduler.Succeeded {
 			x.ch.served++
 		}
 		x.NodeEpoch = x.nodeEpoch
@@ -248,18 +248,18 @@
 }
 
 // ask carries out one attempt.
-func (n *Nodes) ask(ctx context.Context, x *attempt, left, hold time.Duration) (o balance.Outcome,
+func (n *Nodes) ask(ctx context.Context, x *attempt, left, hold time.Duration) (o scheduler.Outcome,
 	value []byte) {
 	begin := time.Now()
 	up := n.connected(ctx, x.ch.cc, hold) && time.Since(begin) <= hold
 	if !up || !x.state.CompareAndSwap(stateWaiting, stateCalled) {
 		x.state.CompareAndSwap(stateWaiting, stateDropped)
-		return balance.ConnectFailed, nil // no call was begun: it never ran
+		return scheduler.ConnectFailed, nil // no call was begun: it never ran
 	}
 	defer func() {
 		// Guards the program against a stream whose messages break the reader.
 		if e := recover(); e != nil && value == nil {
-			o = balance.ConnectionReset
+			o = scheduler.ConnectionReset
 		}
 	}()
 	ask := ticket{ID: fmt.Sprintf("%s.%d", x.Request, x.Shard), Shard: x.Shard,
@@ -269,7 +269,7 @@
 	}
 	t, err := json.Marshal(ask)
 	if err != nil {
-		return balance.NotSent, nil
+		return scheduler.NotSent, nil
 	}
 	s, err := x.ch.client.DoGet(ctx, &flight.Ticket{Ticket: t})
 	if err != nil {
@@ -286,7 +286,7 @@
 	}
 	rec := r.RecordBatch()
 	if rec.NumCols() < 1 || rec.NumRows() < 1 {
-		return balance.Failed, nil
+		return scheduler.Failed, nil
 	}
 	switch col := rec.Column(0).(type) {
 	case *array.Binary:
@@ -294,12 +294,12 @@
 	case *array.String:
 		value = []byte(col.Value(0))
 	default:
-		return balance.Failed, nil
+		return scheduler.Failed, nil
 	}
 	if !core.Usable(value) {
-		return balance.Failed, nil
+		return scheduler.Failed, nil
 	}
-	return balance.Succeeded, value
+	return scheduler.Succeeded, value
 }
 
 // connected waits until a connection is up, for so long at most. A refused one tells at once.
@@ -336,13 +336,13 @@
 
 // ended maps how the attempt's call ended, and takes the node's epoch where it says that the part's districts
 // are not its own. Read by the loop only after run has posted.
-func (x *attempt) ended(err error) balance.Outcome {
+func (x *attempt) ended(err error) scheduler.Outcome {
 	if st, ok := status.FromError(err); ok && x.Epoch > 0 && st.Code() == codes.FailedPrecondition {
 		for _, d := range st.Details() {
 			if i, ok := d.(*errdetails.ErrorInfo); ok && i.Reason == reasonMoved {
 				if epoch, err := strconv.ParseUint(i.Metadata[metaEpoch], 10, 63); err == nil && epoch > 0 {
 					x.nodeEpoch = epoch
-					return balance.NotHolder
+					return scheduler.NotHolder
 				}
 			}
 		}
@@ -352,18 +352,18 @@
 
 // outcomeOf maps how a call ended that had begun: only the node's own word that it is full proves that the
 // part never ran.
-func outcomeOf(err error) balance.Outcome {
+func outcomeOf(err error) scheduler.Outcome {
 	var st interface{ GRPCStatus() *status.Status }
 	if !errors.As(err, &st) {
-		return balance.ConnectionReset // a stream that ended early or cannot be read
+		return scheduler.ConnectionReset // a stream that ended early or cannot be read
 	}
 	switch st.GRPCStatus().Code() {
 	case codes.ResourceExhausted:
-		return balance.Rejected
+		return scheduler.Rejected
 	case codes.DeadlineExceeded:
-		return balance.TimedOut
+		return scheduler.TimedOut
 	case codes.Unavailable, codes.Canceled:
-		return balance.ConnectionReset
+		return scheduler.ConnectionReset
 	}
-	return balance.Failed
+	return scheduler.Failed
 }
--- a/internal/lab/exp/exp.go
+++ b/internal/lab/exp/exp.go
@@ -8,7 +8,7 @@
 	"slices"
 
 	"ternstage/api"
-	"ternstage/balance"
+	"ternstage/internal/decision/scheduler"
 	"ternstage/internal/jsonnetfile"
 	"ternstage/internal/lab/model"
 	"ternstage/internal/slicemap"
@@ -217,19 +217,19 @@
 }
 
 // Settings are what a broker's module is told.
-func (e *Experiment) Settings(me int, layout balance.Placement) balance.Settings {
+func (e *Experiment) Settings(me int, layout scheduler.Placement) scheduler.Settings {
 	told := e.ToldBrokers()
-	s := balance.Settings{BrokerIndex: me % told, BrokerCount: told, TimerResolution: 5, Shards: e.Slices, Cells: e.Nodes, CellsPerShard: e.Reach,
+	s := scheduler.Settings{BrokerIndex: me % told, BrokerCount: told, TimerResolution: 5, Shards: e.Slices, Cells: e.Nodes, CellsPerShard: e.Reach,
 		LocalZone: e.ZoneOf(me), AllowHedging: e.Copies,
 		Placement: layout, MaxPartsPerCall: 1, PollEndpoints: !e.Pushed, MaxStaleness: 10_000, CanCancel: true, MaxAttempts: e.Tries,
 		MaxRetryAfter: 1000, DrainGrace: 1000, SlowStartInitialCapacity: e.Node.ColdFrom, SlowStartDuration: e.Node.Warm,
 		SlowStartWorkMultiple: e.Node.FallMultiple, SlowStartWindow: e.Node.FallFor, AnswerGrace: 20}
 	for _, c := range e.Classes {
-		k := balance.Class{LatencyObjective: c.Aim, Deadline: c.Deadline, PriorityWeight: c.Worth, LateFactor: c.Late, MinCompleteness: c.Floor,
-			CompletenessTarget:         1,
-			PartialFactor: c.Partial}
+		k := scheduler.Class{LatencyObjective: c.Aim, Deadline: c.Deadline, PriorityWeight: c.Worth, LateFactor: c.Late, MinCompleteness: c.Floor,
+			CompletenessTarget: 1,
+			PartialFactor:      c.Partial}
 		if c.Once() && e.Arm != Naive {
-			k.Idempotency = balance.NonIdempotent
+			k.Idempotency = scheduler.NonIdempotent
 		}
 		s.Classes = append(s.Classes, k)
 	}
--- a/internal/lab/world/fleet.go
+++ b/internal/lab/world/fleet.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"ternstage/balance"
+	"ternstage/internal/decision/scheduler"
 	"ternstage/internal/lab/exp"
 	"ternstage/internal/lab/model"
 	"ternstage/internal/slicemap"
@@ -23,7 +23,7 @@
 	sim    *World
 	index  int
 	number uint32
-	state  balance.ReplicaState
+	state  scheduler.ReplicaState
 	gen    int // of its process
 	taking int
 	busy   bool // in trouble
@@ -44,7 +44,7 @@
 // listNews is one line of news of the list.
 type listNews struct {
 	node    *node
-	state   balance.ReplicaState
+	state   scheduler.ReplicaState
 	started float64
 }
 
@@ -90,7 +90,7 @@
 		id := exp.NodeID(i)
 		f.byName[id] = uint32(i + 1)
 		f.nodes = append(f.nodes, &node{sim: s, index: i, number: uint32(i + 1), zone: s.e.ZoneOf(i),
-			state: balance.Ready,
+			state: scheduler.Ready,
 			Node:  model.New(id, s.e.NodeOptions(), f.truth.Current(), seed*1009+uint64(i))})
 	}
 	return f
@@ -328,7 +328,7 @@
 			return true
 		})
 	}
-	if to.state != balance.Ready || !f.pace.May(s.now,
+	if to.state != scheduler.Ready || !f.pace.May(s.now,
 		slicemap.Target{Started: to.Started, Holds: holds, Taking: to.taking}, at.Size(), usual) {
 		return false
 	}
@@ -349,7 +349,7 @@
 	to.taking++
 	r, gen := at.Range, to.gen // a process that has started anew has no copy
 	s.at(s.now+copying, func() {
-		if early || to.gen != gen || to.state == balance.Removed {
+		if early || to.gen != gen || to.state == scheduler.Removed {
 			f.each(r, from, to.ID, slicemap.Abort)
 			to.taking--
 			return
@@ -357,7 +357,7 @@
 		f.each(r, from, to.ID, slicemap.Handover)
 		s.at(s.now+handing, func() {
 			kind := slicemap.Done
-			if abort || to.gen != gen || to.state == balance.Removed {
+			if abort || to.gen != gen || to.state == scheduler.Removed {
 				kind = slicemap.Abort
 			}
 			f.each(r, from, to.ID, kind)
@@ -381,7 +381,7 @@
 }
 
 // tell puts news of a node on the list; each broker hears of it late.
-func (f *fleet) tell(n *node, state balance.ReplicaState) {
+func (f *fleet) tell(n *node, state scheduler.ReplicaState) {
 	s := f.sim
 	n.state = state
 	f.news = append(f.news, listNews{n, state, n.Started})
@@ -537,7 +537,7 @@
 	for _, b := range s.brokers {
 		b.reset(n)
 	}
-	f.tell(n, balance.Removed)
+	f.tell(n, scheduler.Removed)
 }
 
 // back starts a node's process anew, cold.
@@ -547,7 +547,7 @@
 	if n.wire != nil {
 		n.wire.back()
 	}
-	f.tell(n, balance.Ready)
+	f.tell(n, scheduler.Ready)
 }
 
 // trouble lets something go wrong. As long as a part of the fleet is in trouble the rest is left alone, so
@@ -609,7 +609,7 @@
 		s.at(s.now+long, func() {
 			f.cut = -1
 			for _, n := range f.nodes {
-				if n.wire != nil && n.state != balance.Removed {
+				if n.wire != nil && n.state != scheduler.Removed {
 					n.wire.restored()
 				}
 			}
@@ -652,7 +652,7 @@
 		f.die(n)
 		s.at(s.now+long, func() { f.back(n); n.busy = false })
 	case "drain":
-		f.tell(n, balance.Draining)
+		f.tell(n, scheduler.Draining)
 		wait := s.e.News.List[1] + 1200
 		s.at(s.now+wait, func() { n.Trouble = model.Drain })
 		s.at(s.now+wait+1500, func() { f.die(n) })
--- a/internal/lab/world/servers.go
+++ b/internal/lab/world/servers.go
@@ -7,8 +7,8 @@
 	"net/http"
 	"strconv"
 
-	"ternstage/balance"
 	"ternstage/internal/catalog"
+	"ternstage/internal/decision/scheduler"
 	"ternstage/internal/discovery"
 	"ternstage/internal/lab/loopback"
 	"ternstage/internal/slicemap"
@@ -48,7 +48,7 @@
 	if s.e.Pushed && d.visible < upTo { // what an agent has counts as told
 		s.fleet.heard[d.b.index] = s.now
 		for _, n := range s.fleet.news[d.visible:upTo] {
-			if n.state != balance.Ready {
+			if n.state != scheduler.Ready {
 				s.check.Told(s.now, d.b.name, n.node.ID)
 			}
 		}
@@ -73,18 +73,18 @@
 	for _, n := range s.fleet.nodes {
 		x, changed := news[n]
 		if !changed {
-			x = listNews{n, balance.Ready, 0}
+			x = listNews{n, scheduler.Ready, 0}
 		}
 		if s.Fault.IgnoreDrain {
-			x.state = balance.Ready
+			x.state = scheduler.Ready
 		}
-		if !whole && !changed || whole && x.state == balance.Removed {
+		if !whole && !changed || whole && x.state == scheduler.Removed {
 			continue
 		}
 		m := discovery.Member{ID: n.ID, Address: d.b.way(n.wire.(sockets)[s.e.ZoneOf(d.b.index)]),
 			Locality: zoneName(n.zone), Cell: n.index, Size: 1,
-			Phase: map[balance.ReplicaState]string{balance.Ready: "SERVING", balance.Draining: "DRAINING",
-				balance.Removed: "DELETED"}[x.state]}
+			Phase: map[scheduler.ReplicaState]string{scheduler.Ready: "SERVING", scheduler.Draining: "DRAINING",
+				scheduler.Removed: "DELETED"}[x.state]}
 		if x.started > 0 {
 			m.UpSinceMS = float64(s.live.unix(x.started))
 		}
--- a/internal/lab/world/virtual.go
+++ b/internal/lab/world/virtual.go
@@ -5,8 +5,8 @@
 	"math"
 	"slices"
 
-	"ternstage/balance"
 	"ternstage/internal/core"
+	"ternstage/internal/decision/scheduler"
 	"ternstage/internal/lab/exp"
 	"ternstage/internal/lab/model"
 	"ternstage/internal/lab/result"
@@ -149,7 +149,7 @@
 	for _, x := range slices.Clone(b.out) {
 		if x.node == n && x.there {
 			x.gone()
-			x.ends(balance.ConnectionReset, nil)
+			x.ends(scheduler.ConnectionReset, nil)
 		}
 	}
 }
@@ -214,30 +214,30 @@
 		if b.asked = false; gen != b.gen || b.core == nil {
 			return
 		}
-		var es []balance.Endpoint
+		var es []scheduler.Endpoint
 		for _, n := range s.fleet.nodes {
 			es = append(es, b.entry(n, n.state))
 		}
 		b.seen = len(s.fleet.news)
-		b.core.ListChanged(balance.UpdateFull, es)
+		b.core.ListChanged(scheduler.UpdateFull, es)
 		b.touch()
 	})
 }
 
 // entry is what the list says of a node, as it is told to this broker.
-func (b *virtual) entry(n *node, state balance.ReplicaState) balance.Endpoint {
+func (b *virtual) entry(n *node, state scheduler.ReplicaState) scheduler.Endpoint {
 	s := b.sim
-	if state == balance.Ready || s.Fault.IgnoreDrain {
+	if state == scheduler.Ready || s.Fault.IgnoreDrain {
 		b.listed[n.number] = true
-	} else if state == balance.Removed {
+	} else if state == scheduler.Removed {
 		delete(b.listed, n.number)
 	}
-	if state == balance.Ready {
+	if state == scheduler.Ready {
 		s.check.Untold(b.name, n.ID)
 	} else {
 		s.check.Told(s.now, b.name, n.ID)
 		if s.Fault.IgnoreDrain {
-			state = balance.Ready
+			state = scheduler.Ready
 		}
 	}
 	started := n.Started
@@ -247,7 +247,7 @@
 	if s.Fault.HideStart {
 		started = 0
 	}
-	return balance.Endpoint{Replica: n.number, Cell: n.index, StartedAt: started, State: state}
+	return scheduler.Endpoint{Replica: n.number, Cell: n.index, StartedAt: started, State: state}
 }
 
 // drainGrace is the rule's, in ms, as Settings state it.
@@ -283,12 +283,12 @@
 
 // bring gives the module what the agent has: the whole list, or what is new.
 func (b *virtual) bring(whole bool) {
-	s, kind := b.sim, balance.UpdateDelta
-	var es []balance.Endpoint
+	s, kind := b.sim, scheduler.UpdateDelta
+	var es []scheduler.Endpoint
 	if whole {
-		kind = balance.UpdateFull
+		kind = scheduler.UpdateFull
 		for _, n := range s.fleet.nodes {
-			x := listNews{node: n, state: balance.Ready}
+			x := listNews{node: n, state: scheduler.Ready}
 			for _, news := range s.fleet.news[:b.agent] {
 				if news.node == n {
 					x = news
@@ -316,7 +316,7 @@
 		}
 		s.fleet.heard[b.index] = s.now
 		for _, n := range s.fleet.news[b.agent:upTo] { // what the agent has counts as told
-			if n.state != balance.Ready {
+			if n.state != scheduler.Ready {
 				s.check.Told(s.now, b.name, n.node.ID)
 			}
 		}
@@ -328,12 +328,12 @@
 	if b.core == nil || b.seen >= upTo || len(b.listed) == 0 {
 		return
 	}
-	var es []balance.Endpoint
+	var es []scheduler.Endpoint
 	for _, n := range b.sim.fleet.news[b.seen:upTo] {
 		es = append(es, b.entry(n.node, n.state))
 	}
 	b.seen = upTo
-	b.core.ListChanged(balance.UpdateDelta, es)
+	b.core.ListChanged(scheduler.UpdateDelta, es)
 	b.touch()
 }
 
@@ -470,7 +470,7 @@
 		return // it is lost, and nobody says so
 	}
 	if n.Trouble == model.Down || n.Fallen || q == nil {
-		f.ends(balance.ConnectFailed, nil)
+		f.ends(scheduler.ConnectFailed, nil)
 		return
 	}
 	f.job = &model.Job{Query: f.a.Request, Class: q.ask.Class, Once: q.ask.Once, Districts: f.a.Districts,
@@ -488,19 +488,19 @@
 	f.gone()
 	switch end {
 	case model.OK:
-		f.ends(balance.Succeeded, []byte(model.Value(f.a.Request, f.a.Districts)))
+		f.ends(scheduler.Succeeded, []byte(model.Value(f.a.Request, f.a.Districts)))
 	case model.Err:
-		f.ends(balance.Failed, nil)
+		f.ends(scheduler.Failed, nil)
 	case model.Busy:
-		f.ends(balance.Rejected, nil)
+		f.ends(scheduler.Rejected, nil)
 	case model.Moved:
 		f.a.NodeEpoch = f.node.Epoch()
-		f.ends(balance.NotHolder, nil)
+		f.ends(scheduler.NotHolder, nil)
 	}
 }
 
 // ends brings its outcome to the broker.
-func (f *sending) ends(o balance.Outcome, value []byte) {
+func (f *sending) ends(o scheduler.Outcome, value []byte) {
 	s := f.b.sim
 	s.at(s.now+s.way(f.node.zone, f.b.zone), func() {
 		if !s.fleet.reach(f.b.zone, f.node.zone) || s.fleet.apart[f.b.index] > s.now {
--- a/internal/ops/control/control.go
+++ b/internal/ops/control/control.go
@@ -15,7 +15,7 @@
 	"go.uber.org/zap"
 	"golang.org/x/sys/unix"
 
-	"ternstage/balance"
+	"ternstage/internal/decision/scheduler"
 	"ternstage/internal/logs"
 	"ternstage/internal/loop"
 	"ternstage/internal/ops/handover"
@@ -29,12 +29,12 @@
 
 // List is the module as it hears of the list.
 type List interface {
-	ListChanged(kind balance.UpdateKind, entries []balance.Endpoint)
+	ListChanged(kind scheduler.UpdateKind, entries []scheduler.Endpoint)
 }
 
 // Members gives the module's form of a listed leaf, with what holds applied.
 type Members interface {
-	Entry(id string) (balance.Endpoint, bool)
+	Entry(id string) (scheduler.Endpoint, bool)
 }
 
 // Front is the clients' front as sending them away needs it.
@@ -75,8 +75,8 @@
 	Started float64 // Unix ms: when this process started
 	Peers   int     // of the settings
 	Core    interface {
-		HandOver() []balance.WarmupSend
-		TakeOver(sent []balance.WarmupSend)
+		HandOver() []scheduler.WarmupSend
+		TakeOver(sent []scheduler.WarmupSend)
 		Shares()
 	}
 	Known func(replica uint32) bool // the leaf is listed here
@@ -321,14 +321,14 @@
 
 // tell has the module hear of a leaf that is held or freed, as the list would tell it.
 func (u *Control) tell(ids ...string) {
-	es := make([]balance.Endpoint, 0, len(ids))
+	es := make([]scheduler.Endpoint, 0, len(ids))
 	for _, id := range ids {
 		if e, ok := u.members.Entry(id); ok {
 			es = append(es, e)
 		}
 	}
 	if len(es) > 0 {
-		u.list.ListChanged(balance.UpdateDelta, es)
+		u.list.ListChanged(scheduler.UpdateDelta, es)
 	}
 }
 
--- a/internal/ops/control/control_test.go
+++ b/internal/ops/control/control_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sys/unix"
 
-	"ternstage/balance"
+	"ternstage/internal/decision/scheduler"
 	"ternstage/internal/logs"
 	"ternstage/internal/loop"
 	"ternstage/internal/ops/handover"
@@ -23,14 +23,14 @@
 // process is one process of an aggregator as the control sees it.
 type process struct {
 	*Control
-	heard []balance.Endpoint // what the module was told
+	heard []scheduler.Endpoint // what the module was told
 	away  bool
 	kept  bool
 	idle  int
 	log   string
 }
 
-func (p *process) ListChanged(_ balance.UpdateKind, es []balance.Endpoint) {
+func (p *process) ListChanged(_ scheduler.UpdateKind, es []scheduler.Endpoint) {
 	p.heard = append(p.heard, es...)
 }
 func (p *process) Healthy() bool     { return !p.away }
@@ -40,10 +40,10 @@
 func (p *process) EndIdle()          { p.idle++ }
 
 // Entry gives every id a listed leaf, numbered by its first byte, with what holds applied.
-func (p *process) Entry(id string) (balance.Endpoint, bool) {
-	e := balance.Endpoint{Replica: uint32(id[len(id)-1]), State: balance.Ready}
+func (p *process) Entry(id string) (scheduler.Endpoint, bool) {
+	e := scheduler.Endpoint{Replica: uint32(id[len(id)-1]), State: scheduler.Ready}
 	if p.Control != nil && p.bans.Suspended(id) {
-		e.State = balance.Draining
+		e.State = scheduler.Draining
 	}
 	return e, true
 }
@@ -74,18 +74,18 @@
 	a, b := start(t, path), start(t, path)
 	a.Suspensions().Listed("s-1")
 	require.Equal(t, 200, a.Suspend("s-1").Status)
-	require.Equal(t, []balance.Endpoint{{Replica: '1', State: balance.Draining}}, a.heard, "the module hears at once")
+	require.Equal(t, []scheduler.Endpoint{{Replica: '1', State: scheduler.Draining}}, a.heard, "the module hears at once")
 
 	b.look()
 	assert.True(t, b.Suspensions().Suspended("s-1"), "the other process holds it after a look")
-	assert.Equal(t, balance.Draining, b.heard[0].State)
+	assert.Equal(t, scheduler.Draining, b.heard[0].State)
 	c := start(t, path)
 	assert.True(t, c.Suspensions().Suspended("s-1"), "a process that starts reads it")
 
 	require.Equal(t, 200, b.Resume("s-1").Status, "a resume at either process ends it")
 	a.look()
 	assert.False(t, a.Suspensions().Suspended("s-1"))
-	assert.Equal(t, balance.Ready, a.heard[len(a.heard)-1].State, "the module hears that it serves again")
+	assert.Equal(t, scheduler.Ready, a.heard[len(a.heard)-1].State, "the module hears that it serves again")
 	b.heard = nil
 	b.look()
 	assert.Empty(t, b.heard, "a file that it wrote itself is no news")
@@ -236,15 +236,15 @@
 // sides notes what the module is told of the other process.
 type sides struct {
 	shares, took int
-	sent         []balance.WarmupSend
+	sent         []scheduler.WarmupSend
 }
 
-func (s *sides) HandOver() []balance.WarmupSend   { return s.sent }
-func (s *sides) TakeOver(in []balance.WarmupSend) { s.took++ }
-func (s *sides) Shares()                    { s.shares++ }
+func (s *sides) HandOver() []scheduler.WarmupSend   { return s.sent }
+func (s *sides) TakeOver(in []scheduler.WarmupSend) { s.took++ }
+func (s *sides) Shares()                            { s.shares++ }
 
 func (p *process) beside(path string, peers int, known bool) *sides {
-	s := &sides{sent: []balance.WarmupSend{{Replica: 7, AgeMs: 1, WorkMs: 10}}}
+	s := &sides{sent: []scheduler.WarmupSend{{Replica: 7, AgeMs: 1, WorkMs: 10}}}
 	p.HandOverBy(&Hand{Path: path, Window: 60_000, Started: unixNow(), Peers: peers, Core: s,
 		Known: func(uint32) bool { return known }})
 	return s
@@ -287,7 +287,7 @@
 // TestRecordsNotTaken: a record that is torn, old, of another version, of a process with other peers, or full of leafs that
 // are not known here is not taken: the start is cold, and the log says why.
 func TestRecordsNotTaken(t *testing.T) {
-	sent := []balance.WarmupSend{{Replica: 7, AgeMs: 1, WorkMs: 10}}
+	sent := []scheduler.WarmupSend{{Replica: 7, AgeMs: 1, WorkMs: 10}}
 	for says, c := range map[string]struct {
 		text  []byte
 		known bool
--- a/internal/ops/handover/handover.go
+++ b/internal/ops/handover/handover.go
@@ -10,7 +10,7 @@
 	"fmt"
 	"hash/crc32"
 
-	"ternstage/balance"
+	"ternstage/internal/decision/scheduler"
 )
 
 // Version is the form of the record that this build writes and reads.
@@ -22,12 +22,12 @@
 
 // Record is what a process that hands over leaves for its successor.
 type Record struct {
-	Form    string         `json:"form"`
-	Version int            `json:"version"`
-	Written float64        `json:"written_unix_ms"` // when it handed over
-	Peers   int            `json:"peers,omitempty"` // of the settings it ran with; 0 is not known
-	Sent    []balance.WarmupSend `json:"sent"`
-	Sum     uint32         `json:"sum"` // CRC-32 of the sends as JSON
+	Form    string                 `json:"form"`
+	Version int                    `json:"version"`
+	Written float64                `json:"written_unix_ms"` // when it handed over
+	Peers   int                    `json:"peers,omitempty"` // of the settings it ran with; 0 is not known
+	Sent    []scheduler.WarmupSend `json:"sent"`
+	Sum     uint32                 `json:"sum"` // CRC-32 of the sends as JSON
 }
 
 const form = "ternstage cold sent"
@@ -36,7 +36,7 @@
 var ErrRecord = errors.New("record of cold sends")
 
 // Encode writes a record of a hand-over at written (Unix ms) by a process told of so many peers.
-func Encode(written float64, peers int, sent []balance.WarmupSend) []byte {
+func Encode(written float64, peers int, sent []scheduler.WarmupSend) []byte {
 	text, _ := json.Marshal(Record{Form: form, Version: Version, Written: written, Peers: peers, Sent: sent,
 		Sum: sum(sent)})
 	return append(text, '\n')
@@ -98,9 +98,9 @@
 
 // Aged gives the sends as of now (Unix ms): each is older by the time since the record was written, and
 // those older than the window are dropped.
-func Aged(r Record, now, window float64) []balance.WarmupSend {
+func Aged(r Record, now, window float64) []scheduler.WarmupSend {
 	gone := max(0, now-r.Written)
-	out := make([]balance.WarmupSend, 0, len(r.Sent))
+	out := make([]scheduler.WarmupSend, 0, len(r.Sent))
 	for _, s := range r.Sent {
 		if s.AgeMs += gone; s.AgeMs <= window {
 			out = append(out, s)
@@ -109,7 +109,7 @@
 	return out
 }
 
-func sum(sent []balance.WarmupSend) uint32 {
+func sum(sent []scheduler.WarmupSend) uint32 {
 	text, _ := json.Marshal(sent)
 	return crc32.ChecksumIEEE(text)
 }
--- a/internal/ops/handover/handover_test.go
+++ b/internal/ops/handover/handover_test.go
@@ -6,11 +6,11 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"ternstage/balance"
+	"ternstage/internal/decision/scheduler"
 )
 
 func TestRecord(t *testing.T) {
-	sent := []balance.WarmupSend{{Replica: 7, AgeMs: 100, WorkMs: 40}, {Replica: 9, AgeMs: 1400, WorkMs: 80}}
+	sent := []scheduler.WarmupSend{{Replica: 7, AgeMs: 100, WorkMs: 40}, {Replica: 9, AgeMs: 1400, WorkMs: 80}}
 	text := Encode(1e12, 8, sent)
 	r, err := Decode(text)
 	require.NoError(t, err)
@@ -34,21 +34,21 @@
 
 func TestJudge(t *testing.T) {
 	known := func(x uint32) bool { return x != 9 }
-	r := Record{Written: 10_000, Sent: []balance.WarmupSend{{Replica: 7, AgeMs: 100, WorkMs: 40}}}
+	r := Record{Written: 10_000, Sent: []scheduler.WarmupSend{{Replica: 7, AgeMs: 100, WorkMs: 40}}}
 	assert.Equal(t, Ignore, Judge(r, 10_100, 10_001, 1500, 2, known), "an earlier hand-over is not of this one")
 	assert.Equal(t, Take, Judge(r, 10_100, 9_000, 1500, 2, known))
 	r.Peers = 3
 	assert.Equal(t, Foreign, Judge(r, 10_100, 9_000, 1500, 2, known), "told of another number of peers")
 	assert.Equal(t, Take, Judge(r, 10_100, 9_000, 1500, 3, known))
-	r.Sent = append(r.Sent, balance.WarmupSend{Replica: 9, AgeMs: 0, WorkMs: 10})
+	r.Sent = append(r.Sent, scheduler.WarmupSend{Replica: 9, AgeMs: 0, WorkMs: 10})
 	assert.Equal(t, Wait, Judge(r, 10_100, 9_000, 1500, 3, known), "a leaf not known yet is waited for")
 	assert.Equal(t, Take, Judge(r, 11_500, 9_000, 1500, 3, known), "until what is said of it no longer counts")
 }
 
 func TestAged(t *testing.T) {
-	r := Record{Written: 10_000, Sent: []balance.WarmupSend{{Replica: 7, AgeMs: 100, WorkMs: 40},
+	r := Record{Written: 10_000, Sent: []scheduler.WarmupSend{{Replica: 7, AgeMs: 100, WorkMs: 40},
 		{Replica: 8, AgeMs: 1300, WorkMs: 50}}}
-	assert.Equal(t, []balance.WarmupSend{{Replica: 7, AgeMs: 400, WorkMs: 40}}, Aged(r, 10_300, 1500),
+	assert.Equal(t, []scheduler.WarmupSend{{Replica: 7, AgeMs: 400, WorkMs: 40}}, Aged(r, 10_300, 1500),
 		"older by the time since it was written, and out of the window dropped")
 	assert.Len(t, Aged(r, 9_000, 1500), 2, "a clock that went back ages nothing")
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"fmt"
 
-	"ternstage/balance"
+	"ternstage/internal/decision/scheduler"
 	"ternstage/internal/slicemap"
 )
 
@@ -59,12 +59,12 @@
 }
 
 // ParseSettings reads the settings text of a CREATE event. Unknown keys are ignored.
-func ParseSettings(text []byte) (balance.Settings, error) {
+func ParseSettings(text []byte) (scheduler.Settings, error) {
 	var t settingsText
 	if err := json.Unmarshal(text, &t); err != nil {
-		return balance.Settings{}, fmt.Errorf("settings: %w", err)
+		return scheduler.Settings{}, fmt.Errorf("settings: %w", err)
 	}
-	s := balance.Settings{OverQuotaFactor: t.OverShare, BrokerIndex: t.Me, BrokerCount: t.Balancers, LocalZone: t.Zone, TimerResolution: t.Tick,
+	s := scheduler.Settings{OverQuotaFactor: t.OverShare, BrokerIndex: t.Me, BrokerCount: t.Balancers, LocalZone: t.Zone, TimerResolution: t.Tick,
 		Shards: t.Domain.Slices, Cells: t.Domain.Sets, CellsPerShard: t.Domain.Width, MaxPartsPerCall: t.Domain.PerCall,
 		CallOverhead: t.Domain.CallCost, PollEndpoints: t.Discovery == "on_request", MaxStaleness: t.Rules.AskWithin,
 		CanCancel: t.Limits.Cancel, AllowHedging: t.Limits.Parallel,
@@ -77,16 +77,16 @@
 		s.MaxRetryAfter = t.Limits.MaxWait
 	}
 	for i, c := range t.Categories {
-		k := balance.Class{LatencyObjective: c.Aim, Deadline: c.Deadline, PriorityWeight: c.Worth, LateFactor: c.Late, DedupWindow: c.Window,
+		k := scheduler.Class{LatencyObjective: c.Aim, Deadline: c.Deadline, PriorityWeight: c.Worth, LateFactor: c.Late, DedupWindow: c.Window,
 			MinCompleteness: at(t.Domain.Floor, i, 1), CompletenessTarget: at(t.Domain.Need, i, 1), PartialFactor: at(t.Domain.Partial, i, 0),
 			SecondStepParts: at(t.Domain.Fetch, i, 0)}
 		switch c.Effect {
 		case "read_like":
-			k.Idempotency = balance.Idempotent
+			k.Idempotency = scheduler.Idempotent
 		case "idempotency_key":
-			k.Idempotency = balance.IdempotentWithKey
+			k.Idempotency = scheduler.IdempotentWithKey
 		case "non_idempotent":
-			k.Idempotency = balance.NonIdempotent
+			k.Idempotency = scheduler.NonIdempotent
 		default:
 			return s, fmt.Errorf("settings: categories[%d].effect %q is unknown", i, c.Effect)
 		}
