--- a/cmd/ternstage/admin.go
+++ b/cmd/ternstage/admin.go
@@ -139,7 +139,7 @@
 	path := filepath.Join(dir, heldFile)
 	text, err := os.ReadFile(path)
 	if err == nil {
-		out.Suspended, err = maintenance.Decode(text)
+		out.Suspended, err = maintenance.DecodeSuspensions(text)
 	}
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return fmt.Errorf("%s: %w", path, err)
--- a/cmd/ternstage/extras.go
+++ b/cmd/ternstage/extras.go
@@ -42,8 +42,8 @@
 	}
 	x := &extras{file: f}
 	if o := f.Flight; o != nil {
-		x.flight = flight.Config{Enabled: o.Enabled, Listen: o.Listen, Nodes: o.Nodes, Streams: o.Streams,
-			Conns: o.Conns}
+		x.flight = flight.Config{Enabled: o.Enabled, Listen: o.Listen, Backends: o.Backends, StreamsPerConnection: o.StreamsPerConnection,
+			MaxConnections: o.MaxConnections}
 		x.flight.Defaults()
 		return x, nil
 	}
@@ -57,49 +57,49 @@
 }
 
 // slices is the map of slices where they move, which is then the module's layout; nil where they do not.
-func (x *extras) slices(cfg *config.Config, nodes *discovery.Nodes) *slicemap.Map {
-	o := x.file.Slices
+func (x *extras) slices(cfg *config.Config, nodes *discovery.Registry) *slicemap.Map {
+	o := x.file.Sharding
 	if o == nil {
 		return nil
 	}
-	m := slicemap.New(slicemap.Options{Slices: o.Most, Versions: o.Versions, History: o.History,
-		Number: nodes.Number})
-	cfg.Module.Placement, cfg.Book.Slices = m, true
+	m := slicemap.New(slicemap.Options{MaxShards: o.MaxShards, MaxVersions: o.MaxVersions, MaxRetired: o.MaxRetired,
+		ReplicaNumber: nodes.ReplicaNumber})
+	cfg.Scheduler.Placement, cfg.Contracts.Resharding = m, true
 	return m
 }
 
 // catalogue is where the map comes from.
 func (x *extras) catalogue(cfg *config.Config) catalog.Options {
-	o := x.file.Slices
-	return catalog.Options{Address: o.Catalogue, Most: o.AnswerBytes(), Follow: o.Follow(), Seed: cfg.Seed}
+	o := x.file.Sharding
+	return catalog.Options{Address: o.Catalogue, MaxAnswerBytes: o.AnswerBytes(), Poller: o.PollerOptions(), Seed: cfg.Seed}
 }
 
 // cached takes the map of the last run, if the operators keep one, and keeps those that follow. The function
 // that it gives ends that.
 func (x *extras) cached(c *core.Core, m *slicemap.Map, log *logs.Log) (end func()) {
-	if x.file.Slices.Cache == "" {
+	if x.file.Sharding.Cache == "" {
 		return func() {}
 	}
-	k := catalog.NewCache(x.file.Slices.Cache, func(err error) {
-		log.Fault(logs.SlicesCache, "map not kept",
+	k := catalog.NewCache(x.file.Sharding.Cache, func(err error) {
+		log.Rejected(logs.ShardMapCacheFailed, "map not kept",
 			err)
 	})
 	w, err := k.Load()
 	if err == nil && w != nil {
-		err = c.TakeMap(*w)
+		err = c.ApplySnapshot(*w)
 	}
 	if err != nil {
-		log.Fault(logs.SlicesCache, "kept map not used", err)
+		log.Rejected(logs.ShardMapCacheFailed, "kept map not used", err)
 	}
-	c.OnMap(func(v *slicemap.Version) { k.Keep(v, m.Retired(retiredKept)) })
+	c.OnMapChanged(func(v *slicemap.Version) { k.Save(v, m.Retired(retiredKept)) })
 	return k.Close
 }
 
 // slicesBody is what GET /_slices shows.
 type slicesBody struct {
 	slicemap.Stats
-	core.Moves
-	List []catalog.Slice `json:"moves"` // the first that are being moved
+	core.ReshardingStats
+	List []catalog.Shard `json:"moves"` // the first that are being moved
 }
 
 // pages are the paths that show something of what is switched on.
@@ -108,7 +108,7 @@
 		return nil
 	}
 	return map[string]func() []byte{"/_slices": func() []byte {
-		b := slicesBody{Stats: m.Stats(), Moves: c.Moves(), List: catalog.Moving(m, movingMost)}
+		b := slicesBody{Stats: m.Stats(), ReshardingStats: c.ReshardingStats(), List: catalog.ShardsInMotion(m, movingMost)}
 		text, err := json.Marshal(b)
 		if err != nil {
 			return []byte(`{}`)
--- a/cmd/ternstage/main.go
+++ b/cmd/ternstage/main.go
@@ -20,7 +20,7 @@
 			os.Exit(int(code))
 		}
 		fmt.Fprintln(os.Stderr, "ternstage:", err)
-		if errors.Is(err, config.ErrNone) {
+		if errors.Is(err, config.ErrNotConfigured) {
 			fmt.Fprintln(os.Stderr,
 				"To try it on an emulated fleet: make try. To serve: BALANCER_CONFIG=FILE ternstage")
 		}
@@ -90,24 +90,24 @@
 		return err
 	}
 	c.Printf("%s takes queries at %s and asks discovery at %s\n", cfg.Name, cfg.Listen, cfg.Discovery)
-	for _, k := range cfg.Book.Classes {
+	for _, k := range cfg.Contracts.Classes {
 		c.Printf("class %s: %s, wanted within %.0f ms, given up at %.0f ms, answered from %.0f%% of its weight\n",
-			k.Name, k.Effect, k.AimMS, k.DeadlineMS, 100*k.MinShare)
+			k.Name, k.Effect, k.LatencyObjectiveMs, k.DeadlineMs, 100*k.MinCompleteness)
 	}
-	for _, t := range cfg.Book.Tenants {
+	for _, t := range cfg.Contracts.Tenants {
 		c.Printf("tenant %s: %.1f queries a second\n", t.Name, t.Allowance)
 	}
-	switch s := x.file.Slices; s {
+	switch s := x.file.Sharding; s {
 	case nil:
-		c.Printf("%d shards on %d cells, each on %d; they do not move\n", cfg.Module.Shards, cfg.Module.Cells,
-			cfg.Module.CellsPerShard)
+		c.Printf("%d shards on %d cells, each on %d; they do not move\n", cfg.Scheduler.Shards, cfg.Scheduler.Cells,
+			cfg.Scheduler.CellsPerShard)
 	default:
 		c.Printf("slices move, as the catalogue at %s says\n", s.Catalogue)
 	}
 	if x.flight.Enabled {
 		c.Printf("Flight clients are taken at %s\n", x.flight.Listen)
 	}
-	if x.flight.Nodes {
+	if x.flight.Backends {
 		c.Println("rate nodes are asked over Flight")
 	}
 	return nil
--- a/cmd/ternstage/serve.go
+++ b/cmd/ternstage/serve.go
@@ -80,79 +80,79 @@
 	}
 	clock := &waker{Loop: l}
 	clock.timer = l.NewTimer(func() {}) // a wake-up is all it is for: the turn follows every one
-	nodes := discovery.NewNodes(cfg.Zones)
+	nodes := discovery.NewRegistry(cfg.Zones)
 	m := x.slices(cfg, nodes)
-	c, err := core.New(cfg.Module, cfg.Seed, core.Options{MaxOpen: cfg.MaxOpen, Clock: clock, Log: log,
-		Slices: m})
+	c, err := core.New(cfg.Scheduler, cfg.Seed, core.Options{MaxOpen: cfg.MaxOpen, Clock: clock, Log: log,
+		ShardMap: m})
 	if err != nil {
 		return err
 	}
-	files := descriptors(cfg.Sockets, log) - spareFiles
-	if cfg.Mgmt != "" {
-		files -= adminapi.MaxConns + 1 // the admin API and its callers
+	files := descriptors(cfg.MaxDescriptors, log) - spareFiles
+	if cfg.AdminAddress != "" {
+		files -= adminapi.MaxConnections + 1 // the admin API and its callers
 	}
 	clientFiles := files - files/leafShare
 	if fc.Enabled {
 		// Flight's connections come out of the clients' part of the descriptors.
-		fc.Conns = min(fc.Conns, clientFiles/2)
-		clientFiles -= fc.Conns
+		fc.MaxConnections = min(fc.MaxConnections, clientFiles/2)
+		clientFiles -= fc.MaxConnections
 	}
-	server, err := clients.NewServer(l, c, cfg.Book, log, cfg.Listen,
-		clients.Options{Conns: clientFiles, Bytes: cfg.MemoryMB << 20 / clientBytes, Pages: x.pages(c, m),
-			Inherited: cfg.Inherited},
-		func() bool { return nodes.Size() > 0 && (m == nil || c.Epoch() > 0) })
+	server, err := clients.NewServer(l, c, cfg.Contracts, log, cfg.Listen,
+		clients.Options{MaxConnections: clientFiles, MaxBufferedBytes: cfg.MemoryMB << 20 / clientBytes, Pages: x.pages(c, m),
+			InheritedFD: cfg.InheritedFD},
+		func() bool { return nodes.Len() > 0 && (m == nil || c.Epoch() > 0) })
 	if err != nil {
 		return err
 	}
 	var back backend
-	if fc.Nodes {
-		back = flight.NewNodes(l, c, log, flight.NodeOptions{Streams: cfg.Streams, DialTimeout: cfg.DialTimeout,
-			KeepAlive: cfg.KeepAlive, Sockets: files / leafShare}, nodes.Address)
+	if fc.Backends {
+		back = flight.NewBackendClient(l, c, log, flight.BackendOptions{StreamsPerConnection: cfg.StreamsPerConnection, DialTimeout: cfg.DialTimeout,
+			KeepAlive: cfg.KeepAlive, MaxConnections: files / leafShare}, nodes.Address)
 	} else {
-		back = backends.NewPool(l, c, log, backends.Options{PerCall: cfg.Module.MaxPartsPerCall, Streams: cfg.Streams,
-			DialTimeout: cfg.DialTimeout, KeepAlive: cfg.KeepAlive, Sockets: files / leafShare, Slices: m != nil,
-			Room: server.MakeRoom}, nodes.Address)
+		back = backends.NewPool(l, c, log, backends.Options{MaxPartsPerCall: cfg.Scheduler.MaxPartsPerCall, StreamsPerConnection: cfg.StreamsPerConnection,
+			DialTimeout: cfg.DialTimeout, KeepAlive: cfg.KeepAlive, MaxConnections: files / leafShare, Resharding: m != nil,
+			FreeDescriptor: server.FreeDescriptor}, nodes.Address)
 	}
-	reader := membership.NewReader(membership.Options{Pushed: !cfg.Module.PollEndpoints,
-		DrainGrace: cfg.Module.DrainGrace, Me: cfg.Module.BrokerIndex, Peers: cfg.Module.BrokerCount})
-	watch := discovery.NewWatcher(l, c, log, nodes, reader, cfg.Discovery, server.MakeRoom)
+	reader := membership.NewPoller(membership.Options{Pushed: !cfg.Scheduler.PollEndpoints,
+		DrainGrace: cfg.Scheduler.DrainGrace, BrokerIndex: cfg.Scheduler.BrokerIndex, BrokerCount: cfg.Scheduler.BrokerCount})
+	watch := discovery.NewWatcher(l, c, log, nodes, reader, cfg.Discovery, server.FreeDescriptor)
 	c.Attach(back, watch)
 	var ops *control.Control
-	if cfg.Mgmt != "" {
+	if cfg.AdminAddress != "" {
 		// Held leafs are read before the list, so that none of them is taken for serving at the start.
 		ops = control.New(l, log, filepath.Join(os.TempDir(), heldFile), nodes, c, server)
-		nodes.SuspendBy(ops.Suspensions())
-		if cfg.Inherited > 0 {
-			ops.HandOverBy(&control.Hand{Path: filepath.Join(os.TempDir(), handFile), Window: cfg.Module.SlowStartWindow,
-				Started: float64(started.UnixMicro()) / 1000, Peers: cfg.Module.BrokerCount, Core: c,
+		nodes.SetSuspender(ops.Suspensions())
+		if cfg.InheritedFD > 0 {
+			ops.EnableHandover(&control.HandoverConfig{Path: filepath.Join(os.TempDir(), handFile), WindowMs: cfg.Scheduler.SlowStartWindow,
+				Started: float64(started.UnixMicro()) / 1000, BrokerCount: cfg.Scheduler.BrokerCount, Core: c,
 				Known: func(x uint32) bool { return nodes.Address(x) != "" }})
 		}
-		d, err := adminapi.Listen(l, ops, log, cfg.Mgmt)
+		d, err := adminapi.Listen(l, ops, log, cfg.AdminAddress)
 		if err != nil {
 			return err
 		}
 		defer d.Close()
 		ops.Start()
 	}
-	watch.Known(cfg.Known)
+	watch.LoadKnown(cfg.KnownEndpoints)
 	watch.Start()
 	if m != nil {
 		var source slicemap.Source = catalog.NewSource(l, c, log, x.catalogue(cfg))
-		c.OnHint(source.Hint)
+		c.OnNewerMap(source.NewerEpochSeen)
 		defer x.cached(c, m, log)()
 		l.Post(source.Start)
 		defer source.Close()
 	}
-	l.OnTurn(c.Turn)
+	l.OnRoundEnd(c.RunRound)
 
-	stop := &stopper{loop: l, core: c, server: server, longest: min(cfg.Book.Longest(), killMost),
+	stop := &stopper{loop: l, core: c, server: server, longest: min(cfg.Contracts.LongestDeadline(), killMost),
 		listenFor: listenOn, ops: ops}
-	if cfg.Inherited > 0 {
+	if cfg.InheritedFD > 0 {
 		// Who takes over accepts on the same socket, and what waits in it is left to them.
 		stop.listenFor, stop.kept = 0, true
 	}
 	if fc.Enabled {
-		if stop.front, err = flight.Listen(fc, l, c, cfg.Book, log); err != nil {
+		if stop.front, err = flight.Listen(fc, l, c, cfg.Contracts, log); err != nil {
 			return err
 		}
 	}
@@ -165,7 +165,7 @@
 	if x.toml {
 		log.Info("flight.toml is read; its place is the operator's file now, see deploy/operator.jsonnet")
 	}
-	log.Info("serving", zap.String("listen", cfg.Listen), zap.Int("known", nodes.Size()),
+	log.Info("serving", zap.String("listen", cfg.Listen), zap.Int("known", nodes.Len()),
 		zap.Bool("flight", fc.Enabled), zap.Bool("slices_move", m != nil), zap.Int("goroutines",
 			runtime.NumGoroutine()))
 	if err := l.Run(); err != nil {
@@ -176,7 +176,7 @@
 	back.Close()
 	watch.Close()
 	log.Info("stopped", zap.Uint64("taken", taken), zap.Uint64("answered", ends[core.Answered]),
-		zap.Uint64("refused", ends[core.Refused]), zap.Uint64("failed", ends[core.Failed]),
+		zap.Uint64("refused", ends[core.Rejected]), zap.Uint64("failed", ends[core.Failed]),
 		zap.Uint64("log_lines_dropped", log.Dropped()), zap.Int("goroutines", runtime.NumGoroutine()))
 	return nil
 }
@@ -204,7 +204,7 @@
 }
 
 // WakeAt implements core.Clock.
-func (w *waker) WakeAt(at float64) { w.timer.Sooner(at) }
+func (w *waker) WakeAt(at float64) { w.timer.SetEarlier(at) }
 
 // stopper ends the program after SIGTERM. Clients use the connections they have for as long as these stay
 // open, and who takes over may not be up yet: the broker serves on as long as what it takes can be answered
@@ -227,11 +227,11 @@
 func (s *stopper) begin() {
 	if s.began == 0 {
 		s.began = s.loop.Now()
-		s.server.Drain()
+		s.server.BeginShutdown()
 		if s.ops != nil {
 			s.ops.Stop()
 		}
-		s.core.AnswerBy(s.began + s.longest + killSpare - answerSpare)
+		s.core.SetFinalAnswerDeadline(s.began + s.longest + killSpare - answerSpare)
 		s.step()
 	}
 }
@@ -239,11 +239,11 @@
 func (s *stopper) step() {
 	const every = 10.0
 	past := s.loop.Now() - s.began
-	open, serving := s.server.Open()
+	open, serving := s.server.ConnectionCounts()
 	if past >= max(s.longest, s.listenFor) || past >= s.listenFor && (open == 0 || s.kept) {
 		s.server.StopListening()
 		if !s.kept || past >= keptIdle {
-			s.server.EndIdle()
+			s.server.CloseIdle()
 		}
 		if s.front != nil && !s.ending {
 			s.ending = true
@@ -252,7 +252,7 @@
 		if past >= s.longest+killSpare-closeSpare && serving == 0 {
 			open = 0
 		}
-		if s.core.Open() == 0 && s.front == nil && open == 0 || past >= exitBy {
+		if s.core.OpenRequests() == 0 && s.front == nil && open == 0 || past >= exitBy {
 			s.loop.Stop()
 			return
 		}
--- a/internal/backends/conn.go
+++ b/internal/backends/conn.go
@@ -40,8 +40,8 @@
 // Ready implements loop.Handler.
 func (c *conn) Ready(events uint32) {
 	if !c.up {
-		if err := loop.Failure(c.s.FD); err != nil {
-			c.close(logs.LeafRefused, err)
+		if err := loop.SocketError(c.s.FD); err != nil {
+			c.close(logs.BackendConnectFailed, err)
 			return
 		}
 		if events&unix.EPOLLOUT == 0 {
@@ -72,10 +72,10 @@
 		}
 		switch {
 		case err != nil:
-			c.close(logs.LeafReset, err)
+			c.close(logs.BackendReset, err)
 			return false
 		case eof:
-			c.close(logs.LeafEnded, nil)
+			c.close(logs.BackendClosed, nil)
 			return false
 		case !full:
 			return true
@@ -113,7 +113,7 @@
 		// No probe is sent, so nothing but answers can be good; an E says that we were not understood.
 		return nil, fmt.Errorf("%w: letter %q: %.100q", errFrame, letter, rest)
 	}
-	a, err := parseAnswer(rest, c.pool.o.Slices)
+	a, err := parseAnswer(rest, c.pool.o.Resharding)
 	o := c.byID[a.id]
 	switch {
 	case err != nil:
@@ -140,17 +140,17 @@
 	c.served++
 	switch a.end {
 	case endOK:
-		c.pool.core.Ended(o.a, scheduler.Succeeded, slices.Clone(a.value))
+		c.pool.core.AttemptEnded(o.a, scheduler.Succeeded, slices.Clone(a.value))
 	case endErr:
-		c.pool.core.Ended(o.a, scheduler.Failed, nil)
+		c.pool.core.AttemptEnded(o.a, scheduler.Failed, nil)
 	case endBusy:
 		if c.served == 1 && c.ended {
 			c.crowded(o)
 		}
-		c.pool.core.Ended(o.a, scheduler.Rejected, nil)
+		c.pool.core.AttemptEnded(o.a, scheduler.Rejected, nil)
 	case endGone:
-		o.a.NodeEpoch = a.epoch
-		c.pool.core.Ended(o.a, scheduler.NotHolder, nil)
+		o.a.BackendEpoch = a.epoch
+		c.pool.core.AttemptEnded(o.a, scheduler.NotHolder, nil)
 	}
 	return o, nil
 }
@@ -159,7 +159,7 @@
 // and ended it. That says nothing of its queue.
 func (c *conn) crowded(o *out) {
 	c.pool.limit.turnedAway(c.pool.loop.Now(), c.opened)
-	o.a.Alone = true
+	o.a.ConnectionOnly = true
 }
 
 // notCrowded tells the first part's end as a full queue's: the connection has not ended with it.
@@ -169,7 +169,7 @@
 	if c.served++; !o.over {
 		o.over = true
 		c.done(o)
-		c.pool.core.Ended(o.a, scheduler.Rejected, nil)
+		c.pool.core.AttemptEnded(o.a, scheduler.Rejected, nil)
 	}
 }
 
@@ -186,9 +186,9 @@
 	}
 	if o != nil && !o.over {
 		o.over = true
-		c.pool.core.Ended(o.a, scheduler.Failed, nil)
+		c.pool.core.AttemptEnded(o.a, scheduler.Failed, nil)
 	}
-	c.close(logs.LeafBadFrame, err)
+	c.close(logs.BackendMalformedFrame, err)
 }
 
 // done takes a part off the connection, and its call when that was the last.
@@ -210,7 +210,7 @@
 	c.idleAt = math.Inf(1)
 	if len(c.calls) == 0 {
 		if c.node.usable() > c.pool.limit.now(c.pool.loop.Now()) {
-			c.retire(logs.LeafCrowded)
+			c.retire(logs.BackendConnectionLimit)
 		}
 		k := c.pool.o.KeepAlive
 		c.idleAt = c.pool.loop.Now() + max(min(k*idleShare, k-idleSpare), 0)
@@ -226,7 +226,7 @@
 	c.expire(now)
 	for {
 		if err := c.s.Flush(); err != nil {
-			c.close(logs.LeafReset, err)
+			c.close(logs.BackendReset, err)
 			return
 		}
 		if len(c.s.Out) > 0 || len(c.waiting) == 0 {
@@ -237,7 +237,7 @@
 		c.s.Out = begin(c.s.Out, frameQuery)
 		for _, o := range k.parts {
 			if !o.over {
-				c.s.Out = appendPart(c.s.Out, o.id, o.a, int(math.Ceil(max(o.a.Deadline-now, 1))), o.a.Text)
+				c.s.Out = appendPart(c.s.Out, o.id, o.a, int(math.Ceil(max(o.a.Deadline-now, 1))), o.a.Query)
 			}
 		}
 		c.s.Out = finish(c.s.Out, 0)
@@ -248,7 +248,7 @@
 	if len(c.s.Out) > 0 {
 		want |= unix.EPOLLOUT
 	}
-	c.s.Want(want)
+	c.s.SetEvents(want)
 }
 
 // retire lets the connection end with what is out on it.
@@ -265,12 +265,12 @@
 		return by // all is written, as nearly always
 	}
 	for _, k := range c.calls {
-		if k.end > 0 && k.end <= c.s.Wrote {
+		if k.end > 0 && k.end <= c.s.BytesWritten {
 			continue
 		}
 		for _, o := range k.parts {
 			if !o.over || k.end > 0 {
-				by = min(by, o.a.SendBy)
+				by = min(by, o.a.StartBy)
 			}
 		}
 	}
@@ -281,12 +281,12 @@
 // in part can only be taken back by closing the connection.
 func (c *conn) stuck(now float64) {
 	for _, k := range c.calls {
-		if k.end > c.s.Wrote && slices.ContainsFunc(k.parts, func(o *out) bool { return now >= o.a.SendBy }) {
-			c.close(logs.LeafStuck, nil)
+		if k.end > c.s.BytesWritten && slices.ContainsFunc(k.parts, func(o *out) bool { return now >= o.a.StartBy }) {
+			c.close(logs.BackendWriteStalled, nil)
 			return
 		}
 	}
-	c.retire(logs.LeafStuck)
+	c.retire(logs.BackendWriteStalled)
 	c.expire(now)
 }
 
@@ -294,10 +294,10 @@
 func (c *conn) expire(now float64) {
 	for _, k := range slices.Clone(c.waiting) {
 		for _, o := range k.parts {
-			if !o.over && now >= o.a.SendBy {
+			if !o.over && now >= o.a.StartBy {
 				o.over = true
 				c.done(o)
-				c.pool.core.Later(o.a, scheduler.ConnectFailed)
+				c.pool.core.AttemptEndedLater(o.a, scheduler.ConnectFailed)
 			}
 		}
 	}
@@ -308,7 +308,7 @@
 // tells for how long connections may be idle. Guards backends against being held for lost, and for cold once
 // they serve again.
 func (c *conn) alone(code logs.Code) bool {
-	if code != logs.LeafReset && code != logs.LeafEnded && code != logs.LeafRefused {
+	if code != logs.BackendReset && code != logs.BackendClosed && code != logs.BackendConnectFailed {
 		return false
 	}
 	now := c.pool.loop.Now()
@@ -318,7 +318,7 @@
 			return true
 		}
 	}
-	return slices.ContainsFunc(c.node.conns, func(x *conn) bool { return x != c && x.up && x.s.Stands() })
+	return slices.ContainsFunc(c.node.conns, func(x *conn) bool { return x != c && x.up && x.s.PeerOpen() })
 }
 
 // close ends the connection and every part out on it: one whose frame was not wholly written never ran, any
@@ -332,25 +332,25 @@
 	c.pool.conns--
 	alone := c.alone(code)
 	broken := scheduler.ConnectionReset
-	if code == logs.LeafBadFrame || code == logs.LeafQuiet {
+	if code == logs.BackendMalformedFrame || code == logs.BackendUnresponsive {
 		broken = scheduler.Cancelled // it is we who end it
 	}
 	c.node.conns = slices.DeleteFunc(c.node.conns, func(x *conn) bool { return x == c })
-	c.pool.log.Conn(code, c.node.addr, c.served, err)
+	c.pool.log.ConnectionEnded(code, c.node.addr, c.served, err)
 	for _, k := range c.calls {
 		outcome := scheduler.ConnectFailed
-		if k.end > 0 && k.end <= c.s.Wrote {
+		if k.end > 0 && k.end <= c.s.BytesWritten {
 			outcome = broken
 		}
 		for _, o := range k.parts {
 			if !o.over {
 				end := outcome
-				if o.over, o.a.Alone = true, alone; o == c.first {
-					if end = scheduler.Rejected; code == logs.LeafEnded || code == logs.LeafReset {
+				if o.over, o.a.ConnectionOnly = true, alone; o == c.first {
+					if end = scheduler.Rejected; code == logs.BackendClosed || code == logs.BackendReset {
 						c.crowded(o)
 					}
 				}
-				c.pool.core.Later(o.a, end)
+				c.pool.core.AttemptEndedLater(o.a, end)
 			}
 		}
 	}
--- a/internal/backends/frame.go
+++ b/internal/backends/frame.go
@@ -47,14 +47,14 @@
 	out = strconv.AppendInt(out, int64(a.Shard), 10)
 	out = append(out, " d="...)
 	out = strconv.AppendInt(out, int64(wait), 10)
-	if a.DedupKey != "" {
-		out = append(append(out, ",k="...), a.DedupKey...)
+	if a.IdempotencyKey != "" {
+		out = append(append(out, ",k="...), a.IdempotencyKey...)
 	}
 	if a.Epoch > 0 {
 		out = append(out, ",e="...)
 		out = strconv.AppendUint(out, a.Epoch, 10)
 		out = append(out, ",r="...)
-		out = append(out, a.Districts.String()...)
+		out = append(out, a.Buckets.String()...)
 	}
 	out = append(out, ' ')
 	out = strconv.AppendInt(out, int64(len(text)), 10)
@@ -122,7 +122,7 @@
 	if _, err := strconv.ParseFloat(string(f[2]), 64); err != nil {
 		return a, fmt.Errorf("%w: score %.40q", errFrame, f[2])
 	}
-	if a.end == endOK && !core.Usable(value) {
+	if a.end == endOK && !core.ValidValue(value) {
 		return a, fmt.Errorf("%w: value %.40q", errFrame, value)
 	}
 	return a, nil
--- a/internal/backends/limit_test.go
+++ b/internal/backends/limit_test.go
@@ -75,9 +75,11 @@
 	next func(round int) (more bool)
 }
 
-func (o *rounds) Ended(a *core.Attempt, x scheduler.Outcome, _ []byte) { o.Later(a, x) }
-func (o *rounds) Later(a *core.Attempt, x scheduler.Outcome) {
-	o.got[len(o.got)-1][told{x, a.Alone}]++
+func (o *rounds) AttemptEnded(a *core.Attempt, x scheduler.Outcome, _ []byte) {
+	o.AttemptEndedLater(a, x)
+}
+func (o *rounds) AttemptEndedLater(a *core.Attempt, x scheduler.Outcome) {
+	o.got[len(o.got)-1][told{x, a.ConnectionOnly}]++
 	if o.left--; o.left == 0 && !o.next(len(o.got)) {
 		o.loop.Stop()
 	}
@@ -103,16 +105,16 @@
 	l, err := loop.New()
 	require.NoError(t, err)
 	o := &rounds{loop: l}
-	p := NewPool(l, o, logs.New(os.Stderr, "test"), Options{Streams: 8, DialTimeout: 1000, KeepAlive: 30000, Sockets: 8},
+	p := NewPool(l, o, logs.New(os.Stderr, "test"), Options{StreamsPerConnection: 8, DialTimeout: 1000, KeepAlive: 30000, MaxConnections: 8},
 		func(uint32) string { return ln.Addr().String() })
-	l.OnTurn(p.Flush)
-	l.NewTimer(l.Stop).Set(l.Clock() + 3000)
+	l.OnRoundEnd(p.Flush)
+	l.NewTimer(l.Stop).Set(l.ReadClock() + 3000)
 	n := 0
 	send := func(parts int) {
 		o.left, o.got = parts, append(o.got, map[told]int{})
 		for range parts {
 			n++
-			p.Send(&core.Attempt{Request: fmt.Sprint("q", n), Node: 1, Deadline: l.Clock() + 3000, SendBy: l.Clock() + 3000})
+			p.Send(&core.Attempt{Request: fmt.Sprint("q", n), Backend: 1, Deadline: l.ReadClock() + 3000, StartBy: l.ReadClock() + 3000})
 			h.release <- struct{}{}
 		}
 	}
--- a/internal/backends/pool.go
+++ b/internal/backends/pool.go
@@ -15,14 +15,14 @@
 
 // Options are the limits of the pool, from the settings.
 type Options struct {
-	PerCall     int     // parts in one call
-	Streams     int     // calls out on one connection
-	DialTimeout float64 // ms
-	KeepAlive   float64 // ms after which a backend closes an idle connection
-	Sockets     int     // connections to all backends together
-	Slices      bool    // slices move: a backend may say that it does not hold one
+	MaxPartsPerCall      int     // parts in one call
+	StreamsPerConnection int     // calls out on one connection
+	DialTimeout          float64 // ms
+	KeepAlive            float64 // ms after which a backend closes an idle connection
+	MaxConnections       int     // connections to all backends together
+	Resharding           bool    // slices move: a backend may say that it does not hold one
 
-	Room func() bool // closes what can be spared where the process has no descriptor left; nil for nothing
+	FreeDescriptor func() bool // closes what can be spared where the process has no descriptor left; nil for nothing
 }
 
 const (
@@ -39,8 +39,8 @@
 
 // Core takes the outcomes.
 type Core interface {
-	Ended(a *core.Attempt, o scheduler.Outcome, value []byte)
-	Later(a *core.Attempt, o scheduler.Outcome)
+	AttemptEnded(a *core.Attempt, o scheduler.Outcome, value []byte)
+	AttemptEndedLater(a *core.Attempt, o scheduler.Outcome)
 }
 
 // Pool holds the connections to all backends. It implements core.Backend.
@@ -60,7 +60,7 @@
 
 // NewPool makes a pool; address looks a node's address up.
 func NewPool(l *loop.Loop, c Core, log *logs.Log, o Options, address func(uint32) string) *Pool {
-	o.PerCall, o.Streams, o.Sockets = max(o.PerCall, 1), max(o.Streams, 1), max(o.Sockets, 1)
+	o.MaxPartsPerCall, o.StreamsPerConnection, o.MaxConnections = max(o.MaxPartsPerCall, 1), max(o.StreamsPerConnection, 1), max(o.MaxConnections, 1)
 	p := &Pool{loop: l, core: c, log: log, o: o, address: address, nodes: map[uint32]*node{}}
 	p.timer = l.NewTimer(p.tend)
 	return p
@@ -103,10 +103,10 @@
 
 // Send implements core.Backend.
 func (p *Pool) Send(a *core.Attempt) {
-	l := p.nodes[a.Node]
+	l := p.nodes[a.Backend]
 	if l == nil {
-		l = &node{number: a.Node}
-		p.nodes[a.Node] = l
+		l = &node{number: a.Backend}
+		p.nodes[a.Backend] = l
 	}
 	if len(l.turn) == 0 {
 		p.dirty = append(p.dirty, l)
@@ -124,11 +124,11 @@
 		if addr := p.address(l.number); addr != l.addr {
 			// A new address: connections to the old one take nothing new.
 			for _, c := range l.conns {
-				c.retire(logs.LeafMoved)
+				c.retire(logs.BackendAddressChanged)
 			}
 			l.addr = addr
 		}
-		for parts := range slices.Chunk(turn, p.o.PerCall) {
+		for parts := range slices.Chunk(turn, p.o.MaxPartsPerCall) {
 			p.place(l, parts)
 		}
 		for _, c := range slices.Clone(l.conns) {
@@ -147,11 +147,11 @@
 		k.parts = append(k.parts, o)
 	}
 	k.left = len(k.parts)
-	best := p.choose(l, slices.ContainsFunc(parts, func(a *core.Attempt) bool { return a.Once }))
+	best := p.choose(l, slices.ContainsFunc(parts, func(a *core.Attempt) bool { return a.NonIdempotent }))
 	if best == nil {
 		for _, o := range k.parts {
 			o.over = true
-			p.core.Later(o.a, scheduler.ConnectFailed)
+			p.core.AttemptEndedLater(o.a, scheduler.ConnectFailed)
 		}
 		return
 	}
@@ -171,16 +171,16 @@
 // nobody looked.
 func (p *Pool) choose(l *node, once bool) *conn {
 	var best *conn
-	now, most := p.loop.Now(), max(1, min(p.limit.now(p.loop.Now()), p.o.Sockets/max(len(p.nodes), 1)))
+	now, most := p.loop.Now(), max(1, min(p.limit.now(p.loop.Now()), p.o.MaxConnections/max(len(p.nodes), 1)))
 	for _, c := range l.conns {
 		unused := 0.0
 		if c.up && len(c.calls) == 0 {
 			unused = now - c.heard
 		}
 		if !p.risk.fits(now, unused, riskMost) {
-			c.retire(logs.LeafIdle)
+			c.retire(logs.BackendIdle)
 		}
-		if c.retired != "" || c.first != nil || len(c.calls)+len(c.given) >= p.o.Streams ||
+		if c.retired != "" || c.first != nil || len(c.calls)+len(c.given) >= p.o.StreamsPerConnection ||
 			once && (unused > freshFor || !p.risk.fits(now, unused, riskOnce)) {
 			continue
 		}
@@ -189,7 +189,7 @@
 			best = c
 		}
 	}
-	if best == nil || len(best.calls) > 0 && l.usable() < most && p.conns < p.o.Sockets {
+	if best == nil || len(best.calls) > 0 && l.usable() < most && p.conns < p.o.MaxConnections {
 		if c := p.dial(l); c != nil {
 			return c
 		}
@@ -199,7 +199,7 @@
 
 // Withdraw implements core.Backend.
 func (p *Pool) Withdraw(a *core.Attempt) bool {
-	if l := p.nodes[a.Node]; l != nil {
+	if l := p.nodes[a.Backend]; l != nil {
 		if i := slices.Index(l.turn, a); i >= 0 {
 			l.turn = slices.Delete(l.turn, i, i+1)
 			return true
@@ -228,10 +228,10 @@
 	if c.given[o.id] = true; c.heard < k.sent {
 		// Nothing has come since the part went out: the connection may have gone dead unseen. A new one tells
 		// whether the backend can be reached.
-		c.retire(logs.LeafQuiet)
+		c.retire(logs.BackendUnresponsive)
 	}
 	if len(c.given) > givenMost {
-		c.retire(logs.LeafQuiet)
+		c.retire(logs.BackendUnresponsive)
 	}
 	at := len(c.s.Out)
 	c.s.Out = finish(append(begin(c.s.Out, frameAbandon), o.id...), at)
@@ -241,19 +241,19 @@
 	return false
 }
 
-// DropIdle implements core.Backend.
-func (p *Pool) DropIdle(node uint32) {
+// CloseIdleConnections implements core.Backend.
+func (p *Pool) CloseIdleConnections(node uint32) {
 	if l := p.nodes[node]; l != nil {
 		for _, c := range slices.Clone(l.conns) {
 			if len(c.calls) == 0 {
-				c.close(logs.LeafIdle, nil)
+				c.close(logs.BackendIdle, nil)
 			}
 		}
 	}
 }
 
-// Open is how many connections there are.
-func (p *Pool) Open() int { return p.conns }
+// OpenConnections is how many connections there are.
+func (p *Pool) OpenConnections() int { return p.conns }
 
 // Close closes what is open, at the end of the program.
 func (p *Pool) Close() {
@@ -277,7 +277,7 @@
 	if idle == nil {
 		return false
 	}
-	idle.close(logs.LeafRoom, nil)
+	idle.close(logs.BackendEvicted, nil)
 	return true
 }
 
@@ -288,7 +288,7 @@
 		for _, c := range slices.Clone(l.conns) {
 			switch {
 			case !c.up && now >= c.dialBy:
-				c.close(logs.LeafDialTimeout, nil)
+				c.close(logs.BackendDialTimeout, nil)
 			case c.first != nil && now >= c.firstBy:
 				c.notCrowded()
 			case now >= c.cutAt:
@@ -296,7 +296,7 @@
 			case len(c.calls) == 0 && c.retired != "":
 				c.close(c.retired, nil)
 			case len(c.calls) == 0 && now >= c.idleAt:
-				c.close(logs.LeafIdle, nil)
+				c.close(logs.BackendIdle, nil)
 			case now >= c.sendBy():
 				c.stuck(now)
 			}
@@ -335,17 +335,17 @@
 func partID(a *core.Attempt) string {
 	out := appendInt(append([]byte(a.Request), '.'), a.Shard)
 	if a.Epoch > 0 {
-		out = appendInt(append(out, '.'), a.Districts.Lo)
+		out = appendInt(append(out, '.'), a.Buckets.Start)
 	}
 	return string(out)
 }
 
 // dial opens a connection; nil if there can be none.
 func (p *Pool) dial(l *node) *conn {
-	if p.conns >= p.o.Sockets && !p.makeRoom() || l.addr == "" {
+	if p.conns >= p.o.MaxConnections && !p.makeRoom() || l.addr == "" {
 		return nil
 	}
-	fd, err := loop.ConnectWith(l.addr, func() bool { return p.o.Room != nil && p.o.Room() || p.makeRoom() })
+	fd, err := loop.ConnectFreeing(l.addr, func() bool { return p.o.FreeDescriptor != nil && p.o.FreeDescriptor() || p.makeRoom() })
 	now := p.loop.Now()
 	c := &conn{pool: p, node: l, byID: map[string]*out{}, given: map[string]bool{}, opened: now,
 		dialBy: now + p.o.DialTimeout, heard: now, idleAt: math.Inf(1), cutAt: math.Inf(1)}
@@ -353,7 +353,7 @@
 		c.s, err = loop.NewStream(p.loop, fd, unix.EPOLLIN|unix.EPOLLOUT|unix.EPOLLRDHUP, c)
 	}
 	if err != nil {
-		p.log.Conn(logs.LeafRefused, l.addr, 0, err)
+		p.log.ConnectionEnded(logs.BackendConnectFailed, l.addr, 0, err)
 		return nil
 	}
 	l.conns = append(l.conns, c)
--- a/internal/backends/pool_test.go
+++ b/internal/backends/pool_test.go
@@ -25,8 +25,10 @@
 	at   float64
 }
 
-func (o *outcomes) Ended(_ *core.Attempt, x scheduler.Outcome, _ []byte) { o.Later(nil, x) }
-func (o *outcomes) Later(_ *core.Attempt, x scheduler.Outcome) {
+func (o *outcomes) AttemptEnded(_ *core.Attempt, x scheduler.Outcome, _ []byte) {
+	o.AttemptEndedLater(nil, x)
+}
+func (o *outcomes) AttemptEndedLater(_ *core.Attempt, x scheduler.Outcome) {
 	o.got, o.at = append(o.got, x), o.loop.Now()
 	o.loop.Stop()
 }
@@ -36,8 +38,8 @@
 	l, err := loop.New()
 	require.NoError(t, err)
 	o := &outcomes{loop: l}
-	l.NewTimer(l.Stop).Set(l.Clock() + 4000) // should nothing become of them at all
-	p := NewPool(l, o, logs.New(os.Stderr, "test"), Options{Streams: 8, DialTimeout: 5000, KeepAlive: 30000, Sockets: 8},
+	l.NewTimer(l.Stop).Set(l.ReadClock() + 4000) // should nothing become of them at all
+	p := NewPool(l, o, logs.New(os.Stderr, "test"), Options{StreamsPerConnection: 8, DialTimeout: 5000, KeepAlive: 30000, MaxConnections: 8},
 		func(uint32) string { return address })
 	return p, o
 }
@@ -50,8 +52,8 @@
 	require.NoError(t, err)
 	defer ln.Close()
 	p, o := pool(t, ln.Addr().String())
-	begin := p.loop.Clock()
-	p.Send(&core.Attempt{Request: "a", Node: 1, Deadline: begin + 5000, SendBy: begin + 60})
+	begin := p.loop.ReadClock()
+	p.Send(&core.Attempt{Request: "a", Backend: 1, Deadline: begin + 5000, StartBy: begin + 60})
 	p.Flush()
 	require.NoError(t, p.loop.Run())
 	assert.Equal(t, []scheduler.Outcome{scheduler.ConnectFailed}, o.got)
@@ -81,8 +83,8 @@
 	require.NoError(t, err)
 	defer ln.Close()
 	p, o := pool(t, ln.Addr().String())
-	now := p.loop.Clock()
-	big := &core.Attempt{Request: "a", Node: 1, Deadline: now + 5000, SendBy: now + 100, Text: make([]byte, 16<<20)}
+	now := p.loop.ReadClock()
+	big := &core.Attempt{Request: "a", Backend: 1, Deadline: now + 5000, StartBy: now + 100, Query: make([]byte, 16<<20)}
 	p.Send(big)
 	p.Flush()
 	c, err := ln.Accept()
@@ -91,7 +93,7 @@
 	require.NoError(t, p.loop.Run())
 	assert.Equal(t, []scheduler.Outcome{scheduler.ConnectFailed}, o.got)
 	assert.Less(t, o.at, now+300)
-	assert.Zero(t, p.Open())
+	assert.Zero(t, p.OpenConnections())
 	n, _ := io.Copy(io.Discard, c)
 	assert.Less(t, n, int64(16<<20))
 	assert.True(t, math.IsInf(new(conn).sendBy(), 1))
--- a/internal/catalog/cache.go
+++ b/internal/catalog/cache.go
@@ -33,7 +33,7 @@
 
 type snapshot struct {
 	v       *slicemap.Version
-	retired []slicemap.Retiree
+	retired []slicemap.RetiredShard
 }
 
 // NewCache makes a cache in a file. fail is told of what cannot be written, from another thread.
@@ -45,7 +45,7 @@
 }
 
 // Load is the map of the file; nil if there is none. One that cannot be used is an error, and is not touched.
-func (c *Cache) Load() (*slicemap.Whole, error) {
+func (c *Cache) Load() (*slicemap.Snapshot, error) {
 	text, err := os.ReadFile(c.path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -55,7 +55,7 @@
 	}
 	w, _, _, err := Parse(text)
 	if err == nil && w == nil {
-		err = fmt.Errorf("%w: no whole map", ErrDoc)
+		err = fmt.Errorf("%w: no whole map", ErrMalformedDocument)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", c.path, err)
@@ -63,8 +63,8 @@
 	return w, nil
 }
 
-// Keep has a map written soon. Of several only the last is.
-func (c *Cache) Keep(v *slicemap.Version, retired []slicemap.Retiree) {
+// Save has a map written soon. Of several only the last is.
+func (c *Cache) Save(v *slicemap.Version, retired []slicemap.RetiredShard) {
 	c.mu.Lock()
 	c.next = &snapshot{v, retired}
 	c.mu.Unlock()
@@ -107,7 +107,7 @@
 
 // write replaces the file at once: a crash leaves the old one or the new one.
 func (c *Cache) write(s *snapshot) error {
-	text, err := json.Marshal(Form(s.v, nil, s.retired))
+	text, err := json.Marshal(FormatSnapshot(s.v, nil, s.retired))
 	if err != nil {
 		return err
 	}
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -13,10 +13,10 @@
 	"ternstage/internal/slicemap"
 )
 
-func large(n int) Doc {
-	d := Doc{Epoch: 5, Complete: true, Districts: 8 * n}
+func large(n int) Document {
+	d := Document{Epoch: 5, Complete: true, Buckets: 8 * n}
 	for i := range n {
-		d.Slices = append(d.Slices, Slice{ID: i, Lo: 8 * i, Hi: 8*i + 8, Holders: []string{"a", "b", "c"}})
+		d.Shards = append(d.Shards, Shard{ID: i, Lo: 8 * i, Hi: 8*i + 8, Replicas: []string{"a", "b", "c"}})
 	}
 	return d
 }
@@ -35,13 +35,13 @@
 	require.NoError(t, err)
 	_, err = m.Reset(*first)
 	require.NoError(t, err)
-	c.Keep(m.Current(), nil)
+	c.Save(m.Current(), nil)
 	require.Eventually(t, func() bool { _, err := os.Stat(path); return err == nil }, 10*time.Second, time.Millisecond)
 	for i := range 5 { // while it rests
 		_, err = m.Apply([]slicemap.Change{{Base: uint64(5 + i), Epoch: uint64(6 + i), Kind: slicemap.Assign,
-			Holders: []string{"z"}}}, nil)
+			Replicas: []string{"z"}}}, nil)
 		require.NoError(t, err)
-		c.Keep(m.Current(), m.Retired(9))
+		c.Save(m.Current(), m.Retired(9))
 	}
 	began := time.Now()
 	c.Close()
@@ -51,7 +51,7 @@
 	require.EqualValues(t, 10, w.Epoch)
 	require.NoError(t, os.WriteFile(path, []byte("{"), 0o600))
 	_, err = NewCache(path, nil).Load()
-	require.True(t, errors.Is(err, ErrDoc), err)
+	require.True(t, errors.Is(err, ErrMalformedDocument), err)
 }
 
 // BenchmarkParse100000 is why large answers are not read on the loop; BenchmarkReset100000 is what is left there.
--- a/internal/catalog/source.go
+++ b/internal/catalog/source.go
@@ -23,17 +23,17 @@
 
 // Sink takes what the catalogue says. An error tells that it was refused, whole.
 type Sink interface {
-	TakeMap(slicemap.Whole) error
-	TakeChanges(cs []slicemap.Change, nodes []string) error
+	ApplySnapshot(slicemap.Snapshot) error
+	ApplyChanges(cs []slicemap.Change, nodes []string) error
 	Epoch() uint64
 }
 
 // Options say where the catalogue is and how much it may say.
 type Options struct {
-	Address string
-	Most    int // bytes of an answer
-	Follow  slicemap.FollowOptions
-	Seed    uint64
+	Address        string
+	MaxAnswerBytes int // bytes of an answer
+	Poller         slicemap.PollerOptions
+	Seed           uint64
 }
 
 // Source follows a catalogue over one connection, on the loop.
@@ -42,7 +42,7 @@
 	sink   Sink
 	log    *logs.Log
 	o      Options
-	follow *slicemap.Follow
+	follow *slicemap.Poller
 	s      *loop.Stream
 	up     bool
 	out    bool    // a call is out on the connection
@@ -58,7 +58,7 @@
 
 // NewSource makes a source that asks nothing until Start.
 func NewSource(l *loop.Loop, sink Sink, log *logs.Log, o Options) *Source {
-	s := &Source{loop: l, sink: sink, log: log, o: o, follow: slicemap.NewFollow(o.Follow, o.Seed),
+	s := &Source{loop: l, sink: sink, log: log, o: o, follow: slicemap.NewPoller(o.Poller, o.Seed),
 		by: math.Inf(1)}
 	s.timer = l.NewTimer(s.step)
 	return s
@@ -67,9 +67,9 @@
 // Start begins to follow.
 func (s *Source) Start() { s.step() }
 
-// Hint tells that a newer map is known somewhere.
-func (s *Source) Hint(epoch uint64) {
-	s.follow.Hint(s.loop.Now(), epoch)
+// NewerEpochSeen tells that a newer map is known somewhere.
+func (s *Source) NewerEpochSeen(epoch uint64) {
+	s.follow.NewerEpochSeen(s.loop.Now(), epoch)
 	s.plan()
 }
 
@@ -87,35 +87,35 @@
 func (s *Source) step() {
 	now := s.loop.Now()
 	if s.out && now >= s.by {
-		s.fail(logs.SlicesTimeout, errors.New("no answer in time"))
+		s.fail(logs.ShardMapTimeout, errors.New("no answer in time"))
 	}
 	if c, due := s.follow.Next(now); due {
-		if c.Cut {
-			s.drop(logs.SlicesHurried, nil)
+		if c.CancelsPending {
+			s.drop(logs.ShardMapWatchCut, nil)
 		}
 		s.call(c)
 	}
 	s.plan()
 }
 
-func (s *Source) call(c slicemap.Call) {
+func (s *Source) call(c slicemap.PollRequest) {
 	now := s.loop.Now()
-	s.by, s.most = now+c.Most, c.Most
+	s.by, s.most = now+c.Timeout, c.Timeout
 	if s.s == nil {
 		fd, err := loop.Connect(s.o.Address)
 		if err == nil {
 			s.s, err = loop.NewStream(s.loop, fd, unix.EPOLLIN|unix.EPOLLOUT|unix.EPOLLRDHUP, s)
 		}
 		if err != nil {
-			s.fail(logs.SlicesRefused, err)
+			s.fail(logs.ShardMapConnectFailed, err)
 			return
 		}
 		s.up = false
 		s.by = now + dialMost
 	}
 	target := path
-	if !c.Whole {
-		target = fmt.Sprintf("%s?index=%d&wait=%d", path, c.Index, int(c.Wait))
+	if !c.FullSnapshot {
+		target = fmt.Sprintf("%s?index=%d&wait=%d", path, c.SinceEpoch, int(c.Wait))
 	}
 	s.out = true
 	s.calls++ // what is still being read of an older one counts for nothing
@@ -128,22 +128,22 @@
 		return
 	}
 	if err := s.s.Flush(); err != nil {
-		s.fail(logs.SlicesReset, err)
+		s.fail(logs.ShardMapReset, err)
 		return
 	}
 	want := uint32(unix.EPOLLIN | unix.EPOLLRDHUP)
 	if len(s.s.Out) > 0 {
 		want |= unix.EPOLLOUT
 	}
-	s.s.Want(want)
+	s.s.SetEvents(want)
 }
 
 // Ready implements loop.Handler.
 func (s *Source) Ready(events uint32) {
 	defer s.plan()
 	if !s.up {
-		if err := loop.Failure(s.s.FD); err != nil {
-			s.fail(logs.SlicesRefused, err)
+		if err := loop.SocketError(s.s.FD); err != nil {
+			s.fail(logs.ShardMapConnectFailed, err)
 			return
 		}
 		if events&unix.EPOLLOUT == 0 {
@@ -153,20 +153,20 @@
 		s.by = s.loop.Now() + s.most
 	}
 	if events&(unix.EPOLLIN|unix.EPOLLRDHUP|unix.EPOLLHUP|unix.EPOLLERR) != 0 {
-		eof, err := s.s.Read(s.o.Most + 16<<10)
+		eof, err := s.s.Read(s.o.MaxAnswerBytes + 16<<10)
 		at := s.s
 		if s.answer(eof); s.s != at {
 			return
 		}
 		switch {
 		case err != nil:
-			s.fail(logs.SlicesReset, err)
+			s.fail(logs.ShardMapReset, err)
 			return
 		case eof && s.out:
-			s.fail(logs.SlicesEnded, nil)
+			s.fail(logs.ShardMapClosed, nil)
 			return
 		case eof:
-			s.drop(logs.SlicesEnded, nil)
+			s.drop(logs.ShardMapClosed, nil)
 			return
 		}
 	}
@@ -175,10 +175,10 @@
 
 // answer takes a whole answer, and goes on with the next call. ended tells that the other side has closed.
 func (s *Source) answer(ended bool) {
-	status, body, size, last, err := httpanswer.Parse(s.s.In, s.o.Most, ended)
+	status, body, size, last, err := httpanswer.Parse(s.s.In, s.o.MaxAnswerBytes, ended)
 	if err == nil && size == 0 {
-		if len(s.s.In) >= s.o.Most+16<<10 {
-			s.fail(logs.SlicesBad, fmt.Errorf("answer over %d bytes", s.o.Most))
+		if len(s.s.In) >= s.o.MaxAnswerBytes+16<<10 {
+			s.fail(logs.ShardMapMalformed, fmt.Errorf("answer over %d bytes", s.o.MaxAnswerBytes))
 		}
 		return
 	}
@@ -189,7 +189,7 @@
 		err = fmt.Errorf("status %d", status)
 	}
 	if err != nil {
-		s.fail(logs.SlicesBad, err)
+		s.fail(logs.ShardMapMalformed, err)
 		return
 	}
 	s.calls++
@@ -218,26 +218,26 @@
 	s.out, s.by = false, math.Inf(1)
 	s.served++
 	if last {
-		s.drop(logs.SlicesEnded, nil)
+		s.drop(logs.ShardMapClosed, nil)
 	}
 }
 
 // take hands what was read on, and goes on with the next call.
-func (s *Source) take(w *slicemap.Whole, cs []slicemap.Change, nodes []string, err error) {
+func (s *Source) take(w *slicemap.Snapshot, cs []slicemap.Change, nodes []string, err error) {
 	switch {
 	case err != nil:
 	case w != nil:
-		err = s.sink.TakeMap(*w)
+		err = s.sink.ApplySnapshot(*w)
 	default:
-		err = s.sink.TakeChanges(cs, nodes)
+		err = s.sink.ApplyChanges(cs, nodes)
 	}
 	now := s.loop.Now()
 	if err != nil {
 		// The map in use stays. One line names the first fault; the whole map is asked for.
-		s.log.Fault(logs.SlicesFault, "map refused", err)
+		s.log.Rejected(logs.ShardMapRejected, "map refused", err)
 		s.follow.Refused(now)
 	} else {
-		s.follow.Answered(now, s.sink.Epoch())
+		s.follow.Succeeded(now, s.sink.Epoch())
 	}
 	s.step()
 }
@@ -247,7 +247,7 @@
 	if s.s != nil {
 		s.s.Close()
 		s.s, s.up, s.out = nil, false, false
-		s.log.Conn(code, s.o.Address, s.served, err)
+		s.log.ConnectionEnded(code, s.o.Address, s.served, err)
 		s.served = 0
 	}
 }
@@ -255,7 +255,7 @@
 // fail ends a call that came to nothing.
 func (s *Source) fail(code logs.Code, err error) {
 	if s.s == nil {
-		s.log.Conn(code, s.o.Address, 0, err)
+		s.log.ConnectionEnded(code, s.o.Address, 0, err)
 	}
 	s.drop(code, err)
 	s.by = math.Inf(1)
--- a/internal/clients/serve.go
+++ b/internal/clients/serve.go
@@ -59,17 +59,17 @@
 		wait, _ = strconv.ParseFloat(text, 64)
 	}
 	now := c.server.loop.Now()
-	r, err := c.server.book.Read(contract.Envelope{ID: m.header["x-request-id"], Class: class,
-		Tenant: m.header["x-tenant"], Wait: wait * 1000, Retry: m.header["x-retry"] == "1",
-		DedupKey: m.header["idempotency-key"]}, m.body, now)
+	r, err := c.server.book.ParseQuery(contract.Envelope{ID: m.header["x-request-id"], Class: class,
+		Tenant: m.header["x-tenant"], ClientTimeout: wait * 1000, Retry: m.header["x-retry"] == "1",
+		IdempotencyKey: m.header["idempotency-key"]}, m.body, now)
 	if err == nil {
 		r.Client = c
 		c.open = r
-		if err = c.server.core.Take(r); err != nil {
+		if err = c.server.core.Submit(r); err != nil {
 			c.open = nil
 		}
 	}
-	var stale *core.StaleError
+	var stale *core.StaleEpochError
 	switch {
 	case err == nil:
 	case errors.As(err, &stale):
@@ -84,7 +84,7 @@
 }
 
 // staleBody tells a client whose idea of the slices is too old which epoch is in use.
-func staleBody(err *core.StaleError) []byte {
+func staleBody(err *core.StaleEpochError) []byte {
 	text, _ := json.Marshal(map[string]any{"error": err.Error(), "epoch": err.Epoch})
 	return text
 }
@@ -96,7 +96,7 @@
 	switch {
 	case a.Kind == core.Answered:
 		c.reply(response{status: 200, body: contract.Body(a)})
-	case a.Kind == core.Refused:
+	case a.Kind == core.Rejected:
 		c.reply(response{status: 503, body: []byte(`{"error":"refused"}`), retryAfter: retryAfterOf(a)})
 	case a.TimedOut:
 		c.reply(response{status: 504, body: []byte(`{"error":"timed out"}`)})
@@ -125,7 +125,7 @@
 func (s *Server) contracts() []byte {
 	b := contractsBody{Classes: s.book.Classes, Tenants: s.book.Tenants, Taken: map[string]uint64{}}
 	for i, t := range s.book.Tenants {
-		b.Taken[t.Name] = s.book.Taken[i]
+		b.Taken[t.Name] = s.book.AcceptedByTenant[i]
 	}
 	text, err := json.Marshal(b)
 	if err != nil {
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -17,8 +17,8 @@
 
 // Core is what the front asks of core.
 type Core interface {
-	Take(*core.Request) error
-	Left(*core.Request)
+	Submit(*core.Request) error
+	ClientDisconnected(*core.Request)
 }
 
 const (
@@ -43,7 +43,7 @@
 type Server struct {
 	loop     *loop.Loop
 	core     Core
-	book     *contract.Book
+	book     *contract.Contracts
 	log      *logs.Log
 	ready    func() bool
 	most     int
@@ -64,19 +64,19 @@
 
 // Options are the limits of the front.
 type Options struct {
-	Conns int                      // connections
-	Bytes int                      // of requests and answers on them, at any moment
-	Pages map[string]func() []byte // further paths that show something, as JSON, and who writes it
+	MaxConnections   int                      // connections
+	MaxBufferedBytes int                      // of requests and answers on them, at any moment
+	Pages            map[string]func() []byte // further paths that show something, as JSON, and who writes it
 
-	// Inherited is a listening socket that the process was given, used in place of one on the address; 0 or
+	// InheritedFD is a listening socket that the process was given, used in place of one on the address; 0 or
 	// less for none (descriptor 0 is never one).
-	Inherited int
+	InheritedFD int
 }
 
 // NewServer listens. ready tells whether the program serves.
-func NewServer(l *loop.Loop, c Core, b *contract.Book, log *logs.Log, address string, o Options,
+func NewServer(l *loop.Loop, c Core, b *contract.Contracts, log *logs.Log, address string, o Options,
 	ready func() bool) (*Server, error) {
-	fd, err := o.Inherited, error(nil)
+	fd, err := o.InheritedFD, error(nil)
 	if fd > 0 {
 		var at string
 		if at, err = loop.Inherit(fd); err == nil && at != address {
@@ -89,8 +89,8 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{loop: l, core: c, book: b, log: log, ready: ready, most: max(o.Conns, 1), budget: o.Bytes,
-		fd: fd, kept: o.Inherited > 0, conns: map[*conn]struct{}{}, pages: o.Pages}
+	s := &Server{loop: l, core: c, book: b, log: log, ready: ready, most: max(o.MaxConnections, 1), budget: o.MaxBufferedBytes,
+		fd: fd, kept: o.InheritedFD > 0, conns: map[*conn]struct{}{}, pages: o.Pages}
 	s.timer, s.again = l.NewTimer(s.tend), l.NewTimer(s.accept)
 	if err := l.Add(fd, unix.EPOLLIN, s); err != nil {
 		return nil, err
@@ -112,7 +112,7 @@
 		_ = unix.SetNonblock(s.fd, true)
 	}
 	for range acceptMost {
-		if len(s.conns) >= s.most && !s.MakeRoom() {
+		if len(s.conns) >= s.most && !s.FreeDescriptor() {
 			s.rest()
 			return
 		}
@@ -121,22 +121,22 @@
 		case err == nil:
 			s.take(fd)
 		case errors.Is(err, unix.EAGAIN):
-			s.loop.Want(s.fd, unix.EPOLLIN)
+			s.loop.SetEvents(s.fd, unix.EPOLLIN)
 			return
 		case errors.Is(err, unix.EINTR), errors.Is(err, unix.ECONNABORTED):
 		default: // EMFILE and its like
-			if !s.MakeRoom() {
+			if !s.FreeDescriptor() {
 				s.rest()
 				return
 			}
 		}
 	}
-	s.loop.Want(s.fd, unix.EPOLLIN)
+	s.loop.SetEvents(s.fd, unix.EPOLLIN)
 }
 
 // rest stops accepting for a while; waiting connections stay in the kernel's queue.
 func (s *Server) rest() {
-	s.loop.Want(s.fd, 0)
+	s.loop.SetEvents(s.fd, 0)
 	s.again.Set(s.loop.Now() + acceptRest)
 }
 
@@ -144,18 +144,18 @@
 	c := &conn{server: s, peer: peerOf(fd), since: s.loop.Now(), began: s.loop.Now()}
 	stream, err := loop.NewStream(s.loop, fd, unix.EPOLLIN|unix.EPOLLRDHUP, c)
 	if err != nil {
-		s.log.Conn(logs.ClientRefused, c.peer, 0, err)
+		s.log.ConnectionEnded(logs.ClientNoDescriptor, c.peer, 0, err)
 		return
 	}
 	c.s = stream
 	s.conns[c] = struct{}{}
 }
 
-// MakeRoom closes the connection that can best be spared, for a descriptor: one that we ended a while ago,
+// FreeDescriptor closes the connection that can best be spared, for a descriptor: one that we ended a while ago,
 // then the one that has stood idle longest and on which nothing has come, then one whose last answer is still
 // on its way. A client opens a new one when it needs one. It hands nothing in, so that it may be called from
 // within a decision. False if there is none.
-func (s *Server) MakeRoom() bool {
+func (s *Server) FreeDescriptor() bool {
 	var spare []*conn
 	for c := range s.conns {
 		if c.ends != "" || c.quiet() {
@@ -175,8 +175,8 @@
 		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.since, b.since))
 	})
 	for _, c := range spare {
-		if c.ends != "" || !c.s.Unread() {
-			c.close(logs.ClientIdle, nil)
+		if c.ends != "" || !c.s.HasUnread() {
+			c.close(logs.ClientEvicted, nil)
 			return true
 		}
 	}
@@ -197,7 +197,7 @@
 		case c.open != nil:
 		case len(c.s.Out) > 0:
 			if age > takeMost {
-				c.close(logs.ClientSlow, nil)
+				c.close(logs.ClientRequestTimeout, nil)
 			}
 		case len(c.s.In) > 0:
 			if now-c.began > wholeMost {
@@ -206,29 +206,29 @@
 				c.write()
 			}
 		case c.served == 0 && age > wholeMost:
-			c.linger(logs.ClientSilent)
+			c.linger(logs.ClientNoRequest)
 		case age > idleMost:
-			c.linger(logs.ClientIdle)
+			c.linger(logs.ClientEvicted)
 		}
 	}
 	s.timer.Set(now + tendEvery)
 }
 
-// Drain tells who asks that the program no longer serves; those who have connections are served on.
-func (s *Server) Drain() { s.draining = true }
+// BeginShutdown tells who asks that the program no longer serves; those who have connections are served on.
+func (s *Server) BeginShutdown() { s.draining = true }
 
-// SendAway has health say no, or yes again, while the program serves on: the front stops sending new
+// SetDraining has health say no, or yes again, while the program serves on: the front stops sending new
 // connections, and those that clients have are served.
-func (s *Server) SendAway(on bool) { s.away = on }
+func (s *Server) SetDraining(on bool) { s.away = on }
 
-// Able tells whether the program could serve: it knows what it has to, and does not end.
-func (s *Server) Able() bool { return s.ready() && !s.draining }
+// CanServe tells whether the program could serve: it knows what it has to, and does not end.
+func (s *Server) CanServe() bool { return s.ready() && !s.draining }
 
 // Healthy is what health says.
-func (s *Server) Healthy() bool { return s.Able() && !s.away }
+func (s *Server) Healthy() bool { return s.CanServe() && !s.away }
 
-// CloseKept makes every answer from now on the last of its connection, or ends that; the listener stays.
-func (s *Server) CloseKept(on bool) { s.closing = on }
+// CloseAfterResponse makes every answer from now on the last of its connection, or ends that; the listener stays.
+func (s *Server) CloseAfterResponse(on bool) { s.closing = on }
 
 // StopListening takes what the kernel has accepted for us, closes the listener, and makes every answer from
 // now on the last of its connection. A listener that the platform keeps is left with what waits in it, for
@@ -245,11 +245,11 @@
 	s.again.Stop()
 }
 
-// EndIdle ends connections between requests, after a last look at what has come on them. A request that a
+// CloseIdle ends connections between requests, after a last look at what has come on them. A request that a
 // client writes to one at that moment is not read, and the client asks again elsewhere: a connection that is
 // used again is ended by the answer that says so, and only one that stays idle needs this. As the program
 // ends, a request of which the rest does not come is refused.
-func (s *Server) EndIdle() {
+func (s *Server) CloseIdle() {
 	now := s.loop.Now()
 	for c := range s.conns {
 		if c.quiet() {
@@ -266,8 +266,8 @@
 	}
 }
 
-// Open is how many connections there are, and how many of them we have not ended.
-func (s *Server) Open() (all, serving int) {
+// ConnectionCounts is how many connections there are, and how many of them we have not ended.
+func (s *Server) ConnectionCounts() (all, serving int) {
 	for c := range s.conns {
 		if c.ends == "" {
 			serving++
@@ -323,7 +323,7 @@
 		return
 	}
 	if events&(unix.EPOLLERR|unix.EPOLLHUP) != 0 && events&unix.EPOLLIN == 0 {
-		c.gone(loop.Failure(c.s.FD))
+		c.gone(loop.SocketError(c.s.FD))
 		return
 	}
 	if events&(unix.EPOLLIN|unix.EPOLLRDHUP) != 0 && !c.ended {
@@ -357,7 +357,7 @@
 		}
 		c.last, c.s.In = true, nil
 	}
-	_, eof, err = c.s.Drop()
+	_, eof, err = c.s.DiscardInput()
 	return eof, err
 }
 
@@ -368,7 +368,7 @@
 	case c.open != nil:
 		c.gone(nil)
 	case len(c.s.Out) == 0:
-		c.close(logs.ClientEnded, nil)
+		c.close(logs.ClientLeftIdle, nil)
 	default:
 		c.last = true
 		return false
@@ -378,10 +378,10 @@
 
 // gone ends a connection that its client has left.
 func (c *conn) gone(err error) {
-	code := logs.ClientEnded
+	code := logs.ClientLeftIdle
 	if r := c.open; r != nil {
-		c.open, code = nil, logs.ClientGone
-		c.server.core.Left(r)
+		c.open, code = nil, logs.ClientLeftRequest
+		c.server.core.ClientDisconnected(r)
 	}
 	c.close(code, err)
 }
@@ -451,7 +451,7 @@
 	}
 	c.count()
 	if len(c.s.Out) == 0 && c.open == nil && !c.more && (c.last || c.ended) {
-		c.linger(logs.ClientDone)
+		c.linger(logs.ClientClosed)
 		return
 	}
 	// Only so much is read ahead: guards memory against endless pipelining. With an open request there is
@@ -463,7 +463,7 @@
 	if len(c.s.Out) > 0 {
 		want |= unix.EPOLLOUT
 	}
-	c.s.Want(want)
+	c.s.SetEvents(want)
 }
 
 // count brings the server's count of bytes held up to date.
@@ -487,18 +487,18 @@
 	_ = unix.Shutdown(c.s.FD, unix.SHUT_WR)
 	c.ends, c.since, c.s.In = why, c.server.loop.Now(), nil
 	c.count()
-	c.s.Want(unix.EPOLLIN | unix.EPOLLRDHUP)
+	c.s.SetEvents(unix.EPOLLIN | unix.EPOLLRDHUP)
 	c.discard()
 }
 
 // discard throws away what has come. What goes beyond a bound stays unread, so that its sender waits: the
 // answer has its time to arrive all the same.
 func (c *conn) discard() {
-	n, eof, err := c.s.Drop()
+	n, eof, err := c.s.DiscardInput()
 	if c.thrown += n; eof || err != nil {
 		c.close(c.ends, nil)
 	} else if c.thrown > lingerRead {
-		c.s.Want(unix.EPOLLRDHUP)
+		c.s.SetEvents(unix.EPOLLRDHUP)
 	}
 }
 
@@ -523,11 +523,11 @@
 	c.count()
 	code = cmp.Or(c.ends, code)
 	if c.late {
-		code, err = logs.ClientSlow, c.malformed
+		code, err = logs.ClientRequestTimeout, c.malformed
 	} else if c.malformed != nil {
 		code, err = logs.ClientMalformed, c.malformed
 	}
-	c.server.log.Conn(code, c.peer, c.served, err)
+	c.server.log.ConnectionEnded(code, c.peer, c.served, err)
 }
 
 // retryAfterOf is the advice of a refusal; at least a millisecond, the header's finest step.
--- a/internal/complete/complete.go
+++ b/internal/complete/complete.go
@@ -89,7 +89,7 @@
 			s.Missing = append(s.Missing, p)
 		}
 	}
-	order := func(a, b Part) int { return cmp.Compare(a.Districts.Lo, b.Districts.Lo) }
+	order := func(a, b Part) int { return cmp.Compare(a.Districts.Start, b.Districts.Start) }
 	slices.SortFunc(s.In, order)
 	slices.SortFunc(s.Missing, order)
 	s.Whole = len(parts) > 0 && s.Share >= need-slack && len(s.Missing) == 0
@@ -125,7 +125,7 @@
 			continue
 		}
 		// The key of its first row is not known: any key of its first district may be.
-		least := merge.Place{Rank: x.Least, District: p.Districts.Lo}
+		least := merge.Place{Rank: x.Least, District: p.Districts.Start}
 		if first == nil || o.Compare(least, *first) < 0 {
 			first = &least
 		}
--- a/internal/complete/complete_test.go
+++ b/internal/complete/complete_test.go
@@ -52,7 +52,7 @@
 		o := order(t)
 		var all []slice
 		for i := range rapid.IntRange(1, 8).Draw(t, "slices") {
-			s := slice{part: Part{Districts: slicemap.Range{Lo: i, Hi: i + 1}, Weight: 1, Version: 5, Since: 3,
+			s := slice{part: Part{Districts: slicemap.Range{Start: i, End: i + 1}, Weight: 1, Version: 5, Since: 3,
 				In: rapid.IntRange(0, 3).Draw(t, "missing") > 0}}
 			for range rapid.IntRange(0, 5).Draw(t, "rows") {
 				s.rows = append(s.rows, int64(rapid.IntRange(0, 9).Draw(t, "premium")))
@@ -84,7 +84,7 @@
 				summaries = append(summaries, s.summary)
 			}
 			for i, v := range s.rows {
-				at := merge.Place{Rank: []merge.Value{merge.IntOf(v)}, District: s.part.Districts.Lo, Key: fmt.Sprint(i)}
+				at := merge.Place{Rank: []merge.Value{merge.IntOf(v)}, District: s.part.Districts.Start, Key: fmt.Sprint(i)}
 				truth = append(truth, at)
 				sum, count, least = sum+float64(v), count+1, min(least, float64(v))
 				if s.part.In {
@@ -128,8 +128,8 @@
 // The missing slice might hold the cheapest policy.
 func TestNoFalseFirstPlace(t *testing.T) {
 	o := order(t)
-	parts := []Part{{Districts: slicemap.Range{Lo: 0, Hi: 5}, Weight: 0.7, In: true, Version: 1, Since: 1},
-		{Districts: slicemap.Range{Lo: 5, Hi: 9}, Weight: 0.3, Version: 8, Since: 2, Why: TimedOut}}
+	parts := []Part{{Districts: slicemap.Range{Start: 0, End: 5}, Weight: 0.7, In: true, Version: 1, Since: 1},
+		{Districts: slicemap.Range{Start: 5, End: 9}, Weight: 0.3, Version: 8, Since: 2, Why: TimedOut}}
 	first := []merge.Place{{Rank: []merge.Value{merge.IntOf(10)}, District: 2, Key: "k"}}
 	note := func(f func(*Summary)) []*Summary {
 		x := &Summary{Districts: parts[1].Districts, Version: 8, Since: 2, Count: 3, Least: []merge.Value{merge.IntOf(11)}}
@@ -149,7 +149,7 @@
 	is(false, note(func(x *Summary) { x.Least[0] = merge.IntOf(9) }), "it is cheaper")
 	is(false, note(func(x *Summary) { x.Version = 7 }), "the summary is of an older version")
 	is(false, note(func(x *Summary) { x.Since = 1 }), "it is from before a split")
-	is(false, note(func(x *Summary) { x.Districts.Hi = 8 }), "it is of other districts")
+	is(false, note(func(x *Summary) { x.Districts.End = 8 }), "it is of other districts")
 	is(true, note(func(x *Summary) { x.Count, x.Least = 0, nil }), "it has no rows")
 	parts[1].Version = 0
 	is(false, note(func(*Summary) {}), "nobody knows which version is in force")
@@ -160,7 +160,7 @@
 	for in, want := range map[int]bool{69: false, 70: true, 71: true} {
 		var parts []Part
 		for i := range 100 {
-			parts = append(parts, Part{Districts: slicemap.Range{Lo: i, Hi: i + 1}, Weight: 0.01, In: i < in})
+			parts = append(parts, Part{Districts: slicemap.Range{Start: i, End: i + 1}, Weight: 0.01, In: i < in})
 		}
 		require.Equal(t, want, State(parts, nil, 1).Enough(0.7, 0), in)
 		require.False(t, State(parts, nil, 1).Enough(0.7, 0.72))
@@ -174,7 +174,7 @@
 	var sums []*Summary
 	var places []merge.Place
 	for i := range 1000 {
-		r := slicemap.Range{Lo: i, Hi: i + 1}
+		r := slicemap.Range{Start: i, End: i + 1}
 		parts = append(parts, Part{Districts: r, Weight: 0.001, In: i%10 > 0, Version: 1, Since: 1})
 		sums = append(sums, &Summary{Districts: r, Version: 1, Since: 1, Count: 1, Least: []merge.Value{merge.IntOf(900)}})
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -18,25 +18,25 @@
 
 // Config is all that a broker is told.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Mgmt      string // the admin API, "" for none
-	Inherited int    // the clients' listener that the process was given, -1 for none
-	Seed      uint64
-	Cores     float64
-	MemoryMB  int
-	Sockets   int
-	Known     discovery.List
-	Zones     []string
-	Module    scheduler.Settings
-	Book      *contract.Book
-	Settings  any // as written, to tell one configuration from another
+	Name           string
+	Listen         string
+	Discovery      string
+	AdminAddress   string // the admin API, "" for none
+	InheritedFD    int    // the clients' listener that the process was given, -1 for none
+	Seed           uint64
+	Cores          float64
+	MemoryMB       int
+	MaxDescriptors int
+	KnownEndpoints discovery.List
+	Zones          []string
+	Scheduler      scheduler.Settings
+	Contracts      *contract.Contracts
+	Settings       any // as written, to tell one configuration from another
 
-	MaxOpen     int
-	Streams     int
-	DialTimeout float64
-	KeepAlive   float64
+	MaxOpen              int
+	StreamsPerConnection int
+	DialTimeout          float64
+	KeepAlive            float64
 }
 
 type file struct {
@@ -90,8 +90,8 @@
 	leastSockets       = 64
 )
 
-// ErrNone tells that no configuration is named.
-var ErrNone = errors.New("BALANCER_CONFIG: missing")
+// ErrNotConfigured tells that no configuration is named.
+var ErrNotConfigured = errors.New("BALANCER_CONFIG: missing")
 
 const (
 	envDiscovery = "BALANCER_DISCOVERY"
@@ -108,7 +108,7 @@
 func load(again bool) (*Config, error) {
 	path := os.Getenv("BALANCER_CONFIG")
 	if path == "" {
-		return nil, ErrNone
+		return nil, ErrNotConfigured
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -132,10 +132,10 @@
 			*v.to = s
 		}
 	}
-	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Mgmt: f.Mgmt, Inherited: -1,
-		Known: f.Known,
-		Cores: or(f.Limits.Cores, defaultCores), MemoryMB: or(f.Limits.MemoryMB, defaultMemoryMB),
-		Sockets: or(f.Limits.Sockets, defaultSockets)}
+	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, AdminAddress: f.Mgmt, InheritedFD: -1,
+		KnownEndpoints: f.Known,
+		Cores:          or(f.Limits.Cores, defaultCores), MemoryMB: or(f.Limits.MemoryMB, defaultMemoryMB),
+		MaxDescriptors: or(f.Limits.Sockets, defaultSockets)}
 	if c.Name == "" {
 		return nil, errors.New("name: missing")
 	}
@@ -144,8 +144,8 @@
 			return nil, fmt.Errorf("%s: %w", a[0], err)
 		}
 	}
-	if c.Mgmt != "" {
-		if _, err := netip.ParseAddrPort(c.Mgmt); err != nil {
+	if c.AdminAddress != "" {
+		if _, err := netip.ParseAddrPort(c.AdminAddress); err != nil {
 			return nil, fmt.Errorf("mgmt: %w", err)
 		}
 	}
@@ -154,17 +154,17 @@
 		if err != nil {
 			return nil, fmt.Errorf("%s: %q is no descriptor: %w", envInherited, text, err)
 		}
-		c.Inherited = int(n)
+		c.InheritedFD = int(n)
 	}
 	var err error
 	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("seed: %w", err)
 	}
-	if !(c.Cores > 0) || math.IsInf(c.Cores, 0) || c.MemoryMB < leastMemoryMB || c.Sockets < leastSockets {
+	if !(c.Cores > 0) || math.IsInf(c.Cores, 0) || c.MemoryMB < leastMemoryMB || c.MaxDescriptors < leastSockets {
 		return nil, fmt.Errorf("limits: cores %v, memory_mb %d, sockets %d: out of range (%d MB and %d at least)",
-			c.Cores, c.MemoryMB, c.Sockets, leastMemoryMB, leastSockets)
+			c.Cores, c.MemoryMB, c.MaxDescriptors, leastMemoryMB, leastSockets)
 	}
-	if err := c.Known.Check(); err != nil {
+	if err := c.KnownEndpoints.Check(); err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
 	return c, c.settings(f.Settings)
@@ -175,7 +175,7 @@
 		return errors.New("settings: missing")
 	}
 	var err error
-	if c.Module, err = wire.ParseSettings(text); err != nil {
+	if c.Scheduler, err = wire.ParseSettings(text); err != nil {
 		return err
 	}
 	var s settings
@@ -186,10 +186,10 @@
 	if l.MaxOpen < 0 || l.Multiplex < 0 || !(l.DialTimeout >= 0) || !(l.KeepAlive >= 0) {
 		return errors.New("settings: limits: a negative max_open, multiplex, dial_timeout_ms or keepalive_ms")
 	}
-	c.Zones, c.MaxOpen, c.Streams = s.Areas, l.MaxOpen, max(l.Multiplex, 0)
+	c.Zones, c.MaxOpen, c.StreamsPerConnection = s.Areas, l.MaxOpen, max(l.Multiplex, 0)
 	c.DialTimeout, c.KeepAlive = l.DialTimeout, l.KeepAlive
-	if c.Streams == 0 {
-		c.Streams = defaultStreams
+	if c.StreamsPerConnection == 0 {
+		c.StreamsPerConnection = defaultStreams
 	}
 	if c.DialTimeout == 0 {
 		c.DialTimeout = defaultDialTimeout
@@ -206,15 +206,15 @@
 		if i < len(s.Domain.MinShare) {
 			share = s.Domain.MinShare[i]
 		}
-		classes = append(classes, contract.Class{Name: k.Name, Effect: k.Effect, AimMS: k.Aim,
-			DeadlineMS: k.Deadline, MinShare: share})
+		classes = append(classes, contract.Class{Name: k.Name, Effect: k.Effect, LatencyObjectiveMs: k.Aim,
+			DeadlineMs: k.Deadline, MinCompleteness: share})
 	}
 	for i, t := range s.Customers {
 		if t.Name == "" {
 			return fmt.Errorf("settings: customers[%d].name: missing", i)
 		}
 	}
-	c.Book = contract.NewBook(classes, s.Customers, s.Callers.Marks)
+	c.Contracts = contract.New(classes, s.Customers, s.Callers.Marks)
 	return nil
 }
 
--- a/internal/contract/contract.go
+++ b/internal/contract/contract.go
@@ -26,11 +26,11 @@
 
 // Class is the contract of one class of query.
 type Class struct {
-	Name       string  `json:"name"`
-	Effect     string  `json:"effect"`
-	AimMS      float64 `json:"aim_ms"`
-	DeadlineMS float64 `json:"deadline_ms"`
-	MinShare   float64 `json:"min_share"`
+	Name               string  `json:"name"`
+	Effect             string  `json:"effect"`
+	LatencyObjectiveMs float64 `json:"aim_ms"`
+	DeadlineMs         float64 `json:"deadline_ms"`
+	MinCompleteness    float64 `json:"min_share"`
 }
 
 // Tenant is the budget of one tenant, in queries a second over all brokers.
@@ -39,20 +39,20 @@
 	Allowance float64 `json:"allowance_per_s"`
 }
 
-// Book holds all contracts and what has been taken under them.
-type Book struct {
-	Classes []Class
-	Tenants []Tenant
-	Marks   bool // clients mark retries
-	Slices  bool // slices move: a query may name the epoch of its slices, answers tell theirs and the districts
-	Taken   []uint64
-	class   map[string]int
-	tenant  map[string]int
+// Contracts holds all contracts and what has been taken under them.
+type Contracts struct {
+	Classes            []Class
+	Tenants            []Tenant
+	ClientsMarkRetries bool // clients mark retries
+	Resharding         bool // slices move: a query may name the epoch of its slices, answers tell theirs and the districts
+	AcceptedByTenant   []uint64
+	class              map[string]int
+	tenant             map[string]int
 }
 
-// NewBook makes the book of these contracts.
-func NewBook(classes []Class, tenants []Tenant, marks bool) *Book {
-	b := &Book{Classes: classes, Tenants: tenants, Marks: marks, Taken: make([]uint64, len(tenants)),
+// New makes the book of these contracts.
+func New(classes []Class, tenants []Tenant, marks bool) *Contracts {
+	b := &Contracts{Classes: classes, Tenants: tenants, ClientsMarkRetries: marks, AcceptedByTenant: make([]uint64, len(tenants)),
 		class: map[string]int{}, tenant: map[string]int{}}
 	for i, c := range classes {
 		b.class[c.Name] = i
@@ -63,10 +63,10 @@
 	return b
 }
 
-// Longest is the longest time in ms that a class leaves for an answer.
-func (b *Book) Longest() (ms float64) {
+// LongestDeadline is the longest time in ms that a class leaves for an answer.
+func (b *Contracts) LongestDeadline() (ms float64) {
 	for _, c := range b.Classes {
-		ms = max(ms, c.DeadlineMS)
+		ms = max(ms, c.DeadlineMs)
 	}
 	return ms
 }
@@ -90,13 +90,13 @@
 // Envelope is what travels beside a query's body.
 type Envelope struct {
 	ID, Class, Tenant string
-	Wait              float64 // ms the client will wait, from arrival
+	ClientTimeout     float64 // ms the client will wait, from arrival
 	Retry             bool
-	DedupKey          string // "" for none
+	IdempotencyKey    string // "" for none
 }
 
-// Read makes a request of an envelope and a body, or says what is wrong with it.
-func (b *Book) Read(e Envelope, text []byte, now float64) (*core.Request, error) {
+// ParseQuery makes a request of an envelope and a body, or says what is wrong with it.
+func (b *Contracts) ParseQuery(e Envelope, text []byte, now float64) (*core.Request, error) {
 	class, ok := b.class[e.Class]
 	if !ok {
 		return nil, fmt.Errorf("%w: %q", ErrClass, e.Class)
@@ -108,10 +108,10 @@
 	if !validName(e.ID) {
 		return nil, fmt.Errorf("%w: the request id is missing or not a word", ErrMalformed)
 	}
-	if e.DedupKey != "" && (!validName(e.DedupKey) || strings.Contains(e.DedupKey, ",")) {
+	if e.IdempotencyKey != "" && (!validName(e.IdempotencyKey) || strings.Contains(e.IdempotencyKey, ",")) {
 		return nil, fmt.Errorf("%w: the idempotency key is not a word", ErrMalformed)
 	}
-	if !(e.Wait > 0) || math.IsInf(e.Wait, 0) {
+	if !(e.ClientTimeout > 0) || math.IsInf(e.ClientTimeout, 0) {
 		return nil, fmt.Errorf("%w: the deadline is missing or not a positive time", ErrMalformed)
 	}
 	var in body
@@ -121,10 +121,10 @@
 	if in.Q == nil || strings.ContainsRune(*in.Q, utf8.RuneError) || len(in.Shards) == 0 {
 		return nil, fmt.Errorf("%w: q or shards missing, or q is no text", ErrMalformed)
 	}
-	r := &core.Request{Name: e.ID, Class: class, Tenant: tenant, Repeat: e.Retry && b.Marks,
-		Deadline: now + min(e.Wait, b.Classes[class].DeadlineMS), Text: []byte(*in.Q), DedupKey: e.DedupKey,
+	r := &core.Request{ID: e.ID, Class: class, Tenant: tenant, ClientRetry: e.Retry && b.ClientsMarkRetries,
+		Deadline: now + min(e.ClientTimeout, b.Classes[class].DeadlineMs), Query: []byte(*in.Q), IdempotencyKey: e.IdempotencyKey,
 		Parts: make([]core.Part, 0, len(in.Shards))}
-	if b.Slices && in.Epoch != nil {
+	if b.Resharding && in.Epoch != nil {
 		if err := json.Unmarshal(in.Epoch, &r.Epoch); err != nil {
 			return nil, fmt.Errorf("%w: epoch %.40s", ErrMalformed, in.Epoch)
 		}
@@ -138,7 +138,7 @@
 			return nil, fmt.Errorf("%w: cost %v", ErrMalformed, *s.Cost)
 		}
 		if s.Cost != nil {
-			p.Cost, p.Hinted = *s.Cost/1000, true
+			p.CostHint, p.HasCostHint = *s.Cost/1000, true
 		}
 		if s.Key != "" {
 			key, err := strconv.ParseUint(s.Key, 16, 64)
@@ -149,8 +149,8 @@
 		}
 		r.Parts = append(r.Parts, p)
 	}
-	if len(b.Taken) > 0 {
-		b.Taken[tenant]++
+	if len(b.AcceptedByTenant) > 0 {
+		b.AcceptedByTenant[tenant]++
 	}
 	return r, nil
 }
@@ -158,7 +158,7 @@
 // plain tells whether a text is JSON that all readers understand alike: UTF-8, each name of an object once,
 // and the names of a query as they are written. Guards against a query that nodes are sent otherwise than
 // its client meant.
-func (b *Book) plain(text []byte) error {
+func (b *Contracts) plain(text []byte) error {
 	if !utf8.Valid(text) {
 		return errors.New("not UTF-8")
 	}
@@ -181,7 +181,7 @@
 			if open[in].value = !open[in].value; open[in].value {
 				name, _ := t.(string)
 				low := strings.ToLower(name)
-				if open[in].names[low] || low != name && (slices.Contains(names, low) || b.Slices && low == "epoch") {
+				if open[in].names[low] || low != name && (slices.Contains(names, low) || b.Resharding && low == "epoch") {
 					return fmt.Errorf("name %.40q", name)
 				}
 				open[in].names[low] = true
@@ -223,11 +223,11 @@
 
 // Body is the body of an answer that is served.
 func Body(a core.Answer) []byte {
-	out := reply{Complete: a.Whole, Hits: make([]hit, 0, len(a.Values)), Epoch: a.Epoch}
+	out := reply{Complete: a.Complete, Hits: make([]hit, 0, len(a.Values)), Epoch: a.Epoch}
 	for _, v := range a.Values {
 		h := hit{Shard: v.Shard, Doc: string(v.Doc)}
 		if a.Epoch > 0 {
-			h.Districts = []int{v.Districts.Lo, v.Districts.Hi}
+			h.Districts = []int{v.Buckets.Start, v.Buckets.End}
 		}
 		out.Hits = append(out.Hits, h)
 	}
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -17,17 +17,17 @@
 	done int
 }
 
-func (b *bench) Now() float64                       { return b.now }
-func (b *bench) WakeAt(float64)                     {}
-func (b *bench) Module(string)                      {}
-func (b *bench) Ended(*core.Request, core.Answer)   {}
-func (b *bench) Watch()                             {}
-func (b *bench) Send(a *core.Attempt)               { b.sent = append(b.sent, a) }
-func (b *bench) Flush()                             {}
-func (b *bench) Abandon(*core.Attempt) (never bool) { return false }
-func (b *bench) Withdraw(*core.Attempt) bool        { return false }
-func (b *bench) DropIdle(uint32)                    {}
-func (b *bench) Finish(core.Answer)                 { b.done++ }
+func (b *bench) Now() float64                            { return b.now }
+func (b *bench) WakeAt(float64)                          {}
+func (b *bench) SchedulerLine(string)                    {}
+func (b *bench) RequestEnded(*core.Request, core.Answer) {}
+func (b *bench) Watch()                                  {}
+func (b *bench) Send(a *core.Attempt)                    { b.sent = append(b.sent, a) }
+func (b *bench) Flush()                                  {}
+func (b *bench) Abandon(*core.Attempt) (never bool)      { return false }
+func (b *bench) Withdraw(*core.Attempt) bool             { return false }
+func (b *bench) CloseIdleConnections(uint32)             {}
+func (b *bench) Finish(core.Answer)                      { b.done++ }
 
 func newBench(b *testing.B, shards int) (*bench, *core.Core) {
 	s, err := wire.ParseSettings(fmt.Appendf(nil, `{"balancers":2,"me":0,"resolution_ms":5,"categories":[{"aim_ms":300,
@@ -47,18 +47,18 @@
 	for i := range 12 {
 		es = append(es, scheduler.Endpoint{Replica: uint32(i + 1), Cell: i, State: scheduler.Ready})
 	}
-	c.ListChanged(scheduler.UpdateFull, es)
-	c.Turn()
+	c.EndpointsChanged(scheduler.UpdateFull, es)
+	c.RunRound()
 	return x, c
 }
 
 func (x *bench) ask(b *testing.B, c *core.Core, i, parts, shards int) {
-	r := &core.Request{Name: fmt.Sprint(i), Deadline: x.now + 3000, Client: x, Text: []byte("x")}
+	r := &core.Request{ID: fmt.Sprint(i), Deadline: x.now + 3000, Client: x, Query: []byte("x")}
 	for j := range parts {
-		r.Parts = append(r.Parts, core.Part{Shard: (i*7 + j) % shards, Weight: 1 / float64(parts), Cost: 10,
-			Hinted: true})
+		r.Parts = append(r.Parts, core.Part{Shard: (i*7 + j) % shards, Weight: 1 / float64(parts), CostHint: 10,
+			HasCostHint: true})
 	}
-	if err := c.Take(r); err != nil {
+	if err := c.Submit(r); err != nil {
 		b.Fatal(err)
 	}
 }
@@ -70,12 +70,12 @@
 	for i := range b.N {
 		x.now += 2
 		x.ask(b, c, i, 4, 24)
-		c.Turn()
+		c.RunRound()
 		for len(x.sent) > 80 {
-			c.Ended(x.sent[0], scheduler.Succeeded, []byte("v"))
+			c.AttemptEnded(x.sent[0], scheduler.Succeeded, []byte("v"))
 			x.sent = x.sent[1:]
 		}
-		c.Turn()
+		c.RunRound()
 	}
 }
 
@@ -84,29 +84,29 @@
 	for _, shards := range []int{24, 1000, 100_000} {
 		b.Run(fmt.Sprint(shards), func(b *testing.B) {
 			x, c := newBench(b, shards)
-			for i := 0; i < 2000 || c.Open() < 100; i++ {
+			for i := 0; i < 2000 || c.OpenRequests() < 100; i++ {
 				x.now += 5
 				x.ask(b, c, i, 1, shards)
-				c.Turn()
+				c.RunRound()
 				for i < 2000 && len(x.sent) > 0 { // the replicas are known to carry much
 					if len(x.sent) < 100 && i%150 != 0 {
 						break
 					}
-					c.Ended(x.sent[0], scheduler.Succeeded, []byte("v"))
+					c.AttemptEnded(x.sent[0], scheduler.Succeeded, []byte("v"))
 					x.sent = x.sent[1:]
 				}
 				if i == 2000 {
-					c.Turn()
+					c.RunRound()
 				}
 				if i > 4000 {
-					b.Fatal(c.Open())
+					b.Fatal(c.OpenRequests())
 				}
 			}
 			b.ResetTimer()
 			for range b.N {
-				c.Turn()
+				c.RunRound()
 			}
-			b.ReportMetric(float64(c.Open()), "held")
+			b.ReportMetric(float64(c.OpenRequests()), "held")
 		})
 	}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -16,34 +16,34 @@
 	"ternstage/internal/slicemap"
 )
 
-// Kind is how a request ended for its client.
-type Kind uint8
+// AnswerKind is how a request ended for its client.
+type AnswerKind uint8
 
 // The kinds of final answers.
 const (
-	Answered Kind = iota
-	Refused       // nothing ran that must not run twice: asking again is harmless
-	Failed        // no promise
+	Answered AnswerKind = iota
+	Rejected            // nothing ran that must not run twice: asking again is harmless
+	Failed              // no promise
 )
 
 // String names the kind in logs.
-func (k Kind) String() string { return [...]string{"answered", "refused", "failed"}[k] }
+func (k AnswerKind) String() string { return [...]string{"answered", "refused", "failed"}[k] }
 
 // Value is what a node gave for a part, or for some districts of it where slices move.
 type Value struct {
-	Shard     int // as the client named it
-	Districts slicemap.Range
-	Doc       []byte
+	Shard   int // as the client named it
+	Buckets slicemap.Range
+	Doc     []byte
 }
 
-// Usable tells whether what a node gave can be a value: text, as it goes to clients in bodies of JSON, where
+// ValidValue tells whether what a node gave can be a value: text, as it goes to clients in bodies of JSON, where
 // anything else could not stand unchanged. Back ends fail an attempt that brought another.
-func Usable(value []byte) bool { return len(value) > 0 && utf8.Valid(value) }
+func ValidValue(value []byte) bool { return len(value) > 0 && utf8.Valid(value) }
 
 // Answer is the one final answer of a request.
 type Answer struct {
-	Kind       Kind
-	Whole      bool
+	Kind       AnswerKind
+	Complete   bool
 	Values     []Value
 	RetryAfter float64 // ms, on a refusal
 	TimedOut   bool    // a failure for want of time
@@ -58,36 +58,36 @@
 
 // Part is one shard's share of a request.
 type Part struct {
-	Shard  int
-	Key    uint64
-	Weight float64
-	Cost   float64 // expected work in ms
-	Hinted bool
+	Shard       int
+	Key         uint64
+	Weight      float64
+	CostHint    float64 // expected work in ms
+	HasCostHint bool
 }
 
 // Request is a query as a front hands it in.
 type Request struct {
-	Name     string // the client's id for it: fresh for each
-	Class    int
-	Tenant   int
-	Deadline float64 // loop clock: when the client leaves
-	Repeat   bool
-	Epoch    uint64 // of the map by which the client named its parts; 0 if it does not say
-	Parts    []Part
-	Text     []byte // what every part must carry
-	DedupKey string // by which nodes drop repeats of a class of effect Keyed; the client's, "" for none
-	Client   Client
-
-	id      uint64
-	parts   []*part
-	units   []*unit           // where slices move: the parts as the client named them
-	version *slicemap.Version // by which it began
-	unsafe  bool
-	left    bool // its client has gone, and a part that must not run twice is still out
-}
-
-// Unheard tells that its client has gone: the final answer reaches nobody.
-func (r *Request) Unheard() bool { return r.left }
+	ID             string // the client's id for it: fresh for each
+	Class          int
+	Tenant         int
+	Deadline       float64 // loop clock: when the client leaves
+	ClientRetry    bool
+	Epoch          uint64 // of the map by which the client named its parts; 0 if it does not say
+	Parts          []Part
+	Query          []byte // what every part must carry
+	IdempotencyKey string // by which nodes drop repeats of a class of effect Keyed; the client's, "" for none
+	Client         Client
+
+	queryID    uint64
+	parts      []*part
+	units      []*unit           // where slices move: the parts as the client named them
+	version    *slicemap.Version // by which it began
+	unsafe     bool
+	clientGone bool // its client has gone, and a part that must not run twice is still out
+}
+
+// ClientGone tells that its client has gone: the final answer reaches nobody.
+func (r *Request) ClientGone() bool { return r.clientGone }
 
 type part struct {
 	Part
@@ -113,21 +113,21 @@
 
 // Attempt is one try of a part at a node.
 type Attempt struct {
-	Request  string
-	Shard    int
-	Text     []byte
-	DedupKey string
-	Node     uint32
-	Deadline float64 // loop clock: when the wait for it ends
-	SendBy   float64 // loop clock: it begins by then or not at all, as the decision to send it is of now
-	Once     bool    // it must not run twice: what may have run of it is not tried again
-	Handle   any     // the back end's own
-	Alone    bool    // set by the back end with how it ended: only its connection broke, the node stands
+	Request        string
+	Shard          int
+	Query          []byte
+	IdempotencyKey string
+	Backend        uint32
+	Deadline       float64 // loop clock: when the wait for it ends
+	StartBy        float64 // loop clock: it begins by then or not at all, as the decision to send it is of now
+	NonIdempotent  bool    // it must not run twice: what may have run of it is not tried again
+	Handle         any     // the back end's own
+	ConnectionOnly bool    // set by the back end with how it ended: only its connection broke, the node stands
 
 	// Where slices move: the districts asked for and the epoch by which they were routed, above 0. The back end
 	// sets NodeEpoch with the outcome Moved.
-	Districts        slicemap.Range
-	Epoch, NodeEpoch uint64
+	Buckets             slicemap.Range
+	Epoch, BackendEpoch uint64
 
 	place int // in the heap of deadlines; -1 if it is not there
 	part  *part
@@ -149,12 +149,12 @@
 	// Abandon withdraws an attempt, or else ends the wait for it and tells its node so. It tells whether the
 	// attempt provably never ran nor will run.
 	Abandon(*Attempt) (neverRan bool)
-	// DropIdle closes idle connections to a node.
-	DropIdle(node uint32)
+	// CloseIdleConnections closes idle connections to a node.
+	CloseIdleConnections(node uint32)
 }
 
-// List is where the list of nodes comes from.
-type List interface {
+// EndpointList is where the list of nodes comes from.
+type EndpointList interface {
 	// Watch subscribes to changes; it does nothing while a watch runs.
 	Watch()
 }
@@ -168,8 +168,8 @@
 
 // Log takes the module's lines and what core has to say.
 type Log interface {
-	Module(text string)
-	Ended(r *Request, a Answer)
+	SchedulerLine(text string)
+	RequestEnded(r *Request, a Answer)
 }
 
 const (
@@ -195,7 +195,7 @@
 	hold    float64 // ms after its decision within which an attempt begins
 	clock   Clock
 	back    Backend
-	list    List
+	list    EndpointList
 	log     Log
 
 	nextID   uint64
@@ -213,10 +213,10 @@
 	answered [3]uint64
 
 	slices  *slicemap.Map // nil where slices do not move
-	bySlice map[slicemap.ID][]*part
+	bySlice map[slicemap.ShardID][]*part
 	waiting []*part // those that pause for an epoch
 	hint    func(epoch uint64)
-	moves   Moves
+	moves   ReshardingStats
 
 	onMap     func(*slicemap.Version)
 	letGo     uint64 // map versions, as of the last line that told of them
@@ -225,10 +225,10 @@
 
 // Options are what core needs beside the module's settings.
 type Options struct {
-	MaxOpen int // queries and parts held at most; 0 for no limit
-	Clock   Clock
-	Log     Log
-	Slices  *slicemap.Map // nil where slices do not move; else also the layout of the module's settings
+	MaxOpen  int // queries and parts held at most; 0 for no limit
+	Clock    Clock
+	Log      Log
+	ShardMap *slicemap.Map // nil where slices do not move; else also the layout of the module's settings
 }
 
 // New makes the core and its module.
@@ -237,7 +237,7 @@
 		retry: s.MaxRetryAfter, hold: holdMost, clock: o.Clock, log: o.Log, requests: map[uint64]*Request{},
 		parts: map[uint64]*part{}, names: map[string]bool{},
 		out: map[[2]uint64]*Attempt{}, answerBy: math.Inf(1), wakeAt: math.Inf(1),
-		slices: o.Slices, bySlice: map[slicemap.ID][]*part{}, hint: func(uint64) {}}
+		slices: o.ShardMap, bySlice: map[slicemap.ShardID][]*part{}, hint: func(uint64) {}}
 	if s.DrainGrace > 0 {
 		c.hold = min(c.hold, s.DrainGrace*holdShare)
 	}
@@ -250,35 +250,35 @@
 }
 
 // Attach names the back end and the list.
-func (c *Core) Attach(back Backend, list List) { c.back, c.list = back, list }
+func (c *Core) Attach(back Backend, list EndpointList) { c.back, c.list = back, list }
 
-// AnswerBy bounds the time of what is taken from now on: the program ends then.
-func (c *Core) AnswerBy(at float64) { c.answerBy = at }
+// SetFinalAnswerDeadline bounds the time of what is taken from now on: the program ends then.
+func (c *Core) SetFinalAnswerDeadline(at float64) { c.answerBy = at }
 
-// ErrContract is wrapped by what Take says of a request that breaks its contract.
-var ErrContract = errors.New("the request breaks its contract")
+// ErrInvalidRequest is wrapped by what Take says of a request that breaks its contract.
+var ErrInvalidRequest = errors.New("the request breaks its contract")
 
-// Take takes a request. An error means that it was not taken: the front answers it.
-func (c *Core) Take(r *Request) error {
+// Submit takes a request. An error means that it was not taken: the front answers it.
+func (c *Core) Submit(r *Request) error {
 	sum, seen := 0.0, make(map[int]bool, len(r.Parts))
 	for _, p := range r.Parts {
 		// A shard asked twice would give one part id two meanings at the node.
 		if p.Shard < 0 || c.slices == nil && p.Shard >= c.shards || seen[p.Shard] {
-			return fmt.Errorf("%w: shard %d is unknown or asked twice", ErrContract, p.Shard)
+			return fmt.Errorf("%w: shard %d is unknown or asked twice", ErrInvalidRequest, p.Shard)
 		}
 		if !(p.Weight > 0) || p.Weight > 1.001 {
-			return fmt.Errorf("%w: weight of shard %d", ErrContract, p.Shard)
+			return fmt.Errorf("%w: weight of shard %d", ErrInvalidRequest, p.Shard)
 		}
 		seen[p.Shard] = true
 		sum += p.Weight
 	}
 	if len(r.Parts) == 0 || math.Abs(sum-1) > 0.01 {
-		return fmt.Errorf("%w: %d parts, weights that sum to %.3f", ErrContract, len(r.Parts), sum)
+		return fmt.Errorf("%w: %d parts, weights that sum to %.3f", ErrInvalidRequest, len(r.Parts), sum)
 	}
 	// The name is the parts' name at the nodes: guards against one client's answer going to another, and a part
 	// that must not run twice against a client that comes again while it is out.
-	if c.names[r.Name] {
-		return fmt.Errorf("%w: request id %q is in use", ErrContract, r.Name)
+	if c.names[r.ID] {
+		return fmt.Errorf("%w: request id %q is in use", ErrInvalidRequest, r.ID)
 	}
 	now, count := c.clock.Now(), len(r.Parts)
 	if c.slices != nil {
@@ -296,16 +296,16 @@
 		if count == 0 {
 			after = min(after, behindFor)
 		}
-		c.end(r, Answer{Kind: Refused, RetryAfter: after})
+		c.end(r, Answer{Kind: Rejected, RetryAfter: after})
 		return nil
 	}
 	c.nextID++
-	r.id, r.unsafe = c.nextID, c.classes[r.Class].Idempotency == scheduler.NonIdempotent
-	group := int(r.id)
-	c.requests[r.id], c.names[r.Name] = r, true
+	r.queryID, r.unsafe = c.nextID, c.classes[r.Class].Idempotency == scheduler.NonIdempotent
+	group := int(r.queryID)
+	c.requests[r.queryID], c.names[r.ID] = r, true
 	c.open += 1 + count
-	c.module.QueryArrived(now, scheduler.Query{ID: r.id, QueryGroup: group, Class: r.Class, Tenant: r.Tenant,
-		Deadline: r.Deadline, ClientRetry: r.Repeat})
+	c.module.QueryArrived(now, scheduler.Query{ID: r.queryID, QueryGroup: group, Class: r.Class, Tenant: r.Tenant,
+		Deadline: r.Deadline, ClientRetry: r.ClientRetry})
 	if c.slices != nil {
 		c.begin(now, r)
 		return nil
@@ -315,15 +315,15 @@
 		x := &part{Part: p, id: c.nextID, req: r}
 		r.parts, c.parts[x.id] = append(r.parts, x), x
 		c.module.PartArrived(now, scheduler.Part{ID: x.id, QueryGroup: group, Shard: p.Shard, Key: p.Key,
-			Weight: p.Weight, CostHint: p.Cost, HasCostHint: p.Hinted})
+			Weight: p.Weight, CostHint: p.CostHint, HasCostHint: p.HasCostHint})
 	}
 	return nil
 }
 
-// Left tells that the client of a request has gone: nothing of it begins from now on.
-func (c *Core) Left(r *Request) {
-	if c.requests[r.id] == r && !r.left {
-		r.left = true
+// ClientDisconnected tells that the client of a request has gone: nothing of it begins from now on.
+func (c *Core) ClientDisconnected(r *Request) {
+	if c.requests[r.queryID] == r && !r.clientGone {
+		r.clientGone = true
 		c.gone = append(c.gone, r)
 	}
 }
@@ -331,7 +331,7 @@
 // leave ends a request whose client has gone. A part that must not run twice and may be running is waited for
 // all the same: its outcome is learnt and logged. Guards against a cancel that crosses a good answer.
 func (c *Core) leave(now float64, r *Request) {
-	c.module.ClientDisconnected(now, r.id)
+	c.module.ClientDisconnected(now, r.queryID)
 	if c.release(r); !r.unsafe || !slices.ContainsFunc(r.parts, (*part).out) {
 		c.conclude(r)
 	}
@@ -347,8 +347,8 @@
 	c.end(r, a)
 }
 
-// Ended reports the outcome of an attempt, once; later reports are ignored. value is what an OK brought.
-func (c *Core) Ended(a *Attempt, o scheduler.Outcome, value []byte) {
+// AttemptEnded reports the outcome of an attempt, once; later reports are ignored. value is what an OK brought.
+func (c *Core) AttemptEnded(a *Attempt, o scheduler.Outcome, value []byte) {
 	if a.ended {
 		return
 	}
@@ -363,25 +363,25 @@
 	c.ending = append(c.ending, result{a, o})
 }
 
-// Later reports an outcome learnt while the back end was being called: the module hears of it next turn.
-func (c *Core) Later(a *Attempt, o scheduler.Outcome) {
-	c.Ended(a, o, nil)
+// AttemptEndedLater reports an outcome learnt while the back end was being called: the module hears of it next turn.
+func (c *Core) AttemptEndedLater(a *Attempt, o scheduler.Outcome) {
+	c.AttemptEnded(a, o, nil)
 	c.clock.WakeAt(0)
 }
 
-// ListChanged passes the list on.
-func (c *Core) ListChanged(kind scheduler.UpdateKind, entries []scheduler.Endpoint) {
+// EndpointsChanged passes the list on.
+func (c *Core) EndpointsChanged(kind scheduler.UpdateKind, entries []scheduler.Endpoint) {
 	c.module.EndpointsChanged(c.clock.Now(), kind, entries)
 }
 
-// Open is how many requests are held.
-func (c *Core) Open() int { return len(c.requests) }
+// OpenRequests is how many requests are held.
+func (c *Core) OpenRequests() int { return len(c.requests) }
 
 // Counts are the requests taken and the final answers by kind.
 func (c *Core) Counts() (taken uint64, answered [3]uint64) { return c.taken, c.answered }
 
-// Turn ends a wake-up: all that happened is told to the module, then it decides once, then it goes out.
-func (c *Core) Turn() {
+// RunRound ends a wake-up: all that happened is told to the module, then it decides once, then it goes out.
+func (c *Core) RunRound() {
 	now := c.clock.Now()
 	c.expire(now)
 	// What the module does may end further attempts (a cancel); those wait for the next turn, as its own
@@ -394,14 +394,14 @@
 	for _, e := range ending {
 		a := e.a
 		delete(c.out, [2]uint64{a.part.id, uint64(a.no)})
-		_, held := c.requests[a.part.req.id]
-		c.module.AttemptEnded(now, scheduler.AttemptResult{Part: a.part.id, Attempt: a.no, Replica: a.Node,
-			Outcome: e.outcome, Latency: now - a.sent, ConnectionOnly: a.Alone,
+		_, held := c.requests[a.part.req.queryID]
+		c.module.AttemptEnded(now, scheduler.AttemptResult{Part: a.part.id, Attempt: a.no, Replica: a.Backend,
+			Outcome: e.outcome, Latency: now - a.sent, ConnectionOnly: a.ConnectionOnly,
 			PartDone: e.outcome == scheduler.Succeeded || !held, RetryDelay: c.pause(a, e.outcome)})
 		if c.slices != nil && e.outcome != scheduler.Succeeded {
 			c.reroute(now, a.part)
 		}
-		if r := a.part.req; r.left && c.requests[r.id] == r && !slices.ContainsFunc(r.parts, (*part).out) {
+		if r := a.part.req; r.clientGone && c.requests[r.queryID] == r && !slices.ContainsFunc(r.parts, (*part).out) {
 			c.conclude(r)
 		}
 	}
@@ -435,7 +435,7 @@
 		if c.back.Abandon(a) {
 			o = scheduler.ConnectFailed // it never left us: proved never to have run
 		}
-		c.Ended(a, o, nil)
+		c.AttemptEnded(a, o, nil)
 	}
 }
 
@@ -447,18 +447,18 @@
 		c.unlink(p)
 		for _, a := range p.attempts {
 			if !a.ended && c.back.Withdraw(a) {
-				c.Later(a, scheduler.Cancelled)
+				c.AttemptEndedLater(a, scheduler.Cancelled)
 			}
 		}
 	}
 }
 
 func (c *Core) forget(r *Request) {
-	delete(c.requests, r.id)
-	delete(c.names, r.Name)
+	delete(c.requests, r.queryID)
+	delete(c.names, r.ID)
 	c.release(r)
 	if r.version != nil {
-		c.slices.End(r.version)
+		c.slices.Release(r.version)
 		r.version = nil // whoever still holds the request must not hold a map with it
 	}
 	c.open -= 1 + len(r.parts)
@@ -487,8 +487,8 @@
 
 func (c *Core) end(r *Request, a Answer) {
 	c.answered[a.Kind]++
-	c.log.Ended(r, a)
-	if !r.left {
+	c.log.RequestEnded(r, a)
+	if !r.clientGone {
 		r.Client.Finish(a)
 	}
 }
@@ -503,16 +503,16 @@
 	if timeout != 0 {
 		deadline = min(deadline, now+timeout)
 	}
-	a := &Attempt{Request: p.req.Name, Shard: p.Shard, Text: p.req.Text, DedupKey: p.req.DedupKey,
-		Node: node, Deadline: deadline,
-		SendBy: c.sendBy(now, p), Once: p.req.unsafe, part: p, no: len(p.attempts), sent: now, place: -1}
+	a := &Attempt{Request: p.req.ID, Shard: p.Shard, Query: p.req.Query, IdempotencyKey: p.req.IdempotencyKey,
+		Backend: node, Deadline: deadline,
+		StartBy: c.sendBy(now, p), NonIdempotent: p.req.unsafe, part: p, no: len(p.attempts), sent: now, place: -1}
 	if c.slices != nil {
-		a.Districts, a.Epoch = p.Range, c.slices.Routed(p.Leg)
+		a.Buckets, a.Epoch = p.Range, c.slices.RoutingEpoch(p.Segment)
 	}
 	p.attempts = append(p.attempts, a)
 	c.out[[2]uint64{id, uint64(a.no)}] = a
 	if c.tries > 0 && a.no >= c.tries || deadline <= now {
-		c.Later(a, scheduler.NotSent)
+		c.AttemptEndedLater(a, scheduler.NotSent)
 		return
 	}
 	heap.Push(&c.due, a)
@@ -541,22 +541,22 @@
 	if a == nil || a.ended {
 		return
 	}
-	if a.Once && a.part.req.left && !c.back.Withdraw(a) {
+	if a.NonIdempotent && a.part.req.clientGone && !c.back.Withdraw(a) {
 		return
 	}
 	c.back.Abandon(a)
-	c.Later(a, scheduler.Cancelled)
+	c.AttemptEndedLater(a, scheduler.Cancelled)
 }
 
 // CloseIdleConnections closes idle connections.
-func (c *Core) CloseIdleConnections(node uint32) { c.back.DropIdle(node) }
+func (c *Core) CloseIdleConnections(node uint32) { c.back.CloseIdleConnections(node) }
 
 // Answer answers a request from the parts that are in.
-func (c *Core) Answer(id uint64, whole bool) { c.finish(id, Answer{Kind: Answered, Whole: whole}) }
+func (c *Core) Answer(id uint64, whole bool) { c.finish(id, Answer{Kind: Answered, Complete: whole}) }
 
 // Reject refuses a request.
 func (c *Core) Reject(id uint64, after float64) {
-	c.finish(id, Answer{Kind: Refused, RetryAfter: after})
+	c.finish(id, Answer{Kind: Rejected, RetryAfter: after})
 }
 
 // Fail fails a request.
@@ -569,4 +569,4 @@
 func (c *Core) WatchEndpoints() { c.list.Watch() }
 
 // Log writes the module's line.
-func (c *Core) Log(text string) { c.log.Module(text) }
+func (c *Core) Log(text string) { c.log.SchedulerLine(text) }
--- a/internal/core/moving.go
+++ b/internal/core/moving.go
@@ -19,20 +19,20 @@
 // unit is a part as its client named it.
 type unit struct {
 	Part
-	*slicemap.Unit
+	*slicemap.Coverage
 	number int
 }
 
 // leg is what a part is where slices move: districts of a unit that one slice holds.
 type leg struct {
-	slicemap.Leg
+	slicemap.Segment
 	unit *unit
 	row  int    // answers in a row that the node does not hold it
 	wait uint64 // the epoch that ends its pause
 }
 
-// Moves counts what became of parts that a change of the map caught.
-type Moves struct {
+// ReshardingStats counts what became of parts that a change of the map caught.
+type ReshardingStats struct {
 	Replaced uint64 `json:"parts_replaced"`  // went on as parts of other slices
 	Split    uint64 `json:"parts_split"`     // of those: became more than one
 	Caught   uint64 `json:"parts_caught"`    // were out when their slice changed or was retired
@@ -42,26 +42,26 @@
 	Behind   uint64 `json:"behind_requests"` // named slices of a newer map than ours: refused
 }
 
-// Moves counts since the start.
-func (c *Core) Moves() Moves { return c.moves }
+// ReshardingStats counts since the start.
+func (c *Core) ReshardingStats() ReshardingStats { return c.moves }
 
-// OnHint sets who is told that a newer map is known somewhere: of that epoch, or 0 if that is not known.
-func (c *Core) OnHint(f func(epoch uint64)) { c.hint = f }
+// OnNewerMap sets who is told that a newer map is known somewhere: of that epoch, or 0 if that is not known.
+func (c *Core) OnNewerMap(f func(epoch uint64)) { c.hint = f }
 
-// OnMap sets who is told of each map that is taken into use.
-func (c *Core) OnMap(f func(*slicemap.Version)) { c.onMap = f }
+// OnMapChanged sets who is told of each map that is taken into use.
+func (c *Core) OnMapChanged(f func(*slicemap.Version)) { c.onMap = f }
 
-// StaleError is what Take says where a slice that the client named cannot be understood.
-type StaleError struct {
+// StaleEpochError is what Take says where a slice that the client named cannot be understood.
+type StaleEpochError struct {
 	Epoch uint64 // of the map in use
 	Err   error
 }
 
 // Error names the slice and the epoch in use.
-func (e *StaleError) Error() string { return fmt.Sprintf("%v: %v", ErrContract, e.Err) }
+func (e *StaleEpochError) Error() string { return fmt.Sprintf("%v: %v", ErrInvalidRequest, e.Err) }
 
 // Unwrap gives ErrContract and the map's own error.
-func (e *StaleError) Unwrap() []error { return []error{ErrContract, e.Err} }
+func (e *StaleEpochError) Unwrap() []error { return []error{ErrInvalidRequest, e.Err} }
 
 // resolve finds the districts of a request's parts and how many calls they take by the map in use; 0 if there
 // is no map yet, or none as new as the client's: then we are behind, and trying again is harmless.
@@ -75,7 +75,7 @@
 	}
 	ranges := make([]slicemap.Range, 0, len(r.Parts))
 	r.units = make([]*unit, 0, len(r.Parts))
-	var buf [8]slicemap.Leg
+	var buf [8]slicemap.Segment
 	for i, p := range r.Parts {
 		d, err := c.slices.Resolve(p.Shard)
 		if err != nil && r.Epoch > epoch {
@@ -84,18 +84,18 @@
 		}
 		if err != nil {
 			c.moves.Stale++
-			return 0, &StaleError{epoch, err}
+			return 0, &StaleEpochError{epoch, err}
 		}
 		out := c.slices.Route(buf[:0], p.Shard, d)
 		legs += len(out)
-		r.units = append(r.units, &unit{Part: p, Unit: slicemap.NewUnit(d, out), number: i + 1})
+		r.units = append(r.units, &unit{Part: p, Coverage: slicemap.NewCoverage(d, out), number: i + 1})
 		ranges = append(ranges, d)
 	}
 	// Names of different epochs may mean the same districts: those would count twice.
-	slices.SortFunc(ranges, func(a, b slicemap.Range) int { return cmp.Compare(a.Lo, b.Lo) })
+	slices.SortFunc(ranges, func(a, b slicemap.Range) int { return cmp.Compare(a.Start, b.Start) })
 	for i := 1; i < len(ranges); i++ {
-		if ranges[i].Lo < ranges[i-1].Hi {
-			return 0, fmt.Errorf("%w: districts %v and %v are asked twice", ErrContract, ranges[i-1], ranges[i])
+		if ranges[i].Start < ranges[i-1].End {
+			return 0, fmt.Errorf("%w: districts %v and %v are asked twice", ErrInvalidRequest, ranges[i-1], ranges[i])
 		}
 	}
 	return legs, nil
@@ -103,32 +103,32 @@
 
 // begin binds a request to the map in use and hands its parts to the module.
 func (c *Core) begin(now float64, r *Request) {
-	r.version = c.slices.Begin()
-	var buf [8]slicemap.Leg
+	r.version = c.slices.Acquire()
+	var buf [8]slicemap.Segment
 	for _, u := range r.units {
 		for _, l := range c.slices.Route(buf[:0], u.Shard, u.Range) {
 			x := c.makeLeg(r, u, l)
-			c.module.PartArrived(now, x.told(int(r.id)))
+			c.module.PartArrived(now, x.told(int(r.queryID)))
 		}
 	}
 }
 
 // makeLeg makes the part of a request that asks one slice for districts of a unit. Weight and cost go by
 // districts.
-func (c *Core) makeLeg(r *Request, u *unit, l slicemap.Leg) *part {
+func (c *Core) makeLeg(r *Request, u *unit, l slicemap.Segment) *part {
 	c.nextID++
 	share := float64(l.Size()) / float64(u.Size())
-	x := &part{Part: u.Part, id: c.nextID, req: r, leg: &leg{Leg: l, unit: u}}
-	x.Shard, x.Weight, x.Cost = l.Slice, u.Weight*share, u.Cost*share
+	x := &part{Part: u.Part, id: c.nextID, req: r, leg: &leg{Segment: l, unit: u}}
+	x.Shard, x.Weight, x.CostHint = l.Shard, u.Weight*share, u.CostHint*share
 	r.parts, c.parts[x.id] = append(r.parts, x), x
-	c.bySlice[l.Slice] = append(c.bySlice[l.Slice], x)
+	c.bySlice[l.Shard] = append(c.bySlice[l.Shard], x)
 	return x
 }
 
 // told is the part as the module hears of it.
 func (p *part) told(group int) scheduler.Part {
-	return scheduler.Part{ID: p.id, QueryGroup: group, Shard: p.Shard, Key: p.Key, Weight: p.Weight, CostHint: p.Cost,
-		HasCostHint: p.Hinted, AtomicGroup: p.unit.number}
+	return scheduler.Part{ID: p.id, QueryGroup: group, Shard: p.Shard, Key: p.Key, Weight: p.Weight, CostHint: p.CostHint,
+		HasCostHint: p.HasCostHint, AtomicGroup: p.unit.number}
 }
 
 // unlink forgets a part's place under its slice.
@@ -136,11 +136,11 @@
 	if p.leg == nil {
 		return
 	}
-	list := c.bySlice[p.Slice]
+	list := c.bySlice[p.Shard]
 	if list = slices.DeleteFunc(list, func(x *part) bool { return x == p }); len(list) == 0 {
-		delete(c.bySlice, p.Slice)
+		delete(c.bySlice, p.Shard)
 	} else {
-		c.bySlice[p.Slice] = list
+		c.bySlice[p.Shard] = list
 	}
 	if p.wait > 0 {
 		p.wait = 0
@@ -153,9 +153,9 @@
 	if p.leg == nil {
 		return
 	}
-	if _, err := p.unit.In(p.Range); err != nil {
+	if _, err := p.unit.Arrived(p.Range); err != nil {
 		c.moves.Twice++
-		c.log.Module(err.Error())
+		c.log.SchedulerLine(err.Error())
 	}
 }
 
@@ -169,10 +169,10 @@
 	}
 	parts := slices.Clone(r.parts)
 	slices.SortFunc(parts, func(x, y *part) int {
-		return cmp.Or(cmp.Compare(x.unit.number, y.unit.number), cmp.Compare(x.Lo, y.Lo))
+		return cmp.Or(cmp.Compare(x.unit.number, y.unit.number), cmp.Compare(x.Start, y.Start))
 	})
 	for _, p := range parts {
-		if p.unit.Whole() {
+		if p.unit.Complete() {
 			a.Values = append(a.Values, Value{p.unit.Shard, p.Range, p.value})
 		}
 	}
@@ -189,18 +189,18 @@
 		return 0
 	}
 	p.row++
-	w := c.slices.AfterMoved(p.Leg, a.Epoch, a.NodeEpoch, p.row)
-	if w.Read > 0 {
-		c.hint(w.Read)
+	w := c.slices.OnNotHolder(p.Segment, a.Epoch, a.BackendEpoch, p.row)
+	if w.ReadEpoch > 0 {
+		c.hint(w.ReadEpoch)
 	}
-	if w.Until > 0 && p.wait == 0 && c.parts[p.id] == p {
-		p.wait = w.Until
+	if w.UntilEpoch > 0 && p.wait == 0 && c.parts[p.id] == p {
+		p.wait = w.UntilEpoch
 		c.waiting = append(c.waiting, p)
 	}
-	if w.Pause > 0 {
+	if w.Delay > 0 {
 		c.moves.Paused++
 	}
-	return w.Pause
+	return w.Delay
 }
 
 // reroute puts parts of other slices in the place of one whose slice is no more, if a further try of it is
@@ -216,9 +216,9 @@
 		}
 		mayHaveRun = mayHaveRun || a.how < scheduler.Rejected
 	}
-	var buf [8]slicemap.Leg
-	legs, verdict := c.slices.Again(buf[:0], p.Leg, p.req.unsafe, mayHaveRun)
-	if verdict != slicemap.Replace {
+	var buf [8]slicemap.Segment
+	legs, verdict := c.slices.Reroute(buf[:0], p.Segment, p.req.unsafe, mayHaveRun)
+	if verdict != slicemap.ReplaceSegments {
 		return
 	}
 	r, u := p.req, p.unit
@@ -226,7 +226,7 @@
 	for _, l := range legs {
 		x := c.makeLeg(r, u, l)
 		x.attempts = slices.Clone(p.attempts)
-		parts, told = append(parts, x), append(told, x.told(int(r.id)))
+		parts, told = append(parts, x), append(told, x.told(int(r.queryID)))
 	}
 	drop := func(x *part) {
 		delete(c.parts, x.id)
@@ -250,7 +250,7 @@
 }
 
 // MapChanged tells that the map has changed: retired are the slices that are in it no more.
-func (c *Core) MapChanged(retired []slicemap.ID) {
+func (c *Core) MapChanged(retired []slicemap.ShardID) {
 	now, epoch := c.clock.Now(), c.slices.Current().Epoch
 	c.module.PlacementChanged()
 	for _, id := range retired {
@@ -272,24 +272,24 @@
 	c.clock.WakeAt(0) // what waited is decided on now
 }
 
-// TakeMap takes a whole map; an error tells that it was refused and the one in use stays.
-func (c *Core) TakeMap(w slicemap.Whole) error {
+// ApplySnapshot takes a whole map; an error tells that it was refused and the one in use stays.
+func (c *Core) ApplySnapshot(w slicemap.Snapshot) error {
 	retired, err := c.slices.Reset(w)
 	return c.took(retired, err)
 }
 
-// TakeChanges takes changes of the map, all or none. nodes are what may hold slices; none: any.
-func (c *Core) TakeChanges(cs []slicemap.Change, nodes []string) error {
+// ApplyChanges takes changes of the map, all or none. nodes are what may hold slices; none: any.
+func (c *Core) ApplyChanges(cs []slicemap.Change, nodes []string) error {
 	retired, err := c.slices.Apply(cs, nodes)
 	return c.took(retired, err)
 }
 
-func (c *Core) took(retired []slicemap.ID, err error) error {
+func (c *Core) took(retired []slicemap.ShardID, err error) error {
 	if err == nil && c.Epoch() != c.toldEpoch {
 		c.toldEpoch = c.Epoch()
 		c.MapChanged(retired)
-		if n := c.slices.LetGo(); n != c.letGo {
-			c.log.Module(fmt.Sprintf("map versions at their bound: %d let go, %d in all", n-c.letGo, n))
+		if n := c.slices.DroppedVersions(); n != c.letGo {
+			c.log.SchedulerLine(fmt.Sprintf("map versions at their bound: %d let go, %d in all", n-c.letGo, n))
 			c.letGo = n
 		}
 		if c.onMap != nil {
@@ -310,5 +310,5 @@
 // window after a start (see scheduler.Balancer.TakeOver).
 func (c *Core) TakeOver(sent []scheduler.WarmupSend) { c.module.TakeOver(c.clock.Now(), sent) }
 
-// Shares tells that another process of the aggregator serves beside this one (see scheduler.Balancer.Shares).
-func (c *Core) Shares() { c.module.OtherProcessActive(c.clock.Now()) }
+// OtherProcessActive tells that another process of the aggregator serves beside this one (see scheduler.Balancer.Shares).
+func (c *Core) OtherProcessActive() { c.module.OtherProcessActive(c.clock.Now()) }
--- a/internal/core/moving_test.go
+++ b/internal/core/moving_test.go
@@ -28,12 +28,12 @@
 
 func (r *rig) Now() float64                  { return r.now }
 func (r *rig) WakeAt(at float64)             { r.wake = min(r.wake, at) }
-func (r *rig) Module(text string)            { r.lines = append(r.lines, text) }
-func (r *rig) Ended(*Request, Answer)        {}
+func (r *rig) SchedulerLine(text string)     { r.lines = append(r.lines, text) }
+func (r *rig) RequestEnded(*Request, Answer) {}
 func (r *rig) Watch()                        {}
 func (r *rig) Send(a *Attempt)               { r.sent, r.every = append(r.sent, a), append(r.every, a) }
 func (r *rig) Flush()                        {}
-func (r *rig) DropIdle(uint32)               {}
+func (r *rig) CloseIdleConnections(uint32)   {}
 func (r *rig) Withdraw(*Attempt) bool        { return false }
 func (r *rig) Abandon(a *Attempt) (ran bool) { r.take(a); return false }
 
@@ -60,27 +60,27 @@
 // newRig has 8 slices of 10 districts, each on two of the nodes a to d in a ring.
 func newRig(t *testing.T) *rig {
 	r := &rig{t: t, now: 1e6, wake: 1e12}
-	r.m = slicemap.New(slicemap.Options{Versions: 8, Number: func(n string) (uint32, bool) { return numberOf(n), true }})
+	r.m = slicemap.New(slicemap.Options{MaxVersions: 8, ReplicaNumber: func(n string) (uint32, bool) { return numberOf(n), true }})
 	s := scheduler.Settings{BrokerCount: 1, TimerResolution: 5, Shards: 8, Cells: 4, CellsPerShard: 2, Placement: r.m, MaxPartsPerCall: 1, CanCancel: true,
 		MaxAttempts: 4, MaxRetryAfter: 1000, DrainGrace: 1000, Classes: []scheduler.Class{
 			{LatencyObjective: 1000, Deadline: 2000, PriorityWeight: 2, LateFactor: 0.5, Idempotency: scheduler.NonIdempotent, MinCompleteness: 1, CompletenessTarget: 1},
 			{LatencyObjective: 1000, Deadline: 2000, PriorityWeight: 3, LateFactor: 0.5, MinCompleteness: 0.7, CompletenessTarget: 1, PartialFactor: 0.9}}}
 	var err error
-	r.c, err = New(s, 7, Options{Clock: r, Log: r, Slices: r.m})
+	r.c, err = New(s, 7, Options{Clock: r, Log: r, ShardMap: r.m})
 	require.NoError(t, err)
 	r.c.Attach(r, r)
-	r.c.OnHint(func(e uint64) { r.hints = append(r.hints, e) })
+	r.c.OnNewerMap(func(e uint64) { r.hints = append(r.hints, e) })
 	var es []scheduler.Endpoint
 	for i, n := range []string{"a", "b", "c", "d"} {
 		es = append(es, scheduler.Endpoint{Replica: numberOf(n), Cell: i, State: scheduler.Ready})
 	}
-	r.c.ListChanged(scheduler.UpdateFull, es)
-	w := slicemap.Whole{Epoch: 1, Districts: 80}
+	r.c.EndpointsChanged(scheduler.UpdateFull, es)
+	w := slicemap.Snapshot{Epoch: 1, Buckets: 80}
 	for i := range 8 {
-		w.Slices = append(w.Slices, &slicemap.Slice{ID: i, Range: slicemap.Range{Lo: 10 * i, Hi: 10*i + 10},
-			Holders: []string{string(rune('a' + i%4)), string(rune('a' + (i+1)%4))}})
+		w.Shards = append(w.Shards, &slicemap.Shard{ID: i, Range: slicemap.Range{Start: 10 * i, End: 10*i + 10},
+			Replicas: []string{string(rune('a' + i%4)), string(rune('a' + (i+1)%4))}})
 	}
-	require.NoError(t, r.c.TakeMap(w))
+	require.NoError(t, r.c.ApplySnapshot(w))
 	r.turns(1)
 	return r
 }
@@ -89,7 +89,7 @@
 func (r *rig) turns(ms int) {
 	for range ms {
 		r.now++
-		r.c.Turn()
+		r.c.RunRound()
 	}
 }
 
@@ -100,37 +100,37 @@
 func (r *rig) ask(class int, epoch uint64, shards ...int) *ends {
 	e := &ends{}
 	r.n++
-	q := &Request{Name: fmt.Sprint("q", r.n), Class: class, Deadline: r.now + 2000, Epoch: epoch, Client: e}
+	q := &Request{ID: fmt.Sprint("q", r.n), Class: class, Deadline: r.now + 2000, Epoch: epoch, Client: e}
 	for _, s := range shards {
-		q.Parts = append(q.Parts, Part{Shard: s, Weight: 1 / float64(len(shards)), Cost: 10, Hinted: true})
+		q.Parts = append(q.Parts, Part{Shard: s, Weight: 1 / float64(len(shards)), CostHint: 10, HasCostHint: true})
 	}
-	require.NoError(r.t, r.c.Take(q))
+	require.NoError(r.t, r.c.Submit(q))
 	r.turns(1)
 	return e
 }
 
 func (r *rig) change(c slicemap.Change) {
 	c.Base, c.Epoch = r.c.Epoch(), r.c.Epoch()+1
-	require.NoError(r.t, r.c.TakeChanges([]slicemap.Change{c}, nil))
+	require.NoError(r.t, r.c.ApplyChanges([]slicemap.Change{c}, nil))
 	r.turns(1)
 }
 
 // move moves a slice to another node, to the end.
 func (r *rig) move(id int, from, to string) {
-	r.change(slicemap.Change{Kind: slicemap.Move, Slice: id, From: from, To: to})
-	r.change(slicemap.Change{Kind: slicemap.Handover, Slice: id})
-	r.change(slicemap.Change{Kind: slicemap.Done, Slice: id})
+	r.change(slicemap.Change{Kind: slicemap.Move, Shard: id, From: from, To: to})
+	r.change(slicemap.Change{Kind: slicemap.Handover, Shard: id})
+	r.change(slicemap.Change{Kind: slicemap.Done, Shard: id})
 }
 
 func (r *rig) end(a *Attempt, o scheduler.Outcome) {
 	r.take(a)
-	r.c.Ended(a, o, []byte(fmt.Sprint(a.Districts)))
+	r.c.AttemptEnded(a, o, []byte(fmt.Sprint(a.Buckets)))
 	r.turns(1)
 }
 
 func nodeOf(a *Attempt) string {
 	for _, n := range []string{"a", "b", "c", "d"} {
-		if numberOf(n) == a.Node {
+		if numberOf(n) == a.Backend {
 			return n
 		}
 	}
@@ -148,7 +148,7 @@
 	for name, c := range map[string]struct {
 		o    scheduler.Outcome
 		tell func(*Attempt)
-		kind Kind
+		kind AnswerKind
 		more bool
 	}{
 		"the old holder answers":    {o: scheduler.Succeeded, kind: Answered},
@@ -167,7 +167,7 @@
 			r.move(0, old, "d")
 			r.turns(50)
 			require.Len(t, r.every, 1, "nothing else goes out while it is")
-			first.NodeEpoch = 4
+			first.BackendEpoch = 4
 			r.end(first, c.o)
 			r.turns(200)
 			if !c.more {
@@ -193,7 +193,7 @@
 	t.Run("split", func(t *testing.T) {
 		r := newRig(t)
 		e := r.ask(bind, 1, 0)
-		r.change(slicemap.Change{Kind: slicemap.Split, Slice: 0, At: 4, Into: []int{8, 9}})
+		r.change(slicemap.Change{Kind: slicemap.Split, Shard: 0, At: 4, Into: []int{8, 9}})
 		r.end(r.sent[0], scheduler.ConnectionReset)
 		r.turns(200)
 		require.Equal(t, Failed, r.one(e).Kind)
@@ -208,14 +208,14 @@
 	require.Len(t, r.sent, 4)
 	first := r.sent[0]
 	require.Equal(t, 0, first.Shard)
-	r.change(slicemap.Change{Kind: slicemap.Split, Slice: 0, At: 4, Into: []int{8, 9}})
+	r.change(slicemap.Change{Kind: slicemap.Split, Shard: 0, At: 4, Into: []int{8, 9}})
 	r.end(first, scheduler.Failed)
 	r.turns(50)
 	require.Len(t, r.every, 6)
 	halves := r.every[4:]
-	require.Equal(t, []slicemap.Range{{Lo: 0, Hi: 4}, {Lo: 4, Hi: 10}},
-		[]slicemap.Range{halves[0].Districts, halves[1].Districts})
-	require.EqualValues(t, 1, r.c.Moves().Split)
+	require.Equal(t, []slicemap.Range{{Start: 0, End: 4}, {Start: 4, End: 10}},
+		[]slicemap.Range{halves[0].Buckets, halves[1].Buckets})
+	require.EqualValues(t, 1, r.c.ReshardingStats().Split)
 	for _, a := range append([]*Attempt(nil), r.sent...) {
 		if a != halves[1] {
 			r.end(a, scheduler.Succeeded)
@@ -225,7 +225,7 @@
 	r.turns(2100)
 	a := r.one(e)
 	require.Equal(t, Answered, a.Kind)
-	require.False(t, a.Whole)
+	require.False(t, a.Complete)
 	require.Len(t, a.Values, 3)
 	for _, v := range a.Values {
 		require.NotEqual(t, 0, v.Shard, "half a part does not stand in the answer")
@@ -236,17 +236,17 @@
 	r := newRig(t)
 	e := r.ask(compare, 1, 0, 1)
 	first := r.sent[0]
-	r.change(slicemap.Change{Kind: slicemap.Split, Slice: 0, At: 4, Into: []int{8, 9}})
+	r.change(slicemap.Change{Kind: slicemap.Split, Shard: 0, At: 4, Into: []int{8, 9}})
 	r.end(first, scheduler.Failed)
 	r.turns(50)
 	for len(r.sent) > 0 {
 		r.end(r.sent[0], scheduler.Succeeded)
 	}
 	a := r.one(e)
-	require.True(t, a.Whole)
+	require.True(t, a.Complete)
 	require.EqualValues(t, 1, a.Epoch, "it is told by which map it began")
-	require.Equal(t, []Value{{0, slicemap.Range{Lo: 0, Hi: 4}, []byte("0-4")},
-		{0, slicemap.Range{Lo: 4, Hi: 10}, []byte("4-10")}, {1, slicemap.Range{Lo: 10, Hi: 20}, []byte("10-20")}}, a.Values)
+	require.Equal(t, []Value{{0, slicemap.Range{Start: 0, End: 4}, []byte("0-4")},
+		{0, slicemap.Range{Start: 4, End: 10}, []byte("4-10")}, {1, slicemap.Range{Start: 10, End: 20}, []byte("10-20")}}, a.Values)
 	require.Equal(t, 1, r.m.Stats().Kept, "its version is freed")
 	require.Empty(t, r.c.bySlice)
 	require.Empty(t, r.c.out)
@@ -255,22 +255,22 @@
 // A merged slice answers for two parts: each asks for its own districts, so none counts twice.
 func TestMergedSliceAnswersForTwoParts(t *testing.T) {
 	r := newRig(t)
-	r.change(slicemap.Change{Kind: slicemap.Split, Slice: 0, At: 4, Into: []int{8, 9}})
+	r.change(slicemap.Change{Kind: slicemap.Split, Shard: 0, At: 4, Into: []int{8, 9}})
 	e := r.ask(compare, 2, 8, 9)
 	require.Len(t, r.sent, 2)
-	r.change(slicemap.Change{Kind: slicemap.Merge, Slice: 8, Other: 9, Into: []int{10}})
+	r.change(slicemap.Change{Kind: slicemap.Merge, Shard: 8, Other: 9, Into: []int{10}})
 	old := append([]*Attempt(nil), r.sent...)
 	r.end(old[0], scheduler.Failed)
 	r.turns(50)
 	again := r.every[2]
 	require.Equal(t, 10, again.Shard)
-	require.Equal(t, slicemap.Range{Lo: 0, Hi: 4}, again.Districts)
+	require.Equal(t, slicemap.Range{Start: 0, End: 4}, again.Buckets)
 	r.end(old[1], scheduler.Succeeded) // the old name's holder answers after the merge: good
 	r.end(again, scheduler.Succeeded)
 	a := r.one(e)
-	require.True(t, a.Whole)
+	require.True(t, a.Complete)
 	require.Len(t, a.Values, 2)
-	require.Zero(t, r.c.Moves().Twice)
+	require.Zero(t, r.c.ReshardingStats().Twice)
 }
 
 // A slice goes from A to B and back to A while an answer from A's first time is out: that answer counts, once.
@@ -281,7 +281,7 @@
 	old := nodeOf(first)
 	r.move(0, old, "d")
 	r.move(0, "d", old)
-	r.change(slicemap.Change{Kind: slicemap.Split, Slice: 0, At: 4, Into: []int{8, 9}})
+	r.change(slicemap.Change{Kind: slicemap.Split, Shard: 0, At: 4, Into: []int{8, 9}})
 	r.end(first, scheduler.Succeeded)
 	require.Equal(t, Answered, r.one(e).Kind)
 	require.Len(t, r.every, 1)
@@ -291,28 +291,28 @@
 // what is newer than our map is refused, with advice, and the map is read.
 func TestNamesOfOtherEpochs(t *testing.T) {
 	r := newRig(t)
-	r.change(slicemap.Change{Kind: slicemap.Split, Slice: 0, At: 4, Into: []int{8, 9}})
+	r.change(slicemap.Change{Kind: slicemap.Split, Shard: 0, At: 4, Into: []int{8, 9}})
 	e := r.ask(compare, 1, 0, 1)
 	require.Len(t, r.sent, 3, "one part, two calls")
 	for len(r.sent) > 0 {
 		r.end(r.sent[0], scheduler.Succeeded)
 	}
-	require.True(t, r.one(e).Whole)
+	require.True(t, r.one(e).Complete)
 
-	q := &Request{Name: "old", Class: compare, Deadline: r.now + 2000, Epoch: 1, Client: &ends{},
+	q := &Request{ID: "old", Class: compare, Deadline: r.now + 2000, Epoch: 1, Client: &ends{},
 		Parts: []Part{{Shard: 77, Weight: 1}}}
-	err := r.c.Take(q)
-	var stale *StaleError
-	require.True(t, errors.As(err, &stale) && errors.Is(err, ErrContract), err)
+	err := r.c.Submit(q)
+	var stale *StaleEpochError
+	require.True(t, errors.As(err, &stale) && errors.Is(err, ErrInvalidRequest), err)
 	require.EqualValues(t, 2, stale.Epoch)
 
-	q = &Request{Name: "twice", Class: compare, Deadline: r.now + 2000, Client: &ends{},
+	q = &Request{ID: "twice", Class: compare, Deadline: r.now + 2000, Client: &ends{},
 		Parts: []Part{{Shard: 0, Weight: 0.5}, {Shard: 9, Weight: 0.5}}}
-	require.ErrorIs(t, r.c.Take(q), ErrContract, "names of two epochs that mean the same districts")
+	require.ErrorIs(t, r.c.Submit(q), ErrInvalidRequest, "names of two epochs that mean the same districts")
 
 	e = r.ask(compare, 9, 77)
 	a := r.one(e)
-	require.Equal(t, Refused, a.Kind)
+	require.Equal(t, Rejected, a.Kind)
 	require.Equal(t, behindFor, a.RetryAfter)
 	require.Equal(t, []uint64{9}, r.hints)
 }
@@ -325,11 +325,11 @@
 	for i := range 2 {
 		require.Len(t, r.every, i+1)
 		a := r.every[i]
-		a.NodeEpoch = 4
+		a.BackendEpoch = 4
 		r.end(a, scheduler.NotHolder)
 		r.turns(20)
 	}
-	require.NotEqual(t, r.every[0].Node, r.every[1].Node)
+	require.NotEqual(t, r.every[0].Backend, r.every[1].Backend)
 	require.Len(t, r.every, 2, "both holders were asked: it waits")
 	require.Equal(t, []uint64{4, 4}, r.hints)
 	r.move(0, "a", "c")
@@ -357,28 +357,28 @@
 		if next > 8 {
 			id = next - 1
 		}
-		add(slicemap.Change{Kind: slicemap.Split, Slice: id, At: 3, Into: []int{next, next + 1}})
-		add(slicemap.Change{Kind: slicemap.Move, Slice: next, From: "a", To: "d"})
-		add(slicemap.Change{Kind: slicemap.Handover, Slice: next})
-		add(slicemap.Change{Kind: slicemap.Abort, Slice: next})
-		add(slicemap.Change{Kind: slicemap.Merge, Slice: next, Other: next + 1, Into: []int{next + 2}})
+		add(slicemap.Change{Kind: slicemap.Split, Shard: id, At: 3, Into: []int{next, next + 1}})
+		add(slicemap.Change{Kind: slicemap.Move, Shard: next, From: "a", To: "d"})
+		add(slicemap.Change{Kind: slicemap.Handover, Shard: next})
+		add(slicemap.Change{Kind: slicemap.Abort, Shard: next})
+		add(slicemap.Change{Kind: slicemap.Merge, Shard: next, Other: next + 1, Into: []int{next + 2}})
 		for _, k := range []slicemap.Change{{Kind: slicemap.Move, From: "b", To: "d"}, {Kind: slicemap.Handover},
 			{Kind: slicemap.Abort}} {
-			k.Slice = 1
+			k.Shard = 1
 			add(k)
 		}
 		next += 3
 	}
 	require.Len(t, cs, 200)
-	require.NoError(t, r.c.TakeChanges(cs, nil))
-	require.Error(t, r.c.TakeChanges([]slicemap.Change{{Base: 7, Epoch: epoch + 9, Kind: slicemap.Handover}}, nil))
+	require.NoError(t, r.c.ApplyChanges(cs, nil))
+	require.Error(t, r.c.ApplyChanges([]slicemap.Change{{Base: 7, Epoch: epoch + 9, Kind: slicemap.Handover}}, nil))
 	r.end(r.sent[0], scheduler.Failed)
 	r.turns(50)
 	for len(r.sent) > 0 {
 		r.end(r.sent[0], scheduler.Succeeded)
 	}
 	a := r.one(e)
-	require.True(t, a.Whole)
+	require.True(t, a.Complete)
 	require.Len(t, a.Values, 4)
 	require.Equal(t, next-1, r.every[4].Shard, "the last slice of that name's districts")
 }
@@ -389,7 +389,7 @@
 	var all []*ends
 	for i := range 12 {
 		all = append(all, r.ask(compare, 0, i%8))
-		r.change(slicemap.Change{Kind: slicemap.Assign, Slice: 7, Holders: []string{"a", "b", "c", "d"}[i%4 : i%4+1]})
+		r.change(slicemap.Change{Kind: slicemap.Assign, Shard: 7, Replicas: []string{"a", "b", "c", "d"}[i%4 : i%4+1]})
 	}
 	require.Equal(t, 8, r.m.Stats().Kept)
 	require.Contains(t, r.lines, "map versions at their bound: 1 let go, 5 in all")
@@ -397,7 +397,7 @@
 		r.end(r.sent[0], scheduler.Succeeded)
 	}
 	for _, e := range all {
-		require.True(t, r.one(e).Whole)
+		require.True(t, r.one(e).Complete)
 	}
 	require.Equal(t, 1, r.m.Stats().Kept)
 }
@@ -408,10 +408,10 @@
 	s := scheduler.Settings{BrokerCount: 1, TimerResolution: 5, Shards: 8, Cells: 4, CellsPerShard: 2, Placement: m, MaxRetryAfter: 1000,
 		Classes: []scheduler.Class{{LatencyObjective: 1, Deadline: 2, PriorityWeight: 2, MinCompleteness: 1, CompletenessTarget: 1}}}
 	var err error
-	r.c, err = New(s, 7, Options{Clock: r, Log: r, Slices: m})
+	r.c, err = New(s, 7, Options{Clock: r, Log: r, ShardMap: m})
 	require.NoError(t, err)
 	r.c.Attach(r, r)
 	a := r.one(r.ask(0, 0, 3))
-	require.Equal(t, Refused, a.Kind, "before the first map a query is refused at once, with advice")
+	require.Equal(t, Rejected, a.Kind, "before the first map a query is refused at once, with advice")
 	require.Positive(t, a.RetryAfter)
 }
--- a/internal/decision/scheduler/balance_test.go
+++ b/internal/decision/scheduler/balance_test.go
@@ -85,7 +85,7 @@
 		coldTold: map[uint32]float64{}, cell: map[uint32]int{}, refused: map[uint64]float64{}}
 	var err error
 	if s.Placement == nil {
-		s.Placement = slicemap.NewFixed(s.Shards, s.Cells, s.CellsPerShard)
+		s.Placement = slicemap.NewRingPlacement(s.Shards, s.Cells, s.CellsPerShard)
 	}
 	if g.b, err = New(s, 7, g); err != nil {
 		t.Fatal(err)
@@ -994,7 +994,7 @@
 	} {
 		s := settings()
 		change(&s)
-		s.Placement = slicemap.NewFixed(s.Shards, s.Cells, s.CellsPerShard)
+		s.Placement = slicemap.NewRingPlacement(s.Shards, s.Cells, s.CellsPerShard)
 		if _, err := New(s, 1, &rig{}); err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -1264,7 +1264,7 @@
 		s := settings()
 		s.Classes = append([]Class(nil), s.Classes...)
 		spoil(&s)
-		s.Placement = slicemap.NewFixed(s.Shards, s.Cells, s.CellsPerShard)
+		s.Placement = slicemap.NewRingPlacement(s.Shards, s.Cells, s.CellsPerShard)
 		if _, err := New(s, 1, newRig(t, settings())); err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: error %v", name, err)
 		}
--- a/internal/decision/scheduler/example_test.go
+++ b/internal/decision/scheduler/example_test.go
@@ -28,7 +28,7 @@
 	out := &printer{}
 	b, err := scheduler.New(scheduler.Settings{
 		Classes: []scheduler.Class{{LatencyObjective: 500, Deadline: 1000, PriorityWeight: 1, MinCompleteness: 1, CompletenessTarget: 1}},
-		Shards:  2, Cells: 2, CellsPerShard: 2, Placement: slicemap.NewFixed(2, 2, 2), AllowHedging: true, MaxAttempts: 3, MaxRetryAfter: 1000, TimerResolution: 1,
+		Shards:  2, Cells: 2, CellsPerShard: 2, Placement: slicemap.NewRingPlacement(2, 2, 2), AllowHedging: true, MaxAttempts: 3, MaxRetryAfter: 1000, TimerResolution: 1,
 	}, 1, out)
 	if err != nil {
 		fmt.Println(err)
--- a/internal/decision/scheduler/fleet_test.go
+++ b/internal/decision/scheduler/fleet_test.go
@@ -53,7 +53,7 @@
 	for i := range peers {
 		s := settings()
 		s.BrokerCount, s.BrokerIndex, s.PollEndpoints, s.MaxStaleness = told, i%told, true, 10000
-		s.Placement = slicemap.NewFixed(s.Shards, s.Cells, s.CellsPerShard)
+		s.Placement = slicemap.NewRingPlacement(s.Shards, s.Cells, s.CellsPerShard)
 		a := &quiet{}
 		b, err := New(s, uint64(i)*7919+11, a)
 		if err != nil {
@@ -169,7 +169,7 @@
 		Classes:     []Class{{LatencyObjective: 400, Deadline: 1000, PriorityWeight: 1, LateFactor: 0.3, Idempotency: Idempotent, MinCompleteness: 1, CompletenessTarget: 1}},
 		BrokerCount: peers, TimerResolution: 1, Shards: 12, Cells: 6, CellsPerShard: 3, MaxPartsPerCall: 1, CanCancel: true, MaxAttempts: 4,
 		MaxRetryAfter: 1000, DrainGrace: 1000, SlowStartInitialCapacity: 0.21, SlowStartDuration: 18000, SlowStartWorkMultiple: 2.5, SlowStartWindow: 1500}}
-	f.s.Placement = slicemap.NewFixed(f.s.Shards, f.s.Cells, f.s.CellsPerShard)
+	f.s.Placement = slicemap.NewRingPlacement(f.s.Shards, f.s.Cells, f.s.CellsPerShard)
 	for range f.s.Cells {
 		f.replicas = append(f.replicas, &server{})
 	}
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -57,8 +57,8 @@
 var phases = map[string]scheduler.ReplicaState{"SERVING": scheduler.Ready, "DRAINING": scheduler.Draining,
 	"DELETED": scheduler.Removed}
 
-// Nodes numbers the members and knows their addresses.
-type Nodes struct {
+// Registry numbers the members and knows their addresses.
+type Registry struct {
 	zones   map[string]int
 	byID    map[string]uint32
 	address map[uint32]string
@@ -78,29 +78,29 @@
 
 // Suspender says which members the operators hold out of service, and hears of every member that is listed.
 type Suspender interface {
-	Listed(id string)
+	MemberListed(id string)
 	Suspended(id string) bool
 }
 
-// SuspendBy has members that h holds out given to the module as draining, whatever the list says.
-func (n *Nodes) SuspendBy(h Suspender) { n.hold = h }
+// SetSuspender has members that h holds out given to the module as draining, whatever the list says.
+func (n *Registry) SetSuspender(h Suspender) { n.hold = h }
 
-// Entry is the module's form of a listed member, with what holds applied; false for one that is not listed.
-func (n *Nodes) Entry(id string) (scheduler.Endpoint, bool) {
+// Endpoint is the module's form of a listed member, with what holds applied; false for one that is not listed.
+func (n *Registry) Endpoint(id string) (scheduler.Endpoint, bool) {
 	e, ok := n.entries[id]
 	return n.suspended(id, e), ok
 }
 
-func (n *Nodes) suspended(id string, e scheduler.Endpoint) scheduler.Endpoint {
+func (n *Registry) suspended(id string, e scheduler.Endpoint) scheduler.Endpoint {
 	if n.hold != nil && e.State == scheduler.Ready && n.hold.Suspended(id) {
 		e.State = scheduler.Draining
 	}
 	return e
 }
 
-// NewNodes makes an empty table; zones are the settings' names in order.
-func NewNodes(zones []string) *Nodes {
-	n := &Nodes{zones: map[string]int{}, byID: map[string]uint32{}, address: map[uint32]string{},
+// NewRegistry makes an empty table; zones are the settings' names in order.
+func NewRegistry(zones []string) *Registry {
+	n := &Registry{zones: map[string]int{}, byID: map[string]uint32{}, address: map[uint32]string{},
 		listed: map[string]float64{}, entries: map[string]scheduler.Endpoint{}, ended: map[string]ending{}}
 	for i, z := range zones {
 		n.zones[z] = i
@@ -109,7 +109,7 @@
 }
 
 // number is a member's number: the same at every broker, as the module takes turns by it.
-func (n *Nodes) number(id string) uint32 {
+func (n *Registry) number(id string) uint32 {
 	if x, ok := n.byID[id]; ok {
 		return x
 	}
@@ -123,22 +123,22 @@
 	return x
 }
 
-// Number is the number of a member that is listed.
-func (n *Nodes) Number(id string) (uint32, bool) {
+// ReplicaNumber is the number of a member that is listed.
+func (n *Registry) ReplicaNumber(id string) (uint32, bool) {
 	_, ok := n.listed[id]
 	return n.byID[id], ok
 }
 
 // Address is where a node listens, "" if it is not known any more.
-func (n *Nodes) Address(node uint32) string { return n.address[node] }
+func (n *Registry) Address(node uint32) string { return n.address[node] }
 
-// Size is how many members are listed as serving or draining.
-func (n *Nodes) Size() int { return len(n.listed) }
+// Len is how many members are listed as serving or draining.
+func (n *Registry) Len() int { return len(n.listed) }
 
 // recall is the state in which a member is listed. What was told of a drain or an end holds until the member
 // has started anew, or a list of a higher version says otherwise: a service that answers from an older list,
 // or has started anew and counts from elsewhere, does not bring a member back.
-func (n *Nodes) recall(m Member, revision uint64) scheduler.ReplicaState {
+func (n *Registry) recall(m Member, revision uint64) scheduler.ReplicaState {
 	state := phases[m.Phase]
 	was, ended := n.ended[m.ID]
 	switch {
@@ -153,7 +153,7 @@
 }
 
 // end keeps that a member was told to drain or to be gone. Beyond a bound the one told first is forgotten.
-func (n *Nodes) end(id string, e ending) {
+func (n *Registry) end(id string, e ending) {
 	if n.ended[id] = e; len(n.ended) <= mostEnded {
 		return
 	}
@@ -167,7 +167,7 @@
 }
 
 // absent notes the members that a whole list has no more.
-func (n *Nodes) absent(l List) {
+func (n *Registry) absent(l List) {
 	has := make(map[string]bool, len(l.Members))
 	for _, m := range l.Members {
 		has[m.ID] = true
@@ -180,7 +180,7 @@
 }
 
 // Apply takes a list and gives the module's form of it. shift turns a wall clock reading into the loop's.
-func (n *Nodes) Apply(l List, shift float64) []scheduler.Endpoint {
+func (n *Registry) Apply(l List, shift float64) []scheduler.Endpoint {
 	if l.Complete {
 		n.absent(l)
 		clear(n.listed)
@@ -199,7 +199,7 @@
 			n.address[e.Replica] = m.Address
 			n.entries[m.ID] = e
 			if n.hold != nil {
-				n.hold.Listed(m.ID)
+				n.hold.MemberListed(m.ID)
 			}
 		}
 		es = append(es, n.suspended(m.ID, e))
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -23,7 +23,7 @@
 
 // Core takes the list.
 type Core interface {
-	ListChanged(kind scheduler.UpdateKind, entries []scheduler.Endpoint)
+	EndpointsChanged(kind scheduler.UpdateKind, entries []scheduler.Endpoint)
 }
 
 // Watcher keeps the list up to date over one connection, by what its reader decides. It implements core.List.
@@ -31,8 +31,8 @@
 	loop    *loop.Loop
 	core    Core
 	log     *logs.Log
-	nodes   *Nodes
-	reader  *membership.Reader
+	nodes   *Registry
+	reader  *membership.Poller
 	address string
 	room    func() bool
 	s       *loop.Stream
@@ -47,7 +47,7 @@
 
 // NewWatcher makes a watcher that asks nothing until Watch, or Start where the list is pushed. room closes
 // what can be spared where the process has no descriptor left for a call.
-func NewWatcher(l *loop.Loop, c Core, log *logs.Log, nodes *Nodes, reader *membership.Reader, address string,
+func NewWatcher(l *loop.Loop, c Core, log *logs.Log, nodes *Registry, reader *membership.Poller, address string,
 	room func() bool) *Watcher {
 	w := &Watcher{loop: l, core: c, log: log, nodes: nodes, reader: reader, address: address, room: room}
 	w.timer = l.NewTimer(func() { w.fail(logs.DiscoveryTimeout, errors.New("no answer in time")) })
@@ -66,15 +66,15 @@
 	}
 }
 
-// Known takes the list that the configuration carries: possibly old, hence cached.
-func (w *Watcher) Known(l List) {
-	w.reader.Known(l.Revision, len(l.Members))
+// LoadKnown takes the list that the configuration carries: possibly old, hence cached.
+func (w *Watcher) LoadKnown(l List) {
+	w.reader.SetKnown(l.Revision, len(l.Members))
 	l.Complete = true
-	w.core.ListChanged(scheduler.UpdateCached, w.nodes.Apply(l, w.shift()))
+	w.core.EndpointsChanged(scheduler.UpdateCached, w.nodes.Apply(l, w.shift()))
 }
 
 // shift takes a reading of the wall clock to the loop's.
-func (w *Watcher) shift() float64 { return w.loop.Clock() - float64(time.Now().UnixMicro())/1000 }
+func (w *Watcher) shift() float64 { return w.loop.ReadClock() - float64(time.Now().UnixMicro())/1000 }
 
 // Watch implements core.List.
 func (w *Watcher) Watch() {
@@ -90,38 +90,38 @@
 	})
 }
 
-// Move goes on at another address, at once: the whole list is asked for anew, as versions need not be the
+// MoveTo goes on at another address, at once: the whole list is asked for anew, as versions need not be the
 // same there. The old connection is closed with whatever it still holds, so that neither its late answer nor
 // its end is taken for the new one's.
-func (w *Watcher) Move(address string) {
-	w.drop(logs.DiscoveryMoved, nil)
-	w.reader.Moved()
+func (w *Watcher) MoveTo(address string) {
+	w.drop(logs.DiscoveryAddressChanged, nil)
+	w.reader.AddressChanged()
 	w.address, w.calling = address, true
 	w.call()
 }
 
 // call sends the next call of the watch, on the connection of the last if that is still open.
 func (w *Watcher) call() {
-	c := w.reader.Begin(w.loop.Now())
+	c := w.reader.BeginCall(w.loop.Now())
 	w.out = true
 	w.again.Stop()
 	if w.s == nil {
-		fd, err := loop.ConnectWith(w.address, w.room)
+		fd, err := loop.ConnectFreeing(w.address, w.room)
 		if err == nil {
 			w.s, err = loop.NewStream(w.loop, fd, unix.EPOLLIN|unix.EPOLLOUT|unix.EPOLLRDHUP, w)
 		}
 		if err != nil {
-			w.fail(logs.DiscoveryRefused, err)
+			w.fail(logs.DiscoveryConnectFailed, err)
 			return
 		}
 		w.up = false
-		w.timer.Set(w.loop.Now() + min(dialMost, c.Patience))
+		w.timer.Set(w.loop.Now() + min(dialMost, c.Timeout))
 	} else {
-		w.timer.Set(w.loop.Now() + c.Patience)
+		w.timer.Set(w.loop.Now() + c.Timeout)
 	}
 	target := path
-	if !c.Whole {
-		target = fmt.Sprintf("%s?index=%d&wait=%.0f", path, c.Index, c.Wait)
+	if !c.FullList {
+		target = fmt.Sprintf("%s?index=%d&wait=%.0f", path, c.SinceRevision, c.Wait)
 	}
 	w.s.Out = append(w.s.Out, "GET "+target+" HTTP/1.1\r\nHost: "+w.address+"\r\n\r\n"...)
 	w.write()
@@ -139,21 +139,21 @@
 	if len(w.s.Out) > 0 {
 		want |= unix.EPOLLOUT
 	}
-	w.s.Want(want)
+	w.s.SetEvents(want)
 }
 
 // Ready implements loop.Handler.
 func (w *Watcher) Ready(events uint32) {
 	if !w.up {
-		if err := loop.Failure(w.s.FD); err != nil {
-			w.fail(logs.DiscoveryRefused, err)
+		if err := loop.SocketError(w.s.FD); err != nil {
+			w.fail(logs.DiscoveryConnectFailed, err)
 			return
 		}
 		if events&unix.EPOLLOUT == 0 {
 			return
 		}
 		w.up = true
-		w.timer.Set(w.loop.Now() + w.reader.Patience())
+		w.timer.Set(w.loop.Now() + w.reader.Timeout())
 	}
 	if events&(unix.EPOLLIN|unix.EPOLLRDHUP|unix.EPOLLHUP|unix.EPOLLERR) != 0 {
 		eof, err := w.s.Read(maxAnswer)
@@ -164,7 +164,7 @@
 		switch {
 		case eof && w.calls > calls:
 			// Its end came right behind an answer: the watch goes on over a new connection.
-			w.drop(logs.DiscoveryEnded, nil)
+			w.drop(logs.DiscoveryClosed, nil)
 			if w.out { // the next call was on this one
 				w.call()
 			}
@@ -173,10 +173,10 @@
 			w.fail(logs.DiscoveryReset, err)
 			return
 		case eof && (w.out || len(w.s.In) > 0):
-			w.fail(logs.DiscoveryEnded, nil)
+			w.fail(logs.DiscoveryClosed, nil)
 			return
 		case eof:
-			w.drop(logs.DiscoveryEnded, nil)
+			w.drop(logs.DiscoveryClosed, nil)
 			return
 		}
 	}
@@ -188,7 +188,7 @@
 	status, body, size, last, err := httpanswer.Parse(w.s.In, maxAnswer, ended)
 	if err == nil && size == 0 {
 		if len(w.s.In) >= maxAnswer {
-			w.fail(logs.DiscoveryBad, fmt.Errorf("answer over %d bytes", maxAnswer))
+			w.fail(logs.DiscoveryMalformed, fmt.Errorf("answer over %d bytes", maxAnswer))
 		}
 		return
 	}
@@ -203,7 +203,7 @@
 		l, err = ParseList(body)
 	}
 	if err != nil {
-		w.fail(logs.DiscoveryBad, err)
+		w.fail(logs.DiscoveryMalformed, err)
 		return
 	}
 	w.calls++
@@ -214,21 +214,21 @@
 		w.silent = false
 		w.log.Info("list is read again", zap.String("address", w.address), zap.Any("counts", w.reader.Stats()))
 	}
-	next := w.reader.Answered(w.loop.Now(), membership.Answer{Complete: l.Complete, Revision: l.Revision,
-		Members: len(l.Members)})
+	next := w.reader.HandleResponse(w.loop.Now(), membership.Response{Complete: l.Complete, Revision: l.Revision,
+		MemberCount: len(l.Members)})
 	if next.Err != nil {
-		w.log.Warn("list not taken", zap.String("code", string(logs.DiscoveryNotTaken)),
+		w.log.Warn("list not taken", zap.String("code", string(logs.DiscoveryListRejected)),
 			zap.Uint64("revision", l.Revision), zap.Error(next.Err))
 	}
-	if next.Take {
+	if next.Apply {
 		kind := scheduler.UpdateDelta
 		if l.Complete {
 			kind = scheduler.UpdateFull
 		}
-		w.core.ListChanged(kind, w.nodes.Apply(l, w.shift()))
+		w.core.EndpointsChanged(kind, w.nodes.Apply(l, w.shift()))
 	}
 	if last {
-		w.drop(logs.DiscoveryEnded, nil)
+		w.drop(logs.DiscoveryClosed, nil)
 	}
 	// A watch goes on only if the next call comes within 200 ms.
 	if next.At <= w.loop.Now() {
@@ -243,7 +243,7 @@
 	if w.s != nil {
 		w.s.Close()
 		w.s, w.up = nil, false
-		w.log.Conn(code, w.address, w.calls, err)
+		w.log.ConnectionEnded(code, w.address, w.calls, err)
 		w.calls = 0
 	}
 }
@@ -252,7 +252,7 @@
 // the module hears of it and asks again after a delay of its own. An agent is read on at its pace.
 func (w *Watcher) fail(code logs.Code, err error) {
 	if w.s == nil && !w.silent {
-		w.log.Conn(code, w.address, 0, err)
+		w.log.ConnectionEnded(code, w.address, 0, err)
 	}
 	w.drop(code, err)
 	w.timer.Stop()
@@ -261,15 +261,15 @@
 		return
 	}
 	w.out = false
-	next := w.reader.Failed(w.loop.Now(), code == logs.DiscoveryTimeout)
-	if next.Tell {
+	next := w.reader.HandleFailure(w.loop.Now(), code == logs.DiscoveryTimeout)
+	if next.NotifyFailure {
 		w.calling = false
-		w.core.ListChanged(scheduler.UpdateFailed, nil)
+		w.core.EndpointsChanged(scheduler.UpdateFailed, nil)
 		return
 	}
 	if !w.silent {
 		w.silent = true
-		w.log.Warn("list is silent: the last one holds", zap.String("code", string(logs.DiscoverySilent)),
+		w.log.Warn("list is silent: the last one holds", zap.String("code", string(logs.DiscoveryUnresponsive)),
 			zap.String("address", w.address))
 	}
 	w.again.Set(next.At)
--- a/internal/fetch/plan_test.go
+++ b/internal/fetch/plan_test.go
@@ -31,7 +31,7 @@
 	var districts []slicemap.Range
 	var weights []float64
 	for i := range n {
-		d := slicemap.Range{Lo: i, Hi: i + 1}
+		d := slicemap.Range{Start: i, End: i + 1}
 		districts, weights = append(districts, d), append(weights, 1/float64(n))
 		for j := range each {
 			w.rows[d] = append(w.rows[d], merge.Row{District: i, Key: fmt.Sprintf("%06d", j),
@@ -119,7 +119,7 @@
 		at := int64(0)
 		for j := range 200 {
 			at += int64(r.ExpFloat64() * 1e6 / each)
-			w.rows[d] = append(w.rows[d], merge.Row{District: d.Lo, Key: fmt.Sprintf("%06d", j),
+			w.rows[d] = append(w.rows[d], merge.Row{District: d.Start, Key: fmt.Sprintf("%06d", j),
 				Values: []merge.Value{merge.IntOf(at)}})
 		}
 	}
@@ -136,7 +136,7 @@
 		var d []slicemap.Range
 		var w []float64
 		for i := range 10 {
-			d, w = append(d, slicemap.Range{Lo: i, Hi: i + 1}), append(w, 0.1)
+			d, w = append(d, slicemap.Range{Start: i, End: i + 1}), append(w, 0.1)
 		}
 		o := options(10)
 		o.Floor = floor
@@ -176,12 +176,12 @@
 
 // A slice that is split between two fetches of a page is read anew as its halves; its old rows do not stand.
 func TestSplitBetweenTwoFetches(t *testing.T) {
-	d := []slicemap.Range{{Lo: 0, Hi: 10}, {Lo: 10, Hi: 20}}
+	d := []slicemap.Range{{Start: 0, End: 10}, {Start: 10, End: 20}}
 	p, _ := New(0, options(10), d, []float64{0.5, 0.5})
 	require.True(t, p.Got(5, d[0], 8, true))
 	require.True(t, p.Got(5, d[1], 8, true))
 	require.Len(t, p.More(6, d[:1]), 1)
-	asks := p.Replace(7, d[0], []slicemap.Range{{Lo: 0, Hi: 4}, {Lo: 4, Hi: 10}})
+	asks := p.Replace(7, d[0], []slicemap.Range{{Start: 0, End: 4}, {Start: 4, End: 10}})
 	require.Len(t, asks, 2)
 	require.Zero(t, asks[0].Have)
 	require.False(t, p.Stands(d[0]))
--- a/internal/flight/config.go
+++ b/internal/flight/config.go
@@ -14,11 +14,11 @@
 
 // Config is what the file says.
 type Config struct {
-	Enabled bool   `toml:"enabled"` // the front listens
-	Listen  string `toml:"listen"`  // where it listens
-	Nodes   bool   `toml:"nodes"`   // rate nodes are asked over Flight in place of frames
-	Streams int    `toml:"streams"` // calls of one client connection at a time
-	Conns   int    `toml:"conns"`   // client connections at a time
+	Enabled              bool   `toml:"enabled"` // the front listens
+	Listen               string `toml:"listen"`  // where it listens
+	Backends             bool   `toml:"nodes"`   // rate nodes are asked over Flight in place of frames
+	StreamsPerConnection int    `toml:"streams"` // calls of one client connection at a time
+	MaxConnections       int    `toml:"conns"`   // client connections at a time
 }
 
 const (
@@ -28,17 +28,17 @@
 
 // Defaults fills in what the operators left out.
 func (c *Config) Defaults() {
-	if c.Streams == 0 {
-		c.Streams = defaultStreams
+	if c.StreamsPerConnection == 0 {
+		c.StreamsPerConnection = defaultStreams
 	}
-	if c.Conns == 0 {
-		c.Conns = defaultConns
+	if c.MaxConnections == 0 {
+		c.MaxConnections = defaultConns
 	}
 }
 
 // Load reads the file; one that is not there leaves Flight off.
 func Load(path string) (Config, error) {
-	c := Config{Streams: defaultStreams, Conns: defaultConns}
+	c := Config{StreamsPerConnection: defaultStreams, MaxConnections: defaultConns}
 	m, err := toml.DecodeFile(path, &c)
 	if errors.Is(err, os.ErrNotExist) {
 		return Config{}, nil
@@ -49,8 +49,8 @@
 	if odd := m.Undecoded(); len(odd) > 0 {
 		return Config{}, fmt.Errorf("%s: %s: unknown key", path, odd[0])
 	}
-	if c.Streams < 1 || c.Conns < 1 {
-		return Config{}, fmt.Errorf("%s: streams and conns: %d and %d, 1 at least", path, c.Streams, c.Conns)
+	if c.StreamsPerConnection < 1 || c.MaxConnections < 1 {
+		return Config{}, fmt.Errorf("%s: streams and conns: %d and %d, 1 at least", path, c.StreamsPerConnection, c.MaxConnections)
 	}
 	if c.Enabled {
 		if _, err := netip.ParseAddrPort(c.Listen); err != nil {
--- a/internal/flight/front.go
+++ b/internal/flight/front.go
@@ -46,8 +46,8 @@
 
 // Core is what the front asks of core, on the loop.
 type Core interface {
-	Take(*core.Request) error
-	Left(*core.Request)
+	Submit(*core.Request) error
+	ClientDisconnected(*core.Request)
 }
 
 // Loop is how this package's goroutines reach the decisions.
@@ -61,7 +61,7 @@
 	flight.BaseFlightServer
 	loop     Loop
 	core     Core
-	book     *contract.Book
+	book     *contract.Contracts
 	log      *logs.Log
 	server   *grpc.Server
 	draining atomic.Bool
@@ -69,17 +69,17 @@
 }
 
 // Listen starts the front.
-func Listen(c Config, l Loop, k Core, b *contract.Book, log *logs.Log) (*Front, error) {
+func Listen(c Config, l Loop, k Core, b *contract.Contracts, log *logs.Log) (*Front, error) {
 	f := &Front{loop: l, core: k, book: b, log: log}
 	ln, err := net.Listen("tcp", c.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("flight: %w", err)
 	}
-	f.server = grpc.NewServer(grpc.MaxConcurrentStreams(uint32(c.Streams)), grpc.MaxRecvMsgSize(maxGRPC),
+	f.server = grpc.NewServer(grpc.MaxConcurrentStreams(uint32(c.StreamsPerConnection)), grpc.MaxRecvMsgSize(maxGRPC),
 		grpc.MaxHeaderListSize(16<<10), grpc.StatsHandler(&connLog{log: log}))
 	flight.RegisterFlightServiceServer(f.server, f)
 	go func() {
-		if err := f.server.Serve(netutil.LimitListener(ln, c.Conns)); err != nil {
+		if err := f.server.Serve(netutil.LimitListener(ln, c.MaxConnections)); err != nil {
 			log.Error("flight front: " + err.Error())
 		}
 	}()
@@ -131,12 +131,12 @@
 		}
 		// What the call waited for the loop is part of its time.
 		if by, ok := ctx.Deadline(); ok {
-			env.Wait = float64(time.Until(by)) / 1e6
+			env.ClientTimeout = float64(time.Until(by)) / 1e6
 		}
-		q, err := f.book.Read(env, t.GetTicket(), f.loop.Now())
+		q, err := f.book.ParseQuery(env, t.GetTicket(), f.loop.Now())
 		if err == nil {
 			q.Client, r = c, q
-			err = f.core.Take(q)
+			err = f.core.Submit(q)
 		}
 		taken <- err
 	})
@@ -150,7 +150,7 @@
 		select {
 		case a = <-c.answer: // a cancel that crosses a good answer does not undo it
 		default:
-			f.loop.Post(func() { f.core.Left(r) })
+			f.loop.Post(func() { f.core.ClientDisconnected(r) })
 			return status.FromContextError(ctx.Err()).Err()
 		}
 	}
@@ -173,7 +173,7 @@
 		return contract.Envelope{}, status.Error(codes.InvalidArgument, "the call has no deadline")
 	}
 	return contract.Envelope{ID: one(keyID), Class: one(keyClass), Tenant: one(keyTenant),
-		Retry: one(keyRetry) == "1", DedupKey: one(keyDedup)}, nil
+		Retry: one(keyRetry) == "1", IdempotencyKey: one(keyDedup)}, nil
 }
 
 // refusal maps what a front says of a query that core has not taken.
@@ -186,7 +186,7 @@
 	case errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded):
 		return status.FromContextError(err).Err()
 	}
-	var stale *core.StaleError
+	var stale *core.StaleEpochError
 	if errors.As(err, &stale) {
 		st := status.New(codes.InvalidArgument, err.Error())
 		info := &errdetails.ErrorInfo{Reason: "STALE_SLICE", Domain: "ternstage",
@@ -204,7 +204,7 @@
 	switch {
 	case a.Kind == core.Answered:
 		return nil
-	case a.Kind == core.Refused:
+	case a.Kind == core.Rejected:
 		st := status.New(codes.Unavailable, "refused: trying again is harmless")
 		delay := durationpb.New(time.Duration(max(a.RetryAfter, 1) * 1e6))
 		if with, err := st.WithDetails(&errdetails.RetryInfo{RetryDelay: delay}); err == nil {
@@ -219,7 +219,7 @@
 
 // send writes the answer as one record batch, a row for each part that is in.
 func send(s flight.FlightService_DoGetServer, a core.Answer) error {
-	names, values, fields := []string{metaWhole}, []string{strconv.FormatBool(a.Whole)}, answerSchema
+	names, values, fields := []string{metaWhole}, []string{strconv.FormatBool(a.Complete)}, answerSchema
 	if a.Epoch > 0 {
 		names, values = append(names, metaEpoch), append(values, strconv.FormatUint(a.Epoch, 10))
 		fields = append(slices.Clone(fields), districtFields...)
@@ -232,8 +232,8 @@
 		b.Field(0).(*array.Int32Builder).Append(int32(v.Shard))
 		b.Field(1).(*array.BinaryBuilder).Append(v.Doc)
 		if a.Epoch > 0 {
-			b.Field(2).(*array.Int32Builder).Append(int32(v.Districts.Lo))
-			b.Field(3).(*array.Int32Builder).Append(int32(v.Districts.Hi))
+			b.Field(2).(*array.Int32Builder).Append(int32(v.Buckets.Start))
+			b.Field(3).(*array.Int32Builder).Append(int32(v.Buckets.End))
 		}
 	}
 	rec := b.NewRecordBatch()
@@ -280,7 +280,7 @@
 func (h *connLog) HandleConn(ctx context.Context, s stats.ConnStats) {
 	if c, ok := ctx.Value(connKey{}).(*connState); ok {
 		if _, end := s.(*stats.ConnEnd); end {
-			h.log.Conn(logs.FlightDone, c.peer, int(c.served.Load()), nil)
+			h.log.ConnectionEnded(logs.FlightClientClosed, c.peer, int(c.served.Load()), nil)
 		}
 	}
 }
--- a/internal/flight/nodes.go
+++ b/internal/flight/nodes.go
@@ -26,16 +26,16 @@
 
 // Outcomes takes what became of attempts, on the loop.
 type Outcomes interface {
-	Ended(a *core.Attempt, o scheduler.Outcome, value []byte)
-	Later(a *core.Attempt, o scheduler.Outcome)
+	AttemptEnded(a *core.Attempt, o scheduler.Outcome, value []byte)
+	AttemptEndedLater(a *core.Attempt, o scheduler.Outcome)
 }
 
-// NodeOptions are the limits of the back end, from the settings.
-type NodeOptions struct {
-	Streams     int
-	DialTimeout float64 // ms
-	KeepAlive   float64 // ms
-	Sockets     int
+// BackendOptions are the limits of the back end, from the settings.
+type BackendOptions struct {
+	StreamsPerConnection int
+	DialTimeout          float64 // ms
+	KeepAlive            float64 // ms
+	MaxConnections       int
 }
 
 const (
@@ -43,13 +43,13 @@
 	idleShare = 0.9
 )
 
-// Nodes asks rate nodes over Flight. It implements core.Backend. A part is a DoGet of its own: Flight has no
+// BackendClient asks rate nodes over Flight. It implements core.Backend. A part is a DoGet of its own: Flight has no
 // call that carries several tickets.
-type Nodes struct {
+type BackendClient struct {
 	loop    Loop
 	core    Outcomes
 	log     *logs.Log
-	o       NodeOptions
+	o       BackendOptions
 	address func(node uint32) string
 	nodes   map[uint32][]*channel // by node: its connections; the loop's alone
 	conns   int
@@ -84,34 +84,34 @@
 	stateDropped // from here on it never will
 )
 
-// NewNodes makes the back end; address looks a node's address up.
-func NewNodes(l Loop, c Outcomes, log *logs.Log, o NodeOptions, address func(uint32) string) *Nodes {
-	return &Nodes{loop: l, core: c, log: log, o: o, address: address, nodes: map[uint32][]*channel{}}
+// NewBackendClient makes the back end; address looks a node's address up.
+func NewBackendClient(l Loop, c Outcomes, log *logs.Log, o BackendOptions, address func(uint32) string) *BackendClient {
+	return &BackendClient{loop: l, core: c, log: log, o: o, address: address, nodes: map[uint32][]*channel{}}
 }
 
 // Send implements core.Backend.
-func (n *Nodes) Send(a *core.Attempt) {
+func (n *BackendClient) Send(a *core.Attempt) {
 	x := &attempt{Attempt: a}
 	a.Handle = x
 	n.turn = append(n.turn, x)
 }
 
 // Flush implements core.Backend.
-func (n *Nodes) Flush() {
+func (n *BackendClient) Flush() {
 	turn := n.turn
 	n.turn = nil
 	for _, x := range turn {
 		if x.over {
 			continue
 		}
-		if x.ch = n.channel(x.Node); x.ch == nil {
+		if x.ch = n.channel(x.Backend); x.ch == nil {
 			x.over = true
-			n.core.Later(x.Attempt, scheduler.ConnectFailed)
+			n.core.AttemptEndedLater(x.Attempt, scheduler.ConnectFailed)
 			continue
 		}
 		x.ch.out++
 		left := time.Duration(max(x.Deadline-n.loop.Now(), 1) * 1e6)
-		hold := time.Duration(max(min(x.SendBy-n.loop.Now(), n.o.DialTimeout), 0) * 1e6)
+		hold := time.Duration(max(min(x.StartBy-n.loop.Now(), n.o.DialTimeout), 0) * 1e6)
 		ctx, cancel := context.WithTimeout(context.Background(), left)
 		x.cancel = cancel
 		go n.run(ctx, x, left, hold)
@@ -119,7 +119,7 @@
 }
 
 // channel is a connection to a node with a stream to spare.
-func (n *Nodes) channel(node uint32) *channel {
+func (n *BackendClient) channel(node uint32) *channel {
 	addr := n.address(node)
 	if addr == "" {
 		return nil
@@ -127,11 +127,11 @@
 	for _, ch := range n.nodes[node] {
 		if ch.addr != addr {
 			n.retire(ch)
-		} else if ch.out < n.o.Streams && !ch.retired {
+		} else if ch.out < n.o.StreamsPerConnection && !ch.retired {
 			return ch
 		}
 	}
-	if n.conns >= n.o.Sockets {
+	if n.conns >= n.o.MaxConnections {
 		return nil
 	}
 	idle := time.Duration(n.o.KeepAlive * idleShare * 1e6)
@@ -140,7 +140,7 @@
 		grpc.WithDisableRetry(), grpc.WithDisableServiceConfig(), grpc.WithIdleTimeout(idle),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxAnswer)), grpc.WithNoProxy())
 	if err != nil {
-		n.log.Conn(logs.FlightNode, addr, 0, err)
+		n.log.ConnectionEnded(logs.FlightBackendClosed, addr, 0, err)
 		return nil
 	}
 	ch := &channel{node: node, addr: addr, cc: cc, client: flight.NewClientFromConn(cc, nil)}
@@ -150,7 +150,7 @@
 }
 
 // retire lets a connection end with what is out on it.
-func (n *Nodes) retire(ch *channel) {
+func (n *BackendClient) retire(ch *channel) {
 	if ch.retired = true; ch.out > 0 {
 		return
 	}
@@ -160,13 +160,13 @@
 			n.nodes[ch.node] = append(list[:i:i], list[i+1:]...)
 			n.conns--
 			_ = ch.cc.Close()
-			n.log.Conn(logs.FlightNode, ch.addr, ch.served, nil)
+			n.log.ConnectionEnded(logs.FlightBackendClosed, ch.addr, ch.served, nil)
 		}
 	}
 }
 
 // Withdraw implements core.Backend.
-func (n *Nodes) Withdraw(a *core.Attempt) bool {
+func (n *BackendClient) Withdraw(a *core.Attempt) bool {
 	x, _ := a.Handle.(*attempt)
 	if x == nil || x.over || !x.state.CompareAndSwap(stateWaiting, stateDropped) {
 		return false
@@ -176,7 +176,7 @@
 }
 
 // Abandon implements core.Backend.
-func (n *Nodes) Abandon(a *core.Attempt) (neverRan bool) {
+func (n *BackendClient) Abandon(a *core.Attempt) (neverRan bool) {
 	if n.Withdraw(a) {
 		return true
 	}
@@ -187,14 +187,14 @@
 }
 
 // leave ends the wait for an attempt.
-func (n *Nodes) leave(x *attempt) {
+func (n *BackendClient) leave(x *attempt) {
 	if x.over = true; x.cancel != nil {
 		x.cancel()
 	}
 }
 
-// DropIdle implements core.Backend.
-func (n *Nodes) DropIdle(node uint32) {
+// CloseIdleConnections implements core.Backend.
+func (n *BackendClient) CloseIdleConnections(node uint32) {
 	for _, ch := range n.nodes[node] {
 		if ch.out == 0 {
 			n.retire(ch)
@@ -203,11 +203,11 @@
 }
 
 // Close closes what is open, at the end of the program.
-func (n *Nodes) Close() {
+func (n *BackendClient) Close() {
 	for _, list := range n.nodes {
 		for _, ch := range list {
 			_ = ch.cc.Close()
-			n.log.Conn(logs.Shutdown, ch.addr, ch.served, nil)
+			n.log.ConnectionEnded(logs.Shutdown, ch.addr, ch.served, nil)
 		}
 	}
 	clear(n.nodes)
@@ -215,7 +215,7 @@
 
 // run is the goroutine of one attempt: gRPC's calls wait. It tells the loop of the outcome and touches
 // nothing else. The call begins within hold or not at all.
-func (n *Nodes) run(ctx context.Context, x *attempt, left, hold time.Duration) {
+func (n *BackendClient) run(ctx context.Context, x *attempt, left, hold time.Duration) {
 	defer x.cancel()
 	o, value := n.ask(ctx, x, left, hold)
 	n.loop.Post(func() {
@@ -229,8 +229,8 @@
 		if o == scheduler.Succeeded {
 			x.ch.served++
 		}
-		x.NodeEpoch = x.nodeEpoch
-		n.core.Ended(x.Attempt, o, value)
+		x.BackendEpoch = x.nodeEpoch
+		n.core.AttemptEnded(x.Attempt, o, value)
 	})
 }
 
@@ -248,7 +248,7 @@
 }
 
 // ask carries out one attempt.
-func (n *Nodes) ask(ctx context.Context, x *attempt, left, hold time.Duration) (o scheduler.Outcome,
+func (n *BackendClient) ask(ctx context.Context, x *attempt, left, hold time.Duration) (o scheduler.Outcome,
 	value []byte) {
 	begin := time.Now()
 	up := n.connected(ctx, x.ch.cc, hold) && time.Since(begin) <= hold
@@ -263,9 +263,9 @@
 		}
 	}()
 	ask := ticket{ID: fmt.Sprintf("%s.%d", x.Request, x.Shard), Shard: x.Shard,
-		D: max(int((left - time.Since(begin)).Milliseconds()), 1), Q: string(x.Text), K: x.DedupKey}
+		D: max(int((left - time.Since(begin)).Milliseconds()), 1), Q: string(x.Query), K: x.IdempotencyKey}
 	if x.Epoch > 0 {
-		ask.ID, ask.Epoch, ask.Range = fmt.Sprintf("%s.%d", ask.ID, x.Districts.Lo), x.Epoch, &x.Districts
+		ask.ID, ask.Epoch, ask.Range = fmt.Sprintf("%s.%d", ask.ID, x.Buckets.Start), x.Epoch, &x.Buckets
 	}
 	t, err := json.Marshal(ask)
 	if err != nil {
@@ -296,14 +296,14 @@
 	default:
 		return scheduler.Failed, nil
 	}
-	if !core.Usable(value) {
+	if !core.ValidValue(value) {
 		return scheduler.Failed, nil
 	}
 	return scheduler.Succeeded, value
 }
 
 // connected waits until a connection is up, for so long at most. A refused one tells at once.
-func (n *Nodes) connected(ctx context.Context, cc *grpc.ClientConn, most time.Duration) bool {
+func (n *BackendClient) connected(ctx context.Context, cc *grpc.ClientConn, most time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, most)
 	defer cancel()
 	state := cc.GetState()
--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -167,17 +167,17 @@
 	for _, p := range a.Parts {
 		list := by[p.Shard]
 		delete(by, p.Shard)
-		sort.Slice(list, func(i, j int) bool { return list[i].Districts.Lo < list[j].Districts.Lo })
-		at, full := p.Districts.Lo, len(list) > 0
+		sort.Slice(list, func(i, j int) bool { return list[i].Districts.Start < list[j].Districts.Start })
+		at, full := p.Districts.Start, len(list) > 0
 		for _, h := range list {
-			if h.Districts.Lo < at {
+			if h.Districts.Start < at {
 				c.breach(&c.CountedTwice, "%s: %v after %d", id, h.Districts, at)
 			}
-			full = full && h.Districts.Lo == at
-			at = h.Districts.Hi
+			full = full && h.Districts.Start == at
+			at = h.Districts.End
 		}
 		switch {
-		case full && at == p.Districts.Hi:
+		case full && at == p.Districts.End:
 			share += p.Weight
 		case len(list) > 0: // half of a part: it counts for nothing and should not stand there
 			c.breach(&c.WrongValue, "%s: part %d has only some of %v", id, p.Shard, p.Districts)
@@ -214,7 +214,7 @@
 func (c *Checker) Came(id string, r slicemap.Range) {
 	twice := 0
 	for _, o := range c.out[id] {
-		if !o.Meets(r) {
+		if !o.Overlaps(r) {
 			continue
 		}
 		if a := c.asks[id]; c.Copies && twice == 0 && a != nil && !a.Once {
@@ -267,7 +267,7 @@
 		return
 	}
 	for _, o := range c.ran[id] {
-		if o.Meets(r) {
+		if o.Overlaps(r) {
 			c.breach(&c.BindTwice, "%s: districts %v ran again at %s", id, r, node)
 		}
 	}
--- a/internal/lab/exp/exp.go
+++ b/internal/lab/exp/exp.go
@@ -265,14 +265,14 @@
 func NodeID(i int) string { return fmt.Sprintf("node-%d", i) }
 
 // Map is the map at the start: slices in a row, each on Reach nodes of a ring.
-func (e *Experiment) Map() slicemap.Whole {
-	w := slicemap.Whole{Epoch: 1, Districts: e.Slices * e.Districts}
+func (e *Experiment) Map() slicemap.Snapshot {
+	w := slicemap.Snapshot{Epoch: 1, Buckets: e.Slices * e.Districts}
 	for i := range e.Slices {
-		s := &slicemap.Slice{ID: i, Range: slicemap.Range{Lo: i * e.Districts, Hi: (i + 1) * e.Districts}}
+		s := &slicemap.Shard{ID: i, Range: slicemap.Range{Start: i * e.Districts, End: (i + 1) * e.Districts}}
 		for j := range e.Reach {
-			s.Holders = append(s.Holders, NodeID((i+j)%e.Nodes))
+			s.Replicas = append(s.Replicas, NodeID((i+j)%e.Nodes))
 		}
-		w.Slices = append(w.Slices, s)
+		w.Shards = append(w.Shards, s)
 	}
 	return w
 }
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -112,12 +112,12 @@
 
 // holds tells whether it may execute districts by the map it knows.
 func (n *Node) holds(r slicemap.Range) bool {
-	for at := r.Lo; at < r.Hi; {
+	for at := r.Start; at < r.End; {
 		s := n.view.At(at)
 		if s == nil || !s.Executes(n.ID) {
 			return false
 		}
-		at = s.Hi
+		at = s.End
 	}
 	return true
 }
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -18,10 +18,10 @@
 
 func first(t require.TestingT) *slicemap.Map {
 	m := slicemap.New(slicemap.Options{})
-	w := slicemap.Whole{Epoch: 1, Districts: 40}
+	w := slicemap.Snapshot{Epoch: 1, Buckets: 40}
 	for i := range 4 {
-		w.Slices = append(w.Slices, &slicemap.Slice{ID: i, Range: slicemap.Range{Lo: 10 * i, Hi: 10*i + 10},
-			Holders: []string{"a", "b"}})
+		w.Shards = append(w.Shards, &slicemap.Shard{ID: i, Range: slicemap.Range{Start: 10 * i, End: 10*i + 10},
+			Replicas: []string{"a", "b"}})
 	}
 	_, err := m.Reset(w)
 	require.NoError(t, err)
@@ -39,14 +39,14 @@
 	m := first(t)
 	views := []*slicemap.Version{m.Current()}
 	for _, k := range []slicemap.Kind{slicemap.Move, slicemap.Handover, slicemap.Done} {
-		change(t, m, slicemap.Change{Kind: k, Slice: 1, From: "a", To: "c"})
+		change(t, m, slicemap.Change{Kind: k, Shard: 1, From: "a", To: "c"})
 		views = append(views, m.Current())
 	}
 	for _, v := range views {
 		ran := 0
 		for _, id := range []string{"a", "c"} {
 			n := New(id, options, v, 1)
-			j := &Job{Query: "q", Districts: slicemap.Range{Lo: 10, Hi: 20}, Epoch: v.Epoch, Work: 10}
+			j := &Job{Query: "q", Districts: slicemap.Range{Start: 10, End: 20}, Epoch: v.Epoch, Work: 10}
 			if end, done := n.Arrive(5, j); end == None && done > 0 {
 				ran++
 			} else {
@@ -57,7 +57,7 @@
 	}
 	// A part routed by news that the node has not heard is not its to run, whoever it thinks it is.
 	n := New("a", options, views[0], 1)
-	end, _ := n.Arrive(5, &Job{Districts: slicemap.Range{Lo: 10, Hi: 20}, Epoch: 3, Work: 10})
+	end, _ := n.Arrive(5, &Job{Districts: slicemap.Range{Start: 10, End: 20}, Epoch: 3, Work: 10})
 	require.Equal(t, Moved, end)
 }
 
@@ -67,12 +67,12 @@
 	n := New("a", options, m.Current(), 1)
 	var jobs []*Job
 	for i := range 4 {
-		j := &Job{Query: fmt.Sprint(i), Districts: slicemap.Range{Lo: 0, Hi: 10}, Epoch: 1, Work: 10}
+		j := &Job{Query: fmt.Sprint(i), Districts: slicemap.Range{Start: 0, End: 10}, Epoch: 1, Work: 10}
 		_, _ = n.Arrive(float64(i), j)
 		jobs = append(jobs, j)
 	}
-	change(t, m, slicemap.Change{Kind: slicemap.Move, Slice: 0, From: "a", To: "c"})
-	change(t, m, slicemap.Change{Kind: slicemap.Handover, Slice: 0})
+	change(t, m, slicemap.Change{Kind: slicemap.Move, Shard: 0, From: "a", To: "c"})
+	change(t, m, slicemap.Change{Kind: slicemap.Handover, Shard: 0})
 	n.Learn(m.Current())
 	end, moved, next, _ := n.Finish(10, jobs[0])
 	require.Equal(t, OK, end, "what had begun is finished")
@@ -87,7 +87,7 @@
 		n := New("a", options, m.Current(), 1)
 		n.Started = started
 		for i := range 60 {
-			_, _ = n.Arrive(100_000+float64(i)*20, &Job{Districts: slicemap.Range{Lo: 0, Hi: 10}, Epoch: 1, Work: 70})
+			_, _ = n.Arrive(100_000+float64(i)*20, &Job{Districts: slicemap.Range{Start: 0, End: 10}, Epoch: 1, Work: 70})
 		}
 		return n.Fallen
 	}
@@ -111,10 +111,10 @@
 	t.Repeat(map[string]func(*rapid.T){
 		"change": func(t *rapid.T) {
 			s := m.Current().At(5)
-			c := slicemap.Change{Slice: s.ID, Base: m.Current().Epoch, Epoch: m.Current().Epoch + 1}
+			c := slicemap.Change{Shard: s.ID, Base: m.Current().Epoch, Epoch: m.Current().Epoch + 1}
 			switch s.State {
 			case slicemap.Serving:
-				c.Kind, c.From = slicemap.Move, rapid.SampledFrom(s.Holders).Draw(t, "from")
+				c.Kind, c.From = slicemap.Move, rapid.SampledFrom(s.Replicas).Draw(t, "from")
 				for _, id := range []string{"a", "b", "c"} {
 					if !s.Executes(id) {
 						c.To = id
@@ -145,7 +145,7 @@
 			}
 			s := views[broker].At(5)
 			to := rapid.SampledFrom(s.Executors()).Draw(t, "to")
-			j := &Job{Districts: slicemap.Range{Lo: 0, Hi: 10}, Epoch: s.Since, Work: 1}
+			j := &Job{Districts: slicemap.Range{Start: 0, End: 10}, Epoch: s.Since, Work: 1}
 			if !fenced {
 				j.Epoch = 0 // the node says err where it does not hold the districts, and the broker sends again
 			}
--- a/internal/lab/result/result.go
+++ b/internal/lab/result/result.go
@@ -52,7 +52,7 @@
 }
 
 // Add adds what a broker counted.
-func (s *Summary) Add(m core.Moves, t slicemap.Stats) {
+func (s *Summary) Add(m core.ReshardingStats, t slicemap.Stats) {
 	s.Caught += int(m.Caught)
 	s.Replaced += int(m.Replaced)
 	s.SplitParts += int(m.Split)
--- a/internal/lab/world/clients.go
+++ b/internal/lab/world/clients.go
@@ -49,9 +49,9 @@
 		Shards []shardBody `json:"shards"`
 		Q      string      `json:"q"`
 		Epoch  uint64      `json:"epoch,omitempty"`
-	}{Q: string(r.Text), Epoch: r.Epoch}
+	}{Q: string(r.Query), Epoch: r.Epoch}
 	for _, p := range r.Parts {
-		b.Shards = append(b.Shards, shardBody{p.Shard, p.Weight, p.Cost * 1000})
+		b.Shards = append(b.Shards, shardBody{p.Shard, p.Weight, p.CostHint * 1000})
 	}
 	text, _ := json.Marshal(b)
 	return string(text)
@@ -79,7 +79,7 @@
 	r.Header.Set("X-Request-Id", id)
 	r.Header.Set("X-Class", class)
 	r.Header.Set("X-Deadline", strconv.FormatFloat(wait.Seconds(), 'f', 3, 64))
-	if q.Repeat {
+	if q.ClientRetry {
 		r.Header.Set("X-Retry", "1")
 	}
 	a, err := h.c.Do(r)
@@ -97,7 +97,7 @@
 		return core.Answer{}, endStale
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		after, _ := strconv.ParseFloat(a.Header.Get("Retry-After"), 64)
-		return core.Answer{Kind: core.Refused, RetryAfter: after * 1000}, endAnswer
+		return core.Answer{Kind: core.Rejected, RetryAfter: after * 1000}, endAnswer
 	default:
 		return core.Answer{Kind: core.Failed}, endAnswer
 	}
@@ -112,10 +112,10 @@
 	if json.Unmarshal(text, &b) != nil {
 		return core.Answer{}, endGone
 	}
-	out := core.Answer{Whole: b.Complete}
+	out := core.Answer{Complete: b.Complete}
 	for _, x := range b.Hits {
 		out.Values = append(out.Values, core.Value{Shard: x.Shard, Doc: []byte(x.Doc),
-			Districts: slicemap.Range{Lo: x.Districts[0], Hi: x.Districts[1]}})
+			Buckets: slicemap.Range{Start: x.Districts[0], End: x.Districts[1]}})
 	}
 	return out, endAnswer
 }
@@ -142,7 +142,7 @@
 	ctx, cancel := context.WithTimeout(ctx, wait+60*time.Millisecond) // so that the broker's word comes first
 	defer cancel()
 	ctx = metadata.AppendToOutgoingContext(ctx, "x-request-id", id, "x-class", class)
-	if q.Repeat {
+	if q.ClientRetry {
 		ctx = metadata.AppendToOutgoingContext(ctx, "x-retry", "1")
 	}
 	f.cc.ResetConnectBackoff()
@@ -156,14 +156,14 @@
 	}
 	defer r.Release()
 	whole, _ := r.Schema().Metadata().GetValue("complete")
-	out := core.Answer{Whole: whole == "true"}
+	out := core.Answer{Complete: whole == "true"}
 	for r.Next() {
 		rec := r.RecordBatch()
 		for i := range int(rec.NumRows()) {
 			out.Values = append(out.Values, core.Value{Shard: int(rec.Column(0).(*array.Int32).Value(i)),
 				Doc: append([]byte(nil), rec.Column(1).(*array.Binary).Value(i)...),
-				Districts: slicemap.Range{Lo: int(rec.Column(2).(*array.Int32).Value(i)),
-					Hi: int(rec.Column(3).(*array.Int32).Value(i))}})
+				Buckets: slicemap.Range{Start: int(rec.Column(2).(*array.Int32).Value(i)),
+					End: int(rec.Column(3).(*array.Int32).Value(i))}})
 		}
 	}
 	if r.Err() != nil {
@@ -180,7 +180,7 @@
 	case codes.Unavailable:
 		for _, d := range st.Details() {
 			if i, ok := d.(*errdetails.RetryInfo); ok {
-				return core.Answer{Kind: core.Refused, RetryAfter: float64(i.RetryDelay.AsDuration()) / 1e6}, endAnswer
+				return core.Answer{Kind: core.Rejected, RetryAfter: float64(i.RetryDelay.AsDuration()) / 1e6}, endAnswer
 			}
 		}
 		return core.Answer{}, endGone
--- a/internal/lab/world/fleet.go
+++ b/internal/lab/world/fleet.go
@@ -64,9 +64,9 @@
 	past    []stamped
 	log     []slicemap.Change
 	waiting []func() // watches that wait for news
-	next    slicemap.ID
+	next    slicemap.ShardID
 	changes int
-	pace    slicemap.Pace
+	pace    slicemap.HandoverPacer
 	cut     int        // the zone that is cut off from the others, -1 for none
 	silent  []float64  // by broker: until when its agent is silent
 	heard   []float64  // by broker: when its agent last got news
@@ -77,11 +77,11 @@
 
 func newFleet(s *World, seed uint64) *fleet {
 	f := &fleet{sim: s, byName: map[string]uint32{},
-		truth: slicemap.New(slicemap.Options{History: s.e.History}), next: s.e.Slices,
+		truth: slicemap.New(slicemap.Options{MaxRetired: s.e.History}), next: s.e.Slices,
 		rnd: rand.New(rand.NewPCG(seed, 4)), loads: rand.New(rand.NewPCG(seed, 5)),
 		cut: -1, silent: make([]float64, s.e.Brokers),
 		apart: make([]float64, s.e.Brokers), heard: make([]float64, s.e.Brokers),
-		pace: slicemap.Pace{AtOnce: 2, ColdFrom: s.e.Node.ColdFrom, Warm: s.e.Node.Warm}}
+		pace: slicemap.HandoverPacer{MaxConcurrent: 2, InitialCapacity: s.e.Node.ColdFrom, WarmupMs: s.e.Node.Warm}}
 	if _, err := f.truth.Reset(s.e.Map()); err != nil {
 		panic(err) // the experiment's own first map
 	}
@@ -169,7 +169,7 @@
 // told is what the catalogue answers: a whole map, or changes.
 type told struct {
 	v       *slicemap.Version // nil for changes
-	retired []slicemap.Retiree
+	retired []slicemap.RetiredShard
 	changes []slicemap.Change
 	epoch   uint64
 	spoilt  bool // the broker must refuse it
@@ -177,10 +177,10 @@
 
 // asked is a call to the catalogue. deliver may come twice, or never; fail tells that the call came to
 // nothing.
-func (f *fleet) asked(c slicemap.Call, fail func(), deliver func(told)) {
+func (f *fleet) asked(c slicemap.PollRequest, fail func(), deliver func(told)) {
 	s := f.sim
 	if s.net.Float64() < s.e.News.Lost { // nothing ever comes
-		s.at(s.now+c.Most, fail)
+		s.at(s.now+c.Timeout, fail)
 		return
 	}
 	answered := false
@@ -200,7 +200,7 @@
 		}
 	}
 	s.at(s.now+s.hop(), func() {
-		if f.out() || c.Whole || c.Wait == 0 || f.truth.Current().Epoch > c.Index {
+		if f.out() || c.FullSnapshot || c.Wait == 0 || f.truth.Current().Epoch > c.SinceEpoch {
 			answer()
 			return
 		}
@@ -225,12 +225,12 @@
 }
 
 // answer is what the catalogue says at this moment. Now and then it is spoilt: the broker must refuse it.
-func (f *fleet) answer(c slicemap.Call) told {
+func (f *fleet) answer(c slicemap.PollRequest) told {
 	s := f.sim
 	cur := f.truth.Current()
 	t := told{epoch: cur.Epoch, spoilt: s.net.Float64() < s.e.News.Spoilt}
-	i := slices.IndexFunc(f.log, func(x slicemap.Change) bool { return x.Base == c.Index })
-	if c.Whole || i < 0 && cur.Epoch != c.Index {
+	i := slices.IndexFunc(f.log, func(x slicemap.Change) bool { return x.Base == c.SinceEpoch })
+	if c.FullSnapshot || i < 0 && cur.Epoch != c.SinceEpoch {
 		t.v, t.retired = cur, f.truth.Retired(keptRetired)
 		return t
 	}
@@ -247,20 +247,20 @@
 }
 
 // whole is a whole map as it is told.
-func (t told) whole() slicemap.Whole {
+func (t told) whole() slicemap.Snapshot {
 	w := wholeOf(t.v, t.retired)
 	if t.spoilt {
-		w.Slices = w.Slices[1:] // a hole
+		w.Shards = w.Shards[1:] // a hole
 	}
 	return w
 }
 
 // retiredBefore is what was retired when a version was in use, as who kept that knows it.
-func (f *fleet) retiredBefore(v *slicemap.Version) (out []slicemap.Retiree) {
+func (f *fleet) retiredBefore(v *slicemap.Version) (out []slicemap.RetiredShard) {
 	highest := 0
-	v.All(func(x *slicemap.Slice) bool { highest = max(highest, x.ID); return true })
+	v.All(func(x *slicemap.Shard) bool { highest = max(highest, x.ID); return true })
 	for _, r := range f.truth.Retired(keptRetired) {
-		if r.ID < highest && v.Slice(r.ID) == nil {
+		if r.ID < highest && v.Shard(r.ID) == nil {
 			out = append(out, r)
 		}
 	}
@@ -268,12 +268,12 @@
 }
 
 // wholeOf is a version as it is told whole. Slices are copied: a map takes over what it is given.
-func wholeOf(v *slicemap.Version, retired []slicemap.Retiree) slicemap.Whole {
-	w := slicemap.Whole{Epoch: v.Epoch, Districts: v.Districts, Retired: retired,
-		Slices: make([]*slicemap.Slice, 0, v.Len())}
-	v.All(func(s *slicemap.Slice) bool {
+func wholeOf(v *slicemap.Version, retired []slicemap.RetiredShard) slicemap.Snapshot {
+	w := slicemap.Snapshot{Epoch: v.Epoch, Buckets: v.Buckets, Retired: retired,
+		Shards: make([]*slicemap.Shard, 0, v.Len())}
+	v.All(func(s *slicemap.Shard) bool {
 		x := *s
-		w.Slices = append(w.Slices, &x)
+		w.Shards = append(w.Shards, &x)
 		return true
 	})
 	return w
@@ -289,22 +289,22 @@
 	c := s.e.Changes
 	for range 8 {
 		v := f.truth.Current()
-		at := v.At(f.rnd.IntN(v.Districts))
+		at := v.At(f.rnd.IntN(v.Buckets))
 		switch x := f.rnd.Float64() * (c.Split + c.Merge + c.Move); {
 		case x < c.Split:
-			if at.Size() >= 2 && f.apply(slicemap.Change{Kind: slicemap.Split, Slice: at.ID,
-				At: at.Lo + 1 + f.rnd.IntN(at.Size()-1), Into: []slicemap.ID{f.next, f.next + 1}}) {
+			if at.Size() >= 2 && f.apply(slicemap.Change{Kind: slicemap.Split, Shard: at.ID,
+				At: at.Start + 1 + f.rnd.IntN(at.Size()-1), Into: []slicemap.ShardID{f.next, f.next + 1}}) {
 				f.next += 2
 				return
 			}
 		case x < c.Split+c.Merge:
 			for range 50 { // neighbours with the same holders are rare
-				if o := v.At(at.Hi); o != nil && f.apply(slicemap.Change{Kind: slicemap.Merge, Slice: at.ID, Other: o.ID,
-					Into: []slicemap.ID{f.next}}) {
+				if o := v.At(at.End); o != nil && f.apply(slicemap.Change{Kind: slicemap.Merge, Shard: at.ID, Other: o.ID,
+					Into: []slicemap.ShardID{f.next}}) {
 					f.next++
 					return
 				}
-				at = v.At(f.rnd.IntN(v.Districts))
+				at = v.At(f.rnd.IntN(v.Buckets))
 			}
 		default:
 			if f.move(at) {
@@ -315,21 +315,21 @@
 }
 
 // move begins to move a slice onto another node, at the pace that this can bear.
-func (f *fleet) move(at *slicemap.Slice) bool {
+func (f *fleet) move(at *slicemap.Shard) bool {
 	s := f.sim
 	to := f.nodes[f.rnd.IntN(len(f.nodes))]
-	from := at.Holders[f.rnd.IntN(len(at.Holders))]
-	holds, usual := 0, f.truth.Current().Districts*s.e.Reach/len(f.nodes)
+	from := at.Replicas[f.rnd.IntN(len(at.Replicas))]
+	holds, usual := 0, f.truth.Current().Buckets*s.e.Reach/len(f.nodes)
 	if to.Cold(s.now) {
-		f.truth.Current().All(func(x *slicemap.Slice) bool {
+		f.truth.Current().All(func(x *slicemap.Shard) bool {
 			if x.Executes(to.ID) {
 				holds += x.Size()
 			}
 			return true
 		})
 	}
-	if to.state != scheduler.Ready || !f.pace.May(s.now,
-		slicemap.Target{Started: to.Started, Holds: holds, Taking: to.taking}, at.Size(), usual) {
+	if to.state != scheduler.Ready || !f.pace.MayHandOver(s.now,
+		slicemap.HandoverTarget{Started: to.Started, Buckets: holds, HandoversInProgress: to.taking}, at.Size(), usual) {
 		return false
 	}
 	abort := f.rnd.Float64() < s.e.Changes.Abort
@@ -340,10 +340,10 @@
 // moveTo moves a slice: it is copied for so many ms, then handed over, and after so many more the move is
 // done, or is aborted, early before the handover. If the destination dies before the end, it goes back to the
 // source.
-func (f *fleet) moveTo(at *slicemap.Slice, from string, to *node, copying, handing float64,
+func (f *fleet) moveTo(at *slicemap.Shard, from string, to *node, copying, handing float64,
 	abort, early bool) bool {
 	s := f.sim
-	if !f.apply(slicemap.Change{Kind: slicemap.Move, Slice: at.ID, From: from, To: to.ID}) {
+	if !f.apply(slicemap.Change{Kind: slicemap.Move, Shard: at.ID, From: from, To: to.ID}) {
 		return false
 	}
 	to.taking++
@@ -371,12 +371,12 @@
 // between.
 func (f *fleet) each(r slicemap.Range, from, to string, kind slicemap.Kind) {
 	v := f.truth.Current()
-	for at := r.Lo; at < r.Hi; {
+	for at := r.Start; at < r.End; {
 		x := v.At(at)
 		if x.From == from && x.To == to {
-			f.apply(slicemap.Change{Kind: kind, Slice: x.ID})
+			f.apply(slicemap.Change{Kind: kind, Shard: x.ID})
 		}
-		at = x.Hi
+		at = x.End
 	}
 }
 
@@ -514,12 +514,12 @@
 	if i < 0 {
 		return true // too long ago to be judged
 	}
-	for at := j.Districts.Lo; at < j.Districts.Hi; {
+	for at := j.Districts.Start; at < j.Districts.End; {
 		x := s.fleet.past[i].v.At(at)
 		if !x.Executes(n.ID) {
 			return false
 		}
-		at = x.Hi
+		at = x.End
 	}
 	return true
 }
--- a/internal/lab/world/live.go
+++ b/internal/lab/world/live.go
@@ -368,7 +368,7 @@
 	}
 	defer func() { _ = a.Body.Close() }()
 	text, _ := io.ReadAll(a.Body)
-	var m core.Moves
+	var m core.ReshardingStats
 	var t slicemap.Stats
 	if errors.Join(json.Unmarshal(text, &m), json.Unmarshal(text, &t)) == nil {
 		r.Add(m, t)
--- a/internal/lab/world/servers.go
+++ b/internal/lab/world/servers.go
@@ -159,7 +159,7 @@
 	s := c.world
 	index, err := strconv.ParseUint(r.URL.Query().Get("index"), 10, 63)
 	wait, _ := strconv.ParseFloat(r.URL.Query().Get("wait"), 64)
-	call := slicemap.Call{Whole: err != nil, Index: index, Wait: wait, Most: wait + 10_000}
+	call := slicemap.PollRequest{FullSnapshot: err != nil, SinceEpoch: index, Wait: wait, Timeout: wait + 10_000}
 	answer := make(chan *told, 4)
 	put := func(t *told) {
 		select {
@@ -183,17 +183,17 @@
 }
 
 // doc is what is told, in the catalogue's form.
-func (t told) doc() catalog.Doc {
+func (t told) doc() catalog.Document {
 	if t.v != nil {
-		d := catalog.Form(t.v, nil, t.retired)
+		d := catalog.FormatSnapshot(t.v, nil, t.retired)
 		if t.spoilt {
-			d.Slices = d.Slices[1:]
+			d.Shards = d.Shards[1:]
 		}
 		return d
 	}
-	d := catalog.Doc{Epoch: t.epoch}
+	d := catalog.Document{Epoch: t.epoch}
 	for _, c := range t.changes {
-		d.Changes = append(d.Changes, catalog.FormChange(c))
+		d.Changes = append(d.Changes, catalog.FormatChange(c))
 	}
 	return d
 }
--- a/internal/lab/world/sockets.go
+++ b/internal/lab/world/sockets.go
@@ -298,7 +298,7 @@
 		case "e":
 			epoch, err = strconv.ParseUint(value, 10, 63)
 		case "r":
-			_, err = fmt.Sscanf(value, "%d-%d", &r.Lo, &r.Hi)
+			_, err = fmt.Sscanf(value, "%d-%d", &r.Start, &r.End)
 		}
 		if err != nil {
 			return 0, r, err
@@ -343,7 +343,7 @@
 		end   model.End
 		epoch uint64
 	}
-	s, n, r := f.k.node.sim, f.k.node, slicemap.Range{Lo: q.Lo, Hi: q.Hi}
+	s, n, r := f.k.node.sim, f.k.node, slicemap.Range{Start: q.Lo, End: q.Hi}
 	query, _, _ := strings.Cut(q.ID, ".")
 	answer := make(chan ended, 1)
 	var l *landing // the world's goroutine's
--- a/internal/lab/world/virtual.go
+++ b/internal/lab/world/virtual.go
@@ -24,7 +24,7 @@
 	gen    int // of its process
 	core   *core.Core
 	m      *slicemap.Map
-	follow *slicemap.Follow
+	follow *slicemap.Poller
 	dirty  bool
 	wake   float64
 	turn   []*sending
@@ -36,10 +36,10 @@
 	listed map[uint32]bool
 	zone   int
 
-	reader *membership.Reader // of the list, where it is pushed to an agent
+	reader *membership.Poller // of the list, where it is pushed to an agent
 	agent  int                // news that the agent has
 
-	moves core.Moves // of processes that are gone
+	moves core.ReshardingStats // of processes that are gone
 	stats slicemap.Stats
 	kept  int
 }
@@ -69,31 +69,31 @@
 	s := b.sim
 	s.check.Restarted(s.now, b.name)
 	b.listed = map[uint32]bool{}
-	b.m = slicemap.New(slicemap.Options{History: s.e.History, Number: func(name string) (uint32, bool) {
+	b.m = slicemap.New(slicemap.Options{MaxRetired: s.e.History, ReplicaNumber: func(name string) (uint32, bool) {
 		n := s.fleet.byName[name]
 		return n, n > 0 && b.listed[n]
 	}})
 	var err error
 	b.core, err = core.New(s.e.Settings(b.index, b.m), b.seed+uint64(b.gen), core.Options{Clock: b, Log: b,
-		Slices: b.m})
+		ShardMap: b.m})
 	if err != nil {
 		panic(err) // an experiment that passed its checks
 	}
 	b.core.Attach(b, b)
 	b.wake, b.seen, b.due = math.Inf(1), 0, math.Inf(1)
-	b.follow = slicemap.NewFollow(slicemap.DefaultFollow, b.seed+uint64(b.gen))
+	b.follow = slicemap.NewPoller(slicemap.DefaultPollerOptions, b.seed+uint64(b.gen))
 	if s.e.Pushed {
-		b.reader = membership.NewReader(membership.Options{Pushed: true, DrainGrace: drainGrace})
+		b.reader = membership.NewPoller(membership.Options{Pushed: true, DrainGrace: drainGrace})
 		b.read(b.gen)
 	} else {
 		b.Watch()
 	}
 	if cached != nil {
-		_ = b.core.TakeMap(wholeOf(cached, s.fleet.retiredBefore(cached)))
+		_ = b.core.ApplySnapshot(wholeOf(cached, s.fleet.retiredBefore(cached)))
 	}
 	if s.e.Arm == exp.Follow {
-		b.core.OnHint(func(epoch uint64) {
-			b.follow.Hint(s.now, epoch)
+		b.core.OnNewerMap(func(epoch uint64) {
+			b.follow.NewerEpochSeen(s.now, epoch)
 			b.plan()
 		})
 		b.step()
@@ -109,7 +109,7 @@
 		return
 	}
 	if f := b.sim.fleet; !f.out() {
-		_ = b.core.TakeMap(wholeOf(f.truth.Current(), f.truth.Retired(keptRetired)))
+		_ = b.core.ApplySnapshot(wholeOf(f.truth.Current(), f.truth.Retired(keptRetired)))
 	}
 	b.touch()
 	b.sim.at(b.sim.now+b.sim.e.SighupMS, func() { b.hangup(gen) })
@@ -118,7 +118,7 @@
 // kill ends its process: what it held is void.
 func (b *virtual) kill() {
 	s := b.sim
-	b.moves, b.stats, b.kept = add(b.moves, b.core.Moves()), addStats(b.stats, b.m.Stats()), max(b.kept,
+	b.moves, b.stats, b.kept = add(b.moves, b.core.ReshardingStats()), addStats(b.stats, b.m.Stats()), max(b.kept,
 		b.most())
 	for _, q := range s.queries {
 		if q.b == broker(b) && q.gen == b.gen && !q.over {
@@ -137,7 +137,7 @@
 func (b *virtual) up() bool     { return b.core != nil && b.core.Epoch() > 0 && len(b.listed) > 0 }
 
 func (b *virtual) take(_ *query, r *core.Request) error {
-	err := b.core.Take(r)
+	err := b.core.Submit(r)
 	if err == nil {
 		b.touch()
 	}
@@ -158,9 +158,9 @@
 	r.KeptMax = max(r.KeptMax, b.most(), b.kept)
 	r.Add(b.moves, b.stats)
 	if b.core != nil {
-		r.Add(b.core.Moves(), b.m.Stats())
-		r.Reads += b.follow.Reads()
-		r.OpenEnd += b.core.Open()
+		r.Add(b.core.ReshardingStats(), b.m.Stats())
+		r.Reads += b.follow.HintedReads()
+		r.OpenEnd += b.core.OpenRequests()
 	}
 }
 
@@ -197,11 +197,11 @@
 	})
 }
 
-// Module implements core.Log.
-func (b *virtual) Module(string) {}
+// SchedulerLine implements core.Log.
+func (b *virtual) SchedulerLine(string) {}
 
-// Ended implements core.Log.
-func (b *virtual) Ended(*core.Request, core.Answer) {}
+// RequestEnded implements core.Log.
+func (b *virtual) RequestEnded(*core.Request, core.Answer) {}
 
 // Watch implements core.List: the whole list comes, then changes as they are known.
 func (b *virtual) Watch() {
@@ -219,7 +219,7 @@
 			es = append(es, b.entry(n, n.state))
 		}
 		b.seen = len(s.fleet.news)
-		b.core.ListChanged(scheduler.UpdateFull, es)
+		b.core.EndpointsChanged(scheduler.UpdateFull, es)
 		b.touch()
 	})
 }
@@ -259,11 +259,11 @@
 	if b.core == nil || gen != b.gen {
 		return
 	}
-	c := b.reader.Begin(s.now)
+	c := b.reader.BeginCall(s.now)
 	if s.fleet.silent[b.index] > s.now {
-		s.at(s.now+c.Patience, func() {
+		s.at(s.now+c.Timeout, func() {
 			if b.core != nil && gen == b.gen {
-				s.at(b.reader.Failed(s.now, true).At, func() { b.read(gen) })
+				s.at(b.reader.HandleFailure(s.now, true).At, func() { b.read(gen) })
 			}
 		})
 		return
@@ -272,10 +272,10 @@
 		if b.core == nil || gen != b.gen {
 			return
 		}
-		n := b.reader.Answered(s.now, membership.Answer{Complete: c.Whole,
-			Revision: uint64(firstRevision + b.agent), Members: len(s.fleet.nodes)})
-		if n.Take {
-			b.bring(c.Whole)
+		n := b.reader.HandleResponse(s.now, membership.Response{Complete: c.FullList,
+			Revision: uint64(firstRevision + b.agent), MemberCount: len(s.fleet.nodes)})
+		if n.Apply {
+			b.bring(c.FullList)
 		}
 		s.at(n.At, func() { b.read(gen) })
 	})
@@ -302,7 +302,7 @@
 		}
 	}
 	if b.seen = b.agent; whole || len(es) > 0 {
-		b.core.ListChanged(kind, es)
+		b.core.EndpointsChanged(kind, es)
 		b.touch()
 	}
 }
@@ -333,7 +333,7 @@
 		es = append(es, b.entry(n.node, n.state))
 	}
 	b.seen = upTo
-	b.core.ListChanged(scheduler.UpdateDelta, es)
+	b.core.EndpointsChanged(scheduler.UpdateDelta, es)
 	b.touch()
 }
 
@@ -348,9 +348,9 @@
 		b.sim.fleet.asked(c, func() { b.news(call, gen, nil) }, func(t told) {
 			b.news(call, gen, func(k *core.Core) error {
 				if t.v != nil {
-					return k.TakeMap(t.whole())
+					return k.ApplySnapshot(t.whole())
 				}
-				return k.TakeChanges(t.changes, nil)
+				return k.ApplyChanges(t.changes, nil)
 			})
 		})
 	}
@@ -384,7 +384,7 @@
 	case take(b.core) != nil:
 		b.follow.Refused(b.sim.now)
 	default:
-		b.follow.Answered(b.sim.now, b.core.Epoch())
+		b.follow.Succeeded(b.sim.now, b.core.Epoch())
 		b.touch()
 	}
 	b.step()
@@ -392,7 +392,7 @@
 
 // Send implements core.Backend.
 func (b *virtual) Send(a *core.Attempt) {
-	f := &sending{b: b, gen: b.gen, a: a, node: b.sim.fleet.nodes[a.Node-1]}
+	f := &sending{b: b, gen: b.gen, a: a, node: b.sim.fleet.nodes[a.Backend-1]}
 	a.Handle = f
 	b.turn = append(b.turn, f)
 }
@@ -409,8 +409,8 @@
 	}
 }
 
-// DropIdle implements core.Backend: connections cost nothing here.
-func (b *virtual) DropIdle(uint32) {}
+// CloseIdleConnections implements core.Backend: connections cost nothing here.
+func (b *virtual) CloseIdleConnections(uint32) {}
 
 // Withdraw implements core.Backend.
 func (b *virtual) Withdraw(a *core.Attempt) bool {
@@ -450,7 +450,7 @@
 func (f *sending) gone() {
 	if f.there {
 		f.there = false
-		f.b.sim.check.Gone(f.a.Request, f.a.Districts)
+		f.b.sim.check.Gone(f.a.Request, f.a.Buckets)
 	}
 }
 
@@ -473,8 +473,8 @@
 		f.ends(scheduler.ConnectFailed, nil)
 		return
 	}
-	f.job = &model.Job{Query: f.a.Request, Class: q.ask.Class, Once: q.ask.Once, Districts: f.a.Districts,
-		Epoch: f.a.Epoch, Work: q.workOf(f.a.Districts), Context: f}
+	f.job = &model.Job{Query: f.a.Request, Class: q.ask.Class, Once: q.ask.Once, Districts: f.a.Buckets,
+		Epoch: f.a.Epoch, Work: q.workOf(f.a.Buckets), Context: f}
 	f.job.Unfenced = s.Fault.Unfenced
 	if s.e.Arm != exp.Follow {
 		f.job.Epoch = 0
@@ -488,13 +488,13 @@
 	f.gone()
 	switch end {
 	case model.OK:
-		f.ends(scheduler.Succeeded, []byte(model.Value(f.a.Request, f.a.Districts)))
+		f.ends(scheduler.Succeeded, []byte(model.Value(f.a.Request, f.a.Buckets)))
 	case model.Err:
 		f.ends(scheduler.Failed, nil)
 	case model.Busy:
 		f.ends(scheduler.Rejected, nil)
 	case model.Moved:
-		f.a.NodeEpoch = f.node.Epoch()
+		f.a.BackendEpoch = f.node.Epoch()
 		f.ends(scheduler.NotHolder, nil)
 	}
 }
@@ -510,13 +510,13 @@
 			return
 		}
 		f.leave()
-		f.b.core.Ended(f.a, o, value)
+		f.b.core.AttemptEnded(f.a, o, value)
 		f.b.touch()
 	})
 }
 
-func add(a, b core.Moves) core.Moves {
-	return core.Moves{Replaced: a.Replaced + b.Replaced, Split: a.Split + b.Split, Caught: a.Caught + b.Caught,
+func add(a, b core.ReshardingStats) core.ReshardingStats {
+	return core.ReshardingStats{Replaced: a.Replaced + b.Replaced, Split: a.Split + b.Split, Caught: a.Caught + b.Caught,
 		Paused: a.Paused + b.Paused, Twice: a.Twice + b.Twice, Stale: a.Stale + b.Stale,
 		Behind: a.Behind + b.Behind}
 }
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -192,7 +192,7 @@
 		for _, b := range list {
 			b.dirty = false
 			if b.core != nil {
-				b.core.Turn()
+				b.core.RunRound()
 			}
 		}
 	}
@@ -247,7 +247,7 @@
 	n := int(c.Parts[0]) + s.load.IntN(int(c.Parts[1]-c.Parts[0])+1)
 	// The client's own idea of the slices is old.
 	v := s.fleet.seen(s.now - s.e.Client.Draw(s.load))
-	at, sum := v.At(s.load.IntN(v.Districts)), 0.0
+	at, sum := v.At(s.load.IntN(v.Buckets)), 0.0
 	q := &query{sim: s, class: c, due: s.now, first: true, ask: &check.Ask{Class: i, Once: c.Once(),
 		Floor:    c.Floor,
 		Deadline: s.now + c.Deadline*(0.6+0.4*s.load.Float64())}}
@@ -256,7 +256,7 @@
 		q.ask.Parts = append(q.ask.Parts, check.Part{Shard: at.ID, Weight: w, Districts: at.Range})
 		q.work = append(q.work, c.Work.Draw(s.load))
 		sum += w
-		at = v.At(at.Hi % v.Districts)
+		at = v.At(at.End % v.Buckets)
 	}
 	for i := range q.ask.Parts {
 		q.ask.Parts[i].Weight /= sum
@@ -283,12 +283,12 @@
 	}
 	q.epoch = epoch
 	q.ask.ID = fmt.Sprintf("q%08d", s.byID)
-	r := &core.Request{Name: q.ask.ID, Class: q.ask.Class, Deadline: q.ask.Deadline, Repeat: !q.first,
+	r := &core.Request{ID: q.ask.ID, Class: q.ask.Class, Deadline: q.ask.Deadline, ClientRetry: !q.first,
 		Epoch: epoch,
-		Text:  []byte("x"), Client: q}
+		Query: []byte("x"), Client: q}
 	for i, p := range q.ask.Parts {
-		r.Parts = append(r.Parts, core.Part{Shard: p.Shard, Weight: p.Weight, Hinted: true,
-			Cost: q.work[i] * (0.8 + 0.4*s.load.Float64())})
+		r.Parts = append(r.Parts, core.Part{Shard: p.Shard, Weight: p.Weight, HasCostHint: true,
+			CostHint: q.work[i] * (0.8 + 0.4*s.load.Float64())})
 	}
 	id := q.ask.ID
 	s.queries[id] = q
@@ -319,7 +319,7 @@
 	next.ask, next.b = ask, nil
 	v := s.fleet.truth.Current()
 	for i, p := range ask.Parts {
-		now := v.At(p.Districts.Lo)
+		now := v.At(p.Districts.Start)
 		ask.Parts[i] = check.Part{Shard: now.ID, Weight: p.Weight, Districts: now.Range}
 	}
 	if distinct(ask.Parts) {
@@ -349,7 +349,7 @@
 	}
 	q.over = true
 	switch a.Kind {
-	case core.Refused:
+	case core.Rejected:
 		s.check.Refusal(s.now, id)
 		s.sums.Refused(q.b.number())
 		q.again(a.RetryAfter)
@@ -360,7 +360,7 @@
 		s.sums.Answered(q.b.number())
 		hits := make([]check.Hit, 0, len(a.Values))
 		for _, v := range a.Values {
-			hits = append(hits, check.Hit{Shard: v.Shard, Districts: v.Districts, Doc: string(v.Doc)})
+			hits = append(hits, check.Hit{Shard: v.Shard, Districts: v.Buckets, Doc: string(v.Doc)})
 		}
 		if n := len(hits); n > 0 {
 			switch {
@@ -372,7 +372,7 @@
 				hits = append(hits, hits[n-1])
 			}
 		}
-		share := s.check.Answer(s.now, id, a.Whole || s.Fault.MarkWhole, hits)
+		share := s.check.Answer(s.now, id, a.Complete || s.Fault.MarkWhole, hits)
 		_ = s.latency.RecordValue(int64((s.now - q.due) * 1000))
 		worth := q.class.Worth
 		if share < 1-1e-4 {
@@ -402,7 +402,7 @@
 // workOf is the work of districts of a query.
 func (q *query) workOf(r slicemap.Range) float64 {
 	for i, p := range q.ask.Parts {
-		if p.Districts.Holds(r) {
+		if p.Districts.Contains(r) {
 			return q.work[i] * float64(r.Size()) / float64(p.Districts.Size())
 		}
 	}
--- a/internal/lab/world/world_test.go
+++ b/internal/lab/world/world_test.go
@@ -136,8 +136,8 @@
 			e.Troubles.Every, e.News.Outages = 0, nil
 			s := New(e, 11)
 			f := s.fleet
-			at := f.truth.Current().Slice(3)
-			holders, to := at.Holders, f.nodes[0]
+			at := f.truth.Current().Shard(3)
+			holders, to := at.Replicas, f.nodes[0]
 			from := f.nodes[f.byName[holders[0]]-1]
 			s.at(origin+6000, func() { require.True(t, f.moveTo(at, from.ID, to, 800, 1000, false, false)) })
 			if c.to > 0 {
@@ -148,7 +148,7 @@
 			}
 			for at := 6000.0; at < 12_000; at += 10 {
 				s.at(origin+at, func() {
-					f.truth.Current().All(func(x *slicemap.Slice) bool {
+					f.truth.Current().All(func(x *slicemap.Shard) bool {
 						up := 0
 						for _, id := range x.Executors() {
 							if f.nodes[f.byName[id]-1].Trouble != model.Down {
@@ -163,12 +163,12 @@
 			r := s.Run(nil)
 			require.Zero(t, r.Broken(), r.Notes)
 			require.Greater(t, r.Worth, 0.97)
-			end := f.truth.Current().Slice(3)
+			end := f.truth.Current().Shard(3)
 			require.Equal(t, slicemap.Serving, end.State)
 			if c.moved {
-				require.Equal(t, append([]string{to.ID}, holders[1:]...), end.Holders)
+				require.Equal(t, append([]string{to.ID}, holders[1:]...), end.Replicas)
 			} else {
-				require.Equal(t, holders, end.Holders)
+				require.Equal(t, holders, end.Replicas)
 			}
 		})
 	}
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -18,49 +18,49 @@
 
 // The reasons; docs/LOGS.md documents them.
 const (
-	ClientDone        Code = "C01" // it asked for the close, or the answer carried it
-	ClientEnded       Code = "C02" // it closed between requests
-	ClientGone        Code = "C03" // it closed or reset while a request was open
-	ClientMalformed   Code = "C04" // answered 400
-	ClientIdle        Code = "C05" // idle, and its descriptor was needed
-	ClientSlow        Code = "C06" // a request that did not come whole in time
-	ClientSilent      Code = "C07" // it never said anything
-	ClientRefused     Code = "C08" // no descriptor for it
-	LeafRefused       Code = "L01"
-	LeafDialTimeout   Code = "L02"
-	LeafReset         Code = "L03"
-	LeafEnded         Code = "L04"
-	LeafIdle          Code = "L05"
-	LeafBadFrame      Code = "L06"
-	LeafStuck         Code = "L07"
-	LeafRoom          Code = "L08"
-	LeafMoved         Code = "L10" // the list names another address
-	LeafQuiet         Code = "L09" // a part was given up on it and nothing had come since
-	LeafCrowded       Code = "L11" // backends hold no more connections: idle ones beyond the limit go
-	DiscoveryEnded    Code = "D01"
-	DiscoveryReset    Code = "D02"
-	DiscoveryRefused  Code = "D03"
-	DiscoveryTimeout  Code = "D04"
-	DiscoveryBad      Code = "D05"
-	DiscoveryMoved    Code = "D06"
-	DiscoverySilent   Code = "D07" // an agent that is pushed lists does not answer: the last list holds
-	DiscoveryNotTaken Code = "D08" // a list that would undo what is known
-	SlicesEnded       Code = "M01"
-	SlicesReset       Code = "M02"
-	SlicesRefused     Code = "M03"
-	SlicesTimeout     Code = "M04"
-	SlicesBad         Code = "M05"
-	SlicesHurried     Code = "M06" // a node or client told of a newer map while a watch was out
-	SlicesFault       Code = "M10" // a map or a change was refused: the one in use stays
-	SlicesCache       Code = "M11" // the kept map could not be written or used
-	Shutdown          Code = "S01"
-	OperatorDone      Code = "O01" // an operator's call was answered
-	OperatorGone      Code = "O02" // the caller closed before its call came whole, or did not read
-	OperatorLate      Code = "O03" // the call did not come whole in time, and was answered 408
-	OperatorMalformed Code = "O04" // not a call: answered 400, 413 or 431
-	OperatorCrowded   Code = "O05" // too many callers at once: the first of them was answered 503
-	FlightDone        Code = "F01"
-	FlightNode        Code = "F03"
+	ClientClosed            Code = "C01" // it asked for the close, or the answer carried it
+	ClientLeftIdle          Code = "C02" // it closed between requests
+	ClientLeftRequest       Code = "C03" // it closed or reset while a request was open
+	ClientMalformed         Code = "C04" // answered 400
+	ClientEvicted           Code = "C05" // idle, and its descriptor was needed
+	ClientRequestTimeout    Code = "C06" // a request that did not come whole in time
+	ClientNoRequest         Code = "C07" // it never said anything
+	ClientNoDescriptor      Code = "C08" // no descriptor for it
+	BackendConnectFailed    Code = "L01"
+	BackendDialTimeout      Code = "L02"
+	BackendReset            Code = "L03"
+	BackendClosed           Code = "L04"
+	BackendIdle             Code = "L05"
+	BackendMalformedFrame   Code = "L06"
+	BackendWriteStalled     Code = "L07"
+	BackendEvicted          Code = "L08"
+	BackendAddressChanged   Code = "L10" // the list names another address
+	BackendUnresponsive     Code = "L09" // a part was given up on it and nothing had come since
+	BackendConnectionLimit  Code = "L11" // backends hold no more connections: idle ones beyond the limit go
+	DiscoveryClosed         Code = "D01"
+	DiscoveryReset          Code = "D02"
+	DiscoveryConnectFailed  Code = "D03"
+	DiscoveryTimeout        Code = "D04"
+	DiscoveryMalformed      Code = "D05"
+	DiscoveryAddressChanged Code = "D06"
+	DiscoveryUnresponsive   Code = "D07" // an agent that is pushed lists does not answer: the last list holds
+	DiscoveryListRejected   Code = "D08" // a list that would undo what is known
+	ShardMapClosed          Code = "M01"
+	ShardMapReset           Code = "M02"
+	ShardMapConnectFailed   Code = "M03"
+	ShardMapTimeout         Code = "M04"
+	ShardMapMalformed       Code = "M05"
+	ShardMapWatchCut        Code = "M06" // a node or client told of a newer map while a watch was out
+	ShardMapRejected        Code = "M10" // a map or a change was refused: the one in use stays
+	ShardMapCacheFailed     Code = "M11" // the kept map could not be written or used
+	Shutdown                Code = "S01"
+	OperatorDone            Code = "O01" // an operator's call was answered
+	OperatorDisconnected    Code = "O02" // the caller closed before its call came whole, or did not read
+	OperatorTimeout         Code = "O03" // the call did not come whole in time, and was answered 408
+	OperatorMalformed       Code = "O04" // not a call: answered 400, 413 or 431
+	OperatorLimit           Code = "O05" // too many callers at once: the first of them was answered 503
+	FlightClientClosed      Code = "F01"
+	FlightBackendClosed     Code = "F03"
 )
 
 const (
@@ -84,8 +84,8 @@
 	return &Log{z, w}
 }
 
-// Conn notes that a connection has ended.
-func (l *Log) Conn(code Code, peer string, served int, err error) {
+// ConnectionEnded notes that a connection has ended.
+func (l *Log) ConnectionEnded(code Code, peer string, served int, err error) {
 	f := []zap.Field{zap.String("code", string(code)), zap.String("peer", peer), zap.Int("served", served)}
 	if err != nil {
 		f = append(f, zap.Error(err))
@@ -93,22 +93,22 @@
 	l.Info("connection ended", f...)
 }
 
-// Fault notes that something with a code of its own was refused.
-func (l *Log) Fault(code Code, what string, err error) {
+// Rejected notes that something with a code of its own was refused.
+func (l *Log) Rejected(code Code, what string, err error) {
 	l.Warn(what, zap.String("code", string(code)), zap.Error(err))
 }
 
 // Dropped is how many lines found no room.
 func (l *Log) Dropped() uint64 { return l.w.dropped.Load() }
 
-// Module implements core.Log.
-func (l *Log) Module(text string) { l.Info("module", zap.String("text", text)) }
+// SchedulerLine implements core.Log.
+func (l *Log) SchedulerLine(text string) { l.Info("module", zap.String("text", text)) }
 
-// Ended implements core.Log: what was not served, or reached nobody, is worth a line.
-func (l *Log) Ended(r *core.Request, a core.Answer) {
-	if a.Kind != core.Answered || r.Unheard() {
-		l.Info("request ended", zap.String("id", r.Name), zap.Stringer("end", a.Kind), zap.Int("class", r.Class),
-			zap.Bool("client_left", r.Unheard()))
+// RequestEnded implements core.Log: what was not served, or reached nobody, is worth a line.
+func (l *Log) RequestEnded(r *core.Request, a core.Answer) {
+	if a.Kind != core.Answered || r.ClientGone() {
+		l.Info("request ended", zap.String("id", r.ID), zap.Stringer("end", a.Kind), zap.Int("class", r.Class),
+			zap.Bool("client_left", r.ClientGone()))
 	}
 }
 
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -13,9 +13,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Epoch is the reading, in ms, of the loop's clock at its start. It is a day, so that "0" (long ago) and a
+// ClockStart is the reading, in ms, of the loop's clock at its start. It is a day, so that "0" (long ago) and a
 // start before ours are both told from a recent one.
-const Epoch = 24 * 3600 * 1000.0
+const ClockStart = 24 * 3600 * 1000.0
 
 const (
 	maxEvents  = 128
@@ -42,8 +42,8 @@
 // Stop disarms the timer.
 func (t *Timer) Stop() { t.at = math.Inf(1) }
 
-// Sooner moves the timer to a time if that is before the present one.
-func (t *Timer) Sooner(at float64) { t.at = min(t.at, at) }
+// SetEarlier moves the timer to a time if that is before the present one.
+func (t *Timer) SetEarlier(at float64) { t.at = min(t.at, at) }
 
 // watched is a descriptor that was added.
 type watched struct {
@@ -76,7 +76,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("eventfd: %w", err)
 	}
-	l := &Loop{epoll: ep, wake: wake, start: time.Now(), now: Epoch, handlers: map[int32]watched{}}
+	l := &Loop{epoll: ep, wake: wake, start: time.Now(), now: ClockStart, handlers: map[int32]watched{}}
 	if err := l.Add(wake, unix.EPOLLIN, l); err != nil {
 		return nil, err
 	}
@@ -92,8 +92,8 @@
 // Now is the monotonic clock in ms as of this wake-up.
 func (l *Loop) Now() float64 { return l.now }
 
-// Clock reads the monotonic clock in ms.
-func (l *Loop) Clock() float64 { return Epoch + float64(time.Since(l.start))/1e6 }
+// ReadClock reads the monotonic clock in ms.
+func (l *Loop) ReadClock() float64 { return ClockStart + float64(time.Since(l.start))/1e6 }
 
 // Add registers a descriptor.
 func (l *Loop) Add(fd int, events uint32, h Handler) error {
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// Want changes what a descriptor is watched for.
-func (l *Loop) Want(fd int, events uint32) {
+// SetEvents changes what a descriptor is watched for.
+func (l *Loop) SetEvents(fd int, events uint32) {
 	e := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: l.handlers[int32(fd)].nth}
 	_ = unix.EpollCtl(l.epoll, unix.EPOLL_CTL_MOD, fd, &e)
 }
@@ -136,8 +136,8 @@
 	}
 }
 
-// OnTurn sets what runs once at the end of each wake-up.
-func (l *Loop) OnTurn(turn func()) { l.turn = turn }
+// OnRoundEnd sets what runs once at the end of each wake-up.
+func (l *Loop) OnRoundEnd(turn func()) { l.turn = turn }
 
 // Stop makes Run return after this wake-up.
 func (l *Loop) Stop() { l.stopped = true }
@@ -150,7 +150,7 @@
 			if err := l.gather(sleep); err != nil {
 				return err
 			}
-			if sleep = 0; l.Clock()-l.now < stale {
+			if sleep = 0; l.ReadClock()-l.now < stale {
 				break
 			}
 		}
@@ -170,7 +170,7 @@
 		if err != nil && !errors.Is(err, unix.EINTR) {
 			return fmt.Errorf("epoll wait: %w", err)
 		}
-		l.now = l.Clock()
+		l.now = l.ReadClock()
 		for i := range max(n, 0) {
 			// One closed earlier in this batch is gone from the map, or its number is another's by now: guards
 			// new connections against the events of old ones.
@@ -203,7 +203,7 @@
 
 // sleep is how long epoll may wait, in whole ms: rounded up, so that a timer is due when it wakes.
 func (l *Loop) sleep() int {
-	next, now := math.Inf(1), l.Clock()
+	next, now := math.Inf(1), l.ReadClock()
 	for _, t := range l.timers {
 		next = min(next, t.at)
 	}
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -68,7 +68,7 @@
 		})))
 		require.NoError(t, unix.Shutdown(theirs, unix.SHUT_WR))
 	}
-	l.OnTurn(func() {
+	l.OnRoundEnd(func() {
 		turns++
 		assert.Len(t, told, many)
 		l.Stop()
@@ -87,13 +87,13 @@
 	require.NoError(t, l.Add(goes, unix.EPOLLIN|unix.EPOLLRDHUP, handler(func(uint32) { gone = true; l.Close(goes) })))
 	require.NoError(t, l.Add(slow, unix.EPOLLIN, handler(func(uint32) {
 		l.Close(slow)
-		for at := l.Clock(); l.Clock() < at+1.5*stale; {
+		for at := l.ReadClock(); l.ReadClock() < at+1.5*stale; {
 		}
 		require.NoError(t, unix.Shutdown(client, unix.SHUT_RDWR))
 	})))
 	_, err = unix.Write(far, []byte("x"))
 	require.NoError(t, err)
-	l.OnTurn(func() {
+	l.OnRoundEnd(func() {
 		assert.True(t, gone)
 		l.Stop()
 	})
@@ -114,9 +114,9 @@
 	_, err = Connect(ln.Addr().String())
 	require.ErrorIs(t, err, unix.EMFILE)
 	asked := 0
-	_, err = ConnectWith(ln.Addr().String(), func() bool { asked++; return false })
+	_, err = ConnectFreeing(ln.Addr().String(), func() bool { asked++; return false })
 	require.ErrorIs(t, err, unix.EMFILE)
-	fd, err := ConnectWith(ln.Addr().String(), func() bool { asked++; return spare.Close() == nil })
+	fd, err := ConnectFreeing(ln.Addr().String(), func() bool { asked++; return spare.Close() == nil })
 	require.NoError(t, err)
 	assert.Equal(t, 2, asked)
 	_ = unix.Close(fd)
