--- a/internal/loop/socket.go
+++ b/internal/loop/socket.go
@@ -50,9 +50,9 @@
 	return fd, nil
 }
 
-// ConnectWith is Connect for a process that may be out of descriptors: then room is asked for one, and the
+// ConnectFreeing is Connect for a process that may be out of descriptors: then room is asked for one, and the
 // connection is tried once more.
-func ConnectWith(address string, room func() bool) (int, error) {
+func ConnectFreeing(address string, room func() bool) (int, error) {
 	fd, err := Connect(address)
 	if (errors.Is(err, unix.EMFILE) || errors.Is(err, unix.ENFILE)) && room != nil && room() {
 		return Connect(address)
@@ -69,8 +69,8 @@
 	return fd, err
 }
 
-// Failure is the pending error of a socket, nil if there is none.
-func Failure(fd int) error {
+// SocketError is the pending error of a socket, nil if there is none.
+func SocketError(fd int) error {
 	if n, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ERROR); err != nil {
 		return err
 	} else if n != 0 {
--- a/internal/loop/stream.go
+++ b/internal/loop/stream.go
@@ -16,11 +16,11 @@
 
 // Stream is the byte side of a connection: what was read and not parsed, what is to be written.
 type Stream struct {
-	FD      int
-	In, Out []byte
-	Wrote   uint64 // bytes that the kernel has taken
-	loop    *Loop
-	events  uint32
+	FD           int
+	In, Out      []byte
+	BytesWritten uint64 // bytes that the kernel has taken
+	loop         *Loop
+	events       uint32
 }
 
 // NewStream registers a connection with the loop.
@@ -51,22 +51,22 @@
 	return false, nil
 }
 
-// Stands tells that the peer has neither ended nor reset the connection, as far as has come.
-func (s *Stream) Stands() bool {
+// PeerOpen tells that the peer has neither ended nor reset the connection, as far as has come.
+func (s *Stream) PeerOpen() bool {
 	var b [1]byte
 	n, _, err := unix.Recvfrom(s.FD, b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	return n > 0 || errors.Is(err, unix.EAGAIN)
 }
 
-// Unread tells that bytes have come that were not read.
-func (s *Stream) Unread() bool {
+// HasUnread tells that bytes have come that were not read.
+func (s *Stream) HasUnread() bool {
 	var b [1]byte
 	n, _, _ := unix.Recvfrom(s.FD, b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	return n > 0
 }
 
-// Drop throws away what has come, a few reads at most, and tells how much that was.
-func (s *Stream) Drop() (n int, eof bool, err error) {
+// DiscardInput throws away what has come, a few reads at most, and tells how much that was.
+func (s *Stream) DiscardInput() (n int, eof bool, err error) {
 	for range dropReads {
 		k, err := unix.Read(s.FD, scratch[:])
 		switch {
@@ -95,7 +95,7 @@
 	for len(s.Out) > 0 {
 		n, err := unix.Write(s.FD, s.Out)
 		if n > 0 {
-			s.Wrote += uint64(n)
+			s.BytesWritten += uint64(n)
 			s.Out = s.Out[n:]
 			continue
 		}
@@ -114,11 +114,11 @@
 	return nil
 }
 
-// Want sets what the connection waits for.
-func (s *Stream) Want(events uint32) {
+// SetEvents sets what the connection waits for.
+func (s *Stream) SetEvents(events uint32) {
 	if s.events != events {
 		s.events = events
-		s.loop.Want(s.FD, events)
+		s.loop.SetEvents(s.FD, events)
 	}
 }
 
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -30,40 +30,40 @@
 	spinLeast = 20.0 // ms
 )
 
-// ErrBehind tells that a change builds on a list that is not ours: the whole list is asked for.
-var ErrBehind = errors.New("the list's version went back")
+// ErrStaleRevision tells that a change builds on a list that is not ours: the whole list is asked for.
+var ErrStaleRevision = errors.New("the list's version went back")
 
-// ErrEmpty tells that a whole list without any member was not taken, since one with members is known.
-var ErrEmpty = errors.New("an empty list in place of one with members")
+// ErrEmptyList tells that a whole list without any member was not taken, since one with members is known.
+var ErrEmptyList = errors.New("an empty list in place of one with members")
 
 // Call is how the next call is made.
 type Call struct {
-	Whole    bool    // the whole list is asked for, not what is newer than Index
-	Index    uint64  // the version that is known
-	Wait     float64 // ms that a call for changes may wait at the other side
-	Patience float64 // ms after which a call without an answer has failed
+	FullList      bool    // the whole list is asked for, not what is newer than Index
+	SinceRevision uint64  // the version that is known
+	Wait          float64 // ms that a call for changes may wait at the other side
+	Timeout       float64 // ms after which a call without an answer has failed
 }
 
-// Answer is what came of a call.
-type Answer struct {
-	Complete bool
-	Revision uint64
-	Members  int
+// Response is what came of a call.
+type Response struct {
+	Complete    bool
+	Revision    uint64
+	MemberCount int
 }
 
 // Next is what follows an answer or a failure.
 type Next struct {
-	At   float64 // when to call again
-	Take bool    // what came is given to the module
-	Tell bool    // the module is told of the failure, and says itself when to call again: At counts for nothing
-	Err  error   // why what came is not taken, nil if it is
+	At            float64 // when to call again
+	Apply         bool    // what came is given to the module
+	NotifyFailure bool    // the module is told of the failure, and says itself when to call again: At counts for nothing
+	Err           error   // why what came is not taken, nil if it is
 }
 
 // Stats are what a reader has counted.
-type Stats struct{ Calls, Failed, Behind, Empty uint64 }
+type Stats struct{ Calls, Failed, Stale, Empty uint64 }
 
-// Reader is what a broker knows of its way to the list.
-type Reader struct {
+// Poller is what a broker knows of its way to the list.
+type Poller struct {
 	pushed          bool
 	period, patient float64
 	turn            float64 // ms after silence at which the watch is opened anew
@@ -76,15 +76,15 @@
 
 // Options say which way the list comes.
 type Options struct {
-	Pushed     bool
-	DrainGrace float64 // ms after being told in which work may still go to a node that drains; 0 for no rule
-	Me, Peers  int     // this broker's number, and how many there are
+	Pushed                   bool
+	DrainGrace               float64 // ms after being told in which work may still go to a node that drains; 0 for no rule
+	BrokerIndex, BrokerCount int     // this broker's number, and how many there are
 }
 
-// NewReader makes a reader that knows no list.
-func NewReader(o Options) *Reader {
-	r := &Reader{pushed: o.Pushed, period: mostPeriod, patient: watchWait + answerMost,
-		turn: anewMost * float64(o.Me) / float64(max(1, o.Peers))}
+// NewPoller makes a reader that knows no list.
+func NewPoller(o Options) *Poller {
+	r := &Poller{pushed: o.Pushed, period: mostPeriod, patient: watchWait + answerMost,
+		turn: anewMost * float64(o.BrokerIndex) / float64(max(1, o.BrokerCount))}
 	if o.DrainGrace > 0 {
 		r.period = min(max(o.DrainGrace*periodShare, leastPeriod), mostPeriod)
 	}
@@ -95,32 +95,32 @@
 }
 
 // Pushed tells that the reader calls by itself, and the module is not asked when.
-func (r *Reader) Pushed() bool { return r.pushed }
+func (r *Poller) Pushed() bool { return r.pushed }
 
 // Period is the ms between calls where the list is pushed.
-func (r *Reader) Period() float64 { return r.period }
+func (r *Poller) Period() float64 { return r.period }
 
-// Patience is the ms after which a call without an answer has failed.
-func (r *Reader) Patience() float64 { return r.patient }
+// Timeout is the ms after which a call without an answer has failed.
+func (r *Poller) Timeout() float64 { return r.patient }
 
 // Stats are the counts so far.
-func (r *Reader) Stats() Stats { return r.stats }
+func (r *Poller) Stats() Stats { return r.stats }
 
-// Known takes the version of a list that the broker was started with.
-func (r *Reader) Known(revision uint64, members int) {
+// SetKnown takes the version of a list that the broker was started with.
+func (r *Poller) SetKnown(revision uint64, members int) {
 	// An agent costs nobody anything: the whole list is read first.
 	r.revision, r.have = revision, !r.pushed && (revision > 0 || members > 0)
 	r.members = members > 0
 }
 
-// Moved tells that the list is asked for elsewhere: versions need not be the same there.
-func (r *Reader) Moved() { r.have = false }
+// AddressChanged tells that the list is asked for elsewhere: versions need not be the same there.
+func (r *Poller) AddressChanged() { r.have = false }
 
-// Begin notes a call and says how it is made.
-func (r *Reader) Begin(now float64) Call {
+// BeginCall notes a call and says how it is made.
+func (r *Poller) BeginCall(now float64) Call {
 	r.began = now
 	r.stats.Calls++
-	c := Call{Whole: !r.have, Index: r.revision, Wait: watchWait, Patience: r.patient}
+	c := Call{FullList: !r.have, SinceRevision: r.revision, Wait: watchWait, Timeout: r.patient}
 	if r.pushed {
 		// An agent that does wait must have answered well before patience ends.
 		c.Wait = min(r.period, r.patient/2)
@@ -128,43 +128,43 @@
 	return c
 }
 
-// Answered takes a list that came.
-func (r *Reader) Answered(now float64, a Answer) Next {
-	n := Next{At: now, Take: true}
+// HandleResponse takes a list that came.
+func (r *Poller) HandleResponse(now float64, a Response) Next {
+	n := Next{At: now, Apply: true}
 	switch {
 	case !a.Complete && (!r.have || a.Revision < r.revision):
 		// A service that has started anew, or has lost what it had, counts from elsewhere. What changed since a
 		// list that we have not says nothing of the others.
-		n.Take, n.Err, r.have = false, ErrBehind, false
-		r.stats.Behind++
+		n.Apply, n.Err, r.have = false, ErrStaleRevision, false
+		r.stats.Stale++
 		n.At = r.began + max(spinLeast, r.pace())
 		return n
-	case a.Complete && a.Members == 0 && r.members:
+	case a.Complete && a.MemberCount == 0 && r.members:
 		// It cannot be told from a service that has only just started: the last list holds, with all drains heard.
-		n.Take, n.Err, r.have = false, ErrEmpty, false
+		n.Apply, n.Err, r.have = false, ErrEmptyList, false
 		r.stats.Empty++
 		n.At = now + max(spinLeast, r.pace())
 		return n
 	}
 	r.revision, r.have = a.Revision, true
-	r.members = r.members && !a.Complete || a.Members > 0
+	r.members = r.members && !a.Complete || a.MemberCount > 0
 	if r.pushed {
 		n.At = max(now, r.began+r.period)
-	} else if a.Members == 0 && now < r.began+spinLeast {
+	} else if a.MemberCount == 0 && now < r.began+spinLeast {
 		n.At = r.began + spinLeast
 	}
 	return n
 }
 
-// Failed takes a call that came to nothing: refused, reset, with an answer that is no list, or silent.
+// HandleFailure takes a call that came to nothing: refused, reset, with an answer that is no list, or silent.
 // Silence says that a connection is dead, where a service with too many callers refuses or resets. So where
 // the list is asked for, a silent watch is opened anew at once: all brokers of a fleet together then call
 // less often than their watches do, as each has waited out its patience. Any other failure is the module's
 // to pace.
-func (r *Reader) Failed(now float64, silent bool) Next {
+func (r *Poller) HandleFailure(now float64, silent bool) Next {
 	r.stats.Failed++
 	if !r.pushed {
-		return Next{Tell: !silent, At: now + r.turn}
+		return Next{NotifyFailure: !silent, At: now + r.turn}
 	}
 	// An agent that was away may have started anew. It is on this machine: asking again at the usual pace
 	// burdens nobody, and any longer delay would be missing when it speaks again.
@@ -172,7 +172,7 @@
 	return Next{At: max(now, r.began+r.period)}
 }
 
-func (r *Reader) pace() float64 {
+func (r *Poller) pace() float64 {
 	if r.pushed {
 		return r.period
 	}
--- a/internal/merge/rank.go
+++ b/internal/merge/rank.go
@@ -125,7 +125,7 @@
 				return fault(i, ErrNaN, "%s", o.schema[at].Name)
 			}
 		}
-		if r.District < b.Districts.Lo || r.District >= b.Districts.Hi {
+		if r.District < b.Districts.Start || r.District >= b.Districts.End {
 			return fault(i, ErrDistrict, "%d, not of %v", r.District, b.Districts)
 		}
 		if i > 0 {
@@ -207,6 +207,6 @@
 			p.Need = append(p.Need, b.Districts)
 		}
 	}
-	slices.SortFunc(p.Need, func(a, b slicemap.Range) int { return cmp.Compare(a.Lo, b.Lo) })
+	slices.SortFunc(p.Need, func(a, b slicemap.Range) int { return cmp.Compare(a.Start, b.Start) })
 	return p
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -11,30 +11,30 @@
 
 // File is the operator's file.
 type File struct {
-	Flight *Flight `json:"flight"`
-	Slices *Slices `json:"slices"`
+	Flight   *Flight   `json:"flight"`
+	Sharding *Sharding `json:"slices"`
 }
 
 // Flight is the Arrow Flight front and back end.
 type Flight struct {
-	Enabled bool   `json:"enabled"`
-	Listen  string `json:"listen"`
-	Nodes   bool   `json:"nodes"`
-	Streams int    `json:"streams"`
-	Conns   int    `json:"conns"`
+	Enabled              bool   `json:"enabled"`
+	Listen               string `json:"listen"`
+	Backends             bool   `json:"nodes"`
+	StreamsPerConnection int    `json:"streams"`
+	MaxConnections       int    `json:"conns"`
 }
 
-// Slices says where the map of slices comes from; slices move if it is there.
-type Slices struct {
-	Catalogue string   `json:"catalogue"`
-	Wait      *float64 `json:"wait_ms"`
-	Spread    *float64 `json:"spread_ms"`
-	Rest      *float64 `json:"rest_ms"`
-	AnswerMB  int      `json:"answer_mb"`
-	Most      int      `json:"most"`
-	Versions  int      `json:"versions"`
-	History   int      `json:"history"`
-	Cache     string   `json:"cache"`
+// Sharding says where the map of slices comes from; slices move if it is there.
+type Sharding struct {
+	Catalogue      string   `json:"catalogue"`
+	WatchTimeoutMs *float64 `json:"wait_ms"`
+	JitterMs       *float64 `json:"spread_ms"`
+	MinIntervalMs  *float64 `json:"rest_ms"`
+	AnswerMB       int      `json:"answer_mb"`
+	MaxShards      int      `json:"most"`
+	MaxVersions    int      `json:"versions"`
+	MaxRetired     int      `json:"history"`
+	Cache          string   `json:"cache"`
 }
 
 const defaultAnswerMB = 32
@@ -48,13 +48,13 @@
 	return f, jsonnetfile.Load(path, api.OperatorSchema, nil, f)
 }
 
-// Follow is how the catalogue is followed.
-func (s *Slices) Follow() slicemap.FollowOptions {
-	o := slicemap.DefaultFollow
+// PollerOptions is how the catalogue is followed.
+func (s *Sharding) PollerOptions() slicemap.PollerOptions {
+	o := slicemap.DefaultPollerOptions
 	for _, v := range []struct {
 		to   *float64
 		from *float64
-	}{{&o.Wait, s.Wait}, {&o.Spread, s.Spread}, {&o.Rest, s.Rest}} {
+	}{{&o.WatchTimeoutMs, s.WatchTimeoutMs}, {&o.JitterMs, s.JitterMs}, {&o.MinIntervalMs, s.MinIntervalMs}} {
 		if v.from != nil {
 			*v.to = *v.from
 		}
@@ -63,7 +63,7 @@
 }
 
 // AnswerBytes bounds an answer of the catalogue.
-func (s *Slices) AnswerBytes() int {
+func (s *Sharding) AnswerBytes() int {
 	if s.AnswerMB == 0 {
 		return defaultAnswerMB << 20
 	}
--- a/internal/ops/adminapi/adminapi.go
+++ b/internal/ops/adminapi/adminapi.go
@@ -20,39 +20,39 @@
 	"ternstage/internal/ops/maintenance"
 )
 
-// Calls carries out what operators ask. Each is called on the loop and must not wait.
-type Calls interface {
+// Operations carries out what operators ask. Each is called on the loop and must not wait.
+type Operations interface {
 	// Ready tells whether the process is ready to serve.
 	Ready() bool
-	Suspend(id string) maintenance.Verdict
-	Resume(id string) maintenance.Verdict
-	Drain() maintenance.Verdict
-	Activate() maintenance.Verdict
+	Suspend(id string) maintenance.CallResult
+	Resume(id string) maintenance.CallResult
+	Drain() maintenance.CallResult
+	Activate() maintenance.CallResult
 }
 
 // Bounds of the API.
 const (
-	MaxConns = 64      // connections at once; at the bound the oldest that has not called is answered no
-	MaxHead  = 4 << 10 // bytes of a call's head
-	MaxBody  = 4 << 10 // bytes of a body, which no call needs and which is thrown away
-	AnswerBy = 800.0   // ms after the connect by which a call that has not come whole is answered no
-	LingerBy = 1000.0  // ms after the answer in which what a caller still sends is thrown away
-	tendStep = 50.0    // ms between looks at the connections
-	readSize = MaxHead + MaxBody
+	MaxConnections = 64      // connections at once; at the bound the oldest that has not called is answered no
+	MaxHeaderBytes = 4 << 10 // bytes of a call's head
+	MaxBodyBytes   = 4 << 10 // bytes of a body, which no call needs and which is thrown away
+	AnswerWithinMs = 800.0   // ms after the connect by which a call that has not come whole is answered no
+	LingerMs       = 1000.0  // ms after the answer in which what a caller still sends is thrown away
+	tendStep       = 50.0    // ms between looks at the connections
+	readSize       = MaxHeaderBytes + MaxBodyBytes
 )
 
 var (
 	errLate    = errors.New("the call did not come whole within 0.8 s")
 	errCrowded = errors.New("too many callers at once")
-	errHead    = fmt.Errorf("head over %d bytes", MaxHead)
-	errBody    = fmt.Errorf("body over %d bytes", MaxBody)
+	errHead    = fmt.Errorf("head over %d bytes", MaxHeaderBytes)
+	errBody    = fmt.Errorf("body over %d bytes", MaxBodyBytes)
 	errCall    = errors.New("malformed call")
 )
 
 // Server listens for operators.
 type Server struct {
 	loop    *loop.Loop
-	calls   Calls
+	calls   Operations
 	log     *logs.Log
 	fd      int
 	conns   map[*conn]struct{}
@@ -62,7 +62,7 @@
 }
 
 // Listen listens for operators on an address.
-func Listen(l *loop.Loop, calls Calls, log *logs.Log, address string) (*Server, error) {
+func Listen(l *loop.Loop, calls Operations, log *logs.Log, address string) (*Server, error) {
 	fd, err := loop.Listen(address)
 	if err != nil {
 		return nil, fmt.Errorf("mgmt: %w", err)
@@ -78,7 +78,7 @@
 
 // Ready implements loop.Handler: callers wait to be taken.
 func (d *Server) Ready(uint32) {
-	for range MaxConns {
+	for range MaxConnections {
 		fd, err := loop.Accept(d.fd)
 		if errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EINTR) || errors.Is(err, unix.ECONNABORTED) {
 			return
@@ -86,12 +86,12 @@
 		if err != nil {
 			// No descriptor: the caller waits in the kernel's queue, and the listener is left alone for a
 			// while, as it stays ready and would have the loop spin.
-			d.loop.Want(d.fd, 0)
+			d.loop.SetEvents(d.fd, 0)
 			d.resting = true
-			d.timer.Sooner(d.loop.Now() + tendStep)
+			d.timer.SetEarlier(d.loop.Now() + tendStep)
 			return
 		}
-		if len(d.conns) >= MaxConns {
+		if len(d.conns) >= MaxConnections {
 			d.makeRoom()
 		}
 		c := &conn{server: d, since: d.loop.Now(), peer: peerOf(fd)}
@@ -101,7 +101,7 @@
 		}
 		c.s = s
 		d.conns[c] = struct{}{}
-		d.timer.Sooner(d.loop.Now() + tendStep)
+		d.timer.SetEarlier(d.loop.Now() + tendStep)
 	}
 }
 
@@ -117,8 +117,8 @@
 			o = c
 		}
 	}
-	o.fail(503, errCrowded, logs.OperatorCrowded)
-	o.close(logs.OperatorCrowded, errCrowded)
+	o.fail(503, errCrowded, logs.OperatorLimit)
+	o.close(logs.OperatorLimit, errCrowded)
 }
 
 // tend answers calls that take too long and closes what lingers.
@@ -126,14 +126,14 @@
 	now := d.loop.Now()
 	if d.resting && d.fd >= 0 {
 		d.resting = false
-		d.loop.Want(d.fd, unix.EPOLLIN)
+		d.loop.SetEvents(d.fd, unix.EPOLLIN)
 	}
 	for c := range d.conns {
 		switch {
-		case c.answered && now-c.answeredAt > LingerBy:
+		case c.answered && now-c.answeredAt > LingerMs:
 			c.close(logs.OperatorDone, nil)
-		case !c.answered && now-c.since > AnswerBy:
-			c.fail(408, errLate, logs.OperatorLate)
+		case !c.answered && now-c.since > AnswerWithinMs:
+			c.fail(408, errLate, logs.OperatorTimeout)
 		}
 	}
 	if len(d.conns) > 0 {
@@ -153,23 +153,23 @@
 }
 
 // route answers a call that has come whole.
-func (d *Server) route(method, path string) maintenance.Verdict {
+func (d *Server) route(method, path string) maintenance.CallResult {
 	const leafs = "/v1/leafs/"
-	put := func(do func() maintenance.Verdict) maintenance.Verdict {
+	put := func(do func() maintenance.CallResult) maintenance.CallResult {
 		if method != "PUT" {
-			return maintenance.Verdict{Status: 405, Reason: "PUT only"}
+			return maintenance.CallResult{Status: 405, Reason: "PUT only"}
 		}
 		return do()
 	}
 	switch {
 	case path == "/v1/readyz":
 		if method != "GET" && method != "HEAD" {
-			return maintenance.Verdict{Status: 405, Reason: "GET only"}
+			return maintenance.CallResult{Status: 405, Reason: "GET only"}
 		}
 		if d.calls.Ready() {
-			return maintenance.Verdict{Status: 200, Reason: "ready"}
+			return maintenance.CallResult{Status: 200, Reason: "ready"}
 		}
-		return maintenance.Verdict{Status: 503, Reason: "not ready"}
+		return maintenance.CallResult{Status: 503, Reason: "not ready"}
 	case path == "/v1/aggregator/drain":
 		return put(d.calls.Drain)
 	case path == "/v1/aggregator/activate":
@@ -178,12 +178,12 @@
 		id, verb, ok := strings.Cut(path[len(leafs):], "/")
 		switch {
 		case ok && verb == "suspend":
-			return put(func() maintenance.Verdict { return d.calls.Suspend(id) })
+			return put(func() maintenance.CallResult { return d.calls.Suspend(id) })
 		case ok && verb == "resume":
-			return put(func() maintenance.Verdict { return d.calls.Resume(id) })
+			return put(func() maintenance.CallResult { return d.calls.Resume(id) })
 		}
 	}
-	return maintenance.Verdict{Status: 404, Reason: "no such call: " + strconv.Quote(path)}
+	return maintenance.CallResult{Status: 404, Reason: "no such call: " + strconv.Quote(path)}
 }
 
 // conn is one caller.
@@ -208,7 +208,7 @@
 	}
 	eof, err := c.s.Read(readSize + 1)
 	if err != nil {
-		c.close(logs.OperatorGone, err)
+		c.close(logs.OperatorDisconnected, err)
 		return
 	}
 	method, path, size, err := head(c.s.In)
@@ -218,13 +218,13 @@
 	case size > 0 && len(c.s.In) >= size:
 		c.answer(method, path, c.server.route(method, path))
 	case eof:
-		c.close(logs.OperatorGone, nil)
+		c.close(logs.OperatorDisconnected, nil)
 	}
 }
 
 // answer writes the verdict and ends our side.
 // The call is the connection's one line in the log, in place of the line of its end.
-func (c *conn) answer(method, path string, v maintenance.Verdict) {
+func (c *conn) answer(method, path string, v maintenance.CallResult) {
 	c.server.log.Info("operator call", zap.String("code", string(logs.OperatorDone)), zap.String("peer", c.peer),
 		zap.String("method", method), zap.String("path", path), zap.Int("status", v.Status),
 		zap.String("reason", v.Reason), zap.Bool("changed", v.Changed))
@@ -246,18 +246,18 @@
 	if err := c.s.Flush(); err != nil || len(c.s.Out) > 0 {
 		// An answer of a few hundred bytes that the kernel does not take at once goes to a caller that
 		// does not read: it is not waited for.
-		c.close(logs.OperatorGone, err)
+		c.close(logs.OperatorDisconnected, err)
 		return
 	}
 	_ = unix.Shutdown(c.s.FD, unix.SHUT_WR)
-	c.s.Want(unix.EPOLLIN | unix.EPOLLRDHUP)
+	c.s.SetEvents(unix.EPOLLIN | unix.EPOLLRDHUP)
 	c.discard()
 }
 
 // discard throws away what the caller still sends, so that our close does not become a reset that takes
 // the answer with it; the caller's close ends the connection.
 func (c *conn) discard() {
-	if _, eof, err := c.s.Drop(); eof || err != nil {
+	if _, eof, err := c.s.DiscardInput(); eof || err != nil {
 		c.close(logs.OperatorDone, nil)
 	}
 }
@@ -273,7 +273,7 @@
 		code, err = c.code, c.err
 	}
 	if !c.logged || code != logs.OperatorDone {
-		c.server.log.Conn(code, c.peer, 1, err)
+		c.server.log.ConnectionEnded(code, c.peer, 1, err)
 	}
 }
 
@@ -281,12 +281,12 @@
 func head(in []byte) (method, path string, size int, err error) {
 	end := bytes.Index(in, []byte("\r\n\r\n"))
 	if end < 0 {
-		if len(in) > MaxHead {
+		if len(in) > MaxHeaderBytes {
 			return "", "", 0, errHead
 		}
 		return "", "", 0, nil
 	}
-	if end > MaxHead {
+	if end > MaxHeaderBytes {
 		return "", "", 0, errHead
 	}
 	line, fields, _ := strings.Cut(string(in[:end]), "\r\n")
@@ -308,7 +308,7 @@
 			if err != nil {
 				return "", "", 0, fmt.Errorf("%w: Content-Length %q", errCall, strings.TrimSpace(value))
 			}
-			if n > MaxBody {
+			if n > MaxBodyBytes {
 				return "", "", 0, errBody
 			}
 			body = int(n)
@@ -325,9 +325,9 @@
 	// A body in chunks, as some clients send an empty one: thrown away once its last chunk has come.
 	last := bytes.Index(in[end+2:], []byte("\r\n0\r\n\r\n"))
 	switch {
-	case last >= 0 && last <= MaxBody:
+	case last >= 0 && last <= MaxBodyBytes:
 		return method, path, end + 2 + last + 7, nil
-	case len(in)-end-4 > MaxBody:
+	case len(in)-end-4 > MaxBodyBytes:
 		return "", "", 0, errBody
 	}
 	return "", "", 0, nil
--- a/internal/ops/adminclient/adminclient.go
+++ b/internal/ops/adminclient/adminclient.go
@@ -48,12 +48,12 @@
 
 // Answer is what became of a call.
 type Answer struct {
-	Call   string `json:"call"`
-	ID     string `json:"id,omitempty"`
-	OK     bool   `json:"ok"`
-	Status int    `json:"status"` // of HTTP; 0 where no answer came
-	Reason string `json:"reason"`
-	Tries  int    `json:"tries"`
+	Call     string `json:"call"`
+	ID       string `json:"id,omitempty"`
+	OK       bool   `json:"ok"`
+	Status   int    `json:"status"` // of HTTP; 0 where no answer came
+	Reason   string `json:"reason"`
+	Attempts int    `json:"tries"`
 }
 
 // Do makes a call to the admin API at addr ("127.0.0.1:9090"), again and again while no answer comes, until
@@ -63,7 +63,7 @@
 	a := Answer{Call: c.Name, ID: c.ID}
 	transport := &http.Transport{DisableKeepAlives: true}
 	for {
-		a.Tries++
+		a.Attempts++
 		err := once(ctx, transport, addr, c, &a)
 		if err == nil {
 			return a, nil
--- a/internal/ops/control/control.go
+++ b/internal/ops/control/control.go
@@ -22,28 +22,28 @@
 	"ternstage/internal/ops/maintenance"
 )
 
-// Look is how often the file is looked at for what another process of the aggregator wrote, in ms: well
+// PollIntervalMs is how often the file is looked at for what another process of the aggregator wrote, in ms: well
 // inside the 50 ms of slack that a drain's second has, so that a ban said yes to by one process holds at
 // the other in time.
-const Look = 20.0
+const PollIntervalMs = 20.0
 
-// List is the module as it hears of the list.
-type List interface {
-	ListChanged(kind scheduler.UpdateKind, entries []scheduler.Endpoint)
+// EndpointSink is the module as it hears of the list.
+type EndpointSink interface {
+	EndpointsChanged(kind scheduler.UpdateKind, entries []scheduler.Endpoint)
 }
 
 // Members gives the module's form of a listed leaf, with what holds applied.
 type Members interface {
-	Entry(id string) (scheduler.Endpoint, bool)
+	Endpoint(id string) (scheduler.Endpoint, bool)
 }
 
 // Front is the clients' front as sending them away needs it.
 type Front interface {
 	Healthy() bool
-	Able() bool // it could serve: a list is known and the program does not end
-	SendAway(on bool)
-	CloseKept(on bool)
-	EndIdle()
+	CanServe() bool // it could serve: a list is known and the program does not end
+	SetDraining(on bool)
+	CloseAfterResponse(on bool)
+	CloseIdle()
 }
 
 // Control carries out the operators' calls.
@@ -53,7 +53,7 @@
 	bans      *maintenance.Suspensions
 	drain     maintenance.Drain
 	phase     maintenance.Phase
-	list      List
+	list      EndpointSink
 	members   Members
 	front     Front
 	path      string
@@ -61,23 +61,23 @@
 	bad       stamp // of a file that could not be used, logged once
 	timer     *loop.Timer
 	stopping  bool
-	drainBy   string // file of the drain
-	drainOff  bool   // the file could not be read, logged once
-	drainHere bool   // the file could not be written: the drain holds in this process alone
-	found     bool   // the drain that holds was found at the start: another process was told
-	hand      *Hand  // nil where no other process takes over
+	drainBy   string          // file of the drain
+	drainOff  bool            // the file could not be read, logged once
+	drainHere bool            // the file could not be written: the drain holds in this process alone
+	found     bool            // the drain that holds was found at the start: another process was told
+	hand      *HandoverConfig // nil where no other process takes over
 }
 
-// Hand is what a hand-over of cold sends between the processes of an aggregator needs.
-type Hand struct {
-	Path    string  // of the record, beside the held leafs
-	Window  float64 // ms: of the allowance of cold leafs
-	Started float64 // Unix ms: when this process started
-	Peers   int     // of the settings
-	Core    interface {
+// HandoverConfig is what a hand-over of cold sends between the processes of an aggregator needs.
+type HandoverConfig struct {
+	Path        string  // of the record, beside the held leafs
+	WindowMs    float64 // ms: of the allowance of cold leafs
+	Started     float64 // Unix ms: when this process started
+	BrokerCount int     // of the settings
+	Core        interface {
 		HandOver() []scheduler.WarmupSend
 		TakeOver(sent []scheduler.WarmupSend)
-		Shares()
+		OtherProcessActive()
 	}
 	Known func(replica uint32) bool // the leaf is listed here
 
@@ -89,8 +89,8 @@
 	alone      bool // the lock is ours: no other process serves that has not handed over
 }
 
-// HandOverBy has the control hand cold sends over at Stop, and take them over from the process before.
-func (u *Control) HandOverBy(h *Hand) {
+// EnableHandover has the control hand cold sends over at Stop, and take them over from the process before.
+func (u *Control) EnableHandover(h *HandoverConfig) {
 	u.hand, h.serving = h, -1
 	u.lookHand()
 }
@@ -103,7 +103,7 @@
 
 // New makes the control and reads the file of held leafs at path, if there is one. A file that cannot be
 // used is logged and taken for none: it does not stop a start.
-func New(l *loop.Loop, log *logs.Log, path string, members Members, list List, front Front) *Control {
+func New(l *loop.Loop, log *logs.Log, path string, members Members, list EndpointSink, front Front) *Control {
 	u := &Control{loop: l, log: log, bans: maintenance.NewSuspensions(), list: list, members: members,
 		front: front, path: path, drainBy: path + ".drain"}
 	u.timer = l.NewTimer(u.tick)
@@ -118,7 +118,7 @@
 func (u *Control) Suspensions() *maintenance.Suspensions { return u.bans }
 
 // Start begins to look at the file and at the phase of a drain.
-func (u *Control) Start() { u.timer.Set(u.loop.Now() + Look) }
+func (u *Control) Start() { u.timer.Set(u.loop.Now() + PollIntervalMs) }
 
 // Stop tells that the program ends: it is no longer ready, and another process takes over what it sent
 // to cold leafs.
@@ -130,7 +130,7 @@
 	if h := u.hand; h != nil {
 		h.taken = true // what it writes now is its successor's, not its own
 		sent := h.Core.HandOver()
-		err := writeFile(h.Path, handover.Encode(unixNow(), h.Peers, sent))
+		err := writeFile(h.Path, handover.Encode(unixNow(), h.BrokerCount, sent))
 		u.log.Info("cold sends handed over", zap.Int("sent", len(sent)), zap.Error(err))
 	}
 }
@@ -165,11 +165,11 @@
 		u.log.Warn("cold sends not taken over", zap.String("file", h.Path), zap.String("reason", why),
 			zap.Float64("age_ms", now-h.record.Written))
 	}
-	switch handover.Judge(*h.record, now, h.Started, h.Window, h.Peers, h.Known) {
+	switch handover.Decide(*h.record, now, h.Started, h.WindowMs, h.BrokerCount, h.Known) {
 	case handover.Ignore:
 		not("written before this process started")
 		h.record = nil
-	case handover.Foreign:
+	case handover.DifferentFleet:
 		not("of a process that was told of another number of peers")
 		h.record = nil
 	case handover.Wait:
@@ -177,8 +177,8 @@
 			not("it names leafs that are not listed here yet")
 		}
 		h.waited = true
-	case handover.Take:
-		sent := handover.Aged(*h.record, now, h.Window)
+	case handover.Apply:
+		sent := handover.AgeSends(*h.record, now, h.WindowMs)
 		h.Core.TakeOver(sent)
 		h.taken, h.record = true, nil
 		u.log.Info("cold sends taken over", zap.Int("sent", len(sent)))
@@ -189,7 +189,7 @@
 // this one and has not handed over: each would use the whole share. The one that serves holds a lock, which
 // the kernel frees when it ends, however it does. Where there can be no such file nothing is known, and the
 // wait of the first window after a start has to do.
-func (u *Control) lookBeside(h *Hand) {
+func (u *Control) lookBeside(h *HandoverConfig) {
 	if h.alone {
 		return
 	}
@@ -204,27 +204,27 @@
 		h.serving = fd
 	}
 	if h.alone = unix.Flock(h.serving, unix.LOCK_EX|unix.LOCK_NB) == nil; !h.alone && !h.taken {
-		h.Core.Shares()
+		h.Core.OtherProcessActive()
 	}
 }
 
 // Ready implements adminapi.Calls. A drain that was found at the start does not stop this process from taking
 // over from the one that was told; health says no all the same.
 func (u *Control) Ready() bool {
-	return !u.stopping && (u.front.Healthy() || u.found && u.drain.Since() > 0 && u.front.Able())
+	return !u.stopping && (u.front.Healthy() || u.found && u.drain.Since() > 0 && u.front.CanServe())
 }
 
 // Suspend implements adminapi.Calls.
-func (u *Control) Suspend(id string) maintenance.Verdict { return u.change(id, u.bans.Suspend) }
+func (u *Control) Suspend(id string) maintenance.CallResult { return u.change(id, u.bans.Suspend) }
 
 // Resume implements adminapi.Calls.
-func (u *Control) Resume(id string) maintenance.Verdict { return u.change(id, u.bans.Resume) }
+func (u *Control) Resume(id string) maintenance.CallResult { return u.change(id, u.bans.Resume) }
 
-func (u *Control) change(id string, do func(string) maintenance.Verdict) maintenance.Verdict {
+func (u *Control) change(id string, do func(string) maintenance.CallResult) maintenance.CallResult {
 	free, err := lock(u.path)
 	if errors.Is(err, errLocked) {
 		u.log.Warn("held leafs not changed", zap.String("file", u.path), zap.Error(err))
-		return maintenance.Verdict{Status: 500, Reason: "nothing is changed: " + err.Error()}
+		return maintenance.CallResult{Status: 500, Reason: "nothing is changed: " + err.Error()}
 	}
 	defer free() // without a lock file there will be no file either, and the answer says so
 	u.look()     // what another process wrote comes first
@@ -236,14 +236,14 @@
 	if err := u.write(); err != nil {
 		// It holds in this process, but would not hold in the next: a no, so that the call is made again.
 		u.log.Warn("held leafs not kept", zap.String("file", u.path), zap.Error(err))
-		return maintenance.Verdict{Status: 500, Changed: true,
+		return maintenance.CallResult{Status: 500, Changed: true,
 			Reason: "so here, but not kept for the next process: " + err.Error()}
 	}
 	return v
 }
 
 // Drain implements adminapi.Calls.
-func (u *Control) Drain() maintenance.Verdict {
+func (u *Control) Drain() maintenance.CallResult {
 	u.lookDrain()
 	v := u.drain.Drain(u.loop.Now())
 	u.follow()
@@ -256,7 +256,7 @@
 }
 
 // kept is the answer to a call whose change holds here, by whether it is kept for the other processes.
-func (u *Control) kept(v maintenance.Verdict, err error) maintenance.Verdict {
+func (u *Control) kept(v maintenance.CallResult, err error) maintenance.CallResult {
 	if err == nil {
 		return v
 	}
@@ -266,7 +266,7 @@
 }
 
 // Activate implements adminapi.Calls.
-func (u *Control) Activate() maintenance.Verdict {
+func (u *Control) Activate() maintenance.CallResult {
 	u.lookDrain()
 	v := u.drain.Activate()
 	u.follow()
@@ -299,15 +299,15 @@
 // follow has the front do what the phase of a drain asks.
 func (u *Control) follow() {
 	p := u.drain.Phase(u.loop.Now())
-	if p == maintenance.Emptying {
-		u.front.EndIdle() // again at each look: one that a late client opened is not left idle either
+	if p == maintenance.ClosingIdle {
+		u.front.CloseIdle() // again at each look: one that a late client opened is not left idle either
 	}
 	if p == u.phase {
 		return
 	}
 	u.log.Info("clients", zap.Stringer("from", u.phase), zap.Stringer("to", p))
-	u.front.SendAway(p != maintenance.Serving)
-	u.front.CloseKept(p >= maintenance.Closing)
+	u.front.SetDraining(p != maintenance.Serving)
+	u.front.CloseAfterResponse(p >= maintenance.ClosingConnections)
 	u.phase = p
 }
 
@@ -316,19 +316,19 @@
 	u.lookHand()
 	u.lookDrain()
 	u.follow()
-	u.timer.Set(u.loop.Now() + Look)
+	u.timer.Set(u.loop.Now() + PollIntervalMs)
 }
 
 // tell has the module hear of a leaf that is held or freed, as the list would tell it.
 func (u *Control) tell(ids ...string) {
 	es := make([]scheduler.Endpoint, 0, len(ids))
 	for _, id := range ids {
-		if e, ok := u.members.Entry(id); ok {
+		if e, ok := u.members.Endpoint(id); ok {
 			es = append(es, e)
 		}
 	}
 	if len(es) > 0 {
-		u.list.ListChanged(scheduler.UpdateDelta, es)
+		u.list.EndpointsChanged(scheduler.UpdateDelta, es)
 	}
 }
 
@@ -348,18 +348,18 @@
 	}
 	text, err := os.ReadFile(u.path)
 	if err == nil && len(text) != int(st.size) {
-		err = fmt.Errorf("%w: changed while read", maintenance.ErrFile)
+		err = fmt.Errorf("%w: changed while read", maintenance.ErrSuspensionFile)
 	}
 	var ids []string
 	if err == nil {
-		ids, err = maintenance.Decode(text)
+		ids, err = maintenance.DecodeSuspensions(text)
 	}
 	if err != nil {
 		u.refuse(st, err)
 		return
 	}
 	u.stamp = st
-	added, freed := u.bans.Take(ids)
+	added, freed := u.bans.Replace(ids)
 	if len(added)+len(freed) > 0 {
 		u.log.Info("held leafs read", zap.String("file", u.path), zap.Strings("held", added),
 			zap.Strings("freed", freed))
@@ -378,7 +378,7 @@
 // write keeps the held leafs: a new file under another name takes the old one's place in one rename, so
 // that a reader sees the old or the new and never half of one.
 func (u *Control) write() error {
-	if err := writeFile(u.path, maintenance.Encode(u.bans.IDs())); err != nil {
+	if err := writeFile(u.path, maintenance.EncodeSuspensions(u.bans.IDs())); err != nil {
 		return err
 	}
 	if fi, err := os.Stat(u.path); err == nil {
--- a/internal/ops/control/control_test.go
+++ b/internal/ops/control/control_test.go
@@ -30,17 +30,17 @@
 	log   string
 }
 
-func (p *process) ListChanged(_ scheduler.UpdateKind, es []scheduler.Endpoint) {
+func (p *process) EndpointsChanged(_ scheduler.UpdateKind, es []scheduler.Endpoint) {
 	p.heard = append(p.heard, es...)
 }
-func (p *process) Healthy() bool     { return !p.away }
-func (p *process) Able() bool        { return true }
-func (p *process) SendAway(on bool)  { p.away = on }
-func (p *process) CloseKept(on bool) { p.kept = on }
-func (p *process) EndIdle()          { p.idle++ }
+func (p *process) Healthy() bool              { return !p.away }
+func (p *process) CanServe() bool             { return true }
+func (p *process) SetDraining(on bool)        { p.away = on }
+func (p *process) CloseAfterResponse(on bool) { p.kept = on }
+func (p *process) CloseIdle()                 { p.idle++ }
 
-// Entry gives every id a listed leaf, numbered by its first byte, with what holds applied.
-func (p *process) Entry(id string) (scheduler.Endpoint, bool) {
+// Endpoint gives every id a listed leaf, numbered by its first byte, with what holds applied.
+func (p *process) Endpoint(id string) (scheduler.Endpoint, bool) {
 	e := scheduler.Endpoint{Replica: uint32(id[len(id)-1]), State: scheduler.Ready}
 	if p.Control != nil && p.bans.Suspended(id) {
 		e.State = scheduler.Draining
@@ -72,7 +72,7 @@
 func TestShared(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "held.json")
 	a, b := start(t, path), start(t, path)
-	a.Suspensions().Listed("s-1")
+	a.Suspensions().MemberListed("s-1")
 	require.Equal(t, 200, a.Suspend("s-1").Status)
 	require.Equal(t, []scheduler.Endpoint{{Replica: '1', State: scheduler.Draining}}, a.heard, "the module hears at once")
 
@@ -97,19 +97,19 @@
 	dir := t.TempDir()
 	path := filepath.Join(dir, "held.json")
 	a := start(t, path)
-	a.Suspensions().Listed("s-1")
-	require.True(t, a.Suspend("s-1").Yes())
+	a.Suspensions().MemberListed("s-1")
+	require.True(t, a.Suspend("s-1").OK())
 	require.NoError(t, os.WriteFile(path, []byte(`{"form":"ternstage held leafs","vers`), 0o600))
 	a.look()
 	a.look()
 	assert.True(t, a.Suspensions().Suspended("s-1"), "a torn file frees nothing")
-	require.NoError(t, os.WriteFile(path, maintenance.Encode(nil)[:5], 0o600))
+	require.NoError(t, os.WriteFile(path, maintenance.EncodeSuspensions(nil)[:5], 0o600))
 	b := start(t, path)
 	assert.Empty(t, b.Suspensions().IDs(), "a start with a torn file holds nothing and goes on")
 	assert.Contains(t, b.logged(t), "torn or not JSON")
 
 	gone := start(t, filepath.Join(dir, "no such folder", "held.json"))
-	gone.Suspensions().Listed("s-2")
+	gone.Suspensions().MemberListed("s-2")
 	v := gone.Suspend("s-2")
 	assert.Equal(t, 500, v.Status, "not kept for the next process is a no")
 	assert.True(t, gone.Suspensions().Suspended("s-2"), "but it holds here")
@@ -124,7 +124,7 @@
 	assert.True(t, p.away)
 	assert.False(t, p.Ready())
 	p.drain = maintenance.Drain{}
-	p.drain.Drain(p.loop.Now() - maintenance.EmptyAfter) // as if it had begun that long ago
+	p.drain.Drain(p.loop.Now() - maintenance.CloseIdleAfterMs) // as if it had begun that long ago
 	p.follow()
 	p.follow()
 	assert.True(t, p.kept)
@@ -148,16 +148,16 @@
 		p := start(t, path)
 		said[w] = map[string]bool{}
 		for i := range each {
-			p.Suspensions().Listed(fmt.Sprintf("s-%d-%d", w, i))
+			p.Suspensions().MemberListed(fmt.Sprintf("s-%d-%d", w, i))
 		}
 		done.Go(func() {
 			for i := range each {
 				id := fmt.Sprintf("s-%d-%d", w, i)
-				for !p.Suspend(id).Yes() { // the other was within its change all the while: the call is made again
+				for !p.Suspend(id).OK() { // the other was within its change all the while: the call is made again
 				}
 				said[w][id] = true
 				if i%3 == 0 {
-					for !p.Resume(id).Yes() {
+					for !p.Resume(id).OK() {
 					}
 					said[w][id] = false
 				}
@@ -178,7 +178,7 @@
 func TestLockedIsNo(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "held.json")
 	p := start(t, path)
-	p.Suspensions().Listed("s-1")
+	p.Suspensions().MemberListed("s-1")
 	free, err := lock(path)
 	require.NoError(t, err)
 	at := time.Now()
@@ -241,11 +241,11 @@
 
 func (s *sides) HandOver() []scheduler.WarmupSend   { return s.sent }
 func (s *sides) TakeOver(in []scheduler.WarmupSend) { s.took++ }
-func (s *sides) Shares()                            { s.shares++ }
+func (s *sides) OtherProcessActive()                { s.shares++ }
 
 func (p *process) beside(path string, peers int, known bool) *sides {
 	s := &sides{sent: []scheduler.WarmupSend{{Replica: 7, AgeMs: 1, WorkMs: 10}}}
-	p.HandOverBy(&Hand{Path: path, Window: 60_000, Started: unixNow(), Peers: peers, Core: s,
+	p.EnableHandover(&HandoverConfig{Path: path, WindowMs: 60_000, Started: unixNow(), BrokerCount: peers, Core: s,
 		Known: func(uint32) bool { return known }})
 	return s
 }
--- a/internal/ops/handover/handover.go
+++ b/internal/ops/handover/handover.go
@@ -16,18 +16,18 @@
 // Version is the form of the record that this build writes and reads.
 const Version = 1
 
-// MaxSent is how many sends a record holds at most; beyond, the record is refused and the new process waits
+// MaxSends is how many sends a record holds at most; beyond, the record is refused and the new process waits
 // out the window as after any start.
-const MaxSent = 65536
+const MaxSends = 65536
 
 // Record is what a process that hands over leaves for its successor.
 type Record struct {
-	Form    string                 `json:"form"`
-	Version int                    `json:"version"`
-	Written float64                `json:"written_unix_ms"` // when it handed over
-	Peers   int                    `json:"peers,omitempty"` // of the settings it ran with; 0 is not known
-	Sent    []scheduler.WarmupSend `json:"sent"`
-	Sum     uint32                 `json:"sum"` // CRC-32 of the sends as JSON
+	Form        string                 `json:"form"`
+	Version     int                    `json:"version"`
+	Written     float64                `json:"written_unix_ms"` // when it handed over
+	BrokerCount int                    `json:"peers,omitempty"` // of the settings it ran with; 0 is not known
+	Sends       []scheduler.WarmupSend `json:"sent"`
+	Sum         uint32                 `json:"sum"` // CRC-32 of the sends as JSON
 }
 
 const form = "ternstage cold sent"
@@ -37,7 +37,7 @@
 
 // Encode writes a record of a hand-over at written (Unix ms) by a process told of so many peers.
 func Encode(written float64, peers int, sent []scheduler.WarmupSend) []byte {
-	text, _ := json.Marshal(Record{Form: form, Version: Version, Written: written, Peers: peers, Sent: sent,
+	text, _ := json.Marshal(Record{Form: form, Version: Version, Written: written, BrokerCount: peers, Sends: sent,
 		Sum: sum(sent)})
 	return append(text, '\n')
 }
@@ -54,54 +54,54 @@
 		return Record{}, fmt.Errorf("%w: form %q, not %q", ErrRecord, r.Form, form)
 	case r.Version != Version:
 		return Record{}, fmt.Errorf("%w: version %d, this build reads %d", ErrRecord, r.Version, Version)
-	case len(r.Sent) > MaxSent:
-		return Record{}, fmt.Errorf("%w: field sent: %d, over %d", ErrRecord, len(r.Sent), MaxSent)
-	case r.Sum != sum(r.Sent):
-		return Record{}, fmt.Errorf("%w: field sum: %d, the sends sum to %d", ErrRecord, r.Sum, sum(r.Sent))
+	case len(r.Sends) > MaxSends:
+		return Record{}, fmt.Errorf("%w: field sent: %d, over %d", ErrRecord, len(r.Sends), MaxSends)
+	case r.Sum != sum(r.Sends):
+		return Record{}, fmt.Errorf("%w: field sum: %d, the sends sum to %d", ErrRecord, r.Sum, sum(r.Sends))
 	}
 	return r, nil
 }
 
-// Verdict is what a process does with a record it has read.
-type Verdict uint8
+// Decision is what a process does with a record it has read.
+type Decision uint8
 
 // The verdicts.
 const (
-	Ignore  Verdict = iota // not of the process it takes over from: written before this one started
-	Foreign                // that process was told of another number of peers: its shares were others
-	Wait                   // of it, but it names leafs that this process does not know yet
-	Take                   // take it now
+	Ignore         Decision = iota // not of the process it takes over from: written before this one started
+	DifferentFleet                 // that process was told of another number of peers: its shares were others
+	Wait                           // of it, but it names leafs that this process does not know yet
+	Apply                          // take it now
 )
 
-// Judge decides on a record, read at now (Unix ms) by a process that started at started (Unix ms), whose
+// Decide decides on a record, read at now (Unix ms) by a process that started at started (Unix ms), whose
 // cold allowance has a window of window ms. A record written before the start is an earlier hand-over, whose
 // writer is gone while the one that serves beside this process still sends. One of a process with another
 // number of peers is not taken: the settings have changed. One that names leafs not yet known is waited for,
 // until what it says of them is older than the window and so no longer counts.
-func Judge(r Record, now, started, window float64, peers int, known func(replica uint32) bool) Verdict {
+func Decide(r Record, now, started, window float64, peers int, known func(replica uint32) bool) Decision {
 	if r.Written < started {
 		return Ignore
 	}
-	if r.Peers != 0 && peers != 0 && r.Peers != peers {
-		return Foreign
+	if r.BrokerCount != 0 && peers != 0 && r.BrokerCount != peers {
+		return DifferentFleet
 	}
 	if now-r.Written >= window {
-		return Take
+		return Apply
 	}
-	for _, s := range r.Sent {
+	for _, s := range r.Sends {
 		if !known(s.Replica) {
 			return Wait
 		}
 	}
-	return Take
+	return Apply
 }
 
-// Aged gives the sends as of now (Unix ms): each is older by the time since the record was written, and
+// AgeSends gives the sends as of now (Unix ms): each is older by the time since the record was written, and
 // those older than the window are dropped.
-func Aged(r Record, now, window float64) []scheduler.WarmupSend {
+func AgeSends(r Record, now, window float64) []scheduler.WarmupSend {
 	gone := max(0, now-r.Written)
-	out := make([]scheduler.WarmupSend, 0, len(r.Sent))
-	for _, s := range r.Sent {
+	out := make([]scheduler.WarmupSend, 0, len(r.Sends))
+	for _, s := range r.Sends {
 		if s.AgeMs += gone; s.AgeMs <= window {
 			out = append(out, s)
 		}
--- a/internal/ops/maintenance/drain.go
+++ b/internal/ops/maintenance/drain.go
@@ -14,27 +14,27 @@
 	// Serving: health says yes.
 	Serving Phase = iota
 	// Leaving: health says no; the front still sends new connections for a while, and they are served.
-	Leaving
+	Draining
 	// Closing: every answer is the last of its connection, so that a client that uses a kept connection
 	// again learns from the answer that it ends, and none finds one closed under its request.
-	Closing
+	ClosingConnections
 	// Emptying: connections that stayed idle are closed as well, so that by EmptyBy none is held idle and
 	// none carries a fresh request.
-	Emptying
+	ClosingIdle
 )
 
 func (p Phase) String() string { return [...]string{"serving", "leaving", "closing", "emptying"}[p] }
 
 // Times of a drain, in ms after the call.
 const (
-	// CloseAfter is when connections begin to be closed: the front sends new ones for 0.2 s after the first
+	// CloseAfterMs is when connections begin to be closed: the front sends new ones for 0.2 s after the first
 	// no of health, which it asks every 0.1 s; what is left is slack for its clock and ours.
-	CloseAfter = 650.0
-	// EmptyAfter is when connections that stayed idle are closed: kept connections that clients use are
+	CloseAfterMs = 650.0
+	// CloseIdleAfterMs is when connections that stayed idle are closed: kept connections that clients use are
 	// ended by their answers before that.
-	EmptyAfter = 1500.0
-	// EmptyBy is when no connection of a client may be left idle, nor carry a request of the last 2 s.
-	EmptyBy = 4000.0
+	CloseIdleAfterMs = 1500.0
+	// DrainedByMs is when no connection of a client may be left idle, nor carry a request of the last 2 s.
+	DrainedByMs = 4000.0
 )
 
 // Drain is the state of sending clients away, from the call to drain to the call to activate.
@@ -44,21 +44,21 @@
 }
 
 // Drain begins sending clients away, at now (ms). A repeated call changes nothing.
-func (d *Drain) Drain(now float64) Verdict {
+func (d *Drain) Drain(now float64) CallResult {
 	if d.on {
 		return yesAgain
 	}
 	d.on, d.since = true, now
-	return Verdict{Status: yes.Status, Reason: yes.Reason, Changed: true}
+	return CallResult{Status: yes.Status, Reason: yes.Reason, Changed: true}
 }
 
 // Activate takes clients again. A repeated call changes nothing.
-func (d *Drain) Activate() Verdict {
+func (d *Drain) Activate() CallResult {
 	if !d.on {
 		return yesAgain
 	}
 	d.on = false
-	return Verdict{Status: yes.Status, Reason: yes.Reason, Changed: true}
+	return CallResult{Status: yes.Status, Reason: yes.Reason, Changed: true}
 }
 
 // Phase is the phase at now (ms).
@@ -66,12 +66,12 @@
 	switch {
 	case !d.on:
 		return Serving
-	case now-d.since < CloseAfter:
-		return Leaving
-	case now-d.since < EmptyAfter:
-		return Closing
+	case now-d.since < CloseAfterMs:
+		return Draining
+	case now-d.since < CloseIdleAfterMs:
+		return ClosingConnections
 	}
-	return Emptying
+	return ClosingIdle
 }
 
 // Healthy tells whether health says yes, ready being whether the process could serve at all.
@@ -85,11 +85,11 @@
 	return d.since
 }
 
-// ErrDrain wraps what is wrong with a file of a drain.
-var ErrDrain = errors.New("file of a drain")
+// ErrDrainFile wraps what is wrong with a file of a drain.
+var ErrDrainFile = errors.New("file of a drain")
 
-// DrainVersion is the form of the file of a drain that this build writes and reads.
-const DrainVersion = 1
+// DrainFileVersion is the form of the file of a drain that this build writes and reads.
+const DrainFileVersion = 1
 
 type drainFile struct {
 	Form    string  `json:"form"`
@@ -101,7 +101,7 @@
 
 // EncodeDrain writes the file of a drain that holds since then (Unix ms). There is a file while one holds.
 func EncodeDrain(since float64) []byte {
-	text, _ := json.Marshal(drainFile{Form: drainForm, Version: DrainVersion, Since: since})
+	text, _ := json.Marshal(drainFile{Form: drainForm, Version: DrainFileVersion, Since: since})
 	return append(text, '\n')
 }
 
@@ -110,11 +110,11 @@
 func DecodeDrain(text []byte) (since float64, err error) {
 	var f drainFile
 	if err := json.Unmarshal(text, &f); err != nil {
-		return 0, fmt.Errorf("%w: torn or not JSON: %w", ErrDrain, err)
+		return 0, fmt.Errorf("%w: torn or not JSON: %w", ErrDrainFile, err)
 	}
-	if f.Form != drainForm || f.Version != DrainVersion {
-		return 0, fmt.Errorf("%w: form %q version %d, this build reads %q version %d", ErrDrain, f.Form, f.Version,
-			drainForm, DrainVersion)
+	if f.Form != drainForm || f.Version != DrainFileVersion {
+		return 0, fmt.Errorf("%w: form %q version %d, this build reads %q version %d", ErrDrainFile, f.Form, f.Version,
+			drainForm, DrainFileVersion)
 	}
 	return f.Since, nil
 }
--- a/internal/ops/maintenance/file.go
+++ b/internal/ops/maintenance/file.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// FileVersion is the form of the file of held leafs that this build writes and reads.
-const FileVersion = 1
+// SuspensionFileVersion is the form of the file of held leafs that this build writes and reads.
+const SuspensionFileVersion = 1
 
-// MaxFile is the largest file of held leafs that is read, in bytes.
-const MaxFile = MaxSuspended*(MaxID+4) + 256
+// MaxSuspensionFileBytes is the largest file of held leafs that is read, in bytes.
+const MaxSuspensionFileBytes = MaxSuspended*(MaxID+4) + 256
 
 type file struct {
 	Form    string   `json:"form"`
@@ -22,35 +22,35 @@
 
 const form = "ternstage held leafs"
 
-// Encode writes the ids of the leafs held out as a file.
-func Encode(ids []string) []byte {
-	text, _ := json.Marshal(file{Form: form, Version: FileVersion, Held: ids, Sum: sum(ids)})
+// EncodeSuspensions writes the ids of the leafs held out as a file.
+func EncodeSuspensions(ids []string) []byte {
+	text, _ := json.Marshal(file{Form: form, Version: SuspensionFileVersion, Held: ids, Sum: sum(ids)})
 	return append(text, '\n')
 }
 
-// Decode reads a file of held leafs. A file that is torn, of another form or version, too large or whose
+// DecodeSuspensions reads a file of held leafs. A file that is torn, of another form or version, too large or whose
 // sum does not agree is an error that wraps ErrFile and says which.
-func Decode(text []byte) ([]string, error) {
-	if len(text) > MaxFile {
-		return nil, fmt.Errorf("%w: %d bytes, over %d", ErrFile, len(text), MaxFile)
+func DecodeSuspensions(text []byte) ([]string, error) {
+	if len(text) > MaxSuspensionFileBytes {
+		return nil, fmt.Errorf("%w: %d bytes, over %d", ErrSuspensionFile, len(text), MaxSuspensionFileBytes)
 	}
 	var f file
 	if err := json.Unmarshal(text, &f); err != nil {
-		return nil, fmt.Errorf("%w: torn or not JSON: %w", ErrFile, err)
+		return nil, fmt.Errorf("%w: torn or not JSON: %w", ErrSuspensionFile, err)
 	}
 	switch {
 	case f.Form != form:
-		return nil, fmt.Errorf("%w: form %q, not %q", ErrFile, f.Form, form)
-	case f.Version != FileVersion:
-		return nil, fmt.Errorf("%w: version %d, this build reads %d", ErrFile, f.Version, FileVersion)
+		return nil, fmt.Errorf("%w: form %q, not %q", ErrSuspensionFile, f.Form, form)
+	case f.Version != SuspensionFileVersion:
+		return nil, fmt.Errorf("%w: version %d, this build reads %d", ErrSuspensionFile, f.Version, SuspensionFileVersion)
 	case f.Sum != sum(f.Held):
-		return nil, fmt.Errorf("%w: field sum: %d, the ids sum to %d", ErrFile, f.Sum, sum(f.Held))
+		return nil, fmt.Errorf("%w: field sum: %d, the ids sum to %d", ErrSuspensionFile, f.Sum, sum(f.Held))
 	case len(f.Held) > MaxSuspended:
-		return nil, fmt.Errorf("%w: field held: %d ids, over %d", ErrFile, len(f.Held), MaxSuspended)
+		return nil, fmt.Errorf("%w: field held: %d ids, over %d", ErrSuspensionFile, len(f.Held), MaxSuspended)
 	}
 	for i, id := range f.Held {
 		if !ValidID(id) {
-			return nil, fmt.Errorf("%w: field held[%d]: %q is no leaf id", ErrFile, i, id)
+			return nil, fmt.Errorf("%w: field held[%d]: %q is no leaf id", ErrSuspensionFile, i, id)
 		}
 	}
 	return f.Held, nil
--- a/internal/ops/maintenance/maintenance.go
+++ b/internal/ops/maintenance/maintenance.go
@@ -16,30 +16,30 @@
 const (
 	// MaxSuspended is how many leafs may be held out at once; a suspend beyond it is answered no.
 	MaxSuspended = 1024
-	// MaxSeen is how many ids of leafs that were listed are remembered, to tell a leaf that is away for a
+	// MaxKnownIDs is how many ids of leafs that were listed are remembered, to tell a leaf that is away for a
 	// while from an id that never was; beyond it the oldest is forgotten, and counted.
-	MaxSeen = 16384
+	MaxKnownIDs = 16384
 	// MaxID is the longest id taken, in bytes.
 	MaxID = 256
 )
 
-// Verdict is what a call is answered: Status 2xx is yes, 4xx and 5xx no. Changed tells that the call changed
+// CallResult is what a call is answered: Status 2xx is yes, 4xx and 5xx no. Changed tells that the call changed
 // something; a repeated call is answered the same and changes nothing.
-type Verdict struct {
+type CallResult struct {
 	Status  int
 	Reason  string
 	Changed bool
 }
 
-// Yes tells that the verdict is a yes.
-func (v Verdict) Yes() bool { return v.Status >= 200 && v.Status < 300 }
+// OK tells that the verdict is a yes.
+func (v CallResult) OK() bool { return v.Status >= 200 && v.Status < 300 }
 
 var (
-	yes       = Verdict{Status: 200, Reason: "done"}
-	yesAgain  = Verdict{Status: 200, Reason: "so already"}
-	notListed = Verdict{Status: 404, Reason: "no leaf of that id was ever listed"}
-	full      = Verdict{Status: 507, Reason: fmt.Sprintf("%d leafs are held out already", MaxSuspended)}
-	badID     = Verdict{Status: 400,
+	yes       = CallResult{Status: 200, Reason: "done"}
+	yesAgain  = CallResult{Status: 200, Reason: "so already"}
+	notListed = CallResult{Status: 404, Reason: "no leaf of that id was ever listed"}
+	full      = CallResult{Status: 507, Reason: fmt.Sprintf("%d leafs are held out already", MaxSuspended)}
+	badID     = CallResult{Status: 400,
 		Reason: "a leaf id is 1 to 256 bytes of letters, digits, '-', '_', '.' and ':'"}
 )
 
@@ -56,12 +56,12 @@
 	return &Suspensions{held: map[string]struct{}{}, seen: map[string]struct{}{}}
 }
 
-// Listed notes that a leaf of that id is or was in the list.
-func (b *Suspensions) Listed(id string) {
+// MemberListed notes that a leaf of that id is or was in the list.
+func (b *Suspensions) MemberListed(id string) {
 	if _, ok := b.seen[id]; ok || !ValidID(id) {
 		return
 	}
-	if len(b.order) >= MaxSeen {
+	if len(b.order) >= MaxKnownIDs {
 		drop := b.order[0]
 		b.order = b.order[1:]
 		delete(b.seen, drop)
@@ -78,7 +78,7 @@
 }
 
 // Suspend holds a leaf out. An id that was never listed, and is not held already, is answered no.
-func (b *Suspensions) Suspend(id string) Verdict {
+func (b *Suspensions) Suspend(id string) CallResult {
 	switch _, seen := b.seen[id]; {
 	case !ValidID(id):
 		return badID
@@ -90,18 +90,18 @@
 		return full
 	}
 	b.held[id] = struct{}{}
-	return Verdict{Status: yes.Status, Reason: yes.Reason, Changed: true}
+	return CallResult{Status: yes.Status, Reason: yes.Reason, Changed: true}
 }
 
 // Resume ends the ban of a leaf. A leaf that is listed and not held is answered yes with no change; an id
 // that was never listed, no.
-func (b *Suspensions) Resume(id string) Verdict {
+func (b *Suspensions) Resume(id string) CallResult {
 	switch _, seen := b.seen[id]; {
 	case !ValidID(id):
 		return badID
 	case b.Suspended(id):
 		delete(b.held, id)
-		return Verdict{Status: yes.Status, Reason: yes.Reason, Changed: true}
+		return CallResult{Status: yes.Status, Reason: yes.Reason, Changed: true}
 	case !seen:
 		return notListed
 	}
@@ -118,10 +118,10 @@
 	return out
 }
 
-// Take makes the bans those of another process of the aggregator, as its file says; it gives the ids that
+// Replace makes the bans those of another process of the aggregator, as its file says; it gives the ids that
 // are held out now and were not, and those that are free now and were held. Ids over the bound are left
 // out, and an id that comes from the file counts as listed, as only a listed one can be held.
-func (b *Suspensions) Take(ids []string) (added, freed []string) {
+func (b *Suspensions) Replace(ids []string) (added, freed []string) {
 	want := map[string]struct{}{}
 	for _, id := range ids {
 		if ValidID(id) && len(want) < MaxSuspended {
@@ -138,7 +138,7 @@
 		if _, ok := b.held[id]; !ok {
 			added = append(added, id)
 			b.held[id] = struct{}{}
-			b.Listed(id)
+			b.MemberListed(id)
 		}
 	}
 	slices.Sort(added)
@@ -162,5 +162,5 @@
 	return true
 }
 
-// ErrFile wraps what is wrong with a file of bans.
-var ErrFile = errors.New("file of held leafs")
+// ErrSuspensionFile wraps what is wrong with a file of bans.
+var ErrSuspensionFile = errors.New("file of held leafs")
--- a/internal/ops/maintenance/maintenance_test.go
+++ b/internal/ops/maintenance/maintenance_test.go
@@ -11,11 +11,11 @@
 
 func TestSuspendResume(t *testing.T) {
 	b := NewSuspensions()
-	b.Listed("s-1")
-	b.Listed("s-2")
+	b.MemberListed("s-1")
+	b.MemberListed("s-2")
 	for _, c := range []struct {
 		name    string
-		do      func(string) Verdict
+		do      func(string) CallResult
 		id      string
 		status  int
 		changed bool
@@ -41,54 +41,54 @@
 func TestBounds(t *testing.T) {
 	b := NewSuspensions()
 	for i := range MaxSuspended + 1 {
-		b.Listed(fmt.Sprint("s-", i))
+		b.MemberListed(fmt.Sprint("s-", i))
 	}
 	for i := range MaxSuspended {
-		require.True(t, b.Suspend(fmt.Sprint("s-", i)).Yes())
+		require.True(t, b.Suspend(fmt.Sprint("s-", i)).OK())
 	}
 	v := b.Suspend(fmt.Sprint("s-", MaxSuspended))
 	assert.Equal(t, 507, v.Status, "over the bound of held leafs")
-	assert.True(t, b.Suspend("s-0").Yes(), "one held already is still a yes")
+	assert.True(t, b.Suspend("s-0").OK(), "one held already is still a yes")
 
-	for i := range MaxSeen + 10 {
-		b.Listed(fmt.Sprint("t-", i))
+	for i := range MaxKnownIDs + 10 {
+		b.MemberListed(fmt.Sprint("t-", i))
 	}
 	assert.Equal(t, uint64(MaxSuspended+1+10), b.Forgotten, "the oldest ids are let go, and counted")
-	assert.Len(t, b.seen, MaxSeen)
+	assert.Len(t, b.seen, MaxKnownIDs)
 	assert.True(t, b.Suspended("s-0"), "what is held is not forgotten with the ids")
-	assert.True(t, b.Resume("s-0").Yes(), "a held leaf can be resumed when its id is forgotten")
+	assert.True(t, b.Resume("s-0").OK(), "a held leaf can be resumed when its id is forgotten")
 	assert.False(t, ValidID(string(make([]byte, MaxID+1))))
 }
 
 func TestTake(t *testing.T) {
 	b := NewSuspensions()
-	b.Listed("a")
-	b.Listed("b")
+	b.MemberListed("a")
+	b.MemberListed("b")
 	b.Suspend("a")
-	added, freed := b.Take([]string{"b", "c", "bad id"})
+	added, freed := b.Replace([]string{"b", "c", "bad id"})
 	assert.Equal(t, []string{"b", "c"}, added)
 	assert.Equal(t, []string{"a"}, freed)
 	assert.Equal(t, []string{"b", "c"}, b.IDs())
 	assert.True(t, b.Resume("c").Changed, "an id from the file counts as listed")
-	added, freed = b.Take([]string{"b"})
+	added, freed = b.Replace([]string{"b"})
 	assert.Empty(t, added)
 	assert.Empty(t, freed, "what is so already is no change")
 }
 
 func TestFile(t *testing.T) {
 	ids := []string{"s-1", "s-2", "s-c9f39196"}
-	text := Encode(ids)
-	got, err := Decode(text)
+	text := EncodeSuspensions(ids)
+	got, err := DecodeSuspensions(text)
 	require.NoError(t, err)
 	assert.Equal(t, ids, got)
-	got, err = Decode(Encode(nil))
+	got, err = DecodeSuspensions(EncodeSuspensions(nil))
 	require.NoError(t, err)
 	assert.Empty(t, got)
 
 	// Torn at every byte: never taken for another set.
 	for n := range len(text) - 1 {
-		_, err := Decode(text[:n])
-		assert.ErrorIs(t, err, ErrFile, "torn at %d", n)
+		_, err := DecodeSuspensions(text[:n])
+		assert.ErrorIs(t, err, ErrSuspensionFile, "torn at %d", n)
 	}
 	for _, c := range []struct{ text, says string }{
 		{`{"form":"ternstage held leafs","version":2,"held":[],"sum":0}`, "version 2"},
@@ -97,23 +97,23 @@
 		{fmt.Sprintf(`{"form":"ternstage held leafs","version":1,"held":["a b"],"sum":%d}`, sum([]string{"a b"})),
 			"field held[0]"},
 	} {
-		_, err := Decode([]byte(c.text))
-		assert.ErrorIs(t, err, ErrFile)
+		_, err := DecodeSuspensions([]byte(c.text))
+		assert.ErrorIs(t, err, ErrSuspensionFile)
 		assert.ErrorContains(t, err, c.says)
 	}
-	_, err = Decode(make([]byte, MaxFile+1))
+	_, err = DecodeSuspensions(make([]byte, MaxSuspensionFileBytes+1))
 	assert.ErrorContains(t, err, "bytes, over")
 }
 
 // TestFileFlips: a flipped byte anywhere is refused or reads as the same set, never as another one.
 func TestFileFlips(t *testing.T) {
 	ids := []string{"s-1", "s-2", "s-3"}
-	text := Encode(ids)
+	text := EncodeSuspensions(ids)
 	r := rand.New(rand.NewPCG(1, 2))
 	for range 2000 {
 		spoilt := append([]byte(nil), text...)
 		spoilt[r.IntN(len(spoilt))] ^= byte(1 + r.IntN(255))
-		got, err := Decode(spoilt)
+		got, err := DecodeSuspensions(spoilt)
 		if err == nil {
 			assert.Equal(t, ids, got, "%s", spoilt)
 		}
@@ -124,7 +124,7 @@
 	var d Drain
 	assert.True(t, d.Healthy(true))
 	assert.False(t, d.Healthy(false), "not ready is not healthy")
-	assert.True(t, d.Activate().Yes())
+	assert.True(t, d.Activate().OK())
 	assert.False(t, d.Activate().Changed, "activate while serving changes nothing")
 
 	v := d.Drain(1000)
@@ -134,15 +134,15 @@
 	for _, c := range []struct {
 		at    float64
 		phase Phase
-	}{{1000, Leaving}, {1000 + CloseAfter - 1, Leaving}, {1000 + CloseAfter, Closing},
-		{1000 + EmptyAfter - 1, Closing}, {1000 + EmptyAfter, Emptying}, {1000 + EmptyBy, Emptying}} {
+	}{{1000, Draining}, {1000 + CloseAfterMs - 1, Draining}, {1000 + CloseAfterMs, ClosingConnections},
+		{1000 + CloseIdleAfterMs - 1, ClosingConnections}, {1000 + CloseIdleAfterMs, ClosingIdle}, {1000 + DrainedByMs, ClosingIdle}} {
 		assert.Equal(t, c.phase, d.Phase(c.at), "at %v", c.at)
 	}
-	assert.Less(t, EmptyAfter+500, EmptyBy, "what lingers after the last answers is gone by EmptyBy")
+	assert.Less(t, CloseIdleAfterMs+500, DrainedByMs, "what lingers after the last answers is gone by EmptyBy")
 	assert.Equal(t, 1000.0, d.Since())
 	assert.True(t, d.Activate().Changed)
 	assert.Equal(t, Serving, d.Phase(9000))
 	assert.True(t, d.Healthy(true))
 	d.Drain(9000)
-	assert.Equal(t, Leaving, d.Phase(9001), "a new drain begins anew")
+	assert.Equal(t, Draining, d.Phase(9001), "a new drain begins anew")
 }
--- a/internal/reading/reading.go
+++ b/internal/reading/reading.go
@@ -140,7 +140,7 @@
 		return 0
 	}
 	for _, s := range r.before.Spans {
-		if (slicemap.Range{Lo: s.Lo, Hi: s.Hi}).Meets(d) {
+		if (slicemap.Range{Start: s.Lo, End: s.Hi}).Overlaps(d) {
 			v = max(v, s.Version)
 		}
 	}
@@ -269,7 +269,7 @@
 	}
 	var votes []*vote
 	in := slices.Clone(r.slices)
-	slices.SortFunc(in, func(a, b *slice) int { return cmp.Compare(a.Districts.Lo, b.Districts.Lo) })
+	slices.SortFunc(in, func(a, b *slice) int { return cmp.Compare(a.Districts.Start, b.Districts.Start) })
 	in = slices.DeleteFunc(in, func(s *slice) bool { return s.batch == nil || !r.plan.Stands(s.Districts) })
 	for _, s := range in {
 		i := slices.IndexFunc(votes, func(v *vote) bool { return v.schema.Same(s.batch.Schema) == nil })
@@ -414,11 +414,11 @@
 func (r *Reading) result(order *merge.Order, page merge.Page) *Result {
 	var parts []complete.Part
 	var spans []cursor.Span
-	slices.SortFunc(r.slices, func(a, b *slice) int { return cmp.Compare(a.Districts.Lo, b.Districts.Lo) })
+	slices.SortFunc(r.slices, func(a, b *slice) int { return cmp.Compare(a.Districts.Start, b.Districts.Start) })
 	for _, s := range r.slices {
 		p := complete.Part{Districts: s.Districts, Weight: s.Weight, In: s.batch != nil, Version: s.Version,
 			Since: s.Since, Why: s.why, Fault: s.fault}
-		span := cursor.Span{Lo: s.Districts.Lo, Hi: s.Districts.Hi, Since: s.Since}
+		span := cursor.Span{Lo: s.Districts.Start, Hi: s.Districts.End, Since: s.Since}
 		if p.In {
 			p.Version, span.Version = s.batch.Version, s.batch.Version
 		}
--- a/internal/reload/reload.go
+++ b/internal/reload/reload.go
@@ -17,7 +17,7 @@
 type Loop interface{ Post(work func()) }
 
 // Discovery is what moves to another address.
-type Discovery interface{ Move(address string) }
+type Discovery interface{ MoveTo(address string) }
 
 // Reloader holds the configuration in force.
 type Reloader struct {
@@ -52,7 +52,7 @@
 		zap.Strings("needs_restart", r.fixed(c)))
 	if moved {
 		r.current.Discovery = c.Discovery
-		r.discovery.Move(c.Discovery)
+		r.discovery.MoveTo(c.Discovery)
 	}
 }
 
@@ -64,8 +64,8 @@
 		was, read any
 	}{
 		{"name", old.Name, c.Name}, {"listen", old.Listen, c.Listen},
-		{"limits", [3]float64{old.Cores, float64(old.MemoryMB), float64(old.Sockets)},
-			[3]float64{c.Cores, float64(c.MemoryMB), float64(c.Sockets)}},
+		{"limits", [3]float64{old.Cores, float64(old.MemoryMB), float64(old.MaxDescriptors)},
+			[3]float64{c.Cores, float64(c.MemoryMB), float64(c.MaxDescriptors)}},
 		{"settings", old.Settings, c.Settings},
 	} {
 		if !reflect.DeepEqual(f.was, f.read) {
--- a/internal/rows/rows_test.go
+++ b/internal/rows/rows_test.go
@@ -16,7 +16,7 @@
 )
 
 var (
-	districts = slicemap.Range{Lo: 10, Hi: 20}
+	districts = slicemap.Range{Start: 10, End: 20}
 	rank      = []string{"premium", "risk"}
 )
 
--- a/internal/slicemap/change.go
+++ b/internal/slicemap/change.go
@@ -36,53 +36,53 @@
 type Change struct {
 	Base, Epoch uint64 // Epoch is above Base
 	Kind        Kind
-	Slice       ID
-	Other       ID       // Merge
-	At          int      // Split: the first district of Into[1]
-	Into        []ID     // Split, Merge: ids never used before
-	From, To    string   // Move
-	Holders     []string // Assign
+	Shard       ShardID
+	Other       ShardID   // Merge
+	At          int       // Split: the first district of Into[1]
+	Into        []ShardID // Split, Merge: ids never used before
+	From, To    string    // Move
+	Replicas    []string  // Assign
 }
 
 // edit is a version that is being made of another.
 type edit struct {
 	*Version
 	known   func(string) bool
-	used    func(ID) bool // ids that had a slice once
-	retired []*Slice
-	changed []*Slice
+	used    func(ShardID) bool // ids that had a slice once
+	retired []*Shard
+	changed []*Shard
 }
 
-func (e *edit) set(s *Slice) {
+func (e *edit) set(s *Shard) {
 	s.Since = e.Epoch
-	e.byID, e.byLast = e.byID.Set(s.ID, s), e.byLast.Set(s.Hi-1, s)
+	e.byID, e.byLast = e.byID.Set(s.ID, s), e.byLast.Set(s.End-1, s)
 	e.changed = append(e.changed, s)
 }
 
-func (e *edit) retire(s *Slice) {
-	e.byID, e.byLast = e.byID.Delete(s.ID), e.byLast.Delete(s.Hi-1)
+func (e *edit) retire(s *Shard) {
+	e.byID, e.byLast = e.byID.Delete(s.ID), e.byLast.Delete(s.End-1)
 	old := *s
 	old.State, old.Since = Retired, e.Epoch
 	e.retired = append(e.retired, &old)
-	e.changed = slices.DeleteFunc(e.changed, func(x *Slice) bool { return x.ID == s.ID })
+	e.changed = slices.DeleteFunc(e.changed, func(x *Shard) bool { return x.ID == s.ID })
 }
 
-func (e *edit) slice(id ID) (*Slice, error) {
-	s := e.Version.Slice(id)
+func (e *edit) slice(id ShardID) (*Shard, error) {
+	s := e.Version.Shard(id)
 	if s == nil {
-		return nil, fault(id, ErrSlice, "it is not in the map")
+		return nil, fault(id, ErrShard, "it is not in the map")
 	}
 	return s, nil
 }
 
 // fresh tells that the ids may become slices.
-func (e *edit) fresh(ids []ID, want int) error {
+func (e *edit) fresh(ids []ShardID, want int) error {
 	if len(ids) != want {
-		return fault(-1, ErrSlice, "%d new ids, not %d", len(ids), want)
+		return fault(-1, ErrShard, "%d new ids, not %d", len(ids), want)
 	}
 	for i, id := range ids {
-		if id < 0 || slices.Contains(ids[:i], id) || e.Version.Slice(id) != nil || e.used(id) {
-			return fault(id, ErrSlice, "the id has been used")
+		if id < 0 || slices.Contains(ids[:i], id) || e.Version.Shard(id) != nil || e.used(id) {
+			return fault(id, ErrShard, "the id has been used")
 		}
 	}
 	return nil
@@ -96,7 +96,7 @@
 	if c.Epoch <= c.Base {
 		return fault(-1, ErrEpoch, "from %d to %d", c.Base, c.Epoch)
 	}
-	s, err := e.slice(c.Slice)
+	s, err := e.slice(c.Shard)
 	if err != nil {
 		return err
 	}
@@ -120,7 +120,7 @@
 		if s.State != HandingOver {
 			return fault(s.ID, ErrState, "done while it is %v", s.State)
 		}
-		next.Holders, next.State, next.From, next.To = s.Executors(), Serving, "", ""
+		next.Replicas, next.State, next.From, next.To = s.Executors(), Serving, "", ""
 	case Abort:
 		if s.State != Preparing && s.State != HandingOver {
 			return fault(s.ID, ErrState, "an abort while it is %v", s.State)
@@ -130,11 +130,11 @@
 		if s.State != Serving {
 			return fault(s.ID, ErrState, "an assignment while it is %v", s.State)
 		}
-		next.Holders = slices.Clone(c.Holders)
+		next.Replicas = slices.Clone(c.Replicas)
 	default:
 		return fault(s.ID, ErrState, "kind %d is unknown", c.Kind)
 	}
-	if err := next.check(e.Districts, e.known); err != nil {
+	if err := next.check(e.Buckets, e.known); err != nil {
 		return err
 	}
 	e.Epoch = c.Epoch
@@ -144,8 +144,8 @@
 
 // split divides a slice. Where it is being moved, the move goes on for both halves: what is copied is
 // districts.
-func (e *edit) split(c Change, s *Slice) error {
-	if c.At <= s.Lo || c.At >= s.Hi {
+func (e *edit) split(c Change, s *Shard) error {
+	if c.At <= s.Start || c.At >= s.End {
 		return fault(s.ID, ErrRange, "a split of %v at %d", s.Range, c.At)
 	}
 	if err := e.fresh(c.Into, 2); err != nil {
@@ -153,9 +153,9 @@
 	}
 	e.Epoch = c.Epoch
 	e.retire(s)
-	for i, r := range []Range{{s.Lo, c.At}, {c.At, s.Hi}} {
+	for i, r := range []Range{{s.Start, c.At}, {c.At, s.End}} {
 		half := *s
-		half.ID, half.Range, half.Parents = c.Into[i], r, []ID{s.ID}
+		half.ID, half.Range, half.Parents = c.Into[i], r, []ShardID{s.ID}
 		e.set(&half)
 	}
 	return nil
@@ -163,23 +163,23 @@
 
 // merge joins two neighbours. Both must serve from the same holders: guards districts against being said to
 // be where they have not been copied to.
-func (e *edit) merge(c Change, s *Slice) error {
+func (e *edit) merge(c Change, s *Shard) error {
 	o, err := e.slice(c.Other)
 	if err != nil {
 		return err
 	}
-	if s.Lo > o.Lo {
+	if s.Start > o.Start {
 		s, o = o, s
 	}
-	if s.Hi != o.Lo {
+	if s.End != o.Start {
 		return fault(s.ID, ErrRange, "%v and %v are no neighbours", s.Range, o.Range)
 	}
 	if s.State != Serving || o.State != Serving {
 		return fault(s.ID, ErrState, "a merge of %v and %v slices", s.State, o.State)
 	}
-	a, b := slices.Sorted(slices.Values(s.Holders)), slices.Sorted(slices.Values(o.Holders))
+	a, b := slices.Sorted(slices.Values(s.Replicas)), slices.Sorted(slices.Values(o.Replicas))
 	if !slices.Equal(a, b) {
-		return fault(s.ID, ErrHolder, "a merge of slices held by %v and %v", a, b)
+		return fault(s.ID, ErrReplica, "a merge of slices held by %v and %v", a, b)
 	}
 	if err := e.fresh(c.Into, 1); err != nil {
 		return err
@@ -187,6 +187,6 @@
 	e.Epoch = c.Epoch
 	e.retire(s)
 	e.retire(o)
-	e.set(&Slice{ID: c.Into[0], Range: Range{s.Lo, o.Hi}, Holders: s.Holders, Parents: []ID{s.ID, o.ID}})
+	e.set(&Shard{ID: c.Into[0], Range: Range{s.Start, o.End}, Replicas: s.Replicas, Parents: []ShardID{s.ID, o.ID}})
 	return nil
 }
--- a/internal/slicemap/fixed.go
+++ b/internal/slicemap/fixed.go
@@ -1,18 +1,18 @@
 package slicemap
 
-// Fixed is the layout of a deployment whose slices never move: shard s lies on cells (s+j) mod cells for j
+// RingPlacement is the layout of a deployment whose slices never move: shard s lies on cells (s+j) mod cells for j
 // below reach. The arithmetic stands here alone. Of settings that cannot be it says that nobody holds a
 // shard.
-type Fixed struct {
+type RingPlacement struct {
 	shards int
 	cells  [][]int // by group
 }
 
-// NewFixed makes the layout of so many shards on a ring of cells, each held by reach of them in a row.
-func NewFixed(shards, cells, reach int) *Fixed {
-	f := &Fixed{shards: shards}
+// NewRingPlacement makes the layout of so many shards on a ring of cells, each held by reach of them in a row.
+func NewRingPlacement(shards, cells, reach int) *RingPlacement {
+	f := &RingPlacement{shards: shards}
 	if cells < 1 || reach < 1 || reach > cells {
-		return &Fixed{}
+		return &RingPlacement{}
 	}
 	for g := range min(cells, max(shards, 0)) {
 		list := make([]int, reach)
@@ -25,7 +25,7 @@
 }
 
 // Group is the cell at which a shard begins; -1 if there is no such shard.
-func (f *Fixed) Group(shard int) int {
+func (f *RingPlacement) Group(shard int) int {
 	if shard < 0 || shard >= f.shards {
 		return -1
 	}
@@ -33,7 +33,7 @@
 }
 
 // Cells are the cells that hold the shards of a group.
-func (f *Fixed) Cells(group int) []int { return f.cells[group] }
+func (f *RingPlacement) Cells(group int) []int { return f.cells[group] }
 
 // Replicas is nil: the holders are told by cell.
-func (f *Fixed) Replicas(int) []uint32 { return nil }
+func (f *RingPlacement) Replicas(int) []uint32 { return nil }
--- a/internal/slicemap/follow.go
+++ b/internal/slicemap/follow.go
@@ -2,25 +2,25 @@
 
 import "math"
 
-// FollowOptions are the times of following a source, in ms.
-type FollowOptions struct {
-	Wait   float64 // of one watch call
-	Spread float64 // a read on a hint comes up to so much later, so that brokers do not come together
-	Rest   float64 // between two reads on hints at least
-	Least  float64 // first delay after a failed call; it doubles
-	Most   float64 // to this
+// PollerOptions are the times of following a source, in ms.
+type PollerOptions struct {
+	WatchTimeoutMs float64 // of one watch call
+	JitterMs       float64 // a read on a hint comes up to so much later, so that brokers do not come together
+	MinIntervalMs  float64 // between two reads on hints at least
+	BackoffMinMs   float64 // first delay after a failed call; it doubles
+	BackoffMaxMs   float64 // to this
 }
 
-// DefaultFollow is what holds where the operators state nothing.
-var DefaultFollow = FollowOptions{Wait: 20_000, Spread: 50, Rest: 250, Least: 100, Most: 4000}
+// DefaultPollerOptions is what holds where the operators state nothing.
+var DefaultPollerOptions = PollerOptions{WatchTimeoutMs: 20_000, JitterMs: 50, MinIntervalMs: 250, BackoffMinMs: 100, BackoffMaxMs: 4000}
 
-// Call is what a source is to be asked.
-type Call struct {
-	Whole bool    // the whole map; else what changed since Index
-	Index uint64  // the epoch in use
-	Wait  float64 // ms that the source may wait for news; 0: it answers at once
-	Most  float64 // ms after which the call has failed
-	Cut   bool    // a call is out: it is given up for this one
+// PollRequest is what a source is to be asked.
+type PollRequest struct {
+	FullSnapshot   bool    // the whole map; else what changed since Index
+	SinceEpoch     uint64  // the epoch in use
+	Wait           float64 // ms that the source may wait for news; 0: it answers at once
+	Timeout        float64 // ms after which the call has failed
+	CancelsPending bool    // a call is out: it is given up for this one
 }
 
 const (
@@ -33,17 +33,17 @@
 type Source interface {
 	// Start begins to follow.
 	Start()
-	// Hint tells that a map of this epoch is known somewhere. Hints of one moment lead to one read.
-	Hint(epoch uint64)
+	// NewerEpochSeen tells that a map of this epoch is known somewhere. Hints of one moment lead to one read.
+	NewerEpochSeen(epoch uint64)
 	// Close ends it.
 	Close()
 }
 
-// Follow decides when a source of the map is asked and for what: a watch that goes on, the whole map where a
+// Poller decides when a source of the map is asked and for what: a watch that goes on, the whole map where a
 // change could not be applied, a growing delay after failures, and one read at once, for all who tell of a
 // newer map together. One call is out at a time. It has no clock and no I/O.
-type Follow struct {
-	o       FollowOptions
+type Poller struct {
+	o       PollerOptions
 	rng     uint64
 	epoch   uint64  // in use
 	whole   bool    // the next call asks for the whole map
@@ -58,12 +58,12 @@
 	reads   uint64
 }
 
-// NewFollow makes the follower of a source that is asked for the whole map first.
-func NewFollow(o FollowOptions, seed uint64) *Follow {
-	return &Follow{o: o, rng: seed, whole: true, hintAt: math.Inf(1), lastHit: math.Inf(-1)}
+// NewPoller makes the follower of a source that is asked for the whole map first.
+func NewPoller(o PollerOptions, seed uint64) *Poller {
+	return &Poller{o: o, rng: seed, whole: true, hintAt: math.Inf(1), lastHit: math.Inf(-1)}
 }
 
-func (f *Follow) random() float64 {
+func (f *Poller) random() float64 {
 	f.rng += 0x9e3779b97f4a7c15
 	z := f.rng
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
@@ -72,7 +72,7 @@
 }
 
 // At is when Next should be asked again.
-func (f *Follow) At() float64 {
+func (f *Poller) At() float64 {
 	if f.out {
 		return f.hintAt
 	}
@@ -80,41 +80,41 @@
 }
 
 // Next is the call that is due, if one is; it is then out.
-func (f *Follow) Next(now float64) (c Call, due bool) {
+func (f *Poller) Next(now float64) (c PollRequest, due bool) {
 	hurried := now >= f.hintAt && f.hinted > f.epoch
 	if now >= f.hintAt {
 		f.hintAt = math.Inf(1)
 	}
 	if f.out && !(hurried && f.waits) || !f.out && now < f.at && !hurried {
-		return Call{}, false
+		return PollRequest{}, false
 	}
-	c = Call{Whole: f.whole, Index: f.epoch, Wait: f.o.Wait, Cut: f.out}
+	c = PollRequest{FullSnapshot: f.whole, SinceEpoch: f.epoch, Wait: f.o.WatchTimeoutMs, CancelsPending: f.out}
 	if hurried {
 		// What a node or a client knows the source knows: guards against a watch that has died unseen.
 		c.Wait, f.lastHit = 0, now
 		f.reads++
 	}
-	c.Most = c.Wait + deltaMost
-	if c.Whole {
-		c.Wait, c.Most = 0, wholeMost
+	c.Timeout = c.Wait + deltaMost
+	if c.FullSnapshot {
+		c.Wait, c.Timeout = 0, wholeMost
 	}
 	f.out, f.waits = true, c.Wait > 0
 	return c, true
 }
 
-// Hint tells that somebody knows a newer map. Hints of one moment lead to one read.
-func (f *Follow) Hint(now float64, epoch uint64) {
+// NewerEpochSeen tells that somebody knows a newer map. Hints of one moment lead to one read.
+func (f *Poller) NewerEpochSeen(now float64, epoch uint64) {
 	if epoch <= f.epoch || epoch <= f.hinted && !math.IsInf(f.hintAt, 1) {
 		return
 	}
 	f.hinted = max(f.hinted, epoch)
 	if math.IsInf(f.hintAt, 1) && !(f.out && !f.waits) {
-		f.hintAt = max(now+f.o.Spread*f.random(), f.lastHit+f.rest())
+		f.hintAt = max(now+f.o.JitterMs*f.random(), f.lastHit+f.rest())
 	}
 }
 
-// Answered tells that the call brought what could be used, and the epoch now in use.
-func (f *Follow) Answered(now float64, epoch uint64) {
+// Succeeded tells that the call brought what could be used, and the epoch now in use.
+func (f *Poller) Succeeded(now float64, epoch uint64) {
 	// A read on a hint that brought nothing new: the source is behind whoever told. Ask again, not at once.
 	stale := !f.waits && epoch == f.epoch && f.hinted > epoch
 	if stale {
@@ -133,13 +133,13 @@
 
 // rest is the pause between two reads on hints. It doubles while they bring nothing: guards the catalogue,
 // and the watch that each read ends, against a client that names an epoch which there is not.
-func (f *Follow) rest() float64 {
-	return min(f.o.Rest*float64(int(1)<<min(f.vain, 10)), max(f.o.Rest, f.o.Most))
+func (f *Poller) rest() float64 {
+	return min(f.o.MinIntervalMs*float64(int(1)<<min(f.vain, 10)), max(f.o.MinIntervalMs, f.o.BackoffMaxMs))
 }
 
 // Refused tells that the call brought a map or a change that cannot be: the whole map is asked for, at once
 // the first time.
-func (f *Follow) Refused(now float64) {
+func (f *Poller) Refused(now float64) {
 	again := f.whole
 	f.whole = true
 	if f.out = false; again {
@@ -150,16 +150,16 @@
 }
 
 // Failed tells that the call came to nothing.
-func (f *Follow) Failed(now float64) {
+func (f *Poller) Failed(now float64) {
 	f.out = false
 	f.back(now)
 }
 
 // back puts the next call off: a growing, spread delay guards the source against a crowd once it is back.
-func (f *Follow) back(now float64) {
-	f.delay = min(max(2*f.delay, f.o.Least), f.o.Most)
+func (f *Poller) back(now float64) {
+	f.delay = min(max(2*f.delay, f.o.BackoffMinMs), f.o.BackoffMaxMs)
 	f.at = now + f.delay*(0.5+0.5*f.random())
 }
 
-// Reads counts the reads that hints led to.
-func (f *Follow) Reads() uint64 { return f.reads }
+// HintedReads counts the reads that hints led to.
+func (f *Poller) HintedReads() uint64 { return f.reads }
--- a/internal/slicemap/follow_test.go
+++ b/internal/slicemap/follow_test.go
@@ -8,33 +8,33 @@
 )
 
 func TestFollowWatchesAndRereads(t *testing.T) {
-	f := NewFollow(DefaultFollow, 7)
+	f := NewPoller(DefaultPollerOptions, 7)
 	c, due := f.Next(0)
-	require.True(t, due && c.Whole && c.Wait == 0, "the whole map first")
+	require.True(t, due && c.FullSnapshot && c.Wait == 0, "the whole map first")
 	_, due = f.Next(1)
 	require.False(t, due, "one call at a time")
-	f.Answered(2, 41)
+	f.Succeeded(2, 41)
 	c, due = f.Next(2)
-	require.Equal(t, Call{Index: 41, Wait: DefaultFollow.Wait, Most: DefaultFollow.Wait + deltaMost}, c)
+	require.Equal(t, PollRequest{SinceEpoch: 41, Wait: DefaultPollerOptions.WatchTimeoutMs, Timeout: DefaultPollerOptions.WatchTimeoutMs + deltaMost}, c)
 	require.True(t, due)
 	f.Refused(5)
 	c, due = f.Next(5)
-	require.True(t, due && c.Whole, "after a fault the whole map, at once")
+	require.True(t, due && c.FullSnapshot, "after a fault the whole map, at once")
 	f.Refused(6)
 	_, due = f.Next(6)
 	require.False(t, due, "a second fault is not asked for at once: the source has nothing better")
-	require.GreaterOrEqual(t, f.At(), 6+DefaultFollow.Least/2)
+	require.GreaterOrEqual(t, f.At(), 6+DefaultPollerOptions.BackoffMinMs/2)
 }
 
 func TestFollowBacksOffAndIsBounded(t *testing.T) {
-	f, now, calls := NewFollow(DefaultFollow, 7), 0.0, 0
+	f, now, calls := NewPoller(DefaultPollerOptions, 7), 0.0, 0
 	for now < 30_000 {
 		if _, due := f.Next(now); due {
 			calls++
 			f.Failed(now)
 		}
 		require.Greater(t, f.At(), now)
-		require.LessOrEqual(t, f.At(), now+DefaultFollow.Most)
+		require.LessOrEqual(t, f.At(), now+DefaultPollerOptions.BackoffMaxMs)
 		now = f.At()
 	}
 	require.Less(t, calls, 25, "30 s without a source are a few calls")
@@ -42,34 +42,34 @@
 }
 
 func TestHintsLeadToOneRead(t *testing.T) {
-	f := NewFollow(DefaultFollow, 7)
+	f := NewPoller(DefaultPollerOptions, 7)
 	f.Next(0)
-	f.Answered(0, 41)
+	f.Succeeded(0, 41)
 	f.Next(0) // the watch
 	now, reads := 100.0, 0
 	for range 500 { // parts that came back moved, within half a second
-		f.Hint(now, 50)
+		f.NewerEpochSeen(now, 50)
 		if c, due := f.Next(now); due {
-			require.Equal(t, Call{Index: 41, Most: deltaMost, Cut: true}, c, "the watch is given up, and the source answers at once")
+			require.Equal(t, PollRequest{SinceEpoch: 41, Timeout: deltaMost, CancelsPending: true}, c, "the watch is given up, and the source answers at once")
 			reads++
 		}
 		now++
 	}
 	require.Equal(t, 1, reads, "one read at once, not one for each part")
-	f.Hint(now, 40)
+	f.NewerEpochSeen(now, 40)
 	require.True(t, math.IsInf(f.At(), 1), "what is older says nothing")
 	// A source that is behind the nodes is asked again at a pace.
 	for now < 2600 {
 		if _, due := f.Next(now); due {
 			reads++
 		}
-		f.Answered(now, 41)
-		f.Hint(now, 50)
+		f.Succeeded(now, 41)
+		f.NewerEpochSeen(now, 50)
 		now += 10
 	}
 	require.Less(t, reads, 6, "and at a growing one, as it knows nothing of that epoch")
-	f.Answered(now, 50)
+	f.Succeeded(now, 50)
 	f.Next(now)
-	f.Hint(now, 50)
+	f.NewerEpochSeen(now, 50)
 	require.True(t, math.IsInf(f.At(), 1), "it is known now")
 }
--- a/internal/slicemap/map.go
+++ b/internal/slicemap/map.go
@@ -9,16 +9,16 @@
 
 // The bounds where the operators state none.
 const (
-	DefaultSlices   = 1 << 20 // in one version
-	DefaultVersions = 256     // kept for the queries that began on them
-	DefaultHistory  = 1 << 16 // retired slices by which an old name is understood
+	DefaultMaxShards   = 1 << 20 // in one version
+	DefaultMaxVersions = 256     // kept for the queries that began on them
+	DefaultMaxRetired  = 1 << 16 // retired slices by which an old name is understood
 )
 
 // Options are the bounds of a map, and what it must be told.
 type Options struct {
-	Slices, Versions, History int
-	// Number is a node's number for the decision module; false if the list does not have it.
-	Number func(node string) (uint32, bool)
+	MaxShards, MaxVersions, MaxRetired int
+	// ReplicaNumber is a node's number for the decision module; false if the list does not have it.
+	ReplicaNumber func(node string) (uint32, bool)
 }
 
 // Stats count what has happened to a map.
@@ -53,12 +53,12 @@
 type Map struct {
 	o       Options
 	cur     *Version
-	now     map[ID]*Slice // of cur, plain: a version's own trie costs four cache misses a look-up
-	moving  map[ID]*Slice // of now: those that are being moved
-	kept    []*Version    // oldest first; the last is cur
-	highest ID            // of all ids that ever were: new ones are above
-	history map[ID]Range
-	order   []ID // of history, oldest first
+	now     map[ShardID]*Shard // of cur, plain: a version's own trie costs four cache misses a look-up
+	moving  map[ShardID]*Shard // of now: those that are being moved
+	kept    []*Version         // oldest first; the last is cur
+	highest ShardID            // of all ids that ever were: new ones are above
+	history map[ShardID]Range
+	order   []ShardID // of history, oldest first
 	groups  map[string]int
 	sets    map[int]*set
 	free    []int // numbers of groups that are no more, to be used again: the module keeps a row of them
@@ -70,14 +70,14 @@
 	for _, v := range []struct {
 		to  *int
 		def int
-	}{{&o.Slices, DefaultSlices}, {&o.Versions, DefaultVersions}, {&o.History, DefaultHistory}} {
+	}{{&o.MaxShards, DefaultMaxShards}, {&o.MaxVersions, DefaultMaxVersions}, {&o.MaxRetired, DefaultMaxRetired}} {
 		if *v.to <= 0 {
 			*v.to = v.def
 		}
 	}
-	o.Versions = max(o.Versions, 2)
-	m := &Map{o: o, highest: -1, now: map[ID]*Slice{}, moving: map[ID]*Slice{},
-		history: map[ID]Range{}, groups: map[string]int{},
+	o.MaxVersions = max(o.MaxVersions, 2)
+	m := &Map{o: o, highest: -1, now: map[ShardID]*Shard{}, moving: map[ShardID]*Shard{},
+		history: map[ShardID]Range{}, groups: map[string]int{},
 		sets: map[int]*set{}}
 	m.cur = newVersion(0, 0)
 	m.kept = []*Version{m.cur}
@@ -87,24 +87,24 @@
 // Current is the version in use; its epoch is 0 before the first.
 func (m *Map) Current() *Version { return m.cur }
 
-// Whole is a whole map as a source tells it.
-type Whole struct {
-	Epoch     uint64
-	Districts int
-	Nodes     []string // all that may hold slices; empty: any
-	Slices    []*Slice
-	Retired   []Retiree // slices that are no more, by which old names are understood; the latest last
+// Snapshot is a whole map as a source tells it.
+type Snapshot struct {
+	Epoch    uint64
+	Buckets  int
+	Backends []string // all that may hold slices; empty: any
+	Shards   []*Shard
+	Retired  []RetiredShard // slices that are no more, by which old names are understood; the latest last
 }
 
-// Retiree is a slice that is no more.
-type Retiree struct {
-	ID ID
+// RetiredShard is a slice that is no more.
+type RetiredShard struct {
+	ID ShardID
 	Range
 }
 
 // Reset takes a whole map, or refuses it and stays as it was. It gives the slices that are in it no more. A
 // map of the epoch in use changes nothing.
-func (m *Map) Reset(w Whole) (retired []ID, err error) {
+func (m *Map) Reset(w Snapshot) (retired []ShardID, err error) {
 	defer func() {
 		if err != nil {
 			m.stats.Refused++
@@ -116,49 +116,49 @@
 	if w.Epoch == m.cur.Epoch {
 		return nil, nil
 	}
-	if len(w.Slices) > m.o.Slices {
-		return nil, fault(-1, ErrTooMany, "%d of %d", len(w.Slices), m.o.Slices)
+	if len(w.Shards) > m.o.MaxShards {
+		return nil, fault(-1, ErrTooMany, "%d of %d", len(w.Shards), m.o.MaxShards)
 	}
-	if m.cur.Epoch > 0 && w.Districts != m.cur.Districts {
-		return nil, fault(-1, ErrRange, "%d districts, %d before: they are never divided", w.Districts,
-			m.cur.Districts)
+	if m.cur.Epoch > 0 && w.Buckets != m.cur.Buckets {
+		return nil, fault(-1, ErrRange, "%d districts, %d before: they are never divided", w.Buckets,
+			m.cur.Buckets)
 	}
-	v, err := build(w.Epoch, w.Districts, w.Slices, knownOf(w.Nodes))
+	v, err := build(w.Epoch, w.Buckets, w.Shards, knownOf(w.Backends))
 	if err != nil {
 		return nil, err
 	}
-	for _, s := range w.Slices {
-		if old := m.cur.Slice(s.ID); old != nil && old.Range != s.Range {
-			return nil, fault(s.ID, ErrSlice, "it was %v and is %v", old.Range, s.Range)
+	for _, s := range w.Shards {
+		if old := m.cur.Shard(s.ID); old != nil && old.Range != s.Range {
+			return nil, fault(s.ID, ErrShard, "it was %v and is %v", old.Range, s.Range)
 		} else if old == nil && s.ID <= m.highest {
-			return nil, fault(s.ID, ErrSlice, "the id is not above %d, and is no slice's in use", m.highest)
+			return nil, fault(s.ID, ErrShard, "the id is not above %d, and is no slice's in use", m.highest)
 		}
 	}
 	for _, r := range w.Retired {
-		if r.ID < 0 || v.Slice(r.ID) != nil || r.Lo < 0 || r.Hi <= r.Lo || r.Hi > w.Districts {
+		if r.ID < 0 || v.Shard(r.ID) != nil || r.Start < 0 || r.End <= r.Start || r.End > w.Buckets {
 			return nil, fault(r.ID, ErrRange, "retired, with %v", r.Range)
 		}
 	}
-	var gone []*Slice
-	m.cur.All(func(s *Slice) bool {
-		if v.Slice(s.ID) == nil {
+	var gone []*Shard
+	m.cur.All(func(s *Shard) bool {
+		if v.Shard(s.ID) == nil {
 			gone = append(gone, s)
 			retired = append(retired, s.ID)
 		}
 		return true
 	})
 	was := m.cur
-	v.All(func(s *Slice) bool { m.join(s); return true })
-	was.All(func(s *Slice) bool { m.leave(s); return true })
+	v.All(func(s *Shard) bool { m.join(s); return true })
+	was.All(func(s *Shard) bool { m.leave(s); return true })
 	for _, s := range gone {
 		m.retire(s.ID, s.Range)
 	}
 	for _, r := range w.Retired {
 		m.retire(r.ID, r.Range)
 	}
-	m.now = make(map[ID]*Slice, len(w.Slices))
+	m.now = make(map[ShardID]*Shard, len(w.Shards))
 	clear(m.moving)
-	for _, s := range w.Slices {
+	for _, s := range w.Shards {
 		if m.now[s.ID] = s; s.Since == 0 || s.Since > w.Epoch {
 			s.Since = w.Epoch
 		}
@@ -184,8 +184,8 @@
 // Apply takes changes in their order, all or none. Those up to the epoch in use are passed over: news that
 // comes twice is no fault. nodes are what may hold slices; empty: any. It gives the slices that are in the
 // map no more.
-func (m *Map) Apply(changes []Change, nodes []string) (retired []ID, err error) {
-	e := edit{known: knownOf(nodes), used: func(id ID) bool { return id <= m.highest }}
+func (m *Map) Apply(changes []Change, nodes []string) (retired []ShardID, err error) {
+	e := edit{known: knownOf(nodes), used: func(id ShardID) bool { return id <= m.highest }}
 	copied := *m.cur
 	copied.refs = 0
 	e.Version = &copied
@@ -201,25 +201,25 @@
 		for _, id := range c.Into {
 			highest = max(highest, id)
 		}
-		e.used = func(id ID) bool { return id <= highest }
-		if did++; e.Len() > m.o.Slices {
+		e.used = func(id ShardID) bool { return id <= highest }
+		if did++; e.Len() > m.o.MaxShards {
 			m.stats.Refused++
-			return nil, fault(-1, ErrTooMany, "%d of %d", e.Len(), m.o.Slices)
+			return nil, fault(-1, ErrTooMany, "%d of %d", e.Len(), m.o.MaxShards)
 		}
 	}
 	if did == 0 {
 		return nil, nil
 	}
-	was, left := m.cur, map[ID]bool{}
+	was, left := m.cur, map[ShardID]bool{}
 	for _, s := range e.changed {
-		if e.Version.Slice(s.ID) == s { // a later change may have replaced it
+		if e.Version.Shard(s.ID) == s { // a later change may have replaced it
 			m.join(s)
 			m.now[s.ID] = s
 			m.track(s)
 		}
 	}
-	leave := func(id ID) {
-		if old := was.Slice(id); old != nil && !left[id] {
+	leave := func(id ShardID) {
+		if old := was.Shard(id); old != nil && !left[id] {
 			left[id] = true
 			m.leave(old)
 		}
@@ -241,7 +241,7 @@
 }
 
 // join puts a slice into the group of its executors.
-func (m *Map) join(s *Slice) {
+func (m *Map) join(s *Shard) {
 	names := slices.Sorted(slices.Values(s.Executors()))
 	key := strings.Join(names, "\x00")
 	g, ok := m.groups[key]
@@ -257,7 +257,7 @@
 	s.group = g
 }
 
-func (m *Map) leave(s *Slice) {
+func (m *Map) leave(s *Shard) {
 	x := m.sets[s.group]
 	if x == nil {
 		return
@@ -270,13 +270,13 @@
 }
 
 // retire remembers the districts of a slice, so that who still names it is understood.
-func (m *Map) retire(id ID, r Range) {
+func (m *Map) retire(id ShardID, r Range) {
 	if _, ok := m.history[id]; ok {
 		return
 	}
 	m.history[id] = r
 	m.order = append(m.order, id)
-	for len(m.order) > m.o.History {
+	for len(m.order) > m.o.MaxRetired {
 		delete(m.history, m.order[0])
 		m.order = m.order[1:]
 		m.stats.Forgotten++
@@ -294,7 +294,7 @@
 // it: they carry their own districts and weights, and lose only their place in the count of versions.
 func (m *Map) sweep() {
 	m.kept = slices.DeleteFunc(m.kept, func(v *Version) bool { return v != m.cur && v.refs <= 0 })
-	for len(m.kept) > m.o.Versions {
+	for len(m.kept) > m.o.MaxVersions {
 		m.kept[0].refs = -1 << 30
 		m.kept = m.kept[1:]
 		m.stats.LetGo++
@@ -302,25 +302,25 @@
 	m.stats.KeptMost = max(m.stats.KeptMost, len(m.kept))
 }
 
-// Begin binds a query to the version in use; End must follow.
-func (m *Map) Begin() *Version {
+// Acquire binds a query to the version in use; End must follow.
+func (m *Map) Acquire() *Version {
 	m.cur.refs++
 	return m.cur
 }
 
-// End frees a query's hold on its version; the last one frees the version.
-func (m *Map) End(v *Version) {
+// Release frees a query's hold on its version; the last one frees the version.
+func (m *Map) Release(v *Version) {
 	if v.refs--; v.refs == 0 && v != m.cur {
 		m.sweep()
 	}
 }
 
 // ErrStale is wrapped where a slice that a client named cannot be understood.
-var ErrStale = fmt.Errorf("%w, or retired too long ago", ErrSlice)
+var ErrStale = fmt.Errorf("%w, or retired too long ago", ErrShard)
 
 // Resolve gives the districts of a slice that a client named, at whatever epoch that was: ids are never used
 // again, so what is retired is translated by what is kept of it.
-func (m *Map) Resolve(id ID) (Range, error) {
+func (m *Map) Resolve(id ShardID) (Range, error) {
 	if s := m.now[id]; s != nil {
 		return s.Range, nil
 	}
@@ -331,29 +331,29 @@
 }
 
 // Route is Version.Route for the version in use, and quicker.
-func (m *Map) Route(legs []Leg, id ID, r Range) []Leg {
-	if s := m.now[id]; s != nil && s.Holds(r) {
-		return append(legs, Leg{id, r})
+func (m *Map) Route(legs []Segment, id ShardID, r Range) []Segment {
+	if s := m.now[id]; s != nil && s.Contains(r) {
+		return append(legs, Segment{id, r})
 	}
 	return m.cur.Route(legs, id, r)
 }
 
-// Slice is a slice of the version in use by its id; nil if there is none, or no more.
-func (m *Map) Slice(id ID) *Slice { return m.now[id] }
+// Shard is a slice of the version in use by its id; nil if there is none, or no more.
+func (m *Map) Shard(id ShardID) *Shard { return m.now[id] }
 
 // Retired are the slices that are no more and are still understood, the latest last, most at most.
-func (m *Map) Retired(most int) []Retiree {
+func (m *Map) Retired(most int) []RetiredShard {
 	from := max(0, len(m.order)-most)
-	out := make([]Retiree, 0, len(m.order)-from)
+	out := make([]RetiredShard, 0, len(m.order)-from)
 	for _, id := range m.order[from:] {
-		out = append(out, Retiree{id, m.history[id]})
+		out = append(out, RetiredShard{id, m.history[id]})
 	}
 	return out
 }
 
 // Group numbers the set of nodes that may be sent a slice's parts; -1 if there is no such slice. It is part
 // of what the decision module asks; so are the methods below.
-func (m *Map) Group(id ID) int {
+func (m *Map) Group(id ShardID) int {
 	if s := m.now[id]; s != nil {
 		return s.group
 	}
@@ -366,39 +366,39 @@
 // Replicas are the numbers of a group's nodes that are listed.
 func (m *Map) Replicas(group int) (out []uint32) {
 	x := m.sets[group]
-	if x == nil || m.o.Number == nil {
+	if x == nil || m.o.ReplicaNumber == nil {
 		return nil
 	}
 	for _, name := range x.names {
-		if n, ok := m.o.Number(name); ok {
+		if n, ok := m.o.ReplicaNumber(name); ok {
 			out = append(out, n)
 		}
 	}
 	return out
 }
 
-// LetGo is how many versions were let go at the bound.
-func (m *Map) LetGo() uint64 { return m.stats.LetGo }
+// DroppedVersions is how many versions were let go at the bound.
+func (m *Map) DroppedVersions() uint64 { return m.stats.LetGo }
 
 // Stats counts.
 func (m *Map) Stats() Stats {
 	s := m.stats
-	s.Epoch, s.Slices, s.Districts, s.Groups = m.cur.Epoch, m.cur.Len(), m.cur.Districts, len(m.sets)
+	s.Epoch, s.Slices, s.Districts, s.Groups = m.cur.Epoch, m.cur.Len(), m.cur.Buckets, len(m.sets)
 	s.Kept, s.History = len(m.kept), len(m.history)
 	s.Moving = len(m.moving)
 	return s
 }
 
 // track notes whether a slice is being moved.
-func (m *Map) track(s *Slice) {
+func (m *Map) track(s *Shard) {
 	if delete(m.moving, s.ID); s.State != Serving {
 		m.moving[s.ID] = s
 	}
 }
 
 // Moving are the slices that are being moved, by id.
-func (m *Map) Moving() []*Slice {
+func (m *Map) Moving() []*Shard {
 	out := slices.Collect(maps.Values(m.moving))
-	slices.SortFunc(out, func(a, b *Slice) int { return a.ID - b.ID })
+	slices.SortFunc(out, func(a, b *Shard) int { return a.ID - b.ID })
 	return out
 }
--- a/internal/slicemap/slicemap_test.go
+++ b/internal/slicemap/slicemap_test.go
@@ -23,20 +23,20 @@
 }
 
 // whole is a map of n slices of so many districts each, on three of the nodes a to e in a ring.
-func whole(epoch uint64, n, size int) Whole {
-	w := Whole{Epoch: epoch, Districts: n * size}
+func whole(epoch uint64, n, size int) Snapshot {
+	w := Snapshot{Epoch: epoch, Buckets: n * size}
 	for i := range n {
-		s := &Slice{ID: i, Range: Range{i * size, (i + 1) * size}}
+		s := &Shard{ID: i, Range: Range{i * size, (i + 1) * size}}
 		for j := range 3 {
-			s.Holders = append(s.Holders, string(rune('a'+(i+j)%5)))
+			s.Replicas = append(s.Replicas, string(rune('a'+(i+j)%5)))
 		}
-		w.Slices = append(w.Slices, s)
+		w.Shards = append(w.Shards, s)
 	}
 	return w
 }
 
 func started(t require.TestingT, n, size int) *Map {
-	m := New(Options{Number: number})
+	m := New(Options{ReplicaNumber: number})
 	_, err := m.Reset(whole(1, n, size))
 	require.NoError(t, err)
 	return m
@@ -48,7 +48,7 @@
 	return c
 }
 
-func apply(t require.TestingT, m *Map, c Change) []ID {
+func apply(t require.TestingT, m *Map, c Change) []ShardID {
 	retired, err := m.Apply([]Change{step(m, c)}, nil)
 	require.NoError(t, err)
 	return retired
@@ -56,79 +56,79 @@
 
 func TestLifeOfAMove(t *testing.T) {
 	m := started(t, 4, 10)
-	require.Equal(t, []string{"a", "b", "c"}, m.Current().Slice(0).Executors())
-	apply(t, m, Change{Kind: Move, Slice: 0, From: "b", To: "e"})
-	s := m.Current().Slice(0)
+	require.Equal(t, []string{"a", "b", "c"}, m.Current().Shard(0).Executors())
+	apply(t, m, Change{Kind: Move, Shard: 0, From: "b", To: "e"})
+	s := m.Current().Shard(0)
 	require.True(t, s.Executes("b") && !s.Executes("e"), "while it is copied the source executes")
-	apply(t, m, Change{Kind: Handover, Slice: 0})
-	s = m.Current().Slice(0)
+	apply(t, m, Change{Kind: Handover, Shard: 0})
+	s = m.Current().Shard(0)
 	require.True(t, !s.Executes("b") && s.Executes("e"), "from the handover on it is the destination")
 	require.Equal(t, []string{"a", "e", "c"}, s.Executors())
-	apply(t, m, Change{Kind: Abort, Slice: 0})
-	require.Equal(t, []string{"a", "b", "c"}, m.Current().Slice(0).Executors(), "an abort goes back to the source")
+	apply(t, m, Change{Kind: Abort, Shard: 0})
+	require.Equal(t, []string{"a", "b", "c"}, m.Current().Shard(0).Executors(), "an abort goes back to the source")
 	for _, k := range []Change{{Kind: Move, From: "b", To: "e"}, {Kind: Handover}, {Kind: Done}} {
 		apply(t, m, k)
 	}
-	require.Equal(t, []string{"a", "e", "c"}, m.Current().Slice(0).Holders)
+	require.Equal(t, []string{"a", "e", "c"}, m.Current().Shard(0).Replicas)
 	// And back again: A to B and back to A.
 	for _, k := range []Change{{Kind: Move, From: "e", To: "b"}, {Kind: Handover}, {Kind: Done}} {
 		apply(t, m, k)
 	}
-	require.Equal(t, []string{"a", "b", "c"}, m.Current().Slice(0).Holders)
+	require.Equal(t, []string{"a", "b", "c"}, m.Current().Shard(0).Replicas)
 }
 
 func TestSplitOfASliceThatMoves(t *testing.T) {
 	m := started(t, 4, 10)
-	apply(t, m, Change{Kind: Move, Slice: 0, From: "b", To: "e"})
-	require.Equal(t, []ID{0}, apply(t, m, Change{Kind: Split, Slice: 0, At: 4, Into: []ID{4, 5}}))
-	for _, id := range []ID{4, 5} {
-		s := m.Current().Slice(id)
+	apply(t, m, Change{Kind: Move, Shard: 0, From: "b", To: "e"})
+	require.Equal(t, []ShardID{0}, apply(t, m, Change{Kind: Split, Shard: 0, At: 4, Into: []ShardID{4, 5}}))
+	for _, id := range []ShardID{4, 5} {
+		s := m.Current().Shard(id)
 		require.Equal(t, Preparing, s.State, "the move goes on for both halves")
-		require.Equal(t, []ID{0}, s.Parents)
+		require.Equal(t, []ShardID{0}, s.Parents)
 	}
-	_, err := m.Apply([]Change{step(m, Change{Kind: Merge, Slice: 4, Other: 5, Into: []ID{6}})}, nil)
+	_, err := m.Apply([]Change{step(m, Change{Kind: Merge, Shard: 4, Other: 5, Into: []ShardID{6}})}, nil)
 	require.ErrorIs(t, err, ErrState, "halves that move cannot be merged")
-	apply(t, m, Change{Kind: Handover, Slice: 4})
-	apply(t, m, Change{Kind: Abort, Slice: 5})
-	require.Equal(t, []string{"a", "e", "c"}, m.Current().Slice(4).Executors())
-	require.Equal(t, []string{"a", "b", "c"}, m.Current().Slice(5).Executors())
+	apply(t, m, Change{Kind: Handover, Shard: 4})
+	apply(t, m, Change{Kind: Abort, Shard: 5})
+	require.Equal(t, []string{"a", "e", "c"}, m.Current().Shard(4).Executors())
+	require.Equal(t, []string{"a", "b", "c"}, m.Current().Shard(5).Executors())
 	r, err := m.Resolve(0)
 	require.NoError(t, err, "the old name is understood")
-	require.Equal(t, []Leg{{4, Range{0, 4}}, {5, Range{4, 10}}}, m.Current().Route(nil, 0, r))
+	require.Equal(t, []Segment{{4, Range{0, 4}}, {5, Range{4, 10}}}, m.Current().Route(nil, 0, r))
 }
 
 func TestRefusedMapsChangeNothing(t *testing.T) {
-	bad := func(f func(w *Whole)) Whole {
+	bad := func(f func(w *Snapshot)) Snapshot {
 		w := whole(9, 4, 10)
-		w.Nodes = []string{"a", "b", "c", "d", "e"}
+		w.Backends = []string{"a", "b", "c", "d", "e"}
 		f(&w)
 		return w
 	}
 	for name, c := range map[string]struct {
-		w   Whole
+		w   Snapshot
 		err error
 	}{
-		"hole":            {bad(func(w *Whole) { w.Slices[1].Lo++ }), ErrHole},
-		"hole at the end": {bad(func(w *Whole) { w.Slices = w.Slices[:3] }), ErrHole},
-		"overlap":         {bad(func(w *Whole) { w.Slices[1].Lo-- }), ErrOverlap},
-		"unknown holder":  {bad(func(w *Whole) { w.Slices[2].Holders[0] = "z" }), ErrHolder},
-		"no holder":       {bad(func(w *Whole) { w.Slices[2].Holders = nil }), ErrHolder},
-		"holder twice":    {bad(func(w *Whole) { w.Slices[2].Holders[0] = w.Slices[2].Holders[1] }), ErrHolder},
-		"epoch back":      {bad(func(w *Whole) { w.Epoch = 4 }), ErrEpoch},
-		"id twice":        {bad(func(w *Whole) { w.Slices[3].ID = 2 }), ErrSlice},
-		"id below 0":      {bad(func(w *Whole) { w.Slices[3].ID = -2 }), ErrSlice},
-		"other districts": {bad(func(w *Whole) { w.Districts++ }), ErrRange},
-		"empty slice":     {bad(func(w *Whole) { w.Slices[3].Hi = w.Slices[3].Lo }), ErrRange},
-		"retired":         {bad(func(w *Whole) { w.Slices[3].State = Retired }), ErrState},
-		"move to nobody":  {bad(func(w *Whole) { w.Slices[3].State = Preparing }), ErrHolder},
-		"reused id": {bad(func(w *Whole) {
-			w.Slices[0].ID, w.Slices[0].Hi, w.Slices[1].Lo = 0, 5, 5 // the same id, other districts
-		}), ErrSlice},
+		"hole":            {bad(func(w *Snapshot) { w.Shards[1].Start++ }), ErrGap},
+		"hole at the end": {bad(func(w *Snapshot) { w.Shards = w.Shards[:3] }), ErrGap},
+		"overlap":         {bad(func(w *Snapshot) { w.Shards[1].Start-- }), ErrOverlap},
+		"unknown holder":  {bad(func(w *Snapshot) { w.Shards[2].Replicas[0] = "z" }), ErrReplica},
+		"no holder":       {bad(func(w *Snapshot) { w.Shards[2].Replicas = nil }), ErrReplica},
+		"holder twice":    {bad(func(w *Snapshot) { w.Shards[2].Replicas[0] = w.Shards[2].Replicas[1] }), ErrReplica},
+		"epoch back":      {bad(func(w *Snapshot) { w.Epoch = 4 }), ErrEpoch},
+		"id twice":        {bad(func(w *Snapshot) { w.Shards[3].ID = 2 }), ErrShard},
+		"id below 0":      {bad(func(w *Snapshot) { w.Shards[3].ID = -2 }), ErrShard},
+		"other districts": {bad(func(w *Snapshot) { w.Buckets++ }), ErrRange},
+		"empty slice":     {bad(func(w *Snapshot) { w.Shards[3].End = w.Shards[3].Start }), ErrRange},
+		"retired":         {bad(func(w *Snapshot) { w.Shards[3].State = Retired }), ErrState},
+		"move to nobody":  {bad(func(w *Snapshot) { w.Shards[3].State = Preparing }), ErrReplica},
+		"reused id": {bad(func(w *Snapshot) {
+			w.Shards[0].ID, w.Shards[0].End, w.Shards[1].Start = 0, 5, 5 // the same id, other districts
+		}), ErrShard},
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := started(t, 4, 10)
-			for _, k := range []Change{{Kind: Move, Slice: 0, From: "b", To: "e"}, {Kind: Handover}, {Kind: Done},
-				{Kind: Assign, Slice: 1, Holders: []string{"a"}}} {
+			for _, k := range []Change{{Kind: Move, Shard: 0, From: "b", To: "e"}, {Kind: Handover}, {Kind: Done},
+				{Kind: Assign, Shard: 1, Replicas: []string{"a"}}} {
 				apply(t, m, k)
 			}
 			was := m.Current()
@@ -145,14 +145,14 @@
 	}{
 		"other base":    {Change{Base: 7, Epoch: 8, Kind: Handover}, ErrBase},
 		"epoch back":    {Change{Base: 1, Epoch: 1, Kind: Handover}, nil}, // told twice
-		"unknown slice": {Change{Base: 1, Epoch: 2, Kind: Handover, Slice: 99}, ErrSlice},
+		"unknown slice": {Change{Base: 1, Epoch: 2, Kind: Handover, Shard: 99}, ErrShard},
 		"not moving":    {Change{Base: 1, Epoch: 2, Kind: Handover}, ErrState},
-		"split outside": {Change{Base: 1, Epoch: 2, Kind: Split, At: 10, Into: []ID{4, 5}}, ErrRange},
-		"split reuses":  {Change{Base: 1, Epoch: 2, Kind: Split, At: 5, Into: []ID{3, 5}}, ErrSlice},
-		"far merge":     {Change{Base: 1, Epoch: 2, Kind: Merge, Other: 2, Into: []ID{4}}, ErrRange},
-		"other holders": {Change{Base: 1, Epoch: 2, Kind: Merge, Other: 1, Into: []ID{4}}, ErrHolder},
-		"to a holder":   {Change{Base: 1, Epoch: 2, Kind: Move, From: "a", To: "b"}, ErrHolder},
-		"from a fourth": {Change{Base: 1, Epoch: 2, Kind: Move, From: "d", To: "e"}, ErrHolder},
+		"split outside": {Change{Base: 1, Epoch: 2, Kind: Split, At: 10, Into: []ShardID{4, 5}}, ErrRange},
+		"split reuses":  {Change{Base: 1, Epoch: 2, Kind: Split, At: 5, Into: []ShardID{3, 5}}, ErrShard},
+		"far merge":     {Change{Base: 1, Epoch: 2, Kind: Merge, Other: 2, Into: []ShardID{4}}, ErrRange},
+		"other holders": {Change{Base: 1, Epoch: 2, Kind: Merge, Other: 1, Into: []ShardID{4}}, ErrReplica},
+		"to a holder":   {Change{Base: 1, Epoch: 2, Kind: Move, From: "a", To: "b"}, ErrReplica},
+		"from a fourth": {Change{Base: 1, Epoch: 2, Kind: Move, From: "d", To: "e"}, ErrReplica},
 	} {
 		was := m.Current()
 		_, err := m.Apply([]Change{c.c}, nil)
@@ -161,36 +161,36 @@
 	}
 	// All or none: the second is at fault, the first is not made either.
 	was := m.Current()
-	_, err := m.Apply([]Change{{Base: 1, Epoch: 2, Kind: Split, At: 5, Into: []ID{4, 5}},
-		{Base: 2, Epoch: 3, Kind: Split, At: 5, Into: []ID{6, 7}}}, nil)
-	var f *Fault
-	require.True(t, errors.As(err, &f) && f.Slice == 0 && errors.Is(err, ErrSlice), err)
+	_, err := m.Apply([]Change{{Base: 1, Epoch: 2, Kind: Split, At: 5, Into: []ShardID{4, 5}},
+		{Base: 2, Epoch: 3, Kind: Split, At: 5, Into: []ShardID{6, 7}}}, nil)
+	var f *ValidationError
+	require.True(t, errors.As(err, &f) && f.Shard == 0 && errors.Is(err, ErrShard), err)
 	require.Same(t, was, m.Current())
 }
 
 func TestVersionsAreFreedAndBounded(t *testing.T) {
-	m := New(Options{Versions: 4, History: 2})
+	m := New(Options{MaxVersions: 4, MaxRetired: 2})
 	_, err := m.Reset(whole(1, 4, 100))
 	require.NoError(t, err)
-	first := m.Begin()
-	again := m.Begin()
+	first := m.Acquire()
+	again := m.Acquire()
 	for i := range 3 {
-		apply(t, m, Change{Kind: Split, Slice: m.Current().At(0).ID, At: 50 >> i, Into: []ID{4 + 2*i, 5 + 2*i}})
+		apply(t, m, Change{Kind: Split, Shard: m.Current().At(0).ID, At: 50 >> i, Into: []ShardID{4 + 2*i, 5 + 2*i}})
 	}
 	require.Equal(t, 2, m.Stats().Kept, "versions that nobody began on are freed at once")
-	m.End(first)
+	m.Release(first)
 	require.Equal(t, 2, m.Stats().Kept)
-	m.End(again)
+	m.Release(again)
 	require.Equal(t, 1, m.Stats().Kept)
 	var held []*Version
 	for i := range 8 {
-		held = append(held, m.Begin())
-		apply(t, m, Change{Kind: Assign, Slice: 1, Holders: []string{fmt.Sprint(i)}})
+		held = append(held, m.Acquire())
+		apply(t, m, Change{Kind: Assign, Shard: 1, Replicas: []string{fmt.Sprint(i)}})
 	}
 	require.Equal(t, 4, m.Stats().Kept)
 	require.EqualValues(t, 5, m.Stats().LetGo)
 	for _, v := range held {
-		m.End(v)
+		m.Release(v)
 	}
 	require.Equal(t, 1, m.Stats().Kept)
 	_, err = m.Resolve(0)
@@ -202,44 +202,44 @@
 func TestAfterMoved(t *testing.T) {
 	m := started(t, 4, 10)
 	for range 3 {
-		apply(t, m, Change{Kind: Assign, Slice: 1, Holders: []string{"a", "b", "c"}})
+		apply(t, m, Change{Kind: Assign, Shard: 1, Replicas: []string{"a", "b", "c"}})
 	}
-	one, other := Leg{1, Range{10, 20}}, Leg{2, Range{20, 30}}
-	require.EqualValues(t, 4, m.Routed(one))
-	require.EqualValues(t, 1, m.Routed(other), "news of other slices is none of this one")
-	require.Equal(t, Wait{Read: 8}, m.AfterMoved(one, 4, 8, 1), "we are late, and others hold it too")
-	require.Equal(t, Wait{Pause: lateMost, Until: 8, Read: 8}, m.AfterMoved(one, 4, 8, 3), "they have been asked")
-	require.Equal(t, Wait{}, m.AfterMoved(one, 4, 3, 2), "the node is late, others may know")
-	require.Equal(t, Wait{Pause: pauseLate}, m.AfterMoved(one, 4, 3, 3))
-	require.Equal(t, Wait{}, m.AfterMoved(one, 3, 8, 1), "the leg is old")
-	require.Equal(t, Wait{Pause: 4 * pauseLate}, m.AfterMoved(other, 1, 4, 5), "pauses grow")
-	require.Equal(t, Wait{Pause: pauseMost}, m.AfterMoved(other, 1, 4, 99), "and are bounded")
-	l := Leg{0, Range{2, 8}}
-	_, v := m.Again(nil, l, true, true)
-	require.Equal(t, Never, v)
-	_, v = m.Again(nil, l, true, false)
-	require.Equal(t, Stay, v)
-	apply(t, m, Change{Kind: Split, Slice: 0, At: 5, Into: []ID{4, 5}})
-	_, v = m.Again(nil, l, true, true)
-	require.Equal(t, Never, v, "a split does not make it known not to have run")
-	legs, v := m.Again(nil, l, true, false)
-	require.Equal(t, Replace, v)
-	require.Equal(t, []Leg{{4, Range{2, 5}}, {5, Range{5, 8}}}, legs)
+	one, other := Segment{1, Range{10, 20}}, Segment{2, Range{20, 30}}
+	require.EqualValues(t, 4, m.RoutingEpoch(one))
+	require.EqualValues(t, 1, m.RoutingEpoch(other), "news of other slices is none of this one")
+	require.Equal(t, RetryWait{ReadEpoch: 8}, m.OnNotHolder(one, 4, 8, 1), "we are late, and others hold it too")
+	require.Equal(t, RetryWait{Delay: lateMost, UntilEpoch: 8, ReadEpoch: 8}, m.OnNotHolder(one, 4, 8, 3), "they have been asked")
+	require.Equal(t, RetryWait{}, m.OnNotHolder(one, 4, 3, 2), "the node is late, others may know")
+	require.Equal(t, RetryWait{Delay: pauseLate}, m.OnNotHolder(one, 4, 3, 3))
+	require.Equal(t, RetryWait{}, m.OnNotHolder(one, 3, 8, 1), "the leg is old")
+	require.Equal(t, RetryWait{Delay: 4 * pauseLate}, m.OnNotHolder(other, 1, 4, 5), "pauses grow")
+	require.Equal(t, RetryWait{Delay: pauseMost}, m.OnNotHolder(other, 1, 4, 99), "and are bounded")
+	l := Segment{0, Range{2, 8}}
+	_, v := m.Reroute(nil, l, true, true)
+	require.Equal(t, NeverRetry, v)
+	_, v = m.Reroute(nil, l, true, false)
+	require.Equal(t, KeepShard, v)
+	apply(t, m, Change{Kind: Split, Shard: 0, At: 5, Into: []ShardID{4, 5}})
+	_, v = m.Reroute(nil, l, true, true)
+	require.Equal(t, NeverRetry, v, "a split does not make it known not to have run")
+	legs, v := m.Reroute(nil, l, true, false)
+	require.Equal(t, ReplaceSegments, v)
+	require.Equal(t, []Segment{{4, Range{2, 5}}, {5, Range{5, 8}}}, legs)
 }
 
 func TestUnitCountsNoDistrictTwice(t *testing.T) {
-	u := NewUnit(Range{0, 10}, []Leg{{0, Range{0, 10}}})
-	require.NoError(t, u.Replace(Range{0, 10}, []Leg{{4, Range{0, 4}}, {5, Range{4, 10}}}))
+	u := NewCoverage(Range{0, 10}, []Segment{{0, Range{0, 10}}})
+	require.NoError(t, u.Replace(Range{0, 10}, []Segment{{4, Range{0, 4}}, {5, Range{4, 10}}}))
 	require.Error(t, u.Replace(Range{0, 10}, nil))
-	whole, err := u.In(Range{0, 4})
+	whole, err := u.Arrived(Range{0, 4})
 	require.True(t, err == nil && !whole, "half of a part is not in")
-	_, err = u.In(Range{0, 4})
+	_, err = u.Arrived(Range{0, 4})
 	require.Error(t, err, "the same districts twice")
-	_, err = u.In(Range{0, 10})
+	_, err = u.Arrived(Range{0, 10})
 	require.Error(t, err, "an old and a new holder both answer")
-	require.Error(t, u.Replace(Range{4, 10}, []Leg{{6, Range{4, 7}}, {7, Range{8, 10}}}), "a hole")
-	whole, err = u.In(Range{4, 10})
-	require.True(t, err == nil && whole && u.Whole())
+	require.Error(t, u.Replace(Range{4, 10}, []Segment{{6, Range{4, 7}}, {7, Range{8, 10}}}), "a hole")
+	whole, err = u.Arrived(Range{4, 10})
+	require.True(t, err == nil && whole && u.Complete())
 }
 
 // TestAgainstModel draws histories of changes, good and bad, and holds the map against a table of districts.
@@ -249,7 +249,7 @@
 		nodes := []string{"a", "b", "c", "d", "e"}
 		executor := make([][]string, 64) // by district: the model's own
 		for i := range executor {
-			executor[i] = slices.Sorted(slices.Values(m.Current().At(i).Holders))
+			executor[i] = slices.Sorted(slices.Values(m.Current().At(i).Replicas))
 		}
 		next := 4
 		type snapshot struct {
@@ -258,38 +258,38 @@
 		}
 		var held []snapshot
 		text := func(v *Version) (out string) {
-			v.All(func(s *Slice) bool {
-				out += fmt.Sprint(s.ID, s.Range, s.Holders, s.State, s.From, s.To, ";")
+			v.All(func(s *Shard) bool {
+				out += fmt.Sprint(s.ID, s.Range, s.Replicas, s.State, s.From, s.To, ";")
 				return true
 			})
 			return out
 		}
-		one := func(label string) *Slice { return m.Current().At(rapid.IntRange(0, 63).Draw(t, label)) }
+		one := func(label string) *Shard { return m.Current().At(rapid.IntRange(0, 63).Draw(t, label)) }
 		t.Repeat(map[string]func(*rapid.T){
 			"split": func(t *rapid.T) {
 				s, at := one("d"), rapid.IntRange(0, 63).Draw(t, "at")
-				_, err := m.Apply([]Change{step(m, Change{Kind: Split, Slice: s.ID, At: at, Into: []ID{next, next + 1}})}, nil)
-				require.Equal(t, at > s.Lo && at < s.Hi, err == nil)
+				_, err := m.Apply([]Change{step(m, Change{Kind: Split, Shard: s.ID, At: at, Into: []ShardID{next, next + 1}})}, nil)
+				require.Equal(t, at > s.Start && at < s.End, err == nil)
 				next += 2
 			},
 			"merge": func(t *rapid.T) {
 				a, b := one("a"), one("b")
-				_, err := m.Apply([]Change{step(m, Change{Kind: Merge, Slice: a.ID, Other: b.ID, Into: []ID{next}})}, nil)
-				same := slices.Equal(executor[a.Lo], executor[b.Lo])
-				require.Equal(t, (a.Hi == b.Lo || b.Hi == a.Lo) && a.State == Serving && b.State == Serving && same, err == nil)
+				_, err := m.Apply([]Change{step(m, Change{Kind: Merge, Shard: a.ID, Other: b.ID, Into: []ShardID{next}})}, nil)
+				same := slices.Equal(executor[a.Start], executor[b.Start])
+				require.Equal(t, (a.End == b.Start || b.End == a.Start) && a.State == Serving && b.State == Serving && same, err == nil)
 				next++
 			},
 			"move": func(t *rapid.T) {
 				s := one("d")
 				from, to := rapid.SampledFrom(nodes).Draw(t, "from"), rapid.SampledFrom(nodes).Draw(t, "to")
-				_, err := m.Apply([]Change{step(m, Change{Kind: Move, Slice: s.ID, From: from, To: to})}, nodes)
-				require.Equal(t, s.State == Serving && slices.Contains(s.Holders, from) && !slices.Contains(s.Holders, to), err == nil)
+				_, err := m.Apply([]Change{step(m, Change{Kind: Move, Shard: s.ID, From: from, To: to})}, nodes)
+				require.Equal(t, s.State == Serving && slices.Contains(s.Replicas, from) && !slices.Contains(s.Replicas, to), err == nil)
 			},
 			"handover": func(t *rapid.T) {
 				s := one("d")
-				_, err := m.Apply([]Change{step(m, Change{Kind: Handover, Slice: s.ID})}, nil)
+				_, err := m.Apply([]Change{step(m, Change{Kind: Handover, Shard: s.ID})}, nil)
 				if require.Equal(t, s.State == Preparing, err == nil); err == nil {
-					for d := s.Lo; d < s.Hi; d++ {
+					for d := s.Start; d < s.End; d++ {
 						x := slices.Clone(executor[d])
 						x[slices.Index(x, s.From)] = s.To
 						executor[d] = slices.Sorted(slices.Values(x))
@@ -298,43 +298,43 @@
 			},
 			"done": func(t *rapid.T) {
 				s := one("d")
-				_, err := m.Apply([]Change{step(m, Change{Kind: Done, Slice: s.ID})}, nil)
+				_, err := m.Apply([]Change{step(m, Change{Kind: Done, Shard: s.ID})}, nil)
 				require.Equal(t, s.State == HandingOver, err == nil)
 			},
 			"abort": func(t *rapid.T) {
 				s := one("d")
-				_, err := m.Apply([]Change{step(m, Change{Kind: Abort, Slice: s.ID})}, nil)
+				_, err := m.Apply([]Change{step(m, Change{Kind: Abort, Shard: s.ID})}, nil)
 				require.Equal(t, s.State != Serving, err == nil)
-				for d := s.Lo; err == nil && s.State == HandingOver && d < s.Hi; d++ {
-					executor[d] = slices.Sorted(slices.Values(s.Holders))
+				for d := s.Start; err == nil && s.State == HandingOver && d < s.End; d++ {
+					executor[d] = slices.Sorted(slices.Values(s.Replicas))
 				}
 			},
 			"hold": func(t *rapid.T) {
-				v := m.Begin()
+				v := m.Acquire()
 				held = append(held, snapshot{v, text(v)})
 			},
 			"free": func(t *rapid.T) {
 				if len(held) > 0 {
 					i := rapid.IntRange(0, len(held)-1).Draw(t, "i")
-					m.End(held[i].v)
+					m.Release(held[i].v)
 					held = slices.Delete(held, i, i+1)
 				}
 			},
 			"whole": func(t *rapid.T) {
-				w := Whole{Epoch: m.Current().Epoch + 3, Districts: 64}
-				m.Current().All(func(s *Slice) bool { c := *s; w.Slices = append(w.Slices, &c); return true })
+				w := Snapshot{Epoch: m.Current().Epoch + 3, Buckets: 64}
+				m.Current().All(func(s *Shard) bool { c := *s; w.Shards = append(w.Shards, &c); return true })
 				retired, err := m.Reset(w)
 				require.NoError(t, err)
 				require.Empty(t, retired)
 			},
 			"": func(t *rapid.T) {
 				v, at, groups := m.Current(), 0, map[string]int{}
-				v.All(func(s *Slice) bool {
-					require.Equal(t, at, s.Lo)
-					require.Same(t, s, v.Slice(s.ID))
-					require.Same(t, s, m.Slice(s.ID))
+				v.All(func(s *Shard) bool {
+					require.Equal(t, at, s.Start)
+					require.Same(t, s, v.Shard(s.ID))
+					require.Same(t, s, m.Shard(s.ID))
 					names := slices.Sorted(slices.Values(s.Executors()))
-					for at = s.Lo; at < s.Hi; at++ {
+					for at = s.Start; at < s.End; at++ {
 						require.Equal(t, executor[at], names)
 						require.Same(t, s, v.At(at))
 					}
@@ -347,7 +347,7 @@
 				require.Equal(t, 64, at)
 				require.Equal(t, v.Len(), len(m.now))
 				moving := m.Moving()
-				v.All(func(s *Slice) bool {
+				v.All(func(s *Shard) bool {
 					require.Equal(t, s.State != Serving, slices.Contains(moving, s))
 					return true
 				})
@@ -356,7 +356,7 @@
 				for id := range next {
 					if r, err := m.Resolve(id); err == nil {
 						legs := v.Route(nil, id, r)
-						require.NoError(t, NewUnit(r, []Leg{{id, r}}).Replace(r, legs))
+						require.NoError(t, NewCoverage(r, []Segment{{id, r}}).Replace(r, legs))
 					}
 				}
 				for _, h := range held {
@@ -375,7 +375,7 @@
 }
 
 func BenchmarkRoute100000(b *testing.B) {
-	m, legs := big(b, 100_000), make([]Leg, 0, 4)
+	m, legs := big(b, 100_000), make([]Segment, 0, 4)
 	for i := range b.N {
 		id := i * 7919 % 100_000
 		if legs = m.Route(legs[:0], id, Range{id * 8, id*8 + 8}); len(legs) != 1 {
@@ -393,20 +393,20 @@
 			m = started(b, 100_000, 8)
 			b.StartTimer()
 		}
-		s := m.Current().Slice(id)
+		s := m.Current().Shard(id)
 		n := 100_000 + 2*id
-		if _, err := m.Apply([]Change{step(m, Change{Kind: Split, Slice: id, At: s.Lo + 4, Into: []ID{n, n + 1}})}, nil); err != nil {
+		if _, err := m.Apply([]Change{step(m, Change{Kind: Split, Shard: id, At: s.Start + 4, Into: []ShardID{n, n + 1}})}, nil); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
 func TestPace(t *testing.T) {
-	p := Pace{AtOnce: 2, ColdFrom: 0.2, Warm: 1000}
-	require.True(t, p.May(5000, Target{Holds: 900}, 100, 100), "a warm node is no matter of pace")
-	require.False(t, p.May(5000, Target{Taking: 2}, 1, 100), "two at a time")
-	require.False(t, p.May(5000, Target{Started: 5000, Holds: 15}, 10, 100), "a cold one takes its share of capacity")
-	require.True(t, p.May(5000, Target{Started: 5000, Holds: 10}, 10, 100))
-	require.True(t, p.May(5500, Target{Started: 5000, Holds: 45}, 10, 100), "and more as it warms up")
-	require.True(t, p.May(6000, Target{Started: 5000, Holds: 500}, 10, 100))
+	p := HandoverPacer{MaxConcurrent: 2, InitialCapacity: 0.2, WarmupMs: 1000}
+	require.True(t, p.MayHandOver(5000, HandoverTarget{Buckets: 900}, 100, 100), "a warm node is no matter of pace")
+	require.False(t, p.MayHandOver(5000, HandoverTarget{HandoversInProgress: 2}, 1, 100), "two at a time")
+	require.False(t, p.MayHandOver(5000, HandoverTarget{Started: 5000, Buckets: 15}, 10, 100), "a cold one takes its share of capacity")
+	require.True(t, p.MayHandOver(5000, HandoverTarget{Started: 5000, Buckets: 10}, 10, 100))
+	require.True(t, p.MayHandOver(5500, HandoverTarget{Started: 5000, Buckets: 45}, 10, 100), "and more as it warms up")
+	require.True(t, p.MayHandOver(6000, HandoverTarget{Started: 5000, Buckets: 500}, 10, 100))
 }
--- a/internal/slicemap/track.go
+++ b/internal/slicemap/track.go
@@ -2,27 +2,27 @@
 
 import "fmt"
 
-// Verdict says what may become of a leg that is not in.
-type Verdict uint8
+// RerouteDecision says what may become of a leg that is not in.
+type RerouteDecision uint8
 
 // The verdicts.
 const (
-	Stay    Verdict = iota // its slice still holds it: whoever holds the slice now may be tried
-	Replace                // its districts are other slices' now
-	Never                  // it may have run and must not run twice: nothing of it goes out again
+	KeepShard       RerouteDecision = iota // its slice still holds it: whoever holds the slice now may be tried
+	ReplaceSegments                        // its districts are other slices' now
+	NeverRetry                             // it may have run and must not run twice: nothing of it goes out again
 )
 
-// Again decides on a leg of which nothing is out: whether a further try is allowed, and against which slices
+// Reroute decides on a leg of which nothing is out: whether a further try is allowed, and against which slices
 // of the map in use. once tells that it must not run twice, mayHaveRun that an attempt is not proved never to
 // have. legs is what takes its place under Replace, appended to dst.
-func (m *Map) Again(dst []Leg, l Leg, once, mayHaveRun bool) (legs []Leg, v Verdict) {
+func (m *Map) Reroute(dst []Segment, l Segment, once, mayHaveRun bool) (legs []Segment, v RerouteDecision) {
 	if once && mayHaveRun {
-		return dst, Never
+		return dst, NeverRetry
 	}
-	if s := m.now[l.Slice]; s != nil && s.Holds(l.Range) {
-		return dst, Stay
+	if s := m.now[l.Shard]; s != nil && s.Contains(l.Range) {
+		return dst, KeepShard
 	}
-	return m.cur.Route(dst, l.Slice, l.Range), Replace
+	return m.cur.Route(dst, l.Shard, l.Range), ReplaceSegments
 }
 
 const (
@@ -31,43 +31,43 @@
 	pauseMost = 160.0 // ms: such pauses double up to this
 )
 
-// Wait is what follows on a node's word that it does not hold the districts of a leg.
-type Wait struct {
-	Pause float64 // ms in which the leg is not tried again
-	Until uint64  // an epoch that ends the pause sooner; 0 for none
-	Read  uint64  // the source knows an epoch as new as this: read it; 0 for no need
+// RetryWait is what follows on a node's word that it does not hold the districts of a leg.
+type RetryWait struct {
+	Delay      float64 // ms in which the leg is not tried again
+	UntilEpoch uint64  // an epoch that ends the pause sooner; 0 for none
+	ReadEpoch  uint64  // the source knows an epoch as new as this: read it; 0 for no need
 }
 
-// Routed is the epoch that a leg carries when it goes out: that of its slice's last change, so that a node
+// RoutingEpoch is the epoch that a leg carries when it goes out: that of its slice's last change, so that a node
 // which is behind with news of other slices is not taken to be behind with this one.
-func (m *Map) Routed(l Leg) uint64 {
-	if s := m.now[l.Slice]; s != nil {
+func (m *Map) RoutingEpoch(l Segment) uint64 {
+	if s := m.now[l.Shard]; s != nil {
 		return s.Since
 	}
 	return m.cur.Epoch
 }
 
-// AfterMoved decides on a leg that was routed by one epoch and refused by a node at another, for the n-th
+// OnNotHolder decides on a leg that was routed by one epoch and refused by a node at another, for the n-th
 // time in a row, from 1. The module's own choice puts a node that was tried last.
-func (m *Map) AfterMoved(l Leg, routed, node uint64, n int) Wait {
+func (m *Map) OnNotHolder(l Segment, routed, node uint64, n int) RetryWait {
 	m.stats.Moved++
-	s := m.now[l.Slice]
+	s := m.now[l.Shard]
 	if s == nil || s.Since != routed {
-		return Wait{} // the map has moved on since the leg went out: the next try goes by it
+		return RetryWait{} // the map has moved on since the leg went out: the next try goes by it
 	}
 	// A move takes one holder of several: the others are asked at once, and only then is there something to wait
 	// for. Guards a leg against a pause that costs it its aim.
-	rest := n - len(s.Holders)
-	w := Wait{}
+	rest := n - len(s.Replicas)
+	w := RetryWait{}
 	if rest >= 0 {
-		w.Pause = min(pauseLate*float64(int(1)<<min(rest, 10)), pauseMost)
+		w.Delay = min(pauseLate*float64(int(1)<<min(rest, 10)), pauseMost)
 	}
 	switch {
 	case node > m.cur.Epoch:
 		// We are late. What the node knows ends the wait; guards against a crowd of tries by an old map.
 		m.stats.MapLate++
-		if w.Read = node; rest >= 0 {
-			w.Pause, w.Until = lateMost, node
+		if w.ReadEpoch = node; rest >= 0 {
+			w.Delay, w.UntilEpoch = lateMost, node
 		}
 	case node < routed:
 		m.stats.NodeLate++
@@ -77,22 +77,22 @@
 	return w
 }
 
-// Unit is one part as its client asked for it: districts that are in only together.
-type Unit struct {
+// Coverage is one part as its client asked for it: districts that are in only together.
+type Coverage struct {
 	Range
 	open []Range // legs that are not in; together with what is in they are Range, without overlap
 }
 
-// NewUnit makes the unit of a part that goes out as these legs.
-func NewUnit(r Range, legs []Leg) *Unit {
-	u := &Unit{Range: r}
+// NewCoverage makes the unit of a part that goes out as these legs.
+func NewCoverage(r Range, legs []Segment) *Coverage {
+	u := &Coverage{Range: r}
 	for _, l := range legs {
 		u.open = append(u.open, l.Range)
 	}
 	return u
 }
 
-func (u *Unit) take(r Range) error {
+func (u *Coverage) take(r Range) error {
 	for i, o := range u.open {
 		if o == r {
 			u.open = append(u.open[:i], u.open[i+1:]...)
@@ -102,9 +102,9 @@
 	return fmt.Errorf("districts %v of the part %v are not out: they would count twice", r, u.Range)
 }
 
-// In takes a leg's answer and tells whether the part is whole. An error tells that its districts are in
+// Arrived takes a leg's answer and tells whether the part is whole. An error tells that its districts are in
 // already.
-func (u *Unit) In(r Range) (whole bool, err error) {
+func (u *Coverage) Arrived(r Range) (whole bool, err error) {
 	if err := u.take(r); err != nil {
 		return false, err
 	}
@@ -112,15 +112,15 @@
 }
 
 // Replace puts legs in a leg's place. They must be the same districts.
-func (u *Unit) Replace(r Range, legs []Leg) error {
-	at := r.Lo
+func (u *Coverage) Replace(r Range, legs []Segment) error {
+	at := r.Start
 	for _, l := range legs {
-		if l.Lo != at {
+		if l.Start != at {
 			return fmt.Errorf("legs %v do not make up %v", legs, r)
 		}
-		at = l.Hi
+		at = l.End
 	}
-	if at != r.Hi {
+	if at != r.End {
 		return fmt.Errorf("legs %v do not make up %v", legs, r)
 	}
 	if err := u.take(r); err != nil {
@@ -132,5 +132,5 @@
 	return nil
 }
 
-// Whole tells that all districts are in.
-func (u *Unit) Whole() bool { return len(u.open) == 0 }
+// Complete tells that all districts are in.
+func (u *Coverage) Complete() bool { return len(u.open) == 0 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -72,7 +72,7 @@
 		DrainGrace:  t.Rules.Grace, SlowStartInitialCapacity: t.Rules.ColdFrom, SlowStartDuration: t.Rules.WarmIn,
 		SlowStartWorkMultiple: t.Rules.FallTimes, SlowStartWindow: t.Rules.FallFor, RetryBudgetSpare: t.Rules.Spare,
 		RetryBudgetRatio: t.Rules.Share, RetryBudgetWindow: t.Rules.Window, AnswerGrace: t.Rules.Answer}
-	s.Placement = slicemap.NewFixed(s.Shards, s.Cells, s.CellsPerShard)
+	s.Placement = slicemap.NewRingPlacement(s.Shards, s.Cells, s.CellsPerShard)
 	if t.Limits.RetryAfter {
 		s.MaxRetryAfter = t.Limits.MaxWait
 	}
--- a/test/slices_test.go
+++ b/test/slices_test.go
@@ -93,11 +93,11 @@
 	c.next = make(chan struct{})
 }
 
-func ring(epoch uint64) catalog.Doc {
-	d := catalog.Doc{Epoch: epoch, Complete: true, Districts: 80}
+func ring(epoch uint64) catalog.Document {
+	d := catalog.Document{Epoch: epoch, Complete: true, Buckets: 80}
 	for i := range 8 {
-		d.Slices = append(d.Slices, catalog.Slice{ID: i, Lo: 10 * i, Hi: 10*i + 10,
-			Holders: []string{nodeName(i), nodeName(i + 1), nodeName(i + 2)}})
+		d.Shards = append(d.Shards, catalog.Shard{ID: i, Lo: 10 * i, Hi: 10*i + 10,
+			Replicas: []string{nodeName(i), nodeName(i + 1), nodeName(i + 2)}})
 	}
 	return d
 }
@@ -132,29 +132,29 @@
 	p := start(t, options{members: ns.members})
 	require.EqualValues(t, 5, p.slices().Epoch)
 	bad := ring(6)
-	bad.Slices[3].Lo++
+	bad.Shards[3].Lo++
 	c.say(bad)
 	p.waitLog("slice 3: districts that nobody holds: 30-31 before it")
 	p.waitLog(`"code":"M10"`)
 	require.EqualValues(t, 5, p.slices().Epoch)
-	c.say(catalog.Doc{Epoch: 9, Changes: []catalog.Change{{Base: 7, Epoch: 9, Kind: "handover"}}})
+	c.say(catalog.Document{Epoch: 9, Changes: []catalog.Change{{Base: 7, Epoch: 9, Kind: "handover"}}})
 	p.waitLog("the change is onto another epoch: onto 7, at 5")
 	c.say("{")
 	p.waitLog("the catalogue's answer cannot be used")
 	c.say(ring(7))
 	require.Eventually(t, func() bool { return p.slices().Epoch == 7 }, patience, 5*time.Millisecond)
-	c.say(catalog.Doc{Epoch: 8, Changes: []catalog.Change{{Base: 7, Epoch: 8, Kind: "split", Slice: 0, At: 4, Into: []int{8, 9}}}})
+	c.say(catalog.Document{Epoch: 8, Changes: []catalog.Change{{Base: 7, Epoch: 8, Kind: "split", Shard: 0, At: 4, Into: []int{8, 9}}}})
 	require.Eventually(t, func() bool { return p.slices().Epoch == 8 && p.slices().Slices == 9 }, patience, 5*time.Millisecond)
 	// One so large that it is read beside the loop, and one right behind it.
 	wide := ring(9)
-	wide.Districts = 40_080
+	wide.Buckets = 40_080
 	c.say(wide)
 	p.waitLog("they are never divided")
 	big := ring(10)
-	big.Slices = append(big.Slices[1:], catalog.Slice{ID: 8, Lo: 0, Hi: 4, Holders: []string{"s-0"}},
-		catalog.Slice{ID: 9, Lo: 4, Hi: 10, Holders: []string{"s-0"}})
+	big.Shards = append(big.Shards[1:], catalog.Shard{ID: 8, Lo: 0, Hi: 4, Replicas: []string{"s-0"}},
+		catalog.Shard{ID: 9, Lo: 4, Hi: 10, Replicas: []string{"s-0"}})
 	for i := range 5000 {
-		big.Retired = append(big.Retired, catalog.Gone{ID: 1000 + i, Lo: 0, Hi: 10})
+		big.Retired = append(big.Retired, catalog.RetiredShard{ID: 1000 + i, Lo: 0, Hi: 10})
 	}
 	c.say(big)
 	require.Eventually(t, func() bool { return p.slices().Epoch == 10 }, patience, 5*time.Millisecond)
@@ -174,8 +174,8 @@
 func TestDescriptionsOfMovingSlices(t *testing.T) {
 	is := asyncSchemas(t)
 	first := ring(5)
-	first.Retired = []catalog.Gone{{ID: 40, Lo: 0, Hi: 20}}
-	first.Slices[1].State, first.Slices[1].From, first.Slices[1].To = "preparing", "s-1", "s-0"
+	first.Retired = []catalog.RetiredShard{{ID: 40, Lo: 0, Hi: 20}}
+	first.Shards[1].State, first.Shards[1].From, first.Shards[1].To = "preparing", "s-1", "s-0"
 	c := newCatalogue(t, first)
 	operator := filepath.Join(t.TempDir(), "operator.jsonnet")
 	require.NoError(t, os.WriteFile(operator, []byte("{ slices: { catalogue: '"+c.addr+"', wait_ms: 300 } }"), 0o600))
