--- a/internal/fleet/share/throttle_test.go
+++ b/internal/decision/fleetshare/client_throttle_test.go
@@ -1,4 +1,4 @@
-package share
+package fleetshare
 
 import (
 	"math"
@@ -13,9 +13,9 @@
 // lost, each broker's parts in equal share. It gives what was sent and served in the last half, by what can be served.
 func fleet(n int, rate func(broker int) float64, serves float64, seconds int) (sent, served float64) {
 	dice := rand.New(rand.NewPCG(uint64(n), 1))
-	brokers := make([]Throttle, n)
+	brokers := make([]ClientThrottle, n)
 	for i := range brokers {
-		brokers[i] = NewThrottle(n)
+		brokers[i] = NewClientThrottle(n)
 	}
 	const parts, step = 10, 0.1
 	held := 0.0
@@ -24,7 +24,7 @@
 		sum := 0.0
 		for i := range brokers {
 			for q := rate(i) * step / parts; q > dice.Float64(); q-- {
-				if !brokers[i].Refuse(0.5, dice.Float64) {
+				if !brokers[i].ShouldReject(0.5, dice.Float64) {
 					in[i], sum = in[i]+1, sum+parts
 				}
 			}
@@ -34,7 +34,7 @@
 		held += sum * share
 		for i := range brokers {
 			for range in[i] * parts {
-				brokers[i].Ended(1, dice.Float64() < share)
+				brokers[i].RecordResult(1, dice.Float64() < share)
 			}
 		}
 		if k >= int(float64(seconds)/step/2) {
@@ -66,11 +66,11 @@
 // TestFewBrokersTurnNothingAway: their own results by node tell more.
 func TestFewBrokersTurnNothingAway(t *testing.T) {
 	for n := range 5 {
-		th := NewThrottle(n)
+		th := NewClientThrottle(n)
 		for range 1000 {
-			th.Ended(5, false)
+			th.RecordResult(5, false)
 		}
-		assert.Zero(t, th.Excess(), n)
+		assert.Zero(t, th.RejectedShare(), n)
 	}
 }
 
@@ -78,21 +78,21 @@
 // where all is served, and a fleet that is sound again is found so within 100 work.
 func TestThrottleIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		th := NewThrottle(rapid.IntRange(0, 2000).Draw(t, "n"))
+		th := NewClientThrottle(rapid.IntRange(0, 2000).Draw(t, "n"))
 		for range rapid.IntRange(0, 300).Draw(t, "parts") {
-			th.Ended(rapid.Float64Range(0, 1e6).Draw(t, "work"), rapid.Bool().Draw(t, "served"))
-			assert.LessOrEqual(t, th.Excess(), 1-least+1e-9)
-			assert.GreaterOrEqual(t, th.Excess(), 0.0)
+			th.RecordResult(rapid.Float64Range(0, 1e6).Draw(t, "work"), rapid.Bool().Draw(t, "served"))
+			assert.LessOrEqual(t, th.RejectedShare(), 1-minAdmittedShare+1e-9)
+			assert.GreaterOrEqual(t, th.RejectedShare(), 0.0)
 			dice := rapid.Float64Range(0, 1).Draw(t, "dice")
 			fix := func() float64 { return dice }
-			if th.Refuse(1, fix) {
-				assert.True(t, th.Refuse(0.2, fix), "what is worth more was refused first")
+			if th.ShouldReject(1, fix) {
+				assert.True(t, th.ShouldReject(0.2, fix), "what is worth more was refused first")
 			}
 		}
-		for range 100 * int(math.Ceil(-math.Log(least)/rise/100)) {
-			th.Ended(1, true)
+		for range 100 * int(math.Ceil(-math.Log(minAdmittedShare)/throttleRise/100)) {
+			th.RecordResult(1, true)
 		}
-		assert.Zero(t, th.Excess())
-		assert.False(t, th.Refuse(0, func() float64 { t.Fatal("dice rolled where nothing is turned away"); return 0 }))
+		assert.Zero(t, th.RejectedShare())
+		assert.False(t, th.ShouldReject(0, func() float64 { t.Fatal("dice rolled where nothing is turned away"); return 0 }))
 	})
 }
--- a/internal/fleet/share/needs_test.go
+++ b/internal/decision/fleetshare/deadline_admission_test.go
@@ -1,4 +1,4 @@
-package share
+package fleetshare
 
 import (
 	"math"
@@ -18,23 +18,23 @@
 		for _, median := range []float64{0.8, 1.5, 3} {
 			for _, short := range []float64{0.3, 0.9} {
 				dice := rand.New(rand.NewPCG(uint64(n), uint64(median*10)))
-				needs, sum, seen := NewNeeds(n), 0.0, 0.0
+				needs, sum, seen := NewDeadlineAdmission(n), 0.0, 0.0
 				for let := 0; let < 900; {
 					last, left := 20+100*dice.Float64(), 0.0
 					takes := last * median * math.Exp(0.7*dice.NormFloat64())
 					if left = takes * (1 + 5*dice.Float64()); dice.Float64() < short {
 						left = takes * dice.Float64()
 					}
-					if needs.Late(left, last) {
+					if needs.IsTooLate(left, last) {
 						continue
 					}
 					let++
-					needs.Ended(math.Min(takes, left), last, takes <= left)
+					needs.QueryEnded(math.Min(takes, left), last, takes <= left)
 					if let > 300 {
 						sum, seen = sum+math.Log(needs.factor), seen+1
 					}
 				}
-				at, want := math.Exp(sum/seen), math.Min(needs.most, math.Max(needs.least, median*math.Exp(0.7*-0.385))) // the normal quantile of 0.35
+				at, want := math.Exp(sum/seen), math.Min(needs.maxFactor, math.Max(needs.minFactor, median*math.Exp(0.7*-0.385))) // the normal quantile of 0.35
 				if short < 0.5 {
 					assert.InDelta(t, 0, math.Log(at/want), math.Log(1.5), "%d brokers, median %v: %v, not %v", n, median, at, want)
 				}
@@ -48,13 +48,13 @@
 // tells no time, moves nothing.
 func TestNeedsIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		needs := NewNeeds(rapid.IntRange(1, 2000).Draw(t, "n"))
+		needs := NewDeadlineAdmission(rapid.IntRange(1, 2000).Draw(t, "n"))
 		for range rapid.IntRange(0, 200).Draw(t, "queries") {
 			age, last := rapid.Float64Range(0, 1e5).Draw(t, "age"), rapid.Float64Range(0, 1e3).Draw(t, "last")
 			whole, was := rapid.Bool().Draw(t, "whole"), needs.factor
-			needs.Ended(age, last, whole)
-			assert.GreaterOrEqual(t, needs.factor, needs.least)
-			assert.LessOrEqual(t, needs.factor, needs.most)
+			needs.QueryEnded(age, last, whole)
+			assert.GreaterOrEqual(t, needs.factor, needs.minFactor)
+			assert.LessOrEqual(t, needs.factor, needs.maxFactor)
 			if last == 0 || !whole && age < was*last {
 				assert.Equal(t, was, needs.factor)
 			}
--- a/internal/fleet/share/cold_test.go
+++ b/internal/decision/fleetshare/slow_start_quota_test.go
@@ -1,4 +1,4 @@
-package share
+package fleetshare
 
 import (
 	"testing"
@@ -26,27 +26,27 @@
 			}
 			sum += weights[i]
 		}
-		all := make([]Cold, n)
+		all := make([]SlowStartQuota, n)
 		for i := range all {
-			all[i] = NewCold(told)
+			all[i] = NewSlowStartQuota(told)
 		}
 		const step = 250.0
 		for k := range rapid.IntRange(8, 60).Draw(t, "steps") {
 			used := rapid.Float64Range(0, 1).Draw(t, "of what they can do, done")
 			for i := range all {
-				all[i].Pass(1000+step*float64(k), func(float64) int { return warm })
-				all[i].Served(weights[i] / sum * used * cores * step * float64(warm))
+				all[i].Advance(1000+step*float64(k), func(float64) int { return warm })
+				all[i].RecordServed(weights[i] / sum * used * cores * step * float64(warm))
 			}
 		}
 		const one = 1000.0
 		shares := 0.0
 		for i := range all {
-			all[i].Pass(1e6, func(float64) int { return 0 }) // none is warm: what was served before tells
-			shares += all[i].Share(0.7*one/float64(told), one)
+			all[i].Advance(1e6, func(float64) int { return 0 }) // none is warm: what was served before tells
+			shares += all[i].QuotaMs(0.7*one/float64(told), one)
 		}
 		// (1 - weight) x even is 4/told of 0.7, and for all of them 0.7 x 4/told x n/told.
 		few := 0.7 * one * 4 / float64(told) * float64(n) / float64(told)
-		assert.LessOrEqual(t, shares, coldOwn*one*cores+coldIdle*0.7*one*float64(n)/float64(told)+few+1e-6)
+		assert.LessOrEqual(t, shares, ownWorkShare*one*cores+idleShare*0.7*one*float64(n)/float64(told)+few+1e-6)
 	})
 }
 
@@ -55,18 +55,18 @@
 func TestShareGoesWithTraffic(t *testing.T) {
 	const even, one = 2.0, 1000.0
 	share := func(n int, work float64, steps int) float64 {
-		c := NewCold(n)
+		c := NewSlowStartQuota(n)
 		for k := range steps {
-			c.Pass(float64(k+1)*250, func(float64) int { return 10 })
-			c.Served(work)
+			c.Advance(float64(k+1)*250, func(float64) int { return 10 })
+			c.RecordServed(work)
 		}
-		return c.Share(even, one)
+		return c.QuotaMs(even, one)
 	}
 	assert.Equal(t, even, share(300, 100, 3))
 	assert.Equal(t, even, share(4, 100, 100))
 	w := 1 - 4.0/300
 	mean, much := share(300, 10, 40), share(300, 80, 40)
 	assert.InDelta(t, 8, (much-(1-w)*even)/(mean-(1-w)*even), 1e-6)
-	assert.InDelta(t, coldOwn*one*10/2500, (mean-(1-w)*even)/w, 0.2)
-	assert.InDelta(t, coldIdle*even*w+(1-w)*even, share(300, 0, 40), 1e-9)
+	assert.InDelta(t, ownWorkShare*one*10/2500, (mean-(1-w)*even)/w, 0.2)
+	assert.InDelta(t, idleShare*even*w+(1-w)*even, share(300, 0, 40), 1e-9)
 }
--- a/internal/decision/scheduler/balance.go
+++ b/internal/decision/scheduler/balance.go
@@ -14,7 +14,7 @@
 	"math"
 	"slices"
 
-	"ternstage/internal/fleet/share"
+	"ternstage/internal/decision/fleetshare"
 )
 
 // Every tuned value. "Usual" is a replica's usual time for a part of cost 1; cost 1 is the mean hint.
@@ -118,8 +118,8 @@
 		fleet: 1, median: 1, bestWay: 1, ways: map[int]stamp{}, room: never,
 		spare: answerSpare + s.TimerResolution, hold: holdLeast, cores: 1, leastAim: never, wakeAt: never,
 		watchAt: never, jamAt: -never, tenants: make([]stamp, len(s.TenantRates)),
-		far: map[int]*shard{}, waits: map[int]float64{}, sum: share.NewThrottle(s.BrokerCount),
-		needs: share.NewNeeds(s.BrokerCount), cold: share.NewCold(s.BrokerCount), tryTime: make([]float64, len(s.Classes))}
+		far: map[int]*shard{}, waits: map[int]float64{}, sum: fleetshare.NewClientThrottle(s.BrokerCount),
+		needs: fleetshare.NewDeadlineAdmission(s.BrokerCount), cold: fleetshare.NewSlowStartQuota(s.BrokerCount), tryTime: make([]float64, len(s.Classes))}
 	for _, c := range s.Classes {
 		b.maxWorth, b.leastAim = max(b.maxWorth, c.PriorityWeight), min(b.leastAim, c.LatencyObjective)
 	}
@@ -299,7 +299,7 @@
 // RunRound admits the queries of this turn, sweeps what is held, and releases queued parts.
 func (b *Scheduler) RunRound(now float64) {
 	b.turn++
-	b.cold.Pass(now, b.countWarm)
+	b.cold.Advance(now, b.countWarm)
 	if b.s.PollEndpoints && now >= b.watchAt {
 		b.act.WatchEndpoints()
 		b.watchAt = now + cmp.Or(b.s.MaxStaleness/2, math.Inf(1)) // should no answer come at all
@@ -349,10 +349,10 @@
 		}
 	}
 	room := b.room * (roomLow + worth)
-	q.last = share.Last(b.median*b.partTime, len(q.parts))
-	shed := q.step == 0 && (b.needs.Late(q.Deadline-b.spare-now, q.last) ||
+	q.last = fleetshare.ExpectedLastPartMs(b.median*b.partTime, len(q.parts))
+	shed := q.step == 0 && (b.needs.IsTooLate(q.Deadline-b.spare-now, q.last) ||
 		missed > 0 && max(missed, held) > 1-q.class.MinCompleteness+weightSlack || b.load > room ||
-		now < b.admitted+(cost/room-1)*b.median*b.partTime || b.sum.Refuse(worth, b.random))
+		now < b.admitted+(cost/room-1)*b.median*b.partTime || b.sum.ShouldReject(worth, b.random))
 	if shed && (b.load > room || held > 0) {
 		b.jamAt = now
 	}
@@ -575,7 +575,7 @@
 func (b *Scheduler) coldMay(now float64, r *replica, cost float64) (may, need float64) {
 	age := max(0, now-r.warmFrom-b.s.SlowStartWindow/2)
 	one := b.s.SlowStartWorkMultiple * b.s.SlowStartWindow * (b.s.SlowStartInitialCapacity + (1-b.s.SlowStartInitialCapacity)*min(1, age/max(b.s.SlowStartDuration, 1)))
-	may = b.cold.Share(coldShare*b.cores*one/float64(b.s.BrokerCount), one)
+	may = b.cold.QuotaMs(coldShare*b.cores*one/float64(b.s.BrokerCount), one)
 	if need = b.coldWork(cost); may < coldGrant*b.coldWork(1) {
 		need = b.coldWork(1)
 		turn := math.Mod(float64(b.s.BrokerIndex)/float64(b.s.BrokerCount)+float64(r.Replica)*coldStride, 1)
@@ -679,7 +679,7 @@
 // learn takes what an outcome says of its replica.
 func (b *Scheduler) learn(now float64, a *attempt, res AttemptResult) {
 	r, bad := a.r, 1.0
-	b.sum.Ended(a.part.cost*res.tells(), res.Outcome != Rejected)
+	b.sum.RecordResult(a.part.cost*res.tells(), res.Outcome != Rejected)
 	if res.Outcome == NotHolder {
 		r.used = now
 		return // it says nothing against the replica
@@ -703,7 +703,7 @@
 	case Succeeded:
 		x := res.Latency / b.callCost(a)
 		if b.warm(now, r) {
-			b.cold.Served(b.coldWork(a.part.cost))
+			b.cold.RecordServed(b.coldWork(a.part.cost))
 		}
 		b.usual = b.quantile(x)
 		if b.calm += (b.usual - b.calm) * calmGain; b.usual < b.calm || len(b.first) < usualFirst {
@@ -1013,7 +1013,7 @@
 // a failure. The first answer of a class with a second step keeps the query instead.
 func (b *Scheduler) finish(now float64, q *query) {
 	c, whole := q.class, q.reaches(q.share) && (q.step == 0 || q.firstWhole)
-	b.needs.Ended(now-q.arrived, q.last*float64(1-q.step), whole) // of the first step alone
+	b.needs.QueryEnded(now-q.arrived, q.last*float64(1-q.step), whole) // of the first step alone
 	// What ends unanswered at its aim was served in vain: a sign of overload sooner than the median's, unless
 	// the fleet is quick. A client that left the query less time is no such sign.
 	if now >= q.aim && !q.reaches(q.share) && !q.partial() && b.median*b.partTime > roomAim/2*b.leastAim {
--- a/internal/decision/scheduler/fleet_test.go
+++ b/internal/decision/scheduler/fleet_test.go
@@ -348,7 +348,7 @@
 	one := f.s.SlowStartWorkMultiple * f.s.SlowStartWindow * (f.s.SlowStartInitialCapacity + (1-f.s.SlowStartInitialCapacity)*(2000-f.s.SlowStartWindow/2)/f.s.SlowStartDuration)
 	sum, least, most := 0.0, 1e9, 0.0
 	for _, m := range f.all {
-		x := m.b.cold.Share(coldShare*one/80, one)
+		x := m.b.cold.QuotaMs(coldShare*one/80, one)
 		sum, least, most = sum+x, min(least, x), max(most, x)
 	}
 	rule := f.able(f.replicas[0], f.now-f.s.SlowStartWindow/2) * f.s.SlowStartWorkMultiple * f.s.SlowStartWindow
--- a/internal/decision/scheduler/mass_test.go
+++ b/internal/decision/scheduler/mass_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"ternstage/internal/fleet/share"
+	"ternstage/internal/decision/fleetshare"
 )
 
 // TestTooLittleTimeIsRefusedAtTheDoorOfMany: one of 300, or of 6, holds nothing when a query comes, and the fleet takes
@@ -116,7 +116,7 @@
 		g.fleet(UpdateFull)
 		g.warm()
 		g.pass(2000, g.after(40))
-		g.b.cold = share.NewCold(300) // with its even share, under a tenth of a part
+		g.b.cold = fleetshare.NewSlowStartQuota(300) // with its even share, under a tenth of a part
 		for i := 1; i <= 3; i++ {
 			g.list(UpdateDelta, Endpoint{Replica: uint32(i), Cell: i - 1, State: Ready, StartedAt: g.now})
 		}
@@ -184,6 +184,6 @@
 			})
 			n++
 		}
-		assert.Equal(t, alone, g.b.sum.Excess() == 0, "excess %v, by connection %v", g.b.sum.Excess(), alone)
+		assert.Equal(t, alone, g.b.sum.RejectedShare() == 0, "excess %v, by connection %v", g.b.sum.RejectedShare(), alone)
 	}
 }
--- a/internal/decision/scheduler/state.go
+++ b/internal/decision/scheduler/state.go
@@ -5,7 +5,7 @@
 	"slices"
 	"sort"
 
-	"ternstage/internal/fleet/share"
+	"ternstage/internal/decision/fleetshare"
 )
 
 // What balance.go holds between events, and its tools. Nothing here decides.
@@ -35,9 +35,9 @@
 	fleet                float64   // the fleet's level: median over all results, 1 at least
 	lastEnd, gap         float64   // time of the last result and mean time between them
 	idleLost             stamp     // share of sends on idle connections that were lost lately
-	sum                  share.Throttle
-	cold                 share.Cold
-	needs                share.Needs
+	sum                  fleetshare.ClientThrottle
+	cold                 fleetshare.SlowStartQuota
+	needs                fleetshare.DeadlineAdmission
 	load, room, cutAt    float64       // cost out in all; what of it the fleet carries at its usual level; cut
 	admitted, median     float64       // when the last query was let in; the level that tells overload
 	ways                 map[int]stamp // by zone: the level of what comes from there, above 1
