--- a/internal/decision/fleetshare/deadline_admission_test.go
+++ b/internal/decision/fleetshare/deadline_admission_test.go
@@ -20,9 +20,10 @@
 				dice := rand.New(rand.NewPCG(uint64(n), uint64(median*10)))
 				needs, sum, seen := NewDeadlineAdmission(n), 0.0, 0.0
 				for let := 0; let < 900; {
-					last, left := 20+100*dice.Float64(), 0.0
+					last := 20 + 100*dice.Float64()
 					takes := last * median * math.Exp(0.7*dice.NormFloat64())
-					if left = takes * (1 + 5*dice.Float64()); dice.Float64() < short {
+					left := takes * (1 + 5*dice.Float64())
+					if dice.Float64() < short {
 						left = takes * dice.Float64()
 					}
 					if needs.IsTooLate(left, last) {
--- /dev/null
+++ b/internal/decision/scheduler/admission.go
@@ -0,0 +1,237 @@
+package scheduler
+
+import (
+	"cmp"
+	"slices"
+
+	"ternstage/internal/decision/fleetshare"
+)
+
+const (
+	// clientRetryFactor is the fraction of its priority that a query keeps which was asked before: part of its time
+	// is gone, and what rejected it may last.
+	clientRetryFactor = 0.25
+	// shortRetryRatio is the share of the time that first tries are given below which the time left to a repeat
+	// shows that it is cut by its class's deadline.
+	shortRetryRatio = 0.97
+
+	// queueingAtLeast and queueingPerPriority are the share of the objective that parts may be queued at a part's
+	// replicas before the shard counts as congested: for queries of no priority, and so much more at full priority.
+	queueingAtLeast     = 0.06
+	queueingPerPriority = 0.20
+	// congestedWeightFactor is how much a part of a congested shard weighs among what may be missing.
+	congestedWeightFactor = 1.5
+	// unavailableObjectiveShare is the share of the objective for which a part waits for a replica to become
+	// available.
+	unavailableObjectiveShare = 0.5
+	// limitAtNoPriority is the share of the fleet's limit that queries of no priority may use; each unit of
+	// priority adds a whole limit.
+	limitAtNoPriority = 0.5
+
+	// weightTolerance allows for rounding in sums of weights, by half of what the platform allows.
+	weightTolerance = 5e-5
+)
+
+// rejection is why a query is rejected at admission.
+type rejection uint8
+
+// The reasons for a rejection, in the order in which they are checked.
+const (
+	notRejected rejection = iota
+	rejectedTooLate
+	rejectedMissingParts
+	rejectedOverLimit
+	rejectedPacing
+	rejectedThrottled
+)
+
+// admissionLoad is what admission weighs against a query.
+type admissionLoad struct {
+	priority      float64 // of the query, by that of the highest class
+	limit         float64 // cost that the fleet carries for queries of this priority
+	cost          float64 // of the query's parts
+	queuedWeight  float64 // of parts by how long calls wait at their replicas
+	missingWeight float64 // of parts that no replica would take in time
+}
+
+// QueryArrived takes a query. Its parts follow before the next round, which admits or rejects it.
+func (s *Scheduler) QueryArrived(now float64, in Query) {
+	s.noteArrival(now)
+	if s.queries[in.ID] != nil {
+		return
+	}
+	in.Class = max(in.Class, 0)
+	if in.Class >= len(s.settings.Classes) {
+		s.actions.Fail(in.ID)
+		return
+	}
+	class := &s.settings.Classes[in.Class]
+	q := &query{
+		Query:           in,
+		class:           class,
+		arrivedAt:       now,
+		objectiveAt:     now + class.LatencyObjective,
+		priority:        class.PriorityWeight,
+		awaitsAdmission: true,
+	}
+	s.judgeClientRetry(now, q)
+	if !s.tenants.admit(now, in.Tenant) {
+		q.priority *= s.settings.OverQuotaFactor
+	}
+	s.openQueries = append(s.openQueries, q)
+	s.newQueries = append(s.newQueries, q)
+	s.queries[in.ID] = q
+	s.queriesByGroup[in.QueryGroup] = q
+}
+
+// PartArrived takes a part of an open query; others are ignored.
+func (s *Scheduler) PartArrived(now float64, in Part) {
+	s.noteArrival(now)
+	q := s.queriesByGroup[in.QueryGroup]
+	if q == nil || s.settings.Placement.Group(in.Shard) < 0 || s.parts[in.ID] != nil {
+		return
+	}
+	s.addPart(q, in)
+	if !q.awaitsAdmission {
+		q.awaitsAdmission = true
+		s.newQueries = append(s.newQueries, q)
+	}
+}
+
+// noteArrival counts a query or part for the retry and hedge budgets.
+func (s *Scheduler) noteArrival(now float64) {
+	s.arrivals.add(now, max(s.settings.RetryBudget.Window, hedgeWindowMs))
+}
+
+// addPart makes a part of a query.
+func (s *Scheduler) addPart(q *query, in Part) *part {
+	p := &part{Part: in, query: q, cost: s.costs.costOf(&in)}
+	if in.AtomicGroup > 0 {
+		q.joinGroup(p)
+	}
+	q.parts = append(q.parts, p)
+	s.parts[in.ID] = p
+	return p
+}
+
+// judgeClientRetry lowers the priority of a query that its client has asked before. The class's deadline spans all
+// tries of a client: a repeat with less time left than first tries have is measured from its first try. This guards
+// against retry storms; it may misjudge a repeat whose client is in a hurry.
+func (s *Scheduler) judgeClientRetry(now float64, q *query) {
+	usualMs := &s.firstTryMs[q.Class]
+	remaining := q.Deadline - now
+	if !q.ClientRetry {
+		*usualMs += (remaining - *usualMs) * meanGain
+		return
+	}
+	q.priority *= clientRetryFactor
+	if remaining >= *usualMs*shortRetryRatio {
+		return
+	}
+	q.objectiveAt = min(q.objectiveAt, q.Deadline-q.class.Deadline+q.class.LatencyObjective)
+	if q.objectiveAt < now+s.meanPartWorkMs() {
+		q.priority *= q.class.LateFactor
+	}
+}
+
+// admitNewQueries decides on the queries that arrived since the last round.
+func (s *Scheduler) admitNewQueries(now float64) {
+	for _, q := range s.newQueries {
+		q.awaitsAdmission = false
+		if !q.ended {
+			s.admit(now, q)
+		}
+	}
+	s.newQueries = s.newQueries[:0]
+}
+
+// admit rejects a query that would not be answered in time, or queues its parts.
+func (s *Scheduler) admit(now float64, q *query) {
+	load := s.measureLoad(now, q)
+	q.expectedLastPartMs = fleetshare.ExpectedLastPartMs(s.latency.medianPartMs(), len(q.parts))
+	rejected := notRejected
+	if q.step == 0 {
+		rejected = s.checkAdmission(now, q, load)
+	}
+	if rejected != notRejected && (s.fleet.inFlight > load.limit || load.queuedWeight > 0) {
+		s.congestedAt = now
+	}
+	if rejected != notRejected || len(q.parts) == 0 || now >= q.Deadline-s.answerMarginMs {
+		s.finish(now, q)
+		return
+	}
+	s.lastAdmittedAt = now
+	s.enqueue(now, s.chooseAskedParts(q))
+}
+
+// measureLoad weighs what the replicas of a query's parts are doing. Parts of a first step whose shard is congested
+// are given up at once.
+func (s *Scheduler) measureLoad(now float64, q *query) admissionLoad {
+	load := admissionLoad{priority: q.priority / s.maxPriority}
+	objective := q.class.LatencyObjective
+	for _, p := range q.parts {
+		wait := s.queueingMs(now, p) / (objective * (queueingAtLeast + queueingPerPriority*load.priority))
+		load.cost += p.cost
+		load.queuedWeight += p.Weight * congestedWeightFactor * min(1, wait)
+		p.abandoned = p.abandoned || q.step == 0 && wait > 1
+		if p.abandoned || !s.isAvailableBy(now, p, now+unavailableObjectiveShare*objective) {
+			load.missingWeight += p.Weight
+		}
+	}
+	load.limit = s.fleet.cost * (limitAtNoPriority + load.priority)
+	return load
+}
+
+// checkAdmission sheds load, lowest priority first. Overload shows in calls that wait at the shards and, in a large
+// fleet, in the cost in flight and in how much of what is sent is accepted. A query larger than the limit is let in
+// at a pace. Parts that would be missing are fatal unless the class may be answered without them.
+func (s *Scheduler) checkAdmission(now float64, q *query, load admissionLoad) rejection {
+	remaining := q.Deadline - s.answerMarginMs - now
+	if s.deadlines.IsTooLate(remaining, q.expectedLastPartMs) {
+		return rejectedTooLate
+	}
+	mayMiss := 1 - q.class.MinCompleteness + weightTolerance
+	if load.missingWeight > 0 && max(load.missingWeight, load.queuedWeight) > mayMiss {
+		return rejectedMissingParts
+	}
+	if s.fleet.inFlight > load.limit {
+		return rejectedOverLimit
+	}
+	if now < s.lastAdmittedAt+(load.cost/load.limit-1)*s.latency.overloadMedian*s.latency.partMs {
+		return rejectedPacing
+	}
+	if s.throttle.ShouldReject(load.priority, s.random.next) {
+		return rejectedThrottled
+	}
+	return notRejected
+}
+
+// chooseAskedParts returns the parts that are asked at once. Where less than all makes an answer complete, these are
+// the cheapest that suffice; the others become their reserve. Parts of an atomic group are asked together.
+func (s *Scheduler) chooseAskedParts(q *query) []*part {
+	target := q.class.CompletenessTarget
+	candidates := slices.Clone(q.parts)
+	if q.step == 0 && target < 1 {
+		slices.SortStableFunc(candidates, func(x, y *part) int {
+			return cmp.Compare(x.cost*y.Weight, y.cost*x.Weight)
+		})
+	}
+	asked := candidates[:0]
+	weight := 0.0
+	for _, p := range candidates {
+		isGroupAsked := p.group != nil && p.group.asked
+		p.reserve = q.step == 0 && weight >= target-weightTolerance && !isGroupAsked
+		if p.abandoned {
+			continue
+		}
+		weight += p.Weight
+		if p.reserve {
+			continue
+		}
+		asked = append(asked, p)
+		if p.group != nil {
+			p.group.asked = true
+		}
+	}
+	return asked
+}
--- a/internal/decision/scheduler/balance_test.go
+++ b/internal/decision/scheduler/balance_test.go
@@ -73,8 +73,8 @@
 			{LatencyObjective: 1000, Deadline: 3000, PriorityWeight: 1, LateFactor: 0.3, Idempotency: Idempotent, MinCompleteness: 1, CompletenessTarget: 1, SecondStepParts: 2},
 		},
 		BrokerCount: 2, TimerResolution: 5, Shards: 6, Cells: 6, CellsPerShard: 3, MaxPartsPerCall: 1, CanCancel: true, AllowHedging: true, MaxAttempts: 4,
-		MaxRetryAfter: 1000, DrainGrace: 500, SlowStartInitialCapacity: 0.15, SlowStartDuration: 15000, SlowStartWorkMultiple: 4, SlowStartWindow: 1000,
-		RetryBudgetSpare: 5, RetryBudgetRatio: 0.05, RetryBudgetWindow: 2000, AnswerGrace: 20,
+		MaxRetryAfter: 1000, DrainGrace: 500, SlowStart: SlowStartSettings{InitialCapacity: 0.15, Duration: 15000, WorkMultiple: 4, Window: 1000},
+		RetryBudget: RetryBudgetSettings{Spare: 5, Ratio: 0.05, Window: 2000}, AnswerGrace: 20,
 	}
 }
 
@@ -232,26 +232,26 @@
 	if live > 0 && !g.s.AllowHedging || live > 1 {
 		g.t.Fatalf("part %d has %d attempts out already", part, live)
 	}
-	if len(p.sends) > 0 && g.s.RetryBudgetWindow > 0 {
+	if len(p.sends) > 0 && g.s.RetryBudget.Window > 0 {
 		g.extra = append(g.extra, g.now)
-		limit := g.s.RetryBudgetSpare + g.s.RetryBudgetRatio*float64(count(g.taken, g.now-g.s.RetryBudgetWindow))
-		if n := count(g.extra, g.now-g.s.RetryBudgetWindow); float64(n) > limit {
+		limit := g.s.RetryBudget.Spare + g.s.RetryBudget.Ratio*float64(count(g.taken, g.now-g.s.RetryBudget.Window))
+		if n := count(g.extra, g.now-g.s.RetryBudget.Window); float64(n) > limit {
 			g.t.Fatalf("%d further attempts in the window, %v allowed", n, limit)
 		}
 	}
 	a := &rigSend{part: p, no: len(p.sends), replica: replica, at: g.now, timeout: timeout}
 	p.sends = append(p.sends, a)
 	g.sends, g.open = append(g.sends, a), append(g.open, a)
-	if start := g.started[replica]; start > 0 && g.now < start+g.s.SlowStartDuration && g.s.BrokerCount <= 4 { // more take turns
+	if start := g.started[replica]; start > 0 && g.now < start+g.s.SlowStart.Duration && g.s.BrokerCount <= 4 { // more take turns
 		work := 0.0
 		for _, x := range g.sends {
-			if x.replica == replica && x.at > g.now-g.s.SlowStartWindow && x.at >= g.coldTold[replica] {
+			if x.replica == replica && x.at > g.now-g.s.SlowStart.Window && x.at >= g.coldTold[replica] {
 				work += x.part.p.CostHint
 			}
 		}
 		// A machine of two cores, as it serves parts side by side: what it can do at present, halved for a peer.
-		ramp := math.Max(0, g.now-start) / g.s.SlowStartDuration
-		if able := 2 * (g.s.SlowStartInitialCapacity + (1-g.s.SlowStartInitialCapacity)*ramp); work > g.s.SlowStartWorkMultiple*able*g.s.SlowStartWindow/float64(g.s.BrokerCount) {
+		ramp := math.Max(0, g.now-start) / g.s.SlowStart.Duration
+		if able := 2 * (g.s.SlowStart.InitialCapacity + (1-g.s.SlowStart.InitialCapacity)*ramp); work > g.s.SlowStart.WorkMultiple*able*g.s.SlowStart.Window/float64(g.s.BrokerCount) {
 			g.t.Fatalf("cold replica %d sent %v ms of work %v ms after its start", replica, work, g.now-start)
 		}
 	}
@@ -260,7 +260,7 @@
 func (g *rig) Cancel(part uint64, attempt int) {
 	g.log = append(g.log, fmt.Sprintf("%v cancel %d %d", g.now, part, attempt))
 	if p := g.parts[part]; p == nil || attempt >= len(p.sends) {
-		g.t.Fatalf("cancelled what was never sent: %d %d", part, attempt)
+		g.t.Fatalf("cancelled what was never sentAt: %d %d", part, attempt)
 	} else {
 		p.sends[attempt].cancel = true
 	}
@@ -347,11 +347,11 @@
 			b.pass(10, b.after(0))
 		}
 		cheap, dear := b.hinted(0, unit, 0), b.hinted(0, 4*unit, 2)
-		if a, c := queueOf(b.b.parts[cheap.parts[0].p.ID].cost), queueOf(b.b.parts[dear.parts[0].p.ID].cost); a >= c {
+		if a, c := bottleneckQueue(b.b.parts[cheap.parts[0].p.ID].cost), bottleneckQueue(b.b.parts[dear.parts[0].p.ID].cost); a >= c {
 			t.Fatalf("unit %v: cheap in queue %d, dear in %d", unit, a, c)
 		}
 	}
-	if queueOf(1) != 0 || queueOf(queueStep) != 1 || queueOf(0.2) != 0 || queueOf(1e9) != queues-1 {
+	if bottleneckQueue(1) != 0 || bottleneckQueue(queueThresholdRatio) != 1 || bottleneckQueue(0.2) != 0 || bottleneckQueue(1e9) != queueCount-1 {
 		t.Fatal("thresholds")
 	}
 }
@@ -364,13 +364,13 @@
 	p := func(shards ...int) (ps []*part) {
 		q := &query{class: &s.Classes[0]}
 		for i, sh := range shards {
-			ps = append(ps, &part{Part: Part{ID: uint64(i), Shard: sh}, q: q, cost: 1})
+			ps = append(ps, &part{Part: Part{ID: uint64(i), Shard: sh}, query: q, cost: 1})
 		}
 		return ps
 	}
-	g.b.place(g.now, p(0))
-	g.b.place(g.now, p(1, 7, 13, 19)) // the same holders: one call of cost 4
-	if len(g.b.near[0].fifo[0]) != 1 || len(g.b.near[1].fifo[3]) != 1 {
+	g.b.enqueue(g.now, p(0))
+	g.b.enqueue(g.now, p(1, 7, 13, 19)) // the same holders: one call of cost 4
+	if len(g.b.queues.dense[0].fifo[0]) != 1 || len(g.b.queues.dense[1].fifo[3]) != 1 {
 		t.Fatal("one part belongs in the fastest queue, a call of four in the slowest")
 	}
 }
@@ -388,13 +388,13 @@
 }
 
 func TestDeficitRoundRobinSharesByRate(t *testing.T) {
-	s := &shard{}
+	s := &shardQueues{}
 	for i := range s.fifo {
 		for range 1000 {
-			s.fifo[i] = append(s.fifo[i], &call{cost: 1.5})
+			s.fifo[i] = append(s.fifo[i], &queuedCall{cost: 1.5})
 		}
 	}
-	var got [queues]float64
+	var got [queueCount]float64
 	for range 1000 {
 		i := s.next()
 		s.deficit[i] -= 1.5
@@ -444,14 +444,14 @@
 }
 
 func TestPromotionAtHalfTheAim(t *testing.T) {
-	s, class := &shard{}, settings().Classes[0]
-	q := &query{class: &class, arrived: 0}
-	c := &call{parts: []*part{{q: q, queued: true}}, cost: 9}
-	s.fifo[3] = []*call{c}
-	if s.tidy(class.LatencyObjective * promoteAt); len(s.fifo[3]) != 1 {
+	s, class := &shardQueues{}, settings().Classes[0]
+	q := &query{class: &class, arrivedAt: 0}
+	c := &queuedCall{parts: []*part{{query: q, queued: true}}, cost: 9}
+	s.fifo[3] = []*queuedCall{c}
+	if s.refresh(class.LatencyObjective * promotionObjectiveShare); len(s.fifo[3]) != 1 {
 		t.Fatal("promoted too early")
 	}
-	if s.tidy(class.LatencyObjective*promoteAt + 1); len(s.fifo[0]) != 1 || len(s.fifo[3]) != 0 {
+	if s.refresh(class.LatencyObjective*promotionObjectiveShare + 1); len(s.fifo[0]) != 1 || len(s.fifo[3]) != 0 {
 		t.Fatal("not promoted")
 	}
 }
@@ -482,8 +482,8 @@
 	if len(g.sends) != 3 || g.sends[0].replica != g.sends[1].replica || g.sends[1].replica != g.sends[2].replica {
 		t.Fatalf("parts with the same holders went apart: %v", g.log)
 	}
-	if r := g.b.replicas[g.sends[0].replica]; r.calls != 1 {
-		t.Fatalf("%d calls counted", r.calls)
+	if r := g.b.replicas.byID[g.sends[0].replica]; r.callsInFlight != 1 {
+		t.Fatalf("%d calls counted", r.callsInFlight)
 	}
 }
 
@@ -735,8 +735,8 @@
 		t.Fatalf("%d second copies while the whole fleet is slow", n)
 	}
 	ready := 0
-	for _, r := range g.b.order {
-		if g.b.levelOf(g.now, r) < slowSuspect*g.b.fleet {
+	for _, r := range g.b.replicas.ordered {
+		if g.b.normalizedLatency(g.now, r) < ejectionLatency*g.b.latency.fleetLevel {
 			ready++
 		}
 	}
@@ -936,12 +936,12 @@
 	g.warm()
 	q := Query{ID: 900000, QueryGroup: 900000, Deadline: g.now + 1500, ClientRetry: true} // half of its time is gone
 	g.b.QueryArrived(g.now, q)
-	if v := g.b.byID[q.ID].value; v >= 0.3 {
+	if v := g.b.queries[q.ID].priority; v >= 0.3 {
 		t.Fatalf("a repeat past its aim is valued at %v", v)
 	}
 	delete(g.queries, q.ID)
 	g.b.ClientDisconnected(g.now, q.ID)
-	if len(g.b.byID) != 0 {
+	if len(g.b.queries) != 0 {
 		t.Fatal("a query is left behind")
 	}
 }
@@ -954,7 +954,7 @@
 		g.turn()
 		g.pass(120, g.after(100))
 	}
-	if w := g.b.work(1); w < 50 {
+	if w := g.b.meanPartWorkMs(); w < 50 {
 		t.Fatalf("a part of 100 ms is taken for %v ms", w)
 	}
 }
@@ -987,10 +987,10 @@
 
 func TestSettingsOutOfRangeAreNamed(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
-		"Reach":      func(s *Settings) { s.CellsPerShard = 7 },
-		"DrainGrace": func(s *Settings) { s.DrainGrace = -1 },
-		"Classes[0]": func(s *Settings) { s.Classes[0].MinCompleteness = 1.2 },
-		"BudgetFree": func(s *Settings) { s.RetryBudgetSpare = -1 },
+		"CellsPerShard":     func(s *Settings) { s.CellsPerShard = 7 },
+		"DrainGrace":        func(s *Settings) { s.DrainGrace = -1 },
+		"Classes[0]":        func(s *Settings) { s.Classes[0].MinCompleteness = 1.2 },
+		"RetryBudget.Spare": func(s *Settings) { s.RetryBudget.Spare = -1 },
 	} {
 		s := settings()
 		change(&s)
@@ -1048,8 +1048,8 @@
 			t.Fatalf("query %d got no final answer", q.q.ID)
 		}
 	}
-	if len(g.b.byID)+len(g.b.parts)+len(g.b.queries) != 0 {
-		t.Fatalf("left behind: %d queries, %d parts", len(g.b.byID), len(g.b.parts))
+	if len(g.b.queries)+len(g.b.parts)+len(g.b.openQueries) != 0 {
+		t.Fatalf("left behind: %d queries, %d parts", len(g.b.queries), len(g.b.parts))
 	}
 	return g
 }
@@ -1080,7 +1080,7 @@
 	g.fleet(UpdateFull)
 	g.warm()
 	for id := uint32(1); id <= 6; id++ { // every connection has carried something
-		g.b.replicas[id].used = g.now
+		g.b.replicas.byID[id].lastUsedAt = g.now
 	}
 	g.pass(3000, nil)
 	q := g.query(0, 0)
@@ -1092,7 +1092,7 @@
 	if len(g.open) != 1 {
 		t.Fatalf("%d attempts out after the reset, 1 wanted", len(g.open))
 	}
-	if r := g.b.replicas[first.replica]; !g.b.fit(g.now, r) || r.lost {
+	if r := g.b.replicas.byID[first.replica]; !g.b.isHealthy(g.now, r) || r.outliers.isLost {
 		t.Fatal("the replica is blamed for its idle connection")
 	}
 	g.pass(200, g.after(90))
@@ -1121,7 +1121,7 @@
 	a := g.open[0]
 	g.pass(5, nil)
 	g.end(a, ConnectionReset)
-	if r := g.b.replicas[a.replica]; g.b.fit(g.now, r) || !r.lost {
+	if r := g.b.replicas.byID[a.replica]; g.b.isHealthy(g.now, r) || !r.outliers.isLost {
 		t.Fatal("a process that died is used as before")
 	}
 }
@@ -1135,20 +1135,20 @@
 		g.warm()
 		g.query(0, 0)
 		g.turn()
-		group := g.b.s.Placement.Group(0)
+		group := g.b.settings.Placement.Group(0)
 		for i := 0; i < 60 && len(g.open) < 2; i++ {
-			switch g.b.jamAt = g.now; jam {
+			switch g.b.congestedAt = g.now; jam {
 			case "elsewhere":
-				g.b.queue(3, g.now).oldest = g.now - 100
+				g.b.queues.activate(3, g.now).oldestQueuedAt = g.now - 100
 			case "here":
-				g.b.waits[group] = g.now - 100
+				g.b.queuedSinceByGroup[group] = g.now - 100
 				p := g.b.parts[g.open[0].part.p.ID]
-				if g.b.again(g.now, p, true) {
+				if g.b.hedge(g.now, p) {
 					t.Fatal("a copy while a part waits for the same replicas")
 				}
 				i = 60
 			case "slow fleet":
-				g.b.median = slowFleet + 1
+				g.b.latency.overloadMedian = slowFleetLevel + 1
 			}
 			g.pass(10, nil)
 		}
@@ -1164,35 +1164,35 @@
 	g := newRig(t, settings())
 	g.fleet(UpdateFull)
 	g.warm()
-	r := g.b.replicas[3]
+	r := g.b.replicas.byID[3]
 	back := func(sent, x float64) {
-		g.b.tried(g.now, &attempt{r: r, sent: sent}, x)
-		r.level = stamp{g.now, max(r.level.v, x-1)}
+		g.b.observeTrial(g.now, &attempt{replica: r, sentAt: sent}, x)
+		r.excessLatency = decayingAverage{g.now, max(r.excessLatency.value, x-1)}
 	}
 	back(g.now-900, 30)
 	back(g.now-700, 25)
-	if !g.b.fit(g.now, r) {
+	if !g.b.isHealthy(g.now, r) {
 		t.Fatal("what it held has come back and it gets no trial")
 	}
-	r.out = []*attempt{{part: &part{}, r: r, call: &callOut{}, sent: g.now, passed: true}}
-	if g.b.fit(g.now, r) {
+	r.inFlight = []*attempt{{part: &part{}, replica: r, call: &callInFlight{}, sentAt: g.now, overtaken: true}}
+	if g.b.isHealthy(g.now, r) {
 		t.Fatal("two parts at a replica on trial")
 	}
-	r.out = nil
-	for rest := trialRest; rest < 8*trialRest; rest *= 2 {
-		g.now += fadeMost // a slow one
+	r.inFlight = nil
+	for rest := trialRestParts; rest < 8*trialRestParts; rest *= 2 {
+		g.now += badnessHalfLifeMaxMs // a slow one
 		back(g.now-800, 20)
-		if wait := r.trialAt - g.now; wait < 0.99*rest*g.b.work(1) || g.b.fit(g.now, r) {
-			t.Fatalf("the next trial %v ms after a slow one, %v at least", wait, rest*g.b.work(1))
+		if wait := r.outliers.trialAllowedAt - g.now; wait < 0.99*rest*g.b.meanPartWorkMs() || g.b.isHealthy(g.now, r) {
+			t.Fatalf("the next trial %v ms after a slow one, %v at least", wait, rest*g.b.meanPartWorkMs())
 		}
 	}
-	g.now = r.trialAt
-	if !g.b.fit(g.now, r) {
+	g.now = r.outliers.trialAllowedAt
+	if !g.b.isHealthy(g.now, r) {
 		t.Fatal("no trial after the rest")
 	}
-	g.b.tried(g.now+1, &attempt{r: r, sent: g.now}, 1.2)
-	if r.trials != 0 || g.b.levelOf(g.now, r) > 1.3 {
-		t.Fatalf("a part as usual leaves it at level %v after %d trials", g.b.levelOf(g.now, r), r.trials)
+	g.b.observeTrial(g.now+1, &attempt{replica: r, sentAt: g.now}, 1.2)
+	if r.outliers.slowTrials != 0 || g.b.normalizedLatency(g.now, r) > 1.3 {
+		t.Fatalf("a part as usual leaves it at level %v after %d trials", g.b.normalizedLatency(g.now, r), r.outliers.slowTrials)
 	}
 }
 
@@ -1203,27 +1203,27 @@
 	g := newRig(t, settings())
 	g.fleet(UpdateFull)
 	g.warm()
-	r := g.b.replicas[3]
+	r := g.b.replicas.byID[3]
 	silent := func(sent float64) {
-		a := &attempt{r: r, sent: sent, ended: true, part: &part{q: &query{class: &g.b.s.Classes[0]}, cost: 1},
-			call: &callOut{cost: 1}}
+		a := &attempt{replica: r, sentAt: sent, ended: true, part: &part{query: &query{class: &g.b.settings.Classes[0]}, cost: 1},
+			call: &callInFlight{cost: 1}}
 		g.b.learn(g.now, a, AttemptResult{Outcome: Cancelled})
 	}
-	silent(g.now - 30*g.b.usual)
-	if level := g.b.levelOf(g.now, r); level < slowSuspect*g.b.fleet || !g.b.fit(g.now, r) {
+	silent(g.now - 30*g.b.latency.baseline)
+	if level := g.b.normalizedLatency(g.now, r); level < ejectionLatency*g.b.latency.fleetLevel || !g.b.isHealthy(g.now, r) {
 		t.Fatalf("at level %v, and it gets no trial", level)
 	}
-	for rest := trialRest; rest < 8*trialRest; rest *= 2 {
-		g.now += fadeMost
-		silent(g.now - 30*g.b.usual)
-		if wait := r.trialAt - g.now; wait < 0.99*rest*g.b.work(1) || wait > fadeMost || g.b.fit(g.now, r) {
-			t.Fatalf("the next trial %v ms after a silent one, %v at least", wait, rest*g.b.work(1))
+	for rest := trialRestParts; rest < 8*trialRestParts; rest *= 2 {
+		g.now += badnessHalfLifeMaxMs
+		silent(g.now - 30*g.b.latency.baseline)
+		if wait := r.outliers.trialAllowedAt - g.now; wait < 0.99*rest*g.b.meanPartWorkMs() || wait > badnessHalfLifeMaxMs || g.b.isHealthy(g.now, r) {
+			t.Fatalf("the next trial %v ms after a silent one, %v at least", wait, rest*g.b.meanPartWorkMs())
 		}
 	}
-	g.b.tried(r.trialAt+1, &attempt{r: r, sent: r.trialAt}, 1.2)
-	r.badAt = g.now
-	g.b.tried(g.now, &attempt{r: r, sent: g.now - 500}, 20)
-	if r.level.v = 19; !g.b.fit(g.now, r) {
+	g.b.observeTrial(r.outliers.trialAllowedAt+1, &attempt{replica: r, sentAt: r.outliers.trialAllowedAt}, 1.2)
+	r.outliers.lastSlowAt = g.now
+	g.b.observeTrial(g.now, &attempt{replica: r, sentAt: g.now - 500}, 20)
+	if r.excessLatency.value = 19; !g.b.isHealthy(g.now, r) {
 		t.Fatal("a part late out of a stall that is over bars the next trial")
 	}
 	silent(g.now + 1)
@@ -1231,8 +1231,8 @@
 	e := r.Endpoint
 	e.StartedAt = g.now
 	g.list(UpdateDelta, e)
-	if r.trials != 0 || r.badAt != 0 || r.slow {
-		t.Fatalf("a new process begins with %d trials", r.trials)
+	if r.outliers.slowTrials != 0 || r.outliers.lastSlowAt != 0 || r.outliers.countedAsSlow {
+		t.Fatalf("a new process begins with %d trials", r.outliers.slowTrials)
 	}
 }
 
@@ -1241,11 +1241,11 @@
 	s := settings()
 	s.Shards, s.Cells, s.CellsPerShard = 6, 2, 1
 	g := newRig(t, s)
-	g.b.queue(0, g.now).fifo[0] = []*call{{}}
-	g.b.queue(0, g.now).oldest = g.now - 200
-	g.b.noteHeld(g.now)
+	g.b.queues.activate(0, g.now).fifo[0] = []*queuedCall{{}}
+	g.b.queues.activate(0, g.now).oldestQueuedAt = g.now - 200
+	g.b.noteQueueing(g.now)
 	for shard, want := range []float64{200, 0, 200, 0, 200, 0} {
-		if held := g.now - g.b.held(shard, g.now); held != want {
+		if held := g.now - g.b.queuedSince(shard, g.now); held != want {
 			t.Errorf("shard %d: held %v, want %v", shard, held, want)
 		}
 	}
@@ -1253,13 +1253,13 @@
 
 func TestSettingsThatAreNoNumbersAreNamed(t *testing.T) {
 	for name, spoil := range map[string]func(*Settings){
-		"Me":       func(s *Settings) { s.BrokerIndex = 2 },
-		"FallFor":  func(s *Settings) { s.SlowStartWindow = math.NaN() },
-		"Tick":     func(s *Settings) { s.TimerResolution = math.Inf(1) },
-		"ColdFrom": func(s *Settings) { s.SlowStartInitialCapacity = 1.5 },
-		"Classes":  func(s *Settings) { s.Classes[1].PriorityWeight = math.NaN() },
-		"Tenants":  func(s *Settings) { s.TenantRates = []float64{-1} },
-		"Shards":   func(s *Settings) { s.Shards = 0 },
+		"BrokerIndex":               func(s *Settings) { s.BrokerIndex = 2 },
+		"SlowStart.Window":          func(s *Settings) { s.SlowStart.Window = math.NaN() },
+		"TimerResolution":           func(s *Settings) { s.TimerResolution = math.Inf(1) },
+		"SlowStart.InitialCapacity": func(s *Settings) { s.SlowStart.InitialCapacity = 1.5 },
+		"Classes":                   func(s *Settings) { s.Classes[1].PriorityWeight = math.NaN() },
+		"TenantRates":               func(s *Settings) { s.TenantRates = []float64{-1} },
+		"Shards":                    func(s *Settings) { s.Shards = 0 },
 	} {
 		s := settings()
 		s.Classes = append([]Class(nil), s.Classes...)
@@ -1286,7 +1286,7 @@
 		}
 	})
 	g.mustEnd(q, "answer")
-	if early := arrived + g.s.Classes[1].LatencyObjective - q.finished; early < answerSpare {
+	if early := arrived + g.s.Classes[1].LatencyObjective - q.finished; early < finalAnswerMarginMs {
 		t.Fatalf("answered %v ms before the aim", early)
 	}
 }
@@ -1330,8 +1330,8 @@
 func TestColdReplicaIsSharedByTwoOrByTens(t *testing.T) {
 	for _, peers := range []int{2, 22, 84} {
 		s := settings()
-		s.BrokerCount, s.CellsPerShard, s.SlowStartWindow = peers, 1, 3000
-		sent := []stamp{}
+		s.BrokerCount, s.CellsPerShard, s.SlowStart.Window = peers, 1, 3000
+		sent := []workSample{}
 		ready := 1e6 - 100.0
 		fed := 0
 		for me := 0; me < peers; me++ {
@@ -1342,7 +1342,7 @@
 				es = append(es, Endpoint{Replica: uint32(i + 1), Cell: i, State: Ready, StartedAt: ready})
 			}
 			g.list(UpdateFull, es...)
-			for end := g.now + s.SlowStartDuration; g.now < end; {
+			for end := g.now + s.SlowStart.Duration; g.now < end; {
 				g.query(0, 0)
 				g.turn()
 				g.pass(250, g.after(100))
@@ -1350,7 +1350,7 @@
 			n := 0
 			for _, a := range g.sends {
 				if a.replica == 1 && a.no == 0 {
-					sent = append(sent, stamp{a.at, 100})
+					sent = append(sent, workSample{a.at, 100})
 					n++
 				}
 			}
@@ -1365,11 +1365,11 @@
 		for _, x := range sent {
 			sum := 0.0
 			for _, y := range sent {
-				if y.at > x.at-s.SlowStartWindow && y.at <= x.at {
-					sum += y.v
+				if y.at > x.at-s.SlowStart.Window && y.at <= x.at {
+					sum += y.workMs
 				}
 			}
-			total = math.Max(total, sum/(coldMost*s.SlowStartWorkMultiple*(s.SlowStartInitialCapacity+(1-s.SlowStartInitialCapacity)*math.Min(1, (x.at-ready)/s.SlowStartDuration))*s.SlowStartWindow))
+			total = math.Max(total, sum/(maxReplicaSpeed*s.SlowStart.WorkMultiple*(s.SlowStart.InitialCapacity+(1-s.SlowStart.InitialCapacity)*math.Min(1, (x.at-ready)/s.SlowStart.Duration))*s.SlowStart.Window))
 		}
 		if total > 1 || total == 0 {
 			t.Errorf("%d peers: %v of what a cold replica may be sent", peers, total)
@@ -1416,7 +1416,7 @@
 	g := newRig(t, s)
 	g.fleet(UpdateFull)
 	g.warm()
-	g.b.replicas[1].used = g.now
+	g.b.replicas.byID[1].lastUsedAt = g.now
 	g.pass(3000, nil)
 	q := g.query(0, 0)
 	g.turn()
@@ -1425,7 +1425,7 @@
 	for _, a := range append([]*rigSend(nil), g.open...) {
 		g.end(a, ConnectionReset)
 	}
-	if r := g.b.replicas[1]; r.lost || !g.b.fit(g.now, r) {
+	if r := g.b.replicas.byID[1]; r.outliers.isLost || !g.b.isHealthy(g.now, r) {
 		t.Fatal("the replica is blamed for a second part on its idle connection")
 	}
 	g.turn()
@@ -1437,7 +1437,7 @@
 // send stays inside the rule also when every one of them is busy and half of a shard is cold.
 func TestColdReplicaBesideFitOnesStaysInsideTheRule(t *testing.T) {
 	s := settings()
-	s.BrokerCount, s.SlowStartWindow = 84, 3000
+	s.BrokerCount, s.SlowStart.Window = 84, 3000
 	ready, sent := 1e6-100.0, []float64{}
 	for me := 0; me < s.BrokerCount; me++ {
 		s.BrokerIndex = me
@@ -1449,7 +1449,7 @@
 			}
 			g.list(UpdateDelta, e)
 		}
-		for end := g.now + s.SlowStartDuration; g.now < end; {
+		for end := g.now + s.SlowStart.Duration; g.now < end; {
 			g.query(0, me%6, (me+3)%6) // 84 co-ordinators: 6 ms of work in a ms, what three warm replicas can just do
 			g.turn()
 			g.pass(2800, g.after(100))
@@ -1464,8 +1464,8 @@
 		t.Errorf("the cold replica got %d parts of all co-ordinators", len(sent))
 	}
 	for _, x := range sent {
-		able := coldMost * (s.SlowStartInitialCapacity + (1-s.SlowStartInitialCapacity)*math.Min(1, (x-ready)/s.SlowStartDuration))
-		if work := 100 * float64(count(sent, x-s.SlowStartWindow)-count(sent, x)); work > able*s.SlowStartWorkMultiple*s.SlowStartWindow {
+		able := maxReplicaSpeed * (s.SlowStart.InitialCapacity + (1-s.SlowStart.InitialCapacity)*math.Min(1, (x-ready)/s.SlowStart.Duration))
+		if work := 100 * float64(count(sent, x-s.SlowStart.Window)-count(sent, x)); work > able*s.SlowStart.WorkMultiple*s.SlowStart.Window {
 			t.Fatalf("%v ms of work sent in the window to %v", work, x-ready)
 		}
 	}
@@ -1487,7 +1487,7 @@
 	}
 	for i := 0; i < 6; i++ {
 		for id := uint32(1); id <= 6; id++ {
-			g.b.replicas[id].used = g.now
+			g.b.replicas.byID[id].lastUsedAt = g.now
 		}
 		g.pass(3000, nil)
 		g.query(0, i)
@@ -1502,12 +1502,12 @@
 		t.Fatal("idle connections that hang are never closed")
 	}
 	g.pass(4000, nil)
-	for _, r := range g.b.order {
-		if !g.b.fit(g.now, r) {
+	for _, r := range g.b.replicas.ordered {
+		if !g.b.isHealthy(g.now, r) {
 			t.Errorf("replica %d is still a suspect", r.Replica)
 		}
 	}
-	for i := 0; i < 3 && len(g.b.order) > 0; i++ {
+	for i := 0; i < 3 && len(g.b.replicas.ordered) > 0; i++ {
 		g.query(0, i)
 		g.turn()
 		g.pass(250, nil)
@@ -1515,7 +1515,7 @@
 			g.end(a, ConnectFailed)
 		}
 	}
-	if decay(g.b.idleLost, g.now, idleMemory) > idleDoubt {
+	if g.b.idle.areUnsafe(g.now) {
 		t.Error("idle connections are still closed though new ones cannot be had")
 	}
 }
@@ -1643,15 +1643,15 @@
 	g := newRig(t, settings())
 	g.hinted(0, 10, 0)
 	g.hinted(0, 190, 1)
-	if g.b.unit < 99 || g.b.unit > 101 {
-		t.Fatalf("mean hint %v of 10 and 190", g.b.unit)
+	if g.b.costs.meanHint < 99 || g.b.costs.meanHint > 101 {
+		t.Fatalf("mean hint %v of 10 and 190", g.b.costs.meanHint)
 	}
 }
 
 // The parts of a long query come back sorted by latency: the fastest is not the usual one.
 func TestUsualLatencyOfALongQuery(t *testing.T) {
 	s := settings()
-	s.Shards, s.RetryBudgetWindow, s.SlowStartWorkMultiple = 60, 0, 0
+	s.Shards, s.RetryBudget.Window, s.SlowStart.WorkMultiple = 60, 0, 0
 	g := newRig(t, s)
 	g.fleet(UpdateFull)
 	for i := 0; i < 3; i++ {
@@ -1667,8 +1667,8 @@
 		}
 		g.turn()
 	}
-	if g.b.usual < 30 || g.b.usual > 60 { // latencies are 5, 10 ... 100
-		t.Fatalf("usual latency %v", g.b.usual)
+	if g.b.latency.baseline < 30 || g.b.latency.baseline > 60 { // latencies are 5, 10 ... 100
+		t.Fatalf("usual latency %v", g.b.latency.baseline)
 	}
 }
 
@@ -1716,7 +1716,7 @@
 // when each co-ordinator has only one at a time; a client in a hurry is no such sign, and sound answers open the door.
 func TestWastedLongQueriesCloseTheDoor(t *testing.T) {
 	s := settings()
-	s.BrokerCount, s.Shards, s.RetryBudgetWindow, s.AllowHedging, s.MaxAttempts = 40, 60, 0, false, 1
+	s.BrokerCount, s.Shards, s.RetryBudget.Window, s.AllowHedging, s.MaxAttempts = 40, 60, 0, false, 1
 	s.Classes[0].LateFactor = 0.1
 	g := newRig(t, s)
 	g.fleet(UpdateFull)
@@ -1732,7 +1732,7 @@
 			g.turn()
 			refused += len(g.refused) - was
 			g.pass(patience, func(a *rigSend) {
-				if g.now >= a.at+ms && !(stuck && a.part.p.Shard == 7) {
+				if g.now >= a.at+ms && (!stuck || a.part.p.Shard != 7) {
 					g.end(a, Succeeded)
 				}
 			})
@@ -1763,15 +1763,15 @@
 	for k := range shards {
 		shards[k] = k
 	}
-	g.b.room = 8
+	g.b.fleet.cost = 8
 	g.turned(g.query(0, shards...))
 	g.pass(200, g.after(5))
-	g.b.room = 8
+	g.b.fleet.cost = 8
 	if early := g.turned(g.query(0, shards...)); early.how != "refuse" {
 		t.Fatalf("a second query of 40 parts was let in after 200 ms: %q", early.how)
 	}
 	g.pass(400, g.after(5))
-	g.b.room = 8
+	g.b.fleet.cost = 8
 	if later := g.turned(g.query(0, shards...)); later.how != "" {
 		t.Fatalf("still turned away after 600 ms: %q", later.how)
 	}
@@ -1872,15 +1872,15 @@
 	g := newRig(t, settings())
 	g.fleet(UpdateFull)
 	g.warm()
-	r := g.b.replicas[3]
+	r := g.b.replicas.byID[3]
 	for range 40 {
-		g.b.learnWay(g.now, r, 30)
+		g.b.zones.observe(g.now, r, 30)
 	}
-	if way := g.b.wayOf(g.now, r.Zone); way > 1.2 || !r.slow {
+	if way := g.b.zones.latency(g.now, r.Zone); way > 1.2 || !r.outliers.countedAsSlow {
 		t.Fatalf("40 parts out of one stall make the way %v", way)
 	}
-	g.b.learnWay(g.now, r, 1)
-	if r.slow {
+	g.b.zones.observe(g.now, r, 1)
+	if r.outliers.countedAsSlow {
 		t.Fatal("an answer as usual leaves it slow")
 	}
 }
@@ -1904,7 +1904,7 @@
 			g.query(0, i%10, (i+3)%10)
 			g.turn()
 			g.pass(25, func(a *rigSend) {
-				if g.now >= a.at+100 && !(lost && silent(a)) {
+				if g.now >= a.at+100 && (!lost || !silent(a)) {
 					g.end(a, Succeeded)
 				}
 			})
--- /dev/null
+++ b/internal/decision/scheduler/concurrency_limit.go
@@ -0,0 +1,87 @@
+package scheduler
+
+import "math"
+
+const (
+	// smallFleetBrokers is the number of brokers up to which one broker's own attempts in flight tell how long a
+	// replica's queue is. With more, each sees too little of it.
+	smallFleetBrokers = 4
+
+	initialReplicaLimit = 4.0 // cost: a few slots of the smallest backend
+	minReplicaLimit     = 1.0 // cost
+	replicaLimitStep    = 0.5 // cost by which a normal answer raises a replica's limit, over the limit itself
+	replicaLimitInUse   = 0.5 // share of its limit that must be in flight for the limit to grow
+
+	minFleetLimit       = 4.0  // cost
+	fleetLimitCut       = 0.85 // factor on what is in flight when the fleet is slow, once per round trip
+	fleetLimitStep      = 0.3  // cost by which the limit grows for each cost answered while the fleet is quick
+	fleetObjectiveShare = 0.5  // share of the shortest objective; a fleet whose median part takes longer is slow
+)
+
+// replicaLimit is the cost in flight that a replica carries at its normal latency, for this broker. It grows
+// additively with normal answers and shrinks to what was in flight with slow ones, once per round trip.
+type replicaLimit struct {
+	inFlight float64 // cost of this broker's attempts at the replica
+	cost     float64
+	cutAt    float64 // attempts sent before do not cut it again
+}
+
+// cut lowers the limit to what is in flight, unless that was done after the attempt had been sent.
+func (l *replicaLimit) cut(now, sentAt float64) {
+	if l.cutAt < sentAt {
+		l.cost = max(minReplicaLimit, min(l.cost, l.inFlight))
+		l.cutAt = now
+	}
+}
+
+// collapse lowers the limit to the minimum, so that a stalled replica does not draw a crowd of attempts each time
+// its bad latency has faded.
+func (l *replicaLimit) collapse(now, sentAt float64) {
+	if l.cutAt < sentAt {
+		l.cost = minReplicaLimit
+		l.cutAt = now
+	}
+}
+
+// observe adapts the limit to an answer: waiting queues must not burst onto a replica that has just become normal.
+func (l *replicaLimit) observe(now float64, a *attempt, isQueueing bool) {
+	if isQueueing {
+		l.cut(now, a.sentAt)
+		return
+	}
+	if l.inFlight >= l.cost*replicaLimitInUse {
+		l.cost += replicaLimitStep * a.part.cost / l.cost
+	}
+}
+
+// fleetLimit is the cost in flight that the whole fleet carries for this broker at a useful latency. Only brokers
+// of large fleets have one; others go by what is queued at each shard.
+type fleetLimit struct {
+	inFlight float64 // cost of all attempts in flight
+	cost     float64 // +Inf until it is cut for the first time
+	cutAt    float64
+}
+
+func newFleetLimit() fleetLimit { return fleetLimit{cost: math.Inf(1)} }
+
+// isLargeFleet reports whether there are too many brokers for one to see the queues of the replicas by itself.
+func (s *Scheduler) isLargeFleet() bool { return s.settings.BrokerCount > smallFleetBrokers }
+
+// cutFleetLimit lowers the limit of the fleet once for what was sent since the last time.
+func (s *Scheduler) cutFleetLimit(now, sentAt float64) {
+	limit := &s.fleet
+	if s.isLargeFleet() && limit.cutAt < sentAt {
+		limit.cost = max(minFleetLimit, fleetLimitCut*min(limit.cost, limit.inFlight))
+		limit.cutAt = now
+	}
+}
+
+// adaptFleetLimit raises the limit of the fleet while its median part is quick, and cuts it while that is slow.
+func (s *Scheduler) adaptFleetLimit(now float64, a *attempt) {
+	isQuick := s.latency.medianPartMs() <= fleetObjectiveShare*s.latency.minObjectiveMs
+	if !s.isLargeFleet() || isQuick {
+		s.fleet.cost += fleetLimitStep * a.part.cost
+		return
+	}
+	s.cutFleetLimit(now, a.sentAt)
+}
--- a/internal/decision/scheduler/fleet_test.go
+++ b/internal/decision/scheduler/fleet_test.go
@@ -136,7 +136,7 @@
 type server struct {
 	ready float64 // 0 for long ago
 	busy  float64
-	work  []stamp // received
+	work  []workSample // received
 	sent  int
 }
 
@@ -168,7 +168,7 @@
 	f := &fleet{t: t, now: 1e6, rnd: rand.New(rand.NewSource(5)), s: Settings{
 		Classes:     []Class{{LatencyObjective: 400, Deadline: 1000, PriorityWeight: 1, LateFactor: 0.3, Idempotency: Idempotent, MinCompleteness: 1, CompletenessTarget: 1}},
 		BrokerCount: peers, TimerResolution: 1, Shards: 12, Cells: 6, CellsPerShard: 3, MaxPartsPerCall: 1, CanCancel: true, MaxAttempts: 4,
-		MaxRetryAfter: 1000, DrainGrace: 1000, SlowStartInitialCapacity: 0.21, SlowStartDuration: 18000, SlowStartWorkMultiple: 2.5, SlowStartWindow: 1500}}
+		MaxRetryAfter: 1000, DrainGrace: 1000, SlowStart: SlowStartSettings{InitialCapacity: 0.21, Duration: 18000, WorkMultiple: 2.5, Window: 1500}}}
 	f.s.Placement = slicemap.NewRingPlacement(f.s.Shards, f.s.Cells, f.s.CellsPerShard)
 	for range f.s.Cells {
 		f.replicas = append(f.replicas, &server{})
@@ -203,15 +203,15 @@
 	if r.ready == 0 {
 		return fleetCores
 	}
-	ramp := min(1, (at-r.ready)/f.s.SlowStartDuration)
-	return fleetCores * (f.s.SlowStartInitialCapacity + (1-f.s.SlowStartInitialCapacity)*ramp)
+	ramp := min(1, (at-r.ready)/f.s.SlowStart.Duration)
+	return fleetCores * (f.s.SlowStart.InitialCapacity + (1-f.s.SlowStart.InitialCapacity)*ramp)
 }
 
 func (m *member) Send(part uint64, replica uint32, timeout float64) {
 	f := m.f
 	r := f.replicas[replica]
 	r.sent++
-	r.work = append(r.work, stamp{f.now, fleetWork})
+	r.work = append(r.work, workSample{f.now, fleetWork})
 	e := &fleetTry{m: m, part: part, no: len(m.tries[part]), replica: replica, sent: f.now}
 	m.tries[part] = append(m.tries[part], e)
 	if e.end = f.now + timeout; timeout == 0 {
@@ -269,11 +269,11 @@
 func (f *fleet) pressure(r *server, from float64) (most float64) {
 	for i, x := range r.work {
 		sum := 0.0
-		for j := i; j >= 0 && r.work[j].at > x.at-f.s.SlowStartWindow; j-- {
-			sum += r.work[j].v
+		for j := i; j >= 0 && r.work[j].at > x.at-f.s.SlowStart.Window; j-- {
+			sum += r.work[j].workMs
 		}
 		if x.at > from {
-			most = max(most, sum/(f.able(r, x.at-f.s.SlowStartWindow/2)*f.s.SlowStartWorkMultiple*f.s.SlowStartWindow))
+			most = max(most, sum/(f.able(r, x.at-f.s.SlowStart.Window/2)*f.s.SlowStart.WorkMultiple*f.s.SlowStart.Window))
 		}
 	}
 	return most
@@ -326,14 +326,14 @@
 		g.turn()
 		g.pass(40, g.after(30))
 	}
-	calm := g.b.coldWork(1)
+	calm := g.b.warmupWorkMs(1)
 	for range 200 {
 		g.hinted(0, 20, 0, 2, 4)
 		g.turn()
 		g.pass(120, g.after(100))
 	}
-	if g.b.usual < 2*calm || g.b.coldWork(1) > 1.5*calm {
-		t.Fatalf("usual %v ms in a jam, parts are taken for %v and then %v ms", g.b.usual, calm, g.b.coldWork(1))
+	if g.b.latency.baseline < 2*calm || g.b.warmupWorkMs(1) > 1.5*calm {
+		t.Fatalf("usual %v ms in a jam, parts are taken for %v and then %v ms", g.b.latency.baseline, calm, g.b.warmupWorkMs(1))
 	}
 }
 
@@ -345,13 +345,13 @@
 	f.replicas[0].ready = f.now
 	f.list()
 	f.run(2000, 80, 6)
-	one := f.s.SlowStartWorkMultiple * f.s.SlowStartWindow * (f.s.SlowStartInitialCapacity + (1-f.s.SlowStartInitialCapacity)*(2000-f.s.SlowStartWindow/2)/f.s.SlowStartDuration)
+	one := f.s.SlowStart.WorkMultiple * f.s.SlowStart.Window * (f.s.SlowStart.InitialCapacity + (1-f.s.SlowStart.InitialCapacity)*(2000-f.s.SlowStart.Window/2)/f.s.SlowStart.Duration)
 	sum, least, most := 0.0, 1e9, 0.0
 	for _, m := range f.all {
-		x := m.b.cold.QuotaMs(coldShare*one/80, one)
+		x := m.b.slowStart.quota.QuotaMs(allowanceMargin*one/80, one)
 		sum, least, most = sum+x, min(least, x), max(most, x)
 	}
-	rule := f.able(f.replicas[0], f.now-f.s.SlowStartWindow/2) * f.s.SlowStartWorkMultiple * f.s.SlowStartWindow
+	rule := f.able(f.replicas[0], f.now-f.s.SlowStart.Window/2) * f.s.SlowStart.WorkMultiple * f.s.SlowStart.Window
 	t.Logf("%.2f of the rule in all, shares from %.1f to %.1f ms", sum/rule, least, most)
 	if sum > rule || sum < 0.4*rule || most < 2*least {
 		t.Fatalf("shares of %v ms of work in all, from %v to %v, the rule allows %v", sum, least, most, rule)
@@ -401,10 +401,10 @@
 	g := newRig(t, settings())
 	g.fleet(UpdateFull)
 	g.warm()
-	r := g.b.replicas[1]
-	r.warmFrom = g.now
-	g.b.s.SlowStartInitialCapacity = 0.5
-	if left, need := g.b.coldMay(g.now, r, 10); need != g.b.coldWork(10) || left <= 0 {
+	r := g.b.replicas.byID[1]
+	r.warmup.startedAt = g.now
+	g.b.settings.SlowStart.InitialCapacity = 0.5
+	if left, need := g.b.warmupQuotaMs(g.now, r, 10); need != g.b.warmupWorkMs(10) || left <= 0 {
 		t.Fatalf("a dear part needs %v of %v", need, left)
 	}
 	h := newRig(t, settings())
@@ -417,7 +417,7 @@
 		h.turn()
 		h.pass(120, h.after(100))
 	}
-	if w := h.b.coldWork(1); w < 50 {
+	if w := h.b.warmupWorkMs(1); w < 50 {
 		t.Fatalf("a part of 100 ms is taken for %v ms", w)
 	}
 }
--- a/internal/decision/scheduler/handover.go
+++ b/internal/decision/scheduler/handover.go
@@ -2,42 +2,48 @@
 
 import "math"
 
-// WarmupSend is work that one process of an aggregator sent to a cold replica within the window of its allowance.
+// WarmupSend is work that one process of a broker sent to a warming replica within the window of its slow-start
+// allowance.
 type WarmupSend struct {
-	Replica uint32  `json:"replica"`
-	AgeMs   float64 `json:"ago_ms"`  // before the hand-over, in ms
-	WorkMs  float64 `json:"work_ms"` // in ms of work
+	// Replica is the number of the replica.
+	Replica uint32 `json:"replica"`
+	// AgeMs is how long before the handover the work was sent, in ms.
+	AgeMs float64 `json:"ago_ms"`
+	// WorkMs is the work in ms.
+	WorkMs float64 `json:"work_ms"`
 }
 
-// HandOver ends what this process sends to cold replicas and gives what it sent to them in the window of
-// their allowance, for the process that takes over the same aggregator. What is out stays out; warm
-// replicas are used as before.
-func (b *Scheduler) HandOver(now float64) []WarmupSend {
-	b.handed = true
-	var out []WarmupSend
-	for id, r := range b.replicas {
-		for _, w := range r.cold {
-			if w.at >= now-b.s.SlowStartWindow {
-				out = append(out, WarmupSend{Replica: id, AgeMs: now - w.at, WorkMs: w.v})
+// HandOver ends what this process sends to warming replicas and returns what it sent them within the window, for the
+// process that takes over the same broker. Attempts in flight stay; warm replicas are used as before.
+func (s *Scheduler) HandOver(now float64) []WarmupSend {
+	s.slowStart.handedOver = true
+	oldest := now - s.settings.SlowStart.Window
+	var sends []WarmupSend
+	for id, r := range s.replicas.byID {
+		for _, sample := range r.warmup.sent {
+			if sample.at >= oldest {
+				sends = append(sends, WarmupSend{Replica: id, AgeMs: now - sample.at, WorkMs: sample.workMs})
 			}
 		}
 	}
-	return out
+	return sends
 }
 
-// OtherProcessActive tells that another process of the same aggregator serves beside this one, which has not handed over:
-// what it sends to cold replicas is not known here and counts all the same, so that none is used until it has
-// handed over, or a window after it was last told of.
-func (b *Scheduler) OtherProcessActive(now float64) { b.born = now }
+// OtherProcessActive reports that another process of the same broker serves beside this one and has not handed over.
+// What it sends to warming replicas is not known here and counts all the same, so this process sends them nothing
+// until the other has handed over, or until a window after the last such report.
+func (s *Scheduler) OtherProcessActive(now float64) { s.slowStart.startedAt = now }
 
-// TakeOver counts what the process that hands over sent to cold replicas, ago ms before now, as sent by
-// this one, and ends the wait of the first window after a start: that process sends them nothing more.
-// Replicas that this process does not know are not waited for either; what was sent to them is dropped.
-func (b *Scheduler) TakeOver(now float64, sent []WarmupSend) {
-	for _, s := range sent {
-		if r := b.replicas[s.Replica]; r != nil && s.AgeMs >= 0 && s.AgeMs <= b.s.SlowStartWindow && s.WorkMs >= 0 {
-			r.cold = append(r.cold, stamp{now - s.AgeMs, s.WorkMs})
+// TakeOver counts what the process that hands over sent to warming replicas as sent by this one, and ends the wait
+// of the first window after a start, as that process sends them nothing more. Sends to replicas that are not known
+// here are dropped.
+func (s *Scheduler) TakeOver(now float64, sends []WarmupSend) {
+	for _, send := range sends {
+		r := s.replicas.byID[send.Replica]
+		isValid := send.AgeMs >= 0 && send.AgeMs <= s.settings.SlowStart.Window && send.WorkMs >= 0
+		if r != nil && isValid {
+			r.warmup.sent = append(r.warmup.sent, workSample{at: now - send.AgeMs, workMs: send.WorkMs})
 		}
 	}
-	b.born = math.Inf(-1)
+	s.slowStart.startedAt = math.Inf(-1)
 }
--- a/internal/decision/scheduler/handover_test.go
+++ b/internal/decision/scheduler/handover_test.go
@@ -27,7 +27,7 @@
 	alone := newRig(t, s)
 	cold(alone)
 	drive(alone, 4000)
-	most := windowMost(alone.sends, s.SlowStartWindow)
+	most := windowMost(alone.sends, s.SlowStart.Window)
 	start = 0
 
 	old, next := newRig(t, s), newRig(t, s)
@@ -49,12 +49,12 @@
 		}
 	}
 	both := append(append([]*rigSend(nil), old.sends...), next.sends...)
-	if got := windowMost(both, s.SlowStartWindow); got > most {
+	if got := windowMost(both, s.SlowStart.Window); got > most {
 		t.Fatalf("%d parts in a window to the cold replica from both, one process alone gives %d", got, most)
 	}
 	first := 0
 	for _, a := range next.sends {
-		if a.replica == 1 && a.at < taken+s.SlowStartWindow {
+		if a.replica == 1 && a.at < taken+s.SlowStart.Window {
 			first++
 		}
 	}
@@ -120,7 +120,7 @@
 		}
 		drive(4000, false, alone)
 		drive(4000, true, old, next)
-		most, got := windowMost(alone.sends, s.SlowStartWindow), windowMost(append(old.sends, next.sends...), s.SlowStartWindow)
+		most, got := windowMost(alone.sends, s.SlowStart.Window), windowMost(append(old.sends, next.sends...), s.SlowStart.Window)
 		if got > most || got == 0 {
 			t.Fatalf("%d parts in a window to the cold replica from both, one process alone gives %d", got, most)
 		}
@@ -128,8 +128,8 @@
 			next.b.TakeOver(next.now, old.b.HandOver(old.now))
 		}
 		next.sends = nil
-		drive(2*s.SlowStartWindow, false, next)
-		if windowMost(next.sends, s.SlowStartWindow) == 0 {
+		drive(2*s.SlowStart.Window, false, next)
+		if windowMost(next.sends, s.SlowStart.Window) == 0 {
 			t.Fatalf("the new process does not use the replica, handed over %v", handed)
 		}
 	}
@@ -170,8 +170,8 @@
 			t.Fatal("a suspended replica was sent to")
 		}
 	}
-	most := s.SlowStartWorkMultiple * s.SlowStartWindow * (s.SlowStartInitialCapacity + 5000/s.SlowStartDuration) / 100 // parts of 100 ms, as it is 5 s on
-	if got := windowMostTo(g.sends, 2, s.SlowStartWindow); served == 0 || float64(got) > most {
+	most := s.SlowStart.WorkMultiple * s.SlowStart.Window * (s.SlowStart.InitialCapacity + 5000/s.SlowStart.Duration) / 100 // parts of 100 ms, as it is 5 s on
+	if got := windowMostTo(g.sends, 2, s.SlowStart.Window); served == 0 || float64(got) > most {
 		t.Fatalf("%d served by the cold one, %d in a window, %v allowed", served, got, most)
 	}
 }
--- a/internal/decision/scheduler/hard_test.go
+++ b/internal/decision/scheduler/hard_test.go
@@ -67,17 +67,17 @@
 	g := newRig(t, settings())
 	g.fleet(UpdateFull)
 	g.warm()
-	r := g.b.replicas[3]
-	stuck := &attempt{part: &part{cost: 2}, r: r, call: &callOut{left: 1, cost: 2}, sent: g.now - 50, weight: 2}
-	next := &attempt{part: &part{q: &query{class: &g.s.Classes[0]}, cost: 1}, r: r, call: &callOut{left: 1, cost: 1},
-		sent: g.now - 10, weight: 1}
-	r.out, r.load = []*attempt{stuck, next}, 3
+	r := g.b.replicas.byID[3]
+	stuck := &attempt{part: &part{cost: 2}, replica: r, call: &callInFlight{partsInFlight: 1, cost: 2}, sentAt: g.now - 50, limitCost: 2}
+	next := &attempt{part: &part{query: &query{class: &g.s.Classes[0]}, cost: 1}, replica: r, call: &callInFlight{partsInFlight: 1, cost: 1},
+		sentAt: g.now - 10, limitCost: 1}
+	r.inFlight, r.limit.inFlight = []*attempt{stuck, next}, 3
 	g.b.learn(g.now, next, AttemptResult{Outcome: Succeeded, Latency: 60})
-	if r.load != 1 || !stuck.passed || stuck.weight != 0 {
-		t.Fatalf("load %v, passed %v", r.load, stuck.passed)
+	if r.limit.inFlight != 1 || !stuck.overtaken || stuck.limitCost != 0 {
+		t.Fatalf("load %v, passed %v", r.limit.inFlight, stuck.overtaken)
 	}
 	g.b.learn(g.now, next, AttemptResult{Outcome: Succeeded, Latency: 60})
-	if r.load != 1 {
-		t.Fatalf("it is taken off twice: load %v", r.load)
+	if r.limit.inFlight != 1 {
+		t.Fatalf("it is taken off twice: load %v", r.limit.inFlight)
 	}
 }
--- a/internal/decision/scheduler/mass_test.go
+++ b/internal/decision/scheduler/mass_test.go
@@ -111,12 +111,12 @@
 	ends := map[string]int{}
 	for me := range 300 {
 		s := settings()
-		s.BrokerCount, s.BrokerIndex, s.SlowStartWorkMultiple = 300, me, 10
+		s.BrokerCount, s.BrokerIndex, s.SlowStart.WorkMultiple = 300, me, 10
 		g := newRig(t, s)
 		g.fleet(UpdateFull)
 		g.warm()
 		g.pass(2000, g.after(40))
-		g.b.cold = fleetshare.NewSlowStartQuota(300) // with its even share, under a tenth of a part
+		g.b.slowStart.quota = fleetshare.NewSlowStartQuota(300) // with its even share, under a tenth of a part
 		for i := 1; i <= 3; i++ {
 			g.list(UpdateDelta, Endpoint{Replica: uint32(i), Cell: i - 1, State: Ready, StartedAt: g.now})
 		}
@@ -166,7 +166,7 @@
 func TestConnectionsTurnedAwayDoNotCloseTheDoor(t *testing.T) {
 	for _, alone := range []bool{true, false} {
 		s := settings()
-		s.BrokerCount, s.RetryBudgetSpare = 30, 1e6
+		s.BrokerCount, s.RetryBudget.Spare = 30, 1e6
 		g := newRig(t, s)
 		g.fleet(UpdateFull)
 		g.warm()
@@ -184,6 +184,6 @@
 			})
 			n++
 		}
-		assert.Equal(t, alone, g.b.sum.RejectedShare() == 0, "excess %v, by connection %v", g.b.sum.RejectedShare(), alone)
+		assert.Equal(t, alone, g.b.throttle.RejectedShare() == 0, "excess %v, by connection %v", g.b.throttle.RejectedShare(), alone)
 	}
 }
--- /dev/null
+++ b/internal/decision/scheduler/outlier_detection.go
@@ -0,0 +1,131 @@
+package scheduler
+
+import "math"
+
+const (
+	failureGain      = 0.6 // weight of the newest outcome in a failure rate: one failure ejects, one success halves it
+	ejectionFailures = 0.5 // failure rate from which a replica is ejected
+	ejectionLatency  = 3.5 // times the fleet's level from which a replica is ejected
+
+	// Non-idempotent parts are lost by one failure, so they avoid replicas sooner.
+	nonIdempotentFailures = 0.1  // failure rate from which they avoid a replica
+	nonIdempotentLatency  = 2.0  // times the fleet's level
+	failureRateWeight     = 30.0 // normalized latency that a failure rate of 1 weighs between avoided replicas
+
+	// trialRestParts is the mean parts' work after a slow trial request until the next one; it doubles with each.
+	trialRestParts = 10.0
+	// resetWithoutWorkParts is the mean parts' work before which a reset or refused connection shows that no work
+	// had been done.
+	resetWithoutWorkParts = 0.5
+	// openCircuitParts is the mean parts' work for which a lost replica gets nothing.
+	openCircuitParts = 3.0
+	// rejectionCircuitParts is the same after a rejection.
+	rejectionCircuitParts = 1.0
+	// rejectionLevelFactor is how many times the queueing level a rejection counts as latency.
+	rejectionLevelFactor = 2.0
+)
+
+// outlierState is what marks a replica as an outlier among its peers. Failure rates fade without news, so that an
+// ejected replica is tried again.
+type outlierState struct {
+	failureRate decayingAverage
+	// nonIdempotentFailureRate is the same for parts that must not run twice. Only their own success lowers it, as
+	// a release may break one class alone.
+	nonIdempotentFailureRate decayingAverage
+	// isLost says that it refused or lost a connection and has not served since.
+	isLost bool
+	// slowTrials is how many trial requests in a row were slow; 0 unless it is slow.
+	slowTrials int
+	// lastSlowAt is when an attempt last ended so late that it made the replica an outlier.
+	lastSlowAt float64
+	// trialAllowedAt is the time from which one attempt may go to it although it is an outlier.
+	trialAllowedAt float64
+	// countedAsSlow says that it has been slow, and has not answered at its zone's level since.
+	countedAsSlow bool
+	// stalledOnIdle says that an attempt on an idle connection has stalled there, and nothing has come back since.
+	stalledOnIdle bool
+}
+
+// forgetProcess drops what was learned of a process that has been replaced.
+func (o *outlierState) forgetProcess() {
+	o.failureRate = decayingAverage{}
+	o.nonIdempotentFailureRate = decayingAverage{}
+	o.isLost = false
+	o.slowTrials = 0
+	o.lastSlowAt = 0
+	o.countedAsSlow = false
+}
+
+// isHealthy reports whether a replica is used as usual, by how its peers do. It keeps parts away from slow, stalled,
+// failing and unreachable replicas; an unlucky one may be avoided until its badness has faded.
+func (s *Scheduler) isHealthy(now float64, r *replica) bool {
+	if r.State != Ready || s.badness(r.outliers.failureRate, now) >= ejectionFailures {
+		return false
+	}
+	if s.zones.latency(now, r.Zone) >= ejectionZoneLatency*s.zones.best {
+		return false
+	}
+	if s.normalizedLatency(now, r) < ejectionLatency*s.latency.fleetLevel {
+		return true
+	}
+	return r.mayHaveTrial(now)
+}
+
+// mayHaveTrial reports whether a slow replica may be sent one attempt to see whether it has recovered.
+func (r *replica) mayHaveTrial(now float64) bool {
+	return len(r.inFlight) == 0 && r.outliers.slowTrials > 0 && now >= r.outliers.trialAllowedAt
+}
+
+// avoidsNonIdempotent reports whether a replica of a latency level is too doubtful for non-idempotent parts, and its
+// failure rate for them.
+func (s *Scheduler) avoidsNonIdempotent(now float64, r *replica, level float64) (avoids bool, failureRate float64) {
+	failureRate = r.outliers.nonIdempotentFailureRate.valueAt(now, badnessHalfLifeMaxMs)
+	avoids = failureRate > nonIdempotentFailures || level > nonIdempotentLatency*s.latency.fleetLevel
+	return avoids, failureRate
+}
+
+// observeTrial learns from an attempt that ended at a normalized latency whether its replica is stalled or slow.
+// Attempts that a stalled replica held back come late all at once, or are cancelled; one that was sent after that is
+// a trial request. A trial at normal latency ends the ejection at once. After each slow one the next waits twice as
+// long, so that a short pause does not eject a replica for long and a slow one gets little.
+func (s *Scheduler) observeTrial(now float64, a *attempt, normalized float64) {
+	r := a.replica
+	outliers := &r.outliers
+	if normalized < ejectionLatency*s.latency.fleetLevel {
+		if a.sentAt > outliers.lastSlowAt && normalized <= s.latency.queueingLevel {
+			outliers.slowTrials = 0
+			r.excessLatency.value = min(r.excessLatency.value, max(0, normalized-1))
+		}
+		return
+	}
+	// An attempt that was sent before the last slow end and comes late out of a stall that is over counts no trial.
+	if a.sentAt > outliers.lastSlowAt || outliers.slowTrials == 0 {
+		outliers.slowTrials++
+	}
+	rest := trialRestParts * s.meanPartWorkMs() * (math.Exp2(float64(outliers.slowTrials-1)) - 1)
+	outliers.lastSlowAt = now
+	outliers.trialAllowedAt = now + min(rest, badnessHalfLifeMaxMs)
+}
+
+// observeOutcome takes a failure, 1, or a success, 0, into the failure rates of a replica.
+func (s *Scheduler) observeOutcome(now float64, r *replica, class *Class, failure float64) {
+	rate := s.badness(r.outliers.failureRate, now)*(1-failureGain) + failureGain*failure
+	r.outliers.failureRate = decayingAverage{at: now, value: rate}
+	r.observeNonIdempotent(now, class, failure)
+}
+
+// observeNonIdempotent does the same for the failure rate that non-idempotent parts go by. Successes of other
+// classes do not count.
+func (r *replica) observeNonIdempotent(now float64, class *Class, failure float64) {
+	if failure <= 0 && class.Idempotency != NonIdempotent {
+		return
+	}
+	before := r.outliers.nonIdempotentFailureRate.valueAt(now, badnessHalfLifeMaxMs)
+	after := before*(1-failureGain) + failureGain*failure
+	r.outliers.nonIdempotentFailureRate = decayingAverage{at: now, value: after}
+}
+
+// openCircuit keeps new attempts from a replica for the time of so many mean parts.
+func (s *Scheduler) openCircuit(now float64, r *replica, meanParts float64) {
+	r.circuitOpenUntil = now + meanParts*s.meanPartWorkMs()
+}
--- /dev/null
+++ b/internal/decision/scheduler/retry.go
@@ -0,0 +1,117 @@
+package scheduler
+
+import "slices"
+
+const (
+	// lastAttemptObjectiveShare is the share of the objective before which the last allowed attempt is not spent,
+	// so that a set of replicas that is down cannot use up all attempts in a moment.
+	lastAttemptObjectiveShare = 0.3
+	// cancelSettleMs is how long after a cancel the next attempt may follow: the replica must know of the cancel
+	// before that is in flight.
+	cancelSettleMs = 15.0
+	// outlierRetryObjectiveShare is the share of the objective between retries where only outliers are left: a
+	// healthy replica that is warming up or full may have capacity soon.
+	outlierRetryObjectiveShare = 0.1
+)
+
+// mayRetry is the rule of idempotency and of the number of attempts: what a further attempt at a part needs.
+func (s *Scheduler) mayRetry(now float64, p *part) bool {
+	if p.abandoned || p.attemptsInFlight >= maxParallelAttempts {
+		return false
+	}
+	if s.settings.MaxAttempts > 0 && len(p.attempts) >= s.settings.MaxAttempts {
+		return false
+	}
+	class := p.query.class
+	for _, a := range p.attempts {
+		if !a.mayHaveRun() {
+			continue
+		}
+		if !a.ended && !s.settings.AllowHedging || class.Idempotency == NonIdempotent {
+			return false
+		}
+		if class.Idempotency == IdempotentWithKey && now > a.sentAt+class.DedupWindow {
+			return false
+		}
+	}
+	return true
+}
+
+// retry makes a further attempt at a failed part and reports whether it did. Retries skip the queues but go only to
+// a replica that takes more work, so they cannot feed congestion.
+func (s *Scheduler) retry(now float64, p *part) bool {
+	if !s.mayRetryNow(now, p) {
+		return false
+	}
+	r := s.selectForRetry(now, p)
+	if r == nil {
+		return false
+	}
+	q := p.query
+	spacingMs := float64(len(p.attempts)) * outlierRetryObjectiveShare * q.class.LatencyObjective
+	if !s.isHealthy(now, r) && now < q.arrivedAt+spacingMs {
+		return false
+	}
+	return s.dispatch(now, p, r)
+}
+
+// mayRetryNow reports whether a retry or hedged request of a part is allowed and due.
+func (s *Scheduler) mayRetryNow(now float64, p *part) bool {
+	if now < p.retryNotBefore || !s.mayRetry(now, p) {
+		return false
+	}
+	attempts := len(p.attempts)
+	isLast := attempts >= 2 && attempts == s.settings.MaxAttempts-1
+	if isLast && now < p.query.arrivedAt+lastAttemptObjectiveShare*p.query.class.LatencyObjective {
+		return false
+	}
+	if attempts == 0 {
+		return true
+	}
+	last := p.attempts[attempts-1]
+	return last.outcome != Cancelled || now >= last.endedAt+cancelSettleMs
+}
+
+// selectForRetry is the replica for a retry or hedged request, or nil if none takes more work.
+func (s *Scheduler) selectForRetry(now float64, p *part) *replica {
+	selected := s.selectReplica(now, p, p.Shard, p.cost, p)
+	r := selected.replica
+	if r == nil || !selected.takesMore || now < r.circuitOpenUntil {
+		return nil
+	}
+	if len(r.inFlight) > 0 && s.normalizedLatency(now, r) > s.latency.queueingLevel {
+		return nil
+	}
+	return r
+}
+
+// askSubstitute asks a reserve part of a query in place of a late or failed one and reports whether it did.
+func (s *Scheduler) askSubstitute(now float64, q *query) bool {
+	isSubstitute := func(p *part) bool { return p.reserve && s.mayRetry(now, p) }
+	i := slices.IndexFunc(q.parts, isSubstitute)
+	if i < 0 {
+		return false
+	}
+	companions := q.parts[i].companions()
+	for _, p := range companions {
+		p.reserve = false
+	}
+	s.enqueue(now, companions)
+	return true
+}
+
+// superviseParts looks after the parts of a query that are in flight or failed: failed ones are retried, late ones
+// hedged.
+func (s *Scheduler) superviseParts(now float64, q *query) {
+	for _, p := range q.parts {
+		if p.arrived || p.reserve || p.queued || len(p.attempts) == 0 {
+			continue
+		}
+		last := p.attempts[len(p.attempts)-1]
+		if p.attemptsInFlight == 0 {
+			s.retry(now, p)
+		} else if !last.ended && !last.covered {
+			s.superviseAttempt(now, p, last)
+		}
+	}
+}
--- /dev/null
+++ b/internal/decision/scheduler/scheduler.go
@@ -0,0 +1,145 @@
+package scheduler
+
+import (
+	"errors"
+	"math"
+	"slices"
+
+	"ternstage/internal/decision/fleetshare"
+)
+
+// ErrNoActions is returned by New without Actions.
+var ErrNoActions = errors.New("actions: missing")
+
+// Scheduler takes the decisions of one broker.
+type Scheduler struct {
+	settings Settings
+	actions  Actions
+	random   randomSource
+	round    int // number of the present round, from 1
+
+	// Open work.
+	queries        map[uint64]*query // by id
+	queriesByGroup map[int]*query
+	openQueries    []*query // in order of arrival
+	newQueries     []*query // those that the next round decides on
+	parts          map[uint64]*part
+	attempts       map[attemptKey]*attempt // in flight
+	queues         queueTable
+
+	// Replicas and their placement.
+	replicas           replicaTable
+	replicasByGroup    [][]*replica    // by placement group; nil until asked for
+	queuedSinceByGroup map[int]float64 // since when the oldest call waits at a placement group
+	poll               endpointPoll
+
+	// What is learned, a rule each.
+	costs       costModel
+	latency     latencyEstimator
+	zones       zoneLatencies
+	idle        idleConnections
+	fleet       fleetLimit
+	slowStart   slowStart
+	throttle    fleetshare.ClientThrottle
+	deadlines   fleetshare.DeadlineAdmission
+	tenants     tenantQuotas
+	retryBudget retryBudget
+	hedges      eventWindow // hedged requests and reassignments
+	arrivals    eventWindow // queries and parts taken
+
+	congestedAt    float64   // time of the last rejection by a replica, or by admission for load
+	lastAdmittedAt float64   // time of the last admission
+	firstTryMs     []float64 // by class: mean time that first tries of clients are given
+	maxPriority    float64   // of all classes
+	answerMarginMs float64   // how long before a query's deadline its final answer is sent
+	timerAt        float64   // when the timer that was asked for is due; +Inf if there is none
+}
+
+// New makes the scheduler of one broker. The seed determines its random numbers. The error names the first setting
+// that is out of range.
+func New(settings Settings, seed uint64, actions Actions) (*Scheduler, error) {
+	if actions == nil {
+		return nil, ErrNoActions
+	}
+	if err := settings.validate(); err != nil {
+		return nil, err
+	}
+	settings.MaxPartsPerCall = max(1, settings.MaxPartsPerCall)
+	settings.BrokerCount = max(1, settings.BrokerCount)
+	maxPriority, minObjectiveMs := classBounds(settings.Classes)
+	return &Scheduler{
+		settings:           settings,
+		actions:            actions,
+		random:             randomSource{state: seed},
+		queries:            map[uint64]*query{},
+		queriesByGroup:     map[int]*query{},
+		parts:              map[uint64]*part{},
+		attempts:           map[attemptKey]*attempt{},
+		queues:             newQueueTable(),
+		replicas:           newReplicaTable(),
+		queuedSinceByGroup: map[int]float64{},
+		poll:               endpointPoll{dueAt: math.Inf(1)},
+		latency:            newLatencyEstimator(minObjectiveMs),
+		zones:              newZoneLatencies(),
+		fleet:              newFleetLimit(),
+		slowStart:          newSlowStart(settings.SlowStart, settings.BrokerCount),
+		throttle:           fleetshare.NewClientThrottle(settings.BrokerCount),
+		deadlines:          fleetshare.NewDeadlineAdmission(settings.BrokerCount),
+		tenants:            newTenantQuotas(settings.TenantRates, settings.BrokerCount),
+		retryBudget:        retryBudget{settings: settings.RetryBudget},
+		congestedAt:        math.Inf(-1),
+		firstTryMs:         make([]float64, len(settings.Classes)),
+		maxPriority:        maxPriority,
+		answerMarginMs:     finalAnswerMarginMs + settings.TimerResolution,
+		timerAt:            math.Inf(1),
+	}, nil
+}
+
+// classBounds is the highest priority weight of all classes and their shortest latency objective in ms.
+func classBounds(classes []Class) (maxPriority, minObjectiveMs float64) {
+	minObjectiveMs = math.Inf(1)
+	for _, class := range classes {
+		maxPriority = max(maxPriority, class.PriorityWeight)
+		minObjectiveMs = min(minObjectiveMs, class.LatencyObjective)
+	}
+	return maxPriority, minObjectiveMs
+}
+
+// RunRound takes all decisions that follow from the events since the last round: it polls the endpoint list, admits
+// new queries, ends or looks after the open ones, and sends what the replicas take.
+func (s *Scheduler) RunRound(now float64) {
+	s.round++
+	s.slowStart.quota.Advance(now, s.countWarmReplicas)
+	s.pollEndpoints(now)
+	for _, queues := range s.queues.active {
+		queues.refresh(now)
+	}
+	s.noteQueueing(now)
+	s.admitNewQueries(now)
+	s.superviseQueries(now)
+	s.releaseQueues(now)
+	s.scheduleTimer(now)
+}
+
+// TimerFired reports that the timer is due; RunRound does the work.
+func (s *Scheduler) TimerFired(now float64) {
+	if now >= s.timerAt {
+		s.timerAt = math.Inf(1)
+	}
+}
+
+// scheduleTimer asks for the next round if no earlier timer runs.
+func (s *Scheduler) scheduleTimer(now float64) {
+	next := s.poll.dueAt
+	if len(s.openQueries) > 0 {
+		next = min(next, now+superviseIntervalMs)
+	}
+	if next < s.timerAt {
+		s.timerAt = next
+		s.actions.SetTimer(max(next-now, s.settings.TimerResolution))
+	}
+}
+
+func removeEnded(queries []*query) []*query {
+	return slices.DeleteFunc(queries, func(q *query) bool { return q.ended })
+}
--- a/internal/decision/scheduler/turns_test.go
+++ b/internal/decision/scheduler/turns_test.go
@@ -11,10 +11,11 @@
 // wholeParts is what coldMay gives a broker, in parts, of an even share of so many.
 func wholeParts(parts float64, me, n int, node uint32) float64 {
 	const ramp, window, unit = 18_000.0, 1500.0, 100.0
-	s := Settings{BrokerIndex: me, BrokerCount: n, SlowStartInitialCapacity: 1, SlowStartDuration: ramp, SlowStartWindow: window}
-	s.SlowStartWorkMultiple = parts * unit * float64(n) / coldShare / s.SlowStartWindow
-	b := &Scheduler{s: s, unit: unit, cores: 1, born: -ramp}
-	may, _ := b.coldMay(1, &replica{Endpoint: Endpoint{Replica: node}, warmFrom: 1}, 1)
+	s := Settings{BrokerIndex: me, BrokerCount: n, SlowStart: SlowStartSettings{InitialCapacity: 1, Duration: ramp, Window: window}}
+	s.SlowStart.WorkMultiple = parts * unit * float64(n) / allowanceMargin / s.SlowStart.Window
+	b := &Scheduler{settings: s, costs: costModel{meanHint: unit}, slowStart: newSlowStart(s.SlowStart, n)}
+	b.slowStart.startedAt = -ramp
+	may, _ := b.warmupQuotaMs(1, &replica{Endpoint: Endpoint{Replica: node}, warmup: warmupState{startedAt: 1}}, 1)
 	return may / unit
 }
 
--- a/internal/lab/exp/exp.go
+++ b/internal/lab/exp/exp.go
@@ -222,8 +222,9 @@
 	s := scheduler.Settings{BrokerIndex: me % told, BrokerCount: told, TimerResolution: 5, Shards: e.Slices, Cells: e.Nodes, CellsPerShard: e.Reach,
 		LocalZone: e.ZoneOf(me), AllowHedging: e.Copies,
 		Placement: layout, MaxPartsPerCall: 1, PollEndpoints: !e.Pushed, MaxStaleness: 10_000, CanCancel: true, MaxAttempts: e.Tries,
-		MaxRetryAfter: 1000, DrainGrace: 1000, SlowStartInitialCapacity: e.Node.ColdFrom, SlowStartDuration: e.Node.Warm,
-		SlowStartWorkMultiple: e.Node.FallMultiple, SlowStartWindow: e.Node.FallFor, AnswerGrace: 20}
+		MaxRetryAfter: 1000, DrainGrace: 1000, SlowStart: scheduler.SlowStartSettings{
+			InitialCapacity: e.Node.ColdFrom, Duration: e.Node.Warm, WorkMultiple: e.Node.FallMultiple, Window: e.Node.FallFor},
+		AnswerGrace: 20}
 	for _, c := range e.Classes {
 		k := scheduler.Class{LatencyObjective: c.Aim, Deadline: c.Deadline, PriorityWeight: c.Worth, LateFactor: c.Late, MinCompleteness: c.Floor,
 			CompletenessTarget: 1,
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -69,9 +69,10 @@
 		CallOverhead: t.Domain.CallCost, PollEndpoints: t.Discovery == "on_request", MaxStaleness: t.Rules.AskWithin,
 		CanCancel: t.Limits.Cancel, AllowHedging: t.Limits.Parallel,
 		MaxAttempts: t.Limits.Tries,
-		DrainGrace:  t.Rules.Grace, SlowStartInitialCapacity: t.Rules.ColdFrom, SlowStartDuration: t.Rules.WarmIn,
-		SlowStartWorkMultiple: t.Rules.FallTimes, SlowStartWindow: t.Rules.FallFor, RetryBudgetSpare: t.Rules.Spare,
-		RetryBudgetRatio: t.Rules.Share, RetryBudgetWindow: t.Rules.Window, AnswerGrace: t.Rules.Answer}
+		DrainGrace:  t.Rules.Grace, SlowStart: scheduler.SlowStartSettings{InitialCapacity: t.Rules.ColdFrom,
+			Duration: t.Rules.WarmIn, WorkMultiple: t.Rules.FallTimes, Window: t.Rules.FallFor},
+		RetryBudget: scheduler.RetryBudgetSettings{Spare: t.Rules.Spare, Ratio: t.Rules.Share, Window: t.Rules.Window},
+		AnswerGrace: t.Rules.Answer}
 	s.Placement = slicemap.NewRingPlacement(s.Shards, s.Cells, s.CellsPerShard)
 	if t.Limits.RetryAfter {
 		s.MaxRetryAfter = t.Limits.MaxWait
