--- a/internal/complete/complete.go
+++ b/internal/results/complete/complete.go
@@ -8,7 +8,7 @@
 	"math"
 	"slices"
 
-	"ternstage/internal/merge"
+	"ternstage/internal/results/merge"
 	"ternstage/internal/slicemap"
 )
 
--- a/internal/complete/complete_test.go
+++ b/internal/results/complete/complete_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"ternstage/internal/merge"
+	"ternstage/internal/results/merge"
 	"ternstage/internal/slicemap"
 )
 
--- a/internal/cursor/cursor.go
+++ b/internal/results/cursor/cursor.go
@@ -15,7 +15,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"ternstage/internal/merge"
+	"ternstage/internal/results/merge"
 )
 
 // Most is the longest cursor, in bytes of its text.
--- a/internal/cursor/cursor_test.go
+++ b/internal/results/cursor/cursor_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"ternstage/internal/merge"
+	"ternstage/internal/results/merge"
 )
 
 func key(name string, b byte) Key { return Key{Name: name, Secret: bytes.Repeat([]byte{b}, secret)} }
--- a/internal/reading/reading.go
+++ b/internal/results/reading/reading.go
@@ -10,11 +10,11 @@
 	"fmt"
 	"slices"
 
-	"ternstage/internal/complete"
-	"ternstage/internal/cursor"
-	"ternstage/internal/fetch"
-	"ternstage/internal/merge"
-	"ternstage/internal/rows"
+	"ternstage/internal/results/complete"
+	"ternstage/internal/results/cursor"
+	"ternstage/internal/results/fetch"
+	"ternstage/internal/results/merge"
+	"ternstage/internal/results/rows"
 	"ternstage/internal/slicemap"
 )
 
--- a/internal/reading/reading_test.go
+++ b/internal/results/reading/reading_test.go
@@ -9,11 +9,11 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"ternstage/internal/complete"
-	"ternstage/internal/cursor"
-	"ternstage/internal/fetch"
-	"ternstage/internal/merge"
-	"ternstage/internal/rows"
+	"ternstage/internal/results/complete"
+	"ternstage/internal/results/cursor"
+	"ternstage/internal/results/fetch"
+	"ternstage/internal/results/merge"
+	"ternstage/internal/results/rows"
 	"ternstage/internal/slicemap"
 )
 
--- a/internal/rows/arrow.go
+++ b/internal/results/rows/arrow.go
@@ -9,7 +9,7 @@
 	"github.com/apache/arrow-go/v18/arrow/array"
 	"github.com/apache/arrow-go/v18/arrow/memory"
 
-	"ternstage/internal/merge"
+	"ternstage/internal/results/merge"
 )
 
 // The names of what a record batch's schema carries beside its columns.
--- a/internal/rows/rows.go
+++ b/internal/results/rows/rows.go
@@ -12,8 +12,8 @@
 	"slices"
 	"unicode/utf8"
 
-	"ternstage/internal/complete"
-	"ternstage/internal/merge"
+	"ternstage/internal/results/complete"
+	"ternstage/internal/results/merge"
 	"ternstage/internal/slicemap"
 )
 
--- a/internal/rows/rows_test.go
+++ b/internal/results/rows/rows_test.go
@@ -10,8 +10,8 @@
 	"github.com/apache/arrow-go/v18/arrow/memory"
 	"github.com/stretchr/testify/require"
 
-	"ternstage/internal/complete"
-	"ternstage/internal/merge"
+	"ternstage/internal/results/complete"
+	"ternstage/internal/results/merge"
 	"ternstage/internal/slicemap"
 )
 
