--- a/internal/slicemap/follow.go
+++ b/internal/slicemap/poller.go
@@ -2,43 +2,11 @@
 
 import "math"
 
-// PollerOptions are the times of following a source, in ms.
-type PollerOptions struct {
-	WatchTimeoutMs float64 // of one watch call
-	JitterMs       float64 // a read on a hint comes up to so much later, so that brokers do not come together
-	MinIntervalMs  float64 // between two reads on hints at least
-	BackoffMinMs   float64 // first delay after a failed call; it doubles
-	BackoffMaxMs   float64 // to this
-}
-
-// DefaultPollerOptions is what holds where the operators state nothing.
-var DefaultPollerOptions = PollerOptions{WatchTimeoutMs: 20_000, JitterMs: 50, MinIntervalMs: 250, BackoffMinMs: 100, BackoffMaxMs: 4000}
-
-// PollRequest is what a source is to be asked.
-type PollRequest struct {
-	FullSnapshot   bool    // the whole map; else what changed since Index
-	SinceEpoch     uint64  // the epoch in use
-	Wait           float64 // ms that the source may wait for news; 0: it answers at once
-	Timeout        float64 // ms after which the call has failed
-	CancelsPending bool    // a call is out: it is given up for this one
-}
-
 const (
 	wholeMost = 5000.0 // ms that the whole map may take
 	deltaMost = 1000.0 // ms that changes may take, beyond the wait
 )
 
-// Source is where the map comes from: it follows something outside and hands maps and changes on, all on the
-// loop.
-type Source interface {
-	// Start begins to follow.
-	Start()
-	// NewerEpochSeen tells that a map of this epoch is known somewhere. Hints of one moment lead to one read.
-	NewerEpochSeen(epoch uint64)
-	// Close ends it.
-	Close()
-}
-
 // Poller decides when a source of the map is asked and for what: a watch that goes on, the whole map where a
 // change could not be applied, a growing delay after failures, and one read at once, for all who tell of a
 // newer map together. One call is out at a time. It has no clock and no I/O.
