--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -122,7 +122,7 @@
 // ShardsInMotion are the first slices that are being moved, most at most.
 func ShardsInMotion(m *slicemap.Map, most int) []Shard {
 	out := []Shard{}
-	for _, s := range m.Moving() {
+	for _, s := range m.ShardsInMotion() {
 		if len(out) < most {
 			out = append(out, formSlice(s))
 		}
--- a/internal/catalog/source.go
+++ b/internal/catalog/source.go
@@ -81,7 +81,7 @@
 	s.by = math.Inf(1)
 }
 
-func (s *Source) plan() { s.timer.Set(min(s.by, s.follow.At())) }
+func (s *Source) plan() { s.timer.Set(min(s.by, s.follow.NextAt())) }
 
 // step makes the call that is due, or gives up one that takes too long.
 func (s *Source) step() {
@@ -235,7 +235,7 @@
 	if err != nil {
 		// The map in use stays. One line names the first fault; the whole map is asked for.
 		s.log.Rejected(logs.ShardMapRejected, "map refused", err)
-		s.follow.Refused(now)
+		s.follow.Rejected(now)
 	} else {
 		s.follow.Succeeded(now, s.sink.Epoch())
 	}
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -113,7 +113,7 @@
 // holds tells whether it may execute districts by the map it knows.
 func (n *Node) holds(r slicemap.Range) bool {
 	for at := r.Start; at < r.End; {
-		s := n.view.At(at)
+		s := n.view.ShardAt(at)
 		if s == nil || !s.Executes(n.ID) {
 			return false
 		}
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -110,7 +110,7 @@
 	settled := false // an attempt went out that may have run
 	t.Repeat(map[string]func(*rapid.T){
 		"change": func(t *rapid.T) {
-			s := m.Current().At(5)
+			s := m.Current().ShardAt(5)
 			c := slicemap.Change{Shard: s.ID, Base: m.Current().Epoch, Epoch: m.Current().Epoch + 1}
 			switch s.State {
 			case slicemap.Serving:
@@ -143,7 +143,7 @@
 			if settled {
 				return
 			}
-			s := views[broker].At(5)
+			s := views[broker].ShardAt(5)
 			to := rapid.SampledFrom(s.Executors()).Draw(t, "to")
 			j := &Job{Districts: slicemap.Range{Start: 0, End: 10}, Epoch: s.Since, Work: 1}
 			if !fenced {
@@ -161,7 +161,7 @@
 		},
 		"": func(t *rapid.T) {
 			require.LessOrEqual(t, ran, 1, "the part ran twice")
-			executors := m.Current().At(5).Executors()
+			executors := m.Current().ShardAt(5).Executors()
 			require.Len(t, executors, 2, "no district without its holders")
 		},
 	})
--- a/internal/lab/world/fleet.go
+++ b/internal/lab/world/fleet.go
@@ -289,7 +289,7 @@
 	c := s.e.Changes
 	for range 8 {
 		v := f.truth.Current()
-		at := v.At(f.rnd.IntN(v.Buckets))
+		at := v.ShardAt(f.rnd.IntN(v.Buckets))
 		switch x := f.rnd.Float64() * (c.Split + c.Merge + c.Move); {
 		case x < c.Split:
 			if at.Size() >= 2 && f.apply(slicemap.Change{Kind: slicemap.Split, Shard: at.ID,
@@ -299,12 +299,12 @@
 			}
 		case x < c.Split+c.Merge:
 			for range 50 { // neighbours with the same holders are rare
-				if o := v.At(at.End); o != nil && f.apply(slicemap.Change{Kind: slicemap.Merge, Shard: at.ID, Other: o.ID,
+				if o := v.ShardAt(at.End); o != nil && f.apply(slicemap.Change{Kind: slicemap.Merge, Shard: at.ID, Other: o.ID,
 					Into: []slicemap.ShardID{f.next}}) {
 					f.next++
 					return
 				}
-				at = v.At(f.rnd.IntN(v.Buckets))
+				at = v.ShardAt(f.rnd.IntN(v.Buckets))
 			}
 		default:
 			if f.move(at) {
@@ -372,7 +372,7 @@
 func (f *fleet) each(r slicemap.Range, from, to string, kind slicemap.Kind) {
 	v := f.truth.Current()
 	for at := r.Start; at < r.End; {
-		x := v.At(at)
+		x := v.ShardAt(at)
 		if x.From == from && x.To == to {
 			f.apply(slicemap.Change{Kind: kind, Shard: x.ID})
 		}
@@ -515,7 +515,7 @@
 		return true // too long ago to be judged
 	}
 	for at := j.Districts.Start; at < j.Districts.End; {
-		x := s.fleet.past[i].v.At(at)
+		x := s.fleet.past[i].v.ShardAt(at)
 		if !x.Executes(n.ID) {
 			return false
 		}
--- a/internal/lab/world/virtual.go
+++ b/internal/lab/world/virtual.go
@@ -358,7 +358,7 @@
 }
 
 func (b *virtual) plan() {
-	at := b.follow.At()
+	at := b.follow.NextAt()
 	if math.IsInf(at, 1) || at >= b.due {
 		return
 	}
@@ -382,7 +382,7 @@
 	case take == nil:
 		b.follow.Failed(b.sim.now)
 	case take(b.core) != nil:
-		b.follow.Refused(b.sim.now)
+		b.follow.Rejected(b.sim.now)
 	default:
 		b.follow.Succeeded(b.sim.now, b.core.Epoch())
 		b.touch()
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -247,7 +247,7 @@
 	n := int(c.Parts[0]) + s.load.IntN(int(c.Parts[1]-c.Parts[0])+1)
 	// The client's own idea of the slices is old.
 	v := s.fleet.seen(s.now - s.e.Client.Draw(s.load))
-	at, sum := v.At(s.load.IntN(v.Buckets)), 0.0
+	at, sum := v.ShardAt(s.load.IntN(v.Buckets)), 0.0
 	q := &query{sim: s, class: c, due: s.now, first: true, ask: &check.Ask{Class: i, Once: c.Once(),
 		Floor:    c.Floor,
 		Deadline: s.now + c.Deadline*(0.6+0.4*s.load.Float64())}}
@@ -256,7 +256,7 @@
 		q.ask.Parts = append(q.ask.Parts, check.Part{Shard: at.ID, Weight: w, Districts: at.Range})
 		q.work = append(q.work, c.Work.Draw(s.load))
 		sum += w
-		at = v.At(at.End % v.Buckets)
+		at = v.ShardAt(at.End % v.Buckets)
 	}
 	for i := range q.ask.Parts {
 		q.ask.Parts[i].Weight /= sum
@@ -319,7 +319,7 @@
 	next.ask, next.b = ask, nil
 	v := s.fleet.truth.Current()
 	for i, p := range ask.Parts {
-		now := v.At(p.Districts.Start)
+		now := v.ShardAt(p.Districts.Start)
 		ask.Parts[i] = check.Part{Shard: now.ID, Weight: p.Weight, Districts: now.Range}
 	}
 	if distinct(ask.Parts) {
--- a/internal/slicemap/map.go
+++ b/internal/slicemap/map.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// Moving are the slices that are being moved, by id.
-func (m *Map) Moving() []*Shard {
+// ShardsInMotion are the slices that are being moved, by id.
+func (m *Map) ShardsInMotion() []*Shard {
 	out := slices.Collect(maps.Values(m.moving))
 	slices.SortFunc(out, func(a, b *Shard) int { return a.ID - b.ID })
 	return out
--- a/internal/slicemap/map_test.go
+++ b/internal/slicemap/map_test.go
@@ -16,7 +16,7 @@
 		nodes := []string{"a", "b", "c", "d", "e"}
 		executor := make([][]string, 64) // by district: the model's own
 		for i := range executor {
-			executor[i] = slices.Sorted(slices.Values(m.Current().At(i).Replicas))
+			executor[i] = slices.Sorted(slices.Values(m.Current().ShardAt(i).Replicas))
 		}
 		next := 4
 		type snapshot struct {
@@ -31,7 +31,7 @@
 			})
 			return out
 		}
-		one := func(label string) *Shard { return m.Current().At(rapid.IntRange(0, 63).Draw(t, label)) }
+		one := func(label string) *Shard { return m.Current().ShardAt(rapid.IntRange(0, 63).Draw(t, label)) }
 		t.Repeat(map[string]func(*rapid.T){
 			"split": func(t *rapid.T) {
 				s, at := one("d"), rapid.IntRange(0, 63).Draw(t, "at")
@@ -103,7 +103,7 @@
 					names := slices.Sorted(slices.Values(s.Executors()))
 					for at = s.Start; at < s.End; at++ {
 						require.Equal(t, executor[at], names)
-						require.Same(t, s, v.At(at))
+						require.Same(t, s, v.ShardAt(at))
 					}
 					g, known := groups[fmt.Sprint(names)]
 					require.True(t, !known || g == m.Group(s.ID), "one group for one set of holders")
@@ -113,7 +113,7 @@
 				})
 				require.Equal(t, 64, at)
 				require.Equal(t, v.Len(), len(m.now))
-				moving := m.Moving()
+				moving := m.ShardsInMotion()
 				v.All(func(s *Shard) bool {
 					require.Equal(t, s.State != Serving, slices.Contains(moving, s))
 					return true
--- a/internal/slicemap/poller.go
+++ b/internal/slicemap/poller.go
@@ -39,8 +39,8 @@
 	return float64((z^z>>31)>>11) / (1 << 53)
 }
 
-// At is when Next should be asked again.
-func (f *Poller) At() float64 {
+// NextAt is when Next should be asked again.
+func (f *Poller) NextAt() float64 {
 	if f.out {
 		return f.hintAt
 	}
@@ -105,9 +105,9 @@
 	return min(f.o.MinIntervalMs*float64(int(1)<<min(f.vain, 10)), max(f.o.MinIntervalMs, f.o.BackoffMaxMs))
 }
 
-// Refused tells that the call brought a map or a change that cannot be: the whole map is asked for, at once
+// Rejected tells that the call brought a map or a change that cannot be: the whole map is asked for, at once
 // the first time.
-func (f *Poller) Refused(now float64) {
+func (f *Poller) Rejected(now float64) {
 	again := f.whole
 	f.whole = true
 	if f.out = false; again {
--- a/internal/slicemap/poller_test.go
+++ b/internal/slicemap/poller_test.go
@@ -17,13 +17,13 @@
 	c, due = f.Next(2)
 	require.Equal(t, PollRequest{SinceEpoch: 41, Wait: DefaultPollerOptions.WatchTimeoutMs, Timeout: DefaultPollerOptions.WatchTimeoutMs + deltaMost}, c)
 	require.True(t, due)
-	f.Refused(5)
+	f.Rejected(5)
 	c, due = f.Next(5)
 	require.True(t, due && c.FullSnapshot, "after a fault the whole map, at once")
-	f.Refused(6)
+	f.Rejected(6)
 	_, due = f.Next(6)
 	require.False(t, due, "a second fault is not asked for at once: the source has nothing better")
-	require.GreaterOrEqual(t, f.At(), 6+DefaultPollerOptions.BackoffMinMs/2)
+	require.GreaterOrEqual(t, f.NextAt(), 6+DefaultPollerOptions.BackoffMinMs/2)
 }
 
 func TestFollowBacksOffAndIsBounded(t *testing.T) {
@@ -33,9 +33,9 @@
 			calls++
 			f.Failed(now)
 		}
-		require.Greater(t, f.At(), now)
-		require.LessOrEqual(t, f.At(), now+DefaultPollerOptions.BackoffMaxMs)
-		now = f.At()
+		require.Greater(t, f.NextAt(), now)
+		require.LessOrEqual(t, f.NextAt(), now+DefaultPollerOptions.BackoffMaxMs)
+		now = f.NextAt()
 	}
 	require.Less(t, calls, 25, "30 s without a source are a few calls")
 	require.Greater(t, calls, 7)
@@ -57,7 +57,7 @@
 	}
 	require.Equal(t, 1, reads, "one read at once, not one for each part")
 	f.NewerEpochSeen(now, 40)
-	require.True(t, math.IsInf(f.At(), 1), "what is older says nothing")
+	require.True(t, math.IsInf(f.NextAt(), 1), "what is older says nothing")
 	// A source that is behind the nodes is asked again at a pace.
 	for now < 2600 {
 		if _, due := f.Next(now); due {
@@ -71,5 +71,5 @@
 	f.Succeeded(now, 50)
 	f.Next(now)
 	f.NewerEpochSeen(now, 50)
-	require.True(t, math.IsInf(f.At(), 1), "it is known now")
+	require.True(t, math.IsInf(f.NextAt(), 1), "it is known now")
 }
--- a/internal/slicemap/retained_versions_test.go
+++ b/internal/slicemap/retained_versions_test.go
@@ -14,7 +14,7 @@
 	first := m.Acquire()
 	again := m.Acquire()
 	for i := range 3 {
-		apply(t, m, Change{Kind: Split, Shard: m.Current().At(0).ID, At: 50 >> i, Into: []ShardID{4 + 2*i, 5 + 2*i}})
+		apply(t, m, Change{Kind: Split, Shard: m.Current().ShardAt(0).ID, At: 50 >> i, Into: []ShardID{4 + 2*i, 5 + 2*i}})
 	}
 	require.Equal(t, 2, m.Stats().Kept, "versions that nobody began on are freed at once")
 	m.Release(first)
--- a/internal/slicemap/version.go
+++ b/internal/slicemap/version.go
@@ -33,8 +33,8 @@
 	return s
 }
 
-// At is the slice that holds a district; nil if the district is out of range.
-func (v *Version) At(district int) *Shard {
+// ShardAt is the slice that holds a district; nil if the district is out of range.
+func (v *Version) ShardAt(district int) *Shard {
 	if district < 0 || district >= v.Buckets {
 		return nil
 	}
