--- a/internal/core/moving_test.go
+++ b/internal/core/moving_test.go
@@ -247,7 +247,7 @@
 	require.EqualValues(t, 1, a.Epoch, "it is told by which map it began")
 	require.Equal(t, []Value{{0, slicemap.Range{Start: 0, End: 4}, []byte("0-4")},
 		{0, slicemap.Range{Start: 4, End: 10}, []byte("4-10")}, {1, slicemap.Range{Start: 10, End: 20}, []byte("10-20")}}, a.Values)
-	require.Equal(t, 1, r.m.Stats().Kept, "its version is freed")
+	require.Equal(t, 1, r.m.Stats().RetainedVersions, "its version is freed")
 	require.Empty(t, r.c.bySlice)
 	require.Empty(t, r.c.out)
 }
@@ -391,7 +391,7 @@
 		all = append(all, r.ask(compare, 0, i%8))
 		r.change(slicemap.Change{Kind: slicemap.Assign, Shard: 7, Replicas: []string{"a", "b", "c", "d"}[i%4 : i%4+1]})
 	}
-	require.Equal(t, 8, r.m.Stats().Kept)
+	require.Equal(t, 8, r.m.Stats().RetainedVersions)
 	require.Contains(t, r.lines, "map versions at their bound: 1 let go, 5 in all")
 	for len(r.sent) > 0 {
 		r.end(r.sent[0], scheduler.Succeeded)
@@ -399,7 +399,7 @@
 	for _, e := range all {
 		require.True(t, r.one(e).Complete)
 	}
-	require.Equal(t, 1, r.m.Stats().Kept)
+	require.Equal(t, 1, r.m.Stats().RetainedVersions)
 }
 
 func TestNoMapNoService(t *testing.T) {
--- a/internal/lab/result/result.go
+++ b/internal/lab/result/result.go
@@ -57,9 +57,9 @@
 	s.Replaced += int(m.Replaced)
 	s.SplitParts += int(m.Split)
 	s.Behind += int(m.Behind)
-	s.Moved += int(t.Moved)
-	s.Disagree += int(t.Disagree)
-	s.Refusals += int(t.Refused)
+	s.Moved += int(t.NotHolder)
+	s.Disagree += int(t.SameEpoch)
+	s.Refusals += int(t.Rejected)
 }
 
 // Sum puts runs together: counts are added, worth and latencies are means, weighted by what was taken.
--- a/internal/lab/world/live.go
+++ b/internal/lab/world/live.go
@@ -372,7 +372,7 @@
 	var t slicemap.Stats
 	if errors.Join(json.Unmarshal(text, &m), json.Unmarshal(text, &t)) == nil {
 		r.Add(m, t)
-		r.KeptMax = max(r.KeptMax, t.KeptMost)
+		r.KeptMax = max(r.KeptMax, t.MaxRetainedVersions)
 	}
 }
 
--- a/internal/lab/world/virtual.go
+++ b/internal/lab/world/virtual.go
@@ -168,7 +168,7 @@
 	if b.m == nil {
 		return 0
 	}
-	return b.m.Stats().KeptMost
+	return b.m.Stats().MaxRetainedVersions
 }
 
 func (b *virtual) touch() {
@@ -522,8 +522,8 @@
 }
 
 func addStats(a, b slicemap.Stats) slicemap.Stats {
-	return slicemap.Stats{Moved: a.Moved + b.Moved, Disagree: a.Disagree + b.Disagree,
-		Refused: a.Refused + b.Refused}
+	return slicemap.Stats{NotHolder: a.NotHolder + b.NotHolder, SameEpoch: a.SameEpoch + b.SameEpoch,
+		Rejected: a.Rejected + b.Rejected}
 }
 
 func (b *virtual) number() int { return b.index }
--- a/internal/lab/world/world_test.go
+++ b/internal/lab/world/world_test.go
@@ -223,8 +223,8 @@
 	require.LessOrEqual(t, end.KeptMax, 40)
 	for _, x := range s.brokers {
 		b := x.(*virtual)
-		require.Equal(t, 1, b.m.Stats().Kept, "no version is kept for nobody")
-		require.LessOrEqual(t, b.m.Stats().Groups, b.m.Stats().Slices)
+		require.Equal(t, 1, b.m.Stats().RetainedVersions, "no version is kept for nobody")
+		require.LessOrEqual(t, b.m.Stats().Groups, b.m.Stats().Shards)
 		require.Empty(t, b.out)
 	}
 	// Other tests share the heap, so that the bound can only be rough here; docs/results has the run alone.
--- a/internal/slicemap/changes.go
+++ b/internal/slicemap/changes.go
@@ -16,7 +16,7 @@
 			continue
 		}
 		if err := e.apply(c); err != nil {
-			m.stats.Refused++
+			m.stats.Rejected++
 			return nil, fmt.Errorf("change %d, %v: %w", i, c.Kind, err)
 		}
 		for _, id := range c.Into {
@@ -24,7 +24,7 @@
 		}
 		e.used = func(id ShardID) bool { return id <= highest }
 		if did++; e.Len() > m.o.MaxShards {
-			m.stats.Refused++
+			m.stats.Rejected++
 			return nil, fault(-1, ErrTooMany, "%d of %d", e.Len(), m.o.MaxShards)
 		}
 	}
--- a/internal/slicemap/lineage.go
+++ b/internal/slicemap/lineage.go
@@ -16,7 +16,7 @@
 	for len(m.order) > m.o.MaxRetired {
 		delete(m.history, m.order[0])
 		m.order = m.order[1:]
-		m.stats.Forgotten++
+		m.stats.ForgottenShards++
 	}
 }
 
--- a/internal/slicemap/map_test.go
+++ b/internal/slicemap/map_test.go
@@ -118,7 +118,7 @@
 					require.Equal(t, s.State != Serving, slices.Contains(moving, s))
 					return true
 				})
-				require.Equal(t, len(moving), m.Stats().Moving)
+				require.Equal(t, len(moving), m.Stats().ShardsInMotion)
 				require.Equal(t, len(groups), m.Stats().Groups, "no group is left behind")
 				for id := range next {
 					if r, err := m.Resolve(id); err == nil {
--- a/internal/slicemap/not_holder.go
+++ b/internal/slicemap/not_holder.go
@@ -25,7 +25,7 @@
 // OnNotHolder decides on a leg that was routed by one epoch and refused by a node at another, for the n-th
 // time in a row, from 1. The module's own choice puts a node that was tried last.
 func (m *Map) OnNotHolder(l Segment, routed, node uint64, n int) RetryWait {
-	m.stats.Moved++
+	m.stats.NotHolder++
 	s := m.now[l.Shard]
 	if s == nil || s.Since != routed {
 		return RetryWait{} // the map has moved on since the leg went out: the next try goes by it
@@ -40,14 +40,14 @@
 	switch {
 	case node > m.cur.Epoch:
 		// We are late. What the node knows ends the wait; guards against a crowd of tries by an old map.
-		m.stats.MapLate++
+		m.stats.MapBehind++
 		if w.ReadEpoch = node; rest >= 0 {
 			w.Delay, w.UntilEpoch = lateMost, node
 		}
 	case node < routed:
-		m.stats.NodeLate++
+		m.stats.BackendBehind++
 	default:
-		m.stats.Disagree++
+		m.stats.SameEpoch++
 	}
 	return w
 }
--- a/internal/slicemap/retained_versions.go
+++ b/internal/slicemap/retained_versions.go
@@ -22,10 +22,10 @@
 	for len(m.kept) > m.o.MaxVersions {
 		m.kept[0].refs = -1 << 30
 		m.kept = m.kept[1:]
-		m.stats.LetGo++
+		m.stats.DroppedVersions++
 	}
-	m.stats.KeptMost = max(m.stats.KeptMost, len(m.kept))
+	m.stats.MaxRetainedVersions = max(m.stats.MaxRetainedVersions, len(m.kept))
 }
 
 // DroppedVersions is how many versions were let go at the bound.
-func (m *Map) DroppedVersions() uint64 { return m.stats.LetGo }
+func (m *Map) DroppedVersions() uint64 { return m.stats.DroppedVersions }
--- a/internal/slicemap/snapshot.go
+++ b/internal/slicemap/snapshot.go
@@ -14,7 +14,7 @@
 func (m *Map) Reset(w Snapshot) (retired []ShardID, err error) {
 	defer func() {
 		if err != nil {
-			m.stats.Refused++
+			m.stats.Rejected++
 		}
 	}()
 	if w.Epoch < max(m.cur.Epoch, 1) {
@@ -72,7 +72,7 @@
 		m.track(s)
 		m.highest = max(m.highest, s.ID) // new ids are above all older ones, so the highest is always in use
 	}
-	m.stats.Wholes++
+	m.stats.Snapshots++
 	m.adopt(v)
 	return retired, nil
 }
--- a/internal/slicemap/validation_test.go
+++ b/internal/slicemap/validation_test.go
@@ -45,7 +45,7 @@
 			_, err := m.Reset(c.w)
 			require.ErrorIs(t, err, c.err)
 			require.Same(t, was, m.Current())
-			require.EqualValues(t, 1, m.Stats().Refused)
+			require.EqualValues(t, 1, m.Stats().Rejected)
 		})
 	}
 	m := started(t, 4, 10)
