--- a/internal/catalog/source.go
+++ b/internal/catalog/source.go
@@ -100,7 +100,7 @@
 
 func (s *Source) call(c slicemap.PollRequest) {
 	now := s.loop.Now()
-	s.by, s.most = now+c.Timeout, c.Timeout
+	s.by, s.most = now+c.TimeoutMs, c.TimeoutMs
 	if s.s == nil {
 		fd, err := loop.Connect(s.o.Address)
 		if err == nil {
@@ -115,7 +115,7 @@
 	}
 	target := path
 	if !c.FullSnapshot {
-		target = fmt.Sprintf("%s?index=%d&wait=%d", path, c.SinceEpoch, int(c.Wait))
+		target = fmt.Sprintf("%s?index=%d&wait=%d", path, c.SinceEpoch, int(c.WaitMs))
 	}
 	s.out = true
 	s.calls++ // what is still being read of an older one counts for nothing
--- a/internal/core/moving.go
+++ b/internal/core/moving.go
@@ -197,10 +197,10 @@
 		p.wait = w.UntilEpoch
 		c.waiting = append(c.waiting, p)
 	}
-	if w.Delay > 0 {
+	if w.DelayMs > 0 {
 		c.moves.Paused++
 	}
-	return w.Delay
+	return w.DelayMs
 }
 
 // reroute puts parts of other slices in the place of one whose slice is no more, if a further try of it is
--- a/internal/lab/world/fleet.go
+++ b/internal/lab/world/fleet.go
@@ -180,7 +180,7 @@
 func (f *fleet) asked(c slicemap.PollRequest, fail func(), deliver func(told)) {
 	s := f.sim
 	if s.net.Float64() < s.e.News.Lost { // nothing ever comes
-		s.at(s.now+c.Timeout, fail)
+		s.at(s.now+c.TimeoutMs, fail)
 		return
 	}
 	answered := false
@@ -200,14 +200,14 @@
 		}
 	}
 	s.at(s.now+s.hop(), func() {
-		if f.out() || c.FullSnapshot || c.Wait == 0 || f.truth.Current().Epoch > c.SinceEpoch {
+		if f.out() || c.FullSnapshot || c.WaitMs == 0 || f.truth.Current().Epoch > c.SinceEpoch {
 			answer()
 			return
 		}
 		f.waiting = append(f.waiting, answer)
-		s.at(s.now+c.Wait, answer)
+		s.at(s.now+c.WaitMs, answer)
 		for _, o := range s.e.News.Outages { // watches end when the catalogue goes down
-			if at := origin + o.At; at > s.now && at < s.now+c.Wait {
+			if at := origin + o.At; at > s.now && at < s.now+c.WaitMs {
 				s.at(at, answer)
 			}
 		}
@@ -329,7 +329,7 @@
 		})
 	}
 	if to.state != scheduler.Ready || !f.pace.MayHandOver(s.now,
-		slicemap.HandoverTarget{Started: to.Started, Buckets: holds, HandoversInProgress: to.taking}, at.Size(), usual) {
+		slicemap.HandoverTarget{StartedAtMs: to.Started, Buckets: holds, HandoversInProgress: to.taking}, at.Size(), usual) {
 		return false
 	}
 	abort := f.rnd.Float64() < s.e.Changes.Abort
--- a/internal/lab/world/servers.go
+++ b/internal/lab/world/servers.go
@@ -159,7 +159,7 @@
 	s := c.world
 	index, err := strconv.ParseUint(r.URL.Query().Get("index"), 10, 63)
 	wait, _ := strconv.ParseFloat(r.URL.Query().Get("wait"), 64)
-	call := slicemap.PollRequest{FullSnapshot: err != nil, SinceEpoch: index, Wait: wait, Timeout: wait + 10_000}
+	call := slicemap.PollRequest{FullSnapshot: err != nil, SinceEpoch: index, WaitMs: wait, TimeoutMs: wait + 10_000}
 	answer := make(chan *told, 4)
 	put := func(t *told) {
 		select {
--- a/internal/slicemap/errors.go
+++ b/internal/slicemap/errors.go
@@ -21,16 +21,16 @@
 // ValidationError is the first thing that is wrong with a map or a change.
 type ValidationError struct {
 	Shard ShardID // -1 if it is not one slice's
-	What  string
+	Detail  string
 	Err   error
 }
 
 // Error names the slice and the fault.
 func (f *ValidationError) Error() string {
 	if f.Shard < 0 {
-		return fmt.Sprintf("%v: %s", f.Err, f.What)
+		return fmt.Sprintf("%v: %s", f.Err, f.Detail)
 	}
-	return fmt.Sprintf("slice %d: %v: %s", f.Shard, f.Err, f.What)
+	return fmt.Sprintf("slice %d: %v: %s", f.Shard, f.Err, f.Detail)
 }
 
 // Unwrap gives the kind of fault.
--- a/internal/slicemap/handover_pacer.go
+++ b/internal/slicemap/handover_pacer.go
@@ -10,7 +10,7 @@
 
 // HandoverTarget is a node that is to be given a slice.
 type HandoverTarget struct {
-	Started             float64 // 0: long ago
+	StartedAtMs             float64 // 0: long ago
 	Buckets             int     // districts that it executes
 	HandoversInProgress int     // handovers to it that go on
 }
@@ -21,9 +21,9 @@
 	if t.HandoversInProgress >= max(p.MaxConcurrent, 1) {
 		return false
 	}
-	if t.Started <= 0 || p.WarmupMs <= 0 || now >= t.Started+p.WarmupMs {
+	if t.StartedAtMs <= 0 || p.WarmupMs <= 0 || now >= t.StartedAtMs+p.WarmupMs {
 		return true
 	}
-	share := p.InitialCapacity + (1-p.InitialCapacity)*max(0, now-t.Started)/p.WarmupMs
+	share := p.InitialCapacity + (1-p.InitialCapacity)*max(0, now-t.StartedAtMs)/p.WarmupMs
 	return float64(t.Buckets+districts) <= share*float64(usual)
 }
--- a/internal/slicemap/not_holder.go
+++ b/internal/slicemap/not_holder.go
@@ -8,7 +8,7 @@
 
 // RetryWait is what follows on a node's word that it does not hold the districts of a leg.
 type RetryWait struct {
-	Delay      float64 // ms in which the leg is not tried again
+	DelayMs      float64 // ms in which the leg is not tried again
 	UntilEpoch uint64  // an epoch that ends the pause sooner; 0 for none
 	ReadEpoch  uint64  // the source knows an epoch as new as this: read it; 0 for no need
 }
@@ -35,14 +35,14 @@
 	rest := n - len(s.Replicas)
 	w := RetryWait{}
 	if rest >= 0 {
-		w.Delay = min(pauseLate*float64(int(1)<<min(rest, 10)), pauseMost)
+		w.DelayMs = min(pauseLate*float64(int(1)<<min(rest, 10)), pauseMost)
 	}
 	switch {
 	case node > m.cur.Epoch:
 		// We are late. What the node knows ends the wait; guards against a crowd of tries by an old map.
 		m.stats.MapBehind++
 		if w.ReadEpoch = node; rest >= 0 {
-			w.Delay, w.UntilEpoch = lateMost, node
+			w.DelayMs, w.UntilEpoch = lateMost, node
 		}
 	case node < routed:
 		m.stats.BackendBehind++
--- a/internal/slicemap/poller.go
+++ b/internal/slicemap/poller.go
@@ -56,17 +56,17 @@
 	if f.out && !(hurried && f.waits) || !f.out && now < f.at && !hurried {
 		return PollRequest{}, false
 	}
-	c = PollRequest{FullSnapshot: f.whole, SinceEpoch: f.epoch, Wait: f.o.WatchTimeoutMs, CancelsPending: f.out}
+	c = PollRequest{FullSnapshot: f.whole, SinceEpoch: f.epoch, WaitMs: f.o.WatchTimeoutMs, CancelsPending: f.out}
 	if hurried {
 		// What a node or a client knows the source knows: guards against a watch that has died unseen.
-		c.Wait, f.lastHit = 0, now
+		c.WaitMs, f.lastHit = 0, now
 		f.reads++
 	}
-	c.Timeout = c.Wait + deltaMost
+	c.TimeoutMs = c.WaitMs + deltaMost
 	if c.FullSnapshot {
-		c.Wait, c.Timeout = 0, wholeMost
+		c.WaitMs, c.TimeoutMs = 0, wholeMost
 	}
-	f.out, f.waits = true, c.Wait > 0
+	f.out, f.waits = true, c.WaitMs > 0
 	return c, true
 }
 
