--- a/internal/slicemap/errors.go
+++ b/internal/slicemap/errors.go
@@ -20,9 +20,9 @@
 
 // ValidationError is the first thing that is wrong with a map or a change.
 type ValidationError struct {
-	Shard ShardID // -1 if it is not one slice's
-	Detail  string
-	Err   error
+	Shard  ShardID // -1 if it is not one slice's
+	Detail string
+	Err    error
 }
 
 // Error names the slice and the fault.
--- a/internal/slicemap/handover_pacer.go
+++ b/internal/slicemap/handover_pacer.go
@@ -10,7 +10,7 @@
 
 // HandoverTarget is a node that is to be given a slice.
 type HandoverTarget struct {
-	StartedAtMs             float64 // 0: long ago
+	StartedAtMs         float64 // 0: long ago
 	Buckets             int     // districts that it executes
 	HandoversInProgress int     // handovers to it that go on
 }
--- a/internal/slicemap/not_holder.go
+++ b/internal/slicemap/not_holder.go
@@ -8,7 +8,7 @@
 
 // RetryWait is what follows on a node's word that it does not hold the districts of a leg.
 type RetryWait struct {
-	DelayMs      float64 // ms in which the leg is not tried again
+	DelayMs    float64 // ms in which the leg is not tried again
 	UntilEpoch uint64  // an epoch that ends the pause sooner; 0 for none
 	ReadEpoch  uint64  // the source knows an epoch as new as this: read it; 0 for no need
 }
