--- a/internal/slicemap/poll_request.go
+++ b/internal/slicemap/poll_request.go
@@ -1,10 +1,10 @@
 package slicemap
 
-// PollRequest is what a source is to be asked.
+// PollRequest is a call that is to be made to the source of the shard map.
 type PollRequest struct {
-	FullSnapshot   bool    // the whole map; else what changed since Index
+	FullSnapshot   bool    // ask for a snapshot; otherwise for what changed after SinceEpoch
 	SinceEpoch     uint64  // the epoch in use
-	WaitMs         float64 // ms that the source may wait for news; 0: it answers at once
+	WaitMs         float64 // ms that the source may wait for a change before it answers; 0: it answers at once
 	TimeoutMs      float64 // ms after which the call has failed
-	CancelsPending bool    // a call is out: it is given up for this one
+	CancelsPending bool    // a call is in flight and must be cancelled for this one
 }
--- a/internal/slicemap/poller.go
+++ b/internal/slicemap/poller.go
@@ -3,131 +3,165 @@
 import "math"
 
 const (
-	wholeMost = 5000.0 // ms that the whole map may take
-	deltaMost = 1000.0 // ms that changes may take, beyond the wait
+	snapshotTimeoutMs = 5000.0 // for a snapshot
+	changesTimeoutMs  = 1000.0 // for changes, beyond the time that the source may wait
 )
 
-// Poller decides when a source of the map is asked and for what: a watch that goes on, the whole map where a
-// change could not be applied, a growing delay after failures, and one read at once, for all who tell of a
-// newer map together. One call is out at a time. It has no clock and no I/O.
+// maxDoublings bounds the exponent of a delay that doubles, so that the shift cannot overflow.
+const maxDoublings = 10
+
+// Poller decides when the source of the shard map is called, and for what. It keeps one watch call in flight; asks for
+// a snapshot first and after an update that could not be applied; backs off after failures; and polls at once, a
+// single time for all who report it, when a newer epoch has been seen.
+//
+// It is a state machine without a clock or I/O: the caller passes the time, in ms of any monotonic clock, makes the
+// calls that Next returns and reports how each ended with Succeeded, Rejected or Failed. At most one call is in flight.
 type Poller struct {
-	o       PollerOptions
-	rng     uint64
-	epoch   uint64  // in use
-	whole   bool    // the next call asks for the whole map
-	out     bool    // a call is out
-	waits   bool    // it may wait for news
-	at      float64 // when the next call is due
-	delay   float64
-	hinted  uint64 // the newest epoch told of
-	hintAt  float64
-	lastHit float64
-	vain    int // reads on hints in a row that brought nothing new
-	reads   uint64
-}
+	options PollerOptions
+	random  splitMix64
 
-// NewPoller makes the follower of a source that is asked for the whole map first.
-func NewPoller(o PollerOptions, seed uint64) *Poller {
-	return &Poller{o: o, rng: seed, whole: true, hintAt: math.Inf(1), lastHit: math.Inf(-1)}
+	epoch         uint64 // in use
+	needsSnapshot bool   // the next call asks for a snapshot
+
+	inFlight    bool
+	callWaits   bool    // the source may hold the call that is or was last in flight
+	nextCallAt  float64 // ms; when the next regular call is due
+	backoffMs   float64 // nominal delay after the last failure; 0 after a success
+	hintedEpoch uint64  // the newest epoch that was reported
+	hintedAt    float64 // ms; when the poll for hintedEpoch is due; infinite if none is
+	lastHinted  float64 // ms; when the last such poll was made
+	fruitless   int     // such polls in a row that brought no newer epoch
+	hintedReads uint64
 }
 
-func (f *Poller) random() float64 {
-	f.rng += 0x9e3779b97f4a7c15
-	z := f.rng
-	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
-	z = (z ^ z>>27) * 0x94d049bb133111eb
-	return float64((z^z>>31)>>11) / (1 << 53)
+// NewPoller makes a poller whose first call is due at once. seed determines all its random delays.
+func NewPoller(options PollerOptions, seed uint64) *Poller {
+	return &Poller{
+		options:       options,
+		random:        splitMix64{state: seed},
+		needsSnapshot: true,
+		hintedAt:      math.Inf(1),
+		lastHinted:    math.Inf(-1),
+	}
 }
 
-// NextAt is when Next should be asked again.
-func (f *Poller) NextAt() float64 {
-	if f.out {
-		return f.hintAt
+// NextAt is when Next should be called again, in ms; infinite while there is nothing to do but wait for the call in
+// flight.
+func (p *Poller) NextAt() float64 {
+	if p.inFlight {
+		return p.hintedAt
 	}
-	return min(f.at, f.hintAt)
+	return min(p.nextCallAt, p.hintedAt)
 }
 
-// Next is the call that is due, if one is; it is then out.
-func (f *Poller) Next(now float64) (c PollRequest, due bool) {
-	hurried := now >= f.hintAt && f.hinted > f.epoch
-	if now >= f.hintAt {
-		f.hintAt = math.Inf(1)
+// Next returns the call that is due, if there is one, and regards it as in flight.
+func (p *Poller) Next(now float64) (request PollRequest, due bool) {
+	hinted := now >= p.hintedAt && p.hintedEpoch > p.epoch
+	if now >= p.hintedAt {
+		p.hintedAt = math.Inf(1)
 	}
-	if f.out && !(hurried && f.waits) || !f.out && now < f.at && !hurried {
+	if !p.isDue(now, hinted) {
 		return PollRequest{}, false
 	}
-	c = PollRequest{FullSnapshot: f.whole, SinceEpoch: f.epoch, WaitMs: f.o.WatchTimeoutMs, CancelsPending: f.out}
-	if hurried {
-		// What a node or a client knows the source knows: guards against a watch that has died unseen.
-		c.WaitMs, f.lastHit = 0, now
-		f.reads++
+	request = PollRequest{
+		FullSnapshot:   p.needsSnapshot,
+		SinceEpoch:     p.epoch,
+		WaitMs:         p.options.WatchTimeoutMs,
+		CancelsPending: p.inFlight,
 	}
-	c.TimeoutMs = c.WaitMs + deltaMost
-	if c.FullSnapshot {
-		c.WaitMs, c.TimeoutMs = 0, wholeMost
+	if hinted { // the source has the newer epoch, so a watch that has not delivered it may be dead
+		request.WaitMs = 0
+		p.lastHinted = now
+		p.hintedReads++
 	}
-	f.out, f.waits = true, c.WaitMs > 0
-	return c, true
+	request.TimeoutMs = request.WaitMs + changesTimeoutMs
+	if request.FullSnapshot {
+		request.WaitMs = 0
+		request.TimeoutMs = snapshotTimeoutMs
+	}
+	p.inFlight = true
+	p.callWaits = request.WaitMs > 0
+	return request, true
 }
 
-// NewerEpochSeen tells that somebody knows a newer map. Hints of one moment lead to one read.
-func (f *Poller) NewerEpochSeen(now float64, epoch uint64) {
-	if epoch <= f.epoch || epoch <= f.hinted && !math.IsInf(f.hintAt, 1) {
+// isDue reports whether a call is to be made. Only a watch is cancelled for another call.
+func (p *Poller) isDue(now float64, hinted bool) bool {
+	if p.inFlight {
+		return hinted && p.callWaits
+	}
+	return hinted || now >= p.nextCallAt
+}
+
+// NewerEpochSeen says that somebody knows a version of this epoch. Epochs that are in use or reported already are
+// ignored.
+func (p *Poller) NewerEpochSeen(now float64, epoch uint64) {
+	pollPlanned := !math.IsInf(p.hintedAt, 1)
+	if epoch <= p.epoch || epoch <= p.hintedEpoch && pollPlanned {
 		return
 	}
-	f.hinted = max(f.hinted, epoch)
-	if math.IsInf(f.hintAt, 1) && !(f.out && !f.waits) {
-		f.hintAt = max(now+f.o.JitterMs*f.random(), f.lastHit+f.rest())
+	p.hintedEpoch = max(p.hintedEpoch, epoch)
+	answerIsNear := p.inFlight && !p.callWaits
+	if !pollPlanned && !answerIsNear {
+		p.hintedAt = max(now+p.options.JitterMs*p.random.uniform(), p.lastHinted+p.hintedIntervalMs())
 	}
 }
 
-// Succeeded tells that the call brought what could be used, and the epoch now in use.
-func (f *Poller) Succeeded(now float64, epoch uint64) {
-	// A read on a hint that brought nothing new: the source is behind whoever told. Ask again, not at once.
-	stale := !f.waits && epoch == f.epoch && f.hinted > epoch
-	if stale {
-		f.vain++
-	} else if epoch > f.epoch {
-		f.vain = 0
+// Succeeded says that the call's answer was applied, and the epoch that is now in use.
+func (p *Poller) Succeeded(now float64, epoch uint64) {
+	fruitless := !p.callWaits && epoch == p.epoch && p.hintedEpoch > epoch
+	if fruitless {
+		p.fruitless++
+	} else if epoch > p.epoch {
+		p.fruitless = 0
 	}
-	f.epoch, f.whole, f.out, f.delay, f.at = epoch, false, false, 0, now
-	if f.hinted <= epoch {
-		f.hintAt = math.Inf(1)
+	p.epoch = epoch
+	p.needsSnapshot = false
+	p.inFlight = false
+	p.backoffMs = 0
+	p.nextCallAt = now
+	if p.hintedEpoch <= epoch {
+		p.hintedAt = math.Inf(1)
 	}
-	if stale {
-		f.at = now + f.rest()*(0.5+0.5*f.random())
+	if fruitless { // the source is behind whoever reported the epoch
+		p.nextCallAt = now + p.hintedIntervalMs()*p.jitter()
 	}
 }
 
-// rest is the pause between two reads on hints. It doubles while they bring nothing: guards the catalogue,
-// and the watch that each read ends, against a client that names an epoch which there is not.
-func (f *Poller) rest() float64 {
-	return min(f.o.MinIntervalMs*float64(int(1)<<min(f.vain, 10)), max(f.o.MinIntervalMs, f.o.BackoffMaxMs))
-}
-
-// Rejected tells that the call brought a map or a change that cannot be: the whole map is asked for, at once
-// the first time.
-func (f *Poller) Rejected(now float64) {
-	again := f.whole
-	f.whole = true
-	if f.out = false; again {
-		f.back(now)
+// Rejected says that the call's answer was invalid. A snapshot is asked for next: at once, unless it was a snapshot
+// that was invalid.
+func (p *Poller) Rejected(now float64) {
+	snapshotRejected := p.needsSnapshot
+	p.needsSnapshot = true
+	p.inFlight = false
+	if snapshotRejected {
+		p.backOff(now)
 		return
 	}
-	f.at = now
+	p.nextCallAt = now
 }
 
-// Failed tells that the call came to nothing.
-func (f *Poller) Failed(now float64) {
-	f.out = false
-	f.back(now)
+// Failed says that the call brought no answer.
+func (p *Poller) Failed(now float64) {
+	p.inFlight = false
+	p.backOff(now)
+}
+
+// HintedReads is how many calls were made because a newer epoch had been seen.
+func (p *Poller) HintedReads() uint64 { return p.hintedReads }
+
+// hintedIntervalMs is the least time between two polls for reported epochs, in ms. It doubles while they bring nothing
+// new, so that a client that names an epoch which does not exist cannot load the source.
+func (p *Poller) hintedIntervalMs() float64 {
+	least := p.options.MinIntervalMs
+	doubled := least * float64(int(1)<<min(p.fruitless, maxDoublings))
+	return min(doubled, max(least, p.options.BackoffMaxMs))
 }
 
-// back puts the next call off: a growing, spread delay guards the source against a crowd once it is back.
-func (f *Poller) back(now float64) {
-	f.delay = min(max(2*f.delay, f.o.BackoffMinMs), f.o.BackoffMaxMs)
-	f.at = now + f.delay*(0.5+0.5*f.random())
+// backOff delays the next call after a failure: exponentially, with jitter.
+func (p *Poller) backOff(now float64) {
+	p.backoffMs = min(max(2*p.backoffMs, p.options.BackoffMinMs), p.options.BackoffMaxMs)
+	p.nextCallAt = now + p.backoffMs*p.jitter()
 }
 
-// HintedReads counts the reads that hints led to.
-func (f *Poller) HintedReads() uint64 { return f.reads }
+// jitter is a random factor from 0.5 up to 1.
+func (p *Poller) jitter() float64 { return 0.5 + 0.5*p.random.uniform() }
--- a/internal/slicemap/poller_options.go
+++ b/internal/slicemap/poller_options.go
@@ -1,13 +1,24 @@
 package slicemap
 
-// PollerOptions are the times of following a source, in ms.
+// PollerOptions configure a Poller. There are no defaults for single fields: start from DefaultPollerOptions.
 type PollerOptions struct {
-	WatchTimeoutMs float64 // of one watch call
-	JitterMs       float64 // a read on a hint comes up to so much later, so that brokers do not come together
-	MinIntervalMs  float64 // between two reads on hints at least
-	BackoffMinMs   float64 // first delay after a failed call; it doubles
-	BackoffMaxMs   float64 // to this
+	// WatchTimeoutMs is how long, in ms, the source may hold a watch call without a change.
+	WatchTimeoutMs float64
+	// JitterMs is the largest random delay, in ms, of a poll after NewerEpochSeen; it spreads the polls of brokers.
+	JitterMs float64
+	// MinIntervalMs is the least time, in ms, between two polls after NewerEpochSeen.
+	MinIntervalMs float64
+	// BackoffMinMs is the nominal delay, in ms, after the first failure; it doubles with each further one.
+	BackoffMinMs float64
+	// BackoffMaxMs bounds the nominal delay after failures, and the interval between fruitless polls, in ms.
+	BackoffMaxMs float64
 }
 
-// DefaultPollerOptions is what holds where the operators state nothing.
-var DefaultPollerOptions = PollerOptions{WatchTimeoutMs: 20_000, JitterMs: 50, MinIntervalMs: 250, BackoffMinMs: 100, BackoffMaxMs: 4000}
+// DefaultPollerOptions apply where operators configure nothing.
+var DefaultPollerOptions = PollerOptions{
+	WatchTimeoutMs: 20_000,
+	JitterMs:       50,
+	MinIntervalMs:  250,
+	BackoffMinMs:   100,
+	BackoffMaxMs:   4000,
+}
--- a/internal/slicemap/poller_test.go
+++ b/internal/slicemap/poller_test.go
@@ -15,7 +15,7 @@
 	require.False(t, due, "one call at a time")
 	f.Succeeded(2, 41)
 	c, due = f.Next(2)
-	require.Equal(t, PollRequest{SinceEpoch: 41, WaitMs: DefaultPollerOptions.WatchTimeoutMs, TimeoutMs: DefaultPollerOptions.WatchTimeoutMs + deltaMost}, c)
+	require.Equal(t, PollRequest{SinceEpoch: 41, WaitMs: DefaultPollerOptions.WatchTimeoutMs, TimeoutMs: DefaultPollerOptions.WatchTimeoutMs + changesTimeoutMs}, c)
 	require.True(t, due)
 	f.Rejected(5)
 	c, due = f.Next(5)
@@ -50,7 +50,7 @@
 	for range 500 { // parts that came back moved, within half a second
 		f.NewerEpochSeen(now, 50)
 		if c, due := f.Next(now); due {
-			require.Equal(t, PollRequest{SinceEpoch: 41, TimeoutMs: deltaMost, CancelsPending: true}, c, "the watch is given up, and the source answers at once")
+			require.Equal(t, PollRequest{SinceEpoch: 41, TimeoutMs: changesTimeoutMs, CancelsPending: true}, c, "the watch is given up, and the source answers at once")
 			reads++
 		}
 		now++
--- a/internal/slicemap/source.go
+++ b/internal/slicemap/source.go
@@ -1,12 +1,12 @@
 package slicemap
 
-// Source is where the map comes from: it follows something outside and hands maps and changes on, all on the
-// loop.
+// Source delivers snapshots and changes of the shard map from somewhere outside. All its methods are called on the
+// event loop, and it delivers there.
 type Source interface {
-	// Start begins to follow.
+	// Start begins to poll.
 	Start()
-	// NewerEpochSeen tells that a map of this epoch is known somewhere. Hints of one moment lead to one read.
+	// NewerEpochSeen says that somebody knows a version of this epoch. Calls in quick succession lead to one poll.
 	NewerEpochSeen(epoch uint64)
-	// Close ends it.
+	// Close ends polling; nothing is delivered after it.
 	Close()
 }
