--- a/internal/slicemap/coverage.go
+++ b/internal/slicemap/coverage.go
@@ -1,61 +1,69 @@
 package slicemap
 
-import "fmt"
+import (
+	"fmt"
+	"slices"
+)
 
-// Coverage is one part as its client asked for it: districts that are in only together.
+// Coverage tracks which buckets of one part have been answered. The part counts only when all of them have, and no
+// bucket counts twice.
+//
+// The pending segments and the buckets that have been answered make up the Range of the part, without overlap.
 type Coverage struct {
 	Range
-	open []Range // legs that are not in; together with what is in they are Range, without overlap
+	pending []Range
 }
 
-// NewCoverage makes the unit of a part that goes out as these legs.
-func NewCoverage(r Range, legs []Segment) *Coverage {
-	u := &Coverage{Range: r}
-	for _, l := range legs {
-		u.open = append(u.open, l.Range)
-	}
-	return u
+// NewCoverage is the coverage of a part that is sent as the given segments, which must make up its range.
+func NewCoverage(part Range, segments []Segment) *Coverage {
+	coverage := &Coverage{Range: part}
+	coverage.add(segments)
+	return coverage
 }
 
-func (u *Coverage) take(r Range) error {
-	for i, o := range u.open {
-		if o == r {
-			u.open = append(u.open[:i], u.open[i+1:]...)
-			return nil
-		}
-	}
-	return fmt.Errorf("districts %v of the part %v are not out: they would count twice", r, u.Range)
-}
-
-// Arrived takes a leg's answer and tells whether the part is whole. An error tells that its districts are in
-// already.
-func (u *Coverage) Arrived(r Range) (whole bool, err error) {
-	if err := u.take(r); err != nil {
+// Arrived records the answer to a segment and reports whether the part is complete. It fails if no such segment is
+// pending: its buckets would count twice.
+func (c *Coverage) Arrived(segment Range) (complete bool, err error) {
+	if err := c.remove(segment); err != nil {
 		return false, err
 	}
-	return len(u.open) == 0, nil
+	return c.Complete(), nil
 }
 
-// Replace puts legs in a leg's place. They must be the same districts.
-func (u *Coverage) Replace(r Range, legs []Segment) error {
-	at := r.Start
-	for _, l := range legs {
-		if l.Start != at {
-			return fmt.Errorf("legs %v do not make up %v", legs, r)
+// Replace puts other segments in the place of a pending one. It fails, and changes nothing, if there is no such
+// pending segment or if the others do not make up the same buckets, in order.
+func (c *Coverage) Replace(segment Range, replacements []Segment) error {
+	nextBucket := segment.Start
+	for _, replacement := range replacements {
+		if replacement.Start != nextBucket {
+			return fmt.Errorf("segments %v do not make up %v", replacements, segment)
 		}
-		at = l.End
+		nextBucket = replacement.End
 	}
-	if at != r.End {
-		return fmt.Errorf("legs %v do not make up %v", legs, r)
+	if nextBucket != segment.End {
+		return fmt.Errorf("segments %v do not make up %v", replacements, segment)
 	}
-	if err := u.take(r); err != nil {
+	if err := c.remove(segment); err != nil {
 		return err
 	}
-	for _, l := range legs {
-		u.open = append(u.open, l.Range)
-	}
+	c.add(replacements)
 	return nil
 }
 
-// Complete tells that all districts are in.
-func (u *Coverage) Complete() bool { return len(u.open) == 0 }
+// Complete reports whether all buckets have been answered.
+func (c *Coverage) Complete() bool { return len(c.pending) == 0 }
+
+func (c *Coverage) add(segments []Segment) {
+	for _, segment := range segments {
+		c.pending = append(c.pending, segment.Range)
+	}
+}
+
+func (c *Coverage) remove(segment Range) error {
+	i := slices.Index(c.pending, segment)
+	if i < 0 {
+		return fmt.Errorf("buckets %v of part %v are not pending: they would count twice", segment, c.Range)
+	}
+	c.pending = slices.Delete(c.pending, i, i+1)
+	return nil
+}
--- a/internal/slicemap/ring_placement.go
+++ b/internal/slicemap/ring_placement.go
@@ -1,39 +1,39 @@
 package slicemap
 
-// RingPlacement is the layout of a deployment whose slices never move: shard s lies on cells (s+j) mod cells for j
-// below reach. The arithmetic stands here alone. Of settings that cannot be it says that nobody holds a
-// shard.
+// RingPlacement is the placement of a deployment whose shards never move: with reach r, shard s is held by the cells
+// (s+j) mod cells for 0 <= j < r. Shards that begin at the same cell form a group, numbered as that cell.
 type RingPlacement struct {
-	shards int
-	cells  [][]int // by group
+	shards       int
+	cellsByGroup [][]int
 }
 
-// NewRingPlacement makes the layout of so many shards on a ring of cells, each held by reach of them in a row.
+// NewRingPlacement makes the placement of shards on a ring of cells, each shard held by reach cells in a row. If cells
+// or reach is below 1, or reach exceeds cells, the placement has no shard.
 func NewRingPlacement(shards, cells, reach int) *RingPlacement {
-	f := &RingPlacement{shards: shards}
 	if cells < 1 || reach < 1 || reach > cells {
 		return &RingPlacement{}
 	}
-	for g := range min(cells, max(shards, 0)) {
-		list := make([]int, reach)
-		for j := range list {
-			list[j] = (g + j) % cells
+	placement := &RingPlacement{shards: shards}
+	for group := range min(cells, max(shards, 0)) {
+		held := make([]int, reach)
+		for j := range held {
+			held[j] = (group + j) % cells
 		}
-		f.cells = append(f.cells, list)
+		placement.cellsByGroup = append(placement.cellsByGroup, held)
 	}
-	return f
+	return placement
 }
 
-// Group is the cell at which a shard begins; -1 if there is no such shard.
-func (f *RingPlacement) Group(shard int) int {
-	if shard < 0 || shard >= f.shards {
+// Group is the number of a shard's group; -1 if there is no such shard.
+func (p *RingPlacement) Group(shard int) int {
+	if shard < 0 || shard >= p.shards {
 		return -1
 	}
-	return shard % len(f.cells)
+	return shard % len(p.cellsByGroup)
 }
 
-// Cells are the cells that hold the shards of a group.
-func (f *RingPlacement) Cells(group int) []int { return f.cells[group] }
+// Cells are the cells that hold the shards of a group, which must exist. The result must not be modified.
+func (p *RingPlacement) Cells(group int) []int { return p.cellsByGroup[group] }
 
-// Replicas is nil: the holders are told by cell.
-func (f *RingPlacement) Replicas(int) []uint32 { return nil }
+// Replicas is always nil: the replicas of a RingPlacement are given by cell.
+func (p *RingPlacement) Replicas(int) []uint32 { return nil }
