--- a/internal/slicemap/change.go
+++ b/internal/slicemap/change.go
@@ -8,23 +8,24 @@
 // Kind is what a change does.
 type Kind uint8
 
-// The kinds of change. A split, a merge and an assignment are whole at their epoch; a move takes three.
+// The kinds of change. A split, a merge and an assignment take one change; a move takes a Move, a Handover and a Done,
+// or ends with an Abort.
 const (
-	Split    Kind = iota // Slice into Into[0] and Into[1], at district At
-	Merge                // Slice and Other, neighbours with the same holders, into Into[0]
-	Move                 // Slice is to go from node From to node To: copying begins
+	Split    Kind = iota // Shard becomes Into[0] and Into[1], divided at bucket At
+	Merge                // Shard and Other, neighbours with the same replicas, become Into[0]
+	Move                 // Shard's data begins to be copied from backend From to backend To
 	Handover             // To executes in From's place
-	Done                 // From no longer holds Slice
-	Abort                // the move ends and From executes as before
-	Assign               // Holders hold Slice from now on: a repair by the operators
+	Done                 // From no longer holds Shard
+	Abort                // the move ends, and From executes as before it
+	Assign               // Shard's replicas become Replicas: a repair by operators
 )
 
 var kindNames = [...]string{"split", "merge", "move", "handover", "done", "abort", "assign"}
 
-// String names the kind as the catalogue does.
+// String is the kind's name, as the shard catalogue writes it.
 func (k Kind) String() string { return kindNames[k] }
 
-// ParseKind reads the catalogue's name of a kind.
+// ParseKind is the inverse of Kind.String. It fails on any other name.
 func ParseKind(name string) (Kind, error) {
 	if i := slices.Index(kindNames[:], name); i >= 0 {
 		return Kind(i), nil
@@ -32,14 +33,14 @@
 	return 0, fmt.Errorf("kind of change %q is unknown", name)
 }
 
-// Change takes the map from one epoch to the next.
+// Change takes the map from epoch Base to Epoch. Fields that the kind does not use are ignored.
 type Change struct {
 	Base, Epoch uint64 // Epoch is above Base
 	Kind        Kind
 	Shard       ShardID
-	Other       ShardID   // Merge
-	At          int       // Split: the first district of Into[1]
-	Into        []ShardID // Split, Merge: ids never used before
-	From, To    string    // Move
-	Replicas    []string  // Assign
+	Other       ShardID   // Merge: the second shard
+	At          int       // Split: the first bucket of Into[1]
+	Into        []ShardID // Split, Merge: ids that were never used before
+	From, To    string    // Move: backend ids
+	Replicas    []string  // Assign: backend ids, in order
 }
--- a/internal/slicemap/changes.go
+++ b/internal/slicemap/changes.go
@@ -2,61 +2,64 @@
 
 import "fmt"
 
-// Apply takes changes in their order, all or none. Those up to the epoch in use are passed over: news that
-// comes twice is no fault. nodes are what may hold slices; empty: any. It gives the slices that are in the
-// map no more.
-func (m *Map) Apply(changes []Change, nodes []string) (retired []ShardID, err error) {
-	e := edit{known: knownOf(nodes), used: func(id ShardID) bool { return id <= m.highest }}
-	copied := *m.cur
-	copied.refs = 0
-	e.Version = &copied
-	highest, did := m.highest, 0
-	for i, c := range changes {
-		if c.Epoch <= m.cur.Epoch {
+// Apply applies changes in order, all or none. Changes up to the epoch in use are skipped, as a source may deliver
+// them twice. backends are the ids that may hold shards; none allows any. It returns the ids of the shards that were
+// retired, in the order of their retirement. The error of a change that cannot be applied wraps a *ValidationError.
+func (m *Map) Apply(changes []Change, backends []string) ([]ShardID, error) {
+	e := newEdit(m.current, m.highestID, newBackendSet(backends))
+	applied := 0
+	for i, change := range changes {
+		if change.Epoch <= m.current.Epoch {
 			continue
 		}
-		if err := e.apply(c); err != nil {
+		if err := e.apply(change); err != nil {
 			m.stats.Rejected++
-			return nil, fmt.Errorf("change %d, %v: %w", i, c.Kind, err)
+			return nil, fmt.Errorf("change %d, %v: %w", i, change.Kind, err)
 		}
-		for _, id := range c.Into {
-			highest = max(highest, id)
-		}
-		e.used = func(id ShardID) bool { return id <= highest }
-		if did++; e.Len() > m.o.MaxShards {
+		applied++
+		if e.version.Len() > m.options.MaxShards {
 			m.stats.Rejected++
-			return nil, fault(-1, ErrTooMany, "%d of %d", e.Len(), m.o.MaxShards)
+			return nil, invalid(noShard, ErrTooMany, "%d of %d", e.version.Len(), m.options.MaxShards)
 		}
 	}
-	if did == 0 {
+	if applied == 0 {
 		return nil, nil
 	}
-	was, left := m.cur, map[ShardID]bool{}
-	for _, s := range e.changed {
-		if e.Version.Shard(s.ID) == s { // a later change may have replaced it
-			m.join(s)
-			m.now[s.ID] = s
-			m.track(s)
+	retired := m.commit(e)
+	m.stats.Changes += uint64(applied)
+	return retired, nil
+}
+
+// commit puts the version of an edit into use.
+func (m *Map) commit(e *edit) []ShardID {
+	previous := m.current
+	for _, shard := range e.changed {
+		if e.version.Shard(shard.ID) == shard { // else a later change of the batch has replaced it
+			m.groups.join(shard)
+			m.put(shard)
 		}
 	}
-	leave := func(id ShardID) {
-		if old := was.Shard(id); old != nil && !left[id] {
-			left[id] = true
-			m.leave(old)
-		}
+	departed := make(map[ShardID]bool, len(e.changed)+len(e.retired))
+	for _, shard := range e.changed {
+		m.leaveGroup(previous.Shard(shard.ID), departed)
 	}
-	for _, s := range e.changed {
-		leave(s.ID)
+	var retired []ShardID
+	for _, shard := range e.retired {
+		m.leaveGroup(previous.Shard(shard.ID), departed)
+		m.remove(shard)
+		retired = append(retired, shard.ID)
 	}
-	for _, s := range e.retired {
-		leave(s.ID)
-		delete(m.now, s.ID)
-		delete(m.moving, s.ID)
-		m.retire(s.ID, s.Range)
-		retired = append(retired, s.ID)
+	m.highestID = e.highestID
+	m.adopt(e.version)
+	return retired
+}
+
+// leaveGroup takes a shard of the previous version out of its group, once. It does nothing for nil: the shard was
+// made by the batch itself.
+func (m *Map) leaveGroup(shard *Shard, departed map[ShardID]bool) {
+	if shard == nil || departed[shard.ID] {
+		return
 	}
-	m.highest = highest
-	m.stats.Changes += uint64(did)
-	m.adopt(e.Version)
-	return retired, nil
+	departed[shard.ID] = true
+	m.groups.leave(shard)
 }
--- a/internal/slicemap/edit.go
+++ b/internal/slicemap/edit.go
@@ -2,149 +2,189 @@
 
 import "slices"
 
-// edit is a version that is being made of another.
+// edit is a version in the making: the version in use with changes applied. The version in use is not touched. After
+// an error an edit must not be used.
 type edit struct {
-	*Version
-	known   func(string) bool
-	used    func(ShardID) bool // ids that had a slice once
-	retired []*Shard
-	changed []*Shard
+	version   *Version
+	allowed   backendSet
+	highestID ShardID  // the highest id there ever was
+	changed   []*Shard // shards that changes have put, without those retired since; an id may occur more than once
+	retired   []*Shard
 }
 
-func (e *edit) set(s *Shard) {
-	s.Since = e.Epoch
-	e.byID, e.byLast = e.byID.Set(s.ID, s), e.byLast.Set(s.End-1, s)
-	e.changed = append(e.changed, s)
+func newEdit(base *Version, highestID ShardID, allowed backendSet) *edit {
+	version := *base
+	version.queries = 0
+	return &edit{version: &version, allowed: allowed, highestID: highestID}
 }
 
-func (e *edit) retire(s *Shard) {
-	e.byID, e.byLast = e.byID.Delete(s.ID), e.byLast.Delete(s.End-1)
-	old := *s
-	old.State, old.Since = Retired, e.Epoch
-	e.retired = append(e.retired, &old)
-	e.changed = slices.DeleteFunc(e.changed, func(x *Shard) bool { return x.ID == s.ID })
-}
-
-func (e *edit) slice(id ShardID) (*Shard, error) {
-	s := e.Version.Shard(id)
-	if s == nil {
-		return nil, fault(id, ErrShard, "it is not in the map")
+// apply applies one change, or fails with a *ValidationError.
+func (e *edit) apply(change Change) error {
+	if change.Base != e.version.Epoch {
+		return invalid(noShard, ErrBase, "onto %d, at %d", change.Base, e.version.Epoch)
 	}
-	return s, nil
-}
-
-// fresh tells that the ids may become slices.
-func (e *edit) fresh(ids []ShardID, want int) error {
-	if len(ids) != want {
-		return fault(-1, ErrShard, "%d new ids, not %d", len(ids), want)
-	}
-	for i, id := range ids {
-		if id < 0 || slices.Contains(ids[:i], id) || e.Version.Shard(id) != nil || e.used(id) {
-			return fault(id, ErrShard, "the id has been used")
-		}
+	if change.Epoch <= change.Base {
+		return invalid(noShard, ErrEpoch, "from %d to %d", change.Base, change.Epoch)
 	}
-	return nil
-}
-
-// apply makes one change.
-func (e *edit) apply(c Change) error {
-	if c.Base != e.Epoch {
-		return fault(-1, ErrBase, "onto %d, at %d", c.Base, e.Epoch)
-	}
-	if c.Epoch <= c.Base {
-		return fault(-1, ErrEpoch, "from %d to %d", c.Base, c.Epoch)
-	}
-	s, err := e.slice(c.Shard)
+	shard, err := e.shard(change.Shard)
 	if err != nil {
 		return err
 	}
-	next := *s
-	switch c.Kind {
+	switch change.Kind {
 	case Split:
-		return e.split(c, s)
+		err = e.split(change, shard)
 	case Merge:
-		return e.merge(c, s)
+		err = e.merge(change, shard)
+	default:
+		err = e.transition(change, shard)
+	}
+	if err != nil {
+		return err
+	}
+	for _, id := range change.Into {
+		e.highestID = max(e.highestID, id)
+	}
+	return nil
+}
+
+// transition applies a change of one shard's state or replicas.
+func (e *edit) transition(change Change, shard *Shard) error {
+	if !canApply(change.Kind, shard.State) {
+		return invalid(shard.ID, ErrState, "%v while %v", change.Kind, shard.State)
+	}
+	next := *shard
+	switch change.Kind {
 	case Move:
-		if s.State != Serving {
-			return fault(s.ID, ErrState, "a move while it is %v", s.State)
-		}
-		next.State, next.From, next.To = Preparing, c.From, c.To
+		next.State, next.From, next.To = Preparing, change.From, change.To
 	case Handover:
-		if s.State != Preparing {
-			return fault(s.ID, ErrState, "a handover while it is %v", s.State)
-		}
 		next.State = HandingOver
 	case Done:
-		if s.State != HandingOver {
-			return fault(s.ID, ErrState, "done while it is %v", s.State)
-		}
-		next.Replicas, next.State, next.From, next.To = s.Executors(), Serving, "", ""
+		next.Replicas = shard.Executors()
+		next.State, next.From, next.To = Serving, "", ""
 	case Abort:
-		if s.State != Preparing && s.State != HandingOver {
-			return fault(s.ID, ErrState, "an abort while it is %v", s.State)
-		}
 		next.State, next.From, next.To = Serving, "", ""
 	case Assign:
-		if s.State != Serving {
-			return fault(s.ID, ErrState, "an assignment while it is %v", s.State)
-		}
-		next.Replicas = slices.Clone(c.Replicas)
-	default:
-		return fault(s.ID, ErrState, "kind %d is unknown", c.Kind)
+		next.Replicas = slices.Clone(change.Replicas)
 	}
-	if err := next.check(e.Buckets, e.known); err != nil {
+	if err := next.validate(e.version.Buckets, e.allowed); err != nil {
 		return err
 	}
-	e.Epoch = c.Epoch
-	e.set(&next)
+	e.version.Epoch = change.Epoch
+	e.put(&next)
 	return nil
 }
 
-// split divides a slice. Where it is being moved, the move goes on for both halves: what is copied is
-// districts.
-func (e *edit) split(c Change, s *Shard) error {
-	if c.At <= s.Start || c.At >= s.End {
-		return fault(s.ID, ErrRange, "a split of %v at %d", s.Range, c.At)
+// canApply reports whether a kind of change is possible in a state. Split and Merge have their own rules.
+func canApply(kind Kind, state State) bool {
+	switch kind {
+	case Move, Assign:
+		return state == Serving
+	case Handover:
+		return state == Preparing
+	case Done:
+		return state == HandingOver
+	case Abort:
+		return state == Preparing || state == HandingOver
+	default:
+		return false
+	}
+}
+
+// split divides a shard in two. A move in progress goes on for both halves, as its data is copied by bucket.
+func (e *edit) split(change Change, shard *Shard) error {
+	if change.At <= shard.Start || change.At >= shard.End {
+		return invalid(shard.ID, ErrRange, "split of %v at %d", shard.Range, change.At)
 	}
-	if err := e.fresh(c.Into, 2); err != nil {
+	if err := e.validateNewIDs(change.Into, 2); err != nil {
 		return err
 	}
-	e.Epoch = c.Epoch
-	e.retire(s)
-	for i, r := range []Range{{s.Start, c.At}, {c.At, s.End}} {
-		half := *s
-		half.ID, half.Range, half.Parents = c.Into[i], r, []ShardID{s.ID}
-		e.set(&half)
+	e.version.Epoch = change.Epoch
+	e.retire(shard)
+	for i, buckets := range []Range{{shard.Start, change.At}, {change.At, shard.End}} {
+		half := *shard
+		half.ID = change.Into[i]
+		half.Range = buckets
+		half.Parents = []ShardID{shard.ID}
+		e.put(&half)
 	}
 	return nil
 }
 
-// merge joins two neighbours. Both must serve from the same holders: guards districts against being said to
-// be where they have not been copied to.
-func (e *edit) merge(c Change, s *Shard) error {
-	o, err := e.slice(c.Other)
+// merge joins two neighbours. Both must be Serving from the same replicas: otherwise the merged shard would name
+// replicas to which some of its buckets were never copied.
+func (e *edit) merge(change Change, shard *Shard) error {
+	other, err := e.shard(change.Other)
 	if err != nil {
 		return err
 	}
-	if s.Start > o.Start {
-		s, o = o, s
+	left, right := shard, other
+	if left.Start > right.Start {
+		left, right = right, left
 	}
-	if s.End != o.Start {
-		return fault(s.ID, ErrRange, "%v and %v are no neighbours", s.Range, o.Range)
+	if left.End != right.Start {
+		return invalid(left.ID, ErrRange, "%v and %v are not neighbours", left.Range, right.Range)
 	}
-	if s.State != Serving || o.State != Serving {
-		return fault(s.ID, ErrState, "a merge of %v and %v slices", s.State, o.State)
+	if left.State != Serving || right.State != Serving {
+		return invalid(left.ID, ErrState, "merge of %v and %v shards", left.State, right.State)
 	}
-	a, b := slices.Sorted(slices.Values(s.Replicas)), slices.Sorted(slices.Values(o.Replicas))
-	if !slices.Equal(a, b) {
-		return fault(s.ID, ErrReplica, "a merge of slices held by %v and %v", a, b)
+	leftReplicas := slices.Sorted(slices.Values(left.Replicas))
+	rightReplicas := slices.Sorted(slices.Values(right.Replicas))
+	if !slices.Equal(leftReplicas, rightReplicas) {
+		return invalid(left.ID, ErrReplica, "merge of shards on %v and %v", leftReplicas, rightReplicas)
 	}
-	if err := e.fresh(c.Into, 1); err != nil {
+	if err := e.validateNewIDs(change.Into, 1); err != nil {
 		return err
 	}
-	e.Epoch = c.Epoch
-	e.retire(s)
-	e.retire(o)
-	e.set(&Shard{ID: c.Into[0], Range: Range{s.Start, o.End}, Replicas: s.Replicas, Parents: []ShardID{s.ID, o.ID}})
+	e.version.Epoch = change.Epoch
+	e.retire(left)
+	e.retire(right)
+	e.put(&Shard{
+		ID:       change.Into[0],
+		Range:    Range{left.Start, right.End},
+		Replicas: left.Replicas,
+		Parents:  []ShardID{left.ID, right.ID},
+	})
 	return nil
 }
+
+func (e *edit) shard(id ShardID) (*Shard, error) {
+	shard := e.version.Shard(id)
+	if shard == nil {
+		return nil, invalid(id, ErrShard, "not in the map")
+	}
+	return shard, nil
+}
+
+// validateNewIDs checks that there are count ids, none of which was ever used.
+func (e *edit) validateNewIDs(ids []ShardID, count int) error {
+	if len(ids) != count {
+		return invalid(noShard, ErrShard, "%d new ids instead of %d", len(ids), count)
+	}
+	for i, id := range ids {
+		repeated := slices.Contains(ids[:i], id)
+		used := id <= e.highestID || e.version.Shard(id) != nil
+		if id < 0 || repeated || used {
+			return invalid(id, ErrShard, "the id has been used")
+		}
+	}
+	return nil
+}
+
+// put enters a shard, whose last change is at the epoch of the edit.
+func (e *edit) put(shard *Shard) {
+	shard.Since = e.version.Epoch
+	e.version.byID = e.version.byID.Set(shard.ID, shard)
+	e.version.byLastBucket = e.version.byLastBucket.Set(shard.End-1, shard)
+	e.changed = append(e.changed, shard)
+}
+
+// retire takes a shard out of the version.
+func (e *edit) retire(shard *Shard) {
+	e.version.byID = e.version.byID.Delete(shard.ID)
+	e.version.byLastBucket = e.version.byLastBucket.Delete(shard.End - 1)
+	retired := *shard
+	retired.State = Retired
+	retired.Since = e.version.Epoch
+	e.retired = append(e.retired, &retired)
+	e.changed = slices.DeleteFunc(e.changed, func(changed *Shard) bool { return changed.ID == shard.ID })
+}
--- a/internal/slicemap/errors.go
+++ b/internal/slicemap/errors.go
@@ -5,37 +5,60 @@
 	"fmt"
 )
 
-// What a map or a change can get wrong. A *Fault wraps one of them and names where.
+// The kinds of fault in a snapshot or a change. A *ValidationError wraps one of them.
 var (
-	ErrEpoch   = errors.New("the epoch goes back or is taken")
-	ErrBase    = errors.New("the change is onto another epoch")
-	ErrGap     = errors.New("districts that nobody holds")
-	ErrOverlap = errors.New("districts that two slices hold")
-	ErrReplica = errors.New("unknown, missing or repeated holder")
-	ErrShard   = errors.New("unknown, reused or retired slice")
-	ErrState   = errors.New("not possible in the slice's state")
+	ErrEpoch   = errors.New("epoch does not increase")
+	ErrBase    = errors.New("change is based on another epoch")
+	ErrGap     = errors.New("buckets without a shard")
+	ErrOverlap = errors.New("buckets in two shards")
+	ErrReplica = errors.New("unknown, missing or repeated replica")
+	ErrShard   = errors.New("unknown, reused or retired shard")
+	ErrState   = errors.New("not possible in the shard's state")
 	ErrRange   = errors.New("range out of bounds")
-	ErrTooMany = errors.New("more slices than the bound")
+	ErrTooMany = errors.New("more shards than the bound")
 )
 
-// ValidationError is the first thing that is wrong with a map or a change.
+// ErrStale is matched by the error of Map.Resolve for an id that cannot be translated to buckets. Such an error
+// matches ErrShard too.
+var ErrStale = errors.New("shard is unknown or was retired too long ago")
+
+// noShard stands in ValidationError.Shard where the fault is not in a particular shard.
+const noShard ShardID = -1
+
+// ValidationError is the first fault that was found in a snapshot or a change.
 type ValidationError struct {
-	Shard  ShardID // -1 if it is not one slice's
-	Detail string
-	Err    error
+	Shard  ShardID // the shard at fault; -1 if the fault is not in a particular shard
+	Detail string  // the values at fault
+	Err    error   // the kind of fault: one of the Err variables of this package
 }
 
-// Error names the slice and the fault.
-func (f *ValidationError) Error() string {
-	if f.Shard < 0 {
-		return fmt.Sprintf("%v: %s", f.Err, f.Detail)
+// Error names the shard, the kind of fault and its detail.
+func (e *ValidationError) Error() string {
+	if e.Shard < 0 {
+		return fmt.Sprintf("%v: %s", e.Err, e.Detail)
 	}
-	return fmt.Sprintf("slice %d: %v: %s", f.Shard, f.Err, f.Detail)
+	return fmt.Sprintf("shard %d: %v: %s", e.Shard, e.Err, e.Detail)
 }
 
-// Unwrap gives the kind of fault.
-func (f *ValidationError) Unwrap() error { return f.Err }
+// Unwrap is the kind of fault.
+func (e *ValidationError) Unwrap() error { return e.Err }
+
+// invalid makes a *ValidationError. It returns the interface type, so that callers can return it as it is.
+func invalid(id ShardID, kind error, format string, args ...any) error {
+	return &ValidationError{Shard: id, Detail: fmt.Sprintf(format, args...), Err: kind}
+}
 
-func fault(id ShardID, err error, format string, args ...any) error {
-	return &ValidationError{id, fmt.Sprintf(format, args...), err}
+// unresolvedError is Map.Resolve's error. Its text is part of answers to clients, so it is fixed and keeps the words
+// of the wire.
+type unresolvedError struct {
+	shard ShardID
+	epoch uint64 // of the version in use
 }
+
+func (e *unresolvedError) Error() string {
+	return fmt.Sprintf("slice %d at epoch %d: unknown, reused or retired slice, or retired too long ago",
+		e.shard, e.epoch)
+}
+
+// Is makes the error match ErrStale and ErrShard.
+func (e *unresolvedError) Is(target error) bool { return target == ErrStale || target == ErrShard }
--- a/internal/slicemap/lineage.go
+++ b/internal/slicemap/lineage.go
@@ -1,31 +1,45 @@
 package slicemap
 
-// RetiredShard is a slice that is no more.
+// RetiredShard is a shard that was split or merged.
 type RetiredShard struct {
 	ID ShardID
 	Range
 }
 
-// retire remembers the districts of a slice, so that who still names it is understood.
-func (m *Map) retire(id ShardID, r Range) {
-	if _, ok := m.history[id]; ok {
+// lineage remembers which buckets retired shards had, so that clients may still name them. Ids are never reused, so
+// an entry stays true. At the bound the entry that was made first is forgotten.
+type lineage struct {
+	limit     int
+	ranges    map[ShardID]Range
+	order     []ShardID // keys of ranges, oldest first
+	forgotten uint64    // entries dropped at the limit
+}
+
+func newLineage(limit int) lineage { return lineage{limit: limit, ranges: map[ShardID]Range{}} }
+
+func (l *lineage) len() int { return len(l.ranges) }
+
+// remember adds a retired shard; one that is already there keeps its place.
+func (l *lineage) remember(id ShardID, buckets Range) {
+	if _, known := l.ranges[id]; known {
 		return
 	}
-	m.history[id] = r
-	m.order = append(m.order, id)
-	for len(m.order) > m.o.MaxRetired {
-		delete(m.history, m.order[0])
-		m.order = m.order[1:]
-		m.stats.ForgottenShards++
+	l.ranges[id] = buckets
+	l.order = append(l.order, id)
+	for len(l.order) > l.limit {
+		delete(l.ranges, l.order[0])
+		l.order = l.order[1:]
+		l.forgotten++
 	}
 }
 
-// Retired are the slices that are no more and are still understood, the latest last, most at most.
-func (m *Map) Retired(most int) []RetiredShard {
-	from := max(0, len(m.order)-most)
-	out := make([]RetiredShard, 0, len(m.order)-from)
-	for _, id := range m.order[from:] {
-		out = append(out, RetiredShard{id, m.history[id]})
+// Retired are the last limit retired shards that can still be resolved, the latest last.
+func (m *Map) Retired(limit int) []RetiredShard {
+	order := m.lineage.order
+	first := max(0, len(order)-limit)
+	retired := make([]RetiredShard, 0, len(order)-first)
+	for _, id := range order[first:] {
+		retired = append(retired, RetiredShard{ID: id, Range: m.lineage.ranges[id]})
 	}
-	return out
+	return retired
 }
--- a/internal/slicemap/map.go
+++ b/internal/slicemap/map.go
@@ -5,64 +5,70 @@
 	"slices"
 )
 
-// Map is the map in use, and what is kept of older ones.
+// Map is the shard map in use, with the older versions that queries are still on. It changes only by Reset and Apply,
+// which are atomic: a rejected snapshot or batch of changes leaves it as it was.
 type Map struct {
-	o       Options
-	cur     *Version
-	now     map[ShardID]*Shard // of cur, plain: a version's own trie costs four cache misses a look-up
-	moving  map[ShardID]*Shard // of now: those that are being moved
-	kept    []*Version         // oldest first; the last is cur
-	highest ShardID            // of all ids that ever were: new ones are above
-	history map[ShardID]Range
-	order   []ShardID // of history, oldest first
-	groups  map[string]int
-	sets    map[int]*set
-	free    []int // numbers of groups that are no more, to be used again: the module keeps a row of them
-	stats   Stats
+	options Options
+	current *Version
+	// shards are those of current. Requests look them up here, as the version's own trie takes several cache misses.
+	shards    map[ShardID]*Shard
+	inMotion  map[ShardID]*Shard // those of shards that are not Serving
+	highestID ShardID            // the highest id there ever was; new ids are above it
+	retained  []*Version         // oldest first; the last is current
+	lineage   lineage
+	groups    replicaGroups
+	stats     Stats // what is counted as it happens; Map.Stats fills in the rest
 }
 
-// New makes a map that holds nothing yet.
-func New(o Options) *Map {
-	for _, v := range []struct {
-		to  *int
-		def int
-	}{{&o.MaxShards, DefaultMaxShards}, {&o.MaxVersions, DefaultMaxVersions}, {&o.MaxRetired, DefaultMaxRetired}} {
-		if *v.to <= 0 {
-			*v.to = v.def
-		}
+// New makes a map without shards, at epoch 0.
+func New(options Options) *Map {
+	options = options.withDefaults()
+	empty := newEmptyVersion()
+	return &Map{
+		options:   options,
+		current:   empty,
+		shards:    map[ShardID]*Shard{},
+		inMotion:  map[ShardID]*Shard{},
+		highestID: noShard,
+		retained:  []*Version{empty},
+		lineage:   newLineage(options.MaxRetired),
+		groups:    newReplicaGroups(),
 	}
-	o.MaxVersions = max(o.MaxVersions, 2)
-	m := &Map{o: o, highest: -1, now: map[ShardID]*Shard{}, moving: map[ShardID]*Shard{},
-		history: map[ShardID]Range{}, groups: map[string]int{},
-		sets: map[int]*set{}}
-	m.cur = newVersion(0, 0)
-	m.kept = []*Version{m.cur}
-	return m
 }
 
-// Current is the version in use; its epoch is 0 before the first.
-func (m *Map) Current() *Version { return m.cur }
+// Current is the version in use; its epoch is 0 before the first snapshot.
+func (m *Map) Current() *Version { return m.current }
 
-// Shard is a slice of the version in use by its id; nil if there is none, or no more.
-func (m *Map) Shard(id ShardID) *Shard { return m.now[id] }
+// Shard is the shard with an id in the version in use; nil if there is none.
+func (m *Map) Shard(id ShardID) *Shard { return m.shards[id] }
 
-// adopt puts a version into use.
-func (m *Map) adopt(v *Version) {
-	m.cur = v
-	m.kept = append(m.kept, v)
-	m.sweep()
+// ShardsInMotion are the shards with a move in progress, in the order of their ids.
+func (m *Map) ShardsInMotion() []*Shard {
+	shards := slices.Collect(maps.Values(m.inMotion))
+	slices.SortFunc(shards, func(a, b *Shard) int { return a.ID - b.ID })
+	return shards
 }
 
-// track notes whether a slice is being moved.
-func (m *Map) track(s *Shard) {
-	if delete(m.moving, s.ID); s.State != Serving {
-		m.moving[s.ID] = s
+// put enters a shard of the version that comes into use.
+func (m *Map) put(shard *Shard) {
+	m.shards[shard.ID] = shard
+	if shard.State == Serving {
+		delete(m.inMotion, shard.ID)
+	} else {
+		m.inMotion[shard.ID] = shard
 	}
 }
 
-// ShardsInMotion are the slices that are being moved, by id.
-func (m *Map) ShardsInMotion() []*Shard {
-	out := slices.Collect(maps.Values(m.moving))
-	slices.SortFunc(out, func(a, b *Shard) int { return a.ID - b.ID })
-	return out
+// remove forgets a shard that the version that comes into use does not have, but for its lineage.
+func (m *Map) remove(shard *Shard) {
+	delete(m.shards, shard.ID)
+	delete(m.inMotion, shard.ID)
+	m.lineage.remember(shard.ID, shard.Range)
+}
+
+// adopt puts a version into use.
+func (m *Map) adopt(version *Version) {
+	m.current = version
+	m.retained = append(m.retained, version)
+	m.releaseUnused()
 }
--- a/internal/slicemap/map_test.go
+++ b/internal/slicemap/map_test.go
@@ -112,7 +112,7 @@
 					return true
 				})
 				require.Equal(t, 64, at)
-				require.Equal(t, v.Len(), len(m.now))
+				require.Equal(t, v.Len(), len(m.shards))
 				moving := m.ShardsInMotion()
 				v.All(func(s *Shard) bool {
 					require.Equal(t, s.State != Serving, slices.Contains(moving, s))
--- a/internal/slicemap/not_holder.go
+++ b/internal/slicemap/not_holder.go
@@ -1,53 +1,57 @@
 package slicemap
 
+// The delays before a segment is sent again, once every replica of its shard has replied not-holder.
 const (
-	lateMost  = 400.0 // ms that a leg waits for the epoch a node told of, once every holder was asked
-	pauseLate = 10.0  // ms before the next try where the nodes are late, once every holder was asked
-	pauseMost = 160.0 // ms: such pauses double up to this
+	newerEpochWaitMs    = 400.0 // at most, for the newer epoch that a backend named
+	notHolderDelayMinMs = 10.0  // where no newer epoch was named; it doubles with each further reply
+	notHolderDelayMaxMs = 160.0
 )
 
-// RetryWait is what follows on a node's word that it does not hold the districts of a leg.
+// RetryWait is what follows from a backend's reply that it does not hold the buckets of a segment.
 type RetryWait struct {
-	DelayMs    float64 // ms in which the leg is not tried again
-	UntilEpoch uint64  // an epoch that ends the pause sooner; 0 for none
-	ReadEpoch  uint64  // the source knows an epoch as new as this: read it; 0 for no need
+	DelayMs    float64 // ms in which the segment is not sent again; 0: it may be sent at once
+	UntilEpoch uint64  // version of the map that ends the delay early; 0 for none
+	ReadEpoch  uint64  // the source has a version as new as this, which should be read; 0 for none
 }
 
-// RoutingEpoch is the epoch that a leg carries when it goes out: that of its slice's last change, so that a node
-// which is behind with news of other slices is not taken to be behind with this one.
-func (m *Map) RoutingEpoch(l Segment) uint64 {
-	if s := m.now[l.Shard]; s != nil {
-		return s.Since
+// RoutingEpoch is the epoch with which a segment is sent: that of its shard's last change. A backend rejects a segment
+// if its own map is older; with the epoch of the whole map it would do so for changes of other shards too.
+func (m *Map) RoutingEpoch(segment Segment) uint64 {
+	if shard := m.shards[segment.Shard]; shard != nil {
+		return shard.Since
 	}
-	return m.cur.Epoch
+	return m.current.Epoch
 }
 
-// OnNotHolder decides on a leg that was routed by one epoch and refused by a node at another, for the n-th
-// time in a row, from 1. The module's own choice puts a node that was tried last.
-func (m *Map) OnNotHolder(l Segment, routed, node uint64, n int) RetryWait {
+// OnNotHolder decides on a not-holder reply to a segment that was sent with epoch routed, from a backend whose map is
+// at epoch backend. consecutive counts the not-holder replies to the segment in a row, this one included.
+//
+// A move takes one of several replicas, so the others are asked without delay: only after as many replies as the
+// shard has replicas is there something to wait for. The scheduler puts a replica that was just tried last.
+func (m *Map) OnNotHolder(segment Segment, routed, backend uint64, consecutive int) RetryWait {
 	m.stats.NotHolder++
-	s := m.now[l.Shard]
-	if s == nil || s.Since != routed {
-		return RetryWait{} // the map has moved on since the leg went out: the next try goes by it
+	shard := m.shards[segment.Shard]
+	if shard == nil || shard.Since != routed {
+		return RetryWait{} // the shard has changed since: the next attempt goes by its new state
 	}
-	// A move takes one holder of several: the others are asked at once, and only then is there something to wait
-	// for. Guards a leg against a pause that costs it its aim.
-	rest := n - len(s.Replicas)
-	w := RetryWait{}
-	if rest >= 0 {
-		w.DelayMs = min(pauseLate*float64(int(1)<<min(rest, 10)), pauseMost)
+	excess := consecutive - len(shard.Replicas)
+	allAsked := excess >= 0
+	wait := RetryWait{}
+	if allAsked {
+		wait.DelayMs = min(notHolderDelayMinMs*float64(int(1)<<min(excess, maxDoublings)), notHolderDelayMaxMs)
 	}
 	switch {
-	case node > m.cur.Epoch:
-		// We are late. What the node knows ends the wait; guards against a crowd of tries by an old map.
+	case backend > m.current.Epoch:
 		m.stats.MapBehind++
-		if w.ReadEpoch = node; rest >= 0 {
-			w.DelayMs, w.UntilEpoch = lateMost, node
+		wait.ReadEpoch = backend
+		if allAsked { // attempts by the old map would only be rejected again
+			wait.DelayMs = newerEpochWaitMs
+			wait.UntilEpoch = backend
 		}
-	case node < routed:
+	case backend < routed:
 		m.stats.BackendBehind++
 	default:
 		m.stats.SameEpoch++
 	}
-	return w
+	return wait
 }
--- a/internal/slicemap/options.go
+++ b/internal/slicemap/options.go
@@ -1,15 +1,40 @@
 package slicemap
 
-// The bounds where the operators state none.
+// The bounds of a Map where its Options give none.
 const (
-	DefaultMaxShards   = 1 << 20 // in one version
-	DefaultMaxVersions = 256     // kept for the queries that began on them
-	DefaultMaxRetired  = 1 << 16 // retired slices by which an old name is understood
+	DefaultMaxShards   = 1 << 20
+	DefaultMaxVersions = 256
+	DefaultMaxRetired  = 1 << 16
 )
 
-// Options are the bounds of a map, and what it must be told.
+// minVersions is the least MaxVersions: the version in use and one that queries still hold.
+const minVersions = 2
+
+// Options configure a Map.
 type Options struct {
-	MaxShards, MaxVersions, MaxRetired int
-	// ReplicaNumber is a node's number for the decision module; false if the list does not have it.
-	ReplicaNumber func(node string) (uint32, bool)
+	// MaxShards is the largest number of shards in one version; DefaultMaxShards if 0 or less.
+	MaxShards int
+	// MaxVersions is how many versions are retained for the queries that were started on them, the version in use
+	// included; DefaultMaxVersions if 0 or less, and 2 at least.
+	MaxVersions int
+	// MaxRetired is how many retired shards are remembered, so that their ids can be resolved; DefaultMaxRetired if 0
+	// or less.
+	MaxRetired int
+	// ReplicaNumber is the scheduler's number for a backend id; false if the endpoint list does not have it. Without
+	// it no group has replicas.
+	ReplicaNumber func(backend string) (uint32, bool)
+}
+
+func (o Options) withDefaults() Options {
+	o.MaxShards = positiveOr(o.MaxShards, DefaultMaxShards)
+	o.MaxVersions = max(positiveOr(o.MaxVersions, DefaultMaxVersions), minVersions)
+	o.MaxRetired = positiveOr(o.MaxRetired, DefaultMaxRetired)
+	return o
+}
+
+func positiveOr(value, otherwise int) int {
+	if value > 0 {
+		return value
+	}
+	return otherwise
 }
--- a/internal/slicemap/range.go
+++ b/internal/slicemap/range.go
@@ -2,20 +2,20 @@
 
 import "fmt"
 
-// Range is the districts from Lo up to, but not with, Hi.
+// Range is the half-open interval of buckets from Start to End; End is not included.
 type Range struct {
-	Start int `json:"lo"`
-	End   int `json:"hi"`
+	Start int `json:"lo"` // first bucket
+	End   int `json:"hi"` // first bucket after the range
 }
 
-// Contains tells whether all districts of o are in r.
-func (r Range) Contains(o Range) bool { return r.Start <= o.Start && o.End <= r.End }
+// Contains reports whether every bucket of other is in r.
+func (r Range) Contains(other Range) bool { return r.Start <= other.Start && other.End <= r.End }
 
-// Overlaps tells whether a district is in both.
-func (r Range) Overlaps(o Range) bool { return r.Start < o.End && o.Start < r.End }
+// Overlaps reports whether r and other have a bucket in common.
+func (r Range) Overlaps(other Range) bool { return r.Start < other.End && other.Start < r.End }
 
-// Size is how many districts there are in it.
+// Size is the number of buckets in r.
 func (r Range) Size() int { return r.End - r.Start }
 
-// String shows it as in messages: lo-hi, hi not included.
+// String formats r as Start-End, the form that backend frames and messages use.
 func (r Range) String() string { return fmt.Sprintf("%d-%d", r.Start, r.End) }
--- a/internal/slicemap/replica_groups.go
+++ b/internal/slicemap/replica_groups.go
@@ -5,64 +5,93 @@
 	"strings"
 )
 
-// set is a set of holders that slices share.
-type set struct {
-	key   string
-	names []string
-	used  int // slices
+// keySeparator cannot occur in a backend id.
+const keySeparator = "\x00"
+
+// replicaGroup is a set of executors that several shards share.
+type replicaGroup struct {
+	key      string
+	backends []string // sorted
+	shards   int      // how many shards are in the group
 }
 
-// join puts a slice into the group of its executors.
-func (m *Map) join(s *Shard) {
-	names := slices.Sorted(slices.Values(s.Executors()))
-	key := strings.Join(names, "\x00")
-	g, ok := m.groups[key]
-	if !ok {
-		if n := len(m.free); n > 0 {
-			g, m.free = m.free[n-1], m.free[:n-1]
-		} else {
-			g = len(m.sets)
-		}
-		m.groups[key], m.sets[g] = g, &set{key: key, names: names}
+// replicaGroups numbers the sets of executors of the shards in use. The scheduler keeps state by group number, so the
+// numbers of groups that have no shards any more are reused.
+type replicaGroups struct {
+	numbers     map[string]int // by key
+	groups      map[int]*replicaGroup
+	freeNumbers []int // used before and in no group now
+}
+
+func newReplicaGroups() replicaGroups {
+	return replicaGroups{numbers: map[string]int{}, groups: map[int]*replicaGroup{}}
+}
+
+func (g *replicaGroups) len() int { return len(g.groups) }
+
+// join puts a shard into the group of its executors.
+func (g *replicaGroups) join(shard *Shard) {
+	backends := slices.Sorted(slices.Values(shard.Executors()))
+	key := strings.Join(backends, keySeparator)
+	number, exists := g.numbers[key]
+	if !exists {
+		number = g.takeNumber()
+		g.numbers[key] = number
+		g.groups[number] = &replicaGroup{key: key, backends: backends}
 	}
-	m.sets[g].used++
-	s.group = g
+	g.groups[number].shards++
+	shard.group = number
 }
 
-func (m *Map) leave(s *Shard) {
-	x := m.sets[s.group]
-	if x == nil {
+// takeNumber is the number that was freed last, else the first that was never used.
+func (g *replicaGroups) takeNumber() int {
+	last := len(g.freeNumbers) - 1
+	if last < 0 {
+		return len(g.groups)
+	}
+	number := g.freeNumbers[last]
+	g.freeNumbers = g.freeNumbers[:last]
+	return number
+}
+
+// leave takes a shard out of its group, which ends with its last shard.
+func (g *replicaGroups) leave(shard *Shard) {
+	group := g.groups[shard.group]
+	if group == nil {
 		return
 	}
-	if x.used--; x.used == 0 {
-		delete(m.groups, x.key)
-		delete(m.sets, s.group)
-		m.free = append(m.free, s.group)
+	group.shards--
+	if group.shards > 0 {
+		return
 	}
+	delete(g.numbers, group.key)
+	delete(g.groups, shard.group)
+	g.freeNumbers = append(g.freeNumbers, shard.group)
 }
 
-// Group numbers the set of nodes that may be sent a slice's parts; -1 if there is no such slice. It is part
-// of what the decision module asks; so are the methods below.
+// Group is the number of the set of backends that may execute a shard's parts; -1 if there is no such shard. With
+// Cells and Replicas it makes a Map a placement of the scheduler.
 func (m *Map) Group(id ShardID) int {
-	if s := m.now[id]; s != nil {
-		return s.group
+	if shard := m.shards[id]; shard != nil {
+		return shard.group
 	}
 	return -1
 }
 
-// Cells is nil: the holders are told one by one.
+// Cells is always nil: the replicas of a Map are given one by one.
 func (m *Map) Cells(int) []int { return nil }
 
-// Replicas are the numbers of a group's nodes that are listed.
-func (m *Map) Replicas(group int) (out []uint32) {
-	x := m.sets[group]
-	if x == nil || m.o.ReplicaNumber == nil {
+// Replicas are the scheduler's numbers of a group's backends, without those that the endpoint list does not have.
+func (m *Map) Replicas(group int) []uint32 {
+	members := m.groups.groups[group]
+	if members == nil || m.options.ReplicaNumber == nil {
 		return nil
 	}
-	for _, name := range x.names {
-		if n, ok := m.o.ReplicaNumber(name); ok {
-			out = append(out, n)
+	var numbers []uint32
+	for _, backend := range members.backends {
+		if number, listed := m.options.ReplicaNumber(backend); listed {
+			numbers = append(numbers, number)
 		}
 	}
-	return out
+	return numbers
 }
--- a/internal/slicemap/reroute.go
+++ b/internal/slicemap/reroute.go
@@ -1,24 +1,24 @@
 package slicemap
 
-// RerouteDecision says what may become of a leg that is not in.
+// RerouteDecision is what may be done with a segment that has not been answered and of which no attempt is in flight.
 type RerouteDecision uint8
 
-// The verdicts.
+// The decisions of Map.Reroute.
 const (
-	KeepShard       RerouteDecision = iota // its slice still holds it: whoever holds the slice now may be tried
-	ReplaceSegments                        // its districts are other slices' now
-	NeverRetry                             // it may have run and must not run twice: nothing of it goes out again
+	KeepShard       RerouteDecision = iota // its shard still holds it and may be asked again
+	ReplaceSegments                        // its buckets belong to other shards, which may be asked instead
+	NeverRetry                             // it may have run and must not run twice: nothing of it may be sent again
 )
 
-// Reroute decides on a leg of which nothing is out: whether a further try is allowed, and against which slices
-// of the map in use. once tells that it must not run twice, mayHaveRun that an attempt is not proved never to
-// have. legs is what takes its place under Replace, appended to dst.
-func (m *Map) Reroute(dst []Segment, l Segment, once, mayHaveRun bool) (legs []Segment, v RerouteDecision) {
-	if once && mayHaveRun {
+// Reroute decides whether a segment may be asked for again, and of which shards of the version in use. mayHaveRun is
+// true unless every attempt so far is proved never to have run. With ReplaceSegments the segments that take its place
+// are appended to dst; otherwise dst is returned as it is.
+func (m *Map) Reroute(dst []Segment, segment Segment, nonIdempotent, mayHaveRun bool) ([]Segment, RerouteDecision) {
+	if nonIdempotent && mayHaveRun {
 		return dst, NeverRetry
 	}
-	if s := m.now[l.Shard]; s != nil && s.Contains(l.Range) {
+	if shard := m.shards[segment.Shard]; shard != nil && shard.Contains(segment.Range) {
 		return dst, KeepShard
 	}
-	return m.cur.Route(dst, l.Shard, l.Range), ReplaceSegments
+	return m.current.Route(dst, segment.Shard, segment.Range), ReplaceSegments
 }
--- a/internal/slicemap/retained_versions.go
+++ b/internal/slicemap/retained_versions.go
@@ -2,30 +2,36 @@
 
 import "slices"
 
-// Acquire binds a query to the version in use; End must follow.
+// droppedQueries is the query count of a dropped version: so far below 0 that releases never bring it back to 0.
+const droppedQueries = -1 << 30
+
+// Acquire starts a query on the version in use, which is retained until Release.
 func (m *Map) Acquire() *Version {
-	m.cur.refs++
-	return m.cur
+	m.current.queries++
+	return m.current
 }
 
-// Release frees a query's hold on its version; the last one frees the version.
-func (m *Map) Release(v *Version) {
-	if v.refs--; v.refs == 0 && v != m.cur {
-		m.sweep()
+// Release ends a query on the version that Acquire gave it. The version is freed with its last query.
+func (m *Map) Release(version *Version) {
+	version.queries--
+	if version.queries == 0 && version != m.current {
+		m.releaseUnused()
 	}
 }
 
-// sweep frees versions that no query is bound to. At the bound the oldest is let go though queries began on
-// it: they carry their own districts and weights, and lose only their place in the count of versions.
-func (m *Map) sweep() {
-	m.kept = slices.DeleteFunc(m.kept, func(v *Version) bool { return v != m.cur && v.refs <= 0 })
-	for len(m.kept) > m.o.MaxVersions {
-		m.kept[0].refs = -1 << 30
-		m.kept = m.kept[1:]
+// releaseUnused frees the versions that have no query, and the oldest ones beyond MaxVersions. Dropping one that has
+// queries is safe: they carry their own buckets and weights, and only the count of versions needs the version.
+func (m *Map) releaseUnused() {
+	m.retained = slices.DeleteFunc(m.retained, func(version *Version) bool {
+		return version != m.current && version.queries <= 0
+	})
+	for len(m.retained) > m.options.MaxVersions {
+		m.retained[0].queries = droppedQueries
+		m.retained = m.retained[1:]
 		m.stats.DroppedVersions++
 	}
-	m.stats.MaxRetainedVersions = max(m.stats.MaxRetainedVersions, len(m.kept))
+	m.stats.MaxRetainedVersions = max(m.stats.MaxRetainedVersions, len(m.retained))
 }
 
-// DroppedVersions is how many versions were let go at the bound.
+// DroppedVersions is how many versions were dropped at MaxVersions while queries were on them.
 func (m *Map) DroppedVersions() uint64 { return m.stats.DroppedVersions }
--- a/internal/slicemap/routing.go
+++ b/internal/slicemap/routing.go
@@ -1,50 +1,47 @@
 package slicemap
 
-import "fmt"
-
-// Segment is districts of a part that one slice holds: what one call asks for.
+// Segment is the buckets of a part that one shard holds; one call asks for one segment.
 type Segment struct {
 	Shard ShardID
 	Range
 }
 
-// Route appends to legs what holds the districts of r at this version: one leg where slice id still holds
-// them all, else one for each slice that holds some. It allocates nothing on that first path, where legs has
-// room.
-func (v *Version) Route(legs []Segment, id ShardID, r Range) []Segment {
-	if s, ok := v.byID.Get(id); ok && s.Contains(r) {
-		return append(legs, Segment{id, r})
+// Resolve is the range of buckets that an id names, whatever the epoch of the client that names it. The id of a
+// retired shard is translated by its lineage. An id that is unknown or forgotten is an error that matches ErrStale.
+func (m *Map) Resolve(id ShardID) (Range, error) {
+	if shard := m.shards[id]; shard != nil {
+		return shard.Range, nil
 	}
-	it := v.byLast.Iterator()
-	for it.Seek(r.Start); !it.Done(); {
-		_, s, _ := it.Next()
-		if s.Start >= r.End {
-			break
-		}
-		legs = append(legs, Segment{s.ID, Range{max(s.Start, r.Start), min(s.End, r.End)}})
+	if buckets, ok := m.lineage.ranges[id]; ok {
+		return buckets, nil
 	}
-	return legs
+	return Range{}, &unresolvedError{shard: id, epoch: m.current.Epoch}
 }
 
-// Route is Version.Route for the version in use, and quicker.
-func (m *Map) Route(legs []Segment, id ShardID, r Range) []Segment {
-	if s := m.now[id]; s != nil && s.Contains(r) {
-		return append(legs, Segment{id, r})
+// Route is Version.Route for the version in use, and faster.
+func (m *Map) Route(segments []Segment, id ShardID, buckets Range) []Segment {
+	if shard := m.shards[id]; shard != nil && shard.Contains(buckets) {
+		return append(segments, Segment{Shard: id, Range: buckets})
 	}
-	return m.cur.Route(legs, id, r)
+	return m.current.Route(segments, id, buckets)
 }
 
-// ErrStale is wrapped where a slice that a client named cannot be understood.
-var ErrStale = fmt.Errorf("%w, or retired too long ago", ErrShard)
-
-// Resolve gives the districts of a slice that a client named, at whatever epoch that was: ids are never used
-// again, so what is retired is translated by what is kept of it.
-func (m *Map) Resolve(id ShardID) (Range, error) {
-	if s := m.now[id]; s != nil {
-		return s.Range, nil
+// Route appends the segments that make up a range of buckets at this version: a single one if shard id has the whole
+// range, else one for each shard that has some of it, in the order of the buckets. The first case allocates nothing
+// if segments has spare capacity.
+func (v *Version) Route(segments []Segment, id ShardID, buckets Range) []Segment {
+	if shard, ok := v.byID.Get(id); ok && shard.Contains(buckets) {
+		return append(segments, Segment{Shard: id, Range: buckets})
 	}
-	if r, ok := m.history[id]; ok {
-		return r, nil
+	iterator := v.byLastBucket.Iterator()
+	iterator.Seek(buckets.Start)
+	for !iterator.Done() {
+		_, shard, _ := iterator.Next()
+		if shard.Start >= buckets.End {
+			break
+		}
+		overlap := Range{Start: max(shard.Start, buckets.Start), End: min(shard.End, buckets.End)}
+		segments = append(segments, Segment{Shard: shard.ID, Range: overlap})
 	}
-	return Range{}, fmt.Errorf("slice %d at epoch %d: %w", id, m.cur.Epoch, ErrStale)
+	return segments
 }
--- a/internal/slicemap/shard.go
+++ b/internal/slicemap/shard.go
@@ -5,26 +5,26 @@
 	"slices"
 )
 
-// ShardID is a slice's id, 0 and above. It is the shard number of queries and of the decision module.
+// ShardID identifies a shard; valid ids are 0 and above. Queries and the scheduler use it as the shard number.
 type ShardID = int
 
-// State is where a slice is in its life.
+// State is the phase of a shard's life at one epoch.
 type State uint8
 
-// The states of a slice.
+// The states of a shard.
 const (
-	Serving     State = iota
-	Preparing         // it is being copied to To; From still executes
-	HandingOver       // To executes in From's place; From is kept until the move is done, for an abort
-	Retired           // split or merged: its districts belong to others
+	Serving     State = iota // its replicas execute
+	Preparing                // its data is being copied from From to To; From still executes
+	HandingOver              // To executes in From's place; From keeps the data until the move is done or aborted
+	Retired                  // split or merged: its buckets belong to other shards
 )
 
 var stateNames = [...]string{"serving", "preparing", "handing-over", "retired"}
 
-// String names the state as the catalogue does.
+// String is the state's name, as the shard catalogue writes it.
 func (s State) String() string { return stateNames[s] }
 
-// ParseState reads the catalogue's name of a state.
+// ParseState is the inverse of State.String. It fails on any other name.
 func ParseState(name string) (State, error) {
 	if i := slices.Index(stateNames[:], name); i >= 0 {
 		return State(i), nil
@@ -32,34 +32,37 @@
 	return 0, fmt.Errorf("state %q is unknown", name)
 }
 
-// Shard is one slice at one epoch. It is never changed once it is part of a version.
+// Shard is one shard at one epoch. It is immutable once it belongs to a Version.
 type Shard struct {
 	ID ShardID
 	Range
-	Replicas []string // node ids, in order; while a move goes on From is among them and To is not
+	// Replicas are the ids of the backends that hold the shard, in order. During a move From is among them and To
+	// is not.
+	Replicas []string
 	State    State
-	From, To string    // of a move that goes on
-	Since    uint64    // epoch of its last change
-	Parents  []ShardID // what it was split from or merged of
+	From, To string    // source and destination of the move in progress; empty while Serving
+	Since    uint64    // epoch of the shard's last change
+	Parents  []ShardID // the shards that it was split from or merged of
 
-	group int
+	group int // its replica group in the Map that holds it
 }
 
-// Executors are the nodes that may be sent its parts at its epoch: its holders, with To in From's place once
-// the handover has begun. Exactly one of the two is among them.
+// Executors are the ids of the backends that may execute the shard's parts at its epoch: its replicas, with To in
+// From's place once the handover has begun. Exactly one of From and To is among them. The result must not be
+// modified.
 func (s *Shard) Executors() []string {
 	if s.State != HandingOver {
 		return s.Replicas
 	}
-	out := slices.Clone(s.Replicas)
-	out[slices.Index(out, s.From)] = s.To
-	return out
+	executors := slices.Clone(s.Replicas)
+	executors[slices.Index(executors, s.From)] = s.To
+	return executors
 }
 
-// Executes tells whether a node may execute parts of the slice at this epoch.
-func (s *Shard) Executes(node string) bool {
-	if s.State == HandingOver && (node == s.From || node == s.To) {
-		return node == s.To
+// Executes reports whether a backend is among Executors.
+func (s *Shard) Executes(backend string) bool {
+	if s.State == HandingOver && (backend == s.From || backend == s.To) {
+		return backend == s.To
 	}
-	return slices.Contains(s.Replicas, node)
+	return slices.Contains(s.Replicas, backend)
 }
--- a/internal/slicemap/snapshot.go
+++ b/internal/slicemap/snapshot.go
@@ -1,78 +1,118 @@
 package slicemap
 
-// Snapshot is a whole map as a source tells it.
+// Snapshot is a complete shard map at one epoch, as a Source delivers it.
 type Snapshot struct {
-	Epoch    uint64
-	Buckets  int
-	Backends []string // all that may hold slices; empty: any
-	Shards   []*Shard
-	Retired  []RetiredShard // slices that are no more, by which old names are understood; the latest last
+	Epoch    uint64         // 1 and above
+	Buckets  int            // number of buckets; the same in every snapshot
+	Backends []string       // ids of all backends that may hold shards; none allows any
+	Shards   []*Shard       // every bucket in exactly one of them, in any order
+	Retired  []RetiredShard // shards that are no more, by which older ids are resolved; the latest last
 }
 
-// Reset takes a whole map, or refuses it and stays as it was. It gives the slices that are in it no more. A
-// map of the epoch in use changes nothing.
-func (m *Map) Reset(w Snapshot) (retired []ShardID, err error) {
-	defer func() {
-		if err != nil {
-			m.stats.Rejected++
-		}
-	}()
-	if w.Epoch < max(m.cur.Epoch, 1) {
-		return nil, fault(-1, ErrEpoch, "%d, at %d", w.Epoch, m.cur.Epoch)
-	}
-	if w.Epoch == m.cur.Epoch {
+// Reset replaces the map by a snapshot and takes ownership of its shards. It returns the ids of the shards that the
+// new version does not have, in the order of their buckets. An invalid snapshot is rejected with a *ValidationError;
+// one of the epoch in use changes nothing.
+func (m *Map) Reset(snapshot Snapshot) ([]ShardID, error) {
+	if m.current.Epoch > 0 && snapshot.Epoch == m.current.Epoch {
 		return nil, nil
 	}
-	if len(w.Shards) > m.o.MaxShards {
-		return nil, fault(-1, ErrTooMany, "%d of %d", len(w.Shards), m.o.MaxShards)
+	version, err := m.validateSnapshot(snapshot)
+	if err != nil {
+		m.stats.Rejected++
+		return nil, err
+	}
+	return m.install(version, snapshot), nil
+}
+
+// validateSnapshot makes the version of a snapshot, or finds the first fault.
+func (m *Map) validateSnapshot(snapshot Snapshot) (*Version, error) {
+	if snapshot.Epoch < max(m.current.Epoch, 1) {
+		return nil, invalid(noShard, ErrEpoch, "%d, at %d", snapshot.Epoch, m.current.Epoch)
 	}
-	if m.cur.Epoch > 0 && w.Buckets != m.cur.Buckets {
-		return nil, fault(-1, ErrRange, "%d districts, %d before: they are never divided", w.Buckets,
-			m.cur.Buckets)
+	if len(snapshot.Shards) > m.options.MaxShards {
+		return nil, invalid(noShard, ErrTooMany, "%d of %d", len(snapshot.Shards), m.options.MaxShards)
 	}
-	v, err := build(w.Epoch, w.Buckets, w.Shards, knownOf(w.Backends))
+	if m.current.Epoch > 0 && snapshot.Buckets != m.current.Buckets {
+		return nil, invalid(noShard, ErrRange, "%d buckets instead of %d: their number is fixed",
+			snapshot.Buckets, m.current.Buckets)
+	}
+	version, err := buildVersion(snapshot.Epoch, snapshot.Buckets, snapshot.Shards, newBackendSet(snapshot.Backends))
 	if err != nil {
 		return nil, err
 	}
-	for _, s := range w.Shards {
-		if old := m.cur.Shard(s.ID); old != nil && old.Range != s.Range {
-			return nil, fault(s.ID, ErrShard, "it was %v and is %v", old.Range, s.Range)
-		} else if old == nil && s.ID <= m.highest {
-			return nil, fault(s.ID, ErrShard, "the id is not above %d, and is no slice's in use", m.highest)
+	if err := m.validateIDs(snapshot.Shards); err != nil {
+		return nil, err
+	}
+	if err := validateRetired(snapshot, version); err != nil {
+		return nil, err
+	}
+	return version, nil
+}
+
+// validateIDs checks that an id in use still names the same buckets, and that every other id is a new one.
+func (m *Map) validateIDs(shards []*Shard) error {
+	for _, shard := range shards {
+		known := m.current.Shard(shard.ID)
+		switch {
+		case known != nil && known.Range != shard.Range:
+			return invalid(shard.ID, ErrShard, "it was %v and is %v", known.Range, shard.Range)
+		case known == nil && shard.ID <= m.highestID:
+			return invalid(shard.ID, ErrShard, "not in use and not above %d, the highest id so far", m.highestID)
 		}
 	}
-	for _, r := range w.Retired {
-		if r.ID < 0 || v.Shard(r.ID) != nil || r.Start < 0 || r.End <= r.Start || r.End > w.Buckets {
-			return nil, fault(r.ID, ErrRange, "retired, with %v", r.Range)
+	return nil
+}
+
+func validateRetired(snapshot Snapshot, version *Version) error {
+	for _, retired := range snapshot.Retired {
+		inUse := version.Shard(retired.ID) != nil
+		outOfBounds := retired.Start < 0 || retired.End <= retired.Start || retired.End > snapshot.Buckets
+		if retired.ID < 0 || inUse || outOfBounds {
+			return invalid(retired.ID, ErrRange, "retired, with %v", retired.Range)
 		}
 	}
-	var gone []*Shard
-	m.cur.All(func(s *Shard) bool {
-		if v.Shard(s.ID) == nil {
-			gone = append(gone, s)
-			retired = append(retired, s.ID)
+	return nil
+}
+
+// install puts the version of a valid snapshot into use.
+func (m *Map) install(version *Version, snapshot Snapshot) []ShardID {
+	previous := m.current
+	var removed []*Shard
+	var removedIDs []ShardID
+	for shard := range previous.All {
+		if version.Shard(shard.ID) == nil {
+			removed = append(removed, shard)
+			removedIDs = append(removedIDs, shard.ID)
 		}
-		return true
-	})
-	was := m.cur
-	v.All(func(s *Shard) bool { m.join(s); return true })
-	was.All(func(s *Shard) bool { m.leave(s); return true })
-	for _, s := range gone {
-		m.retire(s.ID, s.Range)
-	}
-	for _, r := range w.Retired {
-		m.retire(r.ID, r.Range)
-	}
-	m.now = make(map[ShardID]*Shard, len(w.Shards))
-	clear(m.moving)
-	for _, s := range w.Shards {
-		if m.now[s.ID] = s; s.Since == 0 || s.Since > w.Epoch {
-			s.Since = w.Epoch
+	}
+	m.regroup(previous, version)
+	for _, shard := range removed {
+		m.lineage.remember(shard.ID, shard.Range)
+	}
+	for _, retired := range snapshot.Retired {
+		m.lineage.remember(retired.ID, retired.Range)
+	}
+	m.shards = make(map[ShardID]*Shard, len(snapshot.Shards))
+	clear(m.inMotion)
+	for _, shard := range snapshot.Shards {
+		if shard.Since == 0 || shard.Since > snapshot.Epoch {
+			shard.Since = snapshot.Epoch
 		}
-		m.track(s)
-		m.highest = max(m.highest, s.ID) // new ids are above all older ones, so the highest is always in use
+		m.put(shard)
+		m.highestID = max(m.highestID, shard.ID)
 	}
 	m.stats.Snapshots++
-	m.adopt(v)
-	return retired, nil
+	m.adopt(version)
+	return removedIDs
+}
+
+// regroup moves the groups from one version to the next. All shards join before any leaves, so that a group that
+// goes on keeps its number.
+func (m *Map) regroup(previous, next *Version) {
+	for shard := range next.All {
+		m.groups.join(shard)
+	}
+	for shard := range previous.All {
+		m.groups.leave(shard)
+	}
 }
--- a/internal/slicemap/validation.go
+++ b/internal/slicemap/validation.go
@@ -6,78 +6,91 @@
 	"github.com/benbjohnson/immutable"
 )
 
-func knownOf(nodes []string) func(string) bool {
-	if len(nodes) == 0 {
+// backendSet are the backends that may hold shards; nil allows any.
+type backendSet map[string]bool
+
+// newBackendSet makes a set of ids; none allows any.
+func newBackendSet(ids []string) backendSet {
+	if len(ids) == 0 {
 		return nil
 	}
-	set := make(map[string]bool, len(nodes))
-	for _, n := range nodes {
-		set[n] = true
+	set := make(backendSet, len(ids))
+	for _, id := range ids {
+		set[id] = true
 	}
-	return func(n string) bool { return set[n] }
+	return set
 }
 
-// check names what is wrong with a slice by itself. known tells the nodes there are; nil knows all.
-func (s *Shard) check(districts int, known func(string) bool) error {
+func (b backendSet) allows(id string) bool { return b == nil || b[id] }
+
+// validate finds the first fault of a shard by itself, whatever the other shards are.
+func (s *Shard) validate(buckets int, allowed backendSet) error {
 	if s.ID < 0 {
-		return fault(s.ID, ErrShard, "an id below 0")
+		return invalid(s.ID, ErrShard, "id below 0")
 	}
-	if s.Start < 0 || s.End <= s.Start || s.End > districts {
-		return fault(s.ID, ErrRange, "%v of %d districts", s.Range, districts)
+	if s.Start < 0 || s.End <= s.Start || s.End > buckets {
+		return invalid(s.ID, ErrRange, "%v of %d buckets", s.Range, buckets)
 	}
 	if len(s.Replicas) == 0 {
-		return fault(s.ID, ErrReplica, "none")
+		return invalid(s.ID, ErrReplica, "none")
 	}
-	for i, h := range s.Replicas {
-		if h == "" || slices.Contains(s.Replicas[:i], h) || known != nil && !known(h) {
-			return fault(s.ID, ErrReplica, "%q", h)
+	for i, replica := range s.Replicas {
+		if replica == "" || slices.Contains(s.Replicas[:i], replica) || !allowed.allows(replica) {
+			return invalid(s.ID, ErrReplica, "%q", replica)
 		}
 	}
+	return s.validateMove(allowed)
+}
+
+// validateMove checks that State, From and To agree.
+func (s *Shard) validateMove(allowed backendSet) error {
 	switch s.State {
 	case Serving:
 		if s.From != "" || s.To != "" {
-			return fault(s.ID, ErrState, "serving, with a move from %q to %q", s.From, s.To)
+			return invalid(s.ID, ErrState, "serving, with a move from %q to %q", s.From, s.To)
 		}
 	case Preparing, HandingOver:
-		if !slices.Contains(s.Replicas, s.From) || s.To == "" || slices.Contains(s.Replicas, s.To) ||
-			known != nil && !known(s.To) {
-			return fault(s.ID, ErrReplica, "a move from %q to %q", s.From, s.To)
+		fromHolds := slices.Contains(s.Replicas, s.From)
+		toIsNew := s.To != "" && !slices.Contains(s.Replicas, s.To) && allowed.allows(s.To)
+		if !fromHolds || !toIsNew {
+			return invalid(s.ID, ErrReplica, "move from %q to %q", s.From, s.To)
 		}
 	default:
-		return fault(s.ID, ErrState, "%v, in a map", s.State)
+		return invalid(s.ID, ErrState, "a %v shard in a map", s.State)
 	}
 	return nil
 }
 
-// build makes a version of slices, which it takes over, or names the first fault.
-func build(epoch uint64, districts int, list []*Shard, known func(string) bool) (*Version, error) {
-	if districts < 1 {
-		return nil, fault(-1, ErrRange, "%d districts", districts)
+// buildVersion makes a version of shards and takes ownership of them. It fails with a *ValidationError unless every
+// bucket is in exactly one valid shard and no id is repeated.
+func buildVersion(epoch uint64, buckets int, shards []*Shard, allowed backendSet) (*Version, error) {
+	if buckets < 1 {
+		return nil, invalid(noShard, ErrRange, "%d buckets", buckets)
 	}
-	list = slices.Clone(list)
-	slices.SortFunc(list, func(a, b *Shard) int { return a.Start - b.Start })
-	byID, byLast := immutable.NewMapBuilder[ShardID, *Shard](hasher{}), immutable.NewSortedMapBuilder[int,
-		*Shard](nil)
-	next := 0
-	for _, s := range list {
-		if err := s.check(districts, known); err != nil {
+	sorted := slices.Clone(shards)
+	slices.SortFunc(sorted, func(a, b *Shard) int { return a.Start - b.Start })
+	byID := immutable.NewMapBuilder[ShardID, *Shard](idHasher{})
+	byLastBucket := immutable.NewSortedMapBuilder[int, *Shard](nil)
+	nextBucket := 0
+	for _, shard := range sorted {
+		if err := shard.validate(buckets, allowed); err != nil {
 			return nil, err
 		}
-		if _, twice := byID.Get(s.ID); twice {
-			return nil, fault(s.ID, ErrShard, "it stands twice")
+		if _, repeated := byID.Get(shard.ID); repeated {
+			return nil, invalid(shard.ID, ErrShard, "repeated id")
 		}
-		if s.Start > next {
-			return nil, fault(s.ID, ErrGap, "%v before it", Range{next, s.Start})
+		if shard.Start > nextBucket {
+			return nil, invalid(shard.ID, ErrGap, "%v before it", Range{nextBucket, shard.Start})
 		}
-		if s.Start < next {
-			return nil, fault(s.ID, ErrOverlap, "%v", Range{s.Start, min(next, s.End)})
+		if shard.Start < nextBucket {
+			return nil, invalid(shard.ID, ErrOverlap, "%v", Range{shard.Start, min(nextBucket, shard.End)})
 		}
-		next = s.End
-		byID.Set(s.ID, s)
-		byLast.Set(s.End-1, s)
+		nextBucket = shard.End
+		byID.Set(shard.ID, shard)
+		byLastBucket.Set(shard.End-1, shard)
 	}
-	if next < districts {
-		return nil, fault(-1, ErrGap, "%v at the end", Range{next, districts})
+	if nextBucket < buckets {
+		return nil, invalid(noShard, ErrGap, "%v at the end", Range{nextBucket, buckets})
 	}
-	return &Version{Epoch: epoch, Buckets: districts, byID: byID.Map(), byLast: byLast.Map()}, nil
+	return &Version{Epoch: epoch, Buckets: buckets, byID: byID.Map(), byLastBucket: byLastBucket.Map()}, nil
 }
--- a/internal/slicemap/version.go
+++ b/internal/slicemap/version.go
@@ -2,55 +2,64 @@
 
 import "github.com/benbjohnson/immutable"
 
-// Version is the map at one epoch. It never changes.
+// Version is the shard map at one epoch. It is immutable and may be read by any goroutine. Consecutive versions share
+// all but the changed paths of their tries.
+//
+// Every bucket from 0 to Buckets-1 is in exactly one shard.
 type Version struct {
-	Epoch   uint64
-	Buckets int // 0 to Districts-1, each in exactly one slice
+	Epoch   uint64 // 0 before the first snapshot
+	Buckets int    // number of buckets; it never changes after the first snapshot
 
-	byID   *immutable.Map[ShardID, *Shard]
-	byLast *immutable.SortedMap[int, *Shard] // by the last district of a slice
+	byID         *immutable.Map[ShardID, *Shard]
+	byLastBucket *immutable.SortedMap[int, *Shard]
 
-	refs int // the map's: queries that began on it
+	// queries counts the queries that were started on this version and have not ended. It belongs to the Map and is
+	// the only field that changes; negative once the version has been dropped.
+	queries int
 }
 
-// hasher leaves ids as they are: they come in a row, and fill the trie evenly.
-type hasher struct{}
+// idHasher uses ids as their own hash: they are dense, so they fill the trie evenly.
+type idHasher struct{}
 
 // Hash implements immutable.Hasher.
-func (hasher) Hash(id ShardID) uint32 { return uint32(id) }
+func (idHasher) Hash(id ShardID) uint32 { return uint32(id) }
 
 // Equal implements immutable.Hasher.
-func (hasher) Equal(a, b ShardID) bool { return a == b }
+func (idHasher) Equal(a, b ShardID) bool { return a == b }
 
-func newVersion(epoch uint64, districts int) *Version {
-	return &Version{Epoch: epoch, Buckets: districts, byID: immutable.NewMap[ShardID, *Shard](hasher{}),
-		byLast: immutable.NewSortedMap[int, *Shard](nil)}
+func newEmptyVersion() *Version {
+	return &Version{
+		byID:         immutable.NewMap[ShardID, *Shard](idHasher{}),
+		byLastBucket: immutable.NewSortedMap[int, *Shard](nil),
+	}
 }
 
-// Shard is a slice by its id; nil if there is none, or no more.
+// Shard is the shard with an id; nil if this version has none.
 func (v *Version) Shard(id ShardID) *Shard {
-	s, _ := v.byID.Get(id)
-	return s
+	shard, _ := v.byID.Get(id)
+	return shard
 }
 
-// ShardAt is the slice that holds a district; nil if the district is out of range.
-func (v *Version) ShardAt(district int) *Shard {
-	if district < 0 || district >= v.Buckets {
+// ShardAt is the shard that has a bucket; nil if the bucket is out of range.
+func (v *Version) ShardAt(bucket int) *Shard {
+	if bucket < 0 || bucket >= v.Buckets {
 		return nil
 	}
-	it := v.byLast.Iterator()
-	it.Seek(district)
-	_, s, _ := it.Next()
-	return s
+	iterator := v.byLastBucket.Iterator()
+	iterator.Seek(bucket)
+	_, shard, _ := iterator.Next()
+	return shard
 }
 
-// Len is the number of slices.
+// Len is the number of shards.
 func (v *Version) Len() int { return v.byID.Len() }
 
-// All calls f for every slice in order of districts, until it says false.
-func (v *Version) All(f func(*Shard) bool) {
-	for it := v.byLast.Iterator(); !it.Done(); {
-		if _, s, _ := it.Next(); !f(s) {
+// All is an iterator over the shards in the order of their buckets.
+func (v *Version) All(yield func(*Shard) bool) {
+	iterator := v.byLastBucket.Iterator()
+	for !iterator.Done() {
+		_, shard, _ := iterator.Next()
+		if !yield(shard) {
 			return
 		}
 	}
--- a/test/slices_test.go
+++ b/test/slices_test.go
@@ -134,11 +134,11 @@
 	bad := ring(6)
 	bad.Shards[3].Lo++
 	c.say(bad)
-	p.waitLog("slice 3: districts that nobody holds: 30-31 before it")
+	p.waitLog("shard 3: buckets without a shard: 30-31 before it")
 	p.waitLog(`"code":"M10"`)
 	require.EqualValues(t, 5, p.slices().Epoch)
 	c.say(catalog.Document{Epoch: 9, Changes: []catalog.Change{{Base: 7, Epoch: 9, Kind: "handover"}}})
-	p.waitLog("the change is onto another epoch: onto 7, at 5")
+	p.waitLog("change is based on another epoch: onto 7, at 5")
 	c.say("{")
 	p.waitLog("the catalogue's answer cannot be used")
 	c.say(ring(7))
