--- a/internal/lab/world/virtual.go
+++ b/internal/lab/world/virtual.go
@@ -159,7 +159,7 @@
 	r.Add(b.moves, b.stats)
 	if b.core != nil {
 		r.Add(b.core.ReshardingStats(), b.m.Stats())
-		r.Reads += b.follow.HintedReads()
+		r.Reads += b.follow.HintedPolls()
 		r.OpenEnd += b.core.OpenRequests()
 	}
 }
--- a/internal/slicemap/poller.go
+++ b/internal/slicemap/poller.go
@@ -31,7 +31,7 @@
 	hintedAt    float64 // ms; when the poll for hintedEpoch is due; infinite if none is
 	lastHinted  float64 // ms; when the last such poll was made
 	fruitless   int     // such polls in a row that brought no newer epoch
-	hintedReads uint64
+	hintedPolls uint64
 }
 
 // NewPoller makes a poller whose first call is due at once. seed determines all its random delays.
@@ -72,7 +72,7 @@
 	if hinted { // the source has the newer epoch, so a watch that has not delivered it may be dead
 		request.WaitMs = 0
 		p.lastHinted = now
-		p.hintedReads++
+		p.hintedPolls++
 	}
 	request.TimeoutMs = request.WaitMs + changesTimeoutMs
 	if request.FullSnapshot {
@@ -146,8 +146,8 @@
 	p.backOff(now)
 }
 
-// HintedReads is how many calls were made because a newer epoch had been seen.
-func (p *Poller) HintedReads() uint64 { return p.hintedReads }
+// HintedPolls is how many calls were made because a newer epoch had been seen.
+func (p *Poller) HintedPolls() uint64 { return p.hintedPolls }
 
 // hintedIntervalMs is the least time between two polls for reported epochs, in ms. It doubles while they bring nothing
 // new, so that a client that names an epoch which does not exist cannot load the source.
