--- a/internal/slicemap/changes_test.go
+++ b/internal/slicemap/changes_test.go
@@ -6,68 +6,69 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestLifeOfAMove(t *testing.T) {
-	m := started(t, 4, 10)
-	require.Equal(t, []string{"a", "b", "c"}, m.Current().Shard(0).Executors())
-	apply(t, m, Change{Kind: Move, Shard: 0, From: "b", To: "e"})
-	s := m.Current().Shard(0)
-	require.True(t, s.Executes("b") && !s.Executes("e"), "while it is copied the source executes")
-	apply(t, m, Change{Kind: Handover, Shard: 0})
-	s = m.Current().Shard(0)
-	require.True(t, !s.Executes("b") && s.Executes("e"), "from the handover on it is the destination")
-	require.Equal(t, []string{"a", "e", "c"}, s.Executors())
-	apply(t, m, Change{Kind: Abort, Shard: 0})
-	require.Equal(t, []string{"a", "b", "c"}, m.Current().Shard(0).Executors(), "an abort goes back to the source")
-	for _, k := range []Change{{Kind: Move, From: "b", To: "e"}, {Kind: Handover}, {Kind: Done}} {
-		apply(t, m, k)
+func TestInvalidChangesAreRejected(t *testing.T) {
+	m := newRingMap(t, 4, 10)
+	for name, test := range map[string]struct {
+		change Change
+		want   error
+	}{
+		"other base":           {Change{Base: 7, Epoch: 8, Kind: Handover}, ErrBase},
+		"delivered twice":      {Change{Base: 1, Epoch: 1, Kind: Handover}, nil},
+		"unknown shard":        {Change{Base: 1, Epoch: 2, Kind: Handover, Shard: 99}, ErrShard},
+		"no move in progress":  {Change{Base: 1, Epoch: 2, Kind: Handover}, ErrState},
+		"split outside":        {Change{Base: 1, Epoch: 2, Kind: Split, At: 10, Into: []ShardID{4, 5}}, ErrRange},
+		"split into a used id": {Change{Base: 1, Epoch: 2, Kind: Split, At: 5, Into: []ShardID{3, 5}}, ErrShard},
+		"merge of distant ones":  {Change{Base: 1, Epoch: 2, Kind: Merge, Other: 2, Into: []ShardID{4}}, ErrRange},
+		"merge across replicas": {
+			Change{Base: 1, Epoch: 2, Kind: Merge, Other: 1, Into: []ShardID{4}}, ErrReplica},
+		"move to a replica":       {Change{Base: 1, Epoch: 2, Kind: Move, From: "a", To: "b"}, ErrReplica},
+		"move from a non-replica": {Change{Base: 1, Epoch: 2, Kind: Move, From: "d", To: "e"}, ErrReplica},
+	} {
+		t.Run(name, func(t *testing.T) {
+			before := m.Current()
+			_, err := m.Apply([]Change{test.change}, nil)
+			require.ErrorIs(t, err, test.want)
+			require.Same(t, before, m.Current())
+		})
 	}
-	require.Equal(t, []string{"a", "e", "c"}, m.Current().Shard(0).Replicas)
-	// And back again: A to B and back to A.
-	for _, k := range []Change{{Kind: Move, From: "e", To: "b"}, {Kind: Handover}, {Kind: Done}} {
-		apply(t, m, k)
-	}
-	require.Equal(t, []string{"a", "b", "c"}, m.Current().Shard(0).Replicas)
 }
 
-func TestSplitOfASliceThatMoves(t *testing.T) {
-	m := started(t, 4, 10)
-	apply(t, m, Change{Kind: Move, Shard: 0, From: "b", To: "e"})
-	require.Equal(t, []ShardID{0}, apply(t, m, Change{Kind: Split, Shard: 0, At: 4, Into: []ShardID{4, 5}}))
-	for _, id := range []ShardID{4, 5} {
-		s := m.Current().Shard(id)
-		require.Equal(t, Preparing, s.State, "the move goes on for both halves")
-		require.Equal(t, []ShardID{0}, s.Parents)
-	}
-	_, err := m.Apply([]Change{step(m, Change{Kind: Merge, Shard: 4, Other: 5, Into: []ShardID{6}})}, nil)
-	require.ErrorIs(t, err, ErrState, "halves that move cannot be merged")
-	apply(t, m, Change{Kind: Handover, Shard: 4})
-	apply(t, m, Change{Kind: Abort, Shard: 5})
-	require.Equal(t, []string{"a", "e", "c"}, m.Current().Shard(4).Executors())
-	require.Equal(t, []string{"a", "b", "c"}, m.Current().Shard(5).Executors())
-	r, err := m.Resolve(0)
-	require.NoError(t, err, "the old name is understood")
-	require.Equal(t, []Segment{{4, Range{0, 4}}, {5, Range{4, 10}}}, m.Current().Route(nil, 0, r))
+func TestChangesAreAppliedAllOrNone(t *testing.T) {
+	m := newRingMap(t, 4, 10)
+	before := m.Current()
+	_, err := m.Apply([]Change{
+		{Base: 1, Epoch: 2, Kind: Split, At: 5, Into: []ShardID{4, 5}},
+		{Base: 2, Epoch: 3, Kind: Split, At: 5, Into: []ShardID{6, 7}},
+	}, nil)
+	var invalid *ValidationError
+	require.ErrorAs(t, err, &invalid)
+	require.Equal(t, 0, invalid.Shard)
+	require.ErrorIs(t, err, ErrShard)
+	require.Same(t, before, m.Current(), "the first change is not applied either")
 }
 
 func BenchmarkSplit100000(b *testing.B) {
-	m := big(b, 100_000)
+	const shards = 100_000
+	m := newBenchmarkMap(b, shards)
 	for i := range b.N {
-		id := i % 100_000
+		id := i % shards
 		if i > 0 && id == 0 {
 			b.StopTimer()
-			m = started(b, 100_000, 8)
+			m = newRingMap(b, shards, 8)
 			b.StartTimer()
 		}
-		s := m.Current().Shard(id)
-		n := 100_000 + 2*id
-		if _, err := m.Apply([]Change{step(m, Change{Kind: Split, Shard: id, At: s.Start + 4, Into: []ShardID{n, n + 1}})}, nil); err != nil {
+		shard := m.Current().Shard(id)
+		firstNew := shards + 2*id
+		split := Change{Kind: Split, Shard: id, At: shard.Start + 4, Into: []ShardID{firstNew, firstNew + 1}}
+		if err := tryApply(m, split); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
-func big(b *testing.B, n int) *Map {
-	m := started(b, n, 8)
+func newBenchmarkMap(b *testing.B, shards int) *Map {
+	b.Helper()
+	m := newRingMap(b, shards, 8)
 	b.ReportAllocs()
 	b.ResetTimer()
 	return m
--- a/internal/slicemap/map_test.go
+++ b/internal/slicemap/map_test.go
@@ -3,133 +3,209 @@
 import (
 	"fmt"
 	"slices"
+	"strings"
 	"testing"
 
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 )
 
-// TestAgainstModel draws histories of changes, good and bad, and holds the map against a table of districts.
-func TestAgainstModel(t *testing.T) {
+const modelBuckets = 64
+
+// mapModel draws histories of valid and invalid changes and compares the map with a table of executors by bucket.
+type mapModel struct {
+	m         *Map
+	executors [][]string // by bucket, sorted
+	nextID    ShardID
+	acquired  []acquiredVersion
+}
+
+// acquiredVersion is a version with a query on it, and how it looked when the query started.
+type acquiredVersion struct {
+	version *Version
+	text    string
+}
+
+func TestMapAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := started(t, 4, 16)
-		nodes := []string{"a", "b", "c", "d", "e"}
-		executor := make([][]string, 64) // by district: the model's own
-		for i := range executor {
-			executor[i] = slices.Sorted(slices.Values(m.Current().ShardAt(i).Replicas))
-		}
-		next := 4
-		type snapshot struct {
-			v    *Version
-			text string
-		}
-		var held []snapshot
-		text := func(v *Version) (out string) {
-			v.All(func(s *Shard) bool {
-				out += fmt.Sprint(s.ID, s.Range, s.Replicas, s.State, s.From, s.To, ";")
-				return true
-			})
-			return out
-		}
-		one := func(label string) *Shard { return m.Current().ShardAt(rapid.IntRange(0, 63).Draw(t, label)) }
+		model := newMapModel(t)
 		t.Repeat(map[string]func(*rapid.T){
-			"split": func(t *rapid.T) {
-				s, at := one("d"), rapid.IntRange(0, 63).Draw(t, "at")
-				_, err := m.Apply([]Change{step(m, Change{Kind: Split, Shard: s.ID, At: at, Into: []ShardID{next, next + 1}})}, nil)
-				require.Equal(t, at > s.Start && at < s.End, err == nil)
-				next += 2
-			},
-			"merge": func(t *rapid.T) {
-				a, b := one("a"), one("b")
-				_, err := m.Apply([]Change{step(m, Change{Kind: Merge, Shard: a.ID, Other: b.ID, Into: []ShardID{next}})}, nil)
-				same := slices.Equal(executor[a.Start], executor[b.Start])
-				require.Equal(t, (a.End == b.Start || b.End == a.Start) && a.State == Serving && b.State == Serving && same, err == nil)
-				next++
-			},
-			"move": func(t *rapid.T) {
-				s := one("d")
-				from, to := rapid.SampledFrom(nodes).Draw(t, "from"), rapid.SampledFrom(nodes).Draw(t, "to")
-				_, err := m.Apply([]Change{step(m, Change{Kind: Move, Shard: s.ID, From: from, To: to})}, nodes)
-				require.Equal(t, s.State == Serving && slices.Contains(s.Replicas, from) && !slices.Contains(s.Replicas, to), err == nil)
-			},
-			"handover": func(t *rapid.T) {
-				s := one("d")
-				_, err := m.Apply([]Change{step(m, Change{Kind: Handover, Shard: s.ID})}, nil)
-				if require.Equal(t, s.State == Preparing, err == nil); err == nil {
-					for d := s.Start; d < s.End; d++ {
-						x := slices.Clone(executor[d])
-						x[slices.Index(x, s.From)] = s.To
-						executor[d] = slices.Sorted(slices.Values(x))
-					}
-				}
-			},
-			"done": func(t *rapid.T) {
-				s := one("d")
-				_, err := m.Apply([]Change{step(m, Change{Kind: Done, Shard: s.ID})}, nil)
-				require.Equal(t, s.State == HandingOver, err == nil)
-			},
-			"abort": func(t *rapid.T) {
-				s := one("d")
-				_, err := m.Apply([]Change{step(m, Change{Kind: Abort, Shard: s.ID})}, nil)
-				require.Equal(t, s.State != Serving, err == nil)
-				for d := s.Start; err == nil && s.State == HandingOver && d < s.End; d++ {
-					executor[d] = slices.Sorted(slices.Values(s.Replicas))
-				}
-			},
-			"hold": func(t *rapid.T) {
-				v := m.Acquire()
-				held = append(held, snapshot{v, text(v)})
-			},
-			"free": func(t *rapid.T) {
-				if len(held) > 0 {
-					i := rapid.IntRange(0, len(held)-1).Draw(t, "i")
-					m.Release(held[i].v)
-					held = slices.Delete(held, i, i+1)
-				}
-			},
-			"whole": func(t *rapid.T) {
-				w := Snapshot{Epoch: m.Current().Epoch + 3, Buckets: 64}
-				m.Current().All(func(s *Shard) bool { c := *s; w.Shards = append(w.Shards, &c); return true })
-				retired, err := m.Reset(w)
-				require.NoError(t, err)
-				require.Empty(t, retired)
-			},
-			"": func(t *rapid.T) {
-				v, at, groups := m.Current(), 0, map[string]int{}
-				v.All(func(s *Shard) bool {
-					require.Equal(t, at, s.Start)
-					require.Same(t, s, v.Shard(s.ID))
-					require.Same(t, s, m.Shard(s.ID))
-					names := slices.Sorted(slices.Values(s.Executors()))
-					for at = s.Start; at < s.End; at++ {
-						require.Equal(t, executor[at], names)
-						require.Same(t, s, v.ShardAt(at))
-					}
-					g, known := groups[fmt.Sprint(names)]
-					require.True(t, !known || g == m.Group(s.ID), "one group for one set of holders")
-					groups[fmt.Sprint(names)] = m.Group(s.ID)
-					require.Len(t, m.Replicas(m.Group(s.ID)), len(names))
-					return true
-				})
-				require.Equal(t, 64, at)
-				require.Equal(t, v.Len(), len(m.shards))
-				moving := m.ShardsInMotion()
-				v.All(func(s *Shard) bool {
-					require.Equal(t, s.State != Serving, slices.Contains(moving, s))
-					return true
-				})
-				require.Equal(t, len(moving), m.Stats().ShardsInMotion)
-				require.Equal(t, len(groups), m.Stats().Groups, "no group is left behind")
-				for id := range next {
-					if r, err := m.Resolve(id); err == nil {
-						legs := v.Route(nil, id, r)
-						require.NoError(t, NewCoverage(r, []Segment{{id, r}}).Replace(r, legs))
-					}
-				}
-				for _, h := range held {
-					require.Equal(t, h.text, text(h.v), "a version never changes")
-				}
-			},
+			"split":    model.split,
+			"merge":    model.merge,
+			"move":     model.move,
+			"handover": model.handover,
+			"done":     model.done,
+			"abort":    model.abort,
+			"acquire":  model.acquire,
+			"release":  model.release,
+			"snapshot": model.snapshot,
+			"":         model.check,
 		})
 	})
 }
+
+func newMapModel(t *rapid.T) *mapModel {
+	model := &mapModel{m: newRingMap(t, 4, 16), executors: make([][]string, modelBuckets), nextID: 4}
+	for bucket := range model.executors {
+		model.executors[bucket] = sorted(model.m.Current().ShardAt(bucket).Replicas)
+	}
+	return model
+}
+
+func sorted(backends []string) []string { return slices.Sorted(slices.Values(backends)) }
+
+func (model *mapModel) drawShard(t *rapid.T, label string) *Shard {
+	return model.m.Current().ShardAt(rapid.IntRange(0, modelBuckets-1).Draw(t, label))
+}
+
+func (model *mapModel) split(t *rapid.T) {
+	shard := model.drawShard(t, "shard")
+	at := rapid.IntRange(0, modelBuckets-1).Draw(t, "at")
+	into := []ShardID{model.nextID, model.nextID + 1}
+	err := tryApply(model.m, Change{Kind: Split, Shard: shard.ID, At: at, Into: into})
+	require.Equal(t, at > shard.Start && at < shard.End, err == nil)
+	model.nextID += 2
+}
+
+func (model *mapModel) merge(t *rapid.T) {
+	first := model.drawShard(t, "first")
+	second := model.drawShard(t, "second")
+	into := []ShardID{model.nextID}
+	err := tryApply(model.m, Change{Kind: Merge, Shard: first.ID, Other: second.ID, Into: into})
+	neighbours := first.End == second.Start || second.End == first.Start
+	serving := first.State == Serving && second.State == Serving
+	sameExecutors := slices.Equal(model.executors[first.Start], model.executors[second.Start])
+	require.Equal(t, neighbours && serving && sameExecutors, err == nil)
+	model.nextID++
+}
+
+func (model *mapModel) move(t *rapid.T) {
+	backends := []string{"a", "b", "c", "d", "e"}
+	shard := model.drawShard(t, "shard")
+	from := rapid.SampledFrom(backends).Draw(t, "from")
+	to := rapid.SampledFrom(backends).Draw(t, "to")
+	err := tryApply(model.m, Change{Kind: Move, Shard: shard.ID, From: from, To: to}, backends...)
+	possible := shard.State == Serving && slices.Contains(shard.Replicas, from) && !slices.Contains(shard.Replicas, to)
+	require.Equal(t, possible, err == nil)
+}
+
+func (model *mapModel) handover(t *rapid.T) {
+	shard := model.drawShard(t, "shard")
+	err := tryApply(model.m, Change{Kind: Handover, Shard: shard.ID})
+	require.Equal(t, shard.State == Preparing, err == nil)
+	if err != nil {
+		return
+	}
+	for bucket := shard.Start; bucket < shard.End; bucket++ {
+		executors := slices.Clone(model.executors[bucket])
+		executors[slices.Index(executors, shard.From)] = shard.To
+		model.executors[bucket] = sorted(executors)
+	}
+}
+
+func (model *mapModel) done(t *rapid.T) {
+	shard := model.drawShard(t, "shard")
+	err := tryApply(model.m, Change{Kind: Done, Shard: shard.ID})
+	require.Equal(t, shard.State == HandingOver, err == nil)
+}
+
+func (model *mapModel) abort(t *rapid.T) {
+	shard := model.drawShard(t, "shard")
+	err := tryApply(model.m, Change{Kind: Abort, Shard: shard.ID})
+	require.Equal(t, shard.State != Serving, err == nil)
+	if err != nil || shard.State != HandingOver {
+		return
+	}
+	for bucket := shard.Start; bucket < shard.End; bucket++ {
+		model.executors[bucket] = sorted(shard.Replicas)
+	}
+}
+
+func (model *mapModel) acquire(*rapid.T) {
+	version := model.m.Acquire()
+	model.acquired = append(model.acquired, acquiredVersion{version, describe(version)})
+}
+
+func (model *mapModel) release(t *rapid.T) {
+	if len(model.acquired) == 0 {
+		return
+	}
+	i := rapid.IntRange(0, len(model.acquired)-1).Draw(t, "i")
+	model.m.Release(model.acquired[i].version)
+	model.acquired = slices.Delete(model.acquired, i, i+1)
+}
+
+func (model *mapModel) snapshot(t *rapid.T) {
+	snapshot := Snapshot{Epoch: model.m.Current().Epoch + 3, Buckets: modelBuckets}
+	for shard := range model.m.Current().All {
+		copied := *shard
+		snapshot.Shards = append(snapshot.Shards, &copied)
+	}
+	retired, err := model.m.Reset(snapshot)
+	require.NoError(t, err)
+	require.Empty(t, retired)
+}
+
+// check compares everything that the map says with the model.
+func (model *mapModel) check(t *rapid.T) {
+	model.checkShards(t)
+	model.checkShardsInMotion(t)
+	model.checkLineage(t)
+	for _, acquired := range model.acquired {
+		require.Equal(t, acquired.text, describe(acquired.version), "a version never changes")
+	}
+}
+
+func (model *mapModel) checkShards(t *rapid.T) {
+	m, version := model.m, model.m.Current()
+	nextBucket := 0
+	groups := map[string]int{}
+	for shard := range version.All {
+		require.Equal(t, nextBucket, shard.Start)
+		require.Same(t, shard, version.Shard(shard.ID))
+		require.Same(t, shard, m.Shard(shard.ID))
+		executors := sorted(shard.Executors())
+		for nextBucket = shard.Start; nextBucket < shard.End; nextBucket++ {
+			require.Equal(t, model.executors[nextBucket], executors)
+			require.Same(t, shard, version.ShardAt(nextBucket))
+		}
+		key := fmt.Sprint(executors)
+		group, known := groups[key]
+		require.True(t, !known || group == m.Group(shard.ID), "one group for one set of executors")
+		groups[key] = m.Group(shard.ID)
+		require.Len(t, m.Replicas(m.Group(shard.ID)), len(executors))
+	}
+	require.Equal(t, modelBuckets, nextBucket)
+	require.Equal(t, version.Len(), len(m.shards))
+	require.Equal(t, len(groups), m.Stats().Groups, "a group ends with its last shard")
+}
+
+func (model *mapModel) checkShardsInMotion(t *rapid.T) {
+	inMotion := model.m.ShardsInMotion()
+	for shard := range model.m.Current().All {
+		require.Equal(t, shard.State != Serving, slices.Contains(inMotion, shard))
+	}
+	require.Equal(t, len(inMotion), model.m.Stats().ShardsInMotion)
+}
+
+// checkLineage routes every id that can be resolved: the segments make up its buckets.
+func (model *mapModel) checkLineage(t *rapid.T) {
+	for id := range model.nextID {
+		buckets, err := model.m.Resolve(id)
+		if err != nil {
+			continue
+		}
+		segments := model.m.Current().Route(nil, id, buckets)
+		coverage := NewCoverage(buckets, []Segment{{id, buckets}})
+		require.NoError(t, coverage.Replace(buckets, segments))
+	}
+}
+
+// describe formats everything that a version says.
+func describe(version *Version) string {
+	var text strings.Builder
+	for shard := range version.All {
+		fmt.Fprint(&text, shard.ID, shard.Range, shard.Replicas, shard.State, shard.From, shard.To, ";")
+	}
+	return text.String()
+}
--- /dev/null
+++ b/internal/slicemap/snapshot_test.go
@@ -0,0 +1,50 @@
+package slicemap
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+func TestInvalidSnapshotsAreRejected(t *testing.T) {
+	for name, test := range map[string]struct {
+		corrupt func(*Snapshot)
+		want    error
+	}{
+		"gap":                {func(s *Snapshot) { s.Shards[1].Start++ }, ErrGap},
+		"gap at the end":     {func(s *Snapshot) { s.Shards = s.Shards[:3] }, ErrGap},
+		"overlap":            {func(s *Snapshot) { s.Shards[1].Start-- }, ErrOverlap},
+		"unknown replica":    {func(s *Snapshot) { s.Shards[2].Replicas[0] = "z" }, ErrReplica},
+		"no replica":         {func(s *Snapshot) { s.Shards[2].Replicas = nil }, ErrReplica},
+		"repeated replica":   {func(s *Snapshot) { s.Shards[2].Replicas[0] = s.Shards[2].Replicas[1] }, ErrReplica},
+		"epoch goes back":    {func(s *Snapshot) { s.Epoch = 4 }, ErrEpoch},
+		"repeated id":        {func(s *Snapshot) { s.Shards[3].ID = 2 }, ErrShard},
+		"id below 0":         {func(s *Snapshot) { s.Shards[3].ID = -2 }, ErrShard},
+		"number of buckets":  {func(s *Snapshot) { s.Buckets++ }, ErrRange},
+		"empty shard":        {func(s *Snapshot) { s.Shards[3].End = s.Shards[3].Start }, ErrRange},
+		"retired shard":      {func(s *Snapshot) { s.Shards[3].State = Retired }, ErrState},
+		"move without sides": {func(s *Snapshot) { s.Shards[3].State = Preparing }, ErrReplica},
+		"id with other buckets": {func(s *Snapshot) {
+			s.Shards[0].End = 5
+			s.Shards[1].Start = 5
+		}, ErrShard},
+	} {
+		t.Run(name, func(t *testing.T) {
+			m := newRingMap(t, 4, 10)
+			apply(t, m,
+				Change{Kind: Move, Shard: 0, From: "b", To: "e"},
+				Change{Kind: Handover},
+				Change{Kind: Done},
+				Change{Kind: Assign, Shard: 1, Replicas: []string{"a"}})
+			before := m.Current()
+			snapshot := ringSnapshot(9, 4, 10)
+			snapshot.Backends = []string{"a", "b", "c", "d", "e"}
+			test.corrupt(&snapshot)
+
+			_, err := m.Reset(snapshot)
+			require.ErrorIs(t, err, test.want)
+			require.Same(t, before, m.Current())
+			require.EqualValues(t, 1, m.Stats().Rejected)
+		})
+	}
+}
