--- a/internal/slicemap/changes_test.go
+++ b/internal/slicemap/changes_test.go
@@ -12,13 +12,13 @@
 		change Change
 		want   error
 	}{
-		"other base":           {Change{Base: 7, Epoch: 8, Kind: Handover}, ErrBase},
-		"delivered twice":      {Change{Base: 1, Epoch: 1, Kind: Handover}, nil},
-		"unknown shard":        {Change{Base: 1, Epoch: 2, Kind: Handover, Shard: 99}, ErrShard},
-		"no move in progress":  {Change{Base: 1, Epoch: 2, Kind: Handover}, ErrState},
-		"split outside":        {Change{Base: 1, Epoch: 2, Kind: Split, At: 10, Into: []ShardID{4, 5}}, ErrRange},
-		"split into a used id": {Change{Base: 1, Epoch: 2, Kind: Split, At: 5, Into: []ShardID{3, 5}}, ErrShard},
-		"merge of distant ones":  {Change{Base: 1, Epoch: 2, Kind: Merge, Other: 2, Into: []ShardID{4}}, ErrRange},
+		"other base":            {Change{Base: 7, Epoch: 8, Kind: Handover}, ErrBase},
+		"delivered twice":       {Change{Base: 1, Epoch: 1, Kind: Handover}, nil},
+		"unknown shard":         {Change{Base: 1, Epoch: 2, Kind: Handover, Shard: 99}, ErrShard},
+		"no move in progress":   {Change{Base: 1, Epoch: 2, Kind: Handover}, ErrState},
+		"split outside":         {Change{Base: 1, Epoch: 2, Kind: Split, At: 10, Into: []ShardID{4, 5}}, ErrRange},
+		"split into a used id":  {Change{Base: 1, Epoch: 2, Kind: Split, At: 5, Into: []ShardID{3, 5}}, ErrShard},
+		"merge of distant ones": {Change{Base: 1, Epoch: 2, Kind: Merge, Other: 2, Into: []ShardID{4}}, ErrRange},
 		"merge across replicas": {
 			Change{Base: 1, Epoch: 2, Kind: Merge, Other: 1, Into: []ShardID{4}}, ErrReplica},
 		"move to a replica":       {Change{Base: 1, Epoch: 2, Kind: Move, From: "a", To: "b"}, ErrReplica},
--- a/internal/slicemap/errors.go
+++ b/internal/slicemap/errors.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// The kinds of fault in a snapshot or a change. A *ValidationError wraps one of them.
+// The kinds of validation error of a snapshot or a change. A *ValidationError wraps one of them.
 var (
 	ErrEpoch   = errors.New("epoch does not increase")
 	ErrBase    = errors.New("change is based on another epoch")
@@ -22,17 +22,17 @@
 // matches ErrShard too.
 var ErrStale = errors.New("shard is unknown or was retired too long ago")
 
-// noShard stands in ValidationError.Shard where the fault is not in a particular shard.
+// noShard is ValidationError.Shard where the error does not concern a particular shard.
 const noShard ShardID = -1
 
-// ValidationError is the first fault that was found in a snapshot or a change.
+// ValidationError is the first error that was found in a snapshot or a change.
 type ValidationError struct {
-	Shard  ShardID // the shard at fault; -1 if the fault is not in a particular shard
-	Detail string  // the values at fault
-	Err    error   // the kind of fault: one of the Err variables of this package
+	Shard  ShardID // the invalid shard; -1 if the error does not concern a particular one
+	Detail string  // the invalid values
+	Err    error   // the kind of error: one of the Err variables of this package
 }
 
-// Error names the shard, the kind of fault and its detail.
+// Error names the shard, the kind of error and its detail.
 func (e *ValidationError) Error() string {
 	if e.Shard < 0 {
 		return fmt.Sprintf("%v: %s", e.Err, e.Detail)
@@ -40,7 +40,7 @@
 	return fmt.Sprintf("shard %d: %v: %s", e.Shard, e.Err, e.Detail)
 }
 
-// Unwrap is the kind of fault.
+// Unwrap is the kind of error.
 func (e *ValidationError) Unwrap() error { return e.Err }
 
 // invalid makes a *ValidationError. It returns the interface type, so that callers can return it as it is.
--- a/internal/slicemap/poller_test.go
+++ b/internal/slicemap/poller_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestPollerWatchesAndAsksForASnapshotAfterAFault(t *testing.T) {
+func TestPollerWatchesAndAsksForASnapshotAfterAnInvalidUpdate(t *testing.T) {
 	poller := NewPoller(DefaultPollerOptions, 7)
 	request, due := poller.Next(0)
 	require.True(t, due && request.FullSnapshot && request.WaitMs == 0, "a snapshot first")
--- a/internal/slicemap/snapshot.go
+++ b/internal/slicemap/snapshot.go
@@ -24,7 +24,7 @@
 	return m.install(version, snapshot), nil
 }
 
-// validateSnapshot makes the version of a snapshot, or finds the first fault.
+// validateSnapshot makes the version of a snapshot, or finds the first error.
 func (m *Map) validateSnapshot(snapshot Snapshot) (*Version, error) {
 	if snapshot.Epoch < max(m.current.Epoch, 1) {
 		return nil, invalid(noShard, ErrEpoch, "%d, at %d", snapshot.Epoch, m.current.Epoch)
--- a/internal/slicemap/stats.go
+++ b/internal/slicemap/stats.go
@@ -16,8 +16,8 @@
 	Rejected            uint64 `json:"refused"`           // snapshots and batches of changes that were invalid
 	RetiredShards       int    `json:"history"`           // retired shards that are remembered
 	ForgottenShards     uint64 `json:"forgotten"`         // retired shards forgotten at the bound
-	NotHolder           uint64 `json:"moved"`             // not-holder replies by the epoch that the segment was sent with
-	BackendBehind       uint64 `json:"moved_node_late"`   // of these, from a backend with an older map
+	NotHolder           uint64 `json:"moved"`             // not-holder replies
+	BackendBehind       uint64 `json:"moved_node_late"`   // of these, from a backend with a map older than the segment
 	MapBehind           uint64 `json:"moved_map_late"`    // of these, from a backend with a newer map
 	SameEpoch           uint64 `json:"moved_same_epoch"`  // of these, the others
 }
--- a/internal/slicemap/validation.go
+++ b/internal/slicemap/validation.go
@@ -23,7 +23,7 @@
 
 func (b backendSet) allows(id string) bool { return b == nil || b[id] }
 
-// validate finds the first fault of a shard by itself, whatever the other shards are.
+// validate finds the first error of a shard by itself, whatever the other shards are.
 func (s *Shard) validate(buckets int, allowed backendSet) error {
 	if s.ID < 0 {
 		return invalid(s.ID, ErrShard, "id below 0")
