--- a/internal/catalog/document.go
+++ b/internal/catalog/document.go
@@ -13,7 +13,7 @@
 	Epoch    uint64         `json:"epoch"`
 	Complete bool           `json:"complete"`
 	Buckets  int            `json:"districts,omitempty"`
-	Nodes    []string       `json:"nodes,omitempty"` // all that may hold slices; none: any
+	Backends []string       `json:"nodes,omitempty"` // all that may hold slices; none: any
 	Shards   []Shard        `json:"slices,omitempty"`
 	Retired  []RetiredShard `json:"retired,omitempty"` // the latest last: by these old names are understood
 	Changes  []Change       `json:"changes,omitempty"`
@@ -78,9 +78,9 @@
 			return nil, nil, nil, fmt.Errorf("%w: changes up to %d in an answer of epoch %d", ErrMalformedDocument, cs[n-1].Epoch,
 				d.Epoch)
 		}
-		return nil, cs, d.Nodes, nil
+		return nil, cs, d.Backends, nil
 	}
-	w = &slicemap.Snapshot{Epoch: d.Epoch, Buckets: d.Buckets, Backends: d.Nodes}
+	w = &slicemap.Snapshot{Epoch: d.Epoch, Buckets: d.Buckets, Backends: d.Backends}
 	for i, s := range d.Shards {
 		state := slicemap.Serving
 		if s.State != "" {
@@ -94,12 +94,12 @@
 	for _, r := range d.Retired {
 		w.Retired = append(w.Retired, slicemap.RetiredShard{ID: r.ID, Range: slicemap.Range{Start: r.Lo, End: r.Hi}})
 	}
-	return w, nil, d.Nodes, nil
+	return w, nil, d.Backends, nil
 }
 
 // FormatSnapshot is a version as a whole answer, with the slices that were retired before it.
 func FormatSnapshot(v *slicemap.Version, nodes []string, retired []slicemap.RetiredShard) Document {
-	d := Document{Epoch: v.Epoch, Complete: true, Buckets: v.Buckets, Nodes: nodes}
+	d := Document{Epoch: v.Epoch, Complete: true, Buckets: v.Buckets, Backends: nodes}
 	v.All(func(s *slicemap.Shard) bool {
 		d.Shards = append(d.Shards, formSlice(s))
 		return true
