--- a/internal/slicemap/snapshot.go
+++ b/internal/slicemap/snapshot.go
@@ -33,7 +33,7 @@
 		return nil, invalid(noShard, ErrTooMany, "%d of %d", len(snapshot.Shards), m.options.MaxShards)
 	}
 	if m.current.Epoch > 0 && snapshot.Buckets != m.current.Buckets {
-		return nil, invalid(noShard, ErrRange, "%d buckets instead of %d: their number is fixed",
+		return nil, invalid(noShard, ErrRange, "%d buckets instead of %d: they are never divided",
 			snapshot.Buckets, m.current.Buckets)
 	}
 	version, err := buildVersion(snapshot.Epoch, snapshot.Buckets, snapshot.Shards, newBackendSet(snapshot.Backends))
