--- a/internal/catalog/answer.go
+++ b/internal/catalog/answer.go
@@ -8,7 +8,6 @@
 
 	"ternstage/internal/httpanswer"
 	"ternstage/internal/logs"
-	"ternstage/internal/slicemap"
 )
 
 // answer takes a whole answer, and goes on with the next call. ended tells that the other side has closed.
@@ -32,19 +31,19 @@
 	}
 	s.calls++
 	if len(body) <= parseHere {
-		w, cs, nodes, err := Parse(body)
+		update, err := Parse(body)
 		s.took(size, last)
-		s.take(w, cs, nodes, err)
+		s.take(update, err)
 		return
 	}
 	// A map of 100,000 slices takes 0.2 s to read: no request waits for that.
 	text, call := slices.Clone(body), s.calls
 	s.took(size, last)
 	go func() {
-		w, cs, nodes, err := Parse(text)
+		update, err := Parse(text)
 		s.loop.Post(func() {
 			if call == s.calls && !s.closed {
-				s.take(w, cs, nodes, err)
+				s.take(update, err)
 			}
 		})
 	}()
@@ -61,13 +60,13 @@
 }
 
 // take hands what was read on, and goes on with the next call.
-func (s *Source) take(w *slicemap.Snapshot, cs []slicemap.Change, nodes []string, err error) {
+func (s *Source) take(update Update, err error) {
 	switch {
 	case err != nil:
-	case w != nil:
-		err = s.sink.ApplySnapshot(*w)
+	case update.Snapshot != nil:
+		err = s.sink.ApplySnapshot(*update.Snapshot)
 	default:
-		err = s.sink.ApplyChanges(cs, nodes)
+		err = s.sink.ApplyChanges(update.Changes, update.Backends)
 	}
 	now := s.loop.Now()
 	if err != nil {
--- a/internal/catalog/cache.go
+++ b/internal/catalog/cache.go
@@ -53,14 +53,14 @@
 	if err != nil {
 		return nil, err
 	}
-	w, _, _, err := Parse(text)
-	if err == nil && w == nil {
+	update, err := Parse(text)
+	if err == nil && update.Snapshot == nil {
 		err = fmt.Errorf("%w: no whole map", ErrMalformedDocument)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", c.path, err)
 	}
-	return w, nil
+	return update.Snapshot, nil
 }
 
 // Save has a map written soon. Of several only the last is.
--- a/internal/catalog/document.go
+++ b/internal/catalog/document.go
@@ -4,42 +4,46 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"slices"
 
 	"ternstage/internal/slicemap"
 )
 
-// Document is an answer of the catalogue.
+// ErrMalformedDocument is matched by the errors of Parse and of Cache.Load for a text that is not a valid document.
+var ErrMalformedDocument = errors.New("malformed document of the shard catalogue")
+
+// Document is an answer of the catalogue, and the content of the cache file: a snapshot if Complete, else changes.
 type Document struct {
-	Epoch    uint64         `json:"epoch"`
-	Complete bool           `json:"complete"`
-	Buckets  int            `json:"districts,omitempty"`
-	Backends []string       `json:"nodes,omitempty"` // all that may hold slices; none: any
-	Shards   []Shard        `json:"slices,omitempty"`
-	Retired  []RetiredShard `json:"retired,omitempty"` // the latest last: by these old names are understood
-	Changes  []Change       `json:"changes,omitempty"`
+	Epoch    uint64         `json:"epoch"`               // of the snapshot, or after the last change
+	Complete bool           `json:"complete"`            // the document is a snapshot
+	Buckets  int            `json:"districts,omitempty"` // of a snapshot
+	Backends []string       `json:"nodes,omitempty"`     // all that may hold shards; none allows any
+	Shards   []Shard        `json:"slices,omitempty"`    // of a snapshot
+	Retired  []RetiredShard `json:"retired,omitempty"`   // of a snapshot; the latest last
+	Changes  []Change       `json:"changes,omitempty"`   // in order
 }
 
-// RetiredShard is a slice that is no more.
+// RetiredShard is a shard that was split or merged. Its buckets are those from Lo up to, but not including, Hi.
 type RetiredShard struct {
 	ID int `json:"id"`
 	Lo int `json:"lo"`
 	Hi int `json:"hi"`
 }
 
-// Shard is a line of a whole map.
+// Shard is a shard of a snapshot. Its buckets are those from Lo up to, but not including, Hi.
 type Shard struct {
 	ID       int      `json:"id"`
 	Lo       int      `json:"lo"`
 	Hi       int      `json:"hi"`
 	Replicas []string `json:"holders"`
-	State    string   `json:"state,omitempty"` // serving if absent
+	State    string   `json:"state,omitempty"` // "serving" if absent
 	From     string   `json:"from,omitempty"`
 	To       string   `json:"to,omitempty"`
-	Since    uint64   `json:"since,omitempty"`
+	Since    uint64   `json:"since,omitempty"` // epoch of its last change; that of the snapshot if absent
 	Parents  []int    `json:"parents,omitempty"`
 }
 
-// Change is one change of the map.
+// Change is one change of the map; see slicemap.Change.
 type Change struct {
 	Base     uint64   `json:"base"`
 	Epoch    uint64   `json:"epoch"`
@@ -53,82 +57,171 @@
 	Replicas []string `json:"holders,omitempty"`
 }
 
-// ErrMalformedDocument is wrapped where an answer has not the form of one.
-var ErrMalformedDocument = errors.New("the catalogue's answer cannot be used")
+// stateNames are the states of a shard on the wire.
+var stateNames = [...]string{
+	slicemap.Serving:     "serving",
+	slicemap.Preparing:   "preparing",
+	slicemap.HandingOver: "handing-over",
+	slicemap.Retired:     "retired",
+}
+
+// kindNames are the kinds of change on the wire.
+var kindNames = [...]string{
+	slicemap.Split:    "split",
+	slicemap.Merge:    "merge",
+	slicemap.Move:     "move",
+	slicemap.Handover: "handover",
+	slicemap.Done:     "done",
+	slicemap.Abort:    "abort",
+	slicemap.Assign:   "assign",
+}
+
+// Update is what a document says about the map: a snapshot, or changes.
+type Update struct {
+	Snapshot *slicemap.Snapshot // nil if the update is changes
+	Changes  []slicemap.Change  // in order; may be empty, as a watch may end without a change
+	Backends []string           // all that may hold shards; none allows any
+}
 
-// Parse reads an answer: a whole map, or changes.
-func Parse(text []byte) (w *slicemap.Snapshot, cs []slicemap.Change, nodes []string, err error) {
-	var d Document
-	if err := json.Unmarshal(text, &d); err != nil {
-		return nil, nil, nil, fmt.Errorf("%w: %w", ErrMalformedDocument, err)
+// Parse reads a document. Its error matches ErrMalformedDocument. What the document says about the map is not
+// validated.
+func Parse(text []byte) (Update, error) {
+	var document Document
+	if err := json.Unmarshal(text, &document); err != nil {
+		return Update{}, fmt.Errorf("%w: %w", ErrMalformedDocument, err)
 	}
-	if d.Epoch == 0 {
-		return nil, nil, nil, fmt.Errorf("%w: no epoch", ErrMalformedDocument)
+	if document.Epoch == 0 {
+		return Update{}, fmt.Errorf("%w: no epoch", ErrMalformedDocument)
 	}
-	if !d.Complete {
-		for i, c := range d.Changes {
-			kind, err := slicemap.ParseKind(c.Kind)
-			if err != nil {
-				return nil, nil, nil, fmt.Errorf("%w: changes[%d]: %w", ErrMalformedDocument, i, err)
-			}
-			cs = append(cs, slicemap.Change{Base: c.Base, Epoch: c.Epoch, Kind: kind, Shard: c.Shard, Other: c.Other,
-				At: c.At, Into: c.Into, From: c.From, To: c.To, Replicas: c.Replicas})
-		}
-		if n := len(cs); n > 0 && cs[n-1].Epoch != d.Epoch {
-			return nil, nil, nil, fmt.Errorf("%w: changes up to %d in an answer of epoch %d", ErrMalformedDocument, cs[n-1].Epoch,
-				d.Epoch)
+	update := Update{Backends: document.Backends}
+	var err error
+	if document.Complete {
+		update.Snapshot, err = document.snapshot()
+	} else {
+		update.Changes, err = document.changes()
+	}
+	if err != nil {
+		return Update{}, fmt.Errorf("%w: %w", ErrMalformedDocument, err)
+	}
+	return update, nil
+}
+
+// changes translates the changes, the last of which must lead to the epoch of the document.
+func (d *Document) changes() ([]slicemap.Change, error) {
+	var changes []slicemap.Change
+	for i, change := range d.Changes {
+		kind := slices.Index(kindNames[:], change.Kind)
+		if kind < 0 {
+			return nil, fmt.Errorf("changes[%d]: unknown kind %q", i, change.Kind)
 		}
-		return nil, cs, d.Backends, nil
+		changes = append(changes, slicemap.Change{
+			Base:     change.Base,
+			Epoch:    change.Epoch,
+			Kind:     slicemap.Kind(kind),
+			Shard:    change.Shard,
+			Other:    change.Other,
+			At:       change.At,
+			Into:     change.Into,
+			From:     change.From,
+			To:       change.To,
+			Replicas: change.Replicas,
+		})
 	}
-	w = &slicemap.Snapshot{Epoch: d.Epoch, Buckets: d.Buckets, Backends: d.Backends}
-	for i, s := range d.Shards {
-		state := slicemap.Serving
-		if s.State != "" {
-			if state, err = slicemap.ParseState(s.State); err != nil {
-				return nil, nil, nil, fmt.Errorf("%w: slices[%d]: %w", ErrMalformedDocument, i, err)
-			}
+	if count := len(changes); count > 0 && changes[count-1].Epoch != d.Epoch {
+		return nil, fmt.Errorf("changes up to epoch %d in a document of epoch %d", changes[count-1].Epoch, d.Epoch)
+	}
+	return changes, nil
+}
+
+func (d *Document) snapshot() (*slicemap.Snapshot, error) {
+	snapshot := &slicemap.Snapshot{Epoch: d.Epoch, Buckets: d.Buckets, Backends: d.Backends}
+	for i, shard := range d.Shards {
+		state, err := parseState(shard.State)
+		if err != nil {
+			return nil, fmt.Errorf("slices[%d]: %w", i, err)
 		}
-		w.Shards = append(w.Shards, &slicemap.Shard{ID: s.ID, Range: slicemap.Range{Start: s.Lo, End: s.Hi},
-			Replicas: s.Replicas, State: state, From: s.From, To: s.To, Since: s.Since, Parents: s.Parents})
+		snapshot.Shards = append(snapshot.Shards, &slicemap.Shard{
+			ID:       shard.ID,
+			Range:    slicemap.Range{Start: shard.Lo, End: shard.Hi},
+			Replicas: shard.Replicas,
+			State:    state,
+			From:     shard.From,
+			To:       shard.To,
+			Since:    shard.Since,
+			Parents:  shard.Parents,
+		})
+	}
+	for _, retired := range d.Retired {
+		buckets := slicemap.Range{Start: retired.Lo, End: retired.Hi}
+		snapshot.Retired = append(snapshot.Retired, slicemap.RetiredShard{ID: retired.ID, Range: buckets})
+	}
+	return snapshot, nil
+}
+
+// parseState translates a state; an absent one is Serving.
+func parseState(name string) (slicemap.State, error) {
+	if name == "" {
+		return slicemap.Serving, nil
 	}
-	for _, r := range d.Retired {
-		w.Retired = append(w.Retired, slicemap.RetiredShard{ID: r.ID, Range: slicemap.Range{Start: r.Lo, End: r.Hi}})
+	state := slices.Index(stateNames[:], name)
+	if state < 0 {
+		return 0, fmt.Errorf("unknown state %q", name)
 	}
-	return w, nil, d.Backends, nil
+	return slicemap.State(state), nil
 }
 
-// FormatSnapshot is a version as a whole answer, with the slices that were retired before it.
-func FormatSnapshot(v *slicemap.Version, nodes []string, retired []slicemap.RetiredShard) Document {
-	d := Document{Epoch: v.Epoch, Complete: true, Buckets: v.Buckets, Backends: nodes}
-	v.All(func(s *slicemap.Shard) bool {
-		d.Shards = append(d.Shards, formSlice(s))
-		return true
-	})
-	for _, r := range retired {
-		d.Retired = append(d.Retired, RetiredShard{r.ID, r.Start, r.End})
+// FormatSnapshot is the document of a version. backends are all that may hold shards, none allows any; retired are the
+// shards that were retired before the version, the latest last.
+func FormatSnapshot(version *slicemap.Version, backends []string, retired []slicemap.RetiredShard) Document {
+	document := Document{Epoch: version.Epoch, Complete: true, Buckets: version.Buckets, Backends: backends}
+	for shard := range version.All {
+		document.Shards = append(document.Shards, formatShard(shard))
+	}
+	for _, shard := range retired {
+		document.Retired = append(document.Retired, RetiredShard{ID: shard.ID, Lo: shard.Start, Hi: shard.End})
 	}
-	return d
+	return document
 }
 
-func formSlice(s *slicemap.Shard) Shard {
-	return Shard{ID: s.ID, Lo: s.Start, Hi: s.End, Replicas: s.Replicas, State: s.State.String(), From: s.From,
-		To:    s.To,
-		Since: s.Since, Parents: s.Parents}
+// FormatChange is a change as documents have it.
+func FormatChange(change slicemap.Change) Change {
+	return Change{
+		Base:     change.Base,
+		Epoch:    change.Epoch,
+		Kind:     kindNames[change.Kind],
+		Shard:    change.Shard,
+		Other:    change.Other,
+		At:       change.At,
+		Into:     change.Into,
+		From:     change.From,
+		To:       change.To,
+		Replicas: change.Replicas,
+	}
 }
 
-// ShardsInMotion are the first slices that are being moved, most at most.
-func ShardsInMotion(m *slicemap.Map, most int) []Shard {
-	out := []Shard{}
-	for _, s := range m.ShardsInMotion() {
-		if len(out) < most {
-			out = append(out, formSlice(s))
+// ShardsInMotion are the first limit shards with a move in progress, in the order of their ids, as documents have them.
+// It is never nil.
+func ShardsInMotion(m *slicemap.Map, limit int) []Shard {
+	shards := []Shard{}
+	for _, shard := range m.ShardsInMotion() {
+		if len(shards) >= limit {
+			break
 		}
+		shards = append(shards, formatShard(shard))
 	}
-	return out
+	return shards
 }
 
-// FormatChange is a change as it stands in an answer.
-func FormatChange(c slicemap.Change) Change {
-	return Change{Base: c.Base, Epoch: c.Epoch, Kind: c.Kind.String(), Shard: c.Shard, Other: c.Other, At: c.At,
-		Into: c.Into, From: c.From, To: c.To, Replicas: c.Replicas}
+func formatShard(shard *slicemap.Shard) Shard {
+	return Shard{
+		ID:       shard.ID,
+		Lo:       shard.Start,
+		Hi:       shard.End,
+		Replicas: shard.Replicas,
+		State:    stateNames[shard.State],
+		From:     shard.From,
+		To:       shard.To,
+		Since:    shard.Since,
+		Parents:  shard.Parents,
+	}
 }
--- a/test/slices_test.go
+++ b/test/slices_test.go
@@ -140,7 +140,7 @@
 	c.say(catalog.Document{Epoch: 9, Changes: []catalog.Change{{Base: 7, Epoch: 9, Kind: "handover"}}})
 	p.waitLog("change is based on another epoch: onto 7, at 5")
 	c.say("{")
-	p.waitLog("the catalogue's answer cannot be used")
+	p.waitLog("malformed document of the shard catalogue")
 	c.say(ring(7))
 	require.Eventually(t, func() bool { return p.slices().Epoch == 7 }, patience, 5*time.Millisecond)
 	c.say(catalog.Document{Epoch: 8, Changes: []catalog.Change{{Base: 7, Epoch: 8, Kind: "split", Shard: 0, At: 4, Into: []int{8, 9}}}})
