--- a/internal/catalog/cache.go
+++ b/internal/catalog/cache.go
@@ -13,38 +13,45 @@
 	"ternstage/internal/slicemap"
 )
 
-// cacheEvery is how often the file is written at most: the map of a restart is old anyway, and a watch brings
-// the rest.
-const cacheEvery = time.Second
+// cacheWriteInterval is the least time between two writes of the file. A map that is a little old does no harm: after
+// a restart the first watch brings the rest.
+const cacheWriteInterval = time.Second
 
-// Cache keeps the last map in a file that outlives the program, so that a broker that starts while the
-// catalogue is away serves by what it knew. Versions never change, so the thread that writes needs no lock on
-// the map.
+// Cache stores the last map in a file, for the next process. It writes in a goroutine of its own; versions are
+// immutable, so it needs no lock on the map.
 type Cache struct {
-	path string
-	fail func(error)
+	path    string
+	onError func(error)
 
-	mu   sync.Mutex
-	next *snapshot // to be written
-	wake chan struct{}
-	end  chan struct{}
-	done chan struct{}
+	mutex   sync.Mutex
+	pending *cachedMap // the map to be written next; guarded by mutex
+
+	changed chan struct{} // holds a value while pending may be set
+	closing chan struct{} // closed by Close
+	closed  chan struct{} // closed when the goroutine has ended
 }
 
-type snapshot struct {
-	v       *slicemap.Version
+type cachedMap struct {
+	version *slicemap.Version
 	retired []slicemap.RetiredShard
 }
 
-// NewCache makes a cache in a file. fail is told of what cannot be written, from another thread.
-func NewCache(path string, fail func(error)) *Cache {
-	c := &Cache{path: path, fail: fail, wake: make(chan struct{}, 1), end: make(chan struct{}),
-		done: make(chan struct{})}
-	go c.run()
-	return c
+// NewCache makes a cache in the file at path, whose directory must exist. onError is called for each write that
+// fails, in another goroutine. Close must be called to end the cache.
+func NewCache(path string, onError func(error)) *Cache {
+	cache := &Cache{
+		path:    path,
+		onError: onError,
+		changed: make(chan struct{}, 1),
+		closing: make(chan struct{}),
+		closed:  make(chan struct{}),
+	}
+	go cache.run()
+	return cache
 }
 
-// Load is the map of the file; nil if there is none. One that cannot be used is an error, and is not touched.
+// Load reads the map of the file; nil without an error if there is no file. A file that cannot be used is an error and
+// stays as it is; the error matches ErrMalformedDocument if the file could be read.
 func (c *Cache) Load() (*slicemap.Snapshot, error) {
 	text, err := os.ReadFile(c.path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -55,7 +62,7 @@
 	}
 	update, err := Parse(text)
 	if err == nil && update.Snapshot == nil {
-		err = fmt.Errorf("%w: no whole map", ErrMalformedDocument)
+		err = fmt.Errorf("%w: no snapshot", ErrMalformedDocument)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", c.path, err)
@@ -63,65 +70,74 @@
 	return update.Snapshot, nil
 }
 
-// Save has a map written soon. Of several only the last is.
-func (c *Cache) Save(v *slicemap.Version, retired []slicemap.RetiredShard) {
-	c.mu.Lock()
-	c.next = &snapshot{v, retired}
-	c.mu.Unlock()
+// Save has a version written soon, with the shards that were retired before it. It does not block; of versions saved
+// in quick succession only the last is written.
+func (c *Cache) Save(version *slicemap.Version, retired []slicemap.RetiredShard) {
+	c.mutex.Lock()
+	c.pending = &cachedMap{version: version, retired: retired}
+	c.mutex.Unlock()
 	select {
-	case c.wake <- struct{}{}:
-	default:
+	case c.changed <- struct{}{}:
+	default: // the goroutine has yet to take the last signal, and will find this version
 	}
 }
 
-// Close writes what is to be written, at once, and ends.
+// Close writes the version that was saved last, if that has not been done, and ends the cache. It does not wait for the
+// interval between writes.
 func (c *Cache) Close() {
-	close(c.end)
-	<-c.done
+	close(c.closing)
+	<-c.closed
 }
 
 func (c *Cache) run() {
-	defer close(c.done)
-	for ending := false; !ending; {
+	defer close(c.closed)
+	closing := false
+	for !closing {
 		select {
-		case <-c.wake:
-		case <-c.end:
-			ending = true
+		case <-c.changed:
+		case <-c.closing:
+			closing = true
 		}
-		c.mu.Lock()
-		s := c.next
-		c.next = nil
-		c.mu.Unlock()
-		if s == nil {
+		saved := c.takePending()
+		if saved == nil {
 			continue
 		}
-		if err := c.write(s); err != nil {
-			c.fail(err)
+		if err := c.write(saved); err != nil {
+			c.onError(err)
 		}
 		select {
-		case <-time.After(cacheEvery):
-		case <-c.end: // the program ends: no rest
+		case <-time.After(cacheWriteInterval):
+		case <-c.closing:
 		}
 	}
 }
 
-// write replaces the file at once: a crash leaves the old one or the new one.
-func (c *Cache) write(s *snapshot) error {
-	text, err := json.Marshal(FormatSnapshot(s.v, nil, s.retired))
+func (c *Cache) takePending() *cachedMap {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	saved := c.pending
+	c.pending = nil
+	return saved
+}
+
+// write replaces the file atomically: a crash leaves the old content or the new one.
+func (c *Cache) write(saved *cachedMap) error {
+	text, err := json.Marshal(FormatSnapshot(saved.version, nil, saved.retired))
 	if err != nil {
 		return err
 	}
-	f, err := os.CreateTemp(filepath.Dir(c.path), filepath.Base(c.path)+".*")
+	file, err := os.CreateTemp(filepath.Dir(c.path), filepath.Base(c.path)+".*")
 	if err != nil {
 		return err
 	}
-	_, err = f.Write(text)
-	if err = errors.Join(err, f.Sync(), f.Close()); err == nil {
-		err = os.Rename(f.Name(), c.path)
+	_, err = file.Write(text)
+	err = errors.Join(err, file.Sync(), file.Close())
+	if err == nil {
+		err = os.Rename(file.Name(), c.path)
 	}
 	if err != nil {
-		_ = os.Remove(f.Name())
-		return fmt.Errorf("map cache: %w", err)
+		_ = os.Remove(file.Name())
+		return fmt.Errorf("shard map cache: %w", err)
 	}
 	return nil
 }
--- a/internal/catalog/cache_test.go
+++ b/internal/catalog/cache_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"os"
 	"path/filepath"
 	"testing"
@@ -13,35 +12,65 @@
 	"ternstage/internal/slicemap"
 )
 
-// The kept file is the last map, however many there were in a moment, and closing does not wait for the pace at which it
-// is written.
-func TestCacheKeepsTheLastMapAndClosesAtOnce(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "map.json")
-	c := NewCache(path, func(err error) { t.Error(err) })
-	w, err := c.Load()
-	require.True(t, w == nil && err == nil, "there is none yet")
-	m := slicemap.New(slicemap.Options{})
-	text, err := json.Marshal(largeDocument(4))
+// newMap is a map with the shards of largeDocument.
+func newMap(t testing.TB, shards int) *slicemap.Map {
+	t.Helper()
+	text, err := json.Marshal(largeDocument(shards))
 	require.NoError(t, err)
 	update, err := Parse(text)
 	require.NoError(t, err)
+	m := slicemap.New(slicemap.Options{})
 	_, err = m.Reset(*update.Snapshot)
 	require.NoError(t, err)
-	c.Save(m.Current(), nil)
-	require.Eventually(t, func() bool { _, err := os.Stat(path); return err == nil }, 10*time.Second, time.Millisecond)
-	for i := range 5 { // while it rests
-		_, err = m.Apply([]slicemap.Change{{Base: uint64(5 + i), Epoch: uint64(6 + i), Kind: slicemap.Assign,
-			Replicas: []string{"z"}}}, nil)
+	return m
+}
+
+func TestCacheStoresTheLastMapAndClosesAtOnce(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "map.json")
+	cache := NewCache(path, func(err error) { t.Error(err) })
+	snapshot, err := cache.Load()
+	require.NoError(t, err)
+	require.Nil(t, snapshot, "there is no file yet")
+
+	m := newMap(t, 4)
+	cache.Save(m.Current(), nil)
+	written := func() bool {
+		_, err := os.Stat(path)
+		return err == nil
+	}
+	require.Eventually(t, written, 10*time.Second, time.Millisecond)
+	for i := range 5 { // within the interval between two writes
+		base := uint64(5 + i)
+		_, err = m.Apply([]slicemap.Change{
+			{Base: base, Epoch: base + 1, Kind: slicemap.Assign, Replicas: []string{"z"}},
+		}, nil)
 		require.NoError(t, err)
-		c.Save(m.Current(), m.Retired(9))
+		cache.Save(m.Current(), m.Retired(9))
 	}
 	began := time.Now()
-	c.Close()
-	require.Less(t, time.Since(began), cacheEvery/2)
-	w, err = NewCache(path, nil).Load()
+	cache.Close()
+	require.Less(t, time.Since(began), cacheWriteInterval/2)
+
+	snapshot, err = loadCache(t, path)
 	require.NoError(t, err)
-	require.EqualValues(t, 10, w.Epoch)
-	require.NoError(t, os.WriteFile(path, []byte("{"), 0o600))
-	_, err = NewCache(path, nil).Load()
-	require.True(t, errors.Is(err, ErrMalformedDocument), err)
+	require.EqualValues(t, 10, snapshot.Epoch)
+}
+
+func TestCacheRejectsAMalformedFile(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "map.json")
+	for name, text := range map[string]string{
+		"truncated": "{",
+		"changes":   `{"epoch":5,"complete":false}`,
+	} {
+		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
+		_, err := loadCache(t, path)
+		require.ErrorIs(t, err, ErrMalformedDocument, name)
+	}
+}
+
+func loadCache(t *testing.T, path string) (*slicemap.Snapshot, error) {
+	t.Helper()
+	cache := NewCache(path, func(err error) { t.Error(err) })
+	t.Cleanup(cache.Close)
+	return cache.Load()
 }
--- a/internal/catalog/document_test.go
+++ b/internal/catalog/document_test.go
@@ -74,6 +74,21 @@
 	}
 }
 
+func TestShardsInMotionAreLimited(t *testing.T) {
+	m := newMap(t, 4)
+	require.Equal(t, []Shard{}, ShardsInMotion(m, 2), "an empty list, not null")
+	for id := range 3 {
+		epoch := m.Current().Epoch
+		move := slicemap.Change{Base: epoch, Epoch: epoch + 1, Kind: slicemap.Move, Shard: id, From: "a", To: "d"}
+		_, err := m.Apply([]slicemap.Change{move}, nil)
+		require.NoError(t, err)
+	}
+	inMotion := ShardsInMotion(m, 2)
+	require.Len(t, inMotion, 2)
+	require.Equal(t, 0, inMotion[0].ID)
+	require.Equal(t, 1, inMotion[1].ID)
+}
+
 // BenchmarkParse100000 is what a large answer costs outside the event loop.
 func BenchmarkParse100000(b *testing.B) {
 	text, err := json.Marshal(largeDocument(100_000))
