--- a/internal/catalog/answer.go
+++ b/internal/catalog/answer.go
@@ -10,71 +10,83 @@
 	"ternstage/internal/logs"
 )
 
-// answer takes a whole answer, and goes on with the next call. ended tells that the other side has closed.
-func (s *Source) answer(ended bool) {
-	status, body, size, last, err := httpanswer.Parse(s.s.In, s.o.MaxAnswerBytes, ended)
+// maxInlineBytes is the largest body that is parsed on the event loop. A larger one is parsed in another goroutine, so
+// that no request waits for it.
+const maxInlineBytes = 128 << 10
+
+const statusOK = 200 // of HTTP
+
+// handleInput takes the answer off the input, if it is complete. eof says that the catalogue has closed its side.
+func (s *Source) handleInput(eof bool) {
+	status, body, size, last, err := httpanswer.Parse(s.stream.In, s.options.MaxAnswerBytes, eof)
 	if err == nil && size == 0 {
-		if len(s.s.In) >= s.o.MaxAnswerBytes+16<<10 {
-			s.fail(logs.ShardMapMalformed, fmt.Errorf("answer over %d bytes", s.o.MaxAnswerBytes))
+		if len(s.stream.In) >= s.options.MaxAnswerBytes+maxHeaderBytes {
+			s.fail(logs.ShardMapMalformed, fmt.Errorf("answer over %d bytes", s.options.MaxAnswerBytes))
 		}
 		return
 	}
-	if err == nil && !s.out {
+	if err == nil && !s.inFlight {
 		err = errors.New("an answer to no call")
 	}
-	if err == nil && status != 200 {
+	if err == nil && status != statusOK {
 		err = fmt.Errorf("status %d", status)
 	}
 	if err != nil {
 		s.fail(logs.ShardMapMalformed, err)
 		return
 	}
-	s.calls++
-	if len(body) <= parseHere {
-		update, err := Parse(body)
-		s.took(size, last)
-		s.take(update, err)
+	s.sequence++
+	if len(body) > maxInlineBytes {
+		go s.parseAndPost(slices.Clone(body), s.sequence)
+		s.finishCall(size, last)
 		return
 	}
-	// A map of 100,000 slices takes 0.2 s to read: no request waits for that.
-	text, call := slices.Clone(body), s.calls
-	s.took(size, last)
-	go func() {
-		update, err := Parse(text)
-		s.loop.Post(func() {
-			if call == s.calls && !s.closed {
-				s.take(update, err)
-			}
-		})
-	}()
+	update, err := Parse(body)
+	s.finishCall(size, last)
+	s.deliver(update, err)
 }
 
-// took ends a call whose answer has come whole.
-func (s *Source) took(size int, last bool) {
-	s.s.Consume(size)
-	s.out, s.by = false, math.Inf(1)
-	s.served++
+// finishCall ends the call whose answer took size bytes of the input. last says that the catalogue will not answer
+// another call on this connection.
+func (s *Source) finishCall(size int, last bool) {
+	s.stream.Consume(size)
+	s.inFlight = false
+	s.deadlineMs = math.Inf(1)
+	s.answers++
 	if last {
-		s.drop(logs.ShardMapClosed, nil)
+		s.disconnect(logs.ShardMapClosed, nil)
 	}
 }
 
-// take hands what was read on, and goes on with the next call.
-func (s *Source) take(update Update, err error) {
-	switch {
-	case err != nil:
-	case update.Snapshot != nil:
-		err = s.sink.ApplySnapshot(*update.Snapshot)
-	default:
-		err = s.sink.ApplyChanges(update.Changes, update.Backends)
+// parseAndPost parses a body outside the event loop and delivers the update on it.
+func (s *Source) parseAndPost(body []byte, sequence int) {
+	update, err := Parse(body)
+	s.loop.Post(func() {
+		if sequence == s.sequence && !s.closed {
+			s.deliver(update, err)
+		}
+	})
+}
+
+// deliver hands an update to the sink and goes on with the next call. An update that cannot be parsed or is rejected
+// leaves the map in use as it was.
+func (s *Source) deliver(update Update, err error) {
+	if err == nil {
+		err = s.apply(update)
 	}
 	now := s.loop.Now()
 	if err != nil {
-		// The map in use stays. One line names the first fault; the whole map is asked for.
-		s.log.Rejected(logs.ShardMapRejected, "map refused", err)
-		s.follow.Rejected(now)
+		s.log.Rejected(logs.ShardMapRejected, "shard map rejected", err)
+		s.poller.Rejected(now)
 	} else {
-		s.follow.Succeeded(now, s.sink.Epoch())
+		s.poller.Succeeded(now, s.sink.Epoch())
 	}
 	s.step()
 }
+
+func (s *Source) apply(update Update) error {
+	if update.Snapshot != nil {
+		return s.sink.ApplySnapshot(*update.Snapshot)
+	}
+	return s.sink.ApplyChanges(update.Changes, update.Backends)
+}
--- a/internal/catalog/connection.go
+++ b/internal/catalog/connection.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"math"
 
 	"golang.org/x/sys/unix"
 
@@ -11,98 +10,129 @@
 	"ternstage/internal/slicemap"
 )
 
-func (s *Source) call(c slicemap.PollRequest) {
+// path is the resource of the catalogue.
+const path = "/catalog/slices"
+
+// connectTimeoutMs is how long a connection may take to be established.
+const connectTimeoutMs = 1000.0
+
+// maxHeaderBytes bounds what may stand before the body of an answer, framing included.
+const maxHeaderBytes = 16 << 10
+
+const (
+	readEvents  = unix.EPOLLIN | unix.EPOLLRDHUP
+	closeEvents = unix.EPOLLHUP | unix.EPOLLERR
+)
+
+// call sends a request, over a new connection if there is none.
+func (s *Source) call(request slicemap.PollRequest) {
 	now := s.loop.Now()
-	s.by, s.most = now+c.TimeoutMs, c.TimeoutMs
-	if s.s == nil {
-		fd, err := loop.Connect(s.o.Address)
-		if err == nil {
-			s.s, err = loop.NewStream(s.loop, fd, unix.EPOLLIN|unix.EPOLLOUT|unix.EPOLLRDHUP, s)
-		}
-		if err != nil {
+	s.callTimeoutMs = request.TimeoutMs
+	s.deadlineMs = now + request.TimeoutMs
+	if s.stream == nil {
+		if err := s.connect(); err != nil {
 			s.fail(logs.ShardMapConnectFailed, err)
 			return
 		}
-		s.up = false
-		s.by = now + dialMost
+		s.deadlineMs = now + connectTimeoutMs
 	}
 	target := path
-	if !c.FullSnapshot {
-		target = fmt.Sprintf("%s?index=%d&wait=%d", path, c.SinceEpoch, int(c.WaitMs))
+	if !request.FullSnapshot {
+		target = fmt.Sprintf("%s?index=%d&wait=%d", path, request.SinceEpoch, int(request.WaitMs))
 	}
-	s.out = true
-	s.calls++ // what is still being read of an older one counts for nothing
-	s.s.Out = append(s.s.Out, "GET "+target+" HTTP/1.1\r\nHost: "+s.o.Address+"\r\n\r\n"...)
+	s.inFlight = true
+	s.sequence++
+	s.stream.Out = append(s.stream.Out, "GET "+target+" HTTP/1.1\r\nHost: "+s.options.Address+"\r\n\r\n"...)
 	s.write()
 }
 
-func (s *Source) write() {
-	if !s.up {
-		return
+// connect begins to establish a connection.
+func (s *Source) connect() error {
+	descriptor, err := loop.Connect(s.options.Address)
+	if err != nil {
+		return err
 	}
-	if err := s.s.Flush(); err != nil {
-		s.fail(logs.ShardMapReset, err)
-		return
+	stream, err := loop.NewStream(s.loop, descriptor, readEvents|unix.EPOLLOUT, s)
+	if err != nil {
+		return err
 	}
-	want := uint32(unix.EPOLLIN | unix.EPOLLRDHUP)
-	if len(s.s.Out) > 0 {
-		want |= unix.EPOLLOUT
+	s.stream = stream
+	s.connected = false
+	return nil
+}
+
+// disconnect closes the connection, if there is one. err is what ended it; nil if that was no error.
+func (s *Source) disconnect(code logs.Code, err error) {
+	if s.stream == nil {
+		return
 	}
-	s.s.SetEvents(want)
+	s.stream.Close()
+	s.stream = nil
+	s.connected = false
+	s.inFlight = false
+	s.log.ConnectionEnded(code, s.options.Address, s.answers, err)
+	s.answers = 0
 }
 
 // Ready implements loop.Handler.
 func (s *Source) Ready(events uint32) {
-	defer s.plan()
-	if !s.up {
-		if err := loop.SocketError(s.s.FD); err != nil {
-			s.fail(logs.ShardMapConnectFailed, err)
-			return
-		}
-		if events&unix.EPOLLOUT == 0 {
-			return
-		}
-		s.up = true
-		s.by = s.loop.Now() + s.most
+	defer s.schedule()
+	if !s.connected && !s.finishConnect(events) {
+		return
 	}
-	if events&(unix.EPOLLIN|unix.EPOLLRDHUP|unix.EPOLLHUP|unix.EPOLLERR) != 0 {
-		eof, err := s.s.Read(s.o.MaxAnswerBytes + 16<<10)
-		at := s.s
-		if s.answer(eof); s.s != at {
-			return
-		}
-		switch {
-		case err != nil:
-			s.fail(logs.ShardMapReset, err)
-			return
-		case eof && s.out:
-			s.fail(logs.ShardMapClosed, nil)
-			return
-		case eof:
-			s.drop(logs.ShardMapClosed, nil)
-			return
-		}
+	if events&(readEvents|closeEvents) != 0 && !s.read() {
+		return
 	}
 	s.write()
 }
 
-// drop closes the connection.
-func (s *Source) drop(code logs.Code, err error) {
-	if s.s != nil {
-		s.s.Close()
-		s.s, s.up, s.out = nil, false, false
-		s.log.ConnectionEnded(code, s.o.Address, s.served, err)
-		s.served = 0
+// finishConnect reports whether the connection is established, from when the call's own timeout runs.
+func (s *Source) finishConnect(events uint32) bool {
+	if err := loop.SocketError(s.stream.FD); err != nil {
+		s.fail(logs.ShardMapConnectFailed, err)
+		return false
+	}
+	if events&unix.EPOLLOUT == 0 {
+		return false
 	}
+	s.connected = true
+	s.deadlineMs = s.loop.Now() + s.callTimeoutMs
+	return true
 }
 
-// fail ends a call that came to nothing.
-func (s *Source) fail(code logs.Code, err error) {
-	if s.s == nil {
-		s.log.ConnectionEnded(code, s.o.Address, 0, err)
+// read takes what has arrived, and the answer in it, and reports whether the connection is still the same and open.
+func (s *Source) read() bool {
+	stream := s.stream
+	eof, err := stream.Read(s.options.MaxAnswerBytes + maxHeaderBytes)
+	s.handleInput(eof)
+	if s.stream != stream {
+		return false
+	}
+	switch {
+	case err != nil:
+		s.fail(logs.ShardMapReset, err)
+	case eof && s.inFlight:
+		s.fail(logs.ShardMapClosed, nil)
+	case eof:
+		s.disconnect(logs.ShardMapClosed, nil)
+	default:
+		return true
+	}
+	return false
+}
+
+// write sends what is buffered, as far as the connection takes it.
+func (s *Source) write() {
+	if !s.connected {
+		return
+	}
+	if err := s.stream.Flush(); err != nil {
+		s.fail(logs.ShardMapReset, err)
+		return
+	}
+	events := uint32(readEvents)
+	if len(s.stream.Out) > 0 {
+		events |= unix.EPOLLOUT
 	}
-	s.drop(code, err)
-	s.by = math.Inf(1)
-	s.follow.Failed(s.loop.Now())
-	s.plan()
+	s.stream.SetEvents(events)
 }
--- a/internal/catalog/source.go
+++ b/internal/catalog/source.go
@@ -9,86 +9,105 @@
 	"ternstage/internal/slicemap"
 )
 
-const (
-	path     = "/catalog/slices"
-	dialMost = 1000.0 // ms
-
-	parseHere = 128 << 10 // bytes of an answer that are read on the loop
-)
-
-// Sink takes what the catalogue says. An error tells that it was refused, whole.
+// Sink applies what the catalogue says. An update that it returns an error for has been rejected as a whole.
 type Sink interface {
+	// ApplySnapshot replaces the map.
 	ApplySnapshot(slicemap.Snapshot) error
-	ApplyChanges(cs []slicemap.Change, nodes []string) error
+	// ApplyChanges applies changes in order, all or none. backends are all that may hold shards; none allows any.
+	ApplyChanges(changes []slicemap.Change, backends []string) error
+	// Epoch is that of the map in use; 0 before the first snapshot.
 	Epoch() uint64
 }
 
-// Options say where the catalogue is and how much it may say.
+// Options configure a Source. There are no defaults.
 type Options struct {
-	Address        string
-	MaxAnswerBytes int // bytes of an answer
-	Poller         slicemap.PollerOptions
-	Seed           uint64
+	Address        string                 // host:port of the catalogue; also sent as the Host header
+	MaxAnswerBytes int                    // largest body of an answer, in bytes; a longer one is malformed
+	Poller         slicemap.PollerOptions // when the catalogue is called
+	Seed           uint64                 // of the random delays
 }
 
-// Source follows a catalogue over one connection, on the loop.
+// Source polls a catalogue over one connection and delivers updates to a Sink, all on the event loop. It connects for
+// the first call that has no connection, and keeps the connection for the calls that follow.
 type Source struct {
-	loop   *loop.Loop
-	sink   Sink
-	log    *logs.Log
-	o      Options
-	follow *slicemap.Poller
-	s      *loop.Stream
-	up     bool
-	out    bool    // a call is out on the connection
-	by     float64 // until when it may take
-	most   float64 // ms that it may take once it is sent
-	served int
-	calls  int // tells an answer that is still being read from one that was given up
-	closed bool
-	timer  *loop.Timer
+	loop    *loop.Loop
+	sink    Sink
+	log     *logs.Log
+	options Options
+	poller  *slicemap.Poller
+	timer   *loop.Timer
+	closed  bool
+
+	stream    *loop.Stream // nil without a connection
+	connected bool         // the connection is established
+	answers   int          // complete answers on this connection
+
+	inFlight      bool    // a call is in flight on the connection
+	deadlineMs    float64 // loop time by which the call must be answered or the connection established; infinite if none
+	callTimeoutMs float64 // of the call, from when it is sent
+	// sequence counts calls and answers. An answer that is parsed in another goroutine is dropped if the sequence has
+	// moved on meanwhile.
+	sequence int
 }
 
 var _ slicemap.Source = (*Source)(nil)
 
-// NewSource makes a source that asks nothing until Start.
-func NewSource(l *loop.Loop, sink Sink, log *logs.Log, o Options) *Source {
-	s := &Source{loop: l, sink: sink, log: log, o: o, follow: slicemap.NewPoller(o.Poller, o.Seed),
-		by: math.Inf(1)}
-	s.timer = l.NewTimer(s.step)
-	return s
+// NewSource makes a source that makes no call before Start.
+func NewSource(eventLoop *loop.Loop, sink Sink, log *logs.Log, options Options) *Source {
+	source := &Source{
+		loop:       eventLoop,
+		sink:       sink,
+		log:        log,
+		options:    options,
+		poller:     slicemap.NewPoller(options.Poller, options.Seed),
+		deadlineMs: math.Inf(1),
+	}
+	source.timer = eventLoop.NewTimer(source.step)
+	return source
 }
 
-// Start begins to follow.
+// Start begins to poll.
 func (s *Source) Start() { s.step() }
 
-// NewerEpochSeen tells that a newer map is known somewhere.
+// NewerEpochSeen says that somebody knows a map of this epoch; see slicemap.Poller.NewerEpochSeen.
 func (s *Source) NewerEpochSeen(epoch uint64) {
-	s.follow.NewerEpochSeen(s.loop.Now(), epoch)
-	s.plan()
+	s.poller.NewerEpochSeen(s.loop.Now(), epoch)
+	s.schedule()
 }
 
-// Close ends the connection.
+// Close closes the connection and ends polling.
 func (s *Source) Close() {
 	s.closed = true
-	s.drop(logs.Shutdown, nil)
+	s.disconnect(logs.Shutdown, nil)
 	s.timer.Stop()
-	s.by = math.Inf(1)
+	s.deadlineMs = math.Inf(1)
 }
 
-func (s *Source) plan() { s.timer.Set(min(s.by, s.follow.NextAt())) }
+// schedule sets the timer to when step has something to do.
+func (s *Source) schedule() { s.timer.Set(min(s.deadlineMs, s.poller.NextAt())) }
 
-// step makes the call that is due, or gives up one that takes too long.
+// step fails a call that is past its deadline and makes the call that is due.
 func (s *Source) step() {
 	now := s.loop.Now()
-	if s.out && now >= s.by {
+	if s.inFlight && now >= s.deadlineMs {
 		s.fail(logs.ShardMapTimeout, errors.New("no answer in time"))
 	}
-	if c, due := s.follow.Next(now); due {
-		if c.CancelsPending {
-			s.drop(logs.ShardMapWatchCut, nil)
+	if request, due := s.poller.Next(now); due {
+		if request.CancelsPending {
+			s.disconnect(logs.ShardMapWatchCut, nil)
 		}
-		s.call(c)
+		s.call(request)
+	}
+	s.schedule()
+}
+
+// fail ends the connection, and with it the call in flight, which the poller makes again after a delay.
+func (s *Source) fail(code logs.Code, err error) {
+	if s.stream == nil {
+		s.log.ConnectionEnded(code, s.options.Address, 0, err)
 	}
-	s.plan()
+	s.disconnect(code, err)
+	s.deadlineMs = math.Inf(1)
+	s.poller.Failed(s.loop.Now())
+	s.schedule()
 }
