--- a/internal/catalog/doc.go
+++ b/internal/catalog/doc.go
@@ -1,4 +1,20 @@
-// Package catalog follows a catalogue of slices over HTTP/1.1, in the style of discovery: GET /catalog/slices
-// is the whole map, with index and wait a watch that answers with changes or with the whole map. When it is
-// asked, and for what, slicemap.Follow decides. api/asyncapi.yaml has the form.
+// Package catalog polls the shard catalogue over HTTP/1.1 and caches its last map in a file.
+//
+// GET /catalog/slices answers with a snapshot of the shard map. With the parameters index and wait the call is a watch:
+// the catalogue answers with the changes after that epoch, or with a snapshot, at the latest after wait ms.
+// api/asyncapi.yaml specifies the documents; document.go is the only file that knows their words, and translates both
+// ways. slicemap.Poller decides when the catalogue is called and for what.
+//
+// A Source delivers to a Sink:
+//
+//	source := catalog.NewSource(loop, sink, log, catalog.Options{Address: "10.0.0.7:8600", MaxAnswerBytes: 32 << 20})
+//	source.Start()
+//
+// A Cache stores each new version, so that a broker that starts while the catalogue is down serves by the last map:
+//
+//	cache := catalog.NewCache("/var/lib/ternstage/map.json", onError)
+//	snapshot, err := cache.Load()
+//	cache.Save(version, retired)
+//
+// A Source must be used on its event loop. A Cache may be used by any goroutine.
 package catalog
