--- a/internal/slicemap/change.go
+++ b/internal/slicemap/change.go
@@ -1,10 +1,5 @@
 package slicemap
 
-import (
-	"fmt"
-	"slices"
-)
-
 // Kind is what a change does.
 type Kind uint8
 
@@ -22,17 +17,9 @@
 
 var kindNames = [...]string{"split", "merge", "move", "handover", "done", "abort", "assign"}
 
-// String is the kind's name, as the shard catalogue writes it.
+// String is the kind's name, for messages.
 func (k Kind) String() string { return kindNames[k] }
 
-// ParseKind is the inverse of Kind.String. It fails on any other name.
-func ParseKind(name string) (Kind, error) {
-	if i := slices.Index(kindNames[:], name); i >= 0 {
-		return Kind(i), nil
-	}
-	return 0, fmt.Errorf("kind of change %q is unknown", name)
-}
-
 // Change takes the map from epoch Base to Epoch. Fields that the kind does not use are ignored.
 type Change struct {
 	Base, Epoch uint64 // Epoch is above Base
--- a/internal/slicemap/shard.go
+++ b/internal/slicemap/shard.go
@@ -1,9 +1,6 @@
 package slicemap
 
-import (
-	"fmt"
-	"slices"
-)
+import "slices"
 
 // ShardID identifies a shard; valid ids are 0 and above. Queries and the scheduler use it as the shard number.
 type ShardID = int
@@ -21,17 +18,9 @@
 
 var stateNames = [...]string{"serving", "preparing", "handing-over", "retired"}
 
-// String is the state's name, as the shard catalogue writes it.
+// String is the state's name, for messages.
 func (s State) String() string { return stateNames[s] }
 
-// ParseState is the inverse of State.String. It fails on any other name.
-func ParseState(name string) (State, error) {
-	if i := slices.Index(stateNames[:], name); i >= 0 {
-		return State(i), nil
-	}
-	return 0, fmt.Errorf("state %q is unknown", name)
-}
-
 // Shard is one shard at one epoch. It is immutable once it belongs to a Version.
 type Shard struct {
 	ID ShardID
