--- /dev/null
+++ b/internal/slicemap/errors_test.go
@@ -0,0 +1,15 @@
+package slicemap
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+func TestValidationErrorNamesTheShard(t *testing.T) {
+	err := invalid(3, ErrGap, "%v before it", Range{30, 31})
+	require.EqualError(t, err, "shard 3: buckets without a shard: 30-31 before it")
+	err = invalid(noShard, ErrBase, "onto %d, at %d", 7, 5)
+	require.EqualError(t, err, "change is based on another epoch: onto 7, at 5")
+	require.ErrorIs(t, err, ErrBase)
+}
--- a/internal/slicemap/map_test.go
+++ b/internal/slicemap/map_test.go
@@ -157,7 +157,8 @@
 }
 
 func (model *mapModel) checkShards(t *rapid.T) {
-	m, version := model.m, model.m.Current()
+	m := model.m
+	version := m.Current()
 	nextBucket := 0
 	groups := map[string]int{}
 	for shard := range version.All {
--- a/internal/slicemap/poller_test.go
+++ b/internal/slicemap/poller_test.go
@@ -35,7 +35,8 @@
 
 func TestPollerBackoffIsBounded(t *testing.T) {
 	poller := NewPoller(DefaultPollerOptions, 7)
-	now, calls := 0.0, 0
+	now := 0.0
+	calls := 0
 	for now < 30_000 {
 		if _, due := poller.Next(now); due {
 			calls++
@@ -54,7 +55,8 @@
 	poller.Next(0)
 	poller.Succeeded(0, 41)
 	poller.Next(0) // the watch
-	now, polls := 100.0, 0
+	now := 100.0
+	polls := 0
 	for range 500 { // not-holder replies, one each ms
 		poller.NewerEpochSeen(now, 50)
 		if request, due := poller.Next(now); due {
--- a/internal/slicemap/snapshot_test.go
+++ b/internal/slicemap/snapshot_test.go
@@ -48,3 +48,37 @@
 		})
 	}
 }
+
+func TestResetRetiresWhatTheSnapshotDoesNotHave(t *testing.T) {
+	m := newRingMap(t, 4, 10)
+	snapshot := ringSnapshot(3, 2, 20)
+	for i, shard := range snapshot.Shards {
+		shard.ID = 6 + i
+	}
+	snapshot.Shards[1].Since = 2
+	snapshot.Retired = []RetiredShard{{ID: 4, Range: Range{0, 10}}}
+	retired, err := m.Reset(snapshot)
+	require.NoError(t, err)
+	require.Equal(t, []ShardID{0, 1, 2, 3}, retired, "in the order of their buckets")
+	require.EqualValues(t, 3, m.Shard(6).Since, "the epoch of the snapshot where it gives none")
+	require.EqualValues(t, 2, m.Shard(7).Since)
+	for id, buckets := range map[ShardID]Range{3: {30, 40}, 4: {0, 10}, 7: {20, 40}} {
+		resolved, err := m.Resolve(id)
+		require.NoError(t, err)
+		require.Equal(t, buckets, resolved)
+	}
+
+	before := m.Current()
+	retired, err = m.Reset(ringSnapshot(3, 9, 1))
+	require.NoError(t, err, "a snapshot of the epoch in use is ignored, whatever it has")
+	require.Empty(t, retired)
+	require.Same(t, before, m.Current())
+
+	_, err = m.Reset(ringSnapshot(4, 4, 10))
+	require.ErrorIs(t, err, ErrShard, "ids are never reused")
+	snapshot = ringSnapshot(4, 1, 40)
+	snapshot.Shards[0].ID = 8
+	snapshot.Retired = []RetiredShard{{ID: 8, Range: Range{0, 10}}}
+	_, err = m.Reset(snapshot)
+	require.ErrorIs(t, err, ErrRange, "a shard cannot be retired and in use")
+}
--- /dev/null
+++ b/internal/slicemap/split_mix_test.go
@@ -0,0 +1,15 @@
+package slicemap
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// The first outputs of SplitMix64 for the seed 0 are published with the generator.
+func TestSplitMixIsTheReferenceGenerator(t *testing.T) {
+	generator := splitMix64{}
+	for _, bits := range []uint64{0xe220a8397b1dcdaf, 0x6e789e6aa1b965f4, 0x06c45d188009454f} {
+		require.Equal(t, float64(bits>>11)/(1<<53), generator.uniform())
+	}
+}
