--- a/internal/catalog/cache.go
+++ b/internal/catalog/cache.go
@@ -51,7 +51,7 @@
 }
 
 // Load reads the map of the file; nil without an error if there is no file. A file that cannot be used is an error and
-// stays as it is; the error matches ErrMalformedDocument if the file could be read.
+// is not modified; the error matches ErrMalformedDocument if the file could be read.
 func (c *Cache) Load() (*slicemap.Snapshot, error) {
 	text, err := os.ReadFile(c.path)
 	if errors.Is(err, fs.ErrNotExist) {
--- a/internal/catalog/connection.go
+++ b/internal/catalog/connection.go
@@ -16,7 +16,7 @@
 // connectTimeoutMs is how long a connection may take to be established.
 const connectTimeoutMs = 1000.0
 
-// maxHeaderBytes bounds what may stand before the body of an answer, framing included.
+// maxHeaderBytes is the largest size of what precedes the body of an answer, plus its framing, in bytes.
 const maxHeaderBytes = 16 << 10
 
 const (
--- a/internal/catalog/doc.go
+++ b/internal/catalog/doc.go
@@ -2,8 +2,8 @@
 //
 // GET /catalog/slices answers with a snapshot of the shard map. With the parameters index and wait the call is a watch:
 // the catalogue answers with the changes after that epoch, or with a snapshot, at the latest after wait ms.
-// api/asyncapi.yaml specifies the documents; document.go is the only file that knows their words, and translates both
-// ways. slicemap.Poller decides when the catalogue is called and for what.
+// api/asyncapi.yaml specifies the documents; document.go is the only file with the terms of the wire, and translates
+// both ways. slicemap.Poller decides when the catalogue is called and for what.
 //
 // A Source delivers to a Sink:
 //
--- a/internal/catalog/source.go
+++ b/internal/catalog/source.go
@@ -9,7 +9,7 @@
 	"ternstage/internal/slicemap"
 )
 
-// Sink applies what the catalogue says. An update that it returns an error for has been rejected as a whole.
+// Sink applies the updates of the catalogue. An error means that the update was rejected as a whole.
 type Sink interface {
 	// ApplySnapshot replaces the map.
 	ApplySnapshot(slicemap.Snapshot) error
@@ -69,7 +69,7 @@
 // Start begins to poll.
 func (s *Source) Start() { s.step() }
 
-// NewerEpochSeen says that somebody knows a map of this epoch; see slicemap.Poller.NewerEpochSeen.
+// NewerEpochSeen reports that a backend or client has a map of this epoch; see slicemap.Poller.NewerEpochSeen.
 func (s *Source) NewerEpochSeen(epoch uint64) {
 	s.poller.NewerEpochSeen(s.loop.Now(), epoch)
 	s.schedule()
--- a/internal/slicemap/edit.go
+++ b/internal/slicemap/edit.go
@@ -7,7 +7,7 @@
 type edit struct {
 	version   *Version
 	allowed   backendSet
-	highestID ShardID  // the highest id there ever was
+	highestID ShardID  // the highest id ever used
 	changed   []*Shard // shards that changes have put, without those retired since; an id may occur more than once
 	retired   []*Shard
 }
@@ -170,7 +170,7 @@
 	return nil
 }
 
-// put enters a shard, whose last change is at the epoch of the edit.
+// put adds or replaces a shard, whose last change is at the epoch of the edit.
 func (e *edit) put(shard *Shard) {
 	shard.Since = e.version.Epoch
 	e.version.byID = e.version.byID.Set(shard.ID, shard)
@@ -178,7 +178,7 @@
 	e.changed = append(e.changed, shard)
 }
 
-// retire takes a shard out of the version.
+// retire removes a shard from the version.
 func (e *edit) retire(shard *Shard) {
 	e.version.byID = e.version.byID.Delete(shard.ID)
 	e.version.byLastBucket = e.version.byLastBucket.Delete(shard.End - 1)
--- a/internal/slicemap/errors.go
+++ b/internal/slicemap/errors.go
@@ -48,7 +48,7 @@
 	return &ValidationError{Shard: id, Detail: fmt.Sprintf(format, args...), Err: kind}
 }
 
-// unresolvedError is Map.Resolve's error. Its text is part of answers to clients, so it is fixed and keeps the words
+// unresolvedError is Map.Resolve's error. Its text is part of answers to clients, so it is fixed and uses the terms
 // of the wire.
 type unresolvedError struct {
 	shard ShardID
--- a/internal/slicemap/lineage.go
+++ b/internal/slicemap/lineage.go
@@ -7,7 +7,7 @@
 }
 
 // lineage remembers which buckets retired shards had, so that clients may still name them. Ids are never reused, so
-// an entry stays true. At the bound the entry that was made first is forgotten.
+// an entry never becomes wrong. At the limit the oldest entry is dropped.
 type lineage struct {
 	limit     int
 	ranges    map[ShardID]Range
@@ -19,7 +19,7 @@
 
 func (l *lineage) len() int { return len(l.ranges) }
 
-// remember adds a retired shard; one that is already there keeps its place.
+// remember adds a retired shard; one that is already recorded keeps its place.
 func (l *lineage) remember(id ShardID, buckets Range) {
 	if _, known := l.ranges[id]; known {
 		return
--- a/internal/slicemap/map.go
+++ b/internal/slicemap/map.go
@@ -13,7 +13,7 @@
 	// shards are those of current. Requests look them up here, as the version's own trie takes several cache misses.
 	shards    map[ShardID]*Shard
 	inMotion  map[ShardID]*Shard // those of shards that are not Serving
-	highestID ShardID            // the highest id there ever was; new ids are above it
+	highestID ShardID            // the highest id ever used; new ids are above it
 	retained  []*Version         // oldest first; the last is current
 	lineage   lineage
 	groups    replicaGroups
@@ -49,7 +49,7 @@
 	return shards
 }
 
-// put enters a shard of the version that comes into use.
+// put adds or replaces a shard of the next version.
 func (m *Map) put(shard *Shard) {
 	m.shards[shard.ID] = shard
 	if shard.State == Serving {
@@ -59,7 +59,7 @@
 	}
 }
 
-// remove forgets a shard that the version that comes into use does not have, but for its lineage.
+// remove deletes a shard that the next version does not have, and records its lineage.
 func (m *Map) remove(shard *Shard) {
 	delete(m.shards, shard.ID)
 	delete(m.inMotion, shard.ID)
--- a/internal/slicemap/not_holder.go
+++ b/internal/slicemap/not_holder.go
@@ -15,7 +15,8 @@
 }
 
 // RoutingEpoch is the epoch with which a segment is sent: that of its shard's last change. A backend rejects a segment
-// if its own map is older; with the epoch of the whole map it would do so for changes of other shards too.
+// if its own map is older; with the epoch of the map itself it would also reject segments because of changes to other
+// shards.
 func (m *Map) RoutingEpoch(segment Segment) uint64 {
 	if shard := m.shards[segment.Shard]; shard != nil {
 		return shard.Since
--- a/internal/slicemap/poller.go
+++ b/internal/slicemap/poller.go
@@ -24,7 +24,7 @@
 	needsSnapshot bool   // the next call asks for a snapshot
 
 	inFlight    bool
-	callWaits   bool    // the source may hold the call that is or was last in flight
+	callWaits   bool    // the call in flight, or the last one, is a watch: the source may delay its answer
 	nextCallAt  float64 // ms; when the next regular call is due
 	backoffMs   float64 // nominal delay after the last failure; 0 after a success
 	hintedEpoch uint64  // the newest epoch that was reported
@@ -92,8 +92,8 @@
 	return hinted || now >= p.nextCallAt
 }
 
-// NewerEpochSeen says that somebody knows a version of this epoch. Epochs that are in use or reported already are
-// ignored.
+// NewerEpochSeen reports that a backend or client has a map of this epoch. Epochs that are in use or were reported
+// already are ignored.
 func (p *Poller) NewerEpochSeen(now float64, epoch uint64) {
 	pollPlanned := !math.IsInf(p.hintedAt, 1)
 	if epoch <= p.epoch || epoch <= p.hintedEpoch && pollPlanned {
--- a/internal/slicemap/poller_options.go
+++ b/internal/slicemap/poller_options.go
@@ -2,7 +2,7 @@
 
 // PollerOptions configure a Poller. There are no defaults for single fields: start from DefaultPollerOptions.
 type PollerOptions struct {
-	// WatchTimeoutMs is how long, in ms, the source may hold a watch call without a change.
+	// WatchTimeoutMs is how long, in ms, the source may delay the answer to a watch while nothing changes.
 	WatchTimeoutMs float64
 	// JitterMs is the largest random delay, in ms, of a poll after NewerEpochSeen; it spreads the polls of brokers.
 	JitterMs float64
--- a/internal/slicemap/ring_placement.go
+++ b/internal/slicemap/ring_placement.go
@@ -15,11 +15,11 @@
 	}
 	placement := &RingPlacement{shards: shards}
 	for group := range min(cells, max(shards, 0)) {
-		held := make([]int, reach)
-		for j := range held {
-			held[j] = (group + j) % cells
+		groupCells := make([]int, reach)
+		for j := range groupCells {
+			groupCells[j] = (group + j) % cells
 		}
-		placement.cellsByGroup = append(placement.cellsByGroup, held)
+		placement.cellsByGroup = append(placement.cellsByGroup, groupCells)
 	}
 	return placement
 }
--- a/internal/slicemap/snapshot.go
+++ b/internal/slicemap/snapshot.go
@@ -106,8 +106,8 @@
 	return removedIDs
 }
 
-// regroup moves the groups from one version to the next. All shards join before any leaves, so that a group that
-// goes on keeps its number.
+// regroup replaces the members of the groups. All shards of the next version join before those of the previous one
+// leave, so that a group that both have keeps its number.
 func (m *Map) regroup(previous, next *Version) {
 	for shard := range next.All {
 		m.groups.join(shard)
--- a/internal/slicemap/source.go
+++ b/internal/slicemap/source.go
@@ -5,7 +5,8 @@
 type Source interface {
 	// Start begins to poll.
 	Start()
-	// NewerEpochSeen says that somebody knows a version of this epoch. Calls in quick succession lead to one poll.
+	// NewerEpochSeen reports that a backend or client has a map of this epoch. Calls in quick succession lead to one
+	// poll.
 	NewerEpochSeen(epoch uint64)
 	// Close ends polling; nothing is delivered after it.
 	Close()
