--- /dev/null
+++ b/internal/catalog/document.go
@@ -0,0 +1,227 @@
+package catalog
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"slices"
+
+	"ternstage/internal/slicemap"
+)
+
+// ErrMalformedDocument is matched by the errors of Parse and of Cache.Load for a text that is not a valid document.
+var ErrMalformedDocument = errors.New("malformed document of the shard catalogue")
+
+// Document is an answer of the catalogue, and the content of the cache file: a snapshot if Complete, else changes.
+type Document struct {
+	Epoch    uint64         `json:"epoch"`               // of the snapshot, or after the last change
+	Complete bool           `json:"complete"`            // the document is a snapshot
+	Buckets  int            `json:"districts,omitempty"` // of a snapshot
+	Backends []string       `json:"nodes,omitempty"`     // all that may hold shards; none allows any
+	Shards   []Shard        `json:"slices,omitempty"`    // of a snapshot
+	Retired  []RetiredShard `json:"retired,omitempty"`   // of a snapshot; the latest last
+	Changes  []Change       `json:"changes,omitempty"`   // in order
+}
+
+// RetiredShard is a shard that was split or merged. Its buckets are those from Lo up to, but not including, Hi.
+type RetiredShard struct {
+	ID int `json:"id"`
+	Lo int `json:"lo"`
+	Hi int `json:"hi"`
+}
+
+// Shard is a shard of a snapshot. Its buckets are those from Lo up to, but not including, Hi.
+type Shard struct {
+	ID       int      `json:"id"`
+	Lo       int      `json:"lo"`
+	Hi       int      `json:"hi"`
+	Replicas []string `json:"holders"`
+	State    string   `json:"state,omitempty"` // "serving" if absent
+	From     string   `json:"from,omitempty"`
+	To       string   `json:"to,omitempty"`
+	Since    uint64   `json:"since,omitempty"` // epoch of its last change; that of the snapshot if absent
+	Parents  []int    `json:"parents,omitempty"`
+}
+
+// Change is one change of the map; see slicemap.Change.
+type Change struct {
+	Base     uint64   `json:"base"`
+	Epoch    uint64   `json:"epoch"`
+	Kind     string   `json:"kind"`
+	Shard    int      `json:"slice"`
+	Other    int      `json:"other,omitempty"`
+	At       int      `json:"at,omitempty"`
+	Into     []int    `json:"into,omitempty"`
+	From     string   `json:"from,omitempty"`
+	To       string   `json:"to,omitempty"`
+	Replicas []string `json:"holders,omitempty"`
+}
+
+// stateNames are the states of a shard on the wire.
+var stateNames = [...]string{
+	slicemap.Serving:     "serving",
+	slicemap.Preparing:   "preparing",
+	slicemap.HandingOver: "handing-over",
+	slicemap.Retired:     "retired",
+}
+
+// kindNames are the kinds of change on the wire.
+var kindNames = [...]string{
+	slicemap.Split:    "split",
+	slicemap.Merge:    "merge",
+	slicemap.Move:     "move",
+	slicemap.Handover: "handover",
+	slicemap.Done:     "done",
+	slicemap.Abort:    "abort",
+	slicemap.Assign:   "assign",
+}
+
+// Update is what a document says about the map: a snapshot, or changes.
+type Update struct {
+	Snapshot *slicemap.Snapshot // nil if the update is changes
+	Changes  []slicemap.Change  // in order; may be empty, as a watch may end without a change
+	Backends []string           // all that may hold shards; none allows any
+}
+
+// Parse reads a document. Its error matches ErrMalformedDocument. What the document says about the map is not
+// validated.
+func Parse(text []byte) (Update, error) {
+	var document Document
+	if err := json.Unmarshal(text, &document); err != nil {
+		return Update{}, fmt.Errorf("%w: %w", ErrMalformedDocument, err)
+	}
+	if document.Epoch == 0 {
+		return Update{}, fmt.Errorf("%w: no epoch", ErrMalformedDocument)
+	}
+	update := Update{Backends: document.Backends}
+	var err error
+	if document.Complete {
+		update.Snapshot, err = document.snapshot()
+	} else {
+		update.Changes, err = document.changes()
+	}
+	if err != nil {
+		return Update{}, fmt.Errorf("%w: %w", ErrMalformedDocument, err)
+	}
+	return update, nil
+}
+
+// changes translates the changes, the last of which must lead to the epoch of the document.
+func (d *Document) changes() ([]slicemap.Change, error) {
+	var changes []slicemap.Change
+	for i, change := range d.Changes {
+		kind := slices.Index(kindNames[:], change.Kind)
+		if kind < 0 {
+			return nil, fmt.Errorf("changes[%d]: unknown kind %q", i, change.Kind)
+		}
+		changes = append(changes, slicemap.Change{
+			Base:     change.Base,
+			Epoch:    change.Epoch,
+			Kind:     slicemap.Kind(kind),
+			Shard:    change.Shard,
+			Other:    change.Other,
+			At:       change.At,
+			Into:     change.Into,
+			From:     change.From,
+			To:       change.To,
+			Replicas: change.Replicas,
+		})
+	}
+	if count := len(changes); count > 0 && changes[count-1].Epoch != d.Epoch {
+		return nil, fmt.Errorf("changes up to epoch %d in a document of epoch %d", changes[count-1].Epoch, d.Epoch)
+	}
+	return changes, nil
+}
+
+func (d *Document) snapshot() (*slicemap.Snapshot, error) {
+	snapshot := &slicemap.Snapshot{Epoch: d.Epoch, Buckets: d.Buckets, Backends: d.Backends}
+	for i, shard := range d.Shards {
+		state, err := parseState(shard.State)
+		if err != nil {
+			return nil, fmt.Errorf("slices[%d]: %w", i, err)
+		}
+		snapshot.Shards = append(snapshot.Shards, &slicemap.Shard{
+			ID:       shard.ID,
+			Range:    slicemap.Range{Start: shard.Lo, End: shard.Hi},
+			Replicas: shard.Replicas,
+			State:    state,
+			From:     shard.From,
+			To:       shard.To,
+			Since:    shard.Since,
+			Parents:  shard.Parents,
+		})
+	}
+	for _, retired := range d.Retired {
+		buckets := slicemap.Range{Start: retired.Lo, End: retired.Hi}
+		snapshot.Retired = append(snapshot.Retired, slicemap.RetiredShard{ID: retired.ID, Range: buckets})
+	}
+	return snapshot, nil
+}
+
+// parseState translates a state; an absent one is Serving.
+func parseState(name string) (slicemap.State, error) {
+	if name == "" {
+		return slicemap.Serving, nil
+	}
+	state := slices.Index(stateNames[:], name)
+	if state < 0 {
+		return 0, fmt.Errorf("unknown state %q", name)
+	}
+	return slicemap.State(state), nil
+}
+
+// FormatSnapshot is the document of a version. backends are all that may hold shards, none allows any; retired are the
+// shards that were retired before the version, the latest last.
+func FormatSnapshot(version *slicemap.Version, backends []string, retired []slicemap.RetiredShard) Document {
+	document := Document{Epoch: version.Epoch, Complete: true, Buckets: version.Buckets, Backends: backends}
+	for shard := range version.All {
+		document.Shards = append(document.Shards, formatShard(shard))
+	}
+	for _, shard := range retired {
+		document.Retired = append(document.Retired, RetiredShard{ID: shard.ID, Lo: shard.Start, Hi: shard.End})
+	}
+	return document
+}
+
+// FormatChange is a change as documents have it.
+func FormatChange(change slicemap.Change) Change {
+	return Change{
+		Base:     change.Base,
+		Epoch:    change.Epoch,
+		Kind:     kindNames[change.Kind],
+		Shard:    change.Shard,
+		Other:    change.Other,
+		At:       change.At,
+		Into:     change.Into,
+		From:     change.From,
+		To:       change.To,
+		Replicas: change.Replicas,
+	}
+}
+
+// ShardsInMotion are the first limit shards with a move in progress, in the order of their ids, as documents have them.
+// It is never nil.
+func ShardsInMotion(m *slicemap.Map, limit int) []Shard {
+	shards := []Shard{}
+	for _, shard := range m.ShardsInMotion() {
+		if len(shards) >= limit {
+			break
+		}
+		shards = append(shards, formatShard(shard))
+	}
+	return shards
+}
+
+func formatShard(shard *slicemap.Shard) Shard {
+	return Shard{
+		ID:       shard.ID,
+		Lo:       shard.Start,
+		Hi:       shard.End,
+		Replicas: shard.Replicas,
+		State:    stateNames[shard.State],
+		From:     shard.From,
+		To:       shard.To,
+		Since:    shard.Since,
+		Parents:  shard.Parents,
+	}
+}
--- a/internal/lab/world/fleet.go
+++ b/internal/lab/world/fleet.go
@@ -180,7 +180,7 @@
 func (f *fleet) asked(c slicemap.PollRequest, fail func(), deliver func(told)) {
 	s := f.sim
 	if s.net.Float64() < s.e.News.Lost { // nothing ever comes
-		s.at(s.now+c.Timeout, fail)
+		s.at(s.now+c.TimeoutMs, fail)
 		return
 	}
 	answered := false
@@ -200,14 +200,14 @@
 		}
 	}
 	s.at(s.now+s.hop(), func() {
-		if f.out() || c.FullSnapshot || c.Wait == 0 || f.truth.Current().Epoch > c.SinceEpoch {
+		if f.out() || c.FullSnapshot || c.WaitMs == 0 || f.truth.Current().Epoch > c.SinceEpoch {
 			answer()
 			return
 		}
 		f.waiting = append(f.waiting, answer)
-		s.at(s.now+c.Wait, answer)
+		s.at(s.now+c.WaitMs, answer)
 		for _, o := range s.e.News.Outages { // watches end when the catalogue goes down
-			if at := origin + o.At; at > s.now && at < s.now+c.Wait {
+			if at := origin + o.At; at > s.now && at < s.now+c.WaitMs {
 				s.at(at, answer)
 			}
 		}
@@ -289,7 +289,7 @@
 	c := s.e.Changes
 	for range 8 {
 		v := f.truth.Current()
-		at := v.At(f.rnd.IntN(v.Buckets))
+		at := v.ShardAt(f.rnd.IntN(v.Buckets))
 		switch x := f.rnd.Float64() * (c.Split + c.Merge + c.Move); {
 		case x < c.Split:
 			if at.Size() >= 2 && f.apply(slicemap.Change{Kind: slicemap.Split, Shard: at.ID,
@@ -299,12 +299,12 @@
 			}
 		case x < c.Split+c.Merge:
 			for range 50 { // neighbours with the same holders are rare
-				if o := v.At(at.End); o != nil && f.apply(slicemap.Change{Kind: slicemap.Merge, Shard: at.ID, Other: o.ID,
+				if o := v.ShardAt(at.End); o != nil && f.apply(slicemap.Change{Kind: slicemap.Merge, Shard: at.ID, Other: o.ID,
 					Into: []slicemap.ShardID{f.next}}) {
 					f.next++
 					return
 				}
-				at = v.At(f.rnd.IntN(v.Buckets))
+				at = v.ShardAt(f.rnd.IntN(v.Buckets))
 			}
 		default:
 			if f.move(at) {
@@ -329,7 +329,7 @@
 		})
 	}
 	if to.state != scheduler.Ready || !f.pace.MayHandOver(s.now,
-		slicemap.HandoverTarget{Started: to.Started, Buckets: holds, HandoversInProgress: to.taking}, at.Size(), usual) {
+		slicemap.HandoverTarget{StartedAtMs: to.Started, Buckets: holds, HandoversInProgress: to.taking}, at.Size(), usual) {
 		return false
 	}
 	abort := f.rnd.Float64() < s.e.Changes.Abort
@@ -372,7 +372,7 @@
 func (f *fleet) each(r slicemap.Range, from, to string, kind slicemap.Kind) {
 	v := f.truth.Current()
 	for at := r.Start; at < r.End; {
-		x := v.At(at)
+		x := v.ShardAt(at)
 		if x.From == from && x.To == to {
 			f.apply(slicemap.Change{Kind: kind, Shard: x.ID})
 		}
@@ -515,7 +515,7 @@
 		return true // too long ago to be judged
 	}
 	for at := j.Districts.Start; at < j.Districts.End; {
-		x := s.fleet.past[i].v.At(at)
+		x := s.fleet.past[i].v.ShardAt(at)
 		if !x.Executes(n.ID) {
 			return false
 		}
--- a/internal/lab/world/virtual.go
+++ b/internal/lab/world/virtual.go
@@ -159,7 +159,7 @@
 	r.Add(b.moves, b.stats)
 	if b.core != nil {
 		r.Add(b.core.ReshardingStats(), b.m.Stats())
-		r.Reads += b.follow.HintedReads()
+		r.Reads += b.follow.HintedPolls()
 		r.OpenEnd += b.core.OpenRequests()
 	}
 }
@@ -168,7 +168,7 @@
 	if b.m == nil {
 		return 0
 	}
-	return b.m.Stats().KeptMost
+	return b.m.Stats().MaxRetainedVersions
 }
 
 func (b *virtual) touch() {
@@ -358,7 +358,7 @@
 }
 
 func (b *virtual) plan() {
-	at := b.follow.At()
+	at := b.follow.NextAt()
 	if math.IsInf(at, 1) || at >= b.due {
 		return
 	}
@@ -382,7 +382,7 @@
 	case take == nil:
 		b.follow.Failed(b.sim.now)
 	case take(b.core) != nil:
-		b.follow.Refused(b.sim.now)
+		b.follow.Rejected(b.sim.now)
 	default:
 		b.follow.Succeeded(b.sim.now, b.core.Epoch())
 		b.touch()
@@ -522,8 +522,8 @@
 }
 
 func addStats(a, b slicemap.Stats) slicemap.Stats {
-	return slicemap.Stats{Moved: a.Moved + b.Moved, Disagree: a.Disagree + b.Disagree,
-		Refused: a.Refused + b.Refused}
+	return slicemap.Stats{NotHolder: a.NotHolder + b.NotHolder, SameEpoch: a.SameEpoch + b.SameEpoch,
+		Rejected: a.Rejected + b.Rejected}
 }
 
 func (b *virtual) number() int { return b.index }
--- /dev/null
+++ b/internal/slicemap/poller_test.go
@@ -0,0 +1,87 @@
+package slicemap
+
+import (
+	"math"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+func TestPollerWatchesAndAsksForASnapshotAfterAnInvalidUpdate(t *testing.T) {
+	poller := NewPoller(DefaultPollerOptions, 7)
+	request, due := poller.Next(0)
+	require.True(t, due && request.FullSnapshot && request.WaitMs == 0, "a snapshot first")
+	_, due = poller.Next(1)
+	require.False(t, due, "one call at a time")
+	poller.Succeeded(2, 41)
+
+	request, due = poller.Next(2)
+	watch := PollRequest{
+		SinceEpoch: 41,
+		WaitMs:     DefaultPollerOptions.WatchTimeoutMs,
+		TimeoutMs:  DefaultPollerOptions.WatchTimeoutMs + changesTimeoutMs,
+	}
+	require.Equal(t, watch, request)
+	require.True(t, due)
+
+	poller.Rejected(5)
+	request, due = poller.Next(5)
+	require.True(t, due && request.FullSnapshot, "a snapshot at once after an invalid update")
+	poller.Rejected(6)
+	_, due = poller.Next(6)
+	require.False(t, due, "not at once after an invalid snapshot")
+	require.GreaterOrEqual(t, poller.NextAt(), 6+DefaultPollerOptions.BackoffMinMs/2)
+}
+
+func TestPollerBackoffIsBounded(t *testing.T) {
+	poller := NewPoller(DefaultPollerOptions, 7)
+	now := 0.0
+	calls := 0
+	for now < 30_000 {
+		if _, due := poller.Next(now); due {
+			calls++
+			poller.Failed(now)
+		}
+		require.Greater(t, poller.NextAt(), now)
+		require.LessOrEqual(t, poller.NextAt(), now+DefaultPollerOptions.BackoffMaxMs)
+		now = poller.NextAt()
+	}
+	require.Less(t, calls, 25, "calls in 30 s without a source")
+	require.Greater(t, calls, 7)
+}
+
+func TestReportsOfANewerEpochLeadToOnePoll(t *testing.T) {
+	poller := NewPoller(DefaultPollerOptions, 7)
+	poller.Next(0)
+	poller.Succeeded(0, 41)
+	poller.Next(0) // the watch
+	now := 100.0
+	polls := 0
+	for range 500 { // not-holder replies, one each ms
+		poller.NewerEpochSeen(now, 50)
+		if request, due := poller.Next(now); due {
+			atOnce := PollRequest{SinceEpoch: 41, TimeoutMs: changesTimeoutMs, CancelsPending: true}
+			require.Equal(t, atOnce, request, "the watch is cancelled, and the source answers at once")
+			polls++
+		}
+		now++
+	}
+	require.Equal(t, 1, polls, "one poll for all reports")
+	poller.NewerEpochSeen(now, 40)
+	require.True(t, math.IsInf(poller.NextAt(), 1), "an older epoch is ignored")
+
+	// The source is behind the backends: it is polled again, ever more slowly.
+	for now < 2600 {
+		if _, due := poller.Next(now); due {
+			polls++
+		}
+		poller.Succeeded(now, 41)
+		poller.NewerEpochSeen(now, 50)
+		now += 10
+	}
+	require.Less(t, polls, 6, "polls for an epoch that the source does not know")
+	poller.Succeeded(now, 50)
+	poller.Next(now)
+	poller.NewerEpochSeen(now, 50)
+	require.True(t, math.IsInf(poller.NextAt(), 1), "the epoch is in use now")
+}
