--- a/internal/ops/maintenance/file.go
+++ b/internal/ops/maintenance/suspension_file.go
@@ -2,11 +2,15 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"hash/crc32"
 	"strings"
 )
 
+// ErrSuspensionFile wraps what is wrong with a file of bans.
+var ErrSuspensionFile = errors.New("file of held leafs")
+
 // SuspensionFileVersion is the form of the file of held leafs that this build writes and reads.
 const SuspensionFileVersion = 1
 
--- a/internal/ops/maintenance/maintenance.go
+++ b/internal/ops/maintenance/suspensions.go
@@ -1,16 +1,6 @@
-// Package maintenance decides what the operators' calls change: which leafs are held out of service (a ban,
-// from suspend to resume), whether the aggregator sends its clients away (from drain to activate), and what
-// each call is answered. It does no I/O and reads no clock: times are the caller's, in ms.
-//
-// A ban is a fact of the aggregator, not of one process: it is kept in a file beside the process (see
-// Encode and Decode) that every process of the aggregator reads, so that it holds across an upgrade.
 package maintenance
 
-import (
-	"errors"
-	"fmt"
-	"slices"
-)
+import "slices"
 
 // Bounds of the tables.
 const (
@@ -19,28 +9,6 @@
 	// MaxKnownIDs is how many ids of leafs that were listed are remembered, to tell a leaf that is away for a
 	// while from an id that never was; beyond it the oldest is forgotten, and counted.
 	MaxKnownIDs = 16384
-	// MaxID is the longest id taken, in bytes.
-	MaxID = 256
-)
-
-// CallResult is what a call is answered: Status 2xx is yes, 4xx and 5xx no. Changed tells that the call changed
-// something; a repeated call is answered the same and changes nothing.
-type CallResult struct {
-	Status  int
-	Reason  string
-	Changed bool
-}
-
-// OK tells that the verdict is a yes.
-func (v CallResult) OK() bool { return v.Status >= 200 && v.Status < 300 }
-
-var (
-	yes       = CallResult{Status: 200, Reason: "done"}
-	yesAgain  = CallResult{Status: 200, Reason: "so already"}
-	notListed = CallResult{Status: 404, Reason: "no leaf of that id was ever listed"}
-	full      = CallResult{Status: 507, Reason: fmt.Sprintf("%d leafs are held out already", MaxSuspended)}
-	badID     = CallResult{Status: 400,
-		Reason: "a leaf id is 1 to 256 bytes of letters, digits, '-', '_', '.' and ':'"}
 )
 
 // Suspensions are the leafs held out of service, and the ids that were ever listed.
@@ -145,22 +113,3 @@
 	slices.Sort(freed)
 	return added, freed
 }
-
-// ValidID tells that an id can be a leaf's: what a path segment carries without escapes, and not too long.
-func ValidID(id string) bool {
-	if id == "" || len(id) > MaxID {
-		return false
-	}
-	for i := 0; i < len(id); i++ {
-		switch c := id[i]; {
-		case c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z', c >= '0' && c <= '9', c == '-', c == '_', c == '.',
-			c == ':':
-		default:
-			return false
-		}
-	}
-	return true
-}
-
-// ErrSuspensionFile wraps what is wrong with a file of bans.
-var ErrSuspensionFile = errors.New("file of held leafs")
