--- a/internal/ops/control/control.go
+++ b/internal/ops/control/control.go
@@ -109,7 +109,7 @@
 	u.timer = l.NewTimer(u.tick)
 	u.look()
 	u.lookDrain()
-	u.found = u.drain.Since() > 0
+	u.found = u.drain.SinceMs() > 0
 	u.follow()
 	return u
 }
@@ -211,7 +211,7 @@
 // Ready implements adminapi.Calls. A drain that was found at the start does not stop this process from taking
 // over from the one that was told; health says no all the same.
 func (u *Control) Ready() bool {
-	return !u.stopping && (u.front.Healthy() || u.found && u.drain.Since() > 0 && u.front.CanServe())
+	return !u.stopping && (u.front.Healthy() || u.found && u.drain.SinceMs() > 0 && u.front.CanServe())
 }
 
 // Suspend implements adminapi.Calls.
@@ -245,7 +245,7 @@
 // Drain implements adminapi.Calls.
 func (u *Control) Drain() maintenance.CallResult {
 	u.lookDrain()
-	v := u.drain.Drain(u.loop.Now())
+	v := u.drain.Begin(u.loop.Now())
 	u.follow()
 	if !v.Changed {
 		return v
@@ -268,7 +268,7 @@
 // Activate implements adminapi.Calls.
 func (u *Control) Activate() maintenance.CallResult {
 	u.lookDrain()
-	v := u.drain.Activate()
+	v := u.drain.End()
 	u.follow()
 	err := os.Remove(u.drainBy) // also one that could not be read, or was left behind
 	if errors.Is(err, fs.ErrNotExist) {
@@ -285,11 +285,11 @@
 		u.log.Warn("drain not read: it holds from now on", zap.String("file", u.drainBy), zap.Error(err))
 	}
 	u.drainOff = err != nil
-	switch holds := u.drain.Since() > 0; {
+	switch holds := u.drain.SinceMs() > 0; {
 	case on && !holds:
-		u.drain.Drain(u.loop.Now() - (now - since))
+		u.drain.Begin(u.loop.Now() - (now - since))
 	case !on && holds && !u.drainHere:
-		u.drain.Activate()
+		u.drain.End()
 	}
 }
 
--- a/internal/ops/control/control_test.go
+++ b/internal/ops/control/control_test.go
@@ -124,7 +124,7 @@
 	assert.True(t, p.away)
 	assert.False(t, p.Ready())
 	p.drain = maintenance.Drain{}
-	p.drain.Drain(p.loop.Now() - maintenance.CloseIdleAfterMs) // as if it had begun that long ago
+	p.drain.Begin(p.loop.Now() - maintenance.CloseIdleAfterMs) // as if it had begun that long ago
 	p.follow()
 	p.follow()
 	assert.True(t, p.kept)
@@ -207,7 +207,7 @@
 	c := start(t, path)
 	assert.True(t, c.away, "health says no from the start")
 	assert.True(t, c.Ready(), "and it may take over")
-	assert.LessOrEqual(t, c.drain.Since(), c.loop.Now()-25, "since the call, not since its start")
+	assert.LessOrEqual(t, c.drain.SinceMs(), c.loop.Now()-25, "since the call, not since its start")
 
 	require.Equal(t, 200, c.Activate().Status)
 	assert.False(t, c.away)
--- a/internal/ops/maintenance/backend_id.go
+++ b/internal/ops/maintenance/backend_id.go
@@ -1,11 +1,11 @@
 package maintenance
 
-// MaxID is the longest id taken, in bytes.
-const MaxID = 256
+// MaxIDBytes is the longest id taken, in bytes.
+const MaxIDBytes = 256
 
 // ValidID tells that an id can be a leaf's: what a path segment carries without escapes, and not too long.
 func ValidID(id string) bool {
-	if id == "" || len(id) > MaxID {
+	if id == "" || len(id) > MaxIDBytes {
 		return false
 	}
 	for i := 0; i < len(id); i++ {
--- a/internal/ops/maintenance/call.go
+++ b/internal/ops/maintenance/call.go
@@ -14,10 +14,10 @@
 func (v CallResult) OK() bool { return v.Status >= 200 && v.Status < 300 }
 
 var (
-	yes       = CallResult{Status: 200, Reason: "done"}
-	yesAgain  = CallResult{Status: 200, Reason: "so already"}
-	notListed = CallResult{Status: 404, Reason: "no leaf of that id was ever listed"}
-	full      = CallResult{Status: 507, Reason: fmt.Sprintf("%d leafs are held out already", MaxSuspended)}
-	badID     = CallResult{Status: 400,
+	resultDone        = CallResult{Status: 200, Reason: "done"}
+	resultAlready     = CallResult{Status: 200, Reason: "so already"}
+	resultNeverListed = CallResult{Status: 404, Reason: "no leaf of that id was ever listed"}
+	resultTableFull   = CallResult{Status: 507, Reason: fmt.Sprintf("%d leafs are held out already", MaxSuspended)}
+	resultInvalidID   = CallResult{Status: 400,
 		Reason: "a leaf id is 1 to 256 bytes of letters, digits, '-', '_', '.' and ':'"}
 )
--- a/internal/ops/maintenance/drain.go
+++ b/internal/ops/maintenance/drain.go
@@ -33,48 +33,48 @@
 
 // Drain is the state of sending clients away, from the call to drain to the call to activate.
 type Drain struct {
-	on    bool
-	since float64 // ms, of the drain that holds
+	active  bool
+	sinceMs float64 // ms, of the drain that holds
 }
 
-// Drain begins sending clients away, at now (ms). A repeated call changes nothing.
-func (d *Drain) Drain(now float64) CallResult {
-	if d.on {
-		return yesAgain
+// Begin begins sending clients away, at now (ms). A repeated call changes nothing.
+func (d *Drain) Begin(now float64) CallResult {
+	if d.active {
+		return resultAlready
 	}
-	d.on, d.since = true, now
-	return CallResult{Status: yes.Status, Reason: yes.Reason, Changed: true}
+	d.active, d.sinceMs = true, now
+	return CallResult{Status: resultDone.Status, Reason: resultDone.Reason, Changed: true}
 }
 
-// Activate takes clients again. A repeated call changes nothing.
-func (d *Drain) Activate() CallResult {
-	if !d.on {
-		return yesAgain
+// End takes clients again. A repeated call changes nothing.
+func (d *Drain) End() CallResult {
+	if !d.active {
+		return resultAlready
 	}
-	d.on = false
-	return CallResult{Status: yes.Status, Reason: yes.Reason, Changed: true}
+	d.active = false
+	return CallResult{Status: resultDone.Status, Reason: resultDone.Reason, Changed: true}
 }
 
 // Phase is the phase at now (ms).
 func (d *Drain) Phase(now float64) Phase {
 	switch {
-	case !d.on:
+	case !d.active:
 		return Serving
-	case now-d.since < CloseAfterMs:
+	case now-d.sinceMs < CloseAfterMs:
 		return Draining
-	case now-d.since < CloseIdleAfterMs:
+	case now-d.sinceMs < CloseIdleAfterMs:
 		return ClosingConnections
 	}
 	return ClosingIdle
 }
 
 // Healthy tells whether health says yes, ready being whether the process could serve at all.
-func (d *Drain) Healthy(ready bool) bool { return ready && !d.on }
+func (d *Drain) Healthy(ready bool) bool { return ready && !d.active }
 
-// Since is when the drain that holds began, in ms; 0 when none holds.
-func (d *Drain) Since() float64 {
-	if !d.on {
+// SinceMs is when the drain that holds began, in ms; 0 when none holds.
+func (d *Drain) SinceMs() float64 {
+	if !d.active {
 		return 0
 	}
-	return d.since
+	return d.sinceMs
 }
--- a/internal/ops/maintenance/drain_file.go
+++ b/internal/ops/maintenance/drain_file.go
@@ -13,16 +13,16 @@
 const DrainFileVersion = 1
 
 type drainFile struct {
-	Form    string  `json:"form"`
-	Version int     `json:"version"`
-	Since   float64 `json:"since_unix_ms"`
+	Form        string  `json:"form"`
+	Version     int     `json:"version"`
+	SinceUnixMs float64 `json:"since_unix_ms"`
 }
 
 const drainForm = "ternstage drain"
 
 // EncodeDrain writes the file of a drain that holds since then (Unix ms). There is a file while one holds.
 func EncodeDrain(since float64) []byte {
-	text, _ := json.Marshal(drainFile{Form: drainForm, Version: DrainFileVersion, Since: since})
+	text, _ := json.Marshal(drainFile{Form: drainForm, Version: DrainFileVersion, SinceUnixMs: since})
 	return append(text, '\n')
 }
 
@@ -37,5 +37,5 @@
 		return 0, fmt.Errorf("%w: form %q version %d, this build reads %q version %d", ErrDrainFile, f.Form, f.Version,
 			drainForm, DrainFileVersion)
 	}
-	return f.Since, nil
+	return f.SinceUnixMs, nil
 }
--- a/internal/ops/maintenance/drain_test.go
+++ b/internal/ops/maintenance/drain_test.go
@@ -10,12 +10,12 @@
 	var d Drain
 	assert.True(t, d.Healthy(true))
 	assert.False(t, d.Healthy(false), "not ready is not healthy")
-	assert.True(t, d.Activate().OK())
-	assert.False(t, d.Activate().Changed, "activate while serving changes nothing")
+	assert.True(t, d.End().OK())
+	assert.False(t, d.End().Changed, "activate while serving changes nothing")
 
-	v := d.Drain(1000)
+	v := d.Begin(1000)
 	assert.True(t, v.Changed)
-	assert.False(t, d.Drain(1300).Changed, "a repeated drain keeps its first time")
+	assert.False(t, d.Begin(1300).Changed, "a repeated drain keeps its first time")
 	assert.False(t, d.Healthy(true))
 	for _, c := range []struct {
 		at    float64
@@ -25,10 +25,10 @@
 		assert.Equal(t, c.phase, d.Phase(c.at), "at %v", c.at)
 	}
 	assert.Less(t, CloseIdleAfterMs+500, DrainedByMs, "what lingers after the last answers is gone by EmptyBy")
-	assert.Equal(t, 1000.0, d.Since())
-	assert.True(t, d.Activate().Changed)
+	assert.Equal(t, 1000.0, d.SinceMs())
+	assert.True(t, d.End().Changed)
 	assert.Equal(t, Serving, d.Phase(9000))
 	assert.True(t, d.Healthy(true))
-	d.Drain(9000)
+	d.Begin(9000)
 	assert.Equal(t, Draining, d.Phase(9001), "a new drain begins anew")
 }
--- a/internal/ops/maintenance/suspension_file.go
+++ b/internal/ops/maintenance/suspension_file.go
@@ -15,20 +15,20 @@
 const SuspensionFileVersion = 1
 
 // MaxSuspensionFileBytes is the largest file of held leafs that is read, in bytes.
-const MaxSuspensionFileBytes = MaxSuspended*(MaxID+4) + 256
+const MaxSuspensionFileBytes = MaxSuspended*(MaxIDBytes+4) + 256
 
-type file struct {
-	Form    string   `json:"form"`
-	Version int      `json:"version"`
-	Held    []string `json:"held"`
-	Sum     uint32   `json:"sum"` // CRC-32 (IEEE) of the ids, each followed by a newline
+type suspensionFile struct {
+	Form      string   `json:"form"`
+	Version   int      `json:"version"`
+	Suspended []string `json:"held"`
+	Checksum  uint32   `json:"sum"` // CRC-32 (IEEE) of the ids, each followed by a newline
 }
 
-const form = "ternstage held leafs"
+const suspensionForm = "ternstage held leafs"
 
 // EncodeSuspensions writes the ids of the leafs held out as a file.
 func EncodeSuspensions(ids []string) []byte {
-	text, _ := json.Marshal(file{Form: form, Version: SuspensionFileVersion, Held: ids, Sum: sum(ids)})
+	text, _ := json.Marshal(suspensionFile{Form: suspensionForm, Version: SuspensionFileVersion, Suspended: ids, Checksum: idChecksum(ids)})
 	return append(text, '\n')
 }
 
@@ -38,29 +38,29 @@
 	if len(text) > MaxSuspensionFileBytes {
 		return nil, fmt.Errorf("%w: %d bytes, over %d", ErrSuspensionFile, len(text), MaxSuspensionFileBytes)
 	}
-	var f file
+	var f suspensionFile
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, fmt.Errorf("%w: torn or not JSON: %w", ErrSuspensionFile, err)
 	}
 	switch {
-	case f.Form != form:
-		return nil, fmt.Errorf("%w: form %q, not %q", ErrSuspensionFile, f.Form, form)
+	case f.Form != suspensionForm:
+		return nil, fmt.Errorf("%w: form %q, not %q", ErrSuspensionFile, f.Form, suspensionForm)
 	case f.Version != SuspensionFileVersion:
 		return nil, fmt.Errorf("%w: version %d, this build reads %d", ErrSuspensionFile, f.Version, SuspensionFileVersion)
-	case f.Sum != sum(f.Held):
-		return nil, fmt.Errorf("%w: field sum: %d, the ids sum to %d", ErrSuspensionFile, f.Sum, sum(f.Held))
-	case len(f.Held) > MaxSuspended:
-		return nil, fmt.Errorf("%w: field held: %d ids, over %d", ErrSuspensionFile, len(f.Held), MaxSuspended)
+	case f.Checksum != idChecksum(f.Suspended):
+		return nil, fmt.Errorf("%w: field sum: %d, the ids sum to %d", ErrSuspensionFile, f.Checksum, idChecksum(f.Suspended))
+	case len(f.Suspended) > MaxSuspended:
+		return nil, fmt.Errorf("%w: field held: %d ids, over %d", ErrSuspensionFile, len(f.Suspended), MaxSuspended)
 	}
-	for i, id := range f.Held {
+	for i, id := range f.Suspended {
 		if !ValidID(id) {
 			return nil, fmt.Errorf("%w: field held[%d]: %q is no leaf id", ErrSuspensionFile, i, id)
 		}
 	}
-	return f.Held, nil
+	return f.Suspended, nil
 }
 
-func sum(ids []string) uint32 {
+func idChecksum(ids []string) uint32 {
 	var b strings.Builder
 	for _, id := range ids {
 		b.WriteString(id)
--- a/internal/ops/maintenance/suspension_file_test.go
+++ b/internal/ops/maintenance/suspension_file_test.go
@@ -28,7 +28,7 @@
 		{`{"form":"ternstage held leafs","version":2,"held":[],"sum":0}`, "version 2"},
 		{`{"form":"another","version":1,"held":[],"sum":0}`, "form"},
 		{`{"form":"ternstage held leafs","version":1,"held":["s-1"],"sum":7}`, "field sum"},
-		{fmt.Sprintf(`{"form":"ternstage held leafs","version":1,"held":["a b"],"sum":%d}`, sum([]string{"a b"})),
+		{fmt.Sprintf(`{"form":"ternstage held leafs","version":1,"held":["a b"],"sum":%d}`, idChecksum([]string{"a b"})),
 			"field held[0]"},
 	} {
 		_, err := DecodeSuspensions([]byte(c.text))
--- a/internal/ops/maintenance/suspensions.go
+++ b/internal/ops/maintenance/suspensions.go
@@ -13,73 +13,73 @@
 
 // Suspensions are the leafs held out of service, and the ids that were ever listed.
 type Suspensions struct {
-	held      map[string]struct{}
-	seen      map[string]struct{}
-	order     []string // of seen, oldest first
-	Forgotten uint64   // ids of seen let go at the bound
+	suspended    map[string]struct{}
+	known        map[string]struct{}
+	knownOrder   []string // of seen, oldest first
+	ForgottenIDs uint64   // ids of seen let go at the bound
 }
 
 // NewSuspensions makes empty tables.
 func NewSuspensions() *Suspensions {
-	return &Suspensions{held: map[string]struct{}{}, seen: map[string]struct{}{}}
+	return &Suspensions{suspended: map[string]struct{}{}, known: map[string]struct{}{}}
 }
 
 // MemberListed notes that a leaf of that id is or was in the list.
 func (b *Suspensions) MemberListed(id string) {
-	if _, ok := b.seen[id]; ok || !ValidID(id) {
+	if _, ok := b.known[id]; ok || !ValidID(id) {
 		return
 	}
-	if len(b.order) >= MaxKnownIDs {
-		drop := b.order[0]
-		b.order = b.order[1:]
-		delete(b.seen, drop)
-		b.Forgotten++
+	if len(b.knownOrder) >= MaxKnownIDs {
+		drop := b.knownOrder[0]
+		b.knownOrder = b.knownOrder[1:]
+		delete(b.known, drop)
+		b.ForgottenIDs++
 	}
-	b.seen[id] = struct{}{}
-	b.order = append(b.order, id)
+	b.known[id] = struct{}{}
+	b.knownOrder = append(b.knownOrder, id)
 }
 
 // Held tells that a leaf is held out: the aggregator sends it nothing new, whatever the list says.
 func (b *Suspensions) Suspended(id string) bool {
-	_, ok := b.held[id]
+	_, ok := b.suspended[id]
 	return ok
 }
 
 // Suspend holds a leaf out. An id that was never listed, and is not held already, is answered no.
 func (b *Suspensions) Suspend(id string) CallResult {
-	switch _, seen := b.seen[id]; {
+	switch _, seen := b.known[id]; {
 	case !ValidID(id):
-		return badID
+		return resultInvalidID
 	case b.Suspended(id):
-		return yesAgain
+		return resultAlready
 	case !seen:
-		return notListed
-	case len(b.held) >= MaxSuspended:
-		return full
+		return resultNeverListed
+	case len(b.suspended) >= MaxSuspended:
+		return resultTableFull
 	}
-	b.held[id] = struct{}{}
-	return CallResult{Status: yes.Status, Reason: yes.Reason, Changed: true}
+	b.suspended[id] = struct{}{}
+	return CallResult{Status: resultDone.Status, Reason: resultDone.Reason, Changed: true}
 }
 
 // Resume ends the ban of a leaf. A leaf that is listed and not held is answered yes with no change; an id
 // that was never listed, no.
 func (b *Suspensions) Resume(id string) CallResult {
-	switch _, seen := b.seen[id]; {
+	switch _, seen := b.known[id]; {
 	case !ValidID(id):
-		return badID
+		return resultInvalidID
 	case b.Suspended(id):
-		delete(b.held, id)
-		return CallResult{Status: yes.Status, Reason: yes.Reason, Changed: true}
+		delete(b.suspended, id)
+		return CallResult{Status: resultDone.Status, Reason: resultDone.Reason, Changed: true}
 	case !seen:
-		return notListed
+		return resultNeverListed
 	}
-	return yesAgain
+	return resultAlready
 }
 
 // IDs are the leafs held out, in order.
 func (b *Suspensions) IDs() []string {
-	out := make([]string, 0, len(b.held))
-	for id := range b.held {
+	out := make([]string, 0, len(b.suspended))
+	for id := range b.suspended {
 		out = append(out, id)
 	}
 	slices.Sort(out)
@@ -96,16 +96,16 @@
 			want[id] = struct{}{}
 		}
 	}
-	for id := range b.held {
+	for id := range b.suspended {
 		if _, ok := want[id]; !ok {
 			freed = append(freed, id)
-			delete(b.held, id)
+			delete(b.suspended, id)
 		}
 	}
 	for id := range want {
-		if _, ok := b.held[id]; !ok {
+		if _, ok := b.suspended[id]; !ok {
 			added = append(added, id)
-			b.held[id] = struct{}{}
+			b.suspended[id] = struct{}{}
 			b.MemberListed(id)
 		}
 	}
--- a/internal/ops/maintenance/suspensions_test.go
+++ b/internal/ops/maintenance/suspensions_test.go
@@ -52,11 +52,11 @@
 	for i := range MaxKnownIDs + 10 {
 		b.MemberListed(fmt.Sprint("t-", i))
 	}
-	assert.Equal(t, uint64(MaxSuspended+1+10), b.Forgotten, "the oldest ids are let go, and counted")
-	assert.Len(t, b.seen, MaxKnownIDs)
+	assert.Equal(t, uint64(MaxSuspended+1+10), b.ForgottenIDs, "the oldest ids are let go, and counted")
+	assert.Len(t, b.known, MaxKnownIDs)
 	assert.True(t, b.Suspended("s-0"), "what is held is not forgotten with the ids")
 	assert.True(t, b.Resume("s-0").OK(), "a held leaf can be resumed when its id is forgotten")
-	assert.False(t, ValidID(string(make([]byte, MaxID+1))))
+	assert.False(t, ValidID(string(make([]byte, MaxIDBytes+1))))
 }
 
 func TestTake(t *testing.T) {
