--- a/internal/ops/maintenance/backend_id.go
+++ b/internal/ops/maintenance/backend_id.go
@@ -1,20 +1,27 @@
 package maintenance
 
-// MaxIDBytes is the longest id taken, in bytes.
+// MaxIDBytes is the maximum length of a backend's id in bytes.
 const MaxIDBytes = 256
 
-// ValidID tells that an id can be a leaf's: what a path segment carries without escapes, and not too long.
+// ValidID tells whether id can be a backend's: 1 to MaxIDBytes bytes that need no escapes in a path segment of a URL.
 func ValidID(id string) bool {
 	if id == "" || len(id) > MaxIDBytes {
 		return false
 	}
-	for i := 0; i < len(id); i++ {
-		switch c := id[i]; {
-		case c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z', c >= '0' && c <= '9', c == '-', c == '_', c == '.',
-			c == ':':
-		default:
+	for i := range len(id) {
+		if !validIDByte(id[i]) {
 			return false
 		}
 	}
 	return true
 }
+
+func validIDByte(c byte) bool {
+	switch {
+	case c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z', c >= '0' && c <= '9':
+		return true
+	case c == '-', c == '_', c == '.', c == ':':
+		return true
+	}
+	return false
+}
--- a/internal/ops/maintenance/call.go
+++ b/internal/ops/maintenance/call.go
@@ -1,23 +1,35 @@
 package maintenance
 
-import "fmt"
+import (
+	"fmt"
+	"net/http"
+)
 
-// CallResult is what a call is answered: Status 2xx is yes, 4xx and 5xx no. Changed tells that the call changed
-// something; a repeated call is answered the same and changes nothing.
+// CallResult is the answer to an operator's call. Calls are idempotent: a repeated call has the same status and
+// changes nothing.
 type CallResult struct {
-	Status  int
-	Reason  string
+	// Status is the HTTP status: 2xx when the call is carried out or was before, 4xx or 5xx when it is not.
+	Status int
+	// Reason is shown to the operator. It is part of the admin API: callers compare it.
+	Reason string
+	// Changed tells that this call changed the state.
 	Changed bool
 }
 
-// OK tells that the verdict is a yes.
-func (v CallResult) OK() bool { return v.Status >= 200 && v.Status < 300 }
+// OK tells whether the call was successful, which is a 2xx status.
+func (r CallResult) OK() bool { return r.Status >= 200 && r.Status < 300 }
 
+// The reasons are part of the admin API and keep the platform's words.
 var (
-	resultDone        = CallResult{Status: 200, Reason: "done"}
-	resultAlready     = CallResult{Status: 200, Reason: "so already"}
-	resultNeverListed = CallResult{Status: 404, Reason: "no leaf of that id was ever listed"}
-	resultTableFull   = CallResult{Status: 507, Reason: fmt.Sprintf("%d leafs are held out already", MaxSuspended)}
-	resultInvalidID   = CallResult{Status: 400,
-		Reason: "a leaf id is 1 to 256 bytes of letters, digits, '-', '_', '.' and ':'"}
+	resultDone        = CallResult{Status: http.StatusOK, Reason: "done", Changed: true}
+	resultAlready     = CallResult{Status: http.StatusOK, Reason: "so already"}
+	resultNeverListed = CallResult{Status: http.StatusNotFound, Reason: "no leaf of that id was ever listed"}
+	resultTableFull   = CallResult{
+		Status: http.StatusInsufficientStorage,
+		Reason: fmt.Sprintf("%d leafs are held out already", MaxSuspended),
+	}
+	resultInvalidID = CallResult{
+		Status: http.StatusBadRequest,
+		Reason: "a leaf id is 1 to 256 bytes of letters, digits, '-', '_', '.' and ':'",
+	}
 )
--- a/internal/ops/maintenance/doc.go
+++ b/internal/ops/maintenance/doc.go
@@ -1,7 +1,22 @@
-// Package maintenance decides what the operators' calls change: which leafs are held out of service (a ban,
-// from suspend to resume), whether the aggregator sends its clients away (from drain to activate), and what
-// each call is answered. It does no I/O and reads no clock: times are the caller's, in ms.
+// Package maintenance holds the decisions behind the admin API: which backends are suspended, whether the broker is
+// draining, and what each call is answered.
 //
-// A ban is a fact of the aggregator, not of one process: it is kept in a file beside the process (see
-// Encode and Decode) that every process of the aggregator reads, so that it holds across an upgrade.
+// It is a state machine with no I/O and no clock: callers pass times in milliseconds and carry out what is decided.
+// Nothing in it is safe for concurrent use; the broker calls it on its event loop.
+//
+// [Suspensions] is the set of suspended backends. A suspended backend gets no new work, whatever the endpoint list
+// says, until it is resumed:
+//
+//	suspensions := maintenance.NewSuspensions()
+//	suspensions.MemberListed("s-1") // for each backend that the endpoint list names
+//	result := suspensions.Suspend("s-1")
+//	if result.Changed {
+//		save(maintenance.EncodeSuspensions(suspensions.IDs()))
+//	}
+//
+// [Drain] is whether the broker sends its clients elsewhere, and how far that has come ([Phase]).
+//
+// Both are facts of the broker and not of one process: they are stored in files that every process of the broker
+// reads ([EncodeSuspensions], [EncodeDrain]), so that they survive restarts and upgrades. The words of those files
+// are the platform's ("held", "leafs") and appear nowhere else.
 package maintenance
--- a/internal/ops/maintenance/drain.go
+++ b/internal/ops/maintenance/drain.go
@@ -1,77 +1,82 @@
 package maintenance
 
-// Phase is where the aggregator stands in sending its clients away.
+// Phase is how far a drain of the broker has come.
 type Phase uint8
 
-// The phases, in the order they come.
+// The phases, in the order in which a drain passes through them. Each includes what the ones before it do.
 const (
-	// Serving: health says yes.
+	// Serving is the phase without a drain: the health check succeeds.
 	Serving Phase = iota
-	// Leaving: health says no; the front still sends new connections for a while, and they are served.
+	// Draining fails the health check. Clients still open connections until they notice, and these are served.
 	Draining
-	// Closing: every answer is the last of its connection, so that a client that uses a kept connection
-	// again learns from the answer that it ends, and none finds one closed under its request.
+	// ClosingConnections has each answer announce that its connection closes. A client thus never finds a connection
+	// closed under a request that it has just sent.
 	ClosingConnections
-	// Emptying: connections that stayed idle are closed as well, so that by EmptyBy none is held idle and
-	// none carries a fresh request.
+	// ClosingIdle closes idle connections as well.
 	ClosingIdle
 )
 
-func (p Phase) String() string { return [...]string{"serving", "leaving", "closing", "emptying"}[p] }
+// String returns the phase's name in the log.
+func (p Phase) String() string {
+	return [...]string{"serving", "leaving", "closing", "emptying"}[p]
+}
 
-// Times of a drain, in ms after the call.
+// When the phases begin, in milliseconds after the call to drain.
 const (
-	// CloseAfterMs is when connections begin to be closed: the front sends new ones for 0.2 s after the first
-	// no of health, which it asks every 0.1 s; what is left is slack for its clock and ours.
+	// CloseAfterMs begins ClosingConnections. The platform's front checks health every 100 ms and opens connections for
+	// another 200 ms after the first failure; the rest is tolerance for differences between the clocks.
 	CloseAfterMs = 650.0
-	// CloseIdleAfterMs is when connections that stayed idle are closed: kept connections that clients use are
-	// ended by their answers before that.
+	// CloseIdleAfterMs begins ClosingIdle. By then the connections in use have been closed by their answers.
 	CloseIdleAfterMs = 1500.0
-	// DrainedByMs is when no connection of a client may be left idle, nor carry a request of the last 2 s.
+	// DrainedByMs is when no client connection may be idle or carry a request of the last 2 s. The platform demands it.
 	DrainedByMs = 4000.0
 )
 
-// Drain is the state of sending clients away, from the call to drain to the call to activate.
+// Drain is the state of the broker between an operator's call to drain and the call to activate. The zero value is a
+// broker that serves.
 type Drain struct {
 	active  bool
-	sinceMs float64 // ms, of the drain that holds
+	sinceMs float64
 }
 
-// Begin begins sending clients away, at now (ms). A repeated call changes nothing.
-func (d *Drain) Begin(now float64) CallResult {
+// Begin starts a drain at nowMs. A drain in progress keeps its beginning.
+func (d *Drain) Begin(nowMs float64) CallResult {
 	if d.active {
 		return resultAlready
 	}
-	d.active, d.sinceMs = true, now
-	return CallResult{Status: resultDone.Status, Reason: resultDone.Reason, Changed: true}
+	d.active = true
+	d.sinceMs = nowMs
+	return resultDone
 }
 
-// End takes clients again. A repeated call changes nothing.
+// End stops the drain, and the broker serves again.
 func (d *Drain) End() CallResult {
 	if !d.active {
 		return resultAlready
 	}
 	d.active = false
-	return CallResult{Status: resultDone.Status, Reason: resultDone.Reason, Changed: true}
+	return resultDone
 }
 
-// Phase is the phase at now (ms).
-func (d *Drain) Phase(now float64) Phase {
-	switch {
-	case !d.active:
+// Phase returns the phase at nowMs.
+func (d *Drain) Phase(nowMs float64) Phase {
+	if !d.active {
 		return Serving
-	case now-d.sinceMs < CloseAfterMs:
+	}
+	elapsedMs := nowMs - d.sinceMs
+	switch {
+	case elapsedMs < CloseAfterMs:
 		return Draining
-	case now-d.sinceMs < CloseIdleAfterMs:
+	case elapsedMs < CloseIdleAfterMs:
 		return ClosingConnections
 	}
 	return ClosingIdle
 }
 
-// Healthy tells whether health says yes, ready being whether the process could serve at all.
+// Healthy tells whether the health check succeeds in a process that could serve if ready.
 func (d *Drain) Healthy(ready bool) bool { return ready && !d.active }
 
-// SinceMs is when the drain that holds began, in ms; 0 when none holds.
+// SinceMs returns when the drain began, in milliseconds of the caller's clock, and 0 without one.
 func (d *Drain) SinceMs() float64 {
 	if !d.active {
 		return 0
--- a/internal/ops/maintenance/drain_file.go
+++ b/internal/ops/maintenance/drain_file.go
@@ -6,11 +6,15 @@
 	"fmt"
 )
 
-// ErrDrainFile wraps what is wrong with a file of a drain.
-var ErrDrainFile = errors.New("file of a drain")
+const (
+	// DrainFileVersion is the version of the drain file that this build writes, and the only one that it reads.
+	DrainFileVersion = 1
 
-// DrainFileVersion is the form of the file of a drain that this build writes and reads.
-const DrainFileVersion = 1
+	drainForm = "ternstage drain"
+)
+
+// ErrDrainFile is wrapped by the errors of DecodeDrain.
+var ErrDrainFile = errors.New("drain file")
 
 type drainFile struct {
 	Form        string  `json:"form"`
@@ -18,24 +22,23 @@
 	SinceUnixMs float64 `json:"since_unix_ms"`
 }
 
-const drainForm = "ternstage drain"
-
-// EncodeDrain writes the file of a drain that holds since then (Unix ms). There is a file while one holds.
-func EncodeDrain(since float64) []byte {
-	text, _ := json.Marshal(drainFile{Form: drainForm, Version: DrainFileVersion, SinceUnixMs: since})
+// EncodeDrain returns the content of the file that stores a drain that began at sinceUnixMs. The file exists only
+// while the broker is draining.
+func EncodeDrain(sinceUnixMs float64) []byte {
+	text, _ := json.Marshal(drainFile{Form: drainForm, Version: DrainFileVersion, SinceUnixMs: sinceUnixMs})
 	return append(text, '\n')
 }
 
-// DecodeDrain reads the file of a drain; one that is torn, of another form or version is an error that wraps
-// ErrDrain.
-func DecodeDrain(text []byte) (since float64, err error) {
-	var f drainFile
-	if err := json.Unmarshal(text, &f); err != nil {
+// DecodeDrain returns when the stored drain began, in milliseconds of Unix time. It returns an error that wraps
+// ErrDrainFile when the content is torn, or of another form or version.
+func DecodeDrain(text []byte) (sinceUnixMs float64, err error) {
+	var stored drainFile
+	if err := json.Unmarshal(text, &stored); err != nil {
 		return 0, fmt.Errorf("%w: torn or not JSON: %w", ErrDrainFile, err)
 	}
-	if f.Form != drainForm || f.Version != DrainFileVersion {
-		return 0, fmt.Errorf("%w: form %q version %d, this build reads %q version %d", ErrDrainFile, f.Form, f.Version,
-			drainForm, DrainFileVersion)
+	if stored.Form != drainForm || stored.Version != DrainFileVersion {
+		return 0, fmt.Errorf("%w: form %q version %d, this build reads %q version %d", ErrDrainFile,
+			stored.Form, stored.Version, drainForm, DrainFileVersion)
 	}
-	return f.SinceUnixMs, nil
+	return stored.SinceUnixMs, nil
 }
--- a/internal/ops/maintenance/suspension_file.go
+++ b/internal/ops/maintenance/suspension_file.go
@@ -8,63 +8,82 @@
 	"strings"
 )
 
-// ErrSuspensionFile wraps what is wrong with a file of bans.
-var ErrSuspensionFile = errors.New("file of held leafs")
+const (
+	// SuspensionFileVersion is the version of the file of suspended backends that this build writes, and the only one
+	// that it reads.
+	SuspensionFileVersion = 1
+	// MaxSuspensionFileBytes is the maximum size in bytes of a file of suspended backends that is read.
+	MaxSuspensionFileBytes = MaxSuspended*(MaxIDBytes+4) + 256
 
-// SuspensionFileVersion is the form of the file of held leafs that this build writes and reads.
-const SuspensionFileVersion = 1
+	// suspensionForm distinguishes this file from the broker's other files. It is stored, and so keeps the old words.
+	suspensionForm = "ternstage held leafs"
+)
 
-// MaxSuspensionFileBytes is the largest file of held leafs that is read, in bytes.
-const MaxSuspensionFileBytes = MaxSuspended*(MaxIDBytes+4) + 256
+// ErrSuspensionFile is wrapped by the errors of DecodeSuspensions.
+var ErrSuspensionFile = errors.New("file of suspended backends")
 
+// suspensionFile is the stored form, with the platform's words for its fields.
 type suspensionFile struct {
 	Form      string   `json:"form"`
 	Version   int      `json:"version"`
 	Suspended []string `json:"held"`
-	Checksum  uint32   `json:"sum"` // CRC-32 (IEEE) of the ids, each followed by a newline
+	Checksum  uint32   `json:"sum"` // see idChecksum
 }
 
-const suspensionForm = "ternstage held leafs"
-
-// EncodeSuspensions writes the ids of the leafs held out as a file.
+// EncodeSuspensions returns the content of the file that stores ids as the suspended backends.
 func EncodeSuspensions(ids []string) []byte {
-	text, _ := json.Marshal(suspensionFile{Form: suspensionForm, Version: SuspensionFileVersion, Suspended: ids, Checksum: idChecksum(ids)})
+	text, _ := json.Marshal(suspensionFile{ // strings and numbers always encode
+		Form:      suspensionForm,
+		Version:   SuspensionFileVersion,
+		Suspended: ids,
+		Checksum:  idChecksum(ids),
+	})
 	return append(text, '\n')
 }
 
-// DecodeSuspensions reads a file of held leafs. A file that is torn, of another form or version, too large or whose
-// sum does not agree is an error that wraps ErrFile and says which.
+// DecodeSuspensions returns the suspended backends that a file stores. It returns an error that wraps
+// ErrSuspensionFile when the content is torn, altered, too large, or of another form or version.
 func DecodeSuspensions(text []byte) ([]string, error) {
 	if len(text) > MaxSuspensionFileBytes {
 		return nil, fmt.Errorf("%w: %d bytes, over %d", ErrSuspensionFile, len(text), MaxSuspensionFileBytes)
 	}
-	var f suspensionFile
-	if err := json.Unmarshal(text, &f); err != nil {
+	var stored suspensionFile
+	if err := json.Unmarshal(text, &stored); err != nil {
 		return nil, fmt.Errorf("%w: torn or not JSON: %w", ErrSuspensionFile, err)
 	}
+	if err := stored.validate(); err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrSuspensionFile, err)
+	}
+	return stored.Suspended, nil
+}
+
+// validate names the fields in its errors as they are stored.
+func (f *suspensionFile) validate() error {
+	checksum := idChecksum(f.Suspended)
 	switch {
 	case f.Form != suspensionForm:
-		return nil, fmt.Errorf("%w: form %q, not %q", ErrSuspensionFile, f.Form, suspensionForm)
+		return fmt.Errorf("form %q, not %q", f.Form, suspensionForm)
 	case f.Version != SuspensionFileVersion:
-		return nil, fmt.Errorf("%w: version %d, this build reads %d", ErrSuspensionFile, f.Version, SuspensionFileVersion)
-	case f.Checksum != idChecksum(f.Suspended):
-		return nil, fmt.Errorf("%w: field sum: %d, the ids sum to %d", ErrSuspensionFile, f.Checksum, idChecksum(f.Suspended))
+		return fmt.Errorf("version %d, this build reads %d", f.Version, SuspensionFileVersion)
+	case f.Checksum != checksum:
+		return fmt.Errorf("field sum: %d, the ids sum to %d", f.Checksum, checksum)
 	case len(f.Suspended) > MaxSuspended:
-		return nil, fmt.Errorf("%w: field held: %d ids, over %d", ErrSuspensionFile, len(f.Suspended), MaxSuspended)
+		return fmt.Errorf("field held: %d ids, over %d", len(f.Suspended), MaxSuspended)
 	}
 	for i, id := range f.Suspended {
 		if !ValidID(id) {
-			return nil, fmt.Errorf("%w: field held[%d]: %q is no leaf id", ErrSuspensionFile, i, id)
+			return fmt.Errorf("field held[%d]: %q is not a backend id", i, id)
 		}
 	}
-	return f.Suspended, nil
+	return nil
 }
 
+// idChecksum is the CRC-32 (IEEE) of the ids, each followed by a newline.
 func idChecksum(ids []string) uint32 {
-	var b strings.Builder
+	var lines strings.Builder
 	for _, id := range ids {
-		b.WriteString(id)
-		b.WriteByte('\n')
+		lines.WriteString(id)
+		lines.WriteByte('\n')
 	}
-	return crc32.ChecksumIEEE([]byte(b.String()))
+	return crc32.ChecksumIEEE([]byte(lines.String()))
 }
--- a/internal/ops/maintenance/suspensions.go
+++ b/internal/ops/maintenance/suspensions.go
@@ -2,114 +2,126 @@
 
 import "slices"
 
-// Bounds of the tables.
 const (
-	// MaxSuspended is how many leafs may be held out at once; a suspend beyond it is answered no.
+	// MaxSuspended is the maximum number of backends suspended at once. Suspend answers 507 beyond it.
 	MaxSuspended = 1024
-	// MaxKnownIDs is how many ids of leafs that were listed are remembered, to tell a leaf that is away for a
-	// while from an id that never was; beyond it the oldest is forgotten, and counted.
+	// MaxKnownIDs is the maximum number of ids remembered from endpoint lists. Beyond it the oldest is forgotten.
 	MaxKnownIDs = 16384
 )
 
-// Suspensions are the leafs held out of service, and the ids that were ever listed.
+// Suspensions is the set of suspended backends, together with the ids that were ever listed: these tell a backend
+// that is absent for a while, which can be suspended, from a mistyped id.
+//
+// Invariants: at most MaxSuspended ids are suspended and at most MaxKnownIDs are known; each is valid (see ValidID);
+// and an id stays suspended when it is forgotten.
 type Suspensions struct {
-	suspended    map[string]struct{}
-	known        map[string]struct{}
-	knownOrder   []string // of seen, oldest first
-	ForgottenIDs uint64   // ids of seen let go at the bound
+	// ForgottenIDs counts the known ids that were forgotten at the bound.
+	ForgottenIDs uint64
+
+	suspended  map[string]struct{}
+	known      map[string]struct{}
+	knownOrder []string // the keys of known, oldest first
 }
 
-// NewSuspensions makes empty tables.
+// NewSuspensions returns an empty set that knows no id.
 func NewSuspensions() *Suspensions {
 	return &Suspensions{suspended: map[string]struct{}{}, known: map[string]struct{}{}}
 }
 
-// MemberListed notes that a leaf of that id is or was in the list.
-func (b *Suspensions) MemberListed(id string) {
-	if _, ok := b.known[id]; ok || !ValidID(id) {
+// MemberListed notes that the endpoint list names the backend id. An invalid id is ignored.
+func (s *Suspensions) MemberListed(id string) {
+	if s.isKnown(id) || !ValidID(id) {
 		return
 	}
-	if len(b.knownOrder) >= MaxKnownIDs {
-		drop := b.knownOrder[0]
-		b.knownOrder = b.knownOrder[1:]
-		delete(b.known, drop)
-		b.ForgottenIDs++
+	if len(s.knownOrder) >= MaxKnownIDs {
+		oldest := s.knownOrder[0]
+		s.knownOrder = s.knownOrder[1:]
+		delete(s.known, oldest)
+		s.ForgottenIDs++
 	}
-	b.known[id] = struct{}{}
-	b.knownOrder = append(b.knownOrder, id)
+	s.known[id] = struct{}{}
+	s.knownOrder = append(s.knownOrder, id)
 }
 
-// Held tells that a leaf is held out: the aggregator sends it nothing new, whatever the list says.
-func (b *Suspensions) Suspended(id string) bool {
-	_, ok := b.suspended[id]
+func (s *Suspensions) isKnown(id string) bool {
+	_, ok := s.known[id]
 	return ok
 }
 
-// Suspend holds a leaf out. An id that was never listed, and is not held already, is answered no.
-func (b *Suspensions) Suspend(id string) CallResult {
-	switch _, seen := b.known[id]; {
+// Suspended tells whether the backend id is suspended.
+func (s *Suspensions) Suspended(id string) bool {
+	_, ok := s.suspended[id]
+	return ok
+}
+
+// Suspend suspends the backend id. It answers 400 to an invalid id, 404 to one that was never listed and 507 when
+// MaxSuspended backends are suspended.
+func (s *Suspensions) Suspend(id string) CallResult {
+	switch {
 	case !ValidID(id):
 		return resultInvalidID
-	case b.Suspended(id):
+	case s.Suspended(id):
 		return resultAlready
-	case !seen:
+	case !s.isKnown(id):
 		return resultNeverListed
-	case len(b.suspended) >= MaxSuspended:
+	case len(s.suspended) >= MaxSuspended:
 		return resultTableFull
 	}
-	b.suspended[id] = struct{}{}
-	return CallResult{Status: resultDone.Status, Reason: resultDone.Reason, Changed: true}
+	s.suspended[id] = struct{}{}
+	return resultDone
 }
 
-// Resume ends the ban of a leaf. A leaf that is listed and not held is answered yes with no change; an id
-// that was never listed, no.
-func (b *Suspensions) Resume(id string) CallResult {
-	switch _, seen := b.known[id]; {
+// Resume ends the suspension of the backend id. It answers 400 to an invalid id and 404 to one that is not suspended
+// and was never listed.
+func (s *Suspensions) Resume(id string) CallResult {
+	switch {
 	case !ValidID(id):
 		return resultInvalidID
-	case b.Suspended(id):
-		delete(b.suspended, id)
-		return CallResult{Status: resultDone.Status, Reason: resultDone.Reason, Changed: true}
-	case !seen:
+	case s.Suspended(id):
+		delete(s.suspended, id)
+		return resultDone
+	case !s.isKnown(id):
 		return resultNeverListed
 	}
 	return resultAlready
 }
 
-// IDs are the leafs held out, in order.
-func (b *Suspensions) IDs() []string {
-	out := make([]string, 0, len(b.suspended))
-	for id := range b.suspended {
-		out = append(out, id)
+// IDs returns the suspended backends, sorted.
+func (s *Suspensions) IDs() []string {
+	ids := make([]string, 0, len(s.suspended))
+	for id := range s.suspended {
+		ids = append(ids, id)
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(ids)
+	return ids
 }
 
-// Replace makes the bans those of another process of the aggregator, as its file says; it gives the ids that
-// are held out now and were not, and those that are free now and were held. Ids over the bound are left
-// out, and an id that comes from the file counts as listed, as only a listed one can be held.
-func (b *Suspensions) Replace(ids []string) (added, freed []string) {
-	want := map[string]struct{}{}
+// Replace makes ids the suspended backends, as another process of the broker has stored them. It returns which were
+// added and which were resumed by that, each sorted. Invalid ids and those beyond MaxSuspended are left out. An added
+// id becomes known: only a listed backend can have been suspended.
+func (s *Suspensions) Replace(ids []string) (added, resumed []string) {
+	target := map[string]struct{}{}
 	for _, id := range ids {
-		if ValidID(id) && len(want) < MaxSuspended {
-			want[id] = struct{}{}
+		if ValidID(id) && len(target) < MaxSuspended {
+			target[id] = struct{}{}
 		}
 	}
-	for id := range b.suspended {
-		if _, ok := want[id]; !ok {
-			freed = append(freed, id)
-			delete(b.suspended, id)
+	for id := range s.suspended {
+		if _, ok := target[id]; !ok {
+			resumed = append(resumed, id)
+			delete(s.suspended, id)
 		}
 	}
-	for id := range want {
-		if _, ok := b.suspended[id]; !ok {
+	for id := range target {
+		if !s.Suspended(id) {
 			added = append(added, id)
-			b.suspended[id] = struct{}{}
-			b.MemberListed(id)
 		}
 	}
 	slices.Sort(added)
-	slices.Sort(freed)
-	return added, freed
+	slices.Sort(resumed)
+	for _, id := range added {
+		s.suspended[id] = struct{}{}
+		s.MemberListed(id)
+	}
+	return added, resumed
 }
