--- a/internal/ops/maintenance/drain.go
+++ b/internal/ops/maintenance/drain.go
@@ -18,7 +18,7 @@
 
 // String returns the phase's name in the log.
 func (p Phase) String() string {
-	return [...]string{"serving", "leaving", "closing", "emptying"}[p]
+	return [...]string{"serving", "draining", "closing connections", "closing idle connections"}[p]
 }
 
 // When the phases begin, in milliseconds after the call to drain.
