--- a/internal/ops/maintenance/suspension_file_test.go
+++ b/internal/ops/maintenance/suspension_file_test.go
@@ -1,6 +1,7 @@
 package maintenance
 
 import (
+	"bytes"
 	"fmt"
 	"math/rand/v2"
 	"testing"
@@ -9,47 +10,55 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestFile(t *testing.T) {
+func TestSuspensionFileRoundTrip(t *testing.T) {
 	ids := []string{"s-1", "s-2", "s-c9f39196"}
-	text := EncodeSuspensions(ids)
-	got, err := DecodeSuspensions(text)
+	decoded, err := DecodeSuspensions(EncodeSuspensions(ids))
 	require.NoError(t, err)
-	assert.Equal(t, ids, got)
-	got, err = DecodeSuspensions(EncodeSuspensions(nil))
+	assert.Equal(t, ids, decoded)
+
+	decoded, err = DecodeSuspensions(EncodeSuspensions(nil))
 	require.NoError(t, err)
-	assert.Empty(t, got)
+	assert.Empty(t, decoded)
+}
 
-	// Torn at every byte: never taken for another set.
+// TestSuspensionFileTorn checks that no prefix of a file is read as another set.
+func TestSuspensionFileTorn(t *testing.T) {
+	text := EncodeSuspensions([]string{"s-1", "s-2", "s-c9f39196"})
 	for n := range len(text) - 1 {
 		_, err := DecodeSuspensions(text[:n])
 		assert.ErrorIs(t, err, ErrSuspensionFile, "torn at %d", n)
 	}
-	for _, c := range []struct{ text, says string }{
-		{`{"form":"ternstage held leafs","version":2,"held":[],"sum":0}`, "version 2"},
-		{`{"form":"another","version":1,"held":[],"sum":0}`, "form"},
-		{`{"form":"ternstage held leafs","version":1,"held":["s-1"],"sum":7}`, "field sum"},
-		{fmt.Sprintf(`{"form":"ternstage held leafs","version":1,"held":["a b"],"sum":%d}`, idChecksum([]string{"a b"})),
-			"field held[0]"},
+}
+
+func TestSuspensionFileRejected(t *testing.T) {
+	for _, c := range []struct{ name, text, contains string }{
+		{"version", `{"form":"ternstage held leafs","version":2,"held":[],"sum":0}`, "version 2"},
+		{"form", `{"form":"another","version":1,"held":[],"sum":0}`, "form"},
+		{"checksum", `{"form":"ternstage held leafs","version":1,"held":["s-1"],"sum":7}`, "field sum"},
+		{"id", fmt.Sprintf(`{"form":"ternstage held leafs","version":1,"held":["a b"],"sum":%d}`,
+			idChecksum([]string{"a b"})), "field held[0]"},
+		{"size", string(make([]byte, MaxSuspensionFileBytes+1)), "bytes, over"},
 	} {
-		_, err := DecodeSuspensions([]byte(c.text))
-		assert.ErrorIs(t, err, ErrSuspensionFile)
-		assert.ErrorContains(t, err, c.says)
+		t.Run(c.name, func(t *testing.T) {
+			_, err := DecodeSuspensions([]byte(c.text))
+			assert.ErrorIs(t, err, ErrSuspensionFile)
+			assert.ErrorContains(t, err, c.contains)
+		})
 	}
-	_, err = DecodeSuspensions(make([]byte, MaxSuspensionFileBytes+1))
-	assert.ErrorContains(t, err, "bytes, over")
 }
 
-// TestFileFlips: a flipped byte anywhere is refused or reads as the same set, never as another one.
-func TestFileFlips(t *testing.T) {
+// TestSuspensionFileAltered checks that a file with an altered byte is rejected or read as the same set, and never as
+// another one.
+func TestSuspensionFileAltered(t *testing.T) {
 	ids := []string{"s-1", "s-2", "s-3"}
 	text := EncodeSuspensions(ids)
-	r := rand.New(rand.NewPCG(1, 2))
+	random := rand.New(rand.NewPCG(1, 2))
 	for range 2000 {
-		spoilt := append([]byte(nil), text...)
-		spoilt[r.IntN(len(spoilt))] ^= byte(1 + r.IntN(255))
-		got, err := DecodeSuspensions(spoilt)
+		altered := bytes.Clone(text)
+		altered[random.IntN(len(altered))] ^= byte(1 + random.IntN(255))
+		decoded, err := DecodeSuspensions(altered)
 		if err == nil {
-			assert.Equal(t, ids, got, "%s", spoilt)
+			assert.Equal(t, ids, decoded, "%s", altered)
 		}
 	}
 }
