--- a/internal/ops/control/control.go
+++ b/internal/ops/control/control.go
@@ -163,7 +163,7 @@
 	now := unixNow()
 	not := func(why string) {
 		u.log.Warn("cold sends not taken over", zap.String("file", h.Path), zap.String("reason", why),
-			zap.Float64("age_ms", now-h.record.Written))
+			zap.Float64("age_ms", now-h.record.WrittenUnixMs))
 	}
 	switch handover.Decide(*h.record, now, h.Started, h.WindowMs, h.BrokerCount, h.Known) {
 	case handover.Ignore:
