--- a/internal/ops/control/control.go
+++ b/internal/ops/control/control.go
@@ -135,6 +135,10 @@
 	}
 }
 
+func (h *HandoverConfig) successor() *handover.Successor {
+	return &handover.Successor{StartedUnixMs: h.Started, WindowMs: h.WindowMs, BrokerCount: h.BrokerCount, Known: h.Known}
+}
+
 // lookHand reads the record of the process before, if it has changed, and takes it over when it may.
 func (u *Control) lookHand() {
 	h := u.hand
@@ -165,7 +169,7 @@
 		u.log.Warn("cold sends not taken over", zap.String("file", h.Path), zap.String("reason", why),
 			zap.Float64("age_ms", now-h.record.WrittenUnixMs))
 	}
-	switch handover.Decide(*h.record, now, h.Started, h.WindowMs, h.BrokerCount, h.Known) {
+	switch h.successor().Decide(h.record, now) {
 	case handover.Ignore:
 		not("written before this process started")
 		h.record = nil
@@ -178,7 +182,7 @@
 		}
 		h.waited = true
 	case handover.Apply:
-		sent := handover.AgeSends(*h.record, now, h.WindowMs)
+		sent := handover.AgeSends(h.record, now, h.WindowMs)
 		h.Core.TakeOver(sent)
 		h.taken, h.record = true, nil
 		u.log.Info("cold sends taken over", zap.Int("sent", len(sent)))
--- a/internal/ops/handover/doc.go
+++ b/internal/ops/handover/doc.go
@@ -1,5 +1,13 @@
-// Package handover carries what one process of an aggregator sent to cold leafs over to the process that
-// takes over from it, so that the new one need not wait a whole window of their allowance before it uses
-// them, and the two together stay within the one share of the aggregator. It decides and encodes; it does
-// no I/O and reads no clock: times are given, in ms, wall-clock ones as Unix time.
+// Package handover passes what one process of a broker sent to warming backends to the process that replaces it.
+//
+// While a backend warms up, a broker may send it only its slow-start quota within a window. A process that starts
+// does not know what its predecessor sent within the last window. Without a handover it has to wait one window before
+// it sends anything to warming backends, or the two would exceed the quota together.
+//
+// The predecessor stops sending to warming backends, and writes what it sent as a record ([Encode]). The successor
+// reads it ([Decode]), asks [Successor.Decide] whether the record is meant for it, and counts the sends as its own
+// ([AgeSends]).
+//
+// The package decides and encodes. It has no I/O and no clock: times are passed in milliseconds, those of the wall
+// clock as Unix time.
 package handover
--- a/internal/ops/handover/takeover.go
+++ b/internal/ops/handover/takeover.go
@@ -2,49 +2,68 @@
 
 import "ternstage/internal/decision/scheduler"
 
-// Decision is what a process does with a record it has read.
+// Decision is what a process does with a record that it has read.
 type Decision uint8
 
-// The verdicts.
 const (
-	Ignore         Decision = iota // not of the process it takes over from: written before this one started
-	DifferentFleet                 // that process was told of another number of peers: its shares were others
-	Wait                           // of it, but it names leafs that this process does not know yet
-	Apply                          // take it now
+	// Ignore drops a record that was written before this process started: it is of an earlier handover, and the process
+	// that serves beside this one still sends.
+	Ignore Decision = iota
+	// DifferentFleet drops a record of a process whose settings name another number of brokers: its quota was another.
+	DifferentFleet
+	// Wait keeps a record that names backends which this process does not know yet.
+	Wait
+	// Apply counts the sends of the record as this process's own.
+	Apply
 )
 
-// Decide decides on a record, read at now (Unix ms) by a process that started at started (Unix ms), whose
-// cold allowance has a window of window ms. A record written before the start is an earlier hand-over, whose
-// writer is gone while the one that serves beside this process still sends. One of a process with another
-// number of peers is not taken: the settings have changed. One that names leafs not yet known is waited for,
-// until what it says of them is older than the window and so no longer counts.
-func Decide(r Record, now, started, window float64, peers int, known func(replica uint32) bool) Decision {
-	if r.WrittenUnixMs < started {
+// Successor is the process that reads a record.
+type Successor struct {
+	// StartedUnixMs is when the process started, in milliseconds of Unix time.
+	StartedUnixMs float64
+	// WindowMs is the length of the slow-start window in milliseconds. Older sends do not count.
+	WindowMs float64
+	// BrokerCount is the number of brokers in the settings; 0 is unknown and matches any.
+	BrokerCount int
+	// Known tells whether the process knows the backend with this replica number.
+	Known func(replica uint32) bool
+}
+
+// Decide returns what to do with record at nowUnixMs. It answers Wait for a window at most: after that nothing in the
+// record counts any more, and it is applied.
+func (s *Successor) Decide(record *Record, nowUnixMs float64) Decision {
+	switch {
+	case record.WrittenUnixMs < s.StartedUnixMs:
 		return Ignore
-	}
-	if r.BrokerCount != 0 && peers != 0 && r.BrokerCount != peers {
+	case record.BrokerCount != 0 && s.BrokerCount != 0 && record.BrokerCount != s.BrokerCount:
 		return DifferentFleet
-	}
-	if now-r.WrittenUnixMs >= window {
+	case nowUnixMs-record.WrittenUnixMs >= s.WindowMs:
 		return Apply
+	case !s.knowsAll(record.Sends):
+		return Wait
 	}
-	for _, s := range r.Sends {
-		if !known(s.Replica) {
-			return Wait
+	return Apply
+}
+
+func (s *Successor) knowsAll(sends []scheduler.WarmupSend) bool {
+	for _, send := range sends {
+		if !s.Known(send.Replica) {
+			return false
 		}
 	}
-	return Apply
+	return true
 }
 
-// AgeSends gives the sends as of now (Unix ms): each is older by the time since the record was written, and
-// those older than the window are dropped.
-func AgeSends(r Record, now, window float64) []scheduler.WarmupSend {
-	gone := max(0, now-r.WrittenUnixMs)
-	out := make([]scheduler.WarmupSend, 0, len(r.Sends))
-	for _, s := range r.Sends {
-		if s.AgeMs += gone; s.AgeMs <= window {
-			out = append(out, s)
+// AgeSends returns the sends of record with their ages as of nowUnixMs, without those older than windowMs. A wall
+// clock that was set back ages nothing.
+func AgeSends(record *Record, nowUnixMs, windowMs float64) []scheduler.WarmupSend {
+	elapsedMs := max(0, nowUnixMs-record.WrittenUnixMs)
+	aged := make([]scheduler.WarmupSend, 0, len(record.Sends))
+	for _, send := range record.Sends {
+		send.AgeMs += elapsedMs
+		if send.AgeMs <= windowMs {
+			aged = append(aged, send)
 		}
 	}
-	return out
+	return aged
 }
--- a/internal/ops/handover/takeover_test.go
+++ b/internal/ops/handover/takeover_test.go
@@ -8,23 +8,37 @@
 	"ternstage/internal/decision/scheduler"
 )
 
-func TestJudge(t *testing.T) {
-	known := func(x uint32) bool { return x != 9 }
-	r := Record{WrittenUnixMs: 10_000, Sends: []scheduler.WarmupSend{{Replica: 7, AgeMs: 100, WorkMs: 40}}}
-	assert.Equal(t, Ignore, Decide(r, 10_100, 10_001, 1500, 2, known), "an earlier hand-over is not of this one")
-	assert.Equal(t, Apply, Decide(r, 10_100, 9_000, 1500, 2, known))
-	r.BrokerCount = 3
-	assert.Equal(t, DifferentFleet, Decide(r, 10_100, 9_000, 1500, 2, known), "told of another number of peers")
-	assert.Equal(t, Apply, Decide(r, 10_100, 9_000, 1500, 3, known))
-	r.Sends = append(r.Sends, scheduler.WarmupSend{Replica: 9, AgeMs: 0, WorkMs: 10})
-	assert.Equal(t, Wait, Decide(r, 10_100, 9_000, 1500, 3, known), "a leaf not known yet is waited for")
-	assert.Equal(t, Apply, Decide(r, 11_500, 9_000, 1500, 3, known), "until what is said of it no longer counts")
+func TestDecide(t *testing.T) {
+	known := []scheduler.WarmupSend{{Replica: 7, AgeMs: 100, WorkMs: 40}}
+	withUnknown := append(known, scheduler.WarmupSend{Replica: 9, AgeMs: 0, WorkMs: 10})
+	for _, c := range []struct {
+		name          string
+		record        Record
+		startedUnixMs float64
+		brokerCount   int
+		nowUnixMs     float64
+		decision      Decision
+	}{
+		{"written before the start", Record{Sends: known}, 10_001, 2, 10_100, Ignore},
+		{"number of brokers not recorded", Record{Sends: known}, 9_000, 2, 10_100, Apply},
+		{"another number of brokers", Record{Sends: known, BrokerCount: 3}, 9_000, 2, 10_100, DifferentFleet},
+		{"the same number of brokers", Record{Sends: known, BrokerCount: 3}, 9_000, 3, 10_100, Apply},
+		{"an unknown backend", Record{Sends: withUnknown, BrokerCount: 3}, 9_000, 3, 10_100, Wait},
+		{"an unknown backend, a window later", Record{Sends: withUnknown, BrokerCount: 3}, 9_000, 3, 11_500, Apply},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			c.record.WrittenUnixMs = 10_000
+			s := Successor{StartedUnixMs: c.startedUnixMs, WindowMs: 1500, BrokerCount: c.brokerCount,
+				Known: func(replica uint32) bool { return replica != 9 }}
+			assert.Equal(t, c.decision, s.Decide(&c.record, c.nowUnixMs))
+		})
+	}
 }
 
-func TestAged(t *testing.T) {
-	r := Record{WrittenUnixMs: 10_000, Sends: []scheduler.WarmupSend{{Replica: 7, AgeMs: 100, WorkMs: 40},
-		{Replica: 8, AgeMs: 1300, WorkMs: 50}}}
-	assert.Equal(t, []scheduler.WarmupSend{{Replica: 7, AgeMs: 400, WorkMs: 40}}, AgeSends(r, 10_300, 1500),
-		"older by the time since it was written, and out of the window dropped")
-	assert.Len(t, AgeSends(r, 9_000, 1500), 2, "a clock that went back ages nothing")
+func TestAgeSends(t *testing.T) {
+	record := &Record{WrittenUnixMs: 10_000, Sends: []scheduler.WarmupSend{
+		{Replica: 7, AgeMs: 100, WorkMs: 40}, {Replica: 8, AgeMs: 1300, WorkMs: 50}}}
+	assert.Equal(t, []scheduler.WarmupSend{{Replica: 7, AgeMs: 400, WorkMs: 40}}, AgeSends(record, 10_300, 1500),
+		"older by the time since the record was written, and without what is out of the window")
+	assert.Len(t, AgeSends(record, 9_000, 1500), 2, "a clock that was set back ages nothing")
 }
