--- a/internal/ops/control/control.go
+++ b/internal/ops/control/control.go
@@ -9,17 +9,16 @@
 	"fmt"
 	"io/fs"
 	"os"
-	"syscall"
 	"time"
 
 	"go.uber.org/zap"
-	"golang.org/x/sys/unix"
 
 	"ternstage/internal/decision/scheduler"
 	"ternstage/internal/logs"
 	"ternstage/internal/loop"
 	"ternstage/internal/ops/handover"
 	"ternstage/internal/ops/maintenance"
+	"ternstage/internal/store/statefile"
 )
 
 // PollIntervalMs is how often the file is looked at for what another process of the aggregator wrote, in ms: well
@@ -57,8 +56,8 @@
 	members   Members
 	front     Front
 	path      string
-	stamp     stamp // of the file as last read or written
-	bad       stamp // of a file that could not be used, logged once
+	stamp     statefile.Fingerprint // of the file as last read or written
+	bad       statefile.Fingerprint // of a file that could not be used, logged once
 	timer     *loop.Timer
 	stopping  bool
 	drainBy   string          // file of the drain
@@ -81,26 +80,20 @@
 	}
 	Known func(replica uint32) bool // the leaf is listed here
 
-	stamp, bad stamp
+	stamp, bad statefile.Fingerprint
 	record     *handover.Record // read, and waited on
 	waited     bool             // that has had its line
 	taken      bool
-	serving    int  // descriptor whose lock the process that serves holds; -1 until it is opened
-	alone      bool // the lock is ours: no other process serves that has not handed over
+	serving    *statefile.LockFile // whose lock the process that serves holds; nil until it is opened
+	alone      bool                // the lock is ours: no other process serves that has not handed over
 }
 
 // EnableHandover has the control hand cold sends over at Stop, and take them over from the process before.
 func (u *Control) EnableHandover(h *HandoverConfig) {
-	u.hand, h.serving = h, -1
+	u.hand = h
 	u.lookHand()
 }
 
-// stamp tells one content of a file from another without reading it.
-type stamp struct {
-	ino, size int64
-	mtime     int64 // ns
-}
-
 // New makes the control and reads the file of held leafs at path, if there is one. A file that cannot be
 // used is logged and taken for none: it does not stop a start.
 func New(l *loop.Loop, log *logs.Log, path string, members Members, list EndpointSink, front Front) *Control {
@@ -130,7 +123,7 @@
 	if h := u.hand; h != nil {
 		h.taken = true // what it writes now is its successor's, not its own
 		sent := h.Core.HandOver()
-		err := writeFile(h.Path, handover.Encode(unixNow(), h.BrokerCount, sent))
+		err := statefile.Write(h.Path, handover.Encode(unixNow(), h.BrokerCount, sent))
 		u.log.Info("cold sends handed over", zap.Int("sent", len(sent)), zap.Error(err))
 	}
 }
@@ -148,18 +141,18 @@
 	if u.lookBeside(h); h.taken {
 		return
 	}
-	if fi, err := os.Stat(h.Path); err == nil && stampOf(fi) != h.stamp && stampOf(fi) != h.bad {
+	if st, err := statefile.Stat(h.Path); err == nil && st != h.stamp && st != h.bad {
 		text, err := os.ReadFile(h.Path)
 		var r handover.Record
 		if err == nil {
 			r, err = handover.Decode(text)
 		}
 		if err != nil {
-			h.bad = stampOf(fi)
+			h.bad = st
 			u.log.Warn("cold sends not taken over", zap.String("file", h.Path), zap.Error(err))
 			return
 		}
-		h.stamp, h.record = stampOf(fi), &r
+		h.stamp, h.record = st, &r
 	}
 	if h.record == nil {
 		return
@@ -197,17 +190,17 @@
 	if h.alone {
 		return
 	}
-	if h.serving < 0 {
+	if h.serving == nil {
 		path := h.Path + ".serving"
-		fd, err := unix.Open(path, unix.O_RDWR|unix.O_CREAT|unix.O_CLOEXEC, 0o600)
+		lock, err := statefile.OpenLock(path)
 		if err != nil {
 			u.log.Warn("whether another process serves is not known", zap.String("file", path), zap.Error(err))
 			h.alone = true
 			return
 		}
-		h.serving = fd
+		h.serving = lock
 	}
-	if h.alone = unix.Flock(h.serving, unix.LOCK_EX|unix.LOCK_NB) == nil; !h.alone && !h.taken {
+	if h.alone = h.serving.TryLock() == nil; !h.alone && !h.taken {
 		h.Core.OtherProcessActive()
 	}
 }
@@ -225,13 +218,15 @@
 func (u *Control) Resume(id string) maintenance.CallResult { return u.change(id, u.bans.Resume) }
 
 func (u *Control) change(id string, do func(string) maintenance.CallResult) maintenance.CallResult {
-	free, err := lock(u.path)
-	if errors.Is(err, errLocked) {
+	lock, err := statefile.Lock(u.path)
+	if locked := (*statefile.LockedError)(nil); errors.As(err, &locked) {
 		u.log.Warn("held leafs not changed", zap.String("file", u.path), zap.Error(err))
-		return maintenance.CallResult{Status: 500, Reason: "nothing is changed: " + err.Error()}
+		return maintenance.CallResult{Status: 500, Reason: lockedReason(locked)}
+	}
+	if err == nil { // without a lock file there will be no file either, and the answer says so
+		defer lock.Close()
 	}
-	defer free() // without a lock file there will be no file either, and the answer says so
-	u.look()     // what another process wrote comes first
+	u.look() // what another process wrote comes first
 	v := do(id)
 	if !v.Changed {
 		return v
@@ -246,6 +241,12 @@
 	return v
 }
 
+// lockedReason is part of the admin API: its text does not change.
+func lockedReason(locked *statefile.LockedError) string {
+	return fmt.Sprintf("nothing is changed: lock %s: another process of the aggregator is changing it\n%v",
+		locked.Path, locked.Cause)
+}
+
 // Drain implements adminapi.Calls.
 func (u *Control) Drain() maintenance.CallResult {
 	u.lookDrain()
@@ -254,7 +255,7 @@
 	if !v.Changed {
 		return v
 	}
-	err := writeFile(u.drainBy, maintenance.EncodeDrain(unixNow()))
+	err := statefile.Write(u.drainBy, maintenance.EncodeDrain(unixNow()))
 	u.drainHere = err != nil
 	return u.kept(v, err)
 }
@@ -338,20 +339,19 @@
 
 // look reads the file again if it has changed since it was last read or written.
 func (u *Control) look() {
-	fi, err := os.Stat(u.path)
+	st, err := statefile.Stat(u.path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return // nothing was ever held, or what was is kept here
 	}
 	if err != nil {
-		u.refuse(stamp{}, err)
+		u.refuse(statefile.Fingerprint{}, err)
 		return
 	}
-	st := stampOf(fi)
 	if st == u.stamp || st == u.bad {
 		return
 	}
 	text, err := os.ReadFile(u.path)
-	if err == nil && len(text) != int(st.size) {
+	if err == nil && len(text) != int(st.Size()) {
 		err = fmt.Errorf("%w: changed while read", maintenance.ErrSuspensionFile)
 	}
 	var ids []string
@@ -371,8 +371,8 @@
 	}
 }
 
-func (u *Control) refuse(st stamp, err error) {
-	if st != u.bad || st == (stamp{}) {
+func (u *Control) refuse(st statefile.Fingerprint, err error) {
+	if st != u.bad || st == (statefile.Fingerprint{}) {
 		u.log.Warn("held leafs not read: those held stay as they were", zap.String("file", u.path),
 			zap.Error(err))
 	}
@@ -382,33 +382,27 @@
 // write keeps the held leafs: a new file under another name takes the old one's place in one rename, so
 // that a reader sees the old or the new and never half of one.
 func (u *Control) write() error {
-	if err := writeFile(u.path, maintenance.EncodeSuspensions(u.bans.IDs())); err != nil {
+	if err := statefile.Write(u.path, maintenance.EncodeSuspensions(u.bans.IDs())); err != nil {
 		return err
 	}
-	if fi, err := os.Stat(u.path); err == nil {
-		u.stamp = stampOf(fi)
+	if st, err := statefile.Stat(u.path); err == nil {
+		u.stamp = st
 	}
 	return nil
 }
 
-// writeFile puts a file in place in one rename.
-func writeFile(path string, text []byte) error {
-	next := fmt.Sprintf("%s.%d.new", path, os.Getpid())
-	if err := os.WriteFile(next, text, 0o600); err != nil {
-		_ = os.Remove(next)
-		return fmt.Errorf("write %s: %w", next, err)
+// readDrain gives since when a drain holds that some process of the aggregator was told of, in Unix ms; ok
+// tells that one does. What cannot be read holds all the same, from now on: the call back ends it.
+func readDrain(path string, now float64) (since float64, ok bool, err error) {
+	text, err := os.ReadFile(path)
+	if errors.Is(err, os.ErrNotExist) {
+		return 0, false, nil
 	}
-	if err := os.Rename(next, path); err != nil {
-		_ = os.Remove(next)
-		return fmt.Errorf("rename to %s: %w", path, err)
+	if err != nil {
+		return now, true, err
 	}
-	return nil
-}
-
-func stampOf(fi fs.FileInfo) stamp {
-	st := stamp{size: fi.Size(), mtime: fi.ModTime().UnixNano()}
-	if sys, ok := fi.Sys().(*syscall.Stat_t); ok {
-		st.ino = int64(sys.Ino)
+	if since, err = maintenance.DecodeDrain(text); err != nil {
+		return now, true, err
 	}
-	return st
+	return min(since, now), true, nil
 }
--- a/internal/ops/control/control_test.go
+++ b/internal/ops/control/control_test.go
@@ -11,13 +11,13 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-	"golang.org/x/sys/unix"
 
 	"ternstage/internal/decision/scheduler"
 	"ternstage/internal/logs"
 	"ternstage/internal/loop"
 	"ternstage/internal/ops/handover"
 	"ternstage/internal/ops/maintenance"
+	"ternstage/internal/store/statefile"
 )
 
 // process is one process of an aggregator as the control sees it.
@@ -179,16 +179,17 @@
 	path := filepath.Join(t.TempDir(), "held.json")
 	p := start(t, path)
 	p.Suspensions().MemberListed("s-1")
-	free, err := lock(path)
+	lock, err := statefile.Lock(path)
 	require.NoError(t, err)
 	at := time.Now()
 	v := p.Suspend("s-1")
 	assert.Less(t, time.Since(at), 50*time.Millisecond)
 	assert.Equal(t, 500, v.Status)
-	assert.Contains(t, v.Reason, "nothing is changed")
+	assert.Equal(t, "nothing is changed: lock "+path+".lock: another process of the aggregator is changing it\n"+
+		"resource temporarily unavailable", v.Reason)
 	assert.False(t, p.Suspensions().Suspended("s-1"))
 	assert.Empty(t, p.heard)
-	free()
+	lock.Close()
 	assert.Equal(t, 200, p.Suspend("s-1").Status)
 }
 
@@ -270,13 +271,13 @@
 	next.lookHand()
 	assert.Equal(t, shares, b.shares, "what it took over says what the other sent")
 
-	require.NoError(t, unix.Close(old.hand.serving)) // it has ended
+	old.hand.serving.Close() // it has ended
 	next.lookHand()
 	assert.True(t, next.hand.alone)
 	third := start(t, path)
 	c := third.beside(hand, 2, true)
 	assert.Positive(t, c.shares)
-	require.NoError(t, unix.Close(next.hand.serving)) // killed
+	next.hand.serving.Close() // killed
 	third.lookHand()
 	shares = c.shares
 	third.lookHand()
