--- a/internal/ops/control/control_test.go
+++ b/internal/ops/control/control_test.go
@@ -42,7 +42,7 @@
 // Endpoint gives every id a listed leaf, numbered by its first byte, with what holds applied.
 func (p *process) Endpoint(id string) (scheduler.Endpoint, bool) {
 	e := scheduler.Endpoint{Replica: uint32(id[len(id)-1]), State: scheduler.Ready}
-	if p.Control != nil && p.bans.Suspended(id) {
+	if p.Control != nil && p.suspensions.table.Suspended(id) {
 		e.State = scheduler.Draining
 	}
 	return e, true
@@ -76,18 +76,18 @@
 	require.Equal(t, 200, a.Suspend("s-1").Status)
 	require.Equal(t, []scheduler.Endpoint{{Replica: '1', State: scheduler.Draining}}, a.heard, "the module hears at once")
 
-	b.look()
+	b.suspensions.refresh()
 	assert.True(t, b.Suspensions().Suspended("s-1"), "the other process holds it after a look")
 	assert.Equal(t, scheduler.Draining, b.heard[0].State)
 	c := start(t, path)
 	assert.True(t, c.Suspensions().Suspended("s-1"), "a process that starts reads it")
 
 	require.Equal(t, 200, b.Resume("s-1").Status, "a resume at either process ends it")
-	a.look()
+	a.suspensions.refresh()
 	assert.False(t, a.Suspensions().Suspended("s-1"))
 	assert.Equal(t, scheduler.Ready, a.heard[len(a.heard)-1].State, "the module hears that it serves again")
 	b.heard = nil
-	b.look()
+	b.suspensions.refresh()
 	assert.Empty(t, b.heard, "a file that it wrote itself is no news")
 }
 
@@ -100,8 +100,8 @@
 	a.Suspensions().MemberListed("s-1")
 	require.True(t, a.Suspend("s-1").OK())
 	require.NoError(t, os.WriteFile(path, []byte(`{"form":"ternstage held leafs","vers`), 0o600))
-	a.look()
-	a.look()
+	a.suspensions.refresh()
+	a.suspensions.refresh()
 	assert.True(t, a.Suspensions().Suspended("s-1"), "a torn file frees nothing")
 	require.NoError(t, os.WriteFile(path, maintenance.EncodeSuspensions(nil)[:5], 0o600))
 	b := start(t, path)
@@ -123,10 +123,10 @@
 	require.True(t, p.Drain().Changed)
 	assert.True(t, p.away)
 	assert.False(t, p.Ready())
-	p.drain = maintenance.Drain{}
-	p.drain.Begin(p.loop.Now() - maintenance.CloseIdleAfterMs) // as if it had begun that long ago
-	p.follow()
-	p.follow()
+	p.drain.state = maintenance.Drain{}
+	p.drain.state.Begin(p.loop.Now() - maintenance.CloseIdleAfterMs) // as if it had begun that long ago
+	p.drain.applyPhase()
+	p.drain.applyPhase()
 	assert.True(t, p.kept)
 	assert.Equal(t, 2, p.idle)
 	require.True(t, p.Activate().Changed)
@@ -193,28 +193,28 @@
 	assert.Equal(t, 200, p.Suspend("s-1").Status)
 }
 
-// TestDrainIsTheAggregators: a drain told to one process holds at the other and at one that starts later, from the moment
-// it was told; the latter is ready to take over while health says no; activate at any of them ends it at all. What is
-// torn holds until then, and is said in the log.
+// TestDrainIsTheAggregators: a drain told to one process holds at the other and at one that starts later, from the
+// moment it was told; the latter is ready to take over while health says no; activate at any of them ends it at all.
+// What is torn holds until then, and is said in the log.
 func TestDrainIsTheAggregators(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "held.json")
 	a, b := start(t, path), start(t, path)
 	require.Equal(t, 200, a.Drain().Status)
 	time.Sleep(30 * time.Millisecond)
-	b.lookDrain()
-	b.follow()
+	b.drain.refresh()
+	b.drain.applyPhase()
 	assert.True(t, b.away)
 	assert.False(t, b.Ready(), "one that served before the drain is not ready")
 	c := start(t, path)
 	assert.True(t, c.away, "health says no from the start")
 	assert.True(t, c.Ready(), "and it may take over")
-	assert.LessOrEqual(t, c.drain.SinceMs(), c.loop.Now()-25, "since the call, not since its start")
+	assert.LessOrEqual(t, c.drain.state.SinceMs(), c.loop.Now()-25, "since the call, not since its start")
 
 	require.Equal(t, 200, c.Activate().Status)
 	assert.False(t, c.away)
 	for _, p := range []*process{a, b} {
-		p.lookDrain()
-		p.follow()
+		p.drain.refresh()
+		p.drain.applyPhase()
 		assert.False(t, p.away)
 		assert.True(t, p.Ready())
 	}
@@ -229,8 +229,8 @@
 
 	gone := start(t, filepath.Join(t.TempDir(), "no such folder", "held.json"))
 	assert.Equal(t, 500, gone.Drain().Status, "not kept for the next process is a no")
-	gone.lookDrain()
-	gone.follow()
+	gone.drain.refresh()
+	gone.drain.applyPhase()
 	assert.True(t, gone.away, "but it holds here")
 }
 
@@ -246,14 +246,14 @@
 
 func (p *process) beside(path string, peers int, known bool) *sides {
 	s := &sides{sent: []scheduler.WarmupSend{{Replica: 7, AgeMs: 1, WorkMs: 10}}}
-	p.EnableHandover(&HandoverConfig{Path: path, WindowMs: 60_000, Started: unixNow(), BrokerCount: peers, Core: s,
+	p.EnableHandover(&HandoverConfig{Path: path, WindowMs: 60_000, Started: unixNowMs(), BrokerCount: peers, Core: s,
 		Known: func(uint32) bool { return known }})
 	return s
 }
 
-// TestTheOtherStillServes: while the old process serves, the new one's module is told at each look that the share of cold
-// leafs is another's too; it ends with the hand-over. One that was killed frees it as well, and a third that starts
-// beside the second is told of that one.
+// TestTheOtherStillServes: while the old process serves, the new one's module is told at each look that the share of
+// cold leafs is another's too; it ends with the hand-over. One that was killed frees it as well, and a third that
+// starts beside the second is told of that one.
 func TestTheOtherStillServes(t *testing.T) {
 	dir := t.TempDir()
 	path, hand := filepath.Join(dir, "held.json"), filepath.Join(dir, "cold.json")
@@ -261,43 +261,43 @@
 	a, b := old.beside(hand, 2, true), next.beside(hand, 2, true)
 	assert.Zero(t, a.shares, "nobody serves beside the first")
 	for range 3 {
-		next.lookHand()
+		next.handover.poll()
 	}
 	assert.Equal(t, 4, b.shares)
 	old.Stop()
-	next.lookHand()
+	next.handover.poll()
 	assert.Equal(t, 1, b.took)
 	shares := b.shares
-	next.lookHand()
+	next.handover.poll()
 	assert.Equal(t, shares, b.shares, "what it took over says what the other sent")
 
-	old.hand.serving.Close() // it has ended
-	next.lookHand()
-	assert.True(t, next.hand.alone)
+	old.handover.otherProcess.lock.Close() // it has ended
+	next.handover.poll()
+	assert.True(t, next.handover.otherProcess.alone)
 	third := start(t, path)
 	c := third.beside(hand, 2, true)
 	assert.Positive(t, c.shares)
-	next.hand.serving.Close() // killed
-	third.lookHand()
+	next.handover.otherProcess.lock.Close() // killed
+	third.handover.poll()
 	shares = c.shares
-	third.lookHand()
+	third.handover.poll()
 	assert.Equal(t, shares, c.shares)
 	assert.Zero(t, c.took)
 }
 
-// TestRecordsNotTaken: a record that is torn, old, of another version, of a process with other peers, or full of leafs that
-// are not known here is not taken: the start is cold, and the log says why.
+// TestRecordsNotTaken: a record that is torn, old, of another version, of a process with other peers, or full of
+// leafs that are not known here is not taken: the start is cold, and the log says why.
 func TestRecordsNotTaken(t *testing.T) {
 	sent := []scheduler.WarmupSend{{Replica: 7, AgeMs: 1, WorkMs: 10}}
 	for says, c := range map[string]struct {
 		text  []byte
 		known bool
 	}{
-		"torn or not JSON":                    {handover.Encode(unixNow()+5000, 2, sent)[:30], true},
-		"written before this process started": {handover.Encode(unixNow()-10_000, 2, sent), true},
+		"torn or not JSON":                    {handover.Encode(unixNowMs()+5000, 2, sent)[:30], true},
+		"written before this process started": {handover.Encode(unixNowMs()-10_000, 2, sent), true},
 		"version 9":                           {[]byte(`{"form":"ternstage cold sent","version":9,"sent":[],"sum":0}`), true},
-		"another number of peers":             {handover.Encode(unixNow()+5000, 3, sent), true},
-		"leafs that are not listed here":      {handover.Encode(unixNow()+5000, 2, sent), false},
+		"another number of peers":             {handover.Encode(unixNowMs()+5000, 3, sent), true},
+		"leafs that are not listed here":      {handover.Encode(unixNowMs()+5000, 2, sent), false},
 		"field sum":                           {[]byte(`{"form":"ternstage cold sent","version":1,"sent":[],"sum":9}`), true},
 	} {
 		dir := t.TempDir()
@@ -305,8 +305,8 @@
 		require.NoError(t, os.WriteFile(hand, c.text, 0o600))
 		p := start(t, filepath.Join(dir, "held.json"))
 		s := p.beside(hand, 2, c.known)
-		p.lookHand()
-		p.lookHand()
+		p.handover.poll()
+		p.handover.poll()
 		assert.Zero(t, s.took, says)
 		text := p.logged(t)
 		assert.Contains(t, text, says)
--- /dev/null
+++ b/internal/ops/control/handover.go
@@ -0,0 +1,141 @@
+package control
+
+import (
+	"os"
+
+	"go.uber.org/zap"
+
+	"ternstage/internal/decision/scheduler"
+	"ternstage/internal/logs"
+	"ternstage/internal/ops/handover"
+	"ternstage/internal/store/statefile"
+)
+
+// SlowStartSender is the scheduler as the sender of slow-start traffic.
+type SlowStartSender interface {
+	// HandOver ends sends to warming backends and returns those within the last window.
+	HandOver() []scheduler.WarmupSend
+	// TakeOver counts sends of a predecessor as the scheduler's own.
+	TakeOver(sends []scheduler.WarmupSend)
+	// OtherProcessActive tells that another process sends to warming backends now: nothing is sent to them for a
+	// window.
+	OtherProcessActive()
+}
+
+// HandoverConfig says how the processes of a broker hand over.
+type HandoverConfig struct {
+	// Path is that of the record, in the directory that the processes share.
+	Path string
+	// WindowMs is the length of the slow-start window in milliseconds.
+	WindowMs float64
+	// Started is when this process started, in milliseconds of Unix time.
+	Started float64
+	// BrokerCount is the number of brokers in the settings; 0 is unknown.
+	BrokerCount int
+	// Core is asked for its sends and told of a predecessor's.
+	Core SlowStartSender
+	// Known tells whether the backend with this replica number is listed here.
+	Known func(replica uint32) bool
+}
+
+// handoverExchange passes sends to warming backends between processes: at most once from a predecessor, at most once
+// to a successor.
+type handoverExchange struct {
+	log          *logs.Log
+	config       HandoverConfig
+	successor    handover.Successor // this process, as it takes over
+	otherProcess *processDetector
+
+	current    statefile.Fingerprint // of the record that was last read
+	unusable   statefile.Fingerprint // of a record that cannot be read, which is logged once
+	pending    *handover.Record      // read and not decided on, nil when there is none
+	waitLogged bool
+	settled    bool // a record was applied, or written by this process
+}
+
+func newHandoverExchange(log *logs.Log, config HandoverConfig) *handoverExchange {
+	return &handoverExchange{
+		log:    log,
+		config: config,
+		successor: handover.Successor{
+			StartedUnixMs: config.Started,
+			WindowMs:      config.WindowMs,
+			BrokerCount:   config.BrokerCount,
+			Known:         config.Known,
+		},
+		otherProcess: newProcessDetector(log, config.Path+servingSuffix),
+	}
+}
+
+// handOver writes what this process sent, for its successor.
+func (h *handoverExchange) handOver() {
+	h.settled = true // the record in the file is no longer a predecessor's
+	sends := h.config.Core.HandOver()
+	err := statefile.Write(h.config.Path, handover.Encode(unixNowMs(), h.config.BrokerCount, sends))
+	h.log.Info("cold sends handed over", zap.Int("sent", len(sends)), zap.Error(err))
+}
+
+// poll takes over from a predecessor once its record can be applied. Until then the scheduler is told, at each poll,
+// of a process that serves beside this one: each of the two would use the whole quota.
+func (h *handoverExchange) poll() {
+	if h.otherProcess.serving() && !h.settled {
+		h.config.Core.OtherProcessActive()
+	}
+	if h.settled || !h.readRecord() || h.pending == nil {
+		return
+	}
+	h.decide()
+}
+
+// readRecord reads the record if it has changed. It returns false when the record cannot be read.
+func (h *handoverExchange) readRecord() bool {
+	fingerprint, err := statefile.Stat(h.config.Path)
+	if err != nil || fingerprint == h.current || fingerprint == h.unusable {
+		return true
+	}
+	record, err := readHandover(h.config.Path)
+	if err != nil {
+		h.unusable = fingerprint
+		h.log.Warn("cold sends not taken over", zap.String("file", h.config.Path), zap.Error(err))
+		return false
+	}
+	h.current = fingerprint
+	h.pending = &record
+	return true
+}
+
+func readHandover(path string) (handover.Record, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return handover.Record{}, err
+	}
+	return handover.Decode(text)
+}
+
+func (h *handoverExchange) decide() {
+	nowUnixMs := unixNowMs()
+	switch h.successor.Decide(h.pending, nowUnixMs) {
+	case handover.Ignore:
+		h.logNotApplied("written before this process started", nowUnixMs)
+		h.pending = nil
+	case handover.DifferentFleet:
+		h.logNotApplied("of a process that was told of another number of peers", nowUnixMs)
+		h.pending = nil
+	case handover.Wait:
+		if !h.waitLogged {
+			h.logNotApplied("it names leafs that are not listed here yet", nowUnixMs)
+		}
+		h.waitLogged = true
+	case handover.Apply:
+		sends := handover.AgeSends(h.pending, nowUnixMs, h.config.WindowMs)
+		h.config.Core.TakeOver(sends)
+		h.settled = true
+		h.pending = nil
+		h.log.Info("cold sends taken over", zap.Int("sent", len(sends)))
+	}
+}
+
+func (h *handoverExchange) logNotApplied(reason string, nowUnixMs float64) {
+	h.log.Warn("cold sends not taken over", zap.String("file", h.config.Path), zap.String("reason", reason),
+		zap.Float64("age_ms", nowUnixMs-h.pending.WrittenUnixMs))
+}
--- /dev/null
+++ b/internal/ops/control/otherprocess.go
@@ -0,0 +1,44 @@
+package control
+
+import (
+	"go.uber.org/zap"
+
+	"ternstage/internal/logs"
+	"ternstage/internal/store/statefile"
+)
+
+// servingSuffix names the lock of the process that serves, beside the record of a handover.
+const servingSuffix = ".serving"
+
+// processDetector detects another process of the broker that serves. The one that serves holds a lock until it ends;
+// the kernel releases it however the process ends.
+type processDetector struct {
+	log  *logs.Log
+	path string
+	lock *statefile.LockFile // nil until it is opened
+	// alone is final: this process holds the lock, or the directory cannot carry one. In the latter case another
+	// process is not detected, and only the wait of the first window after a start keeps the two within the quota.
+	alone bool
+}
+
+func newProcessDetector(log *logs.Log, path string) *processDetector {
+	return &processDetector{log: log, path: path}
+}
+
+// serving tells whether another process serves. The first answer of no makes this process the one that others detect.
+func (d *processDetector) serving() bool {
+	if d.alone {
+		return false
+	}
+	if d.lock == nil {
+		lock, err := statefile.OpenLock(d.path)
+		if err != nil {
+			d.log.Warn("whether another process serves is not known", zap.String("file", d.path), zap.Error(err))
+			d.alone = true
+			return false
+		}
+		d.lock = lock
+	}
+	d.alone = d.lock.TryLock() == nil
+	return !d.alone
+}
