--- a/cmd/ternstage/serve.go
+++ b/cmd/ternstage/serve.go
@@ -123,8 +123,8 @@
 		ops = control.New(l, log, filepath.Join(os.TempDir(), heldFile), nodes, c, server)
 		nodes.SetSuspender(ops.Suspensions())
 		if cfg.InheritedFD > 0 {
-			ops.EnableHandover(&control.HandoverConfig{Path: filepath.Join(os.TempDir(), handFile), WindowMs: cfg.Scheduler.SlowStartWindow,
-				Started: float64(started.UnixMicro()) / 1000, BrokerCount: cfg.Scheduler.BrokerCount, Core: c,
+			ops.EnableHandover(control.HandoverConfig{Path: filepath.Join(os.TempDir(), handFile), WindowMs: cfg.Scheduler.SlowStartWindow,
+				StartedUnixMs: float64(started.UnixMicro()) / 1000, BrokerCount: cfg.Scheduler.BrokerCount, Core: c,
 				Known: func(x uint32) bool { return nodes.Address(x) != "" }})
 		}
 		d, err := adminapi.Listen(l, ops, log, cfg.AdminAddress)
--- a/internal/ops/control/control.go
+++ b/internal/ops/control/control.go
@@ -69,8 +69,8 @@
 }
 
 // EnableHandover has the control hand over to a successor at Stop, and take over from a predecessor.
-func (c *Control) EnableHandover(config *HandoverConfig) {
-	c.handover = newHandoverExchange(c.log, *config)
+func (c *Control) EnableHandover(config HandoverConfig) {
+	c.handover = newHandoverExchange(c.log, config)
 	c.handover.poll()
 }
 
--- a/internal/ops/control/control_test.go
+++ b/internal/ops/control/control_test.go
@@ -246,7 +246,7 @@
 
 func (p *process) beside(path string, peers int, known bool) *sides {
 	s := &sides{sent: []scheduler.WarmupSend{{Replica: 7, AgeMs: 1, WorkMs: 10}}}
-	p.EnableHandover(&HandoverConfig{Path: path, WindowMs: 60_000, Started: unixNowMs(), BrokerCount: peers, Core: s,
+	p.EnableHandover(HandoverConfig{Path: path, WindowMs: 60_000, StartedUnixMs: unixNowMs(), BrokerCount: peers, Core: s,
 		Known: func(uint32) bool { return known }})
 	return s
 }
--- a/internal/ops/control/handover.go
+++ b/internal/ops/control/handover.go
@@ -28,8 +28,8 @@
 	Path string
 	// WindowMs is the length of the slow-start window in milliseconds.
 	WindowMs float64
-	// Started is when this process started, in milliseconds of Unix time.
-	Started float64
+	// StartedUnixMs is when this process started, in milliseconds of Unix time.
+	StartedUnixMs float64
 	// BrokerCount is the number of brokers in the settings; 0 is unknown.
 	BrokerCount int
 	// Core is asked for its sends and told of a predecessor's.
@@ -58,7 +58,7 @@
 		log:    log,
 		config: config,
 		successor: handover.Successor{
-			StartedUnixMs: config.Started,
+			StartedUnixMs: config.StartedUnixMs,
 			WindowMs:      config.WindowMs,
 			BrokerCount:   config.BrokerCount,
 			Known:         config.Known,
