--- a/internal/ops/control/control_test.go
+++ b/internal/ops/control/control_test.go
@@ -296,8 +296,8 @@
 		"torn or not JSON":                    {handover.Encode(unixNowMs()+5000, 2, sent)[:30], true},
 		"written before this process started": {handover.Encode(unixNowMs()-10_000, 2, sent), true},
 		"version 9":                           {[]byte(`{"form":"ternstage cold sent","version":9,"sent":[],"sum":0}`), true},
-		"another number of peers":             {handover.Encode(unixNowMs()+5000, 3, sent), true},
-		"leafs that are not listed here":      {handover.Encode(unixNowMs()+5000, 2, sent), false},
+		"another number of brokers":           {handover.Encode(unixNowMs()+5000, 3, sent), true},
+		"backends that are not listed here":   {handover.Encode(unixNowMs()+5000, 2, sent), false},
 		"field sum":                           {[]byte(`{"form":"ternstage cold sent","version":1,"sent":[],"sum":9}`), true},
 	} {
 		dir := t.TempDir()
@@ -310,6 +310,6 @@
 		assert.Zero(t, s.took, says)
 		text := p.logged(t)
 		assert.Contains(t, text, says)
-		assert.Equal(t, 1, strings.Count(text, "cold sends not taken over"), says)
+		assert.Equal(t, 1, strings.Count(text, "slow-start sends not taken over"), says)
 	}
 }
--- a/internal/ops/control/drain.go
+++ b/internal/ops/control/drain.go
@@ -82,7 +82,7 @@
 	if err == nil {
 		return result
 	}
-	d.log.Warn("drain not kept", zap.String("file", d.path), zap.Error(err))
+	d.log.Warn("drain not saved", zap.String("file", d.path), zap.Error(err))
 	result.Status = http.StatusInternalServerError
 	result.Reason = notStoredResult(err).Reason
 	return result
@@ -94,7 +94,7 @@
 	nowUnixMs := unixNowMs()
 	sinceUnixMs, found, err := readDrain(d.path, nowUnixMs)
 	if err != nil && !d.readFailed {
-		d.log.Warn("drain not read: it holds from now on", zap.String("file", d.path), zap.Error(err))
+		d.log.Warn("drain not read: in force from now on", zap.String("file", d.path), zap.Error(err))
 	}
 	d.readFailed = err != nil
 	switch {
@@ -131,7 +131,7 @@
 	if phase == d.phase {
 		return
 	}
-	d.log.Info("clients", zap.Stringer("from", d.phase), zap.Stringer("to", phase))
+	d.log.Info("drain phase", zap.Stringer("from", d.phase), zap.Stringer("to", phase))
 	d.front.SetDraining(phase != maintenance.Serving)
 	d.front.CloseAfterResponse(phase >= maintenance.ClosingConnections)
 	d.phase = phase
--- a/internal/ops/control/handover.go
+++ b/internal/ops/control/handover.go
@@ -72,7 +72,7 @@
 	h.settled = true // the record in the file is no longer a predecessor's
 	sends := h.config.Core.HandOver()
 	err := statefile.Write(h.config.Path, handover.Encode(unixNowMs(), h.config.BrokerCount, sends))
-	h.log.Info("cold sends handed over", zap.Int("sent", len(sends)), zap.Error(err))
+	h.log.Info("slow-start sends handed over", zap.Int("sent", len(sends)), zap.Error(err))
 }
 
 // poll takes over from a predecessor once its record can be applied. Until then the scheduler is told, at each poll,
@@ -96,7 +96,7 @@
 	record, err := readHandover(h.config.Path)
 	if err != nil {
 		h.unusable = fingerprint
-		h.log.Warn("cold sends not taken over", zap.String("file", h.config.Path), zap.Error(err))
+		h.log.Warn("slow-start sends not taken over", zap.String("file", h.config.Path), zap.Error(err))
 		return false
 	}
 	h.current = fingerprint
@@ -119,11 +119,11 @@
 		h.logNotApplied("written before this process started", nowUnixMs)
 		h.pending = nil
 	case handover.DifferentFleet:
-		h.logNotApplied("of a process that was told of another number of peers", nowUnixMs)
+		h.logNotApplied("written by a process with another number of brokers", nowUnixMs)
 		h.pending = nil
 	case handover.Wait:
 		if !h.waitLogged {
-			h.logNotApplied("it names leafs that are not listed here yet", nowUnixMs)
+			h.logNotApplied("it names backends that are not listed here yet", nowUnixMs)
 		}
 		h.waitLogged = true
 	case handover.Apply:
@@ -131,11 +131,11 @@
 		h.config.Core.TakeOver(sends)
 		h.settled = true
 		h.pending = nil
-		h.log.Info("cold sends taken over", zap.Int("sent", len(sends)))
+		h.log.Info("slow-start sends taken over", zap.Int("sent", len(sends)))
 	}
 }
 
 func (h *handoverExchange) logNotApplied(reason string, nowUnixMs float64) {
-	h.log.Warn("cold sends not taken over", zap.String("file", h.config.Path), zap.String("reason", reason),
+	h.log.Warn("slow-start sends not taken over", zap.String("file", h.config.Path), zap.String("reason", reason),
 		zap.Float64("age_ms", nowUnixMs-h.pending.WrittenUnixMs))
 }
--- a/internal/ops/control/otherprocess.go
+++ b/internal/ops/control/otherprocess.go
@@ -33,7 +33,7 @@
 	if d.lock == nil {
 		lock, err := statefile.OpenLock(d.path)
 		if err != nil {
-			d.log.Warn("whether another process serves is not known", zap.String("file", d.path), zap.Error(err))
+			d.log.Warn("not known whether another process serves", zap.String("file", d.path), zap.Error(err))
 			d.alone = true
 			return false
 		}
--- a/internal/ops/control/suspensions.go
+++ b/internal/ops/control/suspensions.go
@@ -49,7 +49,7 @@
 	lock, err := statefile.Lock(s.path)
 	var locked *statefile.LockedError
 	if errors.As(err, &locked) {
-		s.log.Warn("held leafs not changed", zap.String("file", s.path), zap.Error(err))
+		s.log.Warn("suspensions not changed", zap.String("file", s.path), zap.Error(err))
 		return lockedResult(locked)
 	}
 	if err == nil { // in a directory that cannot carry a lock save fails as well, and the answer says so
@@ -62,7 +62,7 @@
 	}
 	s.notify(id)
 	if err := s.save(); err != nil {
-		s.log.Warn("held leafs not kept", zap.String("file", s.path), zap.Error(err))
+		s.log.Warn("suspensions not saved", zap.String("file", s.path), zap.Error(err))
 		return notStoredResult(err)
 	}
 	return result
@@ -126,15 +126,15 @@
 	if len(added)+len(resumed) == 0 {
 		return
 	}
-	s.log.Info("held leafs read", zap.String("file", s.path), zap.Strings("held", added),
-		zap.Strings("freed", resumed))
+	s.log.Info("suspensions read", zap.String("file", s.path), zap.Strings("suspended", added),
+		zap.Strings("resumed", resumed))
 	s.notify(append(added, resumed...)...)
 }
 
 // reject logs a file that cannot be used: once for each content, and each time when there is no fingerprint to tell.
 func (s *suspensionStore) reject(fingerprint statefile.Fingerprint, err error) {
 	if fingerprint != s.unusable || fingerprint == (statefile.Fingerprint{}) {
-		s.log.Warn("held leafs not read: those held stay as they were", zap.String("file", s.path), zap.Error(err))
+		s.log.Warn("suspensions not read: those in force stay", zap.String("file", s.path), zap.Error(err))
 	}
 	s.unusable = fingerprint
 }
--- a/test/ops_test.go
+++ b/test/ops_test.go
@@ -172,7 +172,7 @@
 	again := time.Now()
 	ask(q, 32)
 	assert.Zero(t, sentTo(ns, "s-2", again), "the ban did not hold across the restart")
-	q.waitLog("held leafs read")
+	q.waitLog("suspensions read")
 
 	require.Equal(t, 200, call(q, "PUT", "/v1/leafs/s-2/resume"))
 	back := time.Now()
@@ -187,7 +187,7 @@
 	tmp := t.TempDir()
 	require.NoError(t, os.WriteFile(tmp+"/ternstage-held-leafs.json", []byte(`{"form":"ternstage held`), 0o600))
 	_, p := site(t, nil, options{mgmt: true, tmp: tmp})
-	p.waitLog("held leafs not read")
+	p.waitLog("suspensions not read")
 	assert.Contains(t, p.logged(), "torn or not JSON")
 	assert.Equal(t, 200, call(p, "GET", "/v1/readyz"))
 }
--- a/test/upgrade_test.go
+++ b/test/upgrade_test.go
@@ -82,7 +82,7 @@
 		}
 		require.Equal(t, []int{200, 200}, []int{<-got, <-got})
 		third := start(t, o)
-		third.waitLog(`"held":["s-1","s-2"]`)
+		third.waitLog(`"suspended":["s-1","s-2"]`)
 		third.kill()
 		require.Equal(t, 200, call(next, "PUT", "/v1/leafs/s-1/resume"))
 		require.Equal(t, 200, call(old, "PUT", "/v1/leafs/s-2/resume"))
@@ -109,7 +109,7 @@
 	third.stop()
 	assert.Less(t, time.Since(begin), 10*time.Second)
 	serves(t, fourth, "fourth", 16)
-	fourth.waitLog("cold sends taken over")
+	fourth.waitLog("slow-start sends taken over")
 
 	fifth := start(t, o)
 	go func() {
