--- a/internal/ops/control/control.go
+++ b/internal/ops/control/control.go
@@ -9,8 +9,8 @@
 	"ternstage/internal/ops/maintenance"
 )
 
-// PollIntervalMs is how often the shared files are checked for changes by other processes, in milliseconds. It is well
-// within the 50 ms of tolerance for a change made at one process to be in force at the others.
+// PollIntervalMs is how often the shared files are checked for changes by other processes, in milliseconds. It is
+// well within the 50 ms of tolerance for a change made at one process to be in force at the others.
 const PollIntervalMs = 20.0
 
 // EndpointSink is the scheduler as it hears of changes to the endpoint list.
--- /dev/null
+++ b/internal/ops/control/handover_test.go
@@ -0,0 +1,86 @@
+package control
+
+import (
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"ternstage/internal/decision/scheduler"
+	"ternstage/internal/ops/handover"
+)
+
+// slowStartSender counts what the scheduler is told.
+type slowStartSender struct {
+	otherActive int // calls of OtherProcessActive
+	takenOver   int // calls of TakeOver
+}
+
+var sampleSends = []scheduler.WarmupSend{{Replica: 7, AgeMs: 1, WorkMs: 10}}
+
+func (s *slowStartSender) HandOver() []scheduler.WarmupSend { return sampleSends }
+func (s *slowStartSender) TakeOver([]scheduler.WarmupSend)  { s.takenOver++ }
+func (s *slowStartSender) OtherProcessActive()              { s.otherActive++ }
+
+// enableHandover has the process, one of a fleet of two brokers, hand over by the record at path. known tells whether
+// it knows the backends of a record.
+func (p *process) enableHandover(path string, known bool) *slowStartSender {
+	sender := &slowStartSender{}
+	p.EnableHandover(HandoverConfig{Path: path, WindowMs: 60_000, StartedUnixMs: unixNowMs(), BrokerCount: 2,
+		Core: sender, Known: func(uint32) bool { return known }})
+	return sender
+}
+
+// TestRecordNotApplied checks that a record that cannot be used, or is not meant for this process, is not applied,
+// and that the log says why, once.
+func TestRecordNotApplied(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		text   []byte
+		known  bool
+		logged string
+	}{
+		{"torn", handover.Encode(unixNowMs()+5000, 2, sampleSends)[:30], true, "torn or not JSON"},
+		{"of an earlier handover", handover.Encode(unixNowMs()-10_000, 2, sampleSends), true,
+			"written before this process started"},
+		{"another version", []byte(`{"form":"ternstage cold sent","version":9,"sent":[],"sum":0}`), true, "version 9"},
+		{"another fleet", handover.Encode(unixNowMs()+5000, 3, sampleSends), true, "another number of brokers"},
+		{"unknown backends", handover.Encode(unixNowMs()+5000, 2, sampleSends), false,
+			"backends that are not listed here"},
+		{"altered", []byte(`{"form":"ternstage cold sent","version":1,"sent":[],"sum":9}`), true, "field sum"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			dir := t.TempDir()
+			recordPath := filepath.Join(dir, "cold.json")
+			require.NoError(t, os.WriteFile(recordPath, c.text, 0o600))
+			p := start(t, filepath.Join(dir, "held.json"))
+			sender := p.enableHandover(recordPath, c.known)
+			p.handover.poll()
+			p.handover.poll()
+			assert.Zero(t, sender.takenOver)
+			text := p.logged(t)
+			assert.Contains(t, text, c.logged)
+			assert.Equal(t, 1, strings.Count(text, "slow-start sends not taken over"))
+		})
+	}
+}
+
+// TestWaitingRecordApplied checks that a record of unknown backends is applied once they are known.
+func TestWaitingRecordApplied(t *testing.T) {
+	dir := t.TempDir()
+	recordPath := filepath.Join(dir, "cold.json")
+	require.NoError(t, os.WriteFile(recordPath, handover.Encode(unixNowMs()+5000, 2, sampleSends), 0o600))
+	p := start(t, filepath.Join(dir, "held.json"))
+	known := false
+	sender := &slowStartSender{}
+	p.EnableHandover(HandoverConfig{Path: recordPath, WindowMs: 60_000, StartedUnixMs: unixNowMs(), BrokerCount: 2,
+		Core: sender, Known: func(uint32) bool { return known }})
+	assert.Zero(t, sender.takenOver)
+	known = true
+	p.handover.poll()
+	p.handover.poll()
+	assert.Equal(t, 1, sender.takenOver)
+}
--- /dev/null
+++ b/internal/ops/control/otherprocess_test.go
@@ -0,0 +1,53 @@
+package control
+
+import (
+	"path/filepath"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+// TestOtherProcessServes checks that the scheduler is told at each poll while another process serves beside this one,
+// until that one hands over or ends, however it ends.
+func TestOtherProcessServes(t *testing.T) {
+	dir := t.TempDir()
+	path, recordPath := filepath.Join(dir, "held.json"), filepath.Join(dir, "cold.json")
+	first, second := start(t, path), start(t, path)
+	firstSender, secondSender := first.enableHandover(recordPath, true), second.enableHandover(recordPath, true)
+	assert.Zero(t, firstSender.otherActive, "no process serves beside the first")
+	for range 3 {
+		second.handover.poll()
+	}
+	assert.Equal(t, 4, secondSender.otherActive)
+	first.Stop()
+	second.handover.poll()
+	assert.Equal(t, 1, secondSender.takenOver)
+	otherActive := secondSender.otherActive
+	second.handover.poll()
+	assert.Equal(t, otherActive, secondSender.otherActive, "the record says what the other process sent")
+
+	endProcess(first)
+	second.handover.poll()
+	assert.True(t, second.handover.otherProcess.alone)
+	third := start(t, path)
+	thirdSender := third.enableHandover(recordPath, true)
+	assert.Positive(t, thirdSender.otherActive)
+	endProcess(second)
+	third.handover.poll()
+	otherActive = thirdSender.otherActive
+	third.handover.poll()
+	assert.Equal(t, otherActive, thirdSender.otherActive)
+	assert.Zero(t, thirdSender.takenOver)
+}
+
+// endProcess releases the lock of a process, as the kernel does when it ends or is killed.
+func endProcess(p *process) { p.handover.otherProcess.lock.Close() }
+
+// TestNoLockPossible checks that a directory that cannot carry a lock is logged once and taken for no other process.
+func TestNoLockPossible(t *testing.T) {
+	p := start(t, statePath(t))
+	sender := p.enableHandover(missingDirectory(t), true)
+	p.handover.poll()
+	assert.Zero(t, sender.otherActive)
+	assert.Contains(t, p.logged(t), "not known whether another process serves")
+}
--- a/internal/ops/control/suspensions.go
+++ b/internal/ops/control/suspensions.go
@@ -25,8 +25,8 @@
 	return c.suspensions.change(id, c.suspensions.table.Resume)
 }
 
-// suspensionStore is the table of suspended backends and the file that shares it with the broker's other processes. The
-// file is authoritative: a change is made under a lock, after what the file says has been applied.
+// suspensionStore is the table of suspended backends and the file that shares it with the broker's other processes.
+// The file is authoritative: a change is made under a lock, after what the file says has been applied.
 type suspensionStore struct {
 	log       *logs.Log
 	path      string
--- /dev/null
+++ b/internal/ops/control/suspensions_test.go
@@ -0,0 +1,130 @@
+package control
+
+import (
+	"fmt"
+	"os"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"ternstage/internal/decision/scheduler"
+	"ternstage/internal/ops/maintenance"
+	"ternstage/internal/store/statefile"
+)
+
+// TestSuspensionsAreShared checks that a backend suspended at one process is suspended at another after its next
+// poll, and at one that starts later from the start; and that one resume ends it at all of them.
+func TestSuspensionsAreShared(t *testing.T) {
+	path := statePath(t)
+	first, second := start(t, path), start(t, path)
+	first.Suspensions().MemberListed("s-1")
+	require.Equal(t, 200, first.Suspend("s-1").Status)
+	require.Equal(t, []scheduler.Endpoint{{Replica: '1', State: scheduler.Draining}}, first.endpoints,
+		"the scheduler is notified at once")
+
+	second.suspensions.refresh()
+	assert.True(t, second.Suspensions().Suspended("s-1"), "suspended at the other process after a poll")
+	assert.Equal(t, scheduler.Draining, second.endpoints[0].State)
+	third := start(t, path)
+	assert.True(t, third.Suspensions().Suspended("s-1"), "a process reads the file when it starts")
+
+	require.Equal(t, 200, second.Resume("s-1").Status, "a backend can be resumed at any process")
+	first.suspensions.refresh()
+	assert.False(t, first.Suspensions().Suspended("s-1"))
+	assert.Equal(t, scheduler.Ready, first.endpoints[len(first.endpoints)-1].State, "the scheduler is notified of it")
+	second.endpoints = nil
+	second.suspensions.refresh()
+	assert.Empty(t, second.endpoints, "a file that the process wrote itself is not a change")
+}
+
+// TestTornSuspensionFile checks that a torn file changes no suspension in force, and does not stop a start.
+func TestTornSuspensionFile(t *testing.T) {
+	path := statePath(t)
+	p := start(t, path)
+	p.Suspensions().MemberListed("s-1")
+	require.True(t, p.Suspend("s-1").OK())
+	require.NoError(t, os.WriteFile(path, []byte(`{"form":"ternstage held leafs","vers`), 0o600))
+	p.suspensions.refresh()
+	p.suspensions.refresh()
+	assert.True(t, p.Suspensions().Suspended("s-1"), "a torn file resumes nothing")
+
+	require.NoError(t, os.WriteFile(path, maintenance.EncodeSuspensions(nil)[:5], 0o600))
+	next := start(t, path)
+	assert.Empty(t, next.Suspensions().IDs(), "a process that starts with a torn file suspends nothing and goes on")
+	assert.Contains(t, next.logged(t), "torn or not JSON")
+}
+
+// TestSuspensionNotStored checks that a suspension that cannot be stored is answered no, although it is in force
+// here.
+func TestSuspensionNotStored(t *testing.T) {
+	p := start(t, missingDirectory(t))
+	p.Suspensions().MemberListed("s-2")
+	result := p.Suspend("s-2")
+	assert.Equal(t, 500, result.Status, "not stored for the next process")
+	assert.Contains(t, result.Reason, "so here, but not kept for the next process: write ")
+	assert.True(t, p.Suspensions().Suspended("s-2"), "in force here")
+}
+
+// TestConcurrentWriters has two processes change the file at once, each many times. Every call that was answered yes
+// is in force at a process that starts afterwards; without the lock some of them are lost.
+func TestConcurrentWriters(t *testing.T) {
+	const callsPerProcess = 200
+	path := statePath(t)
+	answered := []map[string]bool{{}, {}} // by process: whether each id was suspended last
+	var writers sync.WaitGroup
+	for w, suspended := range answered {
+		p := start(t, path)
+		for i := range callsPerProcess {
+			p.Suspensions().MemberListed(fmt.Sprintf("s-%d-%d", w, i))
+		}
+		writers.Go(func() {
+			for i := range callsPerProcess {
+				id := fmt.Sprintf("s-%d-%d", w, i)
+				untilOK(p.Suspend, id)
+				suspended[id] = true
+				if i%3 == 0 {
+					untilOK(p.Resume, id)
+					suspended[id] = false
+				}
+			}
+		})
+	}
+	writers.Wait()
+	next := start(t, path)
+	for _, suspended := range answered {
+		assert.Len(t, suspended, callsPerProcess)
+		for id, want := range suspended {
+			assert.Equal(t, want, next.Suspensions().Suspended(id), id)
+		}
+	}
+}
+
+// untilOK repeats a call that the other process's lock rejects.
+func untilOK(call func(string) maintenance.CallResult, id string) {
+	for !call(id).OK() {
+	}
+}
+
+// TestLockedByStoppedProcess has another process stopped within its change. A call is answered no within 50 ms and
+// changes nothing, here or in the file; once the other is gone the same call succeeds.
+func TestLockedByStoppedProcess(t *testing.T) {
+	path := statePath(t)
+	p := start(t, path)
+	p.Suspensions().MemberListed("s-1")
+	lock, err := statefile.Lock(path)
+	require.NoError(t, err)
+	began := time.Now()
+	result := p.Suspend("s-1")
+	assert.Less(t, time.Since(began), 50*time.Millisecond)
+	assert.Equal(t, 500, result.Status)
+	assert.Equal(t, "nothing is changed: lock "+path+".lock: another process of the aggregator is changing it\n"+
+		"resource temporarily unavailable", result.Reason)
+	assert.False(t, p.Suspensions().Suspended("s-1"))
+	assert.Empty(t, p.endpoints)
+	assert.NoFileExists(t, path)
+	lock.Close()
+	assert.Equal(t, 200, p.Suspend("s-1").Status)
+}
