--- a/internal/ops/adminapi/connection.go
+++ b/internal/ops/adminapi/connection.go
@@ -1,9 +1,7 @@
 package adminapi
 
 import (
-	"fmt"
 	"net/netip"
-	"strconv"
 
 	"go.uber.org/zap"
 	"golang.org/x/sys/unix"
@@ -13,82 +11,87 @@
 	"ternstage/internal/ops/maintenance"
 )
 
-// connection is one caller.
+// connection is one caller. It carries one call, and leaves one line in the log: that of the call or, without a call
+// that could be carried out, that of the connection's end.
 type connection struct {
 	server       *Server
 	stream       *loop.Stream
+	peer         string // address
 	acceptedAtMs float64
 	answered     bool
 	answeredAtMs float64
+	callLogged   bool
 	closed       bool
-	endCode      logs.Code // why it ends, where a no said so
-	endErr       error
-	peer         string
-	logged       bool // its call has had its line
+
+	// Set by reject: why the connection ends, whatever closes it.
+	endCode logs.Code
+	endErr  error
 }
 
 // Ready implements loop.Handler.
-func (c *connection) Ready(events uint32) {
+func (c *connection) Ready(uint32) {
 	if c.answered {
-		c.discard()
+		c.discardInput()
 		return
 	}
-	eof, err := c.stream.Read(maxReadBytes + 1)
+	eof, err := c.stream.Read(maxReadBytes)
 	if err != nil {
 		c.close(logs.OperatorDisconnected, err)
 		return
 	}
-	method, path, size, err := parseRequest(c.stream.In)
+	request, err := parseRequest(c.stream.In)
 	switch {
 	case err != nil:
-		c.fail(statusOf(err), err, logs.OperatorMalformed)
-	case size > 0 && len(c.stream.In) >= size:
-		c.answer(method, path, c.server.route(method, path))
+		c.reject(rejectionStatus(err), err, logs.OperatorMalformed)
+	case request.arrived(len(c.stream.In)):
+		c.answer(request, c.server.route(request.method, request.path))
 	case eof:
 		c.close(logs.OperatorDisconnected, nil)
 	}
 }
 
-// answer writes the verdict and ends our side.
-// The call is the connection's one line in the log, in place of the line of its end.
-func (c *connection) answer(method, path string, v maintenance.CallResult) {
+func (c *connection) answer(request request, result maintenance.CallResult) {
 	c.server.log.Info("operator call", zap.String("code", string(logs.OperatorDone)), zap.String("peer", c.peer),
-		zap.String("method", method), zap.String("path", path), zap.Int("status", v.Status),
-		zap.String("reason", v.Reason), zap.Bool("changed", v.Changed))
-	c.logged = true
-	c.reply(v.Status, v.Reason)
+		zap.String("method", request.method), zap.String("path", request.path), zap.Int("status", result.Status),
+		zap.String("reason", result.Reason), zap.Bool("changed", result.Changed))
+	c.callLogged = true
+	c.respond(result.Status, result.Reason)
 }
 
-// fail answers no to what cannot be a call.
-func (c *connection) fail(status int, err error, code logs.Code) {
-	c.endCode, c.endErr = code, err
-	c.reply(status, err.Error())
+// reject answers what is not a call that can be carried out. code and err are logged when the connection ends.
+func (c *connection) reject(status int, err error, code logs.Code) {
+	c.endCode = code
+	c.endErr = err
+	c.respond(status, err.Error())
 }
 
-func (c *connection) reply(status int, reason string) {
-	body := fmt.Sprintf("{\"ok\":%t,\"reason\":%s}\n", status >= 200 && status < 300, strconv.Quote(reason))
-	c.stream.Out = fmt.Appendf(c.stream.Out[:0], "HTTP/1.1 %d %s\r\nContent-Type: application/json\r\n"+
-		"Content-Length: %d\r\nConnection: close\r\n\r\n%s", status, statusText(status), len(body), body)
-	c.answered, c.answeredAtMs, c.stream.In = true, c.server.loop.Now(), nil
-	if err := c.stream.Flush(); err != nil || len(c.stream.Out) > 0 {
-		// An answer of a few hundred bytes that the kernel does not take at once goes to a caller that
-		// does not read: it is not waited for.
+// respond sends the answer and ends this side of the connection. An answer fits the kernel's buffer: if it is not
+// taken at once, the caller does not read, and the connection is closed.
+func (c *connection) respond(status int, reason string) {
+	c.stream.Out = appendResponse(c.stream.Out[:0], status, reason)
+	c.stream.In = nil
+	c.answered = true
+	c.answeredAtMs = c.server.loop.Now()
+	err := c.stream.Flush()
+	if err != nil || len(c.stream.Out) > 0 {
 		c.close(logs.OperatorDisconnected, err)
 		return
 	}
 	_ = unix.Shutdown(c.stream.FD, unix.SHUT_WR)
 	c.stream.SetEvents(unix.EPOLLIN | unix.EPOLLRDHUP)
-	c.discard()
+	c.discardInput()
 }
 
-// discard throws away what the caller still sends, so that our close does not become a reset that takes
-// the answer with it; the caller's close ends the connection.
-func (c *connection) discard() {
-	if _, eof, err := c.stream.DiscardInput(); eof || err != nil {
+// discardInput discards what the caller still sends until the caller closes. Closing with unread input would reset
+// the connection, and the caller could lose the answer.
+func (c *connection) discardInput() {
+	_, eof, err := c.stream.DiscardInput()
+	if eof || err != nil {
 		c.close(logs.OperatorDone, nil)
 	}
 }
 
+// close closes the connection for the reason code, unless reject has set another. A repeated call does nothing.
 func (c *connection) close(code logs.Code, err error) {
 	if c.closed {
 		return
@@ -97,17 +100,23 @@
 	delete(c.server.connections, c)
 	c.stream.Close()
 	if c.endCode != "" {
-		code, err = c.endCode, c.endErr
+		code = c.endCode
+		err = c.endErr
 	}
-	if !c.logged || code != logs.OperatorDone {
+	if !c.callLogged || code != logs.OperatorDone {
 		c.server.log.ConnectionEnded(code, c.peer, 1, err)
 	}
 }
 
-func peerOf(fd int) string {
-	sa, err := unix.Getpeername(fd)
-	if a, ok := sa.(*unix.SockaddrInet4); ok && err == nil {
-		return netip.AddrPortFrom(netip.AddrFrom4(a.Addr), uint16(a.Port)).String()
+// peerAddress returns the address of the caller, and "" for one that is gone or does not use IPv4.
+func peerAddress(fd int) string {
+	address, err := unix.Getpeername(fd)
+	if err != nil {
+		return ""
+	}
+	v4, ok := address.(*unix.SockaddrInet4)
+	if !ok {
+		return ""
 	}
-	return ""
+	return netip.AddrPortFrom(netip.AddrFrom4(v4.Addr), uint16(v4.Port)).String()
 }
--- a/internal/ops/adminapi/request.go
+++ b/internal/ops/adminapi/request.go
@@ -4,80 +4,137 @@
 	"bytes"
 	"errors"
 	"fmt"
+	"net/http"
 	"strconv"
 	"strings"
 )
 
+const (
+	// MaxHeaderBytes is the maximum size in bytes of the request line and the header fields. More is answered 431.
+	MaxHeaderBytes = 4 << 10
+	// MaxBodyBytes is the maximum size in bytes of a body. No call needs one; it is discarded. More is answered 413.
+	MaxBodyBytes = 4 << 10
+
+	// maxReadBytes is one byte more than a call may have, so that a larger one shows.
+	maxReadBytes = MaxHeaderBytes + MaxBodyBytes + 1
+
+	// bodyIsChunked stands for the size of a body in chunks, which only its last chunk tells.
+	bodyIsChunked = -1
+
+	lineEnd   = "\r\n"
+	headerEnd = "\r\n\r\n"
+	lastChunk = "\r\n0\r\n\r\n"
+)
+
+// The texts are part of the admin API: they are answered as reasons.
 var (
-	errTimeout            = errors.New("the call did not come whole within 0.8 s")
-	errTooManyConnections = errors.New("too many callers at once")
-	errHeaderTooLarge     = fmt.Errorf("head over %d bytes", MaxHeaderBytes)
-	errBodyTooLarge       = fmt.Errorf("body over %d bytes", MaxBodyBytes)
-	errMalformed          = errors.New("malformed call")
+	errHeaderTooLarge = fmt.Errorf("head over %d bytes", MaxHeaderBytes)
+	errBodyTooLarge   = fmt.Errorf("body over %d bytes", MaxBodyBytes)
+	errMalformed      = errors.New("malformed call")
 )
 
-// parseRequest reads the head of a call: size is that of the head and body together, 0 while they have not come.
-func parseRequest(in []byte) (method, path string, size int, err error) {
-	end := bytes.Index(in, []byte("\r\n\r\n"))
+// request is a call whose header has arrived.
+type request struct {
+	method string
+	path   string // without the query
+	// sizeBytes is the size of header and body together; 0 while it is unknown.
+	sizeBytes int
+}
+
+// arrived tells whether the whole request is among the first received bytes.
+func (r request) arrived(received int) bool { return r.sizeBytes > 0 && received >= r.sizeBytes }
+
+// parseRequest parses the request at the beginning of in. As long as its size is unknown it returns a request without
+// one. Errors wrap errHeaderTooLarge, errBodyTooLarge or errMalformed.
+func parseRequest(in []byte) (request, error) {
+	end := bytes.Index(in, []byte(headerEnd))
+	if end > MaxHeaderBytes || end < 0 && len(in) > MaxHeaderBytes {
+		return request{}, errHeaderTooLarge
+	}
 	if end < 0 {
-		if len(in) > MaxHeaderBytes {
-			return "", "", 0, errHeaderTooLarge
-		}
-		return "", "", 0, nil
+		return request{}, nil
 	}
-	if end > MaxHeaderBytes {
-		return "", "", 0, errHeaderTooLarge
+	line, fields, _ := strings.Cut(string(in[:end]), lineEnd)
+	method, path, err := parseRequestLine(line)
+	if err != nil {
+		return request{}, err
 	}
-	line, fields, _ := strings.Cut(string(in[:end]), "\r\n")
+	bodyBytes, err := parseBodySize(fields)
+	if err != nil {
+		return request{}, err
+	}
+	if bodyBytes != bodyIsChunked {
+		return request{method: method, path: path, sizeBytes: end + len(headerEnd) + bodyBytes}, nil
+	}
+	sizeBytes, err := chunkedSize(in, end)
+	if err != nil || sizeBytes == 0 {
+		return request{}, err
+	}
+	return request{method: method, path: path, sizeBytes: sizeBytes}, nil
+}
+
+func parseRequestLine(line string) (method, path string, err error) {
 	parts := strings.Split(line, " ")
-	if len(parts) != 3 || parts[2] != "HTTP/1.1" && parts[2] != "HTTP/1.0" || !strings.HasPrefix(parts[1], "/") {
-		return "", "", 0, fmt.Errorf("%w: request line %q", errMalformed, line)
+	if len(parts) != 3 || !strings.HasPrefix(parts[1], "/") || parts[2] != "HTTP/1.1" && parts[2] != "HTTP/1.0" {
+		return "", "", fmt.Errorf("%w: request line %q", errMalformed, line)
 	}
-	method, path = parts[0], parts[1]
-	path, _, _ = strings.Cut(path, "?")
-	body := 0
-	for _, f := range strings.Split(fields, "\r\n") {
-		name, value, ok := strings.Cut(f, ":")
+	path, _, _ = strings.Cut(parts[1], "?")
+	return parts[0], path, nil
+}
+
+// parseBodySize returns the size in bytes of the body that the header fields announce, 0 without one, and
+// bodyIsChunked for a body in chunks. The last of several fields counts.
+func parseBodySize(fields string) (int, error) {
+	bodyBytes := 0
+	for field := range strings.SplitSeq(fields, lineEnd) {
+		name, value, ok := strings.Cut(field, ":")
 		if !ok {
-			return "", "", 0, fmt.Errorf("%w: field %q", errMalformed, f)
+			return 0, fmt.Errorf("%w: field %q", errMalformed, field)
 		}
+		value = strings.TrimSpace(value)
 		switch strings.ToLower(strings.TrimSpace(name)) {
 		case "content-length":
-			n, err := strconv.ParseUint(strings.TrimSpace(value), 10, 31)
+			length, err := strconv.ParseUint(value, 10, 31)
 			if err != nil {
-				return "", "", 0, fmt.Errorf("%w: Content-Length %q", errMalformed, strings.TrimSpace(value))
+				return 0, fmt.Errorf("%w: Content-Length %q", errMalformed, value)
 			}
-			if n > MaxBodyBytes {
-				return "", "", 0, errBodyTooLarge
+			if length > MaxBodyBytes {
+				return 0, errBodyTooLarge
 			}
-			body = int(n)
+			bodyBytes = int(length)
 		case "transfer-encoding":
-			if !strings.EqualFold(strings.TrimSpace(value), "chunked") {
-				return "", "", 0, fmt.Errorf("%w: Transfer-Encoding %q", errMalformed, strings.TrimSpace(value))
+			if !strings.EqualFold(value, "chunked") {
+				return 0, fmt.Errorf("%w: Transfer-Encoding %q", errMalformed, value)
 			}
-			body = -1
+			bodyBytes = bodyIsChunked
 		}
 	}
-	if body >= 0 {
-		return method, path, end + 4 + body, nil
+	return bodyBytes, nil
+}
+
+// chunkedSize returns the size in bytes of a request whose body is in chunks, 0 while the last chunk has not arrived.
+// headerBytes is the size of the header without its end. Chunks are not parsed, as the body is discarded: the first
+// empty one ends it, and it may follow the header directly.
+func chunkedSize(in []byte, headerBytes int) (int, error) {
+	bodyStart := headerBytes + len(headerEnd)
+	searchStart := bodyStart - len(lineEnd)
+	last := bytes.Index(in[searchStart:], []byte(lastChunk))
+	if last >= 0 && last <= MaxBodyBytes {
+		return searchStart + last + len(lastChunk), nil
 	}
-	// A body in chunks, as some clients send an empty one: thrown away once its last chunk has come.
-	last := bytes.Index(in[end+2:], []byte("\r\n0\r\n\r\n"))
-	switch {
-	case last >= 0 && last <= MaxBodyBytes:
-		return method, path, end + 2 + last + 7, nil
-	case len(in)-end-4 > MaxBodyBytes:
-		return "", "", 0, errBodyTooLarge
+	if len(in)-bodyStart > MaxBodyBytes {
+		return 0, errBodyTooLarge
 	}
-	return "", "", 0, nil
+	return 0, nil
 }
 
-func statusOf(err error) int {
+// rejectionStatus returns the HTTP status for an error of parseRequest.
+func rejectionStatus(err error) int {
 	switch {
 	case errors.Is(err, errHeaderTooLarge):
-		return 431
+		return http.StatusRequestHeaderFieldsTooLarge
 	case errors.Is(err, errBodyTooLarge):
-		return 413
+		return http.StatusRequestEntityTooLarge
 	}
-	return 400
+	return http.StatusBadRequest
 }
--- a/internal/ops/adminapi/response.go
+++ b/internal/ops/adminapi/response.go
@@ -1,27 +1,26 @@
 package adminapi
 
-func statusText(status int) string {
-	switch status {
-	case 200:
-		return "OK"
-	case 400:
-		return "Bad Request"
-	case 404:
-		return "Not Found"
-	case 405:
-		return "Method Not Allowed"
-	case 408:
-		return "Request Timeout"
-	case 413:
+import (
+	"fmt"
+	"net/http"
+	"strconv"
+)
+
+// appendResponse appends an answer: a JSON object with "ok", which is true for a 2xx status, and "reason".
+func appendResponse(out []byte, status int, reason string) []byte {
+	ok := status >= 200 && status < 300
+	body := fmt.Sprintf("{\"ok\":%t,\"reason\":%s}\n", ok, strconv.Quote(reason))
+	return fmt.Appendf(out, "HTTP/1.1 %d %s\r\n"+
+		"Content-Type: application/json\r\n"+
+		"Content-Length: %d\r\n"+
+		"Connection: close\r\n"+
+		"\r\n%s", status, reasonPhrase(status), len(body), body)
+}
+
+// reasonPhrase returns the phrase of the status line. That of 413 is RFC 9110's; net/http has an older one.
+func reasonPhrase(status int) string {
+	if status == http.StatusRequestEntityTooLarge {
 		return "Content Too Large"
-	case 431:
-		return "Request Header Fields Too Large"
-	case 500:
-		return "Internal Server Error"
-	case 503:
-		return "Service Unavailable"
-	case 507:
-		return "Insufficient Storage"
 	}
-	return "Status"
+	return http.StatusText(status)
 }
--- a/internal/ops/adminapi/route.go
+++ b/internal/ops/adminapi/route.go
@@ -1,52 +1,78 @@
 package adminapi
 
 import (
+	"net/http"
 	"strconv"
 	"strings"
 
 	"ternstage/internal/ops/maintenance"
 )
 
-// Operations carries out what operators ask. Each is called on the loop and must not wait.
+// Operations carries out operators' calls. The methods are called on the event loop and must not block; each is
+// idempotent.
 type Operations interface {
 	// Ready tells whether the process is ready to serve.
 	Ready() bool
+	// Suspend takes the backend id out of service until it is resumed.
 	Suspend(id string) maintenance.CallResult
+	// Resume puts the backend id back into service.
 	Resume(id string) maintenance.CallResult
+	// Drain sends the clients of the broker elsewhere.
 	Drain() maintenance.CallResult
+	// Activate ends a drain.
 	Activate() maintenance.CallResult
 }
 
-// route answers a call that has come whole.
-func (d *Server) route(method, path string) maintenance.CallResult {
-	const leafs = "/v1/leafs/"
-	put := func(do func() maintenance.CallResult) maintenance.CallResult {
-		if method != "PUT" {
-			return maintenance.CallResult{Status: 405, Reason: "PUT only"}
-		}
-		return do()
+const (
+	pathReady     = "/v1/readyz"
+	pathDrain     = "/v1/aggregator/drain"
+	pathActivate  = "/v1/aggregator/activate"
+	prefixBackend = "/v1/leafs/" // and then ID/suspend or ID/resume
+)
+
+// route carries out the call that method and path name.
+func (s *Server) route(method, path string) maintenance.CallResult {
+	if path == pathReady {
+		return s.readiness(method)
+	}
+	operation := s.operation(path)
+	if operation == nil {
+		return maintenance.CallResult{Status: http.StatusNotFound, Reason: "no such call: " + strconv.Quote(path)}
 	}
+	if method != http.MethodPut {
+		return maintenance.CallResult{Status: http.StatusMethodNotAllowed, Reason: "PUT only"}
+	}
+	return operation()
+}
+
+func (s *Server) readiness(method string) maintenance.CallResult {
 	switch {
-	case path == "/v1/readyz":
-		if method != "GET" && method != "HEAD" {
-			return maintenance.CallResult{Status: 405, Reason: "GET only"}
-		}
-		if d.operations.Ready() {
-			return maintenance.CallResult{Status: 200, Reason: "ready"}
-		}
-		return maintenance.CallResult{Status: 503, Reason: "not ready"}
-	case path == "/v1/aggregator/drain":
-		return put(d.operations.Drain)
-	case path == "/v1/aggregator/activate":
-		return put(d.operations.Activate)
-	case strings.HasPrefix(path, leafs):
-		id, verb, ok := strings.Cut(path[len(leafs):], "/")
-		switch {
-		case ok && verb == "suspend":
-			return put(func() maintenance.CallResult { return d.operations.Suspend(id) })
-		case ok && verb == "resume":
-			return put(func() maintenance.CallResult { return d.operations.Resume(id) })
-		}
+	case method != http.MethodGet && method != http.MethodHead:
+		return maintenance.CallResult{Status: http.StatusMethodNotAllowed, Reason: "GET only"}
+	case !s.operations.Ready():
+		return maintenance.CallResult{Status: http.StatusServiceUnavailable, Reason: "not ready"}
+	}
+	return maintenance.CallResult{Status: http.StatusOK, Reason: "ready"}
+}
+
+// operation returns the operation that path names, and nil for none.
+func (s *Server) operation(path string) func() maintenance.CallResult {
+	switch path {
+	case pathDrain:
+		return s.operations.Drain
+	case pathActivate:
+		return s.operations.Activate
+	}
+	rest, ok := strings.CutPrefix(path, prefixBackend)
+	if !ok {
+		return nil
+	}
+	id, verb, _ := strings.Cut(rest, "/")
+	switch verb {
+	case "suspend":
+		return func() maintenance.CallResult { return s.operations.Suspend(id) }
+	case "resume":
+		return func() maintenance.CallResult { return s.operations.Resume(id) }
 	}
-	return maintenance.CallResult{Status: 404, Reason: "no such call: " + strconv.Quote(path)}
+	return nil
 }
--- a/internal/ops/adminapi/server.go
+++ b/internal/ops/adminapi/server.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"net/http"
 
 	"golang.org/x/sys/unix"
 
@@ -10,116 +11,139 @@
 	"ternstage/internal/loop"
 )
 
-// Bounds of the API.
 const (
-	MaxConnections = 64      // connections at once; at the bound the oldest that has not called is answered no
-	MaxHeaderBytes = 4 << 10 // bytes of a call's head
-	MaxBodyBytes   = 4 << 10 // bytes of a body, which no call needs and which is thrown away
-	AnswerWithinMs = 800.0   // ms after the connect by which a call that has not come whole is answered no
-	LingerMs       = 1000.0  // ms after the answer in which what a caller still sends is thrown away
-	pollIntervalMs = 50.0    // ms between looks at the connections
-	maxReadBytes   = MaxHeaderBytes + MaxBodyBytes
+	// MaxConnections is the maximum number of connections at once. One more evicts an answered connection or, without
+	// one, the oldest, which is answered 503.
+	MaxConnections = 64
+	// AnswerWithinMs is the time in milliseconds from the connection within which a call has to arrive. After it the
+	// caller is answered 408.
+	AnswerWithinMs = 800.0
+	// LingerMs is the time in milliseconds after the answer for which the connection is kept if the caller does not
+	// close it.
+	LingerMs = 1000.0
+
+	// pollIntervalMs is how often the time limits are checked. It bounds how much later than them a caller is answered.
+	pollIntervalMs = 50.0
+)
+
+var (
+	errTimeout            = errors.New("the call did not come whole within 0.8 s")
+	errTooManyConnections = errors.New("too many callers at once")
 )
 
-// Server listens for operators.
+// Server is the listener of the admin API. Its methods are called on the event loop.
 type Server struct {
 	loop         *loop.Loop
 	operations   Operations
 	log          *logs.Log
-	listenerFD   int
+	listenerFD   int // -1 once closed
 	connections  map[*connection]struct{}
 	pollTimer    *loop.Timer
-	address      string
-	acceptPaused bool // the listener is not watched, for want of descriptors
+	acceptPaused bool // until the next poll, for lack of descriptors
 }
 
-// Listen listens for operators on an address.
-func Listen(l *loop.Loop, calls Operations, log *logs.Log, address string) (*Server, error) {
+// Listen serves the admin API at address, "HOST:PORT" with a numeric host. Errors name the setting "mgmt".
+func Listen(eventLoop *loop.Loop, operations Operations, log *logs.Log, address string) (*Server, error) {
 	fd, err := loop.Listen(address)
 	if err != nil {
 		return nil, fmt.Errorf("mgmt: %w", err)
 	}
-	d := &Server{loop: l, operations: calls, log: log, listenerFD: fd, connections: map[*connection]struct{}{}, address: address}
-	d.pollTimer = l.NewTimer(d.poll)
-	if err := l.Add(fd, unix.EPOLLIN, d); err != nil {
+	s := &Server{
+		loop:        eventLoop,
+		operations:  operations,
+		log:         log,
+		listenerFD:  fd,
+		connections: map[*connection]struct{}{},
+	}
+	s.pollTimer = eventLoop.NewTimer(s.poll)
+	if err := eventLoop.Add(fd, unix.EPOLLIN, s); err != nil {
 		_ = unix.Close(fd)
 		return nil, fmt.Errorf("mgmt: %w", err)
 	}
-	return d, nil
+	return s, nil
 }
 
-// Ready implements loop.Handler: callers wait to be taken.
-func (d *Server) Ready(uint32) {
+// Ready implements loop.Handler: connections wait to be accepted.
+func (s *Server) Ready(uint32) {
 	for range MaxConnections {
-		fd, err := loop.Accept(d.listenerFD)
+		fd, err := loop.Accept(s.listenerFD)
 		if errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EINTR) || errors.Is(err, unix.ECONNABORTED) {
 			return
 		}
 		if err != nil {
-			// No descriptor: the caller waits in the kernel's queue, and the listener is left alone for a
-			// while, as it stays ready and would have the loop spin.
-			d.loop.SetEvents(d.listenerFD, 0)
-			d.acceptPaused = true
-			d.pollTimer.SetEarlier(d.loop.Now() + pollIntervalMs)
+			s.pauseAccept()
 			return
 		}
-		if len(d.connections) >= MaxConnections {
-			d.evictOne()
-		}
-		c := &connection{server: d, acceptedAtMs: d.loop.Now(), peer: peerOf(fd)}
-		s, err := loop.NewStream(d.loop, fd, unix.EPOLLIN|unix.EPOLLRDHUP, c)
-		if err != nil {
-			continue
-		}
-		c.stream = s
-		d.connections[c] = struct{}{}
-		d.pollTimer.SetEarlier(d.loop.Now() + pollIntervalMs)
+		s.accept(fd)
 	}
 }
 
-// evictOne closes a connection that has had its answer, or else answers no to the one that came first.
-func (d *Server) evictOne() {
-	var o *connection
-	for c := range d.connections {
+// pauseAccept stops watching the listener until the next poll, for lack of descriptors: it stays readable, and the
+// event loop would spin. The callers wait in the kernel's queue.
+func (s *Server) pauseAccept() {
+	s.acceptPaused = true
+	s.loop.SetEvents(s.listenerFD, 0)
+	s.schedulePoll()
+}
+
+func (s *Server) accept(fd int) {
+	if len(s.connections) >= MaxConnections {
+		s.evictOne()
+	}
+	c := &connection{server: s, acceptedAtMs: s.loop.Now(), peer: peerAddress(fd)}
+	stream, err := loop.NewStream(s.loop, fd, unix.EPOLLIN|unix.EPOLLRDHUP, c)
+	if err != nil {
+		return // NewStream has closed fd
+	}
+	c.stream = stream
+	s.connections[c] = struct{}{}
+	s.schedulePoll()
+}
+
+func (s *Server) evictOne() {
+	var oldest *connection
+	for c := range s.connections {
 		if c.answered {
 			c.close(logs.OperatorDone, nil)
 			return
 		}
-		if o == nil || c.acceptedAtMs < o.acceptedAtMs {
-			o = c
+		if oldest == nil || c.acceptedAtMs < oldest.acceptedAtMs {
+			oldest = c
 		}
 	}
-	o.fail(503, errTooManyConnections, logs.OperatorLimit)
-	o.close(logs.OperatorLimit, errTooManyConnections)
+	oldest.reject(http.StatusServiceUnavailable, errTooManyConnections, logs.OperatorLimit)
+	oldest.close(logs.OperatorLimit, errTooManyConnections)
 }
 
-// poll answers calls that take too long and closes what lingers.
-func (d *Server) poll() {
-	now := d.loop.Now()
-	if d.acceptPaused && d.listenerFD >= 0 {
-		d.acceptPaused = false
-		d.loop.SetEvents(d.listenerFD, unix.EPOLLIN)
+func (s *Server) schedulePoll() { s.pollTimer.SetEarlier(s.loop.Now() + pollIntervalMs) }
+
+// poll enforces the time limits, and accepts again after a pause.
+func (s *Server) poll() {
+	nowMs := s.loop.Now()
+	if s.acceptPaused && s.listenerFD >= 0 {
+		s.acceptPaused = false
+		s.loop.SetEvents(s.listenerFD, unix.EPOLLIN)
 	}
-	for c := range d.connections {
+	for c := range s.connections {
 		switch {
-		case c.answered && now-c.answeredAtMs > LingerMs:
+		case c.answered && nowMs-c.answeredAtMs > LingerMs:
 			c.close(logs.OperatorDone, nil)
-		case !c.answered && now-c.acceptedAtMs > AnswerWithinMs:
-			c.fail(408, errTimeout, logs.OperatorTimeout)
+		case !c.answered && nowMs-c.acceptedAtMs > AnswerWithinMs:
+			c.reject(http.StatusRequestTimeout, errTimeout, logs.OperatorTimeout)
 		}
 	}
-	if len(d.connections) > 0 {
-		d.pollTimer.Set(now + pollIntervalMs)
+	if len(s.connections) > 0 {
+		s.pollTimer.Set(nowMs + pollIntervalMs)
 	}
 }
 
-// Close closes the API and every connection at it.
-func (d *Server) Close() {
-	for c := range d.connections {
+// Close closes the listener and all connections. A repeated call does nothing.
+func (s *Server) Close() {
+	for c := range s.connections {
 		c.close(logs.Shutdown, nil)
 	}
-	if d.listenerFD >= 0 {
-		d.loop.Close(d.listenerFD)
-		d.listenerFD = -1
+	if s.listenerFD >= 0 {
+		s.loop.Close(s.listenerFD)
+		s.listenerFD = -1
 	}
 }
