--- /dev/null
+++ b/internal/ops/adminclient/call.go
@@ -0,0 +1,33 @@
+package adminclient
+
+import "net/http"
+
+// Call is one call to the admin API.
+type Call struct {
+	// Name is that of the command: ready, suspend, resume, drain or activate.
+	Name string
+	// ID is the backend's, empty for a call that names none. It has to be valid (see maintenance.ValidID).
+	ID string
+
+	method string
+	path   string
+}
+
+var (
+	// Ready asks whether the process is ready to serve.
+	Ready = Call{Name: "ready", method: http.MethodGet, path: "/v1/readyz"}
+	// Drain sends the clients of the broker elsewhere.
+	Drain = Call{Name: "drain", method: http.MethodPut, path: "/v1/aggregator/drain"}
+	// Activate ends a drain.
+	Activate = Call{Name: "activate", method: http.MethodPut, path: "/v1/aggregator/activate"}
+)
+
+// Suspend returns the call that takes the backend id out of service.
+func Suspend(id string) Call { return backendCall("suspend", id) }
+
+// Resume returns the call that puts the backend id back into service.
+func Resume(id string) Call { return backendCall("resume", id) }
+
+func backendCall(name, id string) Call {
+	return Call{Name: name, ID: id, method: http.MethodPut, path: "/v1/leafs/" + id + "/" + name}
+}
