--- a/cmd/ternstage/admin.go
+++ b/cmd/ternstage/admin.go
@@ -13,6 +13,7 @@
 	"github.com/spf13/cobra"
 
 	"ternstage/internal/ops/adminclient"
+	"ternstage/internal/ops/control"
 	"ternstage/internal/ops/maintenance"
 )
 
@@ -144,7 +145,7 @@
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	text, err = os.ReadFile(path + ".drain")
+	text, err = os.ReadFile(control.DrainPath(path))
 	if out.Drained = err == nil; err == nil {
 		var since float64
 		if since, err = maintenance.DecodeDrain(text); err == nil {
@@ -152,7 +153,7 @@
 		}
 	}
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
-		return fmt.Errorf("%s.drain: %w", path, err)
+		return fmt.Errorf("%s: %w", control.DrainPath(path), err)
 	}
 	if a.asJSON {
 		return printJSON(c, out)
--- a/internal/ops/control/control.go
+++ b/internal/ops/control/control.go
@@ -50,7 +50,7 @@
 	stopping    bool
 }
 
-// New returns a control that stores suspended backends in the file at path and a drain beside it, in "path.drain".
+// New returns a control that stores suspended backends in the file at path and a drain beside it, at DrainPath(path).
 // Both are read at once and applied to front; a file that cannot be used is logged and does not stop the start.
 func New(
 	eventLoop *loop.Loop, log *logs.Log, path string, endpoints EndpointLookup, sink EndpointSink, front Front,
@@ -60,7 +60,7 @@
 		log:         log,
 		front:       front,
 		suspensions: newSuspensionStore(log, path, endpoints, sink),
-		drain:       newDrainer(eventLoop, log, path+drainSuffix, front),
+		drain:       newDrainer(eventLoop, log, DrainPath(path), front),
 	}
 	c.pollTimer = eventLoop.NewTimer(c.poll)
 	c.suspensions.refresh()
--- a/internal/ops/control/drain.go
+++ b/internal/ops/control/drain.go
@@ -14,8 +14,8 @@
 	"ternstage/internal/store/statefile"
 )
 
-// drainSuffix names the file of a drain beside that of the suspended backends.
-const drainSuffix = ".drain"
+// DrainPath returns the path of the file of a drain, beside that of the suspended backends at path.
+func DrainPath(path string) string { return path + ".drain" }
 
 // Drain implements adminapi.Operations.
 func (c *Control) Drain() maintenance.CallResult { return c.drain.begin() }
--- a/internal/ops/control/drain_test.go
+++ b/internal/ops/control/drain_test.go
@@ -62,7 +62,8 @@
 // TestTornDrainFile checks that a torn file is a drain, which activate ends.
 func TestTornDrainFile(t *testing.T) {
 	path := statePath(t)
-	require.NoError(t, os.WriteFile(path+".drain", []byte(`{"form":"ternstage dr`), 0o600))
+	require.Equal(t, path+".drain", DrainPath(path), "the name is that of earlier versions")
+	require.NoError(t, os.WriteFile(DrainPath(path), []byte(`{"form":"ternstage dr`), 0o600))
 	p := start(t, path)
 	assert.True(t, p.draining)
 	require.Equal(t, 200, p.Activate().Status)
