--- a/cmd/ternstage/admin.go
+++ b/cmd/ternstage/admin.go
@@ -5,176 +5,168 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
 	"os"
-	"path/filepath"
 	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
 
 	"ternstage/internal/ops/adminclient"
-	"ternstage/internal/ops/control"
 	"ternstage/internal/ops/maintenance"
 )
 
-// Exit codes of the admin commands; for several calls the highest of theirs.
+// Exit codes of the admin commands. Several calls exit with the highest of theirs.
 const (
 	exitYes      = 0
 	exitNo       = 1
 	exitNoAnswer = 2
-	exitUsage    = 3 // the command line, or what it names, cannot be used: nothing was called
+	// exitUsage is for a command line, or files that it names, that cannot be used: no call was made.
+	exitUsage = 3
 )
 
-// exitError ends the program with a code; what is to be said has been said.
+// defaultTimeout bounds all calls of one command.
+const defaultTimeout = 3 * time.Second
+
+// exitError ends the program with an exit code and no message: the command has printed its own.
 type exitError int
 
+// Error implements error.
 func (e exitError) Error() string { return fmt.Sprintf("exit code %d", int(e)) }
 
-// admin is what all admin commands share.
+// admin holds the flags that all admin commands share.
 type admin struct {
-	mgmt   string
-	within time.Duration
-	asJSON bool
+	address string
+	timeout time.Duration
+	asJSON  bool
 }
 
-// adminCommand is the operators' commands against the admin API of one process.
+// adminCommand returns the commands that call the admin API of one process.
 func adminCommand() *cobra.Command {
 	a := &admin{}
-	root := &cobra.Command{Use: "admin", Short: "Call the admin API of a broker that serves",
+	root := &cobra.Command{
+		Use:   "admin",
+		Short: "Call the admin API of a broker that serves",
 		Long: "Call the admin API of a broker that serves. Exit code 0: yes to all; 1: a no; 2: no answer in\n" +
 			"time; 3: the command line cannot be used. Each command may be repeated safely.",
-		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
-	f := root.PersistentFlags()
-	f.StringVar(&a.mgmt, "mgmt", os.Getenv("BALANCER_MGMT"), "address of the admin API, HOST:PORT")
-	f.DurationVar(&a.within, "within", 3*time.Second, "bound on the whole; calls without an answer are repeated")
-	f.BoolVar(&a.asJSON, "json", false, "print JSON")
-	for _, s := range []struct {
-		call  adminclient.Call
-		short string
-	}{
-		{adminclient.Ready, "Whether the process is ready to serve"},
-		{adminclient.Drain, "Send clients away; kept connections are served and ended within 4 s"},
-		{adminclient.Activate, "Take clients again"},
-	} {
-		root.AddCommand(&cobra.Command{Use: s.call.Name, Short: s.short, Args: cobra.NoArgs,
-			RunE: func(c *cobra.Command, _ []string) error { return a.run(c, s.call) }})
+		Args: cobra.NoArgs,
+		RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
+	}
+	flags := root.PersistentFlags()
+	flags.StringVar(&a.address, "mgmt", os.Getenv("BALANCER_MGMT"), "address of the admin API, HOST:PORT")
+	flags.DurationVar(&a.timeout, "within", defaultTimeout, "bound on the whole; calls without an answer are repeated")
+	flags.BoolVar(&a.asJSON, "json", false, "print JSON")
+	root.AddCommand(
+		a.brokerCommand(adminclient.Ready, "Whether the process is ready to serve"),
+		a.brokerCommand(adminclient.Drain, "Send clients away; open connections are served and ended within 4 s"),
+		a.brokerCommand(adminclient.Activate, "Take clients again"),
+		a.backendCommand("suspend", "Take backends out until they are resumed, across restarts and upgrades",
+			adminclient.Suspend),
+		a.backendCommand("resume", "Put backends back", adminclient.Resume),
+		a.suspendedCommand("suspended"),
+		hiddenAlias(a.suspendedCommand("held")),
+	)
+	return root
+}
+
+// brokerCommand returns the command for a call that names no backend.
+func (a *admin) brokerCommand(call adminclient.Call, short string) *cobra.Command {
+	return &cobra.Command{
+		Use:   call.Name,
+		Short: short,
+		Args:  cobra.NoArgs,
+		RunE:  func(c *cobra.Command, _ []string) error { return a.run(c, call) },
 	}
-	for _, s := range []struct {
-		call        func(id string) adminclient.Call
-		name, short string
-	}{
-		{adminclient.Suspend, "suspend", "Take backends out until they are resumed, across restarts and upgrades"},
-		{adminclient.Resume, "resume", "Put backends back"},
-	} {
-		root.AddCommand(&cobra.Command{Use: s.name + " ID...", Short: s.short, Args: cobra.MinimumNArgs(1),
-			RunE: func(c *cobra.Command, ids []string) error {
-				var calls []adminclient.Call
-				for _, id := range ids {
-					if !maintenance.ValidID(id) {
-						return fmt.Errorf("%q is no backend's id: 1 to 256 letters, digits or any of -_.:", id)
-					}
-					calls = append(calls, s.call(id))
+}
+
+// backendCommand returns the command for a call on each of the backends that its arguments name.
+func (a *admin) backendCommand(name, short string, call func(id string) adminclient.Call) *cobra.Command {
+	return &cobra.Command{
+		Use:   name + " ID...",
+		Short: short,
+		Args:  cobra.MinimumNArgs(1),
+		RunE: func(c *cobra.Command, ids []string) error {
+			calls := make([]adminclient.Call, 0, len(ids))
+			for _, id := range ids {
+				if !maintenance.ValidID(id) {
+					return fmt.Errorf("%q is no backend's id: it has 1 to 256 letters, digits or -_.: characters", id)
 				}
-				return a.run(c, calls...)
-			}})
+				calls = append(calls, call(id))
+			}
+			return a.run(c, calls...)
+		},
 	}
-	var dir string
-	held := &cobra.Command{Use: "held", Short: "What is suspended or drained, as kept for the next process",
-		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error { return a.held(c, dir) }}
-	held.Flags().StringVar(&dir, "dir", os.TempDir(), "$TMPDIR of the broker")
-	root.AddCommand(held)
-	return root
 }
 
-// run makes calls one after the other within the bound and prints what became of them.
+// hiddenAlias returns a command under its earlier name, which the help does not show.
+func hiddenAlias(command *cobra.Command) *cobra.Command {
+	command.Hidden = true
+	return command
+}
+
+// run makes calls one after the other and prints their outcomes. It returns an exitError unless all were successful.
 func (a *admin) run(c *cobra.Command, calls ...adminclient.Call) error {
-	if a.mgmt == "" {
+	if a.address == "" {
 		return errors.New("no address: say --mgmt HOST:PORT, or set BALANCER_MGMT")
 	}
-	ctx, end := context.WithTimeout(c.Context(), a.within)
-	defer end()
-	worst, answers := exitYes, make([]adminclient.Answer, 0, len(calls))
+	ctx, cancel := context.WithTimeout(c.Context(), a.timeout)
+	defer cancel()
+	exitCode := exitYes
+	answers := make([]adminclient.Answer, 0, len(calls))
 	for _, call := range calls {
-		answer, err := adminclient.Do(ctx, a.mgmt, call)
+		answer, err := adminclient.Do(ctx, a.address, call)
 		answers = append(answers, answer)
-		switch {
-		case err != nil:
-			worst = exitNoAnswer
-		case !answer.OK:
-			worst = max(worst, exitNo)
-		}
+		exitCode = max(exitCode, exitCodeOf(answer, err))
 	}
-	if a.asJSON {
-		if err := printJSON(c, map[string]any{"mgmt": a.mgmt, "calls": answers, "exit": worst}); err != nil {
-			return err
-		}
-	} else {
-		w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
-		for _, x := range answers {
-			says := "no"
-			switch {
-			case x.OK:
-				says = "yes"
-			case x.Status == 0:
-				says = "no answer"
-			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", x.Call, x.ID, says, x.Reason)
-		}
-		if err := w.Flush(); err != nil {
-			return err
-		}
+	if err := a.print(c, answers, exitCode); err != nil {
+		return err
 	}
-	if worst != exitYes {
-		return exitError(worst)
+	if exitCode != exitYes {
+		return exitError(exitCode)
 	}
 	return nil
 }
 
-// held prints what the files in the broker's $TMPDIR keep: there is no call for it.
-func (a *admin) held(c *cobra.Command, dir string) error {
-	out := struct {
-		Suspended []string `json:"suspended"`
-		Drained   bool     `json:"drained"`
-		Since     string   `json:"drained_since,omitempty"` // RFC 3339
-	}{Suspended: []string{}}
-	path := filepath.Join(dir, heldFile)
-	text, err := os.ReadFile(path)
-	if err == nil {
-		out.Suspended, err = maintenance.DecodeSuspensions(text)
-	}
-	if err != nil && !errors.Is(err, os.ErrNotExist) {
-		return fmt.Errorf("%s: %w", path, err)
-	}
-	text, err = os.ReadFile(control.DrainPath(path))
-	if out.Drained = err == nil; err == nil {
-		var since float64
-		if since, err = maintenance.DecodeDrain(text); err == nil {
-			out.Since = time.UnixMilli(int64(since)).UTC().Format(time.RFC3339)
-		}
-	}
-	if err != nil && !errors.Is(err, os.ErrNotExist) {
-		return fmt.Errorf("%s: %w", control.DrainPath(path), err)
+func exitCodeOf(answer adminclient.Answer, err error) int {
+	switch {
+	case err != nil:
+		return exitNoAnswer
+	case !answer.OK:
+		return exitNo
 	}
+	return exitYes
+}
+
+func (a *admin) print(c *cobra.Command, answers []adminclient.Answer, exitCode int) error {
 	if a.asJSON {
-		return printJSON(c, out)
+		return printJSON(c.OutOrStdout(), map[string]any{"mgmt": a.address, "calls": answers, "exit": exitCode})
 	}
-	for _, id := range out.Suspended {
-		c.Println("suspended", id)
-	}
-	if out.Drained {
-		c.Println("drained since", out.Since)
+	const columnPadding = 2
+	table := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, columnPadding, ' ', 0)
+	for _, answer := range answers {
+		if _, err := fmt.Fprintf(table, "%s\t%s\t%s\t%s\n", answer.Call, answer.ID, verdict(answer),
+			answer.Reason); err != nil {
+			return err
+		}
 	}
-	if len(out.Suspended) == 0 && !out.Drained {
-		c.Println("nothing")
+	return table.Flush()
+}
+
+func verdict(answer adminclient.Answer) string {
+	switch {
+	case answer.OK:
+		return "yes"
+	case answer.Status == 0:
+		return "no answer"
 	}
-	return nil
+	return "no"
 }
 
-func printJSON(c *cobra.Command, v any) error {
-	text, err := json.MarshalIndent(v, "", "  ")
+func printJSON(w io.Writer, value any) error {
+	text, err := json.MarshalIndent(value, "", "  ")
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Fprintln(c.OutOrStdout(), string(text))
+	_, err = fmt.Fprintln(w, string(text))
 	return err
 }
