--- a/internal/ops/control/handover.go
+++ b/internal/ops/control/handover.go
@@ -17,7 +17,7 @@
 	HandOver() []scheduler.WarmupSend
 	// TakeOver counts sends of a predecessor as the scheduler's own.
 	TakeOver(sends []scheduler.WarmupSend)
-	// OtherProcessActive tells that another process sends to warming backends now: nothing is sent to them for a
+	// OtherProcessActive notifies that another process sends to warming backends now: nothing is sent to them for a
 	// window.
 	OtherProcessActive()
 }
@@ -32,7 +32,7 @@
 	StartedUnixMs float64
 	// BrokerCount is the number of brokers in the settings; 0 is unknown.
 	BrokerCount int
-	// Core is asked for its sends and told of a predecessor's.
+	// Core gives its sends to a successor, and takes over a predecessor's.
 	Core SlowStartSender
 	// Known tells whether the backend with this replica number is listed here.
 	Known func(replica uint32) bool
@@ -75,8 +75,8 @@
 	h.log.Info("slow-start sends handed over", zap.Int("sent", len(sends)), zap.Error(err))
 }
 
-// poll takes over from a predecessor once its record can be applied. Until then the scheduler is told, at each poll,
-// of a process that serves beside this one: each of the two would use the whole quota.
+// poll takes over from a predecessor once its record can be applied. Until then the scheduler is notified, at each
+// poll, of another process that serves: each of the two would use the whole quota.
 func (h *handoverExchange) poll() {
 	if h.otherProcess.serving() && !h.settled {
 		h.config.Core.OtherProcessActive()
--- a/internal/ops/control/handover_test.go
+++ b/internal/ops/control/handover_test.go
@@ -13,7 +13,7 @@
 	"ternstage/internal/ops/handover"
 )
 
-// slowStartSender counts what the scheduler is told.
+// slowStartSender counts the calls of the scheduler.
 type slowStartSender struct {
 	otherActive int // calls of OtherProcessActive
 	takenOver   int // calls of TakeOver
--- a/internal/ops/control/otherprocess_test.go
+++ b/internal/ops/control/otherprocess_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestOtherProcessServes checks that the scheduler is told at each poll while another process serves beside this one,
-// until that one hands over or ends, however it ends.
+// TestOtherProcessServes checks that the scheduler is notified at each poll while another process serves beside this
+// one, until that one hands over or ends, however it ends.
 func TestOtherProcessServes(t *testing.T) {
 	dir := t.TempDir()
 	path, recordPath := filepath.Join(dir, "held.json"), filepath.Join(dir, "cold.json")
--- a/internal/ops/maintenance/doc.go
+++ b/internal/ops/maintenance/doc.go
@@ -17,6 +17,6 @@
 // [Drain] is whether the broker sends its clients elsewhere, and how far that has come ([Phase]).
 //
 // Both are facts of the broker and not of one process: they are stored in files that every process of the broker
-// reads ([EncodeSuspensions], [EncodeDrain]), so that they survive restarts and upgrades. The words of those files
-// are the platform's ("held", "leafs") and appear nowhere else.
+// reads ([EncodeSuspensions], [EncodeDrain]), so that they survive restarts and upgrades. Those files, and the
+// reasons of answers, keep the platform's words ("held", "leafs"), which appear nowhere else here.
 package maintenance
--- a/internal/store/statefile/fingerprint.go
+++ b/internal/store/statefile/fingerprint.go
@@ -9,8 +9,8 @@
 // Fingerprint distinguishes one content of a file from another by the file's inode, size and modification time. It is
 // comparable. The zero value is no file's.
 //
-// Files must be replaced by [Write]: a replaced file has another inode, and so differs even if it has the same size
-// and was written within the resolution of the file system's clock.
+// Files must be replaced by [Write]: a file has another inode than the one that it replaces, and so differs from it
+// even if it has the same size and was written within the resolution of the file system's clock.
 type Fingerprint struct {
 	inode   uint64
 	size    int64
