--- a/internal/ops/control/handover.go
+++ b/internal/ops/control/handover.go
@@ -78,13 +78,17 @@
 // poll takes over from a predecessor once its record can be applied. Until then the scheduler is notified, at each
 // poll, of another process that serves: each of the two would use the whole quota.
 func (h *handoverExchange) poll() {
-	if h.otherProcess.serving() && !h.settled {
+	otherServes := h.otherProcess.detect()
+	if h.settled {
+		return
+	}
+	if otherServes {
 		h.config.Core.OtherProcessActive()
 	}
-	if h.settled || !h.readRecord() || h.pending == nil {
-		return
+	readable := h.readRecord()
+	if readable && h.pending != nil {
+		h.decide()
 	}
-	h.decide()
 }
 
 // readRecord reads the record if it has changed. It returns false when the record cannot be read.
--- a/internal/ops/control/otherprocess.go
+++ b/internal/ops/control/otherprocess.go
@@ -25,8 +25,8 @@
 	return &processDetector{log: log, path: path}
 }
 
-// serving tells whether another process serves. The first answer of no makes this process the one that others detect.
-func (d *processDetector) serving() bool {
+// detect tells whether another process serves. It takes the lock if none does, and others then detect this process.
+func (d *processDetector) detect() bool {
 	if d.alone {
 		return false
 	}
@@ -39,6 +39,7 @@
 		}
 		d.lock = lock
 	}
-	d.alone = d.lock.TryLock() == nil
+	err := d.lock.TryLock()
+	d.alone = err == nil
 	return !d.alone
 }
