--- /dev/null
+++ b/internal/ops/adminapi/server.go
@@ -0,0 +1,149 @@
+package adminapi
+
+import (
+	"errors"
+	"fmt"
+	"net/http"
+
+	"golang.org/x/sys/unix"
+
+	"ternstage/internal/logs"
+	"ternstage/internal/loop"
+)
+
+const (
+	// MaxConnections is the maximum number of connections at once. One more evicts an answered connection or, without
+	// one, the oldest, which is answered 503.
+	MaxConnections = 64
+	// AnswerWithinMs is the time in milliseconds from the connection within which a call has to arrive. After it the
+	// caller is answered 408.
+	AnswerWithinMs = 800.0
+	// LingerMs is the time in milliseconds after the answer for which the connection is kept if the caller does not
+	// close it.
+	LingerMs = 1000.0
+
+	// pollIntervalMs is how often the time limits are checked. It bounds how much later than them a caller is answered.
+	pollIntervalMs = 50.0
+)
+
+var (
+	errTimeout            = errors.New("the call did not come whole within 0.8 s")
+	errTooManyConnections = errors.New("too many callers at once")
+)
+
+// Server is the listener of the admin API. Its methods are called on the event loop.
+type Server struct {
+	loop         *loop.Loop
+	operations   Operations
+	log          *logs.Log
+	listenerFD   int // -1 once closed
+	connections  map[*connection]struct{}
+	pollTimer    *loop.Timer
+	acceptPaused bool // until the next poll, for lack of descriptors
+}
+
+// Listen serves the admin API at address, "HOST:PORT" with a numeric host. Errors name the setting "mgmt".
+func Listen(eventLoop *loop.Loop, operations Operations, log *logs.Log, address string) (*Server, error) {
+	fd, err := loop.Listen(address)
+	if err != nil {
+		return nil, fmt.Errorf("mgmt: %w", err)
+	}
+	s := &Server{
+		loop:        eventLoop,
+		operations:  operations,
+		log:         log,
+		listenerFD:  fd,
+		connections: map[*connection]struct{}{},
+	}
+	s.pollTimer = eventLoop.NewTimer(s.poll)
+	if err := eventLoop.Add(fd, unix.EPOLLIN, s); err != nil {
+		_ = unix.Close(fd)
+		return nil, fmt.Errorf("mgmt: %w", err)
+	}
+	return s, nil
+}
+
+// Ready implements loop.Handler: connections wait to be accepted.
+func (s *Server) Ready(uint32) {
+	for range MaxConnections {
+		fd, err := loop.Accept(s.listenerFD)
+		if errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EINTR) || errors.Is(err, unix.ECONNABORTED) {
+			return
+		}
+		if err != nil {
+			s.pauseAccept()
+			return
+		}
+		s.accept(fd)
+	}
+}
+
+// pauseAccept stops watching the listener until the next poll, for lack of descriptors: it stays readable, and the
+// event loop would spin. The callers wait in the kernel's queue.
+func (s *Server) pauseAccept() {
+	s.acceptPaused = true
+	s.loop.SetEvents(s.listenerFD, 0)
+	s.schedulePoll()
+}
+
+func (s *Server) accept(fd int) {
+	if len(s.connections) >= MaxConnections {
+		s.evictOne()
+	}
+	c := &connection{server: s, acceptedAtMs: s.loop.Now(), peer: peerAddress(fd)}
+	stream, err := loop.NewStream(s.loop, fd, unix.EPOLLIN|unix.EPOLLRDHUP, c)
+	if err != nil {
+		return // NewStream has closed fd
+	}
+	c.stream = stream
+	s.connections[c] = struct{}{}
+	s.schedulePoll()
+}
+
+func (s *Server) evictOne() {
+	var oldest *connection
+	for c := range s.connections {
+		if c.answered {
+			c.close(logs.OperatorDone, nil)
+			return
+		}
+		if oldest == nil || c.acceptedAtMs < oldest.acceptedAtMs {
+			oldest = c
+		}
+	}
+	oldest.reject(http.StatusServiceUnavailable, errTooManyConnections, logs.OperatorLimit)
+	oldest.close(logs.OperatorLimit, errTooManyConnections)
+}
+
+func (s *Server) schedulePoll() { s.pollTimer.SetEarlier(s.loop.Now() + pollIntervalMs) }
+
+// poll enforces the time limits, and accepts again after a pause.
+func (s *Server) poll() {
+	nowMs := s.loop.Now()
+	if s.acceptPaused && s.listenerFD >= 0 {
+		s.acceptPaused = false
+		s.loop.SetEvents(s.listenerFD, unix.EPOLLIN)
+	}
+	for c := range s.connections {
+		switch {
+		case c.answered && nowMs-c.answeredAtMs > LingerMs:
+			c.close(logs.OperatorDone, nil)
+		case !c.answered && nowMs-c.acceptedAtMs > AnswerWithinMs:
+			c.reject(http.StatusRequestTimeout, errTimeout, logs.OperatorTimeout)
+		}
+	}
+	if len(s.connections) > 0 {
+		s.pollTimer.Set(nowMs + pollIntervalMs)
+	}
+}
+
+// Close closes the listener and all connections. A repeated call does nothing.
+func (s *Server) Close() {
+	for c := range s.connections {
+		c.close(logs.Shutdown, nil)
+	}
+	if s.listenerFD >= 0 {
+		s.loop.Close(s.listenerFD)
+		s.listenerFD = -1
+	}
+}
--- /dev/null
+++ b/internal/ops/maintenance/call.go
@@ -0,0 +1,35 @@
+package maintenance
+
+import (
+	"fmt"
+	"net/http"
+)
+
+// CallResult is the answer to an operator's call. Calls are idempotent: a repeated call has the same status and
+// changes nothing.
+type CallResult struct {
+	// Status is the HTTP status: 2xx when the call is carried out or was before, 4xx or 5xx when it is not.
+	Status int
+	// Reason is shown to the operator. It is part of the admin API: callers compare it.
+	Reason string
+	// Changed tells that this call changed the state.
+	Changed bool
+}
+
+// OK tells whether the call was successful, which is a 2xx status.
+func (r CallResult) OK() bool { return r.Status >= 200 && r.Status < 300 }
+
+// The reasons are part of the admin API and keep the platform's words.
+var (
+	resultDone        = CallResult{Status: http.StatusOK, Reason: "done", Changed: true}
+	resultAlready     = CallResult{Status: http.StatusOK, Reason: "so already"}
+	resultNeverListed = CallResult{Status: http.StatusNotFound, Reason: "no leaf of that id was ever listed"}
+	resultTableFull   = CallResult{
+		Status: http.StatusInsufficientStorage,
+		Reason: fmt.Sprintf("%d leafs are held out already", MaxSuspended),
+	}
+	resultInvalidID = CallResult{
+		Status: http.StatusBadRequest,
+		Reason: "a leaf id is 1 to 256 bytes of letters, digits, '-', '_', '.' and ':'",
+	}
+)
--- /dev/null
+++ b/internal/ops/maintenance/suspensions.go
@@ -0,0 +1,127 @@
+package maintenance
+
+import "slices"
+
+const (
+	// MaxSuspended is the maximum number of backends suspended at once. Suspend answers 507 beyond it.
+	MaxSuspended = 1024
+	// MaxKnownIDs is the maximum number of ids remembered from endpoint lists. Beyond it the oldest is forgotten.
+	MaxKnownIDs = 16384
+)
+
+// Suspensions is the set of suspended backends, together with the ids that were ever listed: these tell a backend
+// that is absent for a while, which can be suspended, from a mistyped id.
+//
+// Invariants: at most MaxSuspended ids are suspended and at most MaxKnownIDs are known; each is valid (see ValidID);
+// and an id stays suspended when it is forgotten.
+type Suspensions struct {
+	// ForgottenIDs counts the known ids that were forgotten at the bound.
+	ForgottenIDs uint64
+
+	suspended  map[string]struct{}
+	known      map[string]struct{}
+	knownOrder []string // the keys of known, oldest first
+}
+
+// NewSuspensions returns an empty set that knows no id.
+func NewSuspensions() *Suspensions {
+	return &Suspensions{suspended: map[string]struct{}{}, known: map[string]struct{}{}}
+}
+
+// MemberListed notes that the endpoint list names the backend id. An invalid id is ignored.
+func (s *Suspensions) MemberListed(id string) {
+	if s.isKnown(id) || !ValidID(id) {
+		return
+	}
+	if len(s.knownOrder) >= MaxKnownIDs {
+		oldest := s.knownOrder[0]
+		s.knownOrder = s.knownOrder[1:]
+		delete(s.known, oldest)
+		s.ForgottenIDs++
+	}
+	s.known[id] = struct{}{}
+	s.knownOrder = append(s.knownOrder, id)
+}
+
+func (s *Suspensions) isKnown(id string) bool {
+	_, ok := s.known[id]
+	return ok
+}
+
+// Suspended tells whether the backend id is suspended.
+func (s *Suspensions) Suspended(id string) bool {
+	_, ok := s.suspended[id]
+	return ok
+}
+
+// Suspend suspends the backend id. It answers 400 to an invalid id, 404 to one that was never listed and 507 when
+// MaxSuspended backends are suspended.
+func (s *Suspensions) Suspend(id string) CallResult {
+	switch {
+	case !ValidID(id):
+		return resultInvalidID
+	case s.Suspended(id):
+		return resultAlready
+	case !s.isKnown(id):
+		return resultNeverListed
+	case len(s.suspended) >= MaxSuspended:
+		return resultTableFull
+	}
+	s.suspended[id] = struct{}{}
+	return resultDone
+}
+
+// Resume ends the suspension of the backend id. It answers 400 to an invalid id and 404 to one that is not suspended
+// and was never listed.
+func (s *Suspensions) Resume(id string) CallResult {
+	switch {
+	case !ValidID(id):
+		return resultInvalidID
+	case s.Suspended(id):
+		delete(s.suspended, id)
+		return resultDone
+	case !s.isKnown(id):
+		return resultNeverListed
+	}
+	return resultAlready
+}
+
+// IDs returns the suspended backends, sorted.
+func (s *Suspensions) IDs() []string {
+	ids := make([]string, 0, len(s.suspended))
+	for id := range s.suspended {
+		ids = append(ids, id)
+	}
+	slices.Sort(ids)
+	return ids
+}
+
+// Replace makes ids the suspended backends, as another process of the broker has stored them. It returns which were
+// added and which were resumed by that, each sorted. Invalid ids and those beyond MaxSuspended are left out. An added
+// id becomes known: only a listed backend can have been suspended.
+func (s *Suspensions) Replace(ids []string) (added, resumed []string) {
+	target := map[string]struct{}{}
+	for _, id := range ids {
+		if ValidID(id) && len(target) < MaxSuspended {
+			target[id] = struct{}{}
+		}
+	}
+	for id := range s.suspended {
+		if _, ok := target[id]; !ok {
+			resumed = append(resumed, id)
+			delete(s.suspended, id)
+		}
+	}
+	for id := range target {
+		if !s.Suspended(id) {
+			added = append(added, id)
+		}
+	}
+	slices.Sort(added)
+	slices.Sort(resumed)
+	for _, id := range added {
+		s.suspended[id] = struct{}{}
+		s.MemberListed(id)
+	}
+	return added, resumed
+}
