--- /dev/null
+++ b/internal/catalog/golden_test.go
@@ -0,0 +1,116 @@
+package catalog_test
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"ternstage/internal/catalog"
+	"ternstage/internal/slicemap"
+)
+
+// The file of testdata/golden was written by the cache of commit aa8ad37, and programs start by such files: it is
+// never written anew. Those of testdata/golden/refused are copies of it, spoilt by hand.
+
+// load reads a kept map as a program does at its start.
+func load(t *testing.T, name string) (*slicemap.Whole, error) {
+	t.Helper()
+	c := catalog.NewCache(filepath.Join("testdata", "golden", name), func(err error) { t.Error(err) })
+	defer c.Close()
+	return c.Load()
+}
+
+// TestGoldenMap: the map that an earlier build kept is read whole, put into use, and kept the same.
+func TestGoldenMap(t *testing.T) {
+	w, err := load(t, "map.json")
+	require.NoError(t, err)
+	between := func(lo, hi int) slicemap.Range { return slicemap.Range{Lo: lo, Hi: hi} }
+	require.Equal(t, &slicemap.Whole{Epoch: 1047, Districts: 64,
+		Slices: []*slicemap.Slice{
+			{ID: 5, Range: between(0, 6), Holders: []string{"s-0", "s-1", "s-2"}, State: slicemap.Serving, Since: 1042,
+				Parents: []int{0}},
+			{ID: 6, Range: between(6, 16), Holders: []string{"s-0", "s-1", "s-2"}, State: slicemap.HandingOver,
+				From: "s-1", To: "s-3", Since: 1046, Parents: []int{0}},
+			{ID: 1, Range: between(16, 32), Holders: []string{"s-1", "s-2", "s-3"}, State: slicemap.Preparing,
+				From: "s-2", To: "s-0", Since: 1044},
+			{ID: 7, Range: between(32, 48), Holders: []string{"s-2", "s-3"}, State: slicemap.Serving, Since: 1043,
+				Parents: []int{2, 3}},
+			{ID: 4, Range: between(48, 64), Holders: []string{"s-0", "s-11"}, State: slicemap.Serving, Since: 1047},
+		},
+		Retired: []slicemap.Retiree{{ID: 0, Range: between(0, 16)}, {ID: 2, Range: between(32, 40)},
+			{ID: 3, Range: between(40, 48)}}}, w)
+
+	m := slicemap.New(slicemap.Options{})
+	gone, err := m.Reset(*w)
+	require.NoError(t, err)
+	assert.Empty(t, gone)
+	assert.EqualValues(t, 1047, m.Current().Epoch)
+	for id, want := range map[int]slicemap.Range{0: between(0, 16), 2: between(32, 40), 3: between(40, 48),
+		1: between(16, 32), 4: between(48, 64), 5: between(0, 6), 6: between(6, 16), 7: between(32, 48)} {
+		got, err := m.Resolve(id)
+		require.NoError(t, err, "slice %d", id)
+		assert.Equal(t, want, got, "slice %d", id)
+	}
+	for id, want := range map[int][]string{1: {"s-1", "s-2", "s-3"}, 4: {"s-0", "s-11"}, 5: {"s-0", "s-1", "s-2"},
+		6: {"s-0", "s-3", "s-2"}, 7: {"s-2", "s-3"}} {
+		assert.Equal(t, want, m.Slice(id).Executors(), "slice %d", id)
+	}
+	require.Len(t, m.Moving(), 2)
+
+	// Kept again, it is the same to the byte.
+	path := filepath.Join(t.TempDir(), "map.json")
+	c := catalog.NewCache(path, func(err error) { t.Error(err) })
+	c.Keep(m.Current(), m.Retired(1<<12))
+	c.Close()
+	got, err := os.ReadFile(path)
+	require.NoError(t, err)
+	want, err := os.ReadFile(filepath.Join("testdata", "golden", "map.json"))
+	require.NoError(t, err)
+	assert.Equal(t, string(want), string(got))
+
+	// The change that comes next is understood.
+	_, err = m.Apply([]slicemap.Change{{Base: 1047, Epoch: 1048, Kind: slicemap.Done, Slice: 6}}, nil)
+	require.NoError(t, err)
+	assert.Equal(t, []string{"s-0", "s-3", "s-2"}, m.Slice(6).Holders)
+}
+
+// TestGoldenMapRefused: a kept map that is torn, empty or has not the form of one is refused as it is read, and
+// one that is no sound map as it is put into use. The file stays as it is.
+func TestGoldenMapRefused(t *testing.T) {
+	for name, says := range map[string]string{
+		"torn.json":          "unexpected end",
+		"empty.json":         "unexpected end",
+		"no-epoch.json":      "epoch",
+		"epoch-as-text.json": "epoch",
+		"not-complete.json":  "",
+		"unknown-state.json": `"copying"`,
+	} {
+		file := filepath.Join("testdata", "golden", "refused", name)
+		before, err := os.ReadFile(file)
+		require.NoError(t, err)
+		w, err := load(t, "refused/"+name)
+		require.ErrorIs(t, err, catalog.ErrDoc, name)
+		assert.ErrorContains(t, err, says, name)
+		assert.ErrorContains(t, err, file, "it names the file")
+		assert.Nil(t, w, name)
+		after, err := os.ReadFile(file)
+		require.NoError(t, err)
+		assert.Equal(t, before, after, name)
+	}
+	for name, want := range map[string]error{
+		"map-hole.json":              slicemap.ErrHole,
+		"map-overlap.json":           slicemap.ErrOverlap,
+		"map-moved-to-a-holder.json": slicemap.ErrHolder,
+		"map-retired-in-use.json":    slicemap.ErrRange,
+	} {
+		w, err := load(t, "refused/"+name)
+		require.NoError(t, err, name)
+		m := slicemap.New(slicemap.Options{})
+		_, err = m.Reset(*w)
+		require.ErrorIs(t, err, want, name)
+		assert.Zero(t, m.Current().Epoch, "%s: nothing of it is in use", name)
+	}
+}
