--- /dev/null
+++ b/internal/lab/result/golden_test.go
@@ -0,0 +1,256 @@
+package result_test
+
+import (
+	"encoding/csv"
+	"encoding/json"
+	"fmt"
+	"io/fs"
+	"maps"
+	"os"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"ternstage/internal/lab/check"
+	"ternstage/internal/lab/ledger"
+	"ternstage/internal/lab/result"
+)
+
+// The folders of testdata/golden were kept by the lab of commit aa8ad37, and are never written anew: follow, naive
+// and mass by `ternlab run --out`, every by result.Write of a summary in which each figure has a value of its own.
+// Those of testdata/golden/refused are spoilt by hand.
+
+func golden(dir string) string { return filepath.Join("testdata", "golden", dir) }
+
+func text(t *testing.T, path ...string) string {
+	t.Helper()
+	b, err := os.ReadFile(filepath.Join(path...))
+	require.NoError(t, err)
+	return string(b)
+}
+
+// rows are a kept table without its head, which must be as told.
+func rows(t *testing.T, head, dir, name string) [][]string {
+	t.Helper()
+	all, err := csv.NewReader(strings.NewReader(text(t, golden(dir), name))).ReadAll()
+	require.NoError(t, err)
+	require.Equal(t, head, strings.Join(all[0], ","), name)
+	return all[1:]
+}
+
+func whole(t *testing.T, s string) int {
+	t.Helper()
+	n, err := strconv.Atoi(s)
+	require.NoError(t, err)
+	return n
+}
+
+func number(t *testing.T, s string) float64 {
+	t.Helper()
+	x, err := strconv.ParseFloat(s, 64)
+	require.NoError(t, err)
+	return x
+}
+
+var kept = map[string]result.Summary{
+	"every": {Name: "mass", Arm: "sighup", Seed: 103, Mode: "live",
+		Counts: check.Counts{Taken: 106, Answered: 107, Refused: 108, Failed: 109, Lost: 110, BindTwice: 111,
+			Overlaps: 112, FalselyWhole: 113, Short: 114, WrongValue: 115, CountedTwice: 116, DrainLate: 117,
+			ColdFallen: 118},
+		Changes: 119, Epochs: 120, Slices: 121, KeptMax: 122, Caught: 123, Replaced: 124, SplitParts: 125, Moved: 126,
+		Disagree: 127, Refusals: 128, Reads: 129, Stale: 130, Behind: 131, OpenEnd: 132, P50: 133.25, P99: 134.25,
+		Worth: 135.25, Busy: 136, BusyShare: 137.25, ColdUsed: 138.25, ColdShort: 139.25, Fairness: 140.25,
+		WallS: 141.25, SimulatedS: 142.25, Notes: []string{"q00000917: lost", "s-1: drain"}},
+	"follow": {Name: "reshard", Arm: "follow", Seed: 4, Mode: "sim",
+		Counts:  check.Counts{Taken: 859, Answered: 849, Refused: 8, Failed: 1},
+		Changes: 70, Epochs: 71, Slices: 27, KeptMax: 5, Caught: 21, Moved: 47, Refusals: 1, Reads: 5, Behind: 1,
+		P50: 29.279, P99: 276.479, Worth: 0.988373, ColdUsed: 0.19131654662786834, ColdShort: 0.09881719432262286,
+		Fairness: 0.9999743696945055, WallS: 0.194568941, SimulatedS: 22.992404328758944},
+	"mass": {Name: "mass", Arm: "follow", Seed: 1, Mode: "sim",
+		Counts: check.Counts{Taken: 758, Answered: 549, Refused: 209}, Epochs: 1, Slices: 8, KeptMax: 1, P50: 56.927,
+		P99: 679.423, Worth: 0.832674, ColdUsed: 0.20332013344056166, ColdShort: 0.20332013344056166,
+		Fairness: 0.9994714048949503, WallS: 0.458450379, SimulatedS: 17.247052450411488},
+	"naive": {Name: "reshard", Arm: "naive", Seed: 3, Mode: "sim",
+		Counts:  check.Counts{Taken: 3028, Answered: 884, Refused: 2144, BindTwice: 2},
+		Changes: 159, Epochs: 161, Slices: 59, KeptMax: 1, Behind: 2138, P50: 16.959, P99: 289.03043989431967,
+		Worth: 0.5263775931307795, ColdUsed: 0.03379728481816663, ColdShort: 0.025337664296146194,
+		Fairness: 0.9958312917491314, WallS: 0.7699354389999999, SimulatedS: 40,
+		Notes: []string{"q00000917: districts 0-16 ran again at node-1",
+			"q00000339: districts 0-16 ran again at node-0"},
+		Runs: []result.Summary{
+			{Name: "reshard", Arm: "naive", Seed: 3, Mode: "sim",
+				Counts:  check.Counts{Taken: 1416, Answered: 456, Refused: 960, BindTwice: 1},
+				Changes: 82, Epochs: 83, Slices: 26, KeptMax: 1, Behind: 959, P50: 16.959, P99: 293.119, Worth: 0.562021,
+				Fairness: 0.9999230591675003, WallS: 0.390561801, SimulatedS: 20,
+				Notes: []string{"q00000917: districts 0-16 ran again at node-1"}},
+			{Name: "reshard", Arm: "naive", Seed: 4, Mode: "sim",
+				Counts:  check.Counts{Taken: 1612, Answered: 428, Refused: 1184, BindTwice: 1},
+				Changes: 77, Epochs: 78, Slices: 33, KeptMax: 1, Behind: 1179, P50: 16.959, P99: 285.439, Worth: 0.495068,
+				ColdUsed: 0.06348522235074971, ColdShort: 0.047594570402438384, Fairness: 0.9922370345131449,
+				WallS: 0.379373638, SimulatedS: 20,
+				Notes: []string{"q00000339: districts 0-16 ran again at node-0"}}}},
+}
+
+// TestGoldenRuns: what the lab of an earlier build kept of a run is read whole, and kept again the same.
+func TestGoldenRuns(t *testing.T) {
+	for name, want := range kept {
+		t.Run(name, func(t *testing.T) {
+			s, err := result.Read(golden(name))
+			require.NoError(t, err)
+			require.Equal(t, want, s)
+			dir := filepath.Join(t.TempDir(), "kept")
+			require.NoError(t, result.Write(dir, s))
+			for _, file := range []string{"summary.json", "summary.md", "summary.csv"} {
+				assert.Equal(t, text(t, golden(name), file), text(t, dir, file), file)
+			}
+
+			// All numbers at the top of the file are figures, by the names they have there.
+			var all map[string]any
+			require.NoError(t, json.Unmarshal([]byte(text(t, golden(name), "summary.json")), &all))
+			figures := map[string]float64{}
+			for k, v := range all {
+				if x, ok := v.(float64); ok {
+					figures[k] = x
+				}
+			}
+			assert.Len(t, figures, 38)
+			assert.Equal(t, figures, s.Figures())
+			if len(s.Runs) > 0 {
+				assert.Equal(t, s, result.Sum(s.Runs), "the sum of its seeds")
+			}
+		})
+	}
+}
+
+// TestGoldenSeries: the course of a run that an earlier build kept is written the same.
+func TestGoldenSeries(t *testing.T) {
+	for name, n := range map[string]int{"follow": 22, "mass": 17, "naive": 0} {
+		var points []result.Point
+		for _, r := range rows(t, "second,taken,answered,refused,failed,changes,worth", name, "series.csv") {
+			points = append(points, result.Point{Second: whole(t, r[0]), Taken: whole(t, r[1]), Answered: whole(t, r[2]),
+				Refused: whole(t, r[3]), Failed: whole(t, r[4]), Changes: whole(t, r[5]), Worth: number(t, r[6])})
+		}
+		require.Len(t, points, n, name)
+		if n > 0 {
+			last, s := points[n-1], kept[name]
+			s.Worth = last.Worth
+			assert.Equal(t, result.PointOf(last.Second, s), last, "%s ends as its summary says", name)
+		}
+		dir := t.TempDir()
+		require.NoError(t, result.WriteSeries(dir, points))
+		assert.Equal(t, text(t, golden(name), "series.csv"), text(t, dir, "series.csv"), name)
+	}
+}
+
+// TestGoldenFleet: what an earlier build kept of many brokers is written the same.
+func TestGoldenFleet(t *testing.T) {
+	for name, n := range map[string][3]int{"follow": {2, 2, 150}, "mass": {4, 2, 120}} {
+		l := ledger.New(0)
+		for i, r := range rows(t, "broker,parts_sent,parts_busy,answered,refused,failed", name, "brokers.csv") {
+			require.Equal(t, i, whole(t, r[0]))
+			l.Brokers = append(l.Brokers, ledger.Broker{Sent: whole(t, r[1]), Busy: whole(t, r[2]),
+				Answered: whole(t, r[3]), Refused: whole(t, r[4]), Without: whole(t, r[5])})
+		}
+		for _, r := range rows(t, "node,may_ms,sent_ms,brokers,parts_busy", name, "nodes.csv") {
+			c := &ledger.Node{Cold: ledger.Cold{May: number(t, r[1]), Used: number(t, r[2])}, Users: map[int]bool{},
+				Refused: whole(t, r[4])}
+			for i := range whole(t, r[3]) {
+				c.Users[i] = true
+			}
+			l.Nodes[r[0]] = c
+		}
+		for _, r := range rows(t, "at_ms,for_ms,cold_may_ms,cold_sent_ms,parts_sent,parts_busy,queries_refused", name,
+			"moments.csv") {
+			l.Moments = append(l.Moments, ledger.Moment{At: number(t, r[0]), For: number(t, r[1]),
+				Cold: ledger.Cold{May: number(t, r[2]), Used: number(t, r[3])}, Sent: whole(t, r[4]), Busy: whole(t, r[5]),
+				Refused: whole(t, r[6])})
+		}
+		require.Equal(t, n, [3]int{len(l.Brokers), len(l.Nodes), len(l.Moments)}, name)
+		answered := 0
+		for _, b := range l.Brokers {
+			answered += b.Answered
+		}
+		assert.Equal(t, kept[name].Answered, answered, "%s: brokers and summary agree", name)
+		dir := t.TempDir()
+		require.NoError(t, result.WriteFleet(dir, l))
+		for _, file := range []string{"brokers.csv", "nodes.csv", "moments.csv"} {
+			assert.Equal(t, text(t, golden(name), file), text(t, dir, file), "%s %s", name, file)
+		}
+	}
+}
+
+// TestGoldenCompare: two kept runs stand side by side, each figure by its name in the files.
+func TestGoldenCompare(t *testing.T) {
+	a, err := result.Read(golden("follow"))
+	require.NoError(t, err)
+	b, err := result.Read(golden("every"))
+	require.NoError(t, err)
+	lines := strings.Split(strings.TrimSpace(result.Compare(a, b)), "\n")
+	assert.Contains(t, lines[0], "| reshard, follow | mass, sighup |")
+	x, y := a.Figures(), b.Figures()
+	delete(x, "seed")
+	var want []string
+	for _, name := range slices.Sorted(maps.Keys(x)) {
+		ratio := "-"
+		if x[name] != 0 {
+			ratio = fmt.Sprintf("%.3f", y[name]/x[name])
+		}
+		want = append(want, fmt.Sprintf("| %s | %.6g | %.6g | %+.6g | %s |", name, x[name], y[name], y[name]-x[name],
+			ratio))
+	}
+	assert.Equal(t, want, lines[2:])
+	assert.Contains(t, want, "| taken | 859 | 106 | -753 | 0.123 |")
+}
+
+// TestGoldenReport: the page of a run that an earlier build kept shows its charts, its figures and its seeds.
+func TestGoldenReport(t *testing.T) {
+	for name, charts := range map[string][]string{
+		"mass":   {"ends.svg", "worth.svg", "cold.svg", "brokers.svg"},
+		"naive":  {"seeds.svg"},
+		"follow": nil, // without the drawings
+	} {
+		dir := filepath.Join(t.TempDir(), name)
+		require.NoError(t, os.CopyFS(dir, os.DirFS(golden(name))))
+		require.NoError(t, result.Report(dir))
+		page := text(t, dir, "report.html")
+		at := 0
+		for _, c := range charts {
+			i := strings.Index(page[at:], fmt.Sprintf(`<img src="%s"`, c))
+			require.GreaterOrEqual(t, i, 0, "%s shows %s, in this order", name, c)
+			at += i
+		}
+		assert.Equal(t, len(charts), strings.Count(page, "<img "), name)
+		for figure, x := range kept[name].Figures() {
+			if figure != "seed" {
+				assert.Contains(t, page, fmt.Sprintf("<td>%s</td><td>%.8g</td>", figure, x), name)
+			}
+		}
+		for _, n := range kept[name].Notes {
+			assert.Contains(t, page, n)
+		}
+		for _, r := range kept[name].Runs {
+			assert.Contains(t, page, fmt.Sprintf("<tr><td>%d</td><td>%d</td><td>%d</td><td>%d</td>", r.Seed, r.Taken,
+				r.Answered, r.Refused))
+		}
+	}
+}
+
+// TestGoldenRefused: a folder whose summary is torn, empty or no summary is refused, by name, and so is one that
+// keeps none.
+func TestGoldenRefused(t *testing.T) {
+	for _, name := range []string{"torn", "empty", "text-for-a-number", "a-list"} {
+		dir := golden("refused/" + name)
+		_, err := result.Read(dir)
+		require.ErrorContains(t, err, dir)
+		require.NotErrorIs(t, err, fs.ErrNotExist, "the example is not there")
+		require.Error(t, result.Report(dir), name)
+		assert.NoFileExists(t, filepath.Join(dir, "report.html"))
+	}
+	_, err := result.Read(golden("refused"))
+	require.ErrorIs(t, err, fs.ErrNotExist)
+}
