--- a/test/harness_test.go
+++ b/test/harness_test.go
@@ -201,6 +201,7 @@
 	inherit  *os.File // a listener for clients, given as descriptor 5
 	listen   string   // its address
 	drained  bool     // its clients are sent away: it is ready once it says so to the operators
+	program  string   // the binary to start; "" for the one that TestMain built
 }
 
 func freeAddress(t *testing.T) string {
@@ -216,7 +217,13 @@
 
 // launchWith starts the program with a listener as descriptor 5, where one is given.
 func launchWith(t *testing.T, config []byte, inherit *os.File, env ...string) *program {
+	return launchOf(t, built, config, inherit, env...)
+}
+
+// launchOf is launchWith of any binary.
+func launchOf(t *testing.T, binary string, config []byte, inherit *os.File, env ...string) *program {
 	return launchBy(t, config, func(c *exec.Cmd) {
+		c.Path, c.Args = binary, []string{binary}
 		c.Env = append(c.Env, env...)
 		if inherit == nil {
 			return
@@ -274,7 +281,10 @@
 		mgmt = freeAddress(t)
 		env = append(env, "BALANCER_MGMT="+mgmt, "TMPDIR="+o.tmp)
 	}
-	p := launchWith(t, text, o.inherit, env...)
+	if o.program == "" {
+		o.program = built
+	}
+	p := launchOf(t, o.program, text, o.inherit, env...)
 	p.addr, p.grpc, p.discovery, p.mgmt = addr, grpc, d, mgmt
 	up := func() bool { return o.drained || p.health() == 200 }
 	if !assert.Eventually(t, func() bool { return up() && (!o.mgmt || call(p, "GET", "/v1/readyz") == 200) }, patience,
