--- a/test/upgrade_versions_test.go
+++ b/test/upgrade_versions_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"context"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -142,7 +143,9 @@
 }
 
 func (f *traffic) ask(tr *http.Transport, addr string, q query) {
-	r, _ := http.NewRequest("POST", "http://"+addr+"/"+q.class, strings.NewReader(q.text()))
+	ctx, cancel := context.WithTimeout(context.Background(), patience) // a call that nobody accepts is unheard too
+	defer cancel()
+	r, _ := http.NewRequestWithContext(ctx, "POST", "http://"+addr+"/"+q.class, strings.NewReader(q.text()))
 	r.Header.Set("X-Request-Id", q.id)
 	r.Header.Set("X-Class", q.class)
 	r.Header.Set("X-Tenant", q.tenant)
