--- a/internal/core/moving.go
+++ b/internal/core/moving.go
@@ -33,13 +33,13 @@
 
 // ReshardingStats counts what became of parts that a change of the map caught.
 type ReshardingStats struct {
-	Replaced uint64 `json:"parts_replaced"`  // went on as parts of other slices
-	Split    uint64 `json:"parts_split"`     // of those: became more than one
-	Caught   uint64 `json:"parts_caught"`    // were out when their slice changed or was retired
-	Paused   uint64 `json:"parts_paused"`    // a node did not hold them, and they waited
-	Twice    uint64 `json:"counted_twice"`   // answers thrown away as their districts were in already
-	Stale    uint64 `json:"stale_requests"`  // named slices that cannot be understood
-	Behind   uint64 `json:"behind_requests"` // named slices of a newer map than ours: refused
+	Replaced   uint64 `json:"parts_replaced"`  // went on as parts of other slices
+	Split      uint64 `json:"parts_split"`     // of those: became more than one
+	InFlight   uint64 `json:"parts_caught"`    // were out when their slice changed or was retired
+	Paused     uint64 `json:"parts_paused"`    // a node did not hold them, and they waited
+	Duplicates uint64 `json:"counted_twice"`   // answers thrown away as their districts were in already
+	Stale      uint64 `json:"stale_requests"`  // named slices that cannot be understood
+	Behind     uint64 `json:"behind_requests"` // named slices of a newer map than ours: refused
 }
 
 // ReshardingStats counts since the start.
@@ -154,7 +154,7 @@
 		return
 	}
 	if _, err := p.clientPart.Arrived(p.Range); err != nil {
-		c.resharding.Twice++
+		c.resharding.Duplicates++
 		c.log.SchedulerLine(err.Error())
 	}
 }
@@ -249,14 +249,14 @@
 	}
 }
 
-// MapChanged tells that the map has changed: retired are the slices that are in it no more.
-func (c *Core) MapChanged(retired []slicemap.ShardID) {
+// applyMapChange tells that the map has changed: retired are the slices that are in it no more.
+func (c *Core) applyMapChange(retired []slicemap.ShardID) {
 	now, epoch := c.clock.Now(), c.shardMap.Current().Epoch
 	c.scheduler.PlacementChanged()
 	for _, id := range retired {
 		for _, p := range slices.Clone(c.partsByShard[id]) {
 			if n := len(p.attempts); n > 0 && !p.attempts[n-1].ended {
-				c.resharding.Caught++
+				c.resharding.InFlight++
 			}
 			c.reroute(now, p)
 		}
@@ -287,7 +287,7 @@
 func (c *Core) mapApplied(retired []slicemap.ShardID, err error) error {
 	if err == nil && c.Epoch() != c.notifiedEpoch {
 		c.notifiedEpoch = c.Epoch()
-		c.MapChanged(retired)
+		c.applyMapChange(retired)
 		if n := c.shardMap.DroppedVersions(); n != c.droppedVersions {
 			c.log.SchedulerLine(fmt.Sprintf("map versions at their bound: %d let go, %d in all", n-c.droppedVersions, n))
 			c.droppedVersions = n
--- a/internal/core/moving_test.go
+++ b/internal/core/moving_test.go
@@ -270,7 +270,7 @@
 	a := r.one(e)
 	require.True(t, a.Complete)
 	require.Len(t, a.Values, 2)
-	require.Zero(t, r.c.ReshardingStats().Twice)
+	require.Zero(t, r.c.ReshardingStats().Duplicates)
 }
 
 // A slice goes from A to B and back to A while an answer from A's first time is out: that answer counts, once.
--- a/internal/lab/result/result.go
+++ b/internal/lab/result/result.go
@@ -53,7 +53,7 @@
 
 // Add adds what a broker counted.
 func (s *Summary) Add(m core.ReshardingStats, t slicemap.Stats) {
-	s.Caught += int(m.Caught)
+	s.Caught += int(m.InFlight)
 	s.Replaced += int(m.Replaced)
 	s.SplitParts += int(m.Split)
 	s.Behind += int(m.Behind)
--- a/internal/lab/world/virtual.go
+++ b/internal/lab/world/virtual.go
@@ -516,8 +516,8 @@
 }
 
 func add(a, b core.ReshardingStats) core.ReshardingStats {
-	return core.ReshardingStats{Replaced: a.Replaced + b.Replaced, Split: a.Split + b.Split, Caught: a.Caught + b.Caught,
-		Paused: a.Paused + b.Paused, Twice: a.Twice + b.Twice, Stale: a.Stale + b.Stale,
+	return core.ReshardingStats{Replaced: a.Replaced + b.Replaced, Split: a.Split + b.Split, InFlight: a.InFlight + b.InFlight,
+		Paused: a.Paused + b.Paused, Duplicates: a.Duplicates + b.Duplicates, Stale: a.Stale + b.Stale,
 		Behind: a.Behind + b.Behind}
 }
 
