--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -34,7 +34,7 @@
 
 // startBy is until when an attempt that is decided now may begin: while the node may still be draining, and,
 // for a repeat that is dropped only within the window of the first attempt, within that.
-func (c *Core) startBy(now float64, p *part) float64 {
+func (c *Core) startBy(now float64, p *partState) float64 {
 	by, class := now+c.startWindow, &c.classes[p.request.Class]
 	if class.Idempotency != scheduler.IdempotentWithKey {
 		return by
@@ -54,7 +54,7 @@
 	if a == nil || a.ended {
 		return
 	}
-	if a.NonIdempotent && a.part.request.clientGone && !c.backend.Withdraw(a) {
+	if a.NonIdempotent && a.part.request.disconnected && !c.backend.Withdraw(a) {
 		return
 	}
 	c.backend.Abandon(a)
--- a/internal/core/answer.go
+++ b/internal/core/answer.go
@@ -58,7 +58,7 @@
 	if c.shardMap != nil {
 		c.collectValues(r, &a)
 	}
-	a.TimedOut = a.Kind == Failed && slices.ContainsFunc(r.parts, (*part).outOfTime)
+	a.TimedOut = a.Kind == Failed && slices.ContainsFunc(r.parts, (*partState).outOfTime)
 	c.forget(r)
 	c.deliver(r, a)
 }
@@ -66,7 +66,7 @@
 func (c *Core) deliver(r *Request, a Answer) {
 	c.answered[a.Kind]++
 	c.log.RequestEnded(r, a)
-	if !r.clientGone {
+	if !r.disconnected {
 		r.Client.Finish(a)
 	}
 }
@@ -80,7 +80,7 @@
 		return
 	}
 	parts := slices.Clone(r.parts)
-	slices.SortFunc(parts, func(x, y *part) int {
+	slices.SortFunc(parts, func(x, y *partState) int {
 		return cmp.Or(cmp.Compare(x.clientPart.number, y.clientPart.number), cmp.Compare(x.Start, y.Start))
 	})
 	for _, p := range parts {
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -24,7 +24,7 @@
 	Epoch, BackendEpoch uint64
 
 	heapIndex int // in the heap of deadlines; -1 if it is not there
-	part      *part
+	part      *partState
 	number    int
 	sentAt    float64
 	ended     bool
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -26,7 +26,7 @@
 	nextID        uint64
 	requests      map[uint64]*Request
 	requestIDs    map[string]bool // of the requests held
-	parts         map[uint64]*part
+	parts         map[uint64]*partState
 	inFlight      map[[2]uint64]*Attempt // by part and number: those not yet told to the module as ended
 	deadlines     deadlineHeap           // of those that have not ended
 	ended         []endedAttempt         // reported, and not yet told to the module
@@ -38,8 +38,8 @@
 	answered      [3]uint64
 
 	shardMap     *slicemap.Map // nil where slices do not move
-	partsByShard map[slicemap.ShardID][]*part
-	paused       []*part // those that pause for an epoch
+	partsByShard map[slicemap.ShardID][]*partState
+	paused       []*partState // those that pause for an epoch
 	onNewerMap   func(epoch uint64)
 	resharding   ReshardingStats
 
@@ -60,9 +60,9 @@
 func New(s scheduler.Settings, seed uint64, o Options) (*Core, error) {
 	c := &Core{classes: s.Classes, shards: s.Shards, maxAttempts: s.MaxAttempts, maxOpen: o.MaxOpen,
 		maxRetryAfter: s.MaxRetryAfter, startWindow: maxStartWindowMs, clock: o.Clock, log: o.Log, requests: map[uint64]*Request{},
-		parts: map[uint64]*part{}, requestIDs: map[string]bool{},
+		parts: map[uint64]*partState{}, requestIDs: map[string]bool{},
 		inFlight: map[[2]uint64]*Attempt{}, finalAnswerBy: math.Inf(1), wakeAt: math.Inf(1),
-		shardMap: o.ShardMap, partsByShard: map[slicemap.ShardID][]*part{}, onNewerMap: func(uint64) {}}
+		shardMap: o.ShardMap, partsByShard: map[slicemap.ShardID][]*partState{}, onNewerMap: func(uint64) {}}
 	if s.DrainGrace > 0 {
 		c.startWindow = min(c.startWindow, s.DrainGrace*startWindowRatio)
 	}
@@ -112,7 +112,7 @@
 		if c.shardMap != nil && e.outcome != scheduler.Succeeded {
 			c.reroute(now, a.part)
 		}
-		if r := a.part.request; r.clientGone && c.requests[r.queryID] == r && !slices.ContainsFunc(r.parts, (*part).inFlight) {
+		if r := a.part.request; r.disconnected && c.requests[r.queryID] == r && !slices.ContainsFunc(r.parts, (*partState).inFlight) {
 			c.concludeDisconnected(r)
 		}
 	}
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -30,17 +30,17 @@
 	Client         Client
 
 	queryID       uint64
-	parts         []*part
+	parts         []*partState
 	clientParts   []*clientPart     // where slices move: the parts as the client named them
 	version       *slicemap.Version // by which it began
 	nonIdempotent bool
-	clientGone    bool // its client has gone, and a part that must not run twice is still out
+	disconnected  bool // its client has gone, and a part that must not run twice is still out
 }
 
-// ClientGone tells that its client has gone: the final answer reaches nobody.
-func (r *Request) ClientGone() bool { return r.clientGone }
+// ClientDisconnected tells that its client has gone: the final answer reaches nobody.
+func (r *Request) ClientDisconnected() bool { return r.disconnected }
 
-type part struct {
+type partState struct {
 	Part
 	id       uint64
 	request  *Request
@@ -48,16 +48,16 @@
 	value    []byte
 	arrived  bool
 
-	*segment // nil where slices do not move
+	*segmentState // nil where slices do not move
 }
 
 // inFlight tells that an attempt of a part has not ended.
-func (p *part) inFlight() bool {
+func (p *partState) inFlight() bool {
 	return slices.ContainsFunc(p.attempts, func(a *Attempt) bool { return !a.ended })
 }
 
 // outOfTime tells that the last attempt of a part is still waited for, or was in vain.
-func (p *part) outOfTime() bool {
+func (p *partState) outOfTime() bool {
 	n := len(p.attempts)
 	return n > 0 && (!p.attempts[n-1].ended || p.attempts[n-1].outcome == scheduler.TimedOut)
 }
--- a/internal/core/resharding.go
+++ b/internal/core/resharding.go
@@ -21,8 +21,8 @@
 	number int
 }
 
-// segment is what a part is where slices move: districts of a unit that one slice holds.
-type segment struct {
+// segmentState is what a part is where slices move: districts of a unit that one slice holds.
+type segmentState struct {
 	slicemap.Segment
 	clientPart      *clientPart
 	notHolderStreak int    // answers in a row that the node does not hold it
@@ -43,10 +43,10 @@
 
 // addSegment makes the part of a request that asks one slice for districts of a unit. Weight and cost go by
 // districts.
-func (c *Core) addSegment(r *Request, u *clientPart, l slicemap.Segment) *part {
+func (c *Core) addSegment(r *Request, u *clientPart, l slicemap.Segment) *partState {
 	c.nextID++
 	share := float64(l.Size()) / float64(u.Size())
-	x := &part{Part: u.Part, id: c.nextID, request: r, segment: &segment{Segment: l, clientPart: u}}
+	x := &partState{Part: u.Part, id: c.nextID, request: r, segmentState: &segmentState{Segment: l, clientPart: u}}
 	x.Shard, x.Weight, x.CostHint = l.Shard, u.Weight*share, u.CostHint*share
 	r.parts, c.parts[x.id] = append(r.parts, x), x
 	c.partsByShard[l.Shard] = append(c.partsByShard[l.Shard], x)
@@ -54,31 +54,31 @@
 }
 
 // schedulerPart is the part as the module hears of it.
-func (p *part) schedulerPart(group int) scheduler.Part {
+func (p *partState) schedulerPart(group int) scheduler.Part {
 	return scheduler.Part{ID: p.id, QueryGroup: group, Shard: p.Shard, Key: p.Key, Weight: p.Weight, CostHint: p.CostHint,
 		HasCostHint: p.HasCostHint, AtomicGroup: p.clientPart.number}
 }
 
 // unlinkSegment forgets a part's place under its slice.
-func (c *Core) unlinkSegment(p *part) {
-	if p.segment == nil {
+func (c *Core) unlinkSegment(p *partState) {
+	if p.segmentState == nil {
 		return
 	}
 	list := c.partsByShard[p.Shard]
-	if list = slices.DeleteFunc(list, func(x *part) bool { return x == p }); len(list) == 0 {
+	if list = slices.DeleteFunc(list, func(x *partState) bool { return x == p }); len(list) == 0 {
 		delete(c.partsByShard, p.Shard)
 	} else {
 		c.partsByShard[p.Shard] = list
 	}
 	if p.resumeEpoch > 0 {
 		p.resumeEpoch = 0
-		c.paused = slices.DeleteFunc(c.paused, func(x *part) bool { return x == p })
+		c.paused = slices.DeleteFunc(c.paused, func(x *partState) bool { return x == p })
 	}
 }
 
 // segmentArrived counts a part that is in.
-func (c *Core) segmentArrived(p *part) {
-	if p.segment == nil {
+func (c *Core) segmentArrived(p *partState) {
+	if p.segmentState == nil {
 		return
 	}
 	if _, err := p.clientPart.Arrived(p.Range); err != nil {
@@ -90,7 +90,7 @@
 // retryDelay is for how long a part that a node does not hold is not tried again.
 func (c *Core) retryDelay(a *Attempt, o scheduler.Outcome) float64 {
 	p := a.part
-	if p.segment == nil {
+	if p.segmentState == nil {
 		return 0
 	}
 	if o != scheduler.NotHolder {
@@ -114,8 +114,8 @@
 
 // reroute puts parts of other slices in the place of one whose slice is no more, if a further try of it is
 // allowed and none is out.
-func (c *Core) reroute(now float64, p *part) {
-	if c.parts[p.id] != p || p.arrived || p.segment == nil {
+func (c *Core) reroute(now float64, p *partState) {
+	if c.parts[p.id] != p || p.arrived || p.segmentState == nil {
 		return
 	}
 	mayHaveRun := false
@@ -131,16 +131,16 @@
 		return
 	}
 	r, u := p.request, p.clientPart
-	parts, told := make([]*part, 0, len(legs)), make([]scheduler.Part, 0, len(legs))
+	parts, told := make([]*partState, 0, len(legs)), make([]scheduler.Part, 0, len(legs))
 	for _, l := range legs {
 		x := c.addSegment(r, u, l)
 		x.attempts = slices.Clone(p.attempts)
 		parts, told = append(parts, x), append(told, x.schedulerPart(int(r.queryID)))
 	}
-	drop := func(x *part) {
+	drop := func(x *partState) {
 		delete(c.parts, x.id)
 		c.unlinkSegment(x)
-		r.parts = slices.DeleteFunc(r.parts, func(y *part) bool { return y == x })
+		r.parts = slices.DeleteFunc(r.parts, func(y *partState) bool { return y == x })
 	}
 	if !c.scheduler.ReplacePart(now, p.id, told) {
 		for _, x := range parts {
--- a/internal/core/shardmap.go
+++ b/internal/core/shardmap.go
@@ -90,7 +90,7 @@
 			c.reroute(now, p)
 		}
 	}
-	c.paused = slices.DeleteFunc(c.paused, func(p *part) bool {
+	c.paused = slices.DeleteFunc(c.paused, func(p *partState) bool {
 		if p.resumeEpoch > epoch {
 			return false
 		}
--- a/internal/core/submission.go
+++ b/internal/core/submission.go
@@ -65,7 +65,7 @@
 	}
 	for _, p := range r.Parts {
 		c.nextID++
-		x := &part{Part: p, id: c.nextID, request: r}
+		x := &partState{Part: p, id: c.nextID, request: r}
 		r.parts, c.parts[x.id] = append(r.parts, x), x
 		c.scheduler.PartArrived(now, scheduler.Part{ID: x.id, QueryGroup: group, Shard: p.Shard, Key: p.Key,
 			Weight: p.Weight, CostHint: p.CostHint, HasCostHint: p.HasCostHint})
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -106,9 +106,9 @@
 
 // RequestEnded implements core.Log: what was not served, or reached nobody, is worth a line.
 func (l *Log) RequestEnded(r *core.Request, a core.Answer) {
-	if a.Kind != core.Answered || r.ClientGone() {
+	if a.Kind != core.Answered || r.ClientDisconnected() {
 		l.Info("request ended", zap.String("id", r.ID), zap.Stringer("end", a.Kind), zap.Int("class", r.Class),
-			zap.Bool("client_left", r.ClientGone()))
+			zap.Bool("client_left", r.ClientDisconnected()))
 	}
 }
 
