--- a/cmd/ternstage/serve.go
+++ b/cmd/ternstage/serve.go
@@ -171,12 +171,12 @@
 	if err := l.Run(); err != nil {
 		return err
 	}
-	taken, ends := c.Counts()
+	counts := c.Counts()
 	server.Close()
 	back.Close()
 	watch.Close()
-	log.Info("stopped", zap.Uint64("taken", taken), zap.Uint64("answered", ends[core.Answered]),
-		zap.Uint64("refused", ends[core.Rejected]), zap.Uint64("failed", ends[core.Failed]),
+	log.Info("stopped", zap.Uint64("taken", counts.Submitted), zap.Uint64("answered", counts.Answered),
+		zap.Uint64("refused", counts.Rejected), zap.Uint64("failed", counts.Failed),
 		zap.Uint64("log_lines_dropped", log.Dropped()), zap.Int("goroutines", runtime.NumGoroutine()))
 	return nil
 }
--- a/internal/core/answer.go
+++ b/internal/core/answer.go
@@ -42,6 +42,26 @@
 	Epoch      uint64  // of the map by which the request began; 0 where slices do not move
 }
 
+// Counts are numbers of requests since the start. Submitted less the other three are open; requests that Submit
+// returned an error for are in none of them.
+type Counts struct {
+	Submitted uint64 // accepted by Submit, those that it rejected at once included
+	Answered  uint64
+	Rejected  uint64
+	Failed    uint64
+}
+
+func (c *Counts) add(kind AnswerKind) {
+	switch kind {
+	case Answered:
+		c.Answered++
+	case Rejected:
+		c.Rejected++
+	case Failed:
+		c.Failed++
+	}
+}
+
 // finish gives the one final answer of a request that is held.
 func (c *Core) finish(id uint64, a Answer) {
 	r := c.requests[id]
@@ -64,7 +84,7 @@
 }
 
 func (c *Core) deliver(r *Request, a Answer) {
-	c.answered[a.Kind]++
+	c.counts.add(a.Kind)
 	c.log.RequestEnded(r, a)
 	if !r.disconnected {
 		r.Client.Finish(a)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -34,8 +34,7 @@
 	openCount     int                    // queries and parts held
 	finalAnswerBy float64                // by then all is answered
 	wakeAt        float64
-	submitted     uint64
-	answered      [3]uint64
+	counts        Counts
 
 	shardMap     *slicemap.Map // nil where slices do not move
 	partsByShard map[slicemap.ShardID][]*partState
@@ -88,8 +87,8 @@
 // OpenRequests is how many requests are held.
 func (c *Core) OpenRequests() int { return len(c.requests) }
 
-// Counts are the requests taken and the final answers by kind.
-func (c *Core) Counts() (taken uint64, answered [3]uint64) { return c.submitted, c.answered }
+// Counts gives the totals since the start.
+func (c *Core) Counts() Counts { return c.counts }
 
 // RunRound ends a wake-up: all that happened is told to the module, then it decides once, then it goes out.
 func (c *Core) RunRound() {
--- a/internal/core/submission.go
+++ b/internal/core/submission.go
@@ -41,7 +41,7 @@
 		}
 	}
 	r.Deadline = min(r.Deadline, c.finalAnswerBy)
-	c.submitted++
+	c.counts.Submitted++
 	// The stated limit of queries and parts held: beyond it the module does not see the query. No more does it
 	// before the first map.
 	if c.maxOpen > 0 && c.openCount+1+count > c.maxOpen || count == 0 {
