--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -23,7 +23,7 @@
 		a.Buckets, a.Epoch = p.Range, c.shardMap.RoutingEpoch(p.Segment)
 	}
 	p.attempts = append(p.attempts, a)
-	c.inFlight[[2]uint64{id, uint64(a.number)}] = a
+	c.inFlight[attemptKey{id, a.number}] = a
 	if c.maxAttempts > 0 && a.number >= c.maxAttempts || deadline <= now {
 		c.AttemptEndedLater(a, scheduler.NotSent)
 		return
@@ -50,7 +50,7 @@
 // Cancel stops waiting for an attempt. One of a client that has gone and that must not run twice is left to
 // end by itself, if it has begun (see leave).
 func (c *Core) Cancel(id uint64, attempt int) {
-	a := c.inFlight[[2]uint64{id, uint64(attempt)}]
+	a := c.inFlight[attemptKey{id, attempt}]
 	if a == nil || a.ended {
 		return
 	}
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -37,3 +37,9 @@
 	startWindowRatio = 0.4
 	maxStartWindowMs = 400.0 // ms
 )
+
+// attemptKey identifies an attempt to the scheduler: its part and its number among the part's attempts, from 0.
+type attemptKey struct {
+	part   uint64
+	number int
+}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -27,12 +27,12 @@
 	requests      map[uint64]*Request
 	requestIDs    map[string]bool // of the requests held
 	parts         map[uint64]*partState
-	inFlight      map[[2]uint64]*Attempt // by part and number: those not yet told to the module as ended
-	deadlines     deadlineHeap           // of those that have not ended
-	ended         []endedAttempt         // reported, and not yet told to the module
-	disconnected  []*Request             // whose clients left
-	openCount     int                    // queries and parts held
-	finalAnswerBy float64                // by then all is answered
+	inFlight      map[attemptKey]*Attempt // by part and number: those not yet told to the module as ended
+	deadlines     deadlineHeap            // of those that have not ended
+	ended         []endedAttempt          // reported, and not yet told to the module
+	disconnected  []*Request              // whose clients left
+	openCount     int                     // queries and parts held
+	finalAnswerBy float64                 // by then all is answered
 	wakeAt        float64
 	counts        Counts
 
@@ -60,7 +60,7 @@
 	c := &Core{classes: s.Classes, shards: s.Shards, maxAttempts: s.MaxAttempts, maxOpen: o.MaxOpen,
 		maxRetryAfter: s.MaxRetryAfter, startWindow: maxStartWindowMs, clock: o.Clock, log: o.Log, requests: map[uint64]*Request{},
 		parts: map[uint64]*partState{}, requestIDs: map[string]bool{},
-		inFlight: map[[2]uint64]*Attempt{}, finalAnswerBy: math.Inf(1), wakeAt: math.Inf(1),
+		inFlight: map[attemptKey]*Attempt{}, finalAnswerBy: math.Inf(1), wakeAt: math.Inf(1),
 		shardMap: o.ShardMap, partsByShard: map[slicemap.ShardID][]*partState{}, onNewerMap: func(uint64) {}}
 	if s.DrainGrace > 0 {
 		c.startWindow = min(c.startWindow, s.DrainGrace*startWindowRatio)
@@ -103,7 +103,7 @@
 	}
 	for _, e := range ending {
 		a := e.attempt
-		delete(c.inFlight, [2]uint64{a.part.id, uint64(a.number)})
+		delete(c.inFlight, attemptKey{a.part.id, a.number})
 		_, held := c.requests[a.part.request.queryID]
 		c.scheduler.AttemptEnded(now, scheduler.AttemptResult{Part: a.part.id, Attempt: a.number, Replica: a.Backend,
 			Outcome: e.outcome, Latency: now - a.sentAt, ConnectionOnly: a.ConnectionOnly,
