--- a/internal/core/answer.go
+++ b/internal/core/answer.go
@@ -13,33 +13,33 @@
 
 // The kinds of final answers.
 const (
-	Answered AnswerKind = iota
-	Rejected            // nothing ran that must not run twice: asking again is harmless
-	Failed              // no promise
+	Answered AnswerKind = iota // complete, or partial as far as its class allows
+	Rejected                   // nothing non-idempotent ran: a retry is harmless
+	Failed                     // what was asked for may have run or not
 )
 
-// String names the kind in logs.
+// String is the kind's name in the log.
 func (k AnswerKind) String() string { return [...]string{"answered", "refused", "failed"}[k] }
 
-// Value is what a node gave for a part, or for some districts of it where slices move.
+// Value is what a backend gave for a part, or for some of its buckets under resharding.
 type Value struct {
-	Shard   int // as the client named it
-	Buckets slicemap.Range
-	Doc     []byte
+	Shard   int            // as the client named it
+	Buckets slicemap.Range // empty where placement is fixed
+	Doc     []byte         // as it came; ValidValue holds
 }
 
-// ValidValue tells whether what a node gave can be a value: text, as it goes to clients in bodies of JSON, where
-// anything else could not stand unchanged. Back ends fail an attempt that brought another.
+// ValidValue tells whether what a backend gave can be a value: UTF-8 and not empty. Values go to clients as JSON
+// strings, where other bytes would be changed. A back end fails an attempt that brought anything else.
 func ValidValue(value []byte) bool { return len(value) > 0 && utf8.Valid(value) }
 
 // Answer is the one final answer of a request.
 type Answer struct {
 	Kind       AnswerKind
-	Complete   bool
-	Values     []Value
-	RetryAfter float64 // ms, on a refusal
-	TimedOut   bool    // a failure for want of time
-	Epoch      uint64  // of the map by which the request began; 0 where slices do not move
+	Complete   bool    // enough of the request's weight arrived for its class; Answered only
+	Values     []Value // Answered only: in the order of the request's parts, and of their buckets
+	RetryAfter float64 // Rejected only: ms after which a retry is welcome
+	TimedOut   bool    // Failed only: for want of time
+	Epoch      uint64  // of the shard map by which the request began; 0 where placement is fixed or it never began
 }
 
 // Counts are numbers of requests since the start. Submitted less the other three are open; requests that Submit
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -5,37 +5,40 @@
 	"ternstage/internal/slicemap"
 )
 
-// Attempt is one try of a part at a node.
+// Attempt is one dispatch of a part to a backend. The back end reads the exported fields and may set Handle,
+// ConnectionOnly and BackendEpoch.
 type Attempt struct {
-	Request        string
-	Shard          int
-	Query          []byte
-	IdempotencyKey string
-	Backend        uint32
-	Deadline       float64 // loop clock: when the wait for it ends
-	StartBy        float64 // loop clock: it begins by then or not at all, as the decision to send it is of now
-	NonIdempotent  bool    // it must not run twice: what may have run of it is not tried again
-	Handle         any     // the back end's own
-	ConnectionOnly bool    // set by the back end with how it ended: only its connection broke, the node stands
+	Request        string  // the request's ID
+	Shard          int     // the shard that is asked, by its id of the placement in use
+	Query          []byte  // what the backend is asked; shared by all attempts of the request and read-only
+	IdempotencyKey string  // by which the backend drops repeats; "" for none
+	Backend        uint32  // replica number of the backend
+	Deadline       float64 // when the wait for it ends, in ms of the loop's clock
+	StartBy        float64 // until when it may begin, in ms of the loop's clock; after that it must not
+	NonIdempotent  bool    // it must not run twice
+	Handle         any     // the back end's own; core does not look at it
+	ConnectionOnly bool    // set before the attempt's end is reported: the fault is the connection's, not the backend's
 
-	// Where slices move: the districts asked for and the epoch by which they were routed, above 0. The back end
-	// sets NodeEpoch with the outcome Moved.
-	Buckets             slicemap.Range
-	Epoch, BackendEpoch uint64
+	Buckets      slicemap.Range // that are asked for; empty where placement is fixed
+	Epoch        uint64         // of the shard map by which they were routed; 0 where placement is fixed
+	BackendEpoch uint64         // set before the outcome NotHolder is reported: of the backend's map; 0 if unknown
 
-	heapIndex int // in the heap of deadlines; -1 if it is not there
+	heapIndex int // in Core.deadlines; -1 if it is not there
 	part      *partState
-	number    int
-	sentAt    float64
+	number    int     // among the attempts of its part, from 0
+	sentAt    float64 // when the scheduler decided on it
 	ended     bool
 	outcome   scheduler.Outcome // once it has ended
 }
 
 const (
-	// The module sends to a node that drains for half of the grace: what it has decided begins well within the
-	// other half, however late its connection comes up.
+	// startWindowRatio is the part of the drain grace within which an attempt begins. The scheduler sends to a draining
+	// backend for half of the grace; what it decides last begins within the other half, however late its connection
+	// comes up.
 	startWindowRatio = 0.4
-	maxStartWindowMs = 400.0 // ms
+
+	// maxStartWindowMs bounds the same: a decision is not carried out on old information.
+	maxStartWindowMs = 400.0
 )
 
 // attemptKey identifies an attempt to the scheduler: its part and its number among the part's attempts, from 0.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -9,53 +9,60 @@
 	"ternstage/internal/slicemap"
 )
 
-// Core is one broker's state.
+// Core is the state of one broker process.
 type Core struct {
-	scheduler     *scheduler.Scheduler
+	scheduler *scheduler.Scheduler
+	clock     Clock
+	backend   Backend
+	endpoints EndpointList
+	log       Log
+
+	// From the settings; they do not change.
 	classes       []scheduler.Class
 	shards        int
-	maxAttempts   int
-	maxOpen       int
-	maxRetryAfter float64
+	maxAttempts   int     // of a part; 0 for no limit
+	maxOpen       int     // of openCount; 0 for no limit
+	maxRetryAfter float64 // ms
 	startWindow   float64 // ms after its decision within which an attempt begins
-	clock         Clock
-	backend       Backend
-	endpoints     EndpointList
-	log           Log
 
-	nextID        uint64
+	nextID        uint64 // the last id that was given to a request or a part
 	requests      map[uint64]*Request
-	requestIDs    map[string]bool // of the requests held
+	requestIDs    map[string]bool // of requests
 	parts         map[uint64]*partState
-	inFlight      map[attemptKey]*Attempt // by part and number: those not yet told to the module as ended
-	deadlines     deadlineHeap            // of those that have not ended
-	ended         []endedAttempt          // reported, and not yet told to the module
-	disconnected  []*Request              // whose clients left
-	openCount     int                     // queries and parts held
-	finalAnswerBy float64                 // by then all is answered
-	wakeAt        float64
+	openCount     int     // open requests and their parts
+	finalAnswerBy float64 // the latest deadline of requests submitted from now on
 	counts        Counts
 
-	shardMap     *slicemap.Map // nil where slices do not move
-	partsByShard map[slicemap.ShardID][]*partState
-	paused       []*partState // those that pause for an epoch
-	onNewerMap   func(epoch uint64)
-	resharding   ReshardingStats
+	inFlight     map[attemptKey]*Attempt // whose end the scheduler has not been told
+	deadlines    deadlineHeap            // of attempts that have not ended
+	ended        []endedAttempt          // to be reported to the scheduler in the next round
+	disconnected []*Request              // to be reported to the scheduler in the next round
+	wakeAt       float64                 // when the scheduler's timer fires; +Inf for never
 
+	// Under resharding.
+	shardMap        *slicemap.Map // nil where placement is fixed
+	partsByShard    map[slicemap.ShardID][]*partState
+	paused          []*partState // that wait for an epoch
+	onNewerMap      func(epoch uint64)
 	onMapChanged    func(*slicemap.Version)
-	droppedVersions uint64 // map versions, as of the last line that told of them
-	notifiedEpoch   uint64 // of the map that the module knows
+	resharding      ReshardingStats
+	droppedVersions uint64 // as last logged
+	notifiedEpoch   uint64 // of the map that the scheduler knows
 }
 
-// Options are what core needs beside the module's settings.
+// Options are what core needs beside the scheduler's settings.
 type Options struct {
-	MaxOpen  int // queries and parts held at most; 0 for no limit
-	Clock    Clock
-	Log      Log
-	ShardMap *slicemap.Map // nil where slices do not move; else also the layout of the module's settings
+	MaxOpen int   // open requests and parts, together, beyond which Submit rejects; 0, the default, for no limit
+	Clock   Clock // required
+	Log     Log   // required
+
+	// ShardMap is the map of shards under resharding. It must also be the Placement of the scheduler's settings. nil,
+	// the default, where placement is fixed.
+	ShardMap *slicemap.Map
 }
 
-// New makes the core and its module.
+// New makes a core and its scheduler, with the seed of its random choices. An error tells which setting is out of its
+// range.
 func New(s scheduler.Settings, seed uint64, o Options) (*Core, error) {
 	c := &Core{classes: s.Classes, shards: s.Shards, maxAttempts: s.MaxAttempts, maxOpen: o.MaxOpen,
 		maxRetryAfter: s.MaxRetryAfter, startWindow: maxStartWindowMs, clock: o.Clock, log: o.Log, requests: map[uint64]*Request{},
@@ -73,18 +80,19 @@
 	return c, nil
 }
 
-// Attach names the back end and the list.
+// Attach sets the back end and the endpoint list. It must be called before any other method.
 func (c *Core) Attach(back Backend, list EndpointList) { c.backend, c.endpoints = back, list }
 
-// SetFinalAnswerDeadline bounds the time of what is taken from now on: the program ends then.
+// SetFinalAnswerDeadline shortens the deadlines of requests submitted from now on to a time of the loop's clock, as the
+// process ends then. The default is none.
 func (c *Core) SetFinalAnswerDeadline(at float64) { c.finalAnswerBy = at }
 
-// EndpointsChanged passes the list on.
+// EndpointsChanged passes a change of the endpoint list to the scheduler.
 func (c *Core) EndpointsChanged(kind scheduler.UpdateKind, entries []scheduler.Endpoint) {
 	c.scheduler.EndpointsChanged(c.clock.Now(), kind, entries)
 }
 
-// OpenRequests is how many requests are held.
+// OpenRequests is the number of requests that have not ended.
 func (c *Core) OpenRequests() int { return len(c.requests) }
 
 // Counts gives the totals since the start.
--- a/internal/core/deadlines.go
+++ b/internal/core/deadlines.go
@@ -1,6 +1,7 @@
 package core
 
-// deadlineHeap is a heap of attempts by their deadlines. It implements heap.Interface.
+// deadlineHeap is a heap of attempts by their deadlines, the earliest first. One timer serves all of them. It
+// implements heap.Interface and keeps Attempt.heapIndex.
 type deadlineHeap []*Attempt
 
 // Len implements heap.Interface; so do the methods below.
@@ -9,7 +10,7 @@
 // Less orders by deadline.
 func (d deadlineHeap) Less(i, j int) bool { return d[i].Deadline < d[j].Deadline }
 
-// Swap keeps the attempts' places.
+// Swap swaps two attempts and their indices.
 func (d deadlineHeap) Swap(i, j int) {
 	d[i], d[j] = d[j], d[i]
 	d[i].heapIndex, d[j].heapIndex = i, j
@@ -22,7 +23,7 @@
 	*d = append(*d, a)
 }
 
-// Pop takes the last one off.
+// Pop removes the last attempt of the slice.
 func (d *deadlineHeap) Pop() any {
 	n := len(*d) - 1
 	a := (*d)[n]
--- a/internal/core/interfaces.go
+++ b/internal/core/interfaces.go
@@ -1,42 +1,47 @@
 package core
 
-// Client is where the final answer of a request goes.
+// Client receives the final answer of one request.
 type Client interface {
-	// Finish is called exactly once, unless the client has left before.
+	// Finish is called exactly once, and not at all if the client disconnected before. It may be called from within
+	// Core.Submit, and must not call back into Core.
 	Finish(Answer)
 }
 
-// Backend carries attempts to nodes. It must not call back into Core from within these methods: what it
-// learns at once it reports with Later.
+// Backend carries attempts to the backends. Its methods must not call back into Core, except for
+// Core.AttemptEndedLater.
 type Backend interface {
-	// Send starts an attempt. Attempts of one turn to one node may share a call.
+	// Send takes an attempt. The attempts of one scheduling round to one backend may share a call.
 	Send(*Attempt)
-	// Flush ends the turn: what was sent goes out.
+	// Flush ends the scheduling round: the attempts taken since the last Flush go out.
 	Flush()
-	// Withdraw takes an attempt back that has not begun: nothing of it goes out. False if it has begun.
+	// Withdraw takes back an attempt that has not begun, so that nothing of it goes out. It is false if the attempt
+	// has begun.
 	Withdraw(*Attempt) bool
-	// Abandon withdraws an attempt, or else ends the wait for it and tells its node so. It tells whether the
-	// attempt provably never ran nor will run.
+	// Abandon withdraws an attempt, or, if it has begun, ends the wait for it and tells its backend so. It tells
+	// whether the attempt provably neither ran nor will run.
 	Abandon(*Attempt) (neverRan bool)
-	// CloseIdleConnections closes idle connections to a node.
-	CloseIdleConnections(node uint32)
+	// CloseIdleConnections closes the idle connections to a backend, by its replica number.
+	CloseIdleConnections(replica uint32)
 }
 
-// EndpointList is where the list of nodes comes from.
+// EndpointList is the source of the endpoint list.
 type EndpointList interface {
-	// Watch subscribes to changes; it does nothing while a watch runs.
+	// Watch subscribes to changes, which come by Core.EndpointsChanged. It does nothing while a watch is open.
 	Watch()
 }
 
-// Clock is the loop as core sees it.
+// Clock is the event loop as core needs it.
 type Clock interface {
+	// Now is the time of the current wake-up, in ms.
 	Now() float64
-	// WakeAt asks for a turn at that time at the latest.
+	// WakeAt asks for a scheduling round at that time at the latest; one in the past asks for it at once.
 	WakeAt(at float64)
 }
 
-// Log takes the module's lines and what core has to say.
+// Log takes the scheduler's lines and the ends of requests.
 type Log interface {
+	// SchedulerLine takes one line for the people on call.
 	SchedulerLine(text string)
+	// RequestEnded is called once for each request that was accepted, before Client.Finish.
 	RequestEnded(r *Request, a Answer)
 }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -7,56 +7,58 @@
 	"ternstage/internal/slicemap"
 )
 
-// Part is one shard's share of a request.
+// Part is the share of a request that one shard answers.
 type Part struct {
-	Shard       int
-	Key         uint64
-	Weight      float64
-	CostHint    float64 // expected work in ms
-	HasCostHint bool
+	Shard       int     // as the client named it
+	Key         uint64  // of the data that it is about, for the choice of replicas; 0 for none
+	Weight      float64 // above 0; the weights of a request add up to 1
+	CostHint    float64 // expected work, in any unit that all requests share; counts if HasCostHint
+	HasCostHint bool    // false: the scheduler takes the mean
 }
 
-// Request is a query as a front hands it in.
+// Request is a query as a front submits it. The front sets the exported fields and does not change them afterwards.
 type Request struct {
-	ID             string // the client's id for it: fresh for each
-	Class          int
-	Tenant         int
-	Deadline       float64 // loop clock: when the client leaves
-	ClientRetry    bool
-	Epoch          uint64 // of the map by which the client named its parts; 0 if it does not say
-	Parts          []Part
-	Query          []byte // what every part must carry
-	IdempotencyKey string // by which nodes drop repeats of a class of effect Keyed; the client's, "" for none
-	Client         Client
+	ID             string  // the client's; unique among open requests, as backends and logs know the parts by it
+	Class          int     // index into scheduler.Settings.Classes
+	Tenant         int     // index into scheduler.Settings.TenantRates; 0 where there are none
+	Deadline       float64 // when the client stops waiting, in ms of the loop's clock; Submit may shorten it
+	ClientRetry    bool    // the client says that it asked before
+	Epoch          uint64  // of the shard map by which the client named its parts; 0 if it does not say
+	Parts          []Part  // at least one, of different shards
+	Query          []byte  // what every part carries
+	IdempotencyKey string  // by which backends drop repeats, of a class that is idempotent with a key; "" for none
+	Client         Client  // who gets the final answer
 
-	queryID       uint64
+	queryID       uint64 // the scheduler's id; 0 until Submit has accepted the request
 	parts         []*partState
-	clientParts   []*clientPart     // where slices move: the parts as the client named them
-	version       *slicemap.Version // by which it began
-	nonIdempotent bool
-	disconnected  bool // its client has gone, and a part that must not run twice is still out
+	clientParts   []*clientPart     // under resharding: Parts with the buckets that they mean
+	version       *slicemap.Version // under resharding: of the map by which it began, held until it ends
+	nonIdempotent bool              // by its class
+	disconnected  bool
 }
 
-// ClientDisconnected tells that its client has gone: the final answer reaches nobody.
+// ClientDisconnected tells that the client disconnected before the final answer, which reaches nobody.
 func (r *Request) ClientDisconnected() bool { return r.disconnected }
 
+// partState is what core dispatches: a part as the client named it where placement is fixed, a segment of such a part
+// under resharding.
 type partState struct {
 	Part
-	id       uint64
+	id       uint64 // unique in this process
 	request  *Request
-	attempts []*Attempt
-	value    []byte
+	attempts []*Attempt // by number; under resharding also those of the part that it replaced
+	value    []byte     // once it has arrived
 	arrived  bool
 
-	*segmentState // nil where slices do not move
+	*segmentState // nil where placement is fixed
 }
 
-// inFlight tells that an attempt of a part has not ended.
+// inFlight tells that an attempt of the part has not ended.
 func (p *partState) inFlight() bool {
 	return slices.ContainsFunc(p.attempts, func(a *Attempt) bool { return !a.ended })
 }
 
-// outOfTime tells that the last attempt of a part is still waited for, or was in vain.
+// outOfTime tells that the last attempt of the part timed out or is still in flight.
 func (p *partState) outOfTime() bool {
 	n := len(p.attempts)
 	return n > 0 && (!p.attempts[n-1].ended || p.attempts[n-1].outcome == scheduler.TimedOut)
--- a/internal/core/shardmap.go
+++ b/internal/core/shardmap.go
@@ -8,36 +8,36 @@
 	"ternstage/internal/slicemap"
 )
 
-// ReshardingStats counts what became of parts that a change of the map caught.
+// ReshardingStats counts what became of parts that a change of the shard map affected, since the start.
 type ReshardingStats struct {
-	Replaced   uint64 `json:"parts_replaced"`  // went on as parts of other slices
-	Split      uint64 `json:"parts_split"`     // of those: became more than one
-	InFlight   uint64 `json:"parts_caught"`    // were out when their slice changed or was retired
-	Paused     uint64 `json:"parts_paused"`    // a node did not hold them, and they waited
-	Duplicates uint64 `json:"counted_twice"`   // answers thrown away as their districts were in already
-	Stale      uint64 `json:"stale_requests"`  // named slices that cannot be understood
-	Behind     uint64 `json:"behind_requests"` // named slices of a newer map than ours: refused
+	Replaced   uint64 `json:"parts_replaced"`  // went on as parts of other shards
+	Split      uint64 `json:"parts_split"`     // of those, became more than one
+	InFlight   uint64 `json:"parts_caught"`    // were in flight when their shard changed or was retired
+	Paused     uint64 `json:"parts_paused"`    // waited, as a backend did not hold their shard
+	Duplicates uint64 `json:"counted_twice"`   // answers dropped, as their buckets had arrived
+	Stale      uint64 `json:"stale_requests"`  // named shards that are unknown
+	Behind     uint64 `json:"behind_requests"` // named shards of a newer map than this broker's, and were rejected
 }
 
-// ReshardingStats counts since the start.
+// ReshardingStats gives the counters since the start.
 func (c *Core) ReshardingStats() ReshardingStats { return c.resharding }
 
-// OnNewerMap sets who is told that a newer map is known somewhere: of that epoch, or 0 if that is not known.
+// OnNewerMap sets the function that is called when a client or a backend knows a newer map, with its epoch.
 func (c *Core) OnNewerMap(f func(epoch uint64)) { c.onNewerMap = f }
 
-// OnMapChanged sets who is told of each map that is taken into use.
+// OnMapChanged sets the function that is called after a map has been taken into use.
 func (c *Core) OnMapChanged(f func(*slicemap.Version)) { c.onMapChanged = f }
 
-// StaleEpochError is what Take says where a slice that the client named cannot be understood.
+// StaleEpochError is returned by Core.Submit if a shard that the client named is unknown, as its map is too old.
 type StaleEpochError struct {
 	Epoch uint64 // of the map in use
-	Err   error
+	Err   error  // of slicemap.Map.Resolve
 }
 
-// Error names the slice and the epoch in use.
+// Error goes to clients in bodies.
 func (e *StaleEpochError) Error() string { return fmt.Sprintf("%v: %v", ErrInvalidRequest, e.Err) }
 
-// Unwrap gives ErrContract and the map's own error.
+// Unwrap gives ErrInvalidRequest and the map's own error.
 func (e *StaleEpochError) Unwrap() []error { return []error{ErrInvalidRequest, e.Err} }
 
 // resolve finds the districts of a request's parts and how many calls they take by the map in use; 0 if there
@@ -101,15 +101,16 @@
 	c.clock.WakeAt(0) // what waited is decided on now
 }
 
-// ApplySnapshot takes a whole map; an error tells that it was refused and the one in use stays.
-func (c *Core) ApplySnapshot(w slicemap.Snapshot) error {
-	retired, err := c.shardMap.Reset(w)
+// ApplySnapshot takes a whole map into use. On an error, slicemap.ValidationError, the one in use stays.
+func (c *Core) ApplySnapshot(snapshot slicemap.Snapshot) error {
+	retired, err := c.shardMap.Reset(snapshot)
 	return c.mapApplied(retired, err)
 }
 
-// ApplyChanges takes changes of the map, all or none. nodes are what may hold slices; none: any.
-func (c *Core) ApplyChanges(cs []slicemap.Change, nodes []string) error {
-	retired, err := c.shardMap.Apply(cs, nodes)
+// ApplyChanges takes changes of the map into use, all or, on an error, none. backends are the names of those that may
+// hold shards; none for any.
+func (c *Core) ApplyChanges(changes []slicemap.Change, backends []string) error {
+	retired, err := c.shardMap.Apply(changes, backends)
 	return c.mapApplied(retired, err)
 }
 
@@ -128,5 +129,5 @@
 	return err
 }
 
-// Epoch is that of the map in use.
+// Epoch is that of the shard map in use; 0 before the first. It must not be called where placement is fixed.
 func (c *Core) Epoch() uint64 { return c.shardMap.Current().Epoch }
