--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -6,80 +6,71 @@
 	"ternstage/internal/decision/scheduler"
 )
 
-// Send implements scheduler.Actions; so do the methods below.
-func (c *Core) Send(id uint64, node uint32, timeout float64) {
-	p, now := c.parts[id], c.clock.Now()
-	if p == nil {
+var _ scheduler.Actions = (*Core)(nil)
+
+// Send implements scheduler.Actions, as the methods below do; only the scheduler may call them. timeout is in ms, 0 for
+// the request's deadline. An attempt that cannot be sent, beyond the limit of attempts or after its deadline, ends as
+// NotSent.
+func (c *Core) Send(partID uint64, replica uint32, timeout float64) {
+	part := c.parts[partID]
+	if part == nil {
 		return
 	}
-	deadline := p.request.Deadline
+	now := c.clock.Now()
+	deadline := part.request.Deadline
 	if timeout != 0 {
 		deadline = min(deadline, now+timeout)
 	}
-	a := &Attempt{Request: p.request.ID, Shard: p.Shard, Query: p.request.Query, IdempotencyKey: p.request.IdempotencyKey,
-		Backend: node, Deadline: deadline,
-		StartBy: c.startBy(now, p), NonIdempotent: p.request.nonIdempotent, part: p, number: len(p.attempts), sentAt: now, heapIndex: -1}
-	if c.shardMap != nil {
-		a.Buckets, a.Epoch = p.Range, c.shardMap.RoutingEpoch(p.Segment)
-	}
-	p.attempts = append(p.attempts, a)
-	c.inFlight[attemptKey{id, a.number}] = a
-	if c.maxAttempts > 0 && a.number >= c.maxAttempts || deadline <= now {
-		c.AttemptEndedLater(a, scheduler.NotSent)
+	attempt := c.newAttempt(now, part, replica, deadline)
+	part.attempts = append(part.attempts, attempt)
+	c.inFlight[attemptKey{partID, attempt.number}] = attempt
+	exhausted := c.maxAttempts > 0 && attempt.number >= c.maxAttempts
+	if exhausted || deadline <= now {
+		c.AttemptEndedLater(attempt, scheduler.NotSent)
 		return
 	}
-	heap.Push(&c.deadlines, a)
-	c.backend.Send(a)
+	heap.Push(&c.deadlines, attempt)
+	c.backend.Send(attempt)
 }
 
-// startBy is until when an attempt that is decided now may begin: while the node may still be draining, and,
-// for a repeat that is dropped only within the window of the first attempt, within that.
-func (c *Core) startBy(now float64, p *partState) float64 {
-	by, class := now+c.startWindow, &c.classes[p.request.Class]
-	if class.Idempotency != scheduler.IdempotentWithKey {
-		return by
+// Cancel stops the wait for an attempt. A non-idempotent one whose client has disconnected is left to end by itself if
+// it has begun: see endDisconnected.
+func (c *Core) Cancel(partID uint64, number int) {
+	attempt := c.inFlight[attemptKey{partID, number}]
+	if attempt == nil || attempt.ended {
+		return
 	}
-	for _, a := range p.attempts {
-		if !a.ended || a.outcome < scheduler.Rejected {
-			by = min(by, a.sentAt+class.DedupWindow)
+	if attempt.NonIdempotent && attempt.part.request.disconnected {
+		withdrawn := c.backend.Withdraw(attempt)
+		if !withdrawn {
+			return
 		}
 	}
-	return by
+	c.backend.Abandon(attempt)
+	c.AttemptEndedLater(attempt, scheduler.Cancelled)
 }
 
-// Cancel stops waiting for an attempt. One of a client that has gone and that must not run twice is left to
-// end by itself, if it has begun (see leave).
-func (c *Core) Cancel(id uint64, attempt int) {
-	a := c.inFlight[attemptKey{id, attempt}]
-	if a == nil || a.ended {
-		return
-	}
-	if a.NonIdempotent && a.part.request.disconnected && !c.backend.Withdraw(a) {
-		return
-	}
-	c.backend.Abandon(a)
-	c.AttemptEndedLater(a, scheduler.Cancelled)
-}
+// CloseIdleConnections closes the idle connections to a backend.
+func (c *Core) CloseIdleConnections(replica uint32) { c.backend.CloseIdleConnections(replica) }
 
-// CloseIdleConnections closes idle connections.
-func (c *Core) CloseIdleConnections(node uint32) { c.backend.CloseIdleConnections(node) }
+// Answer ends a request with the parts that have arrived.
+func (c *Core) Answer(queryID uint64, complete bool) {
+	c.finish(queryID, Answer{Kind: Answered, Complete: complete})
+}
 
-// Reject refuses a request.
-func (c *Core) Reject(id uint64, after float64) {
-	c.finish(id, Answer{Kind: Rejected, RetryAfter: after})
+// Reject ends a request and tells its client to retry after so many ms.
+func (c *Core) Reject(queryID uint64, retryAfter float64) {
+	c.finish(queryID, Answer{Kind: Rejected, RetryAfter: retryAfter})
 }
 
-// SetTimer asks for a turn.
+// Fail ends a request without any promise.
+func (c *Core) Fail(queryID uint64) { c.finish(queryID, Answer{Kind: Failed}) }
+
+// SetTimer asks for TimerFired after so many ms, or earlier if that was asked for before.
 func (c *Core) SetTimer(after float64) { c.wakeAt = min(c.wakeAt, c.clock.Now()+after) }
 
-// WatchEndpoints subscribes to the list.
+// WatchEndpoints subscribes to changes of the endpoint list.
 func (c *Core) WatchEndpoints() { c.endpoints.Watch() }
 
-// Log writes the module's line.
+// Log writes a line of the scheduler.
 func (c *Core) Log(text string) { c.log.SchedulerLine(text) }
-
-// Answer answers a request from the parts that are in.
-func (c *Core) Answer(id uint64, whole bool) { c.finish(id, Answer{Kind: Answered, Complete: whole}) }
-
-// Fail fails a request.
-func (c *Core) Fail(id uint64) { c.finish(id, Answer{Kind: Failed}) }
--- a/internal/core/answer.go
+++ b/internal/core/answer.go
@@ -1,8 +1,6 @@
 package core
 
 import (
-	"cmp"
-	"slices"
 	"unicode/utf8"
 
 	"ternstage/internal/slicemap"
@@ -61,51 +59,3 @@
 		c.Failed++
 	}
 }
-
-// finish gives the one final answer of a request that is held.
-func (c *Core) finish(id uint64, a Answer) {
-	r := c.requests[id]
-	if r == nil {
-		return
-	}
-	if a.Kind == Answered && c.shardMap == nil {
-		for _, p := range r.parts {
-			if p.arrived {
-				a.Values = append(a.Values, Value{Shard: p.Shard, Doc: p.value})
-			}
-		}
-	}
-	if c.shardMap != nil {
-		c.collectValues(r, &a)
-	}
-	a.TimedOut = a.Kind == Failed && slices.ContainsFunc(r.parts, (*partState).outOfTime)
-	c.forget(r)
-	c.deliver(r, a)
-}
-
-func (c *Core) deliver(r *Request, a Answer) {
-	c.counts.add(a.Kind)
-	c.log.RequestEnded(r, a)
-	if !r.disconnected {
-		r.Client.Finish(a)
-	}
-}
-
-// collectValues are those of the units that are in whole: half a part counts for nothing.
-func (c *Core) collectValues(r *Request, a *Answer) {
-	if r.version != nil {
-		a.Epoch = r.version.Epoch
-	}
-	if a.Kind != Answered {
-		return
-	}
-	parts := slices.Clone(r.parts)
-	slices.SortFunc(parts, func(x, y *partState) int {
-		return cmp.Or(cmp.Compare(x.clientPart.number, y.clientPart.number), cmp.Compare(x.Start, y.Start))
-	})
-	for _, p := range parts {
-		if p.clientPart.Complete() {
-			a.Values = append(a.Values, Value{p.clientPart.Shard, p.Range, p.value})
-		}
-	}
-}
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -31,6 +31,15 @@
 	outcome   scheduler.Outcome // once it has ended
 }
 
+// attemptKey identifies an attempt to the scheduler: its part and its number among the part's attempts, from 0.
+type attemptKey struct {
+	part   uint64
+	number int
+}
+
+// mayHaveRun tells that the attempt is not proved never to have run.
+func (a *Attempt) mayHaveRun() bool { return !a.ended || mayHaveRun(a.outcome) }
+
 const (
 	// startWindowRatio is the part of the drain grace within which an attempt begins. The scheduler sends to a draining
 	// backend for half of the grace; what it decides last begins within the other half, however late its connection
@@ -41,8 +50,60 @@
 	maxStartWindowMs = 400.0
 )
 
-// attemptKey identifies an attempt to the scheduler: its part and its number among the part's attempts, from 0.
-type attemptKey struct {
-	part   uint64
-	number int
+// startWindow is the time in ms after its decision within which an attempt begins, by the grace of drains in ms; 0 for
+// no drains.
+func startWindow(drainGrace float64) float64 {
+	if drainGrace > 0 {
+		return min(maxStartWindowMs, drainGrace*startWindowRatio)
+	}
+	return maxStartWindowMs
+}
+
+// mayHaveRun tells that an attempt with this outcome is not proved never to have run.
+func mayHaveRun(outcome scheduler.Outcome) bool {
+	switch outcome {
+	case scheduler.Rejected, scheduler.ConnectFailed, scheduler.NotSent, scheduler.NotHolder:
+		return false
+	}
+	return true
+}
+
+// newAttempt makes the next attempt of a part, as decided now.
+func (c *Core) newAttempt(now float64, part *partState, replica uint32, deadline float64) *Attempt {
+	attempt := &Attempt{
+		Request:        part.request.ID,
+		Shard:          part.Shard,
+		Query:          part.request.Query,
+		IdempotencyKey: part.request.IdempotencyKey,
+		Backend:        replica,
+		Deadline:       deadline,
+		StartBy:        c.startBy(now, part),
+		NonIdempotent:  part.request.nonIdempotent,
+
+		heapIndex: -1,
+		part:      part,
+		number:    len(part.attempts),
+		sentAt:    now,
+	}
+	if part.segment != nil {
+		attempt.Buckets = part.segment.Range
+		attempt.Epoch = c.shardMap.RoutingEpoch(part.segment.Segment)
+	}
+	return attempt
+}
+
+// startBy is until when an attempt that is decided on now may begin: while its backend may still be draining, and, for
+// a repeat that the backend drops only within the deduplication window of the first attempt, within that window.
+func (c *Core) startBy(now float64, part *partState) float64 {
+	latest := now + c.startWindow
+	class := &c.classes[part.request.Class]
+	if class.Idempotency != scheduler.IdempotentWithKey {
+		return latest
+	}
+	for _, earlier := range part.attempts {
+		if earlier.mayHaveRun() {
+			latest = min(latest, earlier.sentAt+class.DedupWindow)
+		}
+	}
+	return latest
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"math"
-	"slices"
 
 	"ternstage/internal/decision/scheduler"
 	"ternstage/internal/slicemap"
@@ -63,25 +62,43 @@
 
 // New makes a core and its scheduler, with the seed of its random choices. An error tells which setting is out of its
 // range.
-func New(s scheduler.Settings, seed uint64, o Options) (*Core, error) {
-	c := &Core{classes: s.Classes, shards: s.Shards, maxAttempts: s.MaxAttempts, maxOpen: o.MaxOpen,
-		maxRetryAfter: s.MaxRetryAfter, startWindow: maxStartWindowMs, clock: o.Clock, log: o.Log, requests: map[uint64]*Request{},
-		parts: map[uint64]*partState{}, requestIDs: map[string]bool{},
-		inFlight: map[attemptKey]*Attempt{}, finalAnswerBy: math.Inf(1), wakeAt: math.Inf(1),
-		shardMap: o.ShardMap, partsByShard: map[slicemap.ShardID][]*partState{}, onNewerMap: func(uint64) {}}
-	if s.DrainGrace > 0 {
-		c.startWindow = min(c.startWindow, s.DrainGrace*startWindowRatio)
+func New(settings scheduler.Settings, seed uint64, options Options) (*Core, error) {
+	c := &Core{
+		clock: options.Clock,
+		log:   options.Log,
+
+		classes:       settings.Classes,
+		shards:        settings.Shards,
+		maxAttempts:   settings.MaxAttempts,
+		maxOpen:       options.MaxOpen,
+		maxRetryAfter: settings.MaxRetryAfter,
+		startWindow:   startWindow(settings.DrainGrace),
+
+		requests:      map[uint64]*Request{},
+		requestIDs:    map[string]bool{},
+		parts:         map[uint64]*partState{},
+		finalAnswerBy: math.Inf(1),
+
+		inFlight: map[attemptKey]*Attempt{},
+		wakeAt:   math.Inf(1),
+
+		shardMap:     options.ShardMap,
+		partsByShard: map[slicemap.ShardID][]*partState{},
+		onNewerMap:   func(uint64) {},
 	}
-	m, err := scheduler.New(s, seed, c)
+	var err error
+	c.scheduler, err = scheduler.New(settings, seed, c)
 	if err != nil {
-		return nil, fmt.Errorf("decision module: %w", err)
+		return nil, fmt.Errorf("scheduler: %w", err)
 	}
-	c.scheduler = m
 	return c, nil
 }
 
 // Attach sets the back end and the endpoint list. It must be called before any other method.
-func (c *Core) Attach(back Backend, list EndpointList) { c.backend, c.endpoints = back, list }
+func (c *Core) Attach(backend Backend, endpoints EndpointList) {
+	c.backend = backend
+	c.endpoints = endpoints
+}
 
 // SetFinalAnswerDeadline shortens the deadlines of requests submitted from now on to a time of the loop's clock, as the
 // process ends then. The default is none.
@@ -98,37 +115,42 @@
 // Counts gives the totals since the start.
 func (c *Core) Counts() Counts { return c.counts }
 
-// RunRound ends a wake-up: all that happened is told to the module, then it decides once, then it goes out.
+// RunRound runs the scheduling round that ends a wake-up: the scheduler is told what happened, decides once, and the
+// back end sends what it was given.
 func (c *Core) RunRound() {
 	now := c.clock.Now()
 	c.expire(now)
-	// What the module does may end further attempts (a cancel); those wait for the next turn, as its own
-	// events come after its actions.
-	ending, gone := c.ended, c.disconnected
-	c.ended, c.disconnected = nil, nil
-	for _, r := range gone {
-		c.endDisconnected(now, r)
+
+	// The scheduler's actions may end further attempts, as Cancel does. Those are reported in the next round: an event
+	// must not come while the scheduler is in the middle of another.
+	ended := c.ended
+	disconnected := c.disconnected
+	c.ended = nil
+	c.disconnected = nil
+	for _, request := range disconnected {
+		c.endDisconnected(now, request)
 	}
-	for _, e := range ending {
-		a := e.attempt
-		delete(c.inFlight, attemptKey{a.part.id, a.number})
-		_, held := c.requests[a.part.request.queryID]
-		c.scheduler.AttemptEnded(now, scheduler.AttemptResult{Part: a.part.id, Attempt: a.number, Replica: a.Backend,
-			Outcome: e.outcome, Latency: now - a.sentAt, ConnectionOnly: a.ConnectionOnly,
-			PartDone: e.outcome == scheduler.Succeeded || !held, RetryDelay: c.retryDelay(a, e.outcome)})
-		if c.shardMap != nil && e.outcome != scheduler.Succeeded {
-			c.reroute(now, a.part)
-		}
-		if r := a.part.request; r.disconnected && c.requests[r.queryID] == r && !slices.ContainsFunc(r.parts, (*partState).inFlight) {
-			c.concludeDisconnected(r)
-		}
+	for _, end := range ended {
+		c.reportEnd(now, end)
 	}
+
+	c.fireTimer(now)
+	c.scheduler.RunRound(now)
+	c.backend.Flush()
+	c.scheduleWake()
+}
+
+// fireTimer tells the scheduler that its timer has fired, if it has.
+func (c *Core) fireTimer(now float64) {
 	if now >= c.wakeAt {
 		c.wakeAt = math.Inf(1)
 		c.scheduler.TimerFired(now)
 	}
-	c.scheduler.RunRound(now)
-	c.backend.Flush()
+}
+
+// scheduleWake asks for the next round: at once if there are ends to report, else for the scheduler's timer or the
+// first deadline of an attempt, whichever is earlier.
+func (c *Core) scheduleWake() {
 	next := c.wakeAt
 	if len(c.deadlines) > 0 {
 		next = min(next, c.deadlines[0].Deadline)
--- a/internal/core/outcomes.go
+++ b/internal/core/outcomes.go
@@ -1,51 +1,84 @@
 package core
 
 import (
+	"cmp"
 	"container/heap"
 	"slices"
 
 	"ternstage/internal/decision/scheduler"
 )
 
+// endedAttempt is an attempt with its outcome, until the scheduler is told.
 type endedAttempt struct {
 	attempt *Attempt
 	outcome scheduler.Outcome
 }
 
-// AttemptEnded reports the outcome of an attempt, once; later reports are ignored. value is what an OK brought.
-func (c *Core) AttemptEnded(a *Attempt, o scheduler.Outcome, value []byte) {
+// AttemptEnded reports how an attempt ended. The first report of an attempt counts, later ones are ignored. value is
+// what the backend gave if the outcome is Succeeded, and must not change afterwards. The scheduler is told in the next
+// round.
+func (c *Core) AttemptEnded(a *Attempt, outcome scheduler.Outcome, value []byte) {
 	if a.ended {
 		return
 	}
-	a.ended, a.outcome = true, o
+	a.ended = true
+	a.outcome = outcome
 	if a.heapIndex >= 0 {
 		heap.Remove(&c.deadlines, a.heapIndex)
 	}
-	if p := a.part; o == scheduler.Succeeded && !p.arrived {
-		p.arrived, p.value = true, value
-		c.segmentArrived(p)
+	if outcome == scheduler.Succeeded && !a.part.arrived {
+		a.part.arrived = true
+		a.part.value = value
+		c.countArrival(a.part)
 	}
-	c.ended = append(c.ended, endedAttempt{a, o})
+	c.ended = append(c.ended, endedAttempt{a, outcome})
 }
 
-// AttemptEndedLater reports an outcome learnt while the back end was being called: the module hears of it next turn.
-func (c *Core) AttemptEndedLater(a *Attempt, o scheduler.Outcome) {
-	c.AttemptEnded(a, o, nil)
+// AttemptEndedLater reports an outcome that the back end learns while Core is calling it, and asks for a round in
+// which the scheduler is told.
+func (c *Core) AttemptEndedLater(a *Attempt, outcome scheduler.Outcome) {
+	c.AttemptEnded(a, outcome, nil)
 	c.clock.WakeAt(0)
 }
 
-// expire ends the attempts whose time is up: one heap for all, no timer for each.
+// reportEnd tells the scheduler how an attempt ended, and does what follows from it for the part and the request.
+func (c *Core) reportEnd(now float64, end endedAttempt) {
+	attempt := end.attempt
+	part := attempt.part
+	request := part.request
+	delete(c.inFlight, attemptKey{part.id, attempt.number})
+	_, open := c.requests[request.queryID]
+	c.scheduler.AttemptEnded(now, scheduler.AttemptResult{
+		Part:           part.id,
+		Attempt:        attempt.number,
+		Replica:        attempt.Backend,
+		Outcome:        end.outcome,
+		Latency:        now - attempt.sentAt,
+		ConnectionOnly: attempt.ConnectionOnly,
+		PartDone:       end.outcome == scheduler.Succeeded || !open,
+		RetryDelay:     c.retryDelay(attempt, end.outcome),
+	})
+	if end.outcome != scheduler.Succeeded {
+		c.reroute(now, part)
+	}
+	if request.disconnected && c.requests[request.queryID] == request && !request.inFlight() {
+		c.concludeDisconnected(request)
+	}
+}
+
+// expire ends the attempts whose deadline has passed. They end in the order of their parts' ids, whatever the heap's.
 func (c *Core) expire(now float64) {
-	var due []*Attempt
+	var expired []*Attempt
 	for len(c.deadlines) > 0 && now >= c.deadlines[0].Deadline {
-		due = append(due, heap.Pop(&c.deadlines).(*Attempt))
+		expired = append(expired, heap.Pop(&c.deadlines).(*Attempt))
 	}
-	slices.SortFunc(due, func(x, y *Attempt) int { return int(int64(x.part.id) - int64(y.part.id)) })
-	for _, a := range due {
-		o := scheduler.TimedOut
-		if c.backend.Abandon(a) {
-			o = scheduler.ConnectFailed // it never left us: proved never to have run
+	slices.SortFunc(expired, func(x, y *Attempt) int { return cmp.Compare(x.part.id, y.part.id) })
+	for _, attempt := range expired {
+		outcome := scheduler.TimedOut
+		neverRan := c.backend.Abandon(attempt)
+		if neverRan {
+			outcome = scheduler.ConnectFailed // the scheduler may retry what never ran
 		}
-		c.AttemptEnded(a, o, nil)
+		c.AttemptEnded(attempt, outcome, nil)
 	}
 }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -3,7 +3,6 @@
 import (
 	"slices"
 
-	"ternstage/internal/decision/scheduler"
 	"ternstage/internal/slicemap"
 )
 
@@ -40,51 +39,18 @@
 // ClientDisconnected tells that the client disconnected before the final answer, which reaches nobody.
 func (r *Request) ClientDisconnected() bool { return r.disconnected }
 
-// partState is what core dispatches: a part as the client named it where placement is fixed, a segment of such a part
-// under resharding.
-type partState struct {
-	Part
-	id       uint64 // unique in this process
-	request  *Request
-	attempts []*Attempt // by number; under resharding also those of the part that it replaced
-	value    []byte     // once it has arrived
-	arrived  bool
+// inFlight tells that an attempt of the request has not ended.
+func (r *Request) inFlight() bool { return slices.ContainsFunc(r.parts, (*partState).inFlight) }
 
-	*segmentState // nil where placement is fixed
-}
-
-// inFlight tells that an attempt of the part has not ended.
-func (p *partState) inFlight() bool {
-	return slices.ContainsFunc(p.attempts, func(a *Attempt) bool { return !a.ended })
-}
-
-// outOfTime tells that the last attempt of the part timed out or is still in flight.
-func (p *partState) outOfTime() bool {
-	n := len(p.attempts)
-	return n > 0 && (!p.attempts[n-1].ended || p.attempts[n-1].outcome == scheduler.TimedOut)
-}
+// outOfTime tells that a part of the request did not arrive for want of time.
+func (r *Request) outOfTime() bool { return slices.ContainsFunc(r.parts, (*partState).outOfTime) }
 
-// withdrawParts sees to it that no part of a request begins any more: what waits at the back end is taken back,
-// whether or not the settings allow to cancel what has begun.
-func (c *Core) withdrawParts(r *Request) {
-	for _, p := range r.parts {
-		delete(c.parts, p.id)
-		c.unlinkSegment(p)
-		for _, a := range p.attempts {
-			if !a.ended && c.backend.Withdraw(a) {
-				c.AttemptEndedLater(a, scheduler.Cancelled)
-			}
-		}
-	}
+// arrived tells that all parts of the request have arrived.
+func (r *Request) arrived() bool {
+	return !slices.ContainsFunc(r.parts, func(p *partState) bool { return !p.arrived })
 }
 
-func (c *Core) forget(r *Request) {
-	delete(c.requests, r.queryID)
-	delete(c.requestIDs, r.ID)
-	c.withdrawParts(r)
-	if r.version != nil {
-		c.shardMap.Release(r.version)
-		r.version = nil // whoever still holds the request must not hold a map with it
-	}
-	c.openCount -= 1 + len(r.parts)
+// removePart takes a part out of the request.
+func (r *Request) removePart(part *partState) {
+	r.parts = slices.DeleteFunc(r.parts, func(p *partState) bool { return p == part })
 }
--- a/internal/core/resharding.go
+++ b/internal/core/resharding.go
@@ -7,153 +7,157 @@
 	"ternstage/internal/slicemap"
 )
 
-// How core carries requests while slices move. What may go where, and what of it is in, the slice map
-// decides.
-
-// behindRetryAfterMs is in how many ms a client may come again whose map is newer than ours: a read of the map on a
-// hint takes less.
-const behindRetryAfterMs = 100.0
-
-// clientPart is a part as its client named it.
+// clientPart is a part as its client named it, under resharding. Its segments are the parts that are dispatched.
 type clientPart struct {
 	Part
-	*slicemap.Coverage
-	number int
+	coverage *slicemap.Coverage // the buckets that it asks for, and which of them have arrived
+	number   int                // in the order of Request.Parts, from 1; the scheduler's atomic group
 }
 
-// segmentState is what a part is where slices move: districts of a unit that one slice holds.
+// segmentState is what a dispatched part is under resharding: buckets of a client's part that one shard holds. Where
+// they may go, and what of them has arrived, the shard map decides.
 type segmentState struct {
 	slicemap.Segment
-	clientPart      *clientPart
-	notHolderStreak int    // answers in a row that the node does not hold it
-	resumeEpoch     uint64 // the epoch that ends its pause
+	asked           *clientPart // the client's part that it belongs to
+	notHolderStreak int         // consecutive attempts that ended as NotHolder
+	resumeEpoch     uint64      // the epoch that ends its pause; 0 if it does not wait for one
 }
 
-// beginSegments binds a request to the map in use and hands its parts to the module.
-func (c *Core) beginSegments(now float64, r *Request) {
+// admitSegments binds a request to the map in use and hands its segments to the scheduler.
+func (c *Core) admitSegments(now float64, r *Request) {
 	r.version = c.shardMap.Acquire()
-	var buf [8]slicemap.Segment
-	for _, u := range r.clientParts {
-		for _, l := range c.shardMap.Route(buf[:0], u.Shard, u.Range) {
-			x := c.addSegment(r, u, l)
-			c.scheduler.PartArrived(now, x.schedulerPart(int(r.queryID)))
+	var buffer [routeBuffer]slicemap.Segment
+	for _, asked := range r.clientParts {
+		for _, segment := range c.shardMap.Route(buffer[:0], asked.Shard, asked.coverage.Range) {
+			part := c.addSegment(r, asked, segment)
+			c.scheduler.PartArrived(now, part.schedulerPart())
 		}
 	}
 }
 
-// addSegment makes the part of a request that asks one slice for districts of a unit. Weight and cost go by
-// districts.
-func (c *Core) addSegment(r *Request, u *clientPart, l slicemap.Segment) *partState {
+// addSegment adds a segment of a client's part to a request. Weight and cost are shared out by number of buckets.
+func (c *Core) addSegment(r *Request, asked *clientPart, segment slicemap.Segment) *partState {
 	c.nextID++
-	share := float64(l.Size()) / float64(u.Size())
-	x := &partState{Part: u.Part, id: c.nextID, request: r, segmentState: &segmentState{Segment: l, clientPart: u}}
-	x.Shard, x.Weight, x.CostHint = l.Shard, u.Weight*share, u.CostHint*share
-	r.parts, c.parts[x.id] = append(r.parts, x), x
-	c.partsByShard[l.Shard] = append(c.partsByShard[l.Shard], x)
-	return x
-}
-
-// schedulerPart is the part as the module hears of it.
-func (p *partState) schedulerPart(group int) scheduler.Part {
-	return scheduler.Part{ID: p.id, QueryGroup: group, Shard: p.Shard, Key: p.Key, Weight: p.Weight, CostHint: p.CostHint,
-		HasCostHint: p.HasCostHint, AtomicGroup: p.clientPart.number}
+	ratio := float64(segment.Size()) / float64(asked.coverage.Size())
+	part := &partState{
+		Part:    asked.Part,
+		id:      c.nextID,
+		request: r,
+		segment: &segmentState{Segment: segment, asked: asked},
+	}
+	part.Shard = segment.Shard
+	part.Weight = asked.Weight * ratio
+	part.CostHint = asked.CostHint * ratio
+	r.parts = append(r.parts, part)
+	c.parts[part.id] = part
+	c.partsByShard[segment.Shard] = append(c.partsByShard[segment.Shard], part)
+	return part
 }
 
-// unlinkSegment forgets a part's place under its slice.
-func (c *Core) unlinkSegment(p *partState) {
-	if p.segmentState == nil {
+// unlinkSegment removes a part from what changes of the map look at. It does nothing where placement is fixed.
+func (c *Core) unlinkSegment(part *partState) {
+	if part.segment == nil {
 		return
 	}
-	list := c.partsByShard[p.Shard]
-	if list = slices.DeleteFunc(list, func(x *partState) bool { return x == p }); len(list) == 0 {
-		delete(c.partsByShard, p.Shard)
+	same := func(p *partState) bool { return p == part }
+	remaining := slices.DeleteFunc(c.partsByShard[part.Shard], same)
+	if len(remaining) == 0 {
+		delete(c.partsByShard, part.Shard)
 	} else {
-		c.partsByShard[p.Shard] = list
+		c.partsByShard[part.Shard] = remaining
 	}
-	if p.resumeEpoch > 0 {
-		p.resumeEpoch = 0
-		c.paused = slices.DeleteFunc(c.paused, func(x *partState) bool { return x == p })
+	if part.segment.resumeEpoch > 0 {
+		part.segment.resumeEpoch = 0
+		c.paused = slices.DeleteFunc(c.paused, same)
 	}
 }
 
-// segmentArrived counts a part that is in.
-func (c *Core) segmentArrived(p *partState) {
-	if p.segmentState == nil {
+// countArrival counts the buckets of a part that has arrived, each once. It does nothing where placement is fixed.
+func (c *Core) countArrival(part *partState) {
+	if part.segment == nil {
 		return
 	}
-	if _, err := p.clientPart.Arrived(p.Range); err != nil {
+	if _, err := part.segment.asked.coverage.Arrived(part.segment.Range); err != nil {
 		c.resharding.Duplicates++
 		c.log.SchedulerLine(err.Error())
 	}
 }
 
-// retryDelay is for how long a part that a node does not hold is not tried again.
-func (c *Core) retryDelay(a *Attempt, o scheduler.Outcome) float64 {
-	p := a.part
-	if p.segmentState == nil {
+// retryDelay is the time in ms for which a part is not retried after an attempt with this outcome: 0 unless the backend
+// did not hold its shard.
+func (c *Core) retryDelay(attempt *Attempt, outcome scheduler.Outcome) float64 {
+	part := attempt.part
+	segment := part.segment
+	if segment == nil {
 		return 0
 	}
-	if o != scheduler.NotHolder {
-		p.notHolderStreak = 0
+	if outcome != scheduler.NotHolder {
+		segment.notHolderStreak = 0
 		return 0
 	}
-	p.notHolderStreak++
-	w := c.shardMap.OnNotHolder(p.Segment, a.Epoch, a.BackendEpoch, p.notHolderStreak)
-	if w.ReadEpoch > 0 {
-		c.onNewerMap(w.ReadEpoch)
+	segment.notHolderStreak++
+	wait := c.shardMap.OnNotHolder(segment.Segment, attempt.Epoch, attempt.BackendEpoch, segment.notHolderStreak)
+	if wait.ReadEpoch > 0 {
+		c.onNewerMap(wait.ReadEpoch)
 	}
-	if w.UntilEpoch > 0 && p.resumeEpoch == 0 && c.parts[p.id] == p {
-		p.resumeEpoch = w.UntilEpoch
-		c.paused = append(c.paused, p)
+	if wait.UntilEpoch > 0 && segment.resumeEpoch == 0 && c.parts[part.id] == part {
+		segment.resumeEpoch = wait.UntilEpoch
+		c.paused = append(c.paused, part)
 	}
-	if w.Delay > 0 {
+	if wait.Delay > 0 {
 		c.resharding.Paused++
 	}
-	return w.Delay
+	return wait.Delay
 }
 
-// reroute puts parts of other slices in the place of one whose slice is no more, if a further try of it is
-// allowed and none is out.
-func (c *Core) reroute(now float64, p *partState) {
-	if c.parts[p.id] != p || p.arrived || p.segmentState == nil {
+// reroute replaces a part whose shard no longer holds its buckets by parts of the shards that do, if a retry of it is
+// allowed. A part of which an attempt is in flight is looked at when that ends. It does nothing where placement is
+// fixed.
+func (c *Core) reroute(now float64, part *partState) {
+	if part.segment == nil || part.arrived || c.parts[part.id] != part || part.inFlight() {
 		return
 	}
-	mayHaveRun := false
-	for _, a := range p.attempts {
-		if !a.ended {
-			return // it is looked at when that ends
-		}
-		mayHaveRun = mayHaveRun || a.outcome < scheduler.Rejected
+	var buffer [routeBuffer]slicemap.Segment
+	segments, decision := c.shardMap.Reroute(buffer[:0], part.segment.Segment, part.request.nonIdempotent,
+		part.mayHaveRun())
+	if decision == slicemap.ReplaceSegments {
+		c.replacePart(now, part, segments)
 	}
-	var buf [8]slicemap.Segment
-	legs, verdict := c.shardMap.Reroute(buf[:0], p.Segment, p.request.nonIdempotent, mayHaveRun)
-	if verdict != slicemap.ReplaceSegments {
-		return
-	}
-	r, u := p.request, p.clientPart
-	parts, told := make([]*partState, 0, len(legs)), make([]scheduler.Part, 0, len(legs))
-	for _, l := range legs {
-		x := c.addSegment(r, u, l)
-		x.attempts = slices.Clone(p.attempts)
-		parts, told = append(parts, x), append(told, x.schedulerPart(int(r.queryID)))
-	}
-	drop := func(x *partState) {
-		delete(c.parts, x.id)
-		c.unlinkSegment(x)
-		r.parts = slices.DeleteFunc(r.parts, func(y *partState) bool { return y == x })
-	}
-	if !c.scheduler.ReplacePart(now, p.id, told) {
-		for _, x := range parts {
-			drop(x)
+}
+
+// replacePart puts parts for these segments, which are the same buckets, in the place of a part. What was attempted of
+// it counts for each of them. The part stays if the scheduler does not replace it.
+func (c *Core) replacePart(now float64, part *partState, segments []slicemap.Segment) {
+	asked := part.segment.asked
+	replacements := make([]*partState, 0, len(segments))
+	schedulerParts := make([]scheduler.Part, 0, len(segments))
+	for _, segment := range segments {
+		replacement := c.addSegment(part.request, asked, segment)
+		replacement.attempts = slices.Clone(part.attempts)
+		replacements = append(replacements, replacement)
+		schedulerParts = append(schedulerParts, replacement.schedulerPart())
+	}
+	replaced := c.scheduler.ReplacePart(now, part.id, schedulerParts)
+	if !replaced {
+		for _, replacement := range replacements {
+			c.dropPart(replacement)
 		}
 		return
 	}
-	if err := u.Replace(p.Range, legs); err != nil {
-		panic(err) // the map's own route of the same districts
+	if err := asked.coverage.Replace(part.segment.Range, segments); err != nil {
+		panic(err) // the map has routed the same buckets
 	}
-	drop(p)
-	c.openCount += len(legs) - 1
-	if c.resharding.Replaced++; len(legs) > 1 {
+	c.dropPart(part)
+	c.openCount += len(segments) - 1
+	c.resharding.Replaced++
+	if len(segments) > 1 {
 		c.resharding.Split++
 	}
 }
+
+// dropPart removes a part from its request.
+func (c *Core) dropPart(part *partState) {
+	delete(c.parts, part.id)
+	c.unlinkSegment(part)
+	part.request.removePart(part)
+}
--- /dev/null
+++ b/internal/core/resolve.go
@@ -0,0 +1,76 @@
+package core
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+
+	"ternstage/internal/slicemap"
+)
+
+// behindRetryAfterMs is when a client may retry whose shard map is newer than this broker's, or that came before the
+// first map. A read of the map takes less.
+const behindRetryAfterMs = 100.0
+
+// routeBuffer is the number of segments for which routing a part needs no allocation.
+const routeBuffer = 8
+
+// StaleEpochError is returned by Core.Submit if a shard that the client named is unknown, as its map is too old.
+type StaleEpochError struct {
+	Epoch uint64 // of the map in use
+	Err   error  // of slicemap.Map.Resolve
+}
+
+// Error goes to clients in bodies.
+func (e *StaleEpochError) Error() string { return fmt.Sprintf("%v: %v", ErrInvalidRequest, e.Err) }
+
+// Unwrap gives ErrInvalidRequest and the map's own error.
+func (e *StaleEpochError) Unwrap() []error { return []error{ErrInvalidRequest, e.Err} }
+
+// resolve finds the buckets of a request's parts, and the number of segments that they take by the map in use. That is
+// 0 if there is no map yet, or if the client names shards of a newer one: this broker is behind, and a retry is
+// harmless.
+func (c *Core) resolve(r *Request) (segmentCount int, err error) {
+	epoch := c.Epoch()
+	behind := r.Epoch > epoch
+	if behind {
+		c.onNewerMap(r.Epoch)
+	}
+	if epoch == 0 {
+		return 0, nil
+	}
+	r.clientParts = make([]*clientPart, 0, len(r.Parts))
+	var buffer [routeBuffer]slicemap.Segment
+	for i, p := range r.Parts {
+		buckets, err := c.shardMap.Resolve(p.Shard)
+		if err != nil && behind {
+			c.resharding.Behind++
+			return 0, nil
+		}
+		if err != nil {
+			c.resharding.Stale++
+			return 0, &StaleEpochError{Epoch: epoch, Err: err}
+		}
+		segments := c.shardMap.Route(buffer[:0], p.Shard, buckets)
+		segmentCount += len(segments)
+		r.clientParts = append(r.clientParts,
+			&clientPart{Part: p, coverage: slicemap.NewCoverage(buckets, segments), number: i + 1})
+	}
+	return segmentCount, checkDisjoint(r.clientParts)
+}
+
+// checkDisjoint refuses parts that share buckets, as names of shards from different epochs may: those would count
+// twice.
+func checkDisjoint(parts []*clientPart) error {
+	ranges := make([]slicemap.Range, 0, len(parts))
+	for _, p := range parts {
+		ranges = append(ranges, p.coverage.Range)
+	}
+	slices.SortFunc(ranges, func(x, y slicemap.Range) int { return cmp.Compare(x.Start, y.Start) })
+	for i := 1; i < len(ranges); i++ {
+		if ranges[i].Start < ranges[i-1].End {
+			return fmt.Errorf("%w: districts %v and %v are asked twice", ErrInvalidRequest, ranges[i-1], ranges[i])
+		}
+	}
+	return nil
+}
--- a/internal/core/shardmap.go
+++ b/internal/core/shardmap.go
@@ -1,7 +1,6 @@
 package core
 
 import (
-	"cmp"
 	"fmt"
 	"slices"
 
@@ -28,105 +27,76 @@
 // OnMapChanged sets the function that is called after a map has been taken into use.
 func (c *Core) OnMapChanged(f func(*slicemap.Version)) { c.onMapChanged = f }
 
-// StaleEpochError is returned by Core.Submit if a shard that the client named is unknown, as its map is too old.
-type StaleEpochError struct {
-	Epoch uint64 // of the map in use
-	Err   error  // of slicemap.Map.Resolve
+// ApplySnapshot takes a whole map into use. On an error, slicemap.ValidationError, the one in use stays.
+func (c *Core) ApplySnapshot(snapshot slicemap.Snapshot) error {
+	retired, err := c.shardMap.Reset(snapshot)
+	return c.mapApplied(retired, err)
 }
 
-// Error goes to clients in bodies.
-func (e *StaleEpochError) Error() string { return fmt.Sprintf("%v: %v", ErrInvalidRequest, e.Err) }
-
-// Unwrap gives ErrInvalidRequest and the map's own error.
-func (e *StaleEpochError) Unwrap() []error { return []error{ErrInvalidRequest, e.Err} }
+// ApplyChanges takes changes of the map into use, all or, on an error, none. backends are the names of those that may
+// hold shards; none for any.
+func (c *Core) ApplyChanges(changes []slicemap.Change, backends []string) error {
+	retired, err := c.shardMap.Apply(changes, backends)
+	return c.mapApplied(retired, err)
+}
 
-// resolve finds the districts of a request's parts and how many calls they take by the map in use; 0 if there
-// is no map yet, or none as new as the client's: then we are behind, and trying again is harmless.
-func (c *Core) resolve(r *Request) (legs int, err error) {
-	epoch := c.shardMap.Current().Epoch
-	if r.Epoch > epoch {
-		c.onNewerMap(r.Epoch) // the client has seen a newer map than we have
-	}
-	if epoch == 0 {
-		return 0, nil
+// mapApplied carries out what follows from the end of Reset or Apply, and returns its error.
+func (c *Core) mapApplied(retired []slicemap.ShardID, err error) error {
+	if err != nil {
+		return err
 	}
-	ranges := make([]slicemap.Range, 0, len(r.Parts))
-	r.clientParts = make([]*clientPart, 0, len(r.Parts))
-	var buf [8]slicemap.Segment
-	for i, p := range r.Parts {
-		d, err := c.shardMap.Resolve(p.Shard)
-		if err != nil && r.Epoch > epoch {
-			c.resharding.Behind++
-			return 0, nil
-		}
-		if err != nil {
-			c.resharding.Stale++
-			return 0, &StaleEpochError{epoch, err}
-		}
-		out := c.shardMap.Route(buf[:0], p.Shard, d)
-		legs += len(out)
-		r.clientParts = append(r.clientParts, &clientPart{Part: p, Coverage: slicemap.NewCoverage(d, out), number: i + 1})
-		ranges = append(ranges, d)
+	if c.Epoch() == c.notifiedEpoch {
+		return nil
 	}
-	// Names of different epochs may mean the same districts: those would count twice.
-	slices.SortFunc(ranges, func(a, b slicemap.Range) int { return cmp.Compare(a.Start, b.Start) })
-	for i := 1; i < len(ranges); i++ {
-		if ranges[i].Start < ranges[i-1].End {
-			return 0, fmt.Errorf("%w: districts %v and %v are asked twice", ErrInvalidRequest, ranges[i-1], ranges[i])
-		}
+	c.notifiedEpoch = c.Epoch()
+	c.applyMapChange(retired)
+	c.logDroppedVersions()
+	if c.onMapChanged != nil {
+		c.onMapChanged(c.shardMap.Current())
 	}
-	return legs, nil
+	return nil
 }
 
-// applyMapChange tells that the map has changed: retired are the slices that are in it no more.
+// applyMapChange reroutes the parts of retired shards, resumes the parts that wait for the epoch in use, and asks for a
+// round that decides on them.
 func (c *Core) applyMapChange(retired []slicemap.ShardID) {
-	now, epoch := c.clock.Now(), c.shardMap.Current().Epoch
+	now := c.clock.Now()
 	c.scheduler.PlacementChanged()
 	for _, id := range retired {
-		for _, p := range slices.Clone(c.partsByShard[id]) {
-			if n := len(p.attempts); n > 0 && !p.attempts[n-1].ended {
+		for _, part := range slices.Clone(c.partsByShard[id]) { // reroute changes the list
+			if part.lastInFlight() {
 				c.resharding.InFlight++
 			}
-			c.reroute(now, p)
+			c.reroute(now, part)
 		}
 	}
-	c.paused = slices.DeleteFunc(c.paused, func(p *partState) bool {
-		if p.resumeEpoch > epoch {
-			return false
-		}
-		p.resumeEpoch = 0
-		c.scheduler.ResumePart(p.id)
-		return true
-	})
-	c.clock.WakeAt(0) // what waited is decided on now
+	c.resumeParts(c.Epoch())
+	c.clock.WakeAt(0)
 }
 
-// ApplySnapshot takes a whole map into use. On an error, slicemap.ValidationError, the one in use stays.
-func (c *Core) ApplySnapshot(snapshot slicemap.Snapshot) error {
-	retired, err := c.shardMap.Reset(snapshot)
-	return c.mapApplied(retired, err)
-}
-
-// ApplyChanges takes changes of the map into use, all or, on an error, none. backends are the names of those that may
-// hold shards; none for any.
-func (c *Core) ApplyChanges(changes []slicemap.Change, backends []string) error {
-	retired, err := c.shardMap.Apply(changes, backends)
-	return c.mapApplied(retired, err)
+// resumeParts ends the pause of the parts that wait for this epoch or an older one.
+func (c *Core) resumeParts(epoch uint64) {
+	waiting := c.paused[:0]
+	for _, part := range c.paused {
+		if part.segment.resumeEpoch > epoch {
+			waiting = append(waiting, part)
+			continue
+		}
+		part.segment.resumeEpoch = 0
+		c.scheduler.ResumePart(part.id)
+	}
+	clear(c.paused[len(waiting):])
+	c.paused = waiting
 }
 
-func (c *Core) mapApplied(retired []slicemap.ShardID, err error) error {
-	if err == nil && c.Epoch() != c.notifiedEpoch {
-		c.notifiedEpoch = c.Epoch()
-		c.applyMapChange(retired)
-		if n := c.shardMap.DroppedVersions(); n != c.droppedVersions {
-			c.log.SchedulerLine(fmt.Sprintf("map versions at their bound: %d let go, %d in all", n-c.droppedVersions, n))
-			c.droppedVersions = n
-		}
-		if c.onMapChanged != nil {
-			c.onMapChanged(c.shardMap.Current())
-		}
+// logDroppedVersions writes a line if versions of the map were dropped since the last one.
+func (c *Core) logDroppedVersions() {
+	total := c.shardMap.DroppedVersions()
+	if total == c.droppedVersions {
+		return
 	}
-	return err
+	c.log.SchedulerLine(fmt.Sprintf("map versions at their bound: %d let go, %d in all", total-c.droppedVersions, total))
+	c.droppedVersions = total
 }
 
 // Epoch is that of the shard map in use; 0 before the first. It must not be called where placement is fixed.
--- a/internal/core/submission.go
+++ b/internal/core/submission.go
@@ -8,67 +8,99 @@
 	"ternstage/internal/decision/scheduler"
 )
 
-// ErrInvalidRequest is wrapped by what Take says of a request that breaks its contract.
+// ErrInvalidRequest is wrapped by the errors of Submit: the request is not as its front has agreed. The texts go to
+// clients in bodies.
 var ErrInvalidRequest = errors.New("the request breaks its contract")
 
-// Submit takes a request. An error means that it was not taken: the front answers it.
+const (
+	// maxPartWeight and weightSumTolerance leave room for weights that clients have rounded.
+	maxPartWeight      = 1.001
+	weightSumTolerance = 0.01
+)
+
+// Submit accepts a request, or rejects it by its final answer at once: beyond Options.MaxOpen, and while there is no
+// shard map as new as the client's. An error, ErrInvalidRequest or StaleEpochError, means that it was not accepted:
+// the front answers the client itself.
 func (c *Core) Submit(r *Request) error {
-	sum, seen := 0.0, make(map[int]bool, len(r.Parts))
-	for _, p := range r.Parts {
-		// A shard asked twice would give one part id two meanings at the node.
-		if p.Shard < 0 || c.shardMap == nil && p.Shard >= c.shards || seen[p.Shard] {
-			return fmt.Errorf("%w: shard %d is unknown or asked twice", ErrInvalidRequest, p.Shard)
-		}
-		if !(p.Weight > 0) || p.Weight > 1.001 {
-			return fmt.Errorf("%w: weight of shard %d", ErrInvalidRequest, p.Shard)
-		}
-		seen[p.Shard] = true
-		sum += p.Weight
+	if err := c.checkParts(r.Parts); err != nil {
+		return err
 	}
-	if len(r.Parts) == 0 || math.Abs(sum-1) > 0.01 {
-		return fmt.Errorf("%w: %d parts, weights that sum to %.3f", ErrInvalidRequest, len(r.Parts), sum)
-	}
-	// The name is the parts' name at the nodes: guards against one client's answer going to another, and a part
-	// that must not run twice against a client that comes again while it is out.
+	// Backends know the parts by the request's id. Guards against one client's answer going to another, and a
+	// non-idempotent part against a client that retries while it is in flight.
 	if c.requestIDs[r.ID] {
 		return fmt.Errorf("%w: request id %q is in use", ErrInvalidRequest, r.ID)
 	}
-	now, count := c.clock.Now(), len(r.Parts)
+	now := c.clock.Now()
+	partCount := len(r.Parts)
 	if c.shardMap != nil {
-		var err error
-		if count, err = c.resolve(r); err != nil {
+		segmentCount, err := c.resolve(r)
+		if err != nil {
 			return err
 		}
+		partCount = segmentCount
 	}
 	r.Deadline = min(r.Deadline, c.finalAnswerBy)
 	c.counts.Submitted++
-	// The stated limit of queries and parts held: beyond it the module does not see the query. No more does it
-	// before the first map.
-	if c.maxOpen > 0 && c.openCount+1+count > c.maxOpen || count == 0 {
-		after := c.maxRetryAfter
-		if count == 0 {
-			after = min(after, behindRetryAfterMs)
+	switch {
+	case partCount == 0:
+		c.deliver(r, Answer{Kind: Rejected, RetryAfter: min(c.maxRetryAfter, behindRetryAfterMs)})
+	case c.maxOpen > 0 && c.openCount+1+partCount > c.maxOpen:
+		c.deliver(r, Answer{Kind: Rejected, RetryAfter: c.maxRetryAfter})
+	default:
+		c.admit(now, r, partCount)
+	}
+	return nil
+}
+
+// checkParts checks what the scheduler and the backends rely on: known and different shards, and weights above 0 that
+// add up to 1.
+func (c *Core) checkParts(parts []Part) error {
+	sum := 0.0
+	seen := make(map[int]bool, len(parts))
+	for _, p := range parts {
+		// A shard that is asked twice would give one part id two meanings at its backend. Under resharding, resolve
+		// tells which shards are known.
+		unknown := p.Shard < 0 || c.shardMap == nil && p.Shard >= c.shards
+		if unknown || seen[p.Shard] {
+			return fmt.Errorf("%w: shard %d is unknown or asked twice", ErrInvalidRequest, p.Shard)
 		}
-		c.deliver(r, Answer{Kind: Rejected, RetryAfter: after})
-		return nil
+		if !(p.Weight > 0) || p.Weight > maxPartWeight { // a NaN is refused too
+			return fmt.Errorf("%w: weight of shard %d", ErrInvalidRequest, p.Shard)
+		}
+		seen[p.Shard] = true
+		sum += p.Weight
+	}
+	if len(parts) == 0 || math.Abs(sum-1) > weightSumTolerance {
+		return fmt.Errorf("%w: %d parts, weights that sum to %.3f", ErrInvalidRequest, len(parts), sum)
 	}
+	return nil
+}
+
+// admit hands a request and its parts to the scheduler. partCount is the number of parts that it becomes.
+func (c *Core) admit(now float64, r *Request, partCount int) {
 	c.nextID++
-	r.queryID, r.nonIdempotent = c.nextID, c.classes[r.Class].Idempotency == scheduler.NonIdempotent
-	group := int(r.queryID)
-	c.requests[r.queryID], c.requestIDs[r.ID] = r, true
-	c.openCount += 1 + count
-	c.scheduler.QueryArrived(now, scheduler.Query{ID: r.queryID, QueryGroup: group, Class: r.Class, Tenant: r.Tenant,
-		Deadline: r.Deadline, ClientRetry: r.ClientRetry})
+	r.queryID = c.nextID
+	r.nonIdempotent = c.classes[r.Class].Idempotency == scheduler.NonIdempotent
+	c.requests[r.queryID] = r
+	c.requestIDs[r.ID] = true
+	c.openCount += 1 + partCount
+	c.scheduler.QueryArrived(now, scheduler.Query{
+		ID:          r.queryID,
+		QueryGroup:  int(r.queryID),
+		Class:       r.Class,
+		Tenant:      r.Tenant,
+		Deadline:    r.Deadline,
+		ClientRetry: r.ClientRetry,
+	})
 	if c.shardMap != nil {
-		c.beginSegments(now, r)
-		return nil
+		c.admitSegments(now, r)
+		return
 	}
 	for _, p := range r.Parts {
 		c.nextID++
-		x := &partState{Part: p, id: c.nextID, request: r}
-		r.parts, c.parts[x.id] = append(r.parts, x), x
-		c.scheduler.PartArrived(now, scheduler.Part{ID: x.id, QueryGroup: group, Shard: p.Shard, Key: p.Key,
-			Weight: p.Weight, CostHint: p.CostHint, HasCostHint: p.HasCostHint})
+		part := &partState{Part: p, id: c.nextID, request: r}
+		r.parts = append(r.parts, part)
+		c.parts[part.id] = part
+		c.scheduler.PartArrived(now, part.schedulerPart())
 	}
-	return nil
 }
