--- a/internal/core/moving_test.go
+++ b/internal/core/moving_test.go
@@ -392,7 +392,7 @@
 		r.change(slicemap.Change{Kind: slicemap.Assign, Shard: 7, Replicas: []string{"a", "b", "c", "d"}[i%4 : i%4+1]})
 	}
 	require.Equal(t, 8, r.m.Stats().Kept)
-	require.Contains(t, r.lines, "map versions at their bound: 1 let go, 5 in all")
+	require.Contains(t, r.lines, "shard map: 1 versions dropped at the limit, 5 since the start")
 	for len(r.sent) > 0 {
 		r.end(r.sent[0], scheduler.Succeeded)
 	}
--- a/internal/core/shardmap.go
+++ b/internal/core/shardmap.go
@@ -95,7 +95,8 @@
 	if total == c.droppedVersions {
 		return
 	}
-	c.log.SchedulerLine(fmt.Sprintf("map versions at their bound: %d let go, %d in all", total-c.droppedVersions, total))
+	c.log.SchedulerLine(fmt.Sprintf("shard map: %d versions dropped at the limit, %d since the start",
+		total-c.droppedVersions, total))
 	c.droppedVersions = total
 }
 
