--- /dev/null
+++ b/internal/core/disconnects_test.go
@@ -0,0 +1,36 @@
+package core
+
+import (
+	"fmt"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+
+	"ternstage/internal/decision/scheduler"
+)
+
+// A client disconnects while an attempt waits at the back end. Nothing of it begins, whether or not the settings allow to
+// cancel what has begun; a non-idempotent attempt that has begun is waited for, and is the last of its request.
+func TestDisconnectWithdrawsAttempts(t *testing.T) {
+	for _, canCancel := range []bool{true, false} {
+		for _, idempotency := range []scheduler.Idempotency{scheduler.Idempotent, scheduler.NonIdempotent} {
+			t.Run(fmt.Sprint("can cancel ", canCancel, ", idempotency ", idempotency), func(t *testing.T) {
+				broker := newFixedFixture(t, 1000, canCancel, scheduler.Class{Idempotency: idempotency})
+				broker.core.ClientDisconnected(broker.submitOne())
+				broker.runFor(1)
+				assert.Empty(t, broker.inFlight)
+				assert.Zero(t, broker.core.OpenRequests())
+
+				request := broker.submitOne()
+				broker.begun[broker.attempts[1]] = true
+				broker.core.ClientDisconnected(request)
+				broker.runFor(1)
+				assert.Equal(t, idempotency == scheduler.NonIdempotent, broker.core.OpenRequests() == 1)
+				broker.core.AttemptEnded(broker.attempts[1], scheduler.Rejected, nil)
+				broker.runFor(100)
+				assert.Zero(t, broker.core.OpenRequests())
+				assert.Len(t, broker.attempts, 2, "rejected, and not retried")
+			})
+		}
+	}
+}
--- /dev/null
+++ b/internal/core/resharding_test.go
@@ -0,0 +1,181 @@
+package core
+
+import (
+	"slices"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"ternstage/internal/decision/scheduler"
+	"ternstage/internal/slicemap"
+)
+
+// A non-idempotent part is in flight when its shard moves: the answer of its former replica counts, nothing else is sent
+// meanwhile, and only a part that provably never ran is sent to the new replica.
+func TestNonIdempotentPartInFlightWhenItsShardMoves(t *testing.T) {
+	for name, c := range map[string]struct {
+		outcome scheduler.Outcome
+		kind    AnswerKind
+		retried bool
+	}{
+		"the former replica answers": {outcome: scheduler.Succeeded, kind: Answered},
+		"it fails":                   {outcome: scheduler.Failed, kind: Failed},
+		"its connection resets":      {outcome: scheduler.ConnectionReset, kind: Failed},
+		"it holds the shard no more": {outcome: scheduler.NotHolder, retried: true},
+		"it rejects the attempt":     {outcome: scheduler.Rejected, retried: true},
+		"its connection is refused":  {outcome: scheduler.ConnectFailed, retried: true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			broker := newFixture(t)
+			client := broker.submit(nonIdempotentClass, 1, 0)
+			require.Len(t, broker.inFlight, 1)
+			first := broker.inFlight[0]
+			former := backendOf(first)
+			broker.moveShard(0, former, "d")
+			broker.runFor(50)
+			require.Len(t, broker.attempts, 1, "nothing else is sent while it is in flight")
+			first.BackendEpoch = 4
+			broker.endAttempt(first, c.outcome)
+			broker.runFor(200)
+			if !c.retried {
+				require.Equal(t, c.kind, broker.finalAnswer(client).Kind)
+				require.Len(t, broker.attempts, 1)
+				return
+			}
+			require.Len(t, broker.attempts, 2)
+			require.NotEqual(t, former, backendOf(broker.attempts[1]), "by the map in use another holds it")
+			require.EqualValues(t, 4, broker.attempts[1].Epoch)
+			broker.endAttempt(broker.attempts[1], scheduler.Succeeded)
+			require.Equal(t, Answered, broker.finalAnswer(client).Kind)
+		})
+	}
+	t.Run("it times out", func(t *testing.T) {
+		broker := newFixture(t)
+		client := broker.submit(nonIdempotentClass, 1, 0)
+		broker.moveShard(0, backendOf(broker.inFlight[0]), "d")
+		broker.runFor(2100)
+		require.Equal(t, Failed, broker.finalAnswer(client).Kind)
+		require.Len(t, broker.attempts, 1, "a time-out at the former replica is not followed by an attempt at the new one")
+	})
+	t.Run("the shard is split and the connection resets", func(t *testing.T) {
+		broker := newFixture(t)
+		client := broker.submit(nonIdempotentClass, 1, 0)
+		broker.splitFirstShard()
+		broker.endAttempt(broker.inFlight[0], scheduler.ConnectionReset)
+		broker.runFor(200)
+		require.Equal(t, Failed, broker.finalAnswer(client).Kind)
+		require.Len(t, broker.attempts, 1)
+	})
+}
+
+// A part whose shard was split goes on as two parts, which count only together.
+func TestHalfOfASplitPartDoesNotCount(t *testing.T) {
+	broker := newFixture(t)
+	client := broker.submit(idempotentClass, 1, 0, 1, 2, 3)
+	require.Len(t, broker.inFlight, 4)
+	first := broker.inFlight[0]
+	require.Equal(t, 0, first.Shard)
+	broker.splitFirstShard()
+	broker.endAttempt(first, scheduler.Failed)
+	broker.runFor(50)
+	require.Len(t, broker.attempts, 6)
+	halves := broker.attempts[4:]
+	require.Equal(t, []slicemap.Range{{Start: 0, End: 4}, {Start: 4, End: 10}},
+		[]slicemap.Range{halves[0].Buckets, halves[1].Buckets})
+	require.EqualValues(t, 1, broker.core.ReshardingStats().Split)
+	for _, attempt := range slices.Clone(broker.inFlight) {
+		if attempt != halves[1] {
+			broker.endAttempt(attempt, scheduler.Succeeded)
+		}
+	}
+	require.Empty(t, client.answers, "three parts and a half are not complete")
+	broker.runFor(2100)
+	answer := broker.finalAnswer(client)
+	require.Equal(t, Answered, answer.Kind)
+	require.False(t, answer.Complete)
+	require.Len(t, answer.Values, 3)
+	for _, value := range answer.Values {
+		require.NotEqual(t, 0, value.Shard, "half a part is not in the answer")
+	}
+}
+
+func TestBothHalvesOfASplitPartCompleteIt(t *testing.T) {
+	broker := newFixture(t)
+	client := broker.submit(idempotentClass, 1, 0, 1)
+	first := broker.inFlight[0]
+	broker.splitFirstShard()
+	broker.endAttempt(first, scheduler.Failed)
+	broker.runFor(50)
+	broker.succeedAll()
+	answer := broker.finalAnswer(client)
+	require.True(t, answer.Complete)
+	require.EqualValues(t, 1, answer.Epoch, "of the map by which the request began")
+	require.Equal(t, []Value{
+		{Shard: 0, Buckets: slicemap.Range{Start: 0, End: 4}, Doc: []byte("0-4")},
+		{Shard: 0, Buckets: slicemap.Range{Start: 4, End: 10}, Doc: []byte("4-10")},
+		{Shard: 1, Buckets: slicemap.Range{Start: 10, End: 20}, Doc: []byte("10-20")},
+	}, answer.Values)
+	require.Equal(t, 1, broker.shardMap.Stats().Kept, "its version of the map is released")
+	require.Empty(t, broker.core.partsByShard)
+	require.Empty(t, broker.core.inFlight)
+}
+
+// A merged shard answers for two parts: each asks for its own buckets, so that none counts twice.
+func TestMergedShardAnswersForTwoParts(t *testing.T) {
+	broker := newFixture(t)
+	broker.splitFirstShard()
+	client := broker.submit(idempotentClass, 2, 8, 9)
+	require.Len(t, broker.inFlight, 2)
+	broker.applyChange(slicemap.Change{Kind: slicemap.Merge, Shard: 8, Other: 9, Into: []int{10}})
+	former := slices.Clone(broker.inFlight)
+	broker.endAttempt(former[0], scheduler.Failed)
+	broker.runFor(50)
+	retry := broker.attempts[2]
+	require.Equal(t, 10, retry.Shard)
+	require.Equal(t, slicemap.Range{Start: 0, End: 4}, retry.Buckets)
+	broker.endAttempt(former[1], scheduler.Succeeded) // a replica of the retired shard answers after the merge
+	broker.endAttempt(retry, scheduler.Succeeded)
+	answer := broker.finalAnswer(client)
+	require.True(t, answer.Complete)
+	require.Len(t, answer.Values, 2)
+	require.Zero(t, broker.core.ReshardingStats().Duplicates)
+}
+
+// A shard moves from one backend to another and back while an attempt from its first time there is in flight: its answer
+// counts, once.
+func TestShardMovesThereAndBackWhileInFlight(t *testing.T) {
+	broker := newFixture(t)
+	client := broker.submit(nonIdempotentClass, 1, 0)
+	first := broker.inFlight[0]
+	former := backendOf(first)
+	broker.moveShard(0, former, "d")
+	broker.moveShard(0, "d", former)
+	broker.splitFirstShard()
+	broker.endAttempt(first, scheduler.Succeeded)
+	require.Equal(t, Answered, broker.finalAnswer(client).Kind)
+	require.Len(t, broker.attempts, 1)
+}
+
+// A backend knows a newer map: that map is asked for, the other replica is tried at once, and when all have said so the
+// part waits for that epoch and no longer.
+func TestPartWaitsForTheEpochOfABackend(t *testing.T) {
+	broker := newFixture(t)
+	client := broker.submit(nonIdempotentClass, 1, 0)
+	for i := range 2 {
+		require.Len(t, broker.attempts, i+1)
+		attempt := broker.attempts[i]
+		attempt.BackendEpoch = 4
+		broker.endAttempt(attempt, scheduler.NotHolder)
+		broker.runFor(20)
+	}
+	require.NotEqual(t, broker.attempts[0].Backend, broker.attempts[1].Backend)
+	require.Len(t, broker.attempts, 2, "both replicas were asked: it waits")
+	require.Equal(t, []uint64{4, 4}, broker.newerEpochs)
+	broker.moveShard(0, "a", "c")
+	broker.moveShard(0, "b", "d")
+	broker.runFor(20)
+	require.Len(t, broker.attempts, 3, "the map has come: it waits no more")
+	require.Contains(t, []string{"c", "d"}, backendOf(broker.attempts[2]))
+	broker.endAttempt(broker.attempts[2], scheduler.Succeeded)
+	require.Equal(t, Answered, broker.finalAnswer(client).Kind)
+}
