--- a/internal/core/attempt_test.go
+++ b/internal/core/attempt_test.go
@@ -10,8 +10,8 @@
 	"ternstage/internal/decision/scheduler"
 )
 
-// An attempt begins within 400 ms of its decision, or 0.4 of the drain grace where that is less; a repeat of a part that
-// may have run begins within the deduplication window of its class, from the first attempt.
+// An attempt begins within 400 ms of its decision, or 0.4 of the drain grace where that is less; a repeat of a part
+// that may have run begins within the deduplication window of its class, from the first attempt.
 func TestStartBy(t *testing.T) {
 	const dedupWindow = 250.0
 	class := scheduler.Class{Idempotency: scheduler.IdempotentWithKey, DedupWindow: dedupWindow}
--- a/internal/core/interfaces.go
+++ b/internal/core/interfaces.go
@@ -12,9 +12,9 @@
 type Backend interface {
 	// Send takes an attempt. The attempts of one scheduling round to one backend may share a call.
 	Send(*Attempt)
-	// Flush ends the scheduling round: the attempts taken since the last Flush go out.
+	// Flush ends the scheduling round: the attempts taken since the last Flush are sent.
 	Flush()
-	// Withdraw takes back an attempt that has not begun, so that nothing of it goes out. It is false if the attempt
+	// Withdraw takes back an attempt that has not begun, so that nothing of it is sent. It is false if the attempt
 	// has begun.
 	Withdraw(*Attempt) bool
 	// Abandon withdraws an attempt, or, if it has begun, ends the wait for it and tells its backend so. It tells
--- a/internal/core/resharding_test.go
+++ b/internal/core/resharding_test.go
@@ -10,8 +10,8 @@
 	"ternstage/internal/slicemap"
 )
 
-// A non-idempotent part is in flight when its shard moves: the answer of its former replica counts, nothing else is sent
-// meanwhile, and only a part that provably never ran is sent to the new replica.
+// A non-idempotent part is in flight when its shard moves: the answer of its former replica counts, nothing else is
+// sent meanwhile, and only a part that provably never ran is sent to the new replica.
 func TestNonIdempotentPartInFlightWhenItsShardMoves(t *testing.T) {
 	for name, c := range map[string]struct {
 		outcome scheduler.Outcome
@@ -55,7 +55,7 @@
 		broker.moveShard(0, backendOf(broker.inFlight[0]), "d")
 		broker.runFor(2100)
 		require.Equal(t, Failed, broker.finalAnswer(client).Kind)
-		require.Len(t, broker.attempts, 1, "a time-out at the former replica is not followed by an attempt at the new one")
+		require.Len(t, broker.attempts, 1, "a time-out at the former replica is not retried at the new one")
 	})
 	t.Run("the shard is split and the connection resets", func(t *testing.T) {
 		broker := newFixture(t)
@@ -141,8 +141,8 @@
 	require.Zero(t, broker.core.ReshardingStats().Duplicates)
 }
 
-// A shard moves from one backend to another and back while an attempt from its first time there is in flight: its answer
-// counts, once.
+// A shard moves from one backend to another and back while an attempt from its first time there is in flight: its
+// answer counts, once.
 func TestShardMovesThereAndBackWhileInFlight(t *testing.T) {
 	broker := newFixture(t)
 	client := broker.submit(nonIdempotentClass, 1, 0)
@@ -156,8 +156,8 @@
 	require.Len(t, broker.attempts, 1)
 }
 
-// A backend knows a newer map: that map is asked for, the other replica is tried at once, and when all have said so the
-// part waits for that epoch and no longer.
+// A backend knows a newer map: that map is asked for, the part is retried at the other replica at once, and when all
+// replicas have said so it waits for that epoch and no longer.
 func TestPartWaitsForTheEpochOfABackend(t *testing.T) {
 	broker := newFixture(t)
 	client := broker.submit(nonIdempotentClass, 1, 0)
--- a/internal/core/resolve_test.go
+++ b/internal/core/resolve_test.go
@@ -9,8 +9,8 @@
 	"ternstage/internal/slicemap"
 )
 
-// Shards that the client named at an older epoch are translated; those that cannot be are refused with the epoch in use;
-// those of a newer epoch than ours are rejected with Retry-After, and the map is asked for.
+// Shards that the client named at an older epoch are translated; those that cannot be are refused with the epoch in
+// use; those of a newer epoch than the broker's are rejected with Retry-After, and the map is asked for.
 func TestShardsNamedAtOtherEpochs(t *testing.T) {
 	broker := newFixture(t)
 	broker.splitFirstShard()
--- a/internal/core/shardmap.go
+++ b/internal/core/shardmap.go
@@ -40,7 +40,8 @@
 	return c.mapApplied(retired, err)
 }
 
-// mapApplied carries out what follows from the end of Reset or Apply, and returns its error.
+// mapApplied ends ApplySnapshot and ApplyChanges: it carries out the change if the epoch in use has changed, and
+// returns the map's error.
 func (c *Core) mapApplied(retired []slicemap.ShardID, err error) error {
 	if err != nil {
 		return err
--- a/internal/core/shardmap_test.go
+++ b/internal/core/shardmap_test.go
@@ -9,8 +9,8 @@
 	"ternstage/internal/slicemap"
 )
 
-// manyChanges are 200 changes in a row from the map in use: the shard of bucket 0 is split and merged over and over, and
-// moves begin and are aborted. lastShard is the shard that holds bucket 0 at the end.
+// manyChanges are 200 changes in a row from the map in use: the shard of bucket 0 is split and merged over and over,
+// and moves begin and are aborted. lastShard is the shard that holds bucket 0 at the end.
 func (f *fixture) manyChanges() (changes []slicemap.Change, lastShard int) {
 	epoch := f.core.Epoch()
 	first := 0 // the shard of bucket 0
@@ -53,8 +53,8 @@
 	require.Equal(t, lastShard, broker.attempts[4].Shard, "the last shard of the buckets that the client named")
 }
 
-// Versions of the map beyond the limit are dropped, which is logged, and the requests that began by them are answered all
-// the same.
+// Versions of the map beyond the limit are dropped, which is logged, and the requests that began by them are answered
+// all the same.
 func TestMapVersionsAtTheLimit(t *testing.T) {
 	broker := newFixture(t)
 	var clients []*recorder
