--- a/cmd/ternstage/main.go
+++ b/cmd/ternstage/main.go
@@ -92,10 +92,10 @@
 	c.Printf("%s takes queries at %s and asks discovery at %s\n", cfg.Name, cfg.Listen, cfg.Discovery)
 	for _, k := range cfg.Contracts.Classes {
 		c.Printf("class %s: %s, wanted within %.0f ms, given up at %.0f ms, answered from %.0f%% of its weight\n",
-			k.Name, k.Effect, k.LatencyObjectiveMs, k.DeadlineMs, 100*k.MinCompleteness)
+			k.Name, k.Idempotency, k.LatencyObjectiveMs, k.DeadlineMs, 100*k.MinCompleteness)
 	}
 	for _, t := range cfg.Contracts.Tenants {
-		c.Printf("tenant %s: %.1f queries a second\n", t.Name, t.Allowance)
+		c.Printf("tenant %s: %.1f queries a second\n", t.Name, t.QueriesPerSecond)
 	}
 	switch s := x.file.Sharding; s {
 	case nil:
--- a/internal/clients/serve.go
+++ b/internal/clients/serve.go
@@ -60,7 +60,7 @@
 	}
 	now := c.server.loop.Now()
 	r, err := c.server.book.ParseQuery(contract.Envelope{ID: m.header["x-request-id"], Class: class,
-		Tenant: m.header["x-tenant"], ClientTimeout: wait * 1000, Retry: m.header["x-retry"] == "1",
+		Tenant: m.header["x-tenant"], ClientTimeout: wait * 1000, ClientRetry: m.header["x-retry"] == "1",
 		IdempotencyKey: m.header["idempotency-key"]}, m.body, now)
 	if err == nil {
 		r.Client = c
@@ -74,9 +74,9 @@
 	case err == nil:
 	case errors.As(err, &stale):
 		c.reply(response{status: 400, body: staleBody(stale)})
-	case errors.Is(err, contract.ErrClass):
+	case errors.Is(err, contract.ErrUnknownClass):
 		c.reply(response{status: 404, body: errorBody(err)})
-	case errors.Is(err, contract.ErrTenant):
+	case errors.Is(err, contract.ErrUnknownTenant):
 		c.reply(response{status: 403, body: errorBody(err)})
 	default:
 		c.reject(400, err)
@@ -95,7 +95,7 @@
 	c.open = nil
 	switch {
 	case a.Kind == core.Answered:
-		c.reply(response{status: 200, body: contract.Body(a)})
+		c.reply(response{status: 200, body: contract.EncodeAnswer(a)})
 	case a.Kind == core.Rejected:
 		c.reply(response{status: 503, body: []byte(`{"error":"refused"}`), retryAfter: retryAfterOf(a)})
 	case a.TimedOut:
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -206,7 +206,7 @@
 		if i < len(s.Domain.MinShare) {
 			share = s.Domain.MinShare[i]
 		}
-		classes = append(classes, contract.Class{Name: k.Name, Effect: k.Effect, LatencyObjectiveMs: k.Aim,
+		classes = append(classes, contract.Class{Name: k.Name, Idempotency: k.Effect, LatencyObjectiveMs: k.Aim,
 			DeadlineMs: k.Deadline, MinCompleteness: share})
 	}
 	for i, t := range s.Customers {
--- a/internal/contract/contract.go
+++ b/internal/contract/contract.go
@@ -19,15 +19,15 @@
 
 // What a query can get wrong, for a front to map.
 var (
-	ErrMalformed = errors.New("malformed query")
-	ErrClass     = errors.New("no contract for this class")
-	ErrTenant    = errors.New("no budget for this tenant")
+	ErrMalformed     = errors.New("malformed query")
+	ErrUnknownClass  = errors.New("no contract for this class")
+	ErrUnknownTenant = errors.New("no budget for this tenant")
 )
 
 // Class is the contract of one class of query.
 type Class struct {
 	Name               string  `json:"name"`
-	Effect             string  `json:"effect"`
+	Idempotency        string  `json:"effect"`
 	LatencyObjectiveMs float64 `json:"aim_ms"`
 	DeadlineMs         float64 `json:"deadline_ms"`
 	MinCompleteness    float64 `json:"min_share"`
@@ -35,8 +35,8 @@
 
 // Tenant is the budget of one tenant, in queries a second over all brokers.
 type Tenant struct {
-	Name      string  `json:"name"`
-	Allowance float64 `json:"allowance_per_s"`
+	Name             string  `json:"name"`
+	QueriesPerSecond float64 `json:"allowance_per_s"`
 }
 
 // Contracts holds all contracts and what has been taken under them.
@@ -46,19 +46,19 @@
 	ClientsMarkRetries bool // clients mark retries
 	Resharding         bool // slices move: a query may name the epoch of its slices, answers tell theirs and the districts
 	AcceptedByTenant   []uint64
-	class              map[string]int
-	tenant             map[string]int
+	classIndex         map[string]int
+	tenantIndex        map[string]int
 }
 
 // New makes the book of these contracts.
 func New(classes []Class, tenants []Tenant, marks bool) *Contracts {
 	b := &Contracts{Classes: classes, Tenants: tenants, ClientsMarkRetries: marks, AcceptedByTenant: make([]uint64, len(tenants)),
-		class: map[string]int{}, tenant: map[string]int{}}
+		classIndex: map[string]int{}, tenantIndex: map[string]int{}}
 	for i, c := range classes {
-		b.class[c.Name] = i
+		b.classIndex[c.Name] = i
 	}
 	for i, t := range tenants {
-		b.tenant[t.Name] = i
+		b.tenantIndex[t.Name] = i
 	}
 	return b
 }
@@ -83,45 +83,45 @@
 }
 
 const (
-	maxName = 128 // bytes of a request id: it goes into every frame line
-	keySize = 16
+	maxIDBytes = 128 // bytes of a request id: it goes into every frame line
+	keyDigits  = 16
 )
 
 // Envelope is what travels beside a query's body.
 type Envelope struct {
 	ID, Class, Tenant string
 	ClientTimeout     float64 // ms the client will wait, from arrival
-	Retry             bool
+	ClientRetry       bool
 	IdempotencyKey    string // "" for none
 }
 
 // ParseQuery makes a request of an envelope and a body, or says what is wrong with it.
 func (b *Contracts) ParseQuery(e Envelope, text []byte, now float64) (*core.Request, error) {
-	class, ok := b.class[e.Class]
+	class, ok := b.classIndex[e.Class]
 	if !ok {
-		return nil, fmt.Errorf("%w: %q", ErrClass, e.Class)
+		return nil, fmt.Errorf("%w: %q", ErrUnknownClass, e.Class)
 	}
-	tenant, ok := b.tenant[e.Tenant]
+	tenant, ok := b.tenantIndex[e.Tenant]
 	if !ok && (len(b.Tenants) > 0 || e.Tenant != "") {
-		return nil, fmt.Errorf("%w: %q", ErrTenant, e.Tenant)
+		return nil, fmt.Errorf("%w: %q", ErrUnknownTenant, e.Tenant)
 	}
-	if !validName(e.ID) {
+	if !validID(e.ID) {
 		return nil, fmt.Errorf("%w: the request id is missing or not a word", ErrMalformed)
 	}
-	if e.IdempotencyKey != "" && (!validName(e.IdempotencyKey) || strings.Contains(e.IdempotencyKey, ",")) {
+	if e.IdempotencyKey != "" && (!validID(e.IdempotencyKey) || strings.Contains(e.IdempotencyKey, ",")) {
 		return nil, fmt.Errorf("%w: the idempotency key is not a word", ErrMalformed)
 	}
 	if !(e.ClientTimeout > 0) || math.IsInf(e.ClientTimeout, 0) {
 		return nil, fmt.Errorf("%w: the deadline is missing or not a positive time", ErrMalformed)
 	}
 	var in body
-	if err := errors.Join(b.plain(text), json.Unmarshal(text, &in)); err != nil {
+	if err := errors.Join(b.checkUnambiguous(text), json.Unmarshal(text, &in)); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	if in.Q == nil || strings.ContainsRune(*in.Q, utf8.RuneError) || len(in.Shards) == 0 {
 		return nil, fmt.Errorf("%w: q or shards missing, or q is no text", ErrMalformed)
 	}
-	r := &core.Request{ID: e.ID, Class: class, Tenant: tenant, ClientRetry: e.Retry && b.ClientsMarkRetries,
+	r := &core.Request{ID: e.ID, Class: class, Tenant: tenant, ClientRetry: e.ClientRetry && b.ClientsMarkRetries,
 		Deadline: now + min(e.ClientTimeout, b.Classes[class].DeadlineMs), Query: []byte(*in.Q), IdempotencyKey: e.IdempotencyKey,
 		Parts: make([]core.Part, 0, len(in.Shards))}
 	if b.Resharding && in.Epoch != nil {
@@ -142,7 +142,7 @@
 		}
 		if s.Key != "" {
 			key, err := strconv.ParseUint(s.Key, 16, 64)
-			if err != nil || len(s.Key) != keySize {
+			if err != nil || len(s.Key) != keyDigits {
 				return nil, fmt.Errorf("%w: key %q", ErrMalformed, s.Key)
 			}
 			p.Key = key
@@ -155,10 +155,10 @@
 	return r, nil
 }
 
-// plain tells whether a text is JSON that all readers understand alike: UTF-8, each name of an object once,
+// checkUnambiguous tells whether a text is JSON that all readers understand alike: UTF-8, each name of an object once,
 // and the names of a query as they are written. Guards against a query that nodes are sent otherwise than
 // its client meant.
-func (b *Contracts) plain(text []byte) error {
+func (b *Contracts) checkUnambiguous(text []byte) error {
 	if !utf8.Valid(text) {
 		return errors.New("not UTF-8")
 	}
@@ -181,7 +181,7 @@
 			if open[in].value = !open[in].value; open[in].value {
 				name, _ := t.(string)
 				low := strings.ToLower(name)
-				if open[in].names[low] || low != name && (slices.Contains(names, low) || b.Resharding && low == "epoch") {
+				if open[in].names[low] || low != name && (slices.Contains(queryNames, low) || b.Resharding && low == "epoch") {
 					return fmt.Errorf("name %.40q", name)
 				}
 				open[in].names[low] = true
@@ -197,35 +197,35 @@
 	}
 }
 
-var names = []string{"shards", "shard", "weight", "cost", "key", "q"}
+var queryNames = []string{"shards", "shard", "weight", "cost", "key", "q"}
 
-// validName guards the frames: the id stands in a line whose fields are split at spaces.
-func validName(s string) bool {
+// validID guards the frames: the id stands in a line whose fields are split at spaces.
+func validID(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] > '~' {
 			return false
 		}
 	}
-	return s != "" && len(s) <= maxName
+	return s != "" && len(s) <= maxIDBytes
 }
 
-type hit struct {
+type answerHit struct {
 	Shard     int    `json:"shard"`
 	Doc       string `json:"doc"`
 	Districts []int  `json:"districts,omitempty"`
 }
 
-type reply struct {
-	Complete bool   `json:"complete"`
-	Hits     []hit  `json:"hits"`
-	Epoch    uint64 `json:"epoch,omitempty"`
+type answerBody struct {
+	Complete bool        `json:"complete"`
+	Hits     []answerHit `json:"hits"`
+	Epoch    uint64      `json:"epoch,omitempty"`
 }
 
-// Body is the body of an answer that is served.
-func Body(a core.Answer) []byte {
-	out := reply{Complete: a.Complete, Hits: make([]hit, 0, len(a.Values)), Epoch: a.Epoch}
+// EncodeAnswer is the body of an answer that is served.
+func EncodeAnswer(a core.Answer) []byte {
+	out := answerBody{Complete: a.Complete, Hits: make([]answerHit, 0, len(a.Values)), Epoch: a.Epoch}
 	for _, v := range a.Values {
-		h := hit{Shard: v.Shard, Doc: string(v.Doc)}
+		h := answerHit{Shard: v.Shard, Doc: string(v.Doc)}
 		if a.Epoch > 0 {
 			h.Districts = []int{v.Buckets.Start, v.Buckets.End}
 		}
--- a/internal/flight/front.go
+++ b/internal/flight/front.go
@@ -173,15 +173,15 @@
 		return contract.Envelope{}, status.Error(codes.InvalidArgument, "the call has no deadline")
 	}
 	return contract.Envelope{ID: one(keyID), Class: one(keyClass), Tenant: one(keyTenant),
-		Retry: one(keyRetry) == "1", IdempotencyKey: one(keyDedup)}, nil
+		ClientRetry: one(keyRetry) == "1", IdempotencyKey: one(keyDedup)}, nil
 }
 
 // refusal maps what a front says of a query that core has not taken.
 func refusal(err error) error {
 	switch {
-	case errors.Is(err, contract.ErrClass):
+	case errors.Is(err, contract.ErrUnknownClass):
 		return status.Error(codes.NotFound, err.Error())
-	case errors.Is(err, contract.ErrTenant):
+	case errors.Is(err, contract.ErrUnknownTenant):
 		return status.Error(codes.PermissionDenied, err.Error())
 	case errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded):
 		return status.FromContextError(err).Err()
