--- a/internal/contract/answer.go
+++ b/internal/contract/answer.go
@@ -18,15 +18,19 @@
 	Epoch    uint64      `json:"epoch,omitempty"`
 }
 
-// EncodeAnswer is the body of an answer that is served.
-func EncodeAnswer(a core.Answer) []byte {
-	out := answerBody{Complete: a.Complete, Hits: make([]answerHit, 0, len(a.Values)), Epoch: a.Epoch}
-	for _, v := range a.Values {
-		h := answerHit{Shard: v.Shard, Doc: string(v.Doc)}
-		if a.Epoch > 0 {
-			h.Districts = []int{v.Buckets.Start, v.Buckets.End}
+// EncodeAnswer is the JSON body of an answer of kind core.Answered.
+func EncodeAnswer(answer core.Answer) []byte {
+	out := answerBody{
+		Complete: answer.Complete,
+		Hits:     make([]answerHit, 0, len(answer.Values)),
+		Epoch:    answer.Epoch,
+	}
+	for _, value := range answer.Values {
+		hit := answerHit{Shard: value.Shard, Doc: string(value.Doc)}
+		if answer.Epoch > 0 {
+			hit.Districts = []int{value.Buckets.Start, value.Buckets.End}
 		}
-		out.Hits = append(out.Hits, h)
+		out.Hits = append(out.Hits, hit)
 	}
 	text, err := json.Marshal(out)
 	if err != nil {
--- a/internal/contract/contracts.go
+++ b/internal/contract/contracts.go
@@ -26,23 +26,29 @@
 	tenantIndex        map[string]int
 }
 
-// New makes the book of these contracts.
-func New(classes []Class, tenants []Tenant, marks bool) *Contracts {
-	b := &Contracts{Classes: classes, Tenants: tenants, ClientsMarkRetries: marks, AcceptedByTenant: make([]uint64, len(tenants)),
-		classIndex: map[string]int{}, tenantIndex: map[string]int{}}
-	for i, c := range classes {
-		b.classIndex[c.Name] = i
+// New makes contracts of these classes and tenants, whose order is that of the scheduler's settings.
+func New(classes []Class, tenants []Tenant, clientsMarkRetries bool) *Contracts {
+	c := &Contracts{
+		Classes:            classes,
+		Tenants:            tenants,
+		ClientsMarkRetries: clientsMarkRetries,
+		AcceptedByTenant:   make([]uint64, len(tenants)),
+		classIndex:         map[string]int{},
+		tenantIndex:        map[string]int{},
 	}
-	for i, t := range tenants {
-		b.tenantIndex[t.Name] = i
+	for i, class := range classes {
+		c.classIndex[class.Name] = i
 	}
-	return b
+	for i, tenant := range tenants {
+		c.tenantIndex[tenant.Name] = i
+	}
+	return c
 }
 
-// LongestDeadline is the longest time in ms that a class leaves for an answer.
-func (b *Contracts) LongestDeadline() (ms float64) {
-	for _, c := range b.Classes {
-		ms = max(ms, c.DeadlineMs)
+// LongestDeadline is the longest time in ms that a class leaves for an answer; 0 without classes.
+func (c *Contracts) LongestDeadline() (ms float64) {
+	for _, class := range c.Classes {
+		ms = max(ms, class.DeadlineMs)
 	}
 	return ms
 }
--- a/internal/contract/query.go
+++ b/internal/contract/query.go
@@ -19,20 +19,26 @@
 	ErrUnknownTenant = errors.New("no budget for this tenant")
 )
 
+// body is a query's body. encoding/json puts its name, and that bodyPart is unnamed, into error texts that go to
+// clients.
 type body struct {
-	Shards []struct {
-		Shard  *int     `json:"shard"`
-		Weight *float64 `json:"weight"`
-		Cost   *float64 `json:"cost"`
-		Key    string   `json:"key"`
-	} `json:"shards"`
-	Q     *string         `json:"q"`
-	Epoch json.RawMessage `json:"epoch"`
+	Shards []bodyPart      `json:"shards"`
+	Q      *string         `json:"q"`
+	Epoch  json.RawMessage `json:"epoch"`
+}
+
+type bodyPart = struct {
+	Shard  *int     `json:"shard"`
+	Weight *float64 `json:"weight"`
+	Cost   *float64 `json:"cost"`
+	Key    string   `json:"key"`
 }
 
 const (
 	maxIDBytes = 128 // bytes of a request id: it goes into every frame line
 	keyDigits  = 16
+
+	microsPerMilli = 1000 // the body's cost is in microseconds
 )
 
 // Envelope is what travels beside a query's body.
@@ -44,63 +50,98 @@
 }
 
 // ParseQuery makes a request of an envelope and a body, or says what is wrong with it.
-func (b *Contracts) ParseQuery(e Envelope, text []byte, now float64) (*core.Request, error) {
-	class, ok := b.classIndex[e.Class]
+func (c *Contracts) ParseQuery(envelope Envelope, text []byte, now float64) (*core.Request, error) {
+	class, tenant, err := c.checkEnvelope(envelope)
+	if err != nil {
+		return nil, err
+	}
+	in, err := c.parseBody(text)
+	if err != nil {
+		return nil, err
+	}
+	request := &core.Request{
+		ID:             envelope.ID,
+		Class:          class,
+		Tenant:         tenant,
+		Deadline:       now + min(envelope.ClientTimeout, c.Classes[class].DeadlineMs),
+		ClientRetry:    envelope.ClientRetry && c.ClientsMarkRetries,
+		Query:          []byte(*in.Q),
+		IdempotencyKey: envelope.IdempotencyKey,
+		Parts:          make([]core.Part, 0, len(in.Shards)),
+	}
+	if c.Resharding && in.Epoch != nil {
+		if err := json.Unmarshal(in.Epoch, &request.Epoch); err != nil {
+			return nil, fmt.Errorf("%w: epoch %.40s", ErrMalformed, in.Epoch)
+		}
+	}
+	for i := range in.Shards {
+		part, err := parsePart(&in.Shards[i])
+		if err != nil {
+			return nil, err
+		}
+		request.Parts = append(request.Parts, part)
+	}
+	if len(c.AcceptedByTenant) > 0 {
+		c.AcceptedByTenant[tenant]++
+	}
+	return request, nil
+}
+
+// checkEnvelope checks what travels beside the body, and finds class and tenant.
+func (c *Contracts) checkEnvelope(envelope Envelope) (class, tenant int, err error) {
+	class, ok := c.classIndex[envelope.Class]
 	if !ok {
-		return nil, fmt.Errorf("%w: %q", ErrUnknownClass, e.Class)
+		return 0, 0, fmt.Errorf("%w: %q", ErrUnknownClass, envelope.Class)
 	}
-	tenant, ok := b.tenantIndex[e.Tenant]
-	if !ok && (len(b.Tenants) > 0 || e.Tenant != "") {
-		return nil, fmt.Errorf("%w: %q", ErrUnknownTenant, e.Tenant)
+	tenant, ok = c.tenantIndex[envelope.Tenant]
+	if !ok && (len(c.Tenants) > 0 || envelope.Tenant != "") {
+		return 0, 0, fmt.Errorf("%w: %q", ErrUnknownTenant, envelope.Tenant)
 	}
-	if !validID(e.ID) {
-		return nil, fmt.Errorf("%w: the request id is missing or not a word", ErrMalformed)
+	if !validID(envelope.ID) {
+		return 0, 0, fmt.Errorf("%w: the request id is missing or not a word", ErrMalformed)
 	}
-	if e.IdempotencyKey != "" && (!validID(e.IdempotencyKey) || strings.Contains(e.IdempotencyKey, ",")) {
-		return nil, fmt.Errorf("%w: the idempotency key is not a word", ErrMalformed)
+	if envelope.IdempotencyKey != "" && !validIdempotencyKey(envelope.IdempotencyKey) {
+		return 0, 0, fmt.Errorf("%w: the idempotency key is not a word", ErrMalformed)
 	}
-	if !(e.ClientTimeout > 0) || math.IsInf(e.ClientTimeout, 0) {
-		return nil, fmt.Errorf("%w: the deadline is missing or not a positive time", ErrMalformed)
+	if !(envelope.ClientTimeout > 0) || math.IsInf(envelope.ClientTimeout, 0) { // nor a NaN
+		return 0, 0, fmt.Errorf("%w: the deadline is missing or not a positive time", ErrMalformed)
 	}
-	var in body
-	if err := errors.Join(b.checkUnambiguous(text), json.Unmarshal(text, &in)); err != nil {
+	return class, tenant, nil
+}
+
+// parseBody reads a body that has a query text and at least one part.
+func (c *Contracts) parseBody(text []byte) (*body, error) {
+	in := &body{}
+	if err := errors.Join(c.checkUnambiguous(text), json.Unmarshal(text, in)); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
+	// encoding/json reads half a surrogate pair as a replacement character.
 	if in.Q == nil || strings.ContainsRune(*in.Q, utf8.RuneError) || len(in.Shards) == 0 {
 		return nil, fmt.Errorf("%w: q or shards missing, or q is no text", ErrMalformed)
 	}
-	r := &core.Request{ID: e.ID, Class: class, Tenant: tenant, ClientRetry: e.ClientRetry && b.ClientsMarkRetries,
-		Deadline: now + min(e.ClientTimeout, b.Classes[class].DeadlineMs), Query: []byte(*in.Q), IdempotencyKey: e.IdempotencyKey,
-		Parts: make([]core.Part, 0, len(in.Shards))}
-	if b.Resharding && in.Epoch != nil {
-		if err := json.Unmarshal(in.Epoch, &r.Epoch); err != nil {
-			return nil, fmt.Errorf("%w: epoch %.40s", ErrMalformed, in.Epoch)
-		}
+	return in, nil
+}
+
+func parsePart(in *bodyPart) (core.Part, error) {
+	if in.Shard == nil || in.Weight == nil {
+		return core.Part{}, fmt.Errorf("%w: a part without shard or weight", ErrMalformed)
 	}
-	for _, s := range in.Shards {
-		if s.Shard == nil || s.Weight == nil {
-			return nil, fmt.Errorf("%w: a part without shard or weight", ErrMalformed)
-		}
-		p := core.Part{Shard: *s.Shard, Weight: *s.Weight}
-		if s.Cost != nil && *s.Cost < 0 {
-			return nil, fmt.Errorf("%w: cost %v", ErrMalformed, *s.Cost)
-		}
-		if s.Cost != nil {
-			p.CostHint, p.HasCostHint = *s.Cost/1000, true
+	part := core.Part{Shard: *in.Shard, Weight: *in.Weight}
+	if in.Cost != nil {
+		if *in.Cost < 0 {
+			return core.Part{}, fmt.Errorf("%w: cost %v", ErrMalformed, *in.Cost)
 		}
-		if s.Key != "" {
-			key, err := strconv.ParseUint(s.Key, 16, 64)
-			if err != nil || len(s.Key) != keyDigits {
-				return nil, fmt.Errorf("%w: key %q", ErrMalformed, s.Key)
-			}
-			p.Key = key
-		}
-		r.Parts = append(r.Parts, p)
+		part.CostHint = *in.Cost / microsPerMilli
+		part.HasCostHint = true
 	}
-	if len(b.AcceptedByTenant) > 0 {
-		b.AcceptedByTenant[tenant]++
+	if in.Key != "" {
+		key, err := strconv.ParseUint(in.Key, 16, 64)
+		if err != nil || len(in.Key) != keyDigits {
+			return core.Part{}, fmt.Errorf("%w: key %q", ErrMalformed, in.Key)
+		}
+		part.Key = key
 	}
-	return r, nil
+	return part, nil
 }
 
 // validID guards the frames: the id stands in a line whose fields are split at spaces.
@@ -112,3 +153,6 @@
 	}
 	return s != "" && len(s) <= maxIDBytes
 }
+
+// validIdempotencyKey refuses commas too: the keys of a call are a list in its frame.
+func validIdempotencyKey(key string) bool { return validID(key) && !strings.Contains(key, ",") }
