--- a/internal/contract/answer.go
+++ b/internal/contract/answer.go
@@ -6,19 +6,22 @@
 	"ternstage/internal/core"
 )
 
+// answerHit is the JSON form of a core.Value. Buckets are its first bucket and the one after its last, under
+// resharding only.
 type answerHit struct {
-	Shard     int    `json:"shard"`
-	Doc       string `json:"doc"`
-	Districts []int  `json:"districts,omitempty"`
+	Shard   int    `json:"shard"`
+	Doc     string `json:"doc"`
+	Buckets []int  `json:"districts,omitempty"`
 }
 
+// answerBody is the JSON form of an answer; Epoch is 0 and left out where placement is fixed.
 type answerBody struct {
 	Complete bool        `json:"complete"`
 	Hits     []answerHit `json:"hits"`
 	Epoch    uint64      `json:"epoch,omitempty"`
 }
 
-// EncodeAnswer is the JSON body of an answer of kind core.Answered.
+// EncodeAnswer makes the JSON body of an answer of kind core.Answered.
 func EncodeAnswer(answer core.Answer) []byte {
 	out := answerBody{
 		Complete: answer.Complete,
@@ -28,7 +31,7 @@
 	for _, value := range answer.Values {
 		hit := answerHit{Shard: value.Shard, Doc: string(value.Doc)}
 		if answer.Epoch > 0 {
-			hit.Districts = []int{value.Buckets.Start, value.Buckets.End}
+			hit.Buckets = []int{value.Buckets.Start, value.Buckets.End}
 		}
 		out.Hits = append(out.Hits, hit)
 	}
--- a/internal/contract/contracts.go
+++ b/internal/contract/contracts.go
@@ -1,29 +1,32 @@
 package contract
 
-// Class is the contract of one class of query.
+// Class is the contract of one class of query, as the platform's settings state it.
 type Class struct {
 	Name               string  `json:"name"`
-	Idempotency        string  `json:"effect"`
-	LatencyObjectiveMs float64 `json:"aim_ms"`
-	DeadlineMs         float64 `json:"deadline_ms"`
-	MinCompleteness    float64 `json:"min_share"`
+	Idempotency        string  `json:"effect"`      // the settings' word for what a repeat does
+	LatencyObjectiveMs float64 `json:"aim_ms"`      // until then an answer has its full priority weight
+	DeadlineMs         float64 `json:"deadline_ms"` // bounds the time that a client waits
+	MinCompleteness    float64 `json:"min_share"`   // the least ratio of a query's weight for an answer, from 0 to 1
 }
 
-// Tenant is the budget of one tenant, in queries a second over all brokers.
+// Tenant is the quota of one tenant.
 type Tenant struct {
 	Name             string  `json:"name"`
-	QueriesPerSecond float64 `json:"allowance_per_s"`
+	QueriesPerSecond float64 `json:"allowance_per_s"` // at full priority, over all brokers
 }
 
-// Contracts holds all contracts and what has been taken under them.
+// Contracts holds all contracts and counts what was accepted under them.
 type Contracts struct {
 	Classes            []Class
-	Tenants            []Tenant
-	ClientsMarkRetries bool // clients mark retries
-	Resharding         bool // slices move: a query may name the epoch of its slices, answers tell theirs and the districts
-	AcceptedByTenant   []uint64
-	classIndex         map[string]int
-	tenantIndex        map[string]int
+	Tenants            []Tenant // none: queries name no tenant
+	ClientsMarkRetries bool     // false, the default: Envelope.ClientRetry is ignored
+	AcceptedByTenant   []uint64 // well-formed queries since the start, by index of Tenants
+
+	// Resharding, false by default, lets queries name the epoch of their shards. Without it the name has no meaning.
+	Resharding bool
+
+	classIndex  map[string]int // by name
+	tenantIndex map[string]int // by name
 }
 
 // New makes contracts of these classes and tenants, whose order is that of the scheduler's settings.
--- a/internal/contract/query.go
+++ b/internal/contract/query.go
@@ -12,21 +12,22 @@
 	"ternstage/internal/core"
 )
 
-// What a query can get wrong, for a front to map.
+// Errors of ParseQuery, which it wraps. Each front maps them to the codes of its wire.
 var (
 	ErrMalformed     = errors.New("malformed query")
 	ErrUnknownClass  = errors.New("no contract for this class")
 	ErrUnknownTenant = errors.New("no budget for this tenant")
 )
 
-// body is a query's body. encoding/json puts its name, and that bodyPart is unnamed, into error texts that go to
-// clients.
+// body is the JSON body of a query. encoding/json puts the type's name into error texts, which go to clients, and for
+// a part, as it is unnamed, its fields: neither must change.
 type body struct {
 	Shards []bodyPart      `json:"shards"`
 	Q      *string         `json:"q"`
 	Epoch  json.RawMessage `json:"epoch"`
 }
 
+// bodyPart is a part in a body: shard and weight are required, cost is in microseconds, key is hexadecimal.
 type bodyPart = struct {
 	Shard  *int     `json:"shard"`
 	Weight *float64 `json:"weight"`
@@ -35,21 +36,28 @@
 }
 
 const (
-	maxIDBytes = 128 // bytes of a request id: it goes into every frame line
-	keyDigits  = 16
+	// maxIDBytes bounds request ids and idempotency keys, which are in the frame of every call.
+	maxIDBytes = 128
 
-	microsPerMilli = 1000 // the body's cost is in microseconds
+	// keyDigits is the length of the key of a part.
+	keyDigits = 16
+
+	microsPerMilli = 1000
 )
 
-// Envelope is what travels beside a query's body.
+// Envelope is what travels beside the body of a query.
 type Envelope struct {
-	ID, Class, Tenant string
-	ClientTimeout     float64 // ms the client will wait, from arrival
-	ClientRetry       bool
-	IdempotencyKey    string // "" for none
+	ID             string  // the client's id of the request: 1 to 128 visible ASCII characters
+	Class          string  // name of a Class
+	Tenant         string  // name of a Tenant; "" where there are none
+	ClientTimeout  float64 // ms for which the client waits, from arrival; above 0
+	ClientRetry    bool    // the client says that it asked before
+	IdempotencyKey string  // 1 to 128 visible ASCII characters but commas; "", the default, for none
 }
 
-// ParseQuery makes a request of an envelope and a body, or says what is wrong with it.
+// ParseQuery makes a request of an envelope and a body that arrived at now, in ms of the loop's clock. It counts the
+// request in AcceptedByTenant; that shards and weights are sound is for core to check. An error wraps ErrUnknownClass,
+// ErrUnknownTenant or ErrMalformed.
 func (c *Contracts) ParseQuery(envelope Envelope, text []byte, now float64) (*core.Request, error) {
 	class, tenant, err := c.checkEnvelope(envelope)
 	if err != nil {
@@ -87,7 +95,7 @@
 	return request, nil
 }
 
-// checkEnvelope checks what travels beside the body, and finds class and tenant.
+// checkEnvelope checks an envelope and finds the indices of its class and tenant.
 func (c *Contracts) checkEnvelope(envelope Envelope) (class, tenant int, err error) {
 	class, ok := c.classIndex[envelope.Class]
 	if !ok {
@@ -109,7 +117,7 @@
 	return class, tenant, nil
 }
 
-// parseBody reads a body that has a query text and at least one part.
+// parseBody reads a body; one that it returns has a query text and at least one part.
 func (c *Contracts) parseBody(text []byte) (*body, error) {
 	in := &body{}
 	if err := errors.Join(c.checkUnambiguous(text), json.Unmarshal(text, in)); err != nil {
@@ -122,6 +130,7 @@
 	return in, nil
 }
 
+// parsePart checks a part and makes its cost hint ms.
 func parsePart(in *bodyPart) (core.Part, error) {
 	if in.Shard == nil || in.Weight == nil {
 		return core.Part{}, fmt.Errorf("%w: a part without shard or weight", ErrMalformed)
@@ -144,7 +153,7 @@
 	return part, nil
 }
 
-// validID guards the frames: the id stands in a line whose fields are split at spaces.
+// validID tells whether a text may be a request id. Frames hold it in a line whose fields are split at spaces.
 func validID(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] > '~' {
