--- a/internal/contract/answer_test.go
+++ b/internal/contract/answer_test.go
@@ -11,7 +11,7 @@
 
 func TestEncodeAnswer(t *testing.T) {
 	buckets := slicemap.Range{Start: 4, End: 10}
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		answer core.Answer
 		body   string
 	}{
@@ -22,7 +22,7 @@
 			`{"complete":false,"hits":[{"shard":3,"doc":"v","districts":[4,10]}],"epoch":7}`},
 	} {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, c.body, string(EncodeAnswer(c.answer)))
+			assert.Equal(t, test.body, string(EncodeAnswer(test.answer)))
 		})
 	}
 }
--- a/internal/contract/query.go
+++ b/internal/contract/query.go
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, err
 	}
-	in, err := c.parseBody(text)
+	query, err := c.parseBody(text)
 	if err != nil {
 		return nil, err
 	}
@@ -73,17 +73,17 @@
 		Tenant:         tenant,
 		Deadline:       now + min(envelope.ClientTimeout, c.Classes[class].DeadlineMs),
 		ClientRetry:    envelope.ClientRetry && c.ClientsMarkRetries,
-		Query:          []byte(*in.Q),
+		Query:          []byte(*query.Q),
 		IdempotencyKey: envelope.IdempotencyKey,
-		Parts:          make([]core.Part, 0, len(in.Shards)),
+		Parts:          make([]core.Part, 0, len(query.Shards)),
 	}
-	if c.Resharding && in.Epoch != nil {
-		if err := json.Unmarshal(in.Epoch, &request.Epoch); err != nil {
-			return nil, fmt.Errorf("%w: epoch %.40s", ErrMalformed, in.Epoch)
+	if c.Resharding && query.Epoch != nil {
+		if err := json.Unmarshal(query.Epoch, &request.Epoch); err != nil {
+			return nil, fmt.Errorf("%w: epoch %.40s", ErrMalformed, query.Epoch)
 		}
 	}
-	for i := range in.Shards {
-		part, err := parsePart(&in.Shards[i])
+	for i := range query.Shards {
+		part, err := parsePart(&query.Shards[i])
 		if err != nil {
 			return nil, err
 		}
@@ -119,34 +119,34 @@
 
 // parseBody reads a body; one that it returns has a query text and at least one part.
 func (c *Contracts) parseBody(text []byte) (*body, error) {
-	in := &body{}
-	if err := errors.Join(c.checkUnambiguous(text), json.Unmarshal(text, in)); err != nil {
+	query := &body{}
+	if err := errors.Join(c.checkUnambiguous(text), json.Unmarshal(text, query)); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	// encoding/json reads half a surrogate pair as a replacement character.
-	if in.Q == nil || strings.ContainsRune(*in.Q, utf8.RuneError) || len(in.Shards) == 0 {
+	if query.Q == nil || strings.ContainsRune(*query.Q, utf8.RuneError) || len(query.Shards) == 0 {
 		return nil, fmt.Errorf("%w: q or shards missing, or q is no text", ErrMalformed)
 	}
-	return in, nil
+	return query, nil
 }
 
 // parsePart checks a part and makes its cost hint ms.
-func parsePart(in *bodyPart) (core.Part, error) {
-	if in.Shard == nil || in.Weight == nil {
+func parsePart(given *bodyPart) (core.Part, error) {
+	if given.Shard == nil || given.Weight == nil {
 		return core.Part{}, fmt.Errorf("%w: a part without shard or weight", ErrMalformed)
 	}
-	part := core.Part{Shard: *in.Shard, Weight: *in.Weight}
-	if in.Cost != nil {
-		if *in.Cost < 0 {
-			return core.Part{}, fmt.Errorf("%w: cost %v", ErrMalformed, *in.Cost)
+	part := core.Part{Shard: *given.Shard, Weight: *given.Weight}
+	if given.Cost != nil {
+		if *given.Cost < 0 {
+			return core.Part{}, fmt.Errorf("%w: cost %v", ErrMalformed, *given.Cost)
 		}
-		part.CostHint = *in.Cost / microsPerMilli
+		part.CostHint = *given.Cost / microsPerMilli
 		part.HasCostHint = true
 	}
-	if in.Key != "" {
-		key, err := strconv.ParseUint(in.Key, 16, 64)
-		if err != nil || len(in.Key) != keyDigits {
-			return core.Part{}, fmt.Errorf("%w: key %q", ErrMalformed, in.Key)
+	if given.Key != "" {
+		key, err := strconv.ParseUint(given.Key, 16, 64)
+		if err != nil || len(given.Key) != keyDigits {
+			return core.Part{}, fmt.Errorf("%w: key %q", ErrMalformed, given.Key)
 		}
 		part.Key = key
 	}
--- a/internal/contract/query_test.go
+++ b/internal/contract/query_test.go
@@ -82,7 +82,7 @@
 
 // The texts go to clients in bodies.
 func TestEnvelopeErrors(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		change func(*Envelope)
 		is     error
 		text   string
@@ -107,10 +107,10 @@
 		t.Run(name, func(t *testing.T) {
 			contracts := newContracts()
 			envelope := validEnvelope()
-			c.change(&envelope)
+			test.change(&envelope)
 			_, err := contracts.ParseQuery(envelope, []byte(validBody), 0)
-			require.ErrorIs(t, err, c.is)
-			require.EqualError(t, err, c.text)
+			require.ErrorIs(t, err, test.is)
+			require.EqualError(t, err, test.text)
 			assert.Equal(t, []uint64{0, 0}, contracts.AcceptedByTenant)
 		})
 	}
@@ -124,7 +124,7 @@
 func TestBodyErrors(t *testing.T) {
 	const missing = "q or shards missing, or q is no text"
 	part := func(text string) string { return fmt.Sprintf(`{"shards":[%s],"q":"x"}`, text) }
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		body string
 		text string
 	}{
@@ -153,9 +153,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			contracts := newContracts()
-			_, err := contracts.ParseQuery(validEnvelope(), []byte(c.body), 0)
+			_, err := contracts.ParseQuery(validEnvelope(), []byte(test.body), 0)
 			require.ErrorIs(t, err, ErrMalformed)
-			require.EqualError(t, err, "malformed query: "+c.text)
+			require.EqualError(t, err, "malformed query: "+test.text)
 			assert.Equal(t, []uint64{0, 0}, contracts.AcceptedByTenant)
 		})
 	}
@@ -166,7 +166,7 @@
 	body := func(name, epoch string) []byte {
 		return fmt.Appendf(nil, `{"shards":[{"shard":1,"weight":1}],"q":"x","%s":%s}`, name, epoch)
 	}
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		body       []byte
 		resharding bool
 		epoch      uint64
@@ -182,15 +182,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			contracts := newContracts()
-			contracts.Resharding = c.resharding
-			request, err := contracts.ParseQuery(validEnvelope(), c.body, 0)
-			if c.text != "" {
+			contracts.Resharding = test.resharding
+			request, err := contracts.ParseQuery(validEnvelope(), test.body, 0)
+			if test.text != "" {
 				require.ErrorIs(t, err, ErrMalformed)
-				require.EqualError(t, err, c.text)
+				require.EqualError(t, err, test.text)
 				return
 			}
 			require.NoError(t, err)
-			assert.Equal(t, c.epoch, request.Epoch)
+			assert.Equal(t, test.epoch, request.Epoch)
 		})
 	}
 }
--- a/internal/core/completion.go
+++ b/internal/core/completion.go
@@ -25,21 +25,21 @@
 }
 
 // deliver counts and logs a final answer and gives it to the client.
-func (c *Core) deliver(r *Request, answer Answer) {
+func (c *Core) deliver(request *Request, answer Answer) {
 	c.counts.add(answer.Kind)
-	c.log.RequestEnded(r, answer)
-	if !r.disconnected {
-		r.Client.Finish(answer)
+	c.log.RequestEnded(request, answer)
+	if !request.disconnected {
+		request.Client.Finish(answer)
 	}
 }
 
 // values are the values that have arrived for a request.
-func (c *Core) values(r *Request) []Value {
+func (c *Core) values(request *Request) []Value {
 	if c.shardMap != nil {
-		return r.completeValues()
+		return request.completeValues()
 	}
 	var values []Value
-	for _, p := range r.parts {
+	for _, p := range request.parts {
 		if p.arrived {
 			values = append(values, Value{Shard: p.Shard, Doc: p.value})
 		}
@@ -65,21 +65,21 @@
 }
 
 // forget drops an open request: nothing of it begins any more, and its version of the shard map is released.
-func (c *Core) forget(r *Request) {
-	delete(c.requests, r.queryID)
-	delete(c.requestIDs, r.ID)
-	c.withdrawParts(r)
-	if r.version != nil {
-		c.shardMap.Release(r.version)
-		r.version = nil // a front may hold the request for longer, and must not hold the map with it
+func (c *Core) forget(request *Request) {
+	delete(c.requests, request.queryID)
+	delete(c.requestIDs, request.ID)
+	c.withdrawParts(request)
+	if request.version != nil {
+		c.shardMap.Release(request.version)
+		request.version = nil // a front may hold the request for longer, and must not hold the map with it
 	}
-	c.openCount -= 1 + len(r.parts)
+	c.openCount -= 1 + len(request.parts)
 }
 
 // withdrawParts keeps all parts of a request from beginning: attempts that the back end has not begun are taken back,
 // whether or not the settings allow to cancel those that have begun.
-func (c *Core) withdrawParts(r *Request) {
-	for _, p := range r.parts {
+func (c *Core) withdrawParts(request *Request) {
+	for _, p := range request.parts {
 		delete(c.parts, p.id)
 		c.unlinkSegment(p)
 		for _, attempt := range p.attempts {
--- a/internal/core/disconnects.go
+++ b/internal/core/disconnects.go
@@ -2,32 +2,32 @@
 
 // ClientDisconnected notes that the client of a request has disconnected: from the next round on nothing of the request
 // begins. It does nothing if the request has ended.
-func (c *Core) ClientDisconnected(r *Request) {
-	if c.requests[r.queryID] != r || r.disconnected {
+func (c *Core) ClientDisconnected(request *Request) {
+	if c.requests[request.queryID] != request || request.disconnected {
 		return
 	}
-	r.disconnected = true
-	c.disconnected = append(c.disconnected, r)
+	request.disconnected = true
+	c.disconnected = append(c.disconnected, request)
 }
 
 // endDisconnected ends a request whose client has disconnected. A non-idempotent one of which something is in flight
 // stays open until that has ended, so that its outcome is learnt and logged. Guards against a cancel that crosses an
 // answer on its way.
-func (c *Core) endDisconnected(now float64, r *Request) {
-	c.scheduler.ClientDisconnected(now, r.queryID)
-	c.withdrawParts(r)
-	if r.nonIdempotent && r.inFlight() {
+func (c *Core) endDisconnected(now float64, request *Request) {
+	c.scheduler.ClientDisconnected(now, request.queryID)
+	c.withdrawParts(request)
+	if request.nonIdempotent && request.inFlight() {
 		return
 	}
-	c.concludeDisconnected(r)
+	c.concludeDisconnected(request)
 }
 
 // concludeDisconnected ends a request whose client has disconnected and of which nothing is waited for.
-func (c *Core) concludeDisconnected(r *Request) {
+func (c *Core) concludeDisconnected(request *Request) {
 	answer := Answer{Kind: Failed}
-	if r.arrived() {
+	if request.arrived() {
 		answer.Kind = Answered
 	}
-	c.forget(r)
-	c.deliver(r, answer)
+	c.forget(request)
+	c.deliver(request, answer)
 }
--- a/internal/core/interfaces.go
+++ b/internal/core/interfaces.go
@@ -34,7 +34,8 @@
 type Clock interface {
 	// Now is the time of the current wake-up, in ms.
 	Now() float64
-	// WakeAt asks for a scheduling round at that time at the latest; one in the past asks for it at once.
+	// WakeAt asks for a scheduling round at that time at the latest; one in the past asks for it at once. Of several
+	// calls the earliest time counts.
 	WakeAt(at float64)
 }
 
@@ -43,5 +44,5 @@
 	// SchedulerLine takes one line for the people on call.
 	SchedulerLine(text string)
 	// RequestEnded is called once for each request that was accepted, before Client.Finish.
-	RequestEnded(r *Request, a Answer)
+	RequestEnded(request *Request, answer Answer)
 }
--- a/internal/core/outcomes.go
+++ b/internal/core/outcomes.go
@@ -17,27 +17,27 @@
 // AttemptEnded reports how an attempt ended. The first report of an attempt counts, later ones are ignored. value is
 // what the backend gave if the outcome is Succeeded, and must not change afterwards. The scheduler is told in the next
 // round.
-func (c *Core) AttemptEnded(a *Attempt, outcome scheduler.Outcome, value []byte) {
-	if a.ended {
+func (c *Core) AttemptEnded(attempt *Attempt, outcome scheduler.Outcome, value []byte) {
+	if attempt.ended {
 		return
 	}
-	a.ended = true
-	a.outcome = outcome
-	if a.heapIndex >= 0 {
-		heap.Remove(&c.deadlines, a.heapIndex)
+	attempt.ended = true
+	attempt.outcome = outcome
+	if attempt.heapIndex >= 0 {
+		heap.Remove(&c.deadlines, attempt.heapIndex)
 	}
-	if outcome == scheduler.Succeeded && !a.part.arrived {
-		a.part.arrived = true
-		a.part.value = value
-		c.countArrival(a.part)
+	if outcome == scheduler.Succeeded && !attempt.part.arrived {
+		attempt.part.arrived = true
+		attempt.part.value = value
+		c.countArrival(attempt.part)
 	}
-	c.ended = append(c.ended, endedAttempt{a, outcome})
+	c.ended = append(c.ended, endedAttempt{attempt, outcome})
 }
 
 // AttemptEndedLater reports an outcome that the back end learns while Core is calling it, and asks for a round in
 // which the scheduler is told.
-func (c *Core) AttemptEndedLater(a *Attempt, outcome scheduler.Outcome) {
-	c.AttemptEnded(a, outcome, nil)
+func (c *Core) AttemptEndedLater(attempt *Attempt, outcome scheduler.Outcome) {
+	c.AttemptEnded(attempt, outcome, nil)
 	c.clock.WakeAt(0)
 }
 
--- a/internal/core/resharding.go
+++ b/internal/core/resharding.go
@@ -24,31 +24,31 @@
 }
 
 // admitSegments binds a request to the map in use and hands its segments to the scheduler.
-func (c *Core) admitSegments(now float64, r *Request) {
-	r.version = c.shardMap.Acquire()
+func (c *Core) admitSegments(now float64, request *Request) {
+	request.version = c.shardMap.Acquire()
 	var buffer [routeBuffer]slicemap.Segment
-	for _, asked := range r.clientParts {
+	for _, asked := range request.clientParts {
 		for _, segment := range c.shardMap.Route(buffer[:0], asked.Shard, asked.coverage.Range) {
-			part := c.addSegment(r, asked, segment)
+			part := c.addSegment(request, asked, segment)
 			c.scheduler.PartArrived(now, part.schedulerPart())
 		}
 	}
 }
 
 // addSegment adds a segment of a client's part to a request. Weight and cost are shared out by number of buckets.
-func (c *Core) addSegment(r *Request, asked *clientPart, segment slicemap.Segment) *partState {
+func (c *Core) addSegment(request *Request, asked *clientPart, segment slicemap.Segment) *partState {
 	c.nextID++
 	ratio := float64(segment.Size()) / float64(asked.coverage.Size())
 	part := &partState{
 		Part:    asked.Part,
 		id:      c.nextID,
-		request: r,
+		request: request,
 		segment: &segmentState{Segment: segment, asked: asked},
 	}
 	part.Shard = segment.Shard
 	part.Weight = asked.Weight * ratio
 	part.CostHint = asked.CostHint * ratio
-	r.parts = append(r.parts, part)
+	request.parts = append(request.parts, part)
 	c.parts[part.id] = part
 	c.partsByShard[segment.Shard] = append(c.partsByShard[segment.Shard], part)
 	return part
--- a/internal/core/resharding_test.go
+++ b/internal/core/resharding_test.go
@@ -13,7 +13,7 @@
 // A non-idempotent part is in flight when its shard moves: the answer of its former replica counts, nothing else is
 // sent meanwhile, and only a part that provably never ran is sent to the new replica.
 func TestNonIdempotentPartInFlightWhenItsShardMoves(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		outcome scheduler.Outcome
 		kind    AnswerKind
 		retried bool
@@ -35,10 +35,10 @@
 			broker.runFor(50)
 			require.Len(t, broker.attempts, 1, "nothing else is sent while it is in flight")
 			first.BackendEpoch = 4
-			broker.endAttempt(first, c.outcome)
+			broker.endAttempt(first, test.outcome)
 			broker.runFor(200)
-			if !c.retried {
-				require.Equal(t, c.kind, broker.finalAnswer(client).Kind)
+			if !test.retried {
+				require.Equal(t, test.kind, broker.finalAnswer(client).Kind)
 				require.Len(t, broker.attempts, 1)
 				return
 			}
--- a/internal/core/resolve.go
+++ b/internal/core/resolve.go
@@ -30,18 +30,18 @@
 // resolve finds the buckets of a request's parts, and the number of segments that they take by the map in use. That is
 // 0 if there is no map yet, or if the client names shards of a newer one: this broker is behind, and a retry is
 // harmless.
-func (c *Core) resolve(r *Request) (segmentCount int, err error) {
+func (c *Core) resolve(request *Request) (segmentCount int, err error) {
 	epoch := c.Epoch()
-	behind := r.Epoch > epoch
+	behind := request.Epoch > epoch
 	if behind {
-		c.onNewerMap(r.Epoch)
+		c.onNewerMap(request.Epoch)
 	}
 	if epoch == 0 {
 		return 0, nil
 	}
-	r.clientParts = make([]*clientPart, 0, len(r.Parts))
+	request.clientParts = make([]*clientPart, 0, len(request.Parts))
 	var buffer [routeBuffer]slicemap.Segment
-	for i, p := range r.Parts {
+	for i, p := range request.Parts {
 		buckets, err := c.shardMap.Resolve(p.Shard)
 		if err != nil && behind {
 			c.resharding.Behind++
@@ -53,10 +53,10 @@
 		}
 		segments := c.shardMap.Route(buffer[:0], p.Shard, buckets)
 		segmentCount += len(segments)
-		r.clientParts = append(r.clientParts,
+		request.clientParts = append(request.clientParts,
 			&clientPart{Part: p, coverage: slicemap.NewCoverage(buckets, segments), number: i + 1})
 	}
-	return segmentCount, checkDisjoint(r.clientParts)
+	return segmentCount, checkDisjoint(request.clientParts)
 }
 
 // checkDisjoint refuses parts that share buckets, as names of shards from different epochs may: those would count
--- a/internal/core/shardmap.go
+++ b/internal/core/shardmap.go
@@ -21,13 +21,14 @@
 // ReshardingStats gives the counters since the start.
 func (c *Core) ReshardingStats() ReshardingStats { return c.resharding }
 
-// OnNewerMap sets the function that is called when a client or a backend knows a newer map, with its epoch.
-func (c *Core) OnNewerMap(f func(epoch uint64)) { c.onNewerMap = f }
+// OnNewerMap sets the function that is called when a client or a backend knows a newer map, with its epoch. The
+// default is none.
+func (c *Core) OnNewerMap(notify func(epoch uint64)) { c.onNewerMap = notify }
 
-// OnMapChanged sets the function that is called after a map has been taken into use.
-func (c *Core) OnMapChanged(f func(*slicemap.Version)) { c.onMapChanged = f }
+// OnMapChanged sets the function that is called after a map has been taken into use. The default is none.
+func (c *Core) OnMapChanged(notify func(*slicemap.Version)) { c.onMapChanged = notify }
 
-// ApplySnapshot takes a whole map into use. On an error, slicemap.ValidationError, the one in use stays.
+// ApplySnapshot takes a whole map into use. On an error the one in use stays.
 func (c *Core) ApplySnapshot(snapshot slicemap.Snapshot) error {
 	retired, err := c.shardMap.Reset(snapshot)
 	return c.mapApplied(retired, err)
--- a/internal/core/submission.go
+++ b/internal/core/submission.go
@@ -21,33 +21,33 @@
 // Submit accepts a request, or rejects it by its final answer at once: beyond Options.MaxOpen, and while there is no
 // shard map as new as the client's. An error, ErrInvalidRequest or StaleEpochError, means that it was not accepted:
 // the front answers the client itself.
-func (c *Core) Submit(r *Request) error {
-	if err := c.checkParts(r.Parts); err != nil {
+func (c *Core) Submit(request *Request) error {
+	if err := c.checkParts(request.Parts); err != nil {
 		return err
 	}
 	// Backends know the parts by the request's id. Guards against one client's answer going to another, and a
 	// non-idempotent part against a client that retries while it is in flight.
-	if c.requestIDs[r.ID] {
-		return fmt.Errorf("%w: request id %q is in use", ErrInvalidRequest, r.ID)
+	if c.requestIDs[request.ID] {
+		return fmt.Errorf("%w: request id %q is in use", ErrInvalidRequest, request.ID)
 	}
 	now := c.clock.Now()
-	partCount := len(r.Parts)
+	partCount := len(request.Parts)
 	if c.shardMap != nil {
-		segmentCount, err := c.resolve(r)
+		segmentCount, err := c.resolve(request)
 		if err != nil {
 			return err
 		}
 		partCount = segmentCount
 	}
-	r.Deadline = min(r.Deadline, c.finalAnswerBy)
+	request.Deadline = min(request.Deadline, c.finalAnswerBy)
 	c.counts.Submitted++
 	switch {
 	case partCount == 0:
-		c.deliver(r, Answer{Kind: Rejected, RetryAfter: min(c.maxRetryAfter, behindRetryAfterMs)})
+		c.deliver(request, Answer{Kind: Rejected, RetryAfter: min(c.maxRetryAfter, behindRetryAfterMs)})
 	case c.maxOpen > 0 && c.openCount+1+partCount > c.maxOpen:
-		c.deliver(r, Answer{Kind: Rejected, RetryAfter: c.maxRetryAfter})
+		c.deliver(request, Answer{Kind: Rejected, RetryAfter: c.maxRetryAfter})
 	default:
-		c.admit(now, r, partCount)
+		c.admit(now, request, partCount)
 	}
 	return nil
 }
@@ -77,29 +77,29 @@
 }
 
 // admit hands a request and its parts to the scheduler. partCount is the number of parts that it becomes.
-func (c *Core) admit(now float64, r *Request, partCount int) {
+func (c *Core) admit(now float64, request *Request, partCount int) {
 	c.nextID++
-	r.queryID = c.nextID
-	r.nonIdempotent = c.classes[r.Class].Idempotency == scheduler.NonIdempotent
-	c.requests[r.queryID] = r
-	c.requestIDs[r.ID] = true
+	request.queryID = c.nextID
+	request.nonIdempotent = c.classes[request.Class].Idempotency == scheduler.NonIdempotent
+	c.requests[request.queryID] = request
+	c.requestIDs[request.ID] = true
 	c.openCount += 1 + partCount
 	c.scheduler.QueryArrived(now, scheduler.Query{
-		ID:          r.queryID,
-		QueryGroup:  int(r.queryID),
-		Class:       r.Class,
-		Tenant:      r.Tenant,
-		Deadline:    r.Deadline,
-		ClientRetry: r.ClientRetry,
+		ID:          request.queryID,
+		QueryGroup:  int(request.queryID),
+		Class:       request.Class,
+		Tenant:      request.Tenant,
+		Deadline:    request.Deadline,
+		ClientRetry: request.ClientRetry,
 	})
 	if c.shardMap != nil {
-		c.admitSegments(now, r)
+		c.admitSegments(now, request)
 		return
 	}
-	for _, p := range r.Parts {
+	for _, p := range request.Parts {
 		c.nextID++
-		part := &partState{Part: p, id: c.nextID, request: r}
-		r.parts = append(r.parts, part)
+		part := &partState{Part: p, id: c.nextID, request: request}
+		request.parts = append(request.parts, part)
 		c.parts[part.id] = part
 		c.scheduler.PartArrived(now, part.schedulerPart())
 	}
--- a/internal/core/submission_test.go
+++ b/internal/core/submission_test.go
@@ -12,7 +12,7 @@
 
 // The texts go to clients in bodies.
 func TestSubmitRefusesInvalidRequests(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		parts []Part
 		text  string
 	}{
@@ -28,9 +28,9 @@
 		t.Run(name, func(t *testing.T) {
 			broker := newFixedFixture(t, 0, true, scheduler.Class{})
 			client := &recorder{}
-			err := broker.core.Submit(&Request{ID: "q", Deadline: broker.now + 2000, Client: client, Parts: c.parts})
+			err := broker.core.Submit(&Request{ID: "q", Deadline: broker.now + 2000, Client: client, Parts: test.parts})
 			require.ErrorIs(t, err, ErrInvalidRequest)
-			require.EqualError(t, err, "the request breaks its contract: "+c.text)
+			require.EqualError(t, err, "the request breaks its contract: "+test.text)
 			broker.runFor(3000)
 			assert.Empty(t, client.answers, "the front answers it")
 			assert.Zero(t, broker.core.Counts())
