--- /dev/null
+++ b/internal/core/actions.go
@@ -0,0 +1,76 @@
+package core
+
+import (
+	"container/heap"
+
+	"ternstage/internal/decision/scheduler"
+)
+
+var _ scheduler.Actions = (*Core)(nil)
+
+// Send implements scheduler.Actions, as the methods below do; only the scheduler may call them. timeout is in ms, 0 for
+// the request's deadline. An attempt that cannot be sent, beyond the limit of attempts or after its deadline, ends as
+// NotSent.
+func (c *Core) Send(partID uint64, replica uint32, timeout float64) {
+	part := c.parts[partID]
+	if part == nil {
+		return
+	}
+	now := c.clock.Now()
+	deadline := part.request.Deadline
+	if timeout != 0 {
+		deadline = min(deadline, now+timeout)
+	}
+	attempt := c.newAttempt(now, part, replica, deadline)
+	part.attempts = append(part.attempts, attempt)
+	c.inFlight[attemptKey{partID, attempt.number}] = attempt
+	exhausted := c.maxAttempts > 0 && attempt.number >= c.maxAttempts
+	if exhausted || deadline <= now {
+		c.AttemptEndedLater(attempt, scheduler.NotSent)
+		return
+	}
+	heap.Push(&c.deadlines, attempt)
+	c.backend.Send(attempt)
+}
+
+// Cancel stops the wait for an attempt. A non-idempotent one whose client has disconnected is left to end by itself if
+// it has begun: see endDisconnected.
+func (c *Core) Cancel(partID uint64, number int) {
+	attempt := c.inFlight[attemptKey{partID, number}]
+	if attempt == nil || attempt.ended {
+		return
+	}
+	if attempt.NonIdempotent && attempt.part.request.disconnected {
+		withdrawn := c.backend.Withdraw(attempt)
+		if !withdrawn {
+			return
+		}
+	}
+	c.backend.Abandon(attempt)
+	c.AttemptEndedLater(attempt, scheduler.Cancelled)
+}
+
+// CloseIdleConnections closes the idle connections to a backend.
+func (c *Core) CloseIdleConnections(replica uint32) { c.backend.CloseIdleConnections(replica) }
+
+// Answer ends a request with the parts that have arrived.
+func (c *Core) Answer(queryID uint64, complete bool) {
+	c.finish(queryID, Answer{Kind: Answered, Complete: complete})
+}
+
+// Reject ends a request and tells its client to retry after so many ms.
+func (c *Core) Reject(queryID uint64, retryAfter float64) {
+	c.finish(queryID, Answer{Kind: Rejected, RetryAfter: retryAfter})
+}
+
+// Fail ends a request without any promise.
+func (c *Core) Fail(queryID uint64) { c.finish(queryID, Answer{Kind: Failed}) }
+
+// SetTimer asks for TimerFired after so many ms, or earlier if that was asked for before.
+func (c *Core) SetTimer(after float64) { c.wakeAt = min(c.wakeAt, c.clock.Now()+after) }
+
+// WatchEndpoints subscribes to changes of the endpoint list.
+func (c *Core) WatchEndpoints() { c.endpoints.Watch() }
+
+// Log writes a line of the scheduler.
+func (c *Core) Log(text string) { c.log.SchedulerLine(text) }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,572 +1,164 @@
-// Package core holds requests, attempts and outcomes between the fronts, the decision module and the back
-// ends. It knows no wire: a front hands in a Request and gets one Answer, a back end gets Attempts and
-// reports Outcomes. Every decision is the module's; core carries it out and sees to it that each request
-// gets exactly one final answer.
 package core
 
 import (
-	"container/heap"
-	"errors"
 	"fmt"
 	"math"
-	"slices"
-	"unicode/utf8"
 
 	"ternstage/internal/decision/scheduler"
 	"ternstage/internal/slicemap"
 )
 
-// AnswerKind is how a request ended for its client.
-type AnswerKind uint8
-
-// The kinds of final answers.
-const (
-	Answered AnswerKind = iota
-	Rejected            // nothing ran that must not run twice: asking again is harmless
-	Failed              // no promise
-)
-
-// String names the kind in logs.
-func (k AnswerKind) String() string { return [...]string{"answered", "refused", "failed"}[k] }
-
-// Value is what a node gave for a part, or for some districts of it where slices move.
-type Value struct {
-	Shard   int // as the client named it
-	Buckets slicemap.Range
-	Doc     []byte
-}
-
-// ValidValue tells whether what a node gave can be a value: text, as it goes to clients in bodies of JSON, where
-// anything else could not stand unchanged. Back ends fail an attempt that brought another.
-func ValidValue(value []byte) bool { return len(value) > 0 && utf8.Valid(value) }
-
-// Answer is the one final answer of a request.
-type Answer struct {
-	Kind       AnswerKind
-	Complete   bool
-	Values     []Value
-	RetryAfter float64 // ms, on a refusal
-	TimedOut   bool    // a failure for want of time
-	Epoch      uint64  // of the map by which the request began; 0 where slices do not move
-}
-
-// Client is where the final answer of a request goes.
-type Client interface {
-	// Finish is called exactly once, unless the client has left before.
-	Finish(Answer)
-}
-
-// Part is one shard's share of a request.
-type Part struct {
-	Shard       int
-	Key         uint64
-	Weight      float64
-	CostHint    float64 // expected work in ms
-	HasCostHint bool
-}
-
-// Request is a query as a front hands it in.
-type Request struct {
-	ID             string // the client's id for it: fresh for each
-	Class          int
-	Tenant         int
-	Deadline       float64 // loop clock: when the client leaves
-	ClientRetry    bool
-	Epoch          uint64 // of the map by which the client named its parts; 0 if it does not say
-	Parts          []Part
-	Query          []byte // what every part must carry
-	IdempotencyKey string // by which nodes drop repeats of a class of effect Keyed; the client's, "" for none
-	Client         Client
-
-	queryID    uint64
-	parts      []*part
-	units      []*unit           // where slices move: the parts as the client named them
-	version    *slicemap.Version // by which it began
-	unsafe     bool
-	clientGone bool // its client has gone, and a part that must not run twice is still out
-}
-
-// ClientGone tells that its client has gone: the final answer reaches nobody.
-func (r *Request) ClientGone() bool { return r.clientGone }
-
-type part struct {
-	Part
-	id       uint64
-	req      *Request
-	attempts []*Attempt
-	value    []byte
-	in       bool
-
-	*leg // nil where slices do not move
-}
-
-// out tells that an attempt of a part has not ended.
-func (p *part) out() bool {
-	return slices.ContainsFunc(p.attempts, func(a *Attempt) bool { return !a.ended })
-}
-
-// late tells that the last attempt of a part is still waited for, or was in vain.
-func (p *part) late() bool {
-	n := len(p.attempts)
-	return n > 0 && (!p.attempts[n-1].ended || p.attempts[n-1].how == scheduler.TimedOut)
-}
-
-// Attempt is one try of a part at a node.
-type Attempt struct {
-	Request        string
-	Shard          int
-	Query          []byte
-	IdempotencyKey string
-	Backend        uint32
-	Deadline       float64 // loop clock: when the wait for it ends
-	StartBy        float64 // loop clock: it begins by then or not at all, as the decision to send it is of now
-	NonIdempotent  bool    // it must not run twice: what may have run of it is not tried again
-	Handle         any     // the back end's own
-	ConnectionOnly bool    // set by the back end with how it ended: only its connection broke, the node stands
-
-	// Where slices move: the districts asked for and the epoch by which they were routed, above 0. The back end
-	// sets NodeEpoch with the outcome Moved.
-	Buckets             slicemap.Range
-	Epoch, BackendEpoch uint64
-
-	place int // in the heap of deadlines; -1 if it is not there
-	part  *part
-	no    int
-	sent  float64
-	ended bool
-	how   scheduler.Outcome // once it has ended
-}
-
-// Backend carries attempts to nodes. It must not call back into Core from within these methods: what it
-// learns at once it reports with Later.
-type Backend interface {
-	// Send starts an attempt. Attempts of one turn to one node may share a call.
-	Send(*Attempt)
-	// Flush ends the turn: what was sent goes out.
-	Flush()
-	// Withdraw takes an attempt back that has not begun: nothing of it goes out. False if it has begun.
-	Withdraw(*Attempt) bool
-	// Abandon withdraws an attempt, or else ends the wait for it and tells its node so. It tells whether the
-	// attempt provably never ran nor will run.
-	Abandon(*Attempt) (neverRan bool)
-	// CloseIdleConnections closes idle connections to a node.
-	CloseIdleConnections(node uint32)
-}
-
-// EndpointList is where the list of nodes comes from.
-type EndpointList interface {
-	// Watch subscribes to changes; it does nothing while a watch runs.
-	Watch()
-}
-
-// Clock is the loop as core sees it.
-type Clock interface {
-	Now() float64
-	// WakeAt asks for a turn at that time at the latest.
-	WakeAt(at float64)
-}
-
-// Log takes the module's lines and what core has to say.
-type Log interface {
-	SchedulerLine(text string)
-	RequestEnded(r *Request, a Answer)
-}
-
-const (
-	// The module sends to a node that drains for half of the grace: what it has decided begins well within the
-	// other half, however late its connection comes up.
-	holdShare = 0.4
-	holdMost  = 400.0 // ms
-)
-
-type result struct {
-	a       *Attempt
-	outcome scheduler.Outcome
-}
-
-// Core is one broker's state.
+// Core is the state of one broker process.
 type Core struct {
-	module  *scheduler.Scheduler
-	classes []scheduler.Class
-	shards  int
-	tries   int
-	maxOpen int
-	retry   float64
-	hold    float64 // ms after its decision within which an attempt begins
-	clock   Clock
-	back    Backend
-	list    EndpointList
-	log     Log
-
-	nextID   uint64
-	requests map[uint64]*Request
-	names    map[string]bool // of the requests held
-	parts    map[uint64]*part
-	out      map[[2]uint64]*Attempt // by part and number: those not yet told to the module as ended
-	due      deadlines              // of those that have not ended
-	ending   []result               // reported, and not yet told to the module
-	gone     []*Request             // whose clients left
-	open     int                    // queries and parts held
-	answerBy float64                // by then all is answered
-	wakeAt   float64
-	taken    uint64
-	answered [3]uint64
-
-	slices  *slicemap.Map // nil where slices do not move
-	bySlice map[slicemap.ShardID][]*part
-	waiting []*part // those that pause for an epoch
-	hint    func(epoch uint64)
-	moves   ReshardingStats
-
-	onMap     func(*slicemap.Version)
-	letGo     uint64 // map versions, as of the last line that told of them
-	toldEpoch uint64 // of the map that the module knows
-}
-
-// Options are what core needs beside the module's settings.
+	scheduler *scheduler.Scheduler
+	clock     Clock
+	backend   Backend
+	endpoints EndpointList
+	log       Log
+
+	// From the settings; they do not change.
+	classes       []scheduler.Class
+	shards        int
+	maxAttempts   int     // of a part; 0 for no limit
+	maxOpen       int     // of openCount; 0 for no limit
+	maxRetryAfter float64 // ms
+	startWindow   float64 // ms after its decision within which an attempt begins
+
+	nextID        uint64 // the last id that was given to a request or a part
+	requests      map[uint64]*Request
+	requestIDs    map[string]bool // of requests
+	parts         map[uint64]*partState
+	openCount     int     // open requests and their parts
+	finalAnswerBy float64 // the latest deadline of requests submitted from now on
+	counts        Counts
+
+	inFlight     map[attemptKey]*Attempt // whose end the scheduler has not been told
+	deadlines    deadlineHeap            // of attempts that have not ended
+	ended        []endedAttempt          // to be reported to the scheduler in the next round
+	disconnected []*Request              // to be reported to the scheduler in the next round
+	wakeAt       float64                 // when the scheduler's timer fires; +Inf for never
+
+	// Under resharding.
+	shardMap        *slicemap.Map // nil where placement is fixed
+	partsByShard    map[slicemap.ShardID][]*partState
+	paused          []*partState // that wait for an epoch
+	onNewerMap      func(epoch uint64)
+	onMapChanged    func(*slicemap.Version)
+	resharding      ReshardingStats
+	droppedVersions uint64 // as last logged
+	notifiedEpoch   uint64 // of the map that the scheduler knows
+}
+
+// Options are what core needs beside the scheduler's settings.
 type Options struct {
-	MaxOpen  int // queries and parts held at most; 0 for no limit
-	Clock    Clock
-	Log      Log
-	ShardMap *slicemap.Map // nil where slices do not move; else also the layout of the module's settings
-}
-
-// New makes the core and its module.
-func New(s scheduler.Settings, seed uint64, o Options) (*Core, error) {
-	c := &Core{classes: s.Classes, shards: s.Shards, tries: s.MaxAttempts, maxOpen: o.MaxOpen,
-		retry: s.MaxRetryAfter, hold: holdMost, clock: o.Clock, log: o.Log, requests: map[uint64]*Request{},
-		parts: map[uint64]*part{}, names: map[string]bool{},
-		out: map[[2]uint64]*Attempt{}, answerBy: math.Inf(1), wakeAt: math.Inf(1),
-		slices: o.ShardMap, bySlice: map[slicemap.ShardID][]*part{}, hint: func(uint64) {}}
-	if s.DrainGrace > 0 {
-		c.hold = min(c.hold, s.DrainGrace*holdShare)
-	}
-	m, err := scheduler.New(s, seed, c)
+	MaxOpen int   // open requests and parts, together, beyond which Submit rejects; 0, the default, for no limit
+	Clock   Clock // required
+	Log     Log   // required
+
+	// ShardMap is the map of shards under resharding. It must also be the Placement of the scheduler's settings. nil,
+	// the default, where placement is fixed.
+	ShardMap *slicemap.Map
+}
+
+// New makes a core and its scheduler, with the seed of its random choices. An error tells which setting is out of its
+// range.
+func New(settings scheduler.Settings, seed uint64, options Options) (*Core, error) {
+	c := &Core{
+		clock: options.Clock,
+		log:   options.Log,
+
+		classes:       settings.Classes,
+		shards:        settings.Shards,
+		maxAttempts:   settings.MaxAttempts,
+		maxOpen:       options.MaxOpen,
+		maxRetryAfter: settings.MaxRetryAfter,
+		startWindow:   startWindow(settings.DrainGrace),
+
+		requests:      map[uint64]*Request{},
+		requestIDs:    map[string]bool{},
+		parts:         map[uint64]*partState{},
+		finalAnswerBy: math.Inf(1),
+
+		inFlight: map[attemptKey]*Attempt{},
+		wakeAt:   math.Inf(1),
+
+		shardMap:     options.ShardMap,
+		partsByShard: map[slicemap.ShardID][]*partState{},
+		onNewerMap:   func(uint64) {},
+	}
+	var err error
+	c.scheduler, err = scheduler.New(settings, seed, c)
 	if err != nil {
-		return nil, fmt.Errorf("decision module: %w", err)
+		return nil, fmt.Errorf("scheduler: %w", err)
 	}
-	c.module = m
 	return c, nil
 }
 
-// Attach names the back end and the list.
-func (c *Core) Attach(back Backend, list EndpointList) { c.back, c.list = back, list }
-
-// SetFinalAnswerDeadline bounds the time of what is taken from now on: the program ends then.
-func (c *Core) SetFinalAnswerDeadline(at float64) { c.answerBy = at }
-
-// ErrInvalidRequest is wrapped by what Take says of a request that breaks its contract.
-var ErrInvalidRequest = errors.New("the request breaks its contract")
-
-// Submit takes a request. An error means that it was not taken: the front answers it.
-func (c *Core) Submit(r *Request) error {
-	sum, seen := 0.0, make(map[int]bool, len(r.Parts))
-	for _, p := range r.Parts {
-		// A shard asked twice would give one part id two meanings at the node.
-		if p.Shard < 0 || c.slices == nil && p.Shard >= c.shards || seen[p.Shard] {
-			return fmt.Errorf("%w: shard %d is unknown or asked twice", ErrInvalidRequest, p.Shard)
-		}
-		if !(p.Weight > 0) || p.Weight > 1.001 {
-			return fmt.Errorf("%w: weight of shard %d", ErrInvalidRequest, p.Shard)
-		}
-		seen[p.Shard] = true
-		sum += p.Weight
-	}
-	if len(r.Parts) == 0 || math.Abs(sum-1) > 0.01 {
-		return fmt.Errorf("%w: %d parts, weights that sum to %.3f", ErrInvalidRequest, len(r.Parts), sum)
-	}
-	// The name is the parts' name at the nodes: guards against one client's answer going to another, and a part
-	// that must not run twice against a client that comes again while it is out.
-	if c.names[r.ID] {
-		return fmt.Errorf("%w: request id %q is in use", ErrInvalidRequest, r.ID)
-	}
-	now, count := c.clock.Now(), len(r.Parts)
-	if c.slices != nil {
-		var err error
-		if count, err = c.resolve(r); err != nil {
-			return err
-		}
-	}
-	r.Deadline = min(r.Deadline, c.answerBy)
-	c.taken++
-	// The stated limit of queries and parts held: beyond it the module does not see the query. No more does it
-	// before the first map.
-	if c.maxOpen > 0 && c.open+1+count > c.maxOpen || count == 0 {
-		after := c.retry
-		if count == 0 {
-			after = min(after, behindFor)
-		}
-		c.end(r, Answer{Kind: Rejected, RetryAfter: after})
-		return nil
-	}
-	c.nextID++
-	r.queryID, r.unsafe = c.nextID, c.classes[r.Class].Idempotency == scheduler.NonIdempotent
-	group := int(r.queryID)
-	c.requests[r.queryID], c.names[r.ID] = r, true
-	c.open += 1 + count
-	c.module.QueryArrived(now, scheduler.Query{ID: r.queryID, QueryGroup: group, Class: r.Class, Tenant: r.Tenant,
-		Deadline: r.Deadline, ClientRetry: r.ClientRetry})
-	if c.slices != nil {
-		c.begin(now, r)
-		return nil
-	}
-	for _, p := range r.Parts {
-		c.nextID++
-		x := &part{Part: p, id: c.nextID, req: r}
-		r.parts, c.parts[x.id] = append(r.parts, x), x
-		c.module.PartArrived(now, scheduler.Part{ID: x.id, QueryGroup: group, Shard: p.Shard, Key: p.Key,
-			Weight: p.Weight, CostHint: p.CostHint, HasCostHint: p.HasCostHint})
-	}
-	return nil
+// Attach sets the back end and the endpoint list. It must be called before any other method.
+func (c *Core) Attach(backend Backend, endpoints EndpointList) {
+	c.backend = backend
+	c.endpoints = endpoints
 }
 
-// ClientDisconnected tells that the client of a request has gone: nothing of it begins from now on.
-func (c *Core) ClientDisconnected(r *Request) {
-	if c.requests[r.queryID] == r && !r.clientGone {
-		r.clientGone = true
-		c.gone = append(c.gone, r)
-	}
-}
+// SetFinalAnswerDeadline shortens the deadlines of requests submitted from now on to a time of the loop's clock, as the
+// process ends then. The default is none.
+func (c *Core) SetFinalAnswerDeadline(at float64) { c.finalAnswerBy = at }
 
-// leave ends a request whose client has gone. A part that must not run twice and may be running is waited for
-// all the same: its outcome is learnt and logged. Guards against a cancel that crosses a good answer.
-func (c *Core) leave(now float64, r *Request) {
-	c.module.ClientDisconnected(now, r.queryID)
-	if c.release(r); !r.unsafe || !slices.ContainsFunc(r.parts, (*part).out) {
-		c.conclude(r)
-	}
-}
-
-// conclude ends a request whose client has gone and of which nothing is waited for any more.
-func (c *Core) conclude(r *Request) {
-	a := Answer{Kind: Answered}
-	if slices.ContainsFunc(r.parts, func(p *part) bool { return !p.in }) {
-		a.Kind = Failed
-	}
-	c.forget(r)
-	c.end(r, a)
-}
-
-// AttemptEnded reports the outcome of an attempt, once; later reports are ignored. value is what an OK brought.
-func (c *Core) AttemptEnded(a *Attempt, o scheduler.Outcome, value []byte) {
-	if a.ended {
-		return
-	}
-	a.ended, a.how = true, o
-	if a.place >= 0 {
-		heap.Remove(&c.due, a.place)
-	}
-	if p := a.part; o == scheduler.Succeeded && !p.in {
-		p.in, p.value = true, value
-		c.arrived(p)
-	}
-	c.ending = append(c.ending, result{a, o})
-}
-
-// AttemptEndedLater reports an outcome learnt while the back end was being called: the module hears of it next turn.
-func (c *Core) AttemptEndedLater(a *Attempt, o scheduler.Outcome) {
-	c.AttemptEnded(a, o, nil)
-	c.clock.WakeAt(0)
-}
-
-// EndpointsChanged passes the list on.
+// EndpointsChanged passes a change of the endpoint list to the scheduler.
 func (c *Core) EndpointsChanged(kind scheduler.UpdateKind, entries []scheduler.Endpoint) {
-	c.module.EndpointsChanged(c.clock.Now(), kind, entries)
+	c.scheduler.EndpointsChanged(c.clock.Now(), kind, entries)
 }
 
-// OpenRequests is how many requests are held.
+// OpenRequests is the number of requests that have not ended.
 func (c *Core) OpenRequests() int { return len(c.requests) }
 
-// Counts are the requests taken and the final answers by kind.
-func (c *Core) Counts() (taken uint64, answered [3]uint64) { return c.taken, c.answered }
+// Counts gives the totals since the start.
+func (c *Core) Counts() Counts { return c.counts }
 
-// RunRound ends a wake-up: all that happened is told to the module, then it decides once, then it goes out.
+// RunRound runs the scheduling round that ends a wake-up: the scheduler is told what happened, decides once, and the
+// back end sends what it was given.
 func (c *Core) RunRound() {
 	now := c.clock.Now()
 	c.expire(now)
-	// What the module does may end further attempts (a cancel); those wait for the next turn, as its own
-	// events come after its actions.
-	ending, gone := c.ending, c.gone
-	c.ending, c.gone = nil, nil
-	for _, r := range gone {
-		c.leave(now, r)
-	}
-	for _, e := range ending {
-		a := e.a
-		delete(c.out, [2]uint64{a.part.id, uint64(a.no)})
-		_, held := c.requests[a.part.req.queryID]
-		c.module.AttemptEnded(now, scheduler.AttemptResult{Part: a.part.id, Attempt: a.no, Replica: a.Backend,
-			Outcome: e.outcome, Latency: now - a.sent, ConnectionOnly: a.ConnectionOnly,
-			PartDone: e.outcome == scheduler.Succeeded || !held, RetryDelay: c.pause(a, e.outcome)})
-		if c.slices != nil && e.outcome != scheduler.Succeeded {
-			c.reroute(now, a.part)
-		}
-		if r := a.part.req; r.clientGone && c.requests[r.queryID] == r && !slices.ContainsFunc(r.parts, (*part).out) {
-			c.conclude(r)
-		}
-	}
-	if now >= c.wakeAt {
-		c.wakeAt = math.Inf(1)
-		c.module.TimerFired(now)
-	}
-	c.module.RunRound(now)
-	c.back.Flush()
-	next := c.wakeAt
-	if len(c.due) > 0 {
-		next = min(next, c.due[0].Deadline)
-	}
-	if len(c.ending) > 0 {
-		next = 0
-	}
-	if !math.IsInf(next, 1) {
-		c.clock.WakeAt(next)
-	}
-}
 
-// expire ends the attempts whose time is up: one heap for all, no timer for each.
-func (c *Core) expire(now float64) {
-	var due []*Attempt
-	for len(c.due) > 0 && now >= c.due[0].Deadline {
-		due = append(due, heap.Pop(&c.due).(*Attempt))
+	// The scheduler's actions may end further attempts, as Cancel does. Those are reported in the next round: an event
+	// must not come while the scheduler is in the middle of another.
+	ended := c.ended
+	disconnected := c.disconnected
+	c.ended = nil
+	c.disconnected = nil
+	for _, request := range disconnected {
+		c.endDisconnected(now, request)
 	}
-	slices.SortFunc(due, func(x, y *Attempt) int { return int(int64(x.part.id) - int64(y.part.id)) })
-	for _, a := range due {
-		o := scheduler.TimedOut
-		if c.back.Abandon(a) {
-			o = scheduler.ConnectFailed // it never left us: proved never to have run
-		}
-		c.AttemptEnded(a, o, nil)
+	for _, end := range ended {
+		c.reportEnd(now, end)
 	}
-}
 
-// release sees to it that no part of a request begins any more: what waits at the back end is taken back,
-// whether or not the settings allow to cancel what has begun.
-func (c *Core) release(r *Request) {
-	for _, p := range r.parts {
-		delete(c.parts, p.id)
-		c.unlink(p)
-		for _, a := range p.attempts {
-			if !a.ended && c.back.Withdraw(a) {
-				c.AttemptEndedLater(a, scheduler.Cancelled)
-			}
-		}
-	}
+	c.fireTimer(now)
+	c.scheduler.RunRound(now)
+	c.backend.Flush()
+	c.scheduleWake()
 }
 
-func (c *Core) forget(r *Request) {
-	delete(c.requests, r.queryID)
-	delete(c.names, r.ID)
-	c.release(r)
-	if r.version != nil {
-		c.slices.Release(r.version)
-		r.version = nil // whoever still holds the request must not hold a map with it
-	}
-	c.open -= 1 + len(r.parts)
-}
-
-// finish gives the one final answer of a request that is held.
-func (c *Core) finish(id uint64, a Answer) {
-	r := c.requests[id]
-	if r == nil {
-		return
-	}
-	if a.Kind == Answered && c.slices == nil {
-		for _, p := range r.parts {
-			if p.in {
-				a.Values = append(a.Values, Value{Shard: p.Shard, Doc: p.value})
-			}
-		}
-	}
-	if c.slices != nil {
-		c.values(r, &a)
-	}
-	a.TimedOut = a.Kind == Failed && slices.ContainsFunc(r.parts, (*part).late)
-	c.forget(r)
-	c.end(r, a)
-}
-
-func (c *Core) end(r *Request, a Answer) {
-	c.answered[a.Kind]++
-	c.log.RequestEnded(r, a)
-	if !r.clientGone {
-		r.Client.Finish(a)
-	}
-}
-
-// Send implements scheduler.Actions; so do the methods below.
-func (c *Core) Send(id uint64, node uint32, timeout float64) {
-	p, now := c.parts[id], c.clock.Now()
-	if p == nil {
-		return
-	}
-	deadline := p.req.Deadline
-	if timeout != 0 {
-		deadline = min(deadline, now+timeout)
-	}
-	a := &Attempt{Request: p.req.ID, Shard: p.Shard, Query: p.req.Query, IdempotencyKey: p.req.IdempotencyKey,
-		Backend: node, Deadline: deadline,
-		StartBy: c.sendBy(now, p), NonIdempotent: p.req.unsafe, part: p, no: len(p.attempts), sent: now, place: -1}
-	if c.slices != nil {
-		a.Buckets, a.Epoch = p.Range, c.slices.RoutingEpoch(p.Segment)
-	}
-	p.attempts = append(p.attempts, a)
-	c.out[[2]uint64{id, uint64(a.no)}] = a
-	if c.tries > 0 && a.no >= c.tries || deadline <= now {
-		c.AttemptEndedLater(a, scheduler.NotSent)
-		return
+// fireTimer tells the scheduler that its timer has fired, if it has.
+func (c *Core) fireTimer(now float64) {
+	if now >= c.wakeAt {
+		c.wakeAt = math.Inf(1)
+		c.scheduler.TimerFired(now)
 	}
-	heap.Push(&c.due, a)
-	c.back.Send(a)
 }
 
-// sendBy is until when an attempt that is decided now may begin: while the node may still be draining, and,
-// for a repeat that is dropped only within the window of the first attempt, within that.
-func (c *Core) sendBy(now float64, p *part) float64 {
-	by, class := now+c.hold, &c.classes[p.req.Class]
-	if class.Idempotency != scheduler.IdempotentWithKey {
-		return by
-	}
-	for _, a := range p.attempts {
-		if !a.ended || a.how < scheduler.Rejected {
-			by = min(by, a.sent+class.DedupWindow)
-		}
+// scheduleWake asks for the next round: at once if there are ends to report, else for the scheduler's timer or the
+// first deadline of an attempt, whichever is earlier.
+func (c *Core) scheduleWake() {
+	next := c.wakeAt
+	if len(c.deadlines) > 0 {
+		next = min(next, c.deadlines[0].Deadline)
 	}
-	return by
-}
-
-// Cancel stops waiting for an attempt. One of a client that has gone and that must not run twice is left to
-// end by itself, if it has begun (see leave).
-func (c *Core) Cancel(id uint64, attempt int) {
-	a := c.out[[2]uint64{id, uint64(attempt)}]
-	if a == nil || a.ended {
-		return
+	if len(c.ended) > 0 {
+		next = 0
 	}
-	if a.NonIdempotent && a.part.req.clientGone && !c.back.Withdraw(a) {
-		return
+	if !math.IsInf(next, 1) {
+		c.clock.WakeAt(next)
 	}
-	c.back.Abandon(a)
-	c.AttemptEndedLater(a, scheduler.Cancelled)
-}
-
-// CloseIdleConnections closes idle connections.
-func (c *Core) CloseIdleConnections(node uint32) { c.back.CloseIdleConnections(node) }
-
-// Answer answers a request from the parts that are in.
-func (c *Core) Answer(id uint64, whole bool) { c.finish(id, Answer{Kind: Answered, Complete: whole}) }
-
-// Reject refuses a request.
-func (c *Core) Reject(id uint64, after float64) {
-	c.finish(id, Answer{Kind: Rejected, RetryAfter: after})
 }
-
-// Fail fails a request.
-func (c *Core) Fail(id uint64) { c.finish(id, Answer{Kind: Failed}) }
-
-// SetTimer asks for a turn.
-func (c *Core) SetTimer(after float64) { c.wakeAt = min(c.wakeAt, c.clock.Now()+after) }
-
-// WatchEndpoints subscribes to the list.
-func (c *Core) WatchEndpoints() { c.list.Watch() }
-
-// Log writes the module's line.
-func (c *Core) Log(text string) { c.log.SchedulerLine(text) }
--- /dev/null
+++ b/internal/core/outcomes.go
@@ -0,0 +1,84 @@
+package core
+
+import (
+	"cmp"
+	"container/heap"
+	"slices"
+
+	"ternstage/internal/decision/scheduler"
+)
+
+// endedAttempt is an attempt with its outcome, until the scheduler is told.
+type endedAttempt struct {
+	attempt *Attempt
+	outcome scheduler.Outcome
+}
+
+// AttemptEnded reports how an attempt ended. The first report of an attempt counts, later ones are ignored. value is
+// what the backend gave if the outcome is Succeeded, and must not change afterwards. The scheduler is told in the next
+// round.
+func (c *Core) AttemptEnded(attempt *Attempt, outcome scheduler.Outcome, value []byte) {
+	if attempt.ended {
+		return
+	}
+	attempt.ended = true
+	attempt.outcome = outcome
+	if attempt.heapIndex >= 0 {
+		heap.Remove(&c.deadlines, attempt.heapIndex)
+	}
+	if outcome == scheduler.Succeeded && !attempt.part.arrived {
+		attempt.part.arrived = true
+		attempt.part.value = value
+		c.countArrival(attempt.part)
+	}
+	c.ended = append(c.ended, endedAttempt{attempt, outcome})
+}
+
+// AttemptEndedLater reports an outcome that the back end learns while Core is calling it, and asks for a round in
+// which the scheduler is told.
+func (c *Core) AttemptEndedLater(attempt *Attempt, outcome scheduler.Outcome) {
+	c.AttemptEnded(attempt, outcome, nil)
+	c.clock.WakeAt(0)
+}
+
+// reportEnd tells the scheduler how an attempt ended, and does what follows from it for the part and the request.
+func (c *Core) reportEnd(now float64, end endedAttempt) {
+	attempt := end.attempt
+	part := attempt.part
+	request := part.request
+	delete(c.inFlight, attemptKey{part.id, attempt.number})
+	_, open := c.requests[request.queryID]
+	c.scheduler.AttemptEnded(now, scheduler.AttemptResult{
+		Part:           part.id,
+		Attempt:        attempt.number,
+		Replica:        attempt.Backend,
+		Outcome:        end.outcome,
+		Latency:        now - attempt.sentAt,
+		ConnectionOnly: attempt.ConnectionOnly,
+		PartDone:       end.outcome == scheduler.Succeeded || !open,
+		RetryDelay:     c.retryDelay(attempt, end.outcome),
+	})
+	if end.outcome != scheduler.Succeeded {
+		c.reroute(now, part)
+	}
+	if request.disconnected && c.requests[request.queryID] == request && !request.inFlight() {
+		c.concludeDisconnected(request)
+	}
+}
+
+// expire ends the attempts whose deadline has passed. They end in the order of their parts' ids, whatever the heap's.
+func (c *Core) expire(now float64) {
+	var expired []*Attempt
+	for len(c.deadlines) > 0 && now >= c.deadlines[0].Deadline {
+		expired = append(expired, heap.Pop(&c.deadlines).(*Attempt))
+	}
+	slices.SortFunc(expired, func(x, y *Attempt) int { return cmp.Compare(x.part.id, y.part.id) })
+	for _, attempt := range expired {
+		outcome := scheduler.TimedOut
+		neverRan := c.backend.Abandon(attempt)
+		if neverRan {
+			outcome = scheduler.ConnectFailed // the scheduler may retry what never ran
+		}
+		c.AttemptEnded(attempt, outcome, nil)
+	}
+}
--- /dev/null
+++ b/internal/core/submission.go
@@ -0,0 +1,106 @@
+package core
+
+import (
+	"errors"
+	"fmt"
+	"math"
+
+	"ternstage/internal/decision/scheduler"
+)
+
+// ErrInvalidRequest is wrapped by the errors of Submit: the request is not as its front has agreed. The texts go to
+// clients in bodies.
+var ErrInvalidRequest = errors.New("the request breaks its contract")
+
+const (
+	// maxPartWeight and weightSumTolerance leave room for weights that clients have rounded.
+	maxPartWeight      = 1.001
+	weightSumTolerance = 0.01
+)
+
+// Submit accepts a request, or rejects it by its final answer at once: beyond Options.MaxOpen, and while there is no
+// shard map as new as the client's. An error, ErrInvalidRequest or StaleEpochError, means that it was not accepted:
+// the front answers the client itself.
+func (c *Core) Submit(request *Request) error {
+	if err := c.checkParts(request.Parts); err != nil {
+		return err
+	}
+	// Backends know the parts by the request's id. Guards against one client's answer going to another, and a
+	// non-idempotent part against a client that retries while it is in flight.
+	if c.requestIDs[request.ID] {
+		return fmt.Errorf("%w: request id %q is in use", ErrInvalidRequest, request.ID)
+	}
+	now := c.clock.Now()
+	partCount := len(request.Parts)
+	if c.shardMap != nil {
+		segmentCount, err := c.resolve(request)
+		if err != nil {
+			return err
+		}
+		partCount = segmentCount
+	}
+	request.Deadline = min(request.Deadline, c.finalAnswerBy)
+	c.counts.Submitted++
+	switch {
+	case partCount == 0:
+		c.deliver(request, Answer{Kind: Rejected, RetryAfter: min(c.maxRetryAfter, behindRetryAfterMs)})
+	case c.maxOpen > 0 && c.openCount+1+partCount > c.maxOpen:
+		c.deliver(request, Answer{Kind: Rejected, RetryAfter: c.maxRetryAfter})
+	default:
+		c.admit(now, request, partCount)
+	}
+	return nil
+}
+
+// checkParts checks what the scheduler and the backends rely on: known and different shards, and weights above 0 that
+// add up to 1.
+func (c *Core) checkParts(parts []Part) error {
+	sum := 0.0
+	seen := make(map[int]bool, len(parts))
+	for _, p := range parts {
+		// A shard that is asked twice would give one part id two meanings at its backend. Under resharding, resolve
+		// tells which shards are known.
+		unknown := p.Shard < 0 || c.shardMap == nil && p.Shard >= c.shards
+		if unknown || seen[p.Shard] {
+			return fmt.Errorf("%w: shard %d is unknown or asked twice", ErrInvalidRequest, p.Shard)
+		}
+		if !(p.Weight > 0) || p.Weight > maxPartWeight { // a NaN is refused too
+			return fmt.Errorf("%w: weight of shard %d", ErrInvalidRequest, p.Shard)
+		}
+		seen[p.Shard] = true
+		sum += p.Weight
+	}
+	if len(parts) == 0 || math.Abs(sum-1) > weightSumTolerance {
+		return fmt.Errorf("%w: %d parts, weights that sum to %.3f", ErrInvalidRequest, len(parts), sum)
+	}
+	return nil
+}
+
+// admit hands a request and its parts to the scheduler. partCount is the number of parts that it becomes.
+func (c *Core) admit(now float64, request *Request, partCount int) {
+	c.nextID++
+	request.queryID = c.nextID
+	request.nonIdempotent = c.classes[request.Class].Idempotency == scheduler.NonIdempotent
+	c.requests[request.queryID] = request
+	c.requestIDs[request.ID] = true
+	c.openCount += 1 + partCount
+	c.scheduler.QueryArrived(now, scheduler.Query{
+		ID:          request.queryID,
+		QueryGroup:  int(request.queryID),
+		Class:       request.Class,
+		Tenant:      request.Tenant,
+		Deadline:    request.Deadline,
+		ClientRetry: request.ClientRetry,
+	})
+	if c.shardMap != nil {
+		c.admitSegments(now, request)
+		return
+	}
+	for _, p := range request.Parts {
+		c.nextID++
+		part := &partState{Part: p, id: c.nextID, request: request}
+		request.parts = append(request.parts, part)
+		c.parts[part.id] = part
+		c.scheduler.PartArrived(now, part.schedulerPart())
+	}
+}
