--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -68,7 +68,7 @@
 
 // LoadKnown takes the list that the configuration carries: possibly old, hence cached.
 func (w *Watcher) LoadKnown(l List) {
-	w.reader.SetKnown(l.Revision, len(l.Members))
+	w.reader.SetCached(l.Revision, len(l.Members))
 	l.Complete = true
 	w.core.EndpointsChanged(scheduler.UpdateCached, w.nodes.Apply(l, w.shift()))
 }
@@ -215,7 +215,7 @@
 		w.log.Info("list is read again", zap.String("address", w.address), zap.Any("counts", w.reader.Stats()))
 	}
 	next := w.reader.HandleResponse(w.loop.Now(), membership.Response{Complete: l.Complete, Revision: l.Revision,
-		MemberCount: len(l.Members)})
+		EndpointCount: len(l.Members)})
 	if next.Err != nil {
 		w.log.Warn("list not taken", zap.String("code", string(logs.DiscoveryListRejected)),
 			zap.Uint64("revision", l.Revision), zap.Error(next.Err))
--- a/internal/lab/world/virtual.go
+++ b/internal/lab/world/virtual.go
@@ -273,7 +273,7 @@
 			return
 		}
 		n := b.reader.HandleResponse(s.now, membership.Response{Complete: c.FullList,
-			Revision: uint64(firstRevision + b.agent), MemberCount: len(s.fleet.nodes)})
+			Revision: uint64(firstRevision + b.agent), EndpointCount: len(s.fleet.nodes)})
 		if n.Apply {
 			b.bring(c.FullList)
 		}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -46,9 +46,9 @@
 
 // Response is what came of a call.
 type Response struct {
-	Complete    bool
-	Revision    uint64
-	MemberCount int
+	Complete      bool
+	Revision      uint64
+	EndpointCount int
 }
 
 // Next is what follows an answer or a failure.
@@ -106,8 +106,8 @@
 // Stats are the counts so far.
 func (r *Poller) Stats() Stats { return r.stats }
 
-// SetKnown takes the version of a list that the broker was started with.
-func (r *Poller) SetKnown(revision uint64, members int) {
+// SetCached takes the version of a list that the broker was started with.
+func (r *Poller) SetCached(revision uint64, members int) {
 	// An agent costs nobody anything: the whole list is read first.
 	r.revision, r.have = revision, !r.pushed && (revision > 0 || members > 0)
 	r.members = members > 0
@@ -139,7 +139,7 @@
 		r.stats.Stale++
 		n.At = r.began + max(spinLeast, r.pace())
 		return n
-	case a.Complete && a.MemberCount == 0 && r.members:
+	case a.Complete && a.EndpointCount == 0 && r.members:
 		// It cannot be told from a service that has only just started: the last list holds, with all drains heard.
 		n.Apply, n.Err, r.have = false, ErrEmptyList, false
 		r.stats.Empty++
@@ -147,10 +147,10 @@
 		return n
 	}
 	r.revision, r.have = a.Revision, true
-	r.members = r.members && !a.Complete || a.MemberCount > 0
+	r.members = r.members && !a.Complete || a.EndpointCount > 0
 	if r.pushed {
 		n.At = max(now, r.began+r.period)
-	} else if a.MemberCount == 0 && now < r.began+spinLeast {
+	} else if a.EndpointCount == 0 && now < r.began+spinLeast {
 		n.At = r.began + spinLeast
 	}
 	return n
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -13,7 +13,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		grace := rapid.Float64Range(200, 5000).Draw(t, "grace")
 		r := NewPoller(Options{Pushed: true, DrainGrace: grace})
-		r.SetKnown(41, 3)
+		r.SetCached(41, 3)
 		now, last := 0.0, -1e9
 		for range 200 {
 			c := r.BeginCall(now)
@@ -31,7 +31,7 @@
 			default:
 				end = now + rapid.Float64Range(0, c.Wait).Draw(t, "took")
 				n = r.HandleResponse(end, Response{Complete: rapid.Bool().Draw(t, "whole"),
-					Revision: rapid.Uint64Range(0, 60).Draw(t, "revision"), MemberCount: rapid.IntRange(0, 4).Draw(t, "members")})
+					Revision: rapid.Uint64Range(0, 60).Draw(t, "revision"), EndpointCount: rapid.IntRange(0, 4).Draw(t, "members")})
 			}
 			assert.False(t, n.NotifyFailure, "the module is not asked when")
 			assert.LessOrEqual(t, n.At-now, grace/2, "news since this call is read by then")
@@ -45,13 +45,13 @@
 	for _, pushed := range []bool{false, true} {
 		r := NewPoller(Options{Pushed: pushed, DrainGrace: 1000})
 		assert.True(t, r.BeginCall(0).FullList)
-		assert.True(t, r.HandleResponse(1, Response{Complete: true, Revision: 41, MemberCount: 3}).Apply)
+		assert.True(t, r.HandleResponse(1, Response{Complete: true, Revision: 41, EndpointCount: 3}).Apply)
 		assert.False(t, r.BeginCall(100).FullList)
-		n := r.HandleResponse(101, Response{Revision: 7, MemberCount: 1})
+		n := r.HandleResponse(101, Response{Revision: 7, EndpointCount: 1})
 		assert.False(t, n.Apply)
 		assert.ErrorIs(t, n.Err, ErrStaleRevision)
 		assert.True(t, r.BeginCall(n.At).FullList)
-		assert.True(t, r.HandleResponse(n.At, Response{Complete: true, Revision: 7, MemberCount: 3}).Apply, "it counts anew")
+		assert.True(t, r.HandleResponse(n.At, Response{Complete: true, Revision: 7, EndpointCount: 3}).Apply, "it counts anew")
 		c := r.BeginCall(n.At + 200)
 		assert.False(t, c.FullList)
 		assert.EqualValues(t, 7, c.SinceRevision)
@@ -61,7 +61,7 @@
 // TestEmpty: an empty whole list does not undo one with members, and is asked for again at a pace.
 func TestEmpty(t *testing.T) {
 	r := NewPoller(Options{Pushed: true, DrainGrace: 1000})
-	r.SetKnown(0, 12)
+	r.SetCached(0, 12)
 	r.BeginCall(0)
 	n := r.HandleResponse(0.2, Response{Complete: true})
 	assert.False(t, n.Apply)
@@ -77,7 +77,7 @@
 // answers nothing at once is called no more than 50 times a second.
 func TestAskedDoesNotSpin(t *testing.T) {
 	r := NewPoller(Options{DrainGrace: 1000})
-	r.SetKnown(41, 3)
+	r.SetCached(41, 3)
 	now, calls := 0.0, 0
 	for ; now < 1000; calls++ {
 		r.BeginCall(now)
@@ -85,7 +85,7 @@
 	}
 	assert.LessOrEqual(t, calls, 51)
 	r.BeginCall(now)
-	assert.Equal(t, now+0.1, r.HandleResponse(now+0.1, Response{Revision: 42, MemberCount: 1}).At)
+	assert.Equal(t, now+0.1, r.HandleResponse(now+0.1, Response{Revision: 42, EndpointCount: 1}).At)
 	assert.True(t, r.HandleFailure(now, false).NotifyFailure, "a service that refuses is the module's to pace")
 }
 
@@ -96,7 +96,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		peers := rapid.IntRange(1, 1000).Draw(t, "peers")
 		r := NewPoller(Options{DrainGrace: 1000, BrokerIndex: rapid.IntRange(0, peers-1).Draw(t, "me"), BrokerCount: peers})
-		r.SetKnown(41, 3)
+		r.SetCached(41, 3)
 		now := 0.0
 		for range 5 {
 			c := r.BeginCall(now)
