--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -13,21 +13,21 @@
 const (
 	// Of the drain grace the module uses half after it was informed. The other half is for reading: a period,
 	// the patience with a call that fell silent, and what the answer takes.
-	periodShare   = 0.1
-	patienceShare = 0.25
-	leastPeriod   = 20.0  // ms: 50 calls a second to the agent at most, whatever the grace
-	mostPeriod    = 200.0 // ms: a list that nobody's rule hurries is still read
+	periodOfGrace  = 0.1
+	timeoutOfGrace = 0.25
+	minPeriodMs    = 20.0  // ms: 50 calls a second to the agent at most, whatever the grace
+	maxPeriodMs    = 200.0 // ms: a list that nobody's rule hurries is still read
 	// How long a watch waits, and how long beyond that a call may take, where the list is asked for: silence
 	// must show before changes count as told.
-	watchWait  = 3000.0 // ms
-	answerMost = 2000.0 // ms
+	watchWaitMs         = 3000.0 // ms
+	responseAllowanceMs = 2000.0 // ms
 	// A watch that fell silent is opened anew in its broker's turn within so long: all of a fleet may have
 	// fallen silent with one machine. What it misses counts as told 6 s after it fell silent, 1 s after
 	// patience ends.
-	anewMost = 250.0 // ms
+	reopenSpreadMs = 250.0 // ms
 	// A watch is called again at once, but an answer that comes sooner than this after its call and tells
 	// nothing is no watch: then the next call waits.
-	spinLeast = 20.0 // ms
+	minWatchIntervalMs = 20.0 // ms
 )
 
 // ErrStaleRevision tells that a change builds on a list that is not ours: the whole list is asked for.
@@ -64,14 +64,14 @@
 
 // Poller is what a broker knows of its way to the list.
 type Poller struct {
-	pushed          bool
-	period, patient float64
-	turn            float64 // ms after silence at which the watch is opened anew
-	revision        uint64
-	have            bool // revision is of the list that is known
-	members         bool // that list has had members
-	began           float64
-	stats           Stats
+	pushed              bool
+	periodMs, timeoutMs float64
+	reopenDelayMs       float64 // ms after silence at which the watch is opened anew
+	revision            uint64
+	hasRevision         bool // revision is of the list that is known
+	cachedNonEmpty      bool // that list has had members
+	callStartedAt       float64
+	stats               Stats
 }
 
 // Options say which way the list comes.
@@ -83,13 +83,13 @@
 
 // NewPoller makes a reader that knows no list.
 func NewPoller(o Options) *Poller {
-	r := &Poller{pushed: o.Pushed, period: mostPeriod, patient: watchWait + answerMost,
-		turn: anewMost * float64(o.BrokerIndex) / float64(max(1, o.BrokerCount))}
+	r := &Poller{pushed: o.Pushed, periodMs: maxPeriodMs, timeoutMs: watchWaitMs + responseAllowanceMs,
+		reopenDelayMs: reopenSpreadMs * float64(o.BrokerIndex) / float64(max(1, o.BrokerCount))}
 	if o.DrainGrace > 0 {
-		r.period = min(max(o.DrainGrace*periodShare, leastPeriod), mostPeriod)
+		r.periodMs = min(max(o.DrainGrace*periodOfGrace, minPeriodMs), maxPeriodMs)
 	}
 	if r.pushed {
-		r.patient = max(r.period*patienceShare/periodShare, 2*leastPeriod)
+		r.timeoutMs = max(r.periodMs*timeoutOfGrace/periodOfGrace, 2*minPeriodMs)
 	}
 	return r
 }
@@ -98,10 +98,10 @@
 func (r *Poller) Pushed() bool { return r.pushed }
 
 // Period is the ms between calls where the list is pushed.
-func (r *Poller) Period() float64 { return r.period }
+func (r *Poller) Period() float64 { return r.periodMs }
 
 // Timeout is the ms after which a call without an answer has failed.
-func (r *Poller) Timeout() float64 { return r.patient }
+func (r *Poller) Timeout() float64 { return r.timeoutMs }
 
 // Stats are the counts so far.
 func (r *Poller) Stats() Stats { return r.stats }
@@ -109,21 +109,21 @@
 // SetCached takes the version of a list that the broker was started with.
 func (r *Poller) SetCached(revision uint64, members int) {
 	// An agent costs nobody anything: the whole list is read first.
-	r.revision, r.have = revision, !r.pushed && (revision > 0 || members > 0)
-	r.members = members > 0
+	r.revision, r.hasRevision = revision, !r.pushed && (revision > 0 || members > 0)
+	r.cachedNonEmpty = members > 0
 }
 
 // AddressChanged tells that the list is asked for elsewhere: versions need not be the same there.
-func (r *Poller) AddressChanged() { r.have = false }
+func (r *Poller) AddressChanged() { r.hasRevision = false }
 
 // BeginCall notes a call and says how it is made.
 func (r *Poller) BeginCall(now float64) Call {
-	r.began = now
+	r.callStartedAt = now
 	r.stats.Calls++
-	c := Call{FullList: !r.have, SinceRevision: r.revision, Wait: watchWait, Timeout: r.patient}
+	c := Call{FullList: !r.hasRevision, SinceRevision: r.revision, Wait: watchWaitMs, Timeout: r.timeoutMs}
 	if r.pushed {
 		// An agent that does wait must have answered well before patience ends.
-		c.Wait = min(r.period, r.patient/2)
+		c.Wait = min(r.periodMs, r.timeoutMs/2)
 	}
 	return c
 }
@@ -132,26 +132,26 @@
 func (r *Poller) HandleResponse(now float64, a Response) Next {
 	n := Next{At: now, Apply: true}
 	switch {
-	case !a.Complete && (!r.have || a.Revision < r.revision):
+	case !a.Complete && (!r.hasRevision || a.Revision < r.revision):
 		// A service that has started anew, or has lost what it had, counts from elsewhere. What changed since a
 		// list that we have not says nothing of the others.
-		n.Apply, n.Err, r.have = false, ErrStaleRevision, false
+		n.Apply, n.Err, r.hasRevision = false, ErrStaleRevision, false
 		r.stats.Stale++
-		n.At = r.began + max(spinLeast, r.pace())
+		n.At = r.callStartedAt + max(minWatchIntervalMs, r.paceMs())
 		return n
-	case a.Complete && a.EndpointCount == 0 && r.members:
+	case a.Complete && a.EndpointCount == 0 && r.cachedNonEmpty:
 		// It cannot be told from a service that has only just started: the last list holds, with all drains heard.
-		n.Apply, n.Err, r.have = false, ErrEmptyList, false
+		n.Apply, n.Err, r.hasRevision = false, ErrEmptyList, false
 		r.stats.Empty++
-		n.At = now + max(spinLeast, r.pace())
+		n.At = now + max(minWatchIntervalMs, r.paceMs())
 		return n
 	}
-	r.revision, r.have = a.Revision, true
-	r.members = r.members && !a.Complete || a.EndpointCount > 0
+	r.revision, r.hasRevision = a.Revision, true
+	r.cachedNonEmpty = r.cachedNonEmpty && !a.Complete || a.EndpointCount > 0
 	if r.pushed {
-		n.At = max(now, r.began+r.period)
-	} else if a.EndpointCount == 0 && now < r.began+spinLeast {
-		n.At = r.began + spinLeast
+		n.At = max(now, r.callStartedAt+r.periodMs)
+	} else if a.EndpointCount == 0 && now < r.callStartedAt+minWatchIntervalMs {
+		n.At = r.callStartedAt + minWatchIntervalMs
 	}
 	return n
 }
@@ -164,17 +164,17 @@
 func (r *Poller) HandleFailure(now float64, silent bool) Next {
 	r.stats.Failed++
 	if !r.pushed {
-		return Next{NotifyFailure: !silent, At: now + r.turn}
+		return Next{NotifyFailure: !silent, At: now + r.reopenDelayMs}
 	}
 	// An agent that was away may have started anew. It is on this machine: asking again at the usual pace
 	// burdens nobody, and any longer delay would be missing when it speaks again.
-	r.have = false
-	return Next{At: max(now, r.began+r.period)}
+	r.hasRevision = false
+	return Next{At: max(now, r.callStartedAt+r.periodMs)}
 }
 
-func (r *Poller) pace() float64 {
+func (r *Poller) paceMs() float64 {
 	if r.pushed {
-		return r.period
+		return r.periodMs
 	}
 	return 0
 }
