--- a/internal/membership/poller.go
+++ b/internal/membership/poller.go
@@ -1,91 +1,133 @@
 package membership
 
-// Poller is what a broker knows of its way to the list.
+// Poller tracks one broker's calls for its endpoint list.
+//
+// Invariants: at most one call is in flight; the list held by the scheduler has the cached revision wherever
+// hasRevision is set; a list with endpoints is never replaced by an empty one.
 type Poller struct {
-	pushed              bool
-	periodMs, timeoutMs float64
-	reopenDelayMs       float64 // ms after silence at which the watch is opened anew
-	revision            uint64
-	hasRevision         bool // revision is of the list that is known
-	cachedNonEmpty      bool // that list has had members
-	callStartedAt       float64
-	stats               Stats
+	pushed         bool
+	periodMs       float64
+	timeoutMs      float64
+	reopenDelayMs  float64
+	revision       uint64
+	hasRevision    bool // an incremental response may extend the list of this revision
+	cachedNonEmpty bool // the cached list has endpoints
+	callStartedAt  float64
+	stats          Stats
 }
 
-// Pushed tells that the reader calls by itself, and the module is not asked when.
-func (r *Poller) Pushed() bool { return r.pushed }
+// NewPoller returns a Poller without a cached list: its first call requests the full list.
+func NewPoller(options Options) *Poller {
+	return &Poller{
+		pushed:        options.Pushed,
+		periodMs:      options.period(),
+		timeoutMs:     options.timeout(),
+		reopenDelayMs: options.reopenDelay(),
+	}
+}
 
-// Period is the ms between calls where the list is pushed.
-func (r *Poller) Period() float64 { return r.periodMs }
+// Pushed reports whether the caller starts calls on its own, without the scheduler.
+func (p *Poller) Pushed() bool { return p.pushed }
 
-// Timeout is the ms after which a call without an answer has failed.
-func (r *Poller) Timeout() float64 { return r.timeoutMs }
+// Period returns the ms between the starts of two calls in the pushed mode.
+func (p *Poller) Period() float64 { return p.periodMs }
 
-// Stats are the counts so far.
-func (r *Poller) Stats() Stats { return r.stats }
+// Timeout returns the ms after which a call without a response has failed.
+func (p *Poller) Timeout() float64 { return p.timeoutMs }
 
-// SetCached takes the version of a list that the broker was started with.
-func (r *Poller) SetCached(revision uint64, members int) {
-	// An agent costs nobody anything: the whole list is read first.
-	r.revision, r.hasRevision = revision, !r.pushed && (revision > 0 || members > 0)
-	r.cachedNonEmpty = members > 0
+// Stats returns the counts so far.
+func (p *Poller) Stats() Stats { return p.stats }
+
+// SetCached records the list that the broker was started with. In the pushed mode the first call still requests the
+// full list, as a call to the local agent is cheap.
+func (p *Poller) SetCached(revision uint64, endpointCount int) {
+	p.revision = revision
+	p.hasRevision = !p.pushed && (revision > 0 || endpointCount > 0)
+	p.cachedNonEmpty = endpointCount > 0
 }
 
-// AddressChanged tells that the list is asked for elsewhere: versions need not be the same there.
-func (r *Poller) AddressChanged() { r.hasRevision = false }
+// AddressChanged records that later calls go to another service. Revisions are not comparable between services, so
+// the next call requests the full list.
+func (p *Poller) AddressChanged() { p.hasRevision = false }
 
-// BeginCall notes a call and says how it is made.
-func (r *Poller) BeginCall(now float64) Call {
-	r.callStartedAt = now
-	r.stats.Calls++
-	c := Call{FullList: !r.hasRevision, SinceRevision: r.revision, Wait: watchWaitMs, Timeout: r.timeoutMs}
-	if r.pushed {
-		// An agent that does wait must have answered well before patience ends.
-		c.Wait = min(r.periodMs, r.timeoutMs/2)
+// BeginCall records the start of a call and returns how it is made.
+func (p *Poller) BeginCall(now float64) Call {
+	p.callStartedAt = now
+	p.stats.Calls++
+	call := Call{
+		FullList:      !p.hasRevision,
+		SinceRevision: p.revision,
+		Wait:          watchWaitMs,
+		Timeout:       p.timeoutMs,
+	}
+	if p.pushed {
+		// An agent that holds calls open must still answer well within the timeout.
+		call.Wait = min(p.periodMs, p.timeoutMs/2)
 	}
-	return c
+	return call
 }
 
-// HandleResponse takes a list that came.
-func (r *Poller) HandleResponse(now float64, a Response) Next {
-	n := Next{At: now, Apply: true}
+// HandleResponse ends the call in flight with a well-formed list.
+func (p *Poller) HandleResponse(now float64, response Response) Next {
 	switch {
-	case !a.Complete && (!r.hasRevision || a.Revision < r.revision):
-		// A service that has started anew, or has lost what it had, counts from elsewhere. What changed since a
-		// list that we have not says nothing of the others.
-		n.Apply, n.Err, r.hasRevision = false, ErrStaleRevision, false
-		r.stats.Stale++
-		n.At = r.callStartedAt + max(minWatchIntervalMs, r.paceMs())
-		return n
-	case a.Complete && a.EndpointCount == 0 && r.cachedNonEmpty:
-		// It cannot be told from a service that has only just started: the last list holds, with all drains heard.
-		n.Apply, n.Err, r.hasRevision = false, ErrEmptyList, false
-		r.stats.Empty++
-		n.At = now + max(minWatchIntervalMs, r.paceMs())
-		return n
+	case !response.Complete && (!p.hasRevision || response.Revision < p.revision):
+		return p.rejectStale()
+	case response.Complete && response.EndpointCount == 0 && p.cachedNonEmpty:
+		return p.rejectEmpty(now)
+	}
+	p.revision = response.Revision
+	p.hasRevision = true
+	if response.Complete {
+		p.cachedNonEmpty = false
+	}
+	if response.EndpointCount > 0 {
+		p.cachedNonEmpty = true
+	}
+	next := Next{At: now, Apply: true}
+	if p.pushed {
+		next.At = max(now, p.callStartedAt+p.periodMs)
+	} else if response.EndpointCount == 0 {
+		next.At = max(now, p.callStartedAt+minWatchIntervalMs)
 	}
-	r.revision, r.hasRevision = a.Revision, true
-	r.cachedNonEmpty = r.cachedNonEmpty && !a.Complete || a.EndpointCount > 0
-	if r.pushed {
-		n.At = max(now, r.callStartedAt+r.periodMs)
-	} else if a.EndpointCount == 0 && now < r.callStartedAt+minWatchIntervalMs {
-		n.At = r.callStartedAt + minWatchIntervalMs
+	return next
+}
+
+// rejectStale handles an incremental response that does not extend the cached list. A service that has restarted or
+// lost its state counts revisions from elsewhere, and its changes say nothing about the other endpoints.
+func (p *Poller) rejectStale() Next {
+	p.hasRevision = false
+	p.stats.Stale++
+	return Next{At: p.callStartedAt + p.retryIntervalMs(), Err: ErrStaleRevision}
+}
+
+// rejectEmpty handles a full list without endpoints. It cannot be told from the list of a service that has only just
+// started, so the cached list and all drain notifications stay in force.
+func (p *Poller) rejectEmpty(now float64) Next {
+	p.hasRevision = false
+	p.stats.Empty++
+	return Next{At: now + p.retryIntervalMs(), Err: ErrEmptyList}
+}
+
+// HandleFailure ends the call in flight without a usable list: refused, reset, malformed or timed out.
+//
+// A timeout means that a connection is dead, whereas an overloaded service refuses or resets. So a polled watch that
+// timed out is reopened at once, spread over the brokers: as each has waited out its timeout, the fleet then calls less
+// often than with healthy watches. The scheduler paces the retries after any other failure of a polled watch.
+func (p *Poller) HandleFailure(now float64, timedOut bool) Next {
+	p.stats.Failed++
+	if !p.pushed {
+		return Next{NotifyFailure: !timedOut, At: now + p.reopenDelayMs}
 	}
-	return n
+	// The agent may have restarted, which invalidates the revision. It is local: the usual period burdens nobody, and a
+	// backoff would delay the first list after its recovery.
+	p.hasRevision = false
+	return Next{At: max(now, p.callStartedAt+p.periodMs)}
 }
 
-// HandleFailure takes a call that came to nothing: refused, reset, with an answer that is no list, or silent.
-// Silence says that a connection is dead, where a service with too many callers refuses or resets. So where
-// the list is asked for, a silent watch is opened anew at once: all brokers of a fleet together then call
-// less often than their watches do, as each has waited out its patience. Any other failure is the module's
-// to pace.
-func (r *Poller) HandleFailure(now float64, silent bool) Next {
-	r.stats.Failed++
-	if !r.pushed {
-		return Next{NotifyFailure: !silent, At: now + r.reopenDelayMs}
+// retryIntervalMs is the delay before the full list is requested after a rejected one.
+func (p *Poller) retryIntervalMs() float64 {
+	if p.pushed {
+		return max(minWatchIntervalMs, p.periodMs)
 	}
-	// An agent that was away may have started anew. It is on this machine: asking again at the usual pace
-	// burdens nobody, and any longer delay would be missing when it speaks again.
-	r.hasRevision = false
-	return Next{At: max(now, r.callStartedAt+r.periodMs)}
+	return minWatchIntervalMs
 }
--- a/internal/membership/timing.go
+++ b/internal/membership/timing.go
@@ -1,48 +1,63 @@
 package membership
 
+// The scheduler stops sending to a draining backend half a drain grace after it was notified. The other half covers
+// reading a pushed list: one period, one timeout of an unresponsive call, and the time that the response takes.
 const (
-	// Of the drain grace the module uses half after it was informed. The other half is for reading: a period,
-	// the patience with a call that fell silent, and what the answer takes.
 	periodOfGrace  = 0.1
 	timeoutOfGrace = 0.25
-	minPeriodMs    = 20.0  // ms: 50 calls a second to the agent at most, whatever the grace
-	maxPeriodMs    = 200.0 // ms: a list that nobody's rule hurries is still read
-	// How long a watch waits, and how long beyond that a call may take, where the list is asked for: silence
-	// must show before changes count as told.
-	watchWaitMs         = 3000.0 // ms
-	responseAllowanceMs = 2000.0 // ms
-	// A watch that fell silent is opened anew in its broker's turn within so long: all of a fleet may have
-	// fallen silent with one machine. What it misses counts as told 6 s after it fell silent, 1 s after
-	// patience ends.
-	reopenSpreadMs = 250.0 // ms
-	// A watch is called again at once, but an answer that comes sooner than this after its call and tells
-	// nothing is no watch: then the next call waits.
-	minWatchIntervalMs = 20.0 // ms
 )
 
-// Options say which way the list comes.
+const (
+	// minPeriodMs caps the load on the agent at 50 calls per second, however short the drain grace.
+	minPeriodMs = 20.0
+	// maxPeriodMs applies where no drain grace asks for a shorter period.
+	maxPeriodMs = 200.0
+)
+
+const (
+	// watchWaitMs is how long discovery may hold a watch open.
+	watchWaitMs = 3000.0
+	// responseAllowanceMs is added to watchWaitMs for the response itself. Their sum must stay below 6000 ms, after
+	// which a broker counts as notified of a change that it did not read.
+	responseAllowanceMs = 2000.0
+	// reopenSpreadMs is the interval over which the brokers of a fleet reopen watches that timed out, each at the
+	// offset that its index gives: one failed machine can time out the watches of all of them at once.
+	reopenSpreadMs = 250.0
+	// minWatchIntervalMs separates the starts of two calls of which the first returned no change early. It guards
+	// against a service that does not hold watches open.
+	minWatchIntervalMs = 20.0
+)
+
+// Options configure a Poller. The zero value polls a discovery service for a single broker.
 type Options struct {
-	Pushed                   bool
-	DrainGrace               float64 // ms after being told in which work may still go to a node that drains; 0 for no rule
-	BrokerIndex, BrokerCount int     // this broker's number, and how many there are
+	// Pushed selects the pushed mode; by default the list is polled.
+	Pushed bool
+	// DrainGrace is how long after its notification a broker may still send work to a draining backend, in ms.
+	// It sets the period and the timeout in the pushed mode; 0, the default, selects the longest period.
+	DrainGrace float64
+	// BrokerIndex is this broker's place among the brokers of the fleet, from 0 to BrokerCount-1.
+	BrokerIndex int
+	// BrokerCount is the number of brokers in the fleet; 0, the default, counts as 1.
+	BrokerCount int
 }
 
-// NewPoller makes a reader that knows no list.
-func NewPoller(o Options) *Poller {
-	r := &Poller{pushed: o.Pushed, periodMs: maxPeriodMs, timeoutMs: watchWaitMs + responseAllowanceMs,
-		reopenDelayMs: reopenSpreadMs * float64(o.BrokerIndex) / float64(max(1, o.BrokerCount))}
-	if o.DrainGrace > 0 {
-		r.periodMs = min(max(o.DrainGrace*periodOfGrace, minPeriodMs), maxPeriodMs)
-	}
-	if r.pushed {
-		r.timeoutMs = max(r.periodMs*timeoutOfGrace/periodOfGrace, 2*minPeriodMs)
+// period returns the ms between the starts of two calls to an agent.
+func (o Options) period() float64 {
+	if o.DrainGrace <= 0 {
+		return maxPeriodMs
 	}
-	return r
+	return min(max(o.DrainGrace*periodOfGrace, minPeriodMs), maxPeriodMs)
 }
 
-func (r *Poller) paceMs() float64 {
-	if r.pushed {
-		return r.periodMs
+// timeout returns the ms after which a call without a response has failed.
+func (o Options) timeout() float64 {
+	if o.Pushed {
+		return max(o.period()*timeoutOfGrace/periodOfGrace, 2*minPeriodMs)
 	}
-	return 0
+	return watchWaitMs + responseAllowanceMs
+}
+
+// reopenDelay returns the ms between the timeout of a watch and its next call.
+func (o Options) reopenDelay() float64 {
+	return reopenSpreadMs * float64(o.BrokerIndex) / float64(max(1, o.BrokerCount))
 }
