--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -2,34 +2,52 @@
 
 import "errors"
 
-// ErrStaleRevision tells that a change builds on a list that is not ours: the whole list is asked for.
+// ErrStaleRevision reports an incremental response that cannot be applied: it is older than the cached list, or no
+// list is cached that it could extend. The next call requests the full list.
 var ErrStaleRevision = errors.New("the list's version went back")
 
-// ErrEmptyList tells that a whole list without any member was not taken, since one with members is known.
+// ErrEmptyList reports a full response without any endpoint while the cached list has some. The cached list stays in
+// force and the next call requests the full list.
 var ErrEmptyList = errors.New("an empty list in place of one with members")
 
-// Call is how the next call is made.
+// Call describes the next call to discovery.
 type Call struct {
-	FullList      bool    // the whole list is asked for, not what is newer than Index
-	SinceRevision uint64  // the version that is known
-	Wait          float64 // ms that a call for changes may wait at the other side
-	Timeout       float64 // ms after which a call without an answer has failed
+	// FullList requests the full list; SinceRevision and Wait then do not go into the request.
+	FullList bool
+	// SinceRevision is the cached revision: only changes after it are requested.
+	SinceRevision uint64
+	// Wait is how long discovery may hold the call open while there is no change, in ms.
+	Wait float64
+	// Timeout is how long after its start a call without a response has failed, in ms. It always exceeds Wait.
+	Timeout float64
 }
 
-// Response is what came of a call.
+// Response summarizes a well-formed endpoint list that answered a call.
 type Response struct {
-	Complete      bool
-	Revision      uint64
+	// Complete says that the list is full; otherwise it holds only what has changed.
+	Complete bool
+	// Revision is the version of the list after this response.
+	Revision uint64
+	// EndpointCount is the number of endpoints in the response, removed ones included.
 	EndpointCount int
 }
 
-// Next is what follows an answer or a failure.
+// Next says what the caller does after a response or a failure.
 type Next struct {
-	At            float64 // when to call again
-	Apply         bool    // what came is given to the module
-	NotifyFailure bool    // the module is told of the failure, and says itself when to call again: At counts for nothing
-	Err           error   // why what came is not taken, nil if it is
+	// At is when the next call is due, in ms on the caller's clock. It is meaningless where NotifyFailure is set.
+	At float64
+	// Apply says that the received list goes to the scheduler.
+	Apply bool
+	// NotifyFailure says that the watch is over: the scheduler is notified and decides when it starts again.
+	NotifyFailure bool
+	// Err is why the received list must not be applied: ErrStaleRevision, ErrEmptyList or nil.
+	Err error
 }
 
-// Stats are what a reader has counted.
-type Stats struct{ Calls, Failed, Stale, Empty uint64 }
+// Stats counts what a Poller has seen since it was made.
+type Stats struct {
+	Calls  uint64 // calls begun
+	Failed uint64 // calls without a usable response
+	Stale  uint64 // responses rejected with ErrStaleRevision
+	Empty  uint64 // responses rejected with ErrEmptyList
+}
