--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -4,11 +4,11 @@
 
 // ErrStaleRevision reports an incremental response that cannot be applied: it is older than the cached list, or no
 // list is cached that it could extend. The next call requests the full list.
-var ErrStaleRevision = errors.New("the list's version went back")
+var ErrStaleRevision = errors.New("endpoint list revision is older than the cached one")
 
 // ErrEmptyList reports a full response without any endpoint while the cached list has some. The cached list stays in
 // force and the next call requests the full list.
-var ErrEmptyList = errors.New("an empty list in place of one with members")
+var ErrEmptyList = errors.New("empty endpoint list in place of one with endpoints")
 
 // Call describes the next call to discovery.
 type Call struct {
