--- a/internal/membership/poller_test.go
+++ b/internal/membership/poller_test.go
@@ -7,105 +7,140 @@
 	"pgregory.net/rapid"
 )
 
-// TestPushedIsReadInTime: whatever the agent does, from the moment at which it has news and speaks, the news is
-// read within the half of the drain grace that the module leaves, and calls keep their distance.
-func TestPushedIsReadInTime(t *testing.T) {
+const (
+	testDrainGraceMs  = 1000.0
+	testRevision      = 41
+	testEndpointCount = 3
+	neverCalledMs     = -1e9
+)
+
+// TestPushedListIsReadInTime: whatever the agent does, a list that it holds and serves is read within the half of the
+// drain grace that the scheduler leaves, and calls keep at least the period between them.
+func TestPushedListIsReadInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		grace := rapid.Float64Range(200, 5000).Draw(t, "grace")
-		r := NewPoller(Options{Pushed: true, DrainGrace: grace})
-		r.SetCached(41, 3)
-		now, last := 0.0, -1e9
+		drainGraceMs := rapid.Float64Range(200, 5000).Draw(t, "drain grace")
+		poller := NewPoller(Options{Pushed: true, DrainGrace: drainGraceMs})
+		poller.SetCached(testRevision, testEndpointCount)
+		now := 0.0
+		lastCallAt := neverCalledMs
 		for range 200 {
-			c := r.BeginCall(now)
-			assert.GreaterOrEqual(t, now-last, r.Period()-1e-9, "calls are no closer than the period")
-			assert.LessOrEqual(t, c.Wait, c.Timeout/2)
-			last = now
-			var n Next
-			end := now
-			switch rapid.IntRange(0, 4).Draw(t, "agent") {
-			case 0: // silent
-				end = now + c.Timeout
-				n = r.HandleFailure(end, true)
-			case 1: // refuses
-				n = r.HandleFailure(end, false)
-			default:
-				end = now + rapid.Float64Range(0, c.Wait).Draw(t, "took")
-				n = r.HandleResponse(end, Response{Complete: rapid.Bool().Draw(t, "whole"),
-					Revision: rapid.Uint64Range(0, 60).Draw(t, "revision"), EndpointCount: rapid.IntRange(0, 4).Draw(t, "members")})
-			}
-			assert.False(t, n.NotifyFailure, "the module is not asked when")
-			assert.LessOrEqual(t, n.At-now, grace/2, "news since this call is read by then")
-			now = max(n.At, end)
+			call := poller.BeginCall(now)
+			assert.GreaterOrEqual(t, now-lastCallAt, poller.Period()-1e-9, "calls are no closer than the period")
+			assert.LessOrEqual(t, call.Wait, call.Timeout/2)
+			lastCallAt = now
+			next, endedAt := drawPushedOutcome(t, poller, now, call)
+			assert.False(t, next.NotifyFailure, "the scheduler does not time the calls")
+			assert.LessOrEqual(t, next.At-now, drainGraceMs/2, "a change since this call is read by then")
+			now = max(next.At, endedAt)
 		}
 	})
 }
 
-// TestBehind: a change that builds on a list that is not ours is not taken, and the whole list comes next.
-func TestBehind(t *testing.T) {
-	for _, pushed := range []bool{false, true} {
-		r := NewPoller(Options{Pushed: pushed, DrainGrace: 1000})
-		assert.True(t, r.BeginCall(0).FullList)
-		assert.True(t, r.HandleResponse(1, Response{Complete: true, Revision: 41, EndpointCount: 3}).Apply)
-		assert.False(t, r.BeginCall(100).FullList)
-		n := r.HandleResponse(101, Response{Revision: 7, EndpointCount: 1})
-		assert.False(t, n.Apply)
-		assert.ErrorIs(t, n.Err, ErrStaleRevision)
-		assert.True(t, r.BeginCall(n.At).FullList)
-		assert.True(t, r.HandleResponse(n.At, Response{Complete: true, Revision: 7, EndpointCount: 3}).Apply, "it counts anew")
-		c := r.BeginCall(n.At + 200)
-		assert.False(t, c.FullList)
-		assert.EqualValues(t, 7, c.SinceRevision)
+// drawPushedOutcome ends a call to an agent in one of the ways in which it can end, and returns when it did.
+func drawPushedOutcome(t *rapid.T, poller *Poller, now float64, call Call) (next Next, endedAt float64) {
+	t.Helper()
+	const (
+		unresponsive = 0
+		refused      = 1
+		lastOutcome  = 4 // refused+1 to lastOutcome: a response
+	)
+	switch rapid.IntRange(unresponsive, lastOutcome).Draw(t, "outcome") {
+	case unresponsive:
+		endedAt = now + call.Timeout
+		return poller.HandleFailure(endedAt, true), endedAt
+	case refused:
+		return poller.HandleFailure(now, false), now
 	}
+	endedAt = now + rapid.Float64Range(0, call.Wait).Draw(t, "duration")
+	return poller.HandleResponse(endedAt, Response{
+		Complete:      rapid.Bool().Draw(t, "complete"),
+		Revision:      rapid.Uint64Range(0, 60).Draw(t, "revision"),
+		EndpointCount: rapid.IntRange(0, 4).Draw(t, "endpoint count"),
+	}), endedAt
 }
 
-// TestEmpty: an empty whole list does not undo one with members, and is asked for again at a pace.
-func TestEmpty(t *testing.T) {
-	r := NewPoller(Options{Pushed: true, DrainGrace: 1000})
-	r.SetCached(0, 12)
-	r.BeginCall(0)
-	n := r.HandleResponse(0.2, Response{Complete: true})
-	assert.False(t, n.Apply)
-	assert.ErrorIs(t, n.Err, ErrEmptyList)
-	assert.GreaterOrEqual(t, n.At, 100.0)
-	assert.EqualValues(t, 1, r.Stats().Empty)
-	first := NewPoller(Options{Pushed: true, DrainGrace: 1000})
-	first.BeginCall(0)
-	assert.True(t, first.HandleResponse(0, Response{Complete: true}).Apply, "nothing is known yet")
+// TestStaleRevision: a change that does not extend the cached list is rejected, and the full list comes next.
+func TestStaleRevision(t *testing.T) {
+	for name, pushed := range map[string]bool{"polled": false, "pushed": true} {
+		t.Run(name, func(t *testing.T) {
+			poller := NewPoller(Options{Pushed: pushed, DrainGrace: testDrainGraceMs})
+			assert.True(t, poller.BeginCall(0).FullList)
+			full := Response{Complete: true, Revision: testRevision, EndpointCount: testEndpointCount}
+			assert.True(t, poller.HandleResponse(1, full).Apply)
+			assert.False(t, poller.BeginCall(100).FullList)
+
+			next := poller.HandleResponse(101, Response{Revision: 7, EndpointCount: 1})
+			assert.False(t, next.Apply)
+			assert.ErrorIs(t, next.Err, ErrStaleRevision)
+
+			assert.True(t, poller.BeginCall(next.At).FullList)
+			full.Revision = 7
+			assert.True(t, poller.HandleResponse(next.At, full).Apply, "a restarted service counts from elsewhere")
+			call := poller.BeginCall(next.At + 200)
+			assert.False(t, call.FullList)
+			assert.EqualValues(t, 7, call.SinceRevision)
+		})
+	}
+}
+
+// TestEmptyList: an empty full list does not replace one with endpoints, and is requested again at the period.
+func TestEmptyList(t *testing.T) {
+	poller := NewPoller(Options{Pushed: true, DrainGrace: testDrainGraceMs})
+	poller.SetCached(0, 12)
+	poller.BeginCall(0)
+	next := poller.HandleResponse(0.2, Response{Complete: true})
+	assert.False(t, next.Apply)
+	assert.ErrorIs(t, next.Err, ErrEmptyList)
+	assert.GreaterOrEqual(t, next.At, 100.0)
+	assert.EqualValues(t, 1, poller.Stats().Empty)
+
+	uncached := NewPoller(Options{Pushed: true, DrainGrace: testDrainGraceMs})
+	uncached.BeginCall(0)
+	assert.True(t, uncached.HandleResponse(0, Response{Complete: true}).Apply, "no list is cached yet")
 }
 
-// TestAskedDoesNotSpin: a watch goes on at once after news, and after silence as long as it did wait; one that
-// answers nothing at once is called no more than 50 times a second.
-func TestAskedDoesNotSpin(t *testing.T) {
-	r := NewPoller(Options{DrainGrace: 1000})
-	r.SetCached(41, 3)
-	now, calls := 0.0, 0
+// TestPolledWatchDoesNotSpin: a watch continues at once after a change, and without one as soon as discovery held the
+// call open; a service that answers at once without a change is called at most 50 times per second.
+func TestPolledWatchDoesNotSpin(t *testing.T) {
+	poller := NewPoller(Options{DrainGrace: testDrainGraceMs})
+	poller.SetCached(testRevision, testEndpointCount)
+	now := 0.0
+	calls := 0
 	for ; now < 1000; calls++ {
-		r.BeginCall(now)
-		now = max(r.HandleResponse(now+0.1, Response{Revision: 41}).At, now+0.1)
+		poller.BeginCall(now)
+		now = max(poller.HandleResponse(now+0.1, Response{Revision: testRevision}).At, now+0.1)
 	}
 	assert.LessOrEqual(t, calls, 51)
-	r.BeginCall(now)
-	assert.Equal(t, now+0.1, r.HandleResponse(now+0.1, Response{Revision: 42, EndpointCount: 1}).At)
-	assert.True(t, r.HandleFailure(now, false).NotifyFailure, "a service that refuses is the module's to pace")
+	poller.BeginCall(now)
+	change := Response{Revision: testRevision + 1, EndpointCount: 1}
+	assert.Equal(t, now+0.1, poller.HandleResponse(now+0.1, change).At)
+	assert.True(t, poller.HandleFailure(now, false).NotifyFailure, "the scheduler paces retries after a refusal")
 }
 
-// TestSilentWatchIsOpenedAnew: where the list is asked for, a watch that fell silent is opened anew by each of any
-// number of brokers so soon that what it misses is read within half of the grace after it counts as told, 6 s after
-// the silence; and all of them together call less often than their watches do.
-func TestSilentWatchIsOpenedAnew(t *testing.T) {
+// TestTimedOutWatchIsReopened: each of any number of brokers reopens a polled watch that timed out so soon that what it
+// missed is read within half of the drain grace after it counts as notified, 6 s after the start of the call. All of
+// them together call less often than with healthy watches.
+func TestTimedOutWatchIsReopened(t *testing.T) {
+	const (
+		notifiedAfterMs     = 6000
+		halfDrainGraceMs    = testDrainGraceMs / 2
+		responseAllowanceMs = 1000
+	)
 	rapid.Check(t, func(t *rapid.T) {
-		peers := rapid.IntRange(1, 1000).Draw(t, "peers")
-		r := NewPoller(Options{DrainGrace: 1000, BrokerIndex: rapid.IntRange(0, peers-1).Draw(t, "me"), BrokerCount: peers})
-		r.SetCached(41, 3)
+		brokerCount := rapid.IntRange(1, 1000).Draw(t, "broker count")
+		brokerIndex := rapid.IntRange(0, brokerCount-1).Draw(t, "broker index")
+		poller := NewPoller(Options{DrainGrace: testDrainGraceMs, BrokerIndex: brokerIndex, BrokerCount: brokerCount})
+		poller.SetCached(testRevision, testEndpointCount)
 		now := 0.0
 		for range 5 {
-			c := r.BeginCall(now)
-			assert.False(t, c.FullList)
-			n := r.HandleFailure(now+c.Timeout, true)
-			assert.False(t, n.NotifyFailure, "it does not wait for the module's delay")
-			assert.LessOrEqual(t, n.At, now+6000+500-1000, "a second is left for the answer")
-			assert.Greater(t, n.At-now, c.Wait, "no more often than the watch itself")
-			now = n.At
+			call := poller.BeginCall(now)
+			assert.False(t, call.FullList)
+			next := poller.HandleFailure(now+call.Timeout, true)
+			assert.False(t, next.NotifyFailure, "it does not wait for the scheduler's backoff")
+			assert.LessOrEqual(t, next.At, now+notifiedAfterMs+halfDrainGraceMs-responseAllowanceMs,
+				"the response has a second")
+			assert.Greater(t, next.At-now, call.Wait, "no more often than the watch itself")
+			now = next.At
 		}
 	})
 }
