--- a/cmd/ternstage/serve.go
+++ b/cmd/ternstage/serve.go
@@ -134,7 +134,7 @@
 		defer d.Close()
 		ops.Start()
 	}
-	watch.LoadKnown(cfg.KnownEndpoints)
+	watch.LoadCached(cfg.KnownEndpoints)
 	watch.Start()
 	if m != nil {
 		var source slicemap.Source = catalog.NewSource(l, c, log, x.catalogue(cfg))
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -27,7 +27,7 @@
 	Cores          float64
 	MemoryMB       int
 	MaxDescriptors int
-	KnownEndpoints discovery.List
+	KnownEndpoints discovery.EndpointList
 	Zones          []string
 	Scheduler      scheduler.Settings
 	Contracts      *contract.Contracts
@@ -50,8 +50,8 @@
 		MemoryMB *int     `json:"memory_mb"`
 		Sockets  *int     `json:"sockets"`
 	} `json:"limits"`
-	Known    discovery.List  `json:"known"`
-	Settings json.RawMessage `json:"settings"`
+	Known    discovery.EndpointList `json:"known"`
+	Settings json.RawMessage        `json:"settings"`
 }
 
 // settings is what the module has no use for and the program has.
@@ -164,7 +164,7 @@
 		return nil, fmt.Errorf("limits: cores %v, memory_mb %d, sockets %d: out of range (%d MB and %d at least)",
 			c.Cores, c.MemoryMB, c.MaxDescriptors, leastMemoryMB, leastSockets)
 	}
-	if err := c.KnownEndpoints.Check(); err != nil {
+	if err := c.KnownEndpoints.Validate(); err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
 	return c, c.settings(f.Settings)
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -12,38 +12,38 @@
 	"ternstage/internal/decision/scheduler"
 )
 
-// List is the list in discovery's form.
-type List struct {
-	Revision uint64   `json:"revision"`
-	Complete bool     `json:"complete"`
-	Members  []Member `json:"members"`
+// EndpointList is the list in discovery's form.
+type EndpointList struct {
+	Revision  uint64           `json:"revision"`
+	Complete  bool             `json:"complete"`
+	Endpoints []EndpointRecord `json:"members"`
 }
 
-// Member is one line of it.
-type Member struct {
-	ID        string  `json:"id"`
-	Address   string  `json:"host_port"`
-	Locality  string  `json:"locality"`
-	Cell      int     `json:"cell"`
-	Phase     string  `json:"phase"`
-	Size      float64 `json:"size"`
-	UpSinceMS float64 `json:"up_since_ms"`
+// EndpointRecord is one line of it.
+type EndpointRecord struct {
+	ID              string  `json:"id"`
+	Address         string  `json:"host_port"`
+	Zone            string  `json:"locality"`
+	Cell            int     `json:"cell"`
+	Phase           string  `json:"phase"`
+	Size            float64 `json:"size"`
+	StartedAtUnixMs float64 `json:"up_since_ms"`
 }
 
 var errList = errors.New("the list cannot be used")
 
-// ParseList reads a list and names what is wrong with it.
-func ParseList(text []byte) (List, error) {
-	var l List
+// ParseEndpointList reads a list and names what is wrong with it.
+func ParseEndpointList(text []byte) (EndpointList, error) {
+	var l EndpointList
 	if err := json.Unmarshal(text, &l); err != nil {
-		return List{}, fmt.Errorf("%w: %w", errList, err)
+		return EndpointList{}, fmt.Errorf("%w: %w", errList, err)
 	}
-	return l, l.Check()
+	return l, l.Validate()
 }
 
-// Check names the first member that cannot be.
-func (l List) Check() error {
-	for _, m := range l.Members {
+// Validate names the first member that cannot be.
+func (l EndpointList) Validate() error {
+	for _, m := range l.Endpoints {
 		if _, ok := phases[m.Phase]; !ok || m.ID == "" || m.Cell < 0 {
 			return fmt.Errorf("%w: member %q, cell %d, phase %q", errList, m.ID, m.Cell, m.Phase)
 		}
@@ -138,13 +138,13 @@
 // recall is the state in which a member is listed. What was told of a drain or an end holds until the member
 // has started anew, or a list of a higher version says otherwise: a service that answers from an older list,
 // or has started anew and counts from elsewhere, does not bring a member back.
-func (n *Registry) recall(m Member, revision uint64) scheduler.ReplicaState {
+func (n *Registry) recall(m EndpointRecord, revision uint64) scheduler.ReplicaState {
 	state := phases[m.Phase]
 	was, ended := n.ended[m.ID]
 	switch {
 	case state != scheduler.Ready:
-		n.end(m.ID, ending{m.UpSinceMS, max(revision, was.revision)})
-	case ended && m.UpSinceMS <= was.started && revision <= was.revision:
+		n.end(m.ID, ending{m.StartedAtUnixMs, max(revision, was.revision)})
+	case ended && m.StartedAtUnixMs <= was.started && revision <= was.revision:
 		return scheduler.Draining
 	case ended:
 		delete(n.ended, m.ID)
@@ -167,9 +167,9 @@
 }
 
 // absent notes the members that a whole list has no more.
-func (n *Registry) absent(l List) {
-	has := make(map[string]bool, len(l.Members))
-	for _, m := range l.Members {
+func (n *Registry) absent(l EndpointList) {
+	has := make(map[string]bool, len(l.Endpoints))
+	for _, m := range l.Endpoints {
 		has[m.ID] = true
 	}
 	for id, started := range n.listed {
@@ -180,22 +180,22 @@
 }
 
 // Apply takes a list and gives the module's form of it. shift turns a wall clock reading into the loop's.
-func (n *Registry) Apply(l List, shift float64) []scheduler.Endpoint {
+func (n *Registry) Apply(l EndpointList, shift float64) []scheduler.Endpoint {
 	if l.Complete {
 		n.absent(l)
 		clear(n.listed)
 	}
-	es := make([]scheduler.Endpoint, 0, len(l.Members))
-	for _, m := range l.Members {
-		e := scheduler.Endpoint{Replica: n.number(m.ID), Cell: m.Cell, Zone: n.zones[m.Locality],
+	es := make([]scheduler.Endpoint, 0, len(l.Endpoints))
+	for _, m := range l.Endpoints {
+		e := scheduler.Endpoint{Replica: n.number(m.ID), Cell: m.Cell, Zone: n.zones[m.Zone],
 			State: n.recall(m, l.Revision)}
-		if m.UpSinceMS > 0 {
-			e.StartedAt = max(m.UpSinceMS+shift, 1)
+		if m.StartedAtUnixMs > 0 {
+			e.StartedAt = max(m.StartedAtUnixMs+shift, 1)
 		}
 		if e.State == scheduler.Removed {
 			delete(n.listed, m.ID)
 		} else {
-			n.listed[m.ID] = m.UpSinceMS
+			n.listed[m.ID] = m.StartedAtUnixMs
 			n.address[e.Replica] = m.Address
 			n.entries[m.ID] = e
 			if n.hold != nil {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -66,9 +66,9 @@
 	}
 }
 
-// LoadKnown takes the list that the configuration carries: possibly old, hence cached.
-func (w *Watcher) LoadKnown(l List) {
-	w.reader.SetCached(l.Revision, len(l.Members))
+// LoadCached takes the list that the configuration carries: possibly old, hence cached.
+func (w *Watcher) LoadCached(l EndpointList) {
+	w.reader.SetCached(l.Revision, len(l.Endpoints))
 	l.Complete = true
 	w.core.EndpointsChanged(scheduler.UpdateCached, w.nodes.Apply(l, w.shift()))
 }
@@ -198,9 +198,9 @@
 	if err == nil && status != 200 {
 		err = fmt.Errorf("status %d", status)
 	}
-	var l List
+	var l EndpointList
 	if err == nil {
-		l, err = ParseList(body)
+		l, err = ParseEndpointList(body)
 	}
 	if err != nil {
 		w.fail(logs.DiscoveryMalformed, err)
@@ -215,7 +215,7 @@
 		w.log.Info("list is read again", zap.String("address", w.address), zap.Any("counts", w.reader.Stats()))
 	}
 	next := w.reader.HandleResponse(w.loop.Now(), membership.Response{Complete: l.Complete, Revision: l.Revision,
-		EndpointCount: len(l.Members)})
+		EndpointCount: len(l.Endpoints)})
 	if next.Err != nil {
 		w.log.Warn("list not taken", zap.String("code", string(logs.DiscoveryListRejected)),
 			zap.Uint64("revision", l.Revision), zap.Error(next.Err))
--- a/internal/lab/world/live.go
+++ b/internal/lab/world/live.go
@@ -181,7 +181,7 @@
 	healthy   bool
 	client    client
 	log       *os.File
-	known     *discovery.List
+	known     *discovery.EndpointList
 	relays    map[*socket]*relay.Relay // on its links to nodes, where the experiment has any
 	usual     relay.Fault              // what they do when nothing is cut
 }
--- a/internal/lab/world/servers.go
+++ b/internal/lab/world/servers.go
@@ -62,8 +62,8 @@
 }
 
 // list is what is visible since a place in the news, or the whole list.
-func (d *discoveryServer) list(since int, whole bool) discovery.List {
-	s, l := d.world, discovery.List{Revision: uint64(firstRevision + d.visible), Complete: whole}
+func (d *discoveryServer) list(since int, whole bool) discovery.EndpointList {
+	s, l := d.world, discovery.EndpointList{Revision: uint64(firstRevision + d.visible), Complete: whole}
 	news := map[*node]listNews{}
 	for i, n := range s.fleet.news[:d.visible] {
 		if whole || i >= since {
@@ -81,14 +81,14 @@
 		if !whole && !changed || whole && x.state == scheduler.Removed {
 			continue
 		}
-		m := discovery.Member{ID: n.ID, Address: d.b.way(n.wire.(sockets)[s.e.ZoneOf(d.b.index)]),
-			Locality: zoneName(n.zone), Cell: n.index, Size: 1,
+		m := discovery.EndpointRecord{ID: n.ID, Address: d.b.way(n.wire.(sockets)[s.e.ZoneOf(d.b.index)]),
+			Zone: zoneName(n.zone), Cell: n.index, Size: 1,
 			Phase: map[scheduler.ReplicaState]string{scheduler.Ready: "SERVING", scheduler.Draining: "DRAINING",
 				scheduler.Removed: "DELETED"}[x.state]}
 		if x.started > 0 {
-			m.UpSinceMS = float64(s.live.unix(x.started))
+			m.StartedAtUnixMs = float64(s.live.unix(x.started))
 		}
-		l.Members = append(l.Members, m)
+		l.Endpoints = append(l.Endpoints, m)
 	}
 	return l
 }
@@ -99,7 +99,7 @@
 	index, err := strconv.Atoi(r.URL.Query().Get("index"))
 	whole := err != nil || index < firstRevision
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait"))
-	answer := make(chan discovery.List, 1)
+	answer := make(chan discovery.EndpointList, 1)
 	ok := s.live.post(func() {
 		did, gen := false, d.b.gen
 		reply := func() {
@@ -108,7 +108,7 @@
 			}
 			did = true
 			l := d.list(index-firstRevision, whole)
-			for _, m := range l.Members { // it is told once this is written
+			for _, m := range l.Endpoints { // it is told once this is written
 				if m.Phase == "SERVING" && !s.Fault.IgnoreDrain {
 					s.check.Untold(d.b.name, m.ID)
 				} else if m.Phase != "SERVING" {
