--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -30,13 +30,13 @@
 	StartedAtUnixMs float64 `json:"up_since_ms"`
 }
 
-var errList = errors.New("the list cannot be used")
+var errMalformedList = errors.New("the list cannot be used")
 
 // ParseEndpointList reads a list and names what is wrong with it.
 func ParseEndpointList(text []byte) (EndpointList, error) {
 	var l EndpointList
 	if err := json.Unmarshal(text, &l); err != nil {
-		return EndpointList{}, fmt.Errorf("%w: %w", errList, err)
+		return EndpointList{}, fmt.Errorf("%w: %w", errMalformedList, err)
 	}
 	return l, l.Validate()
 }
@@ -44,37 +44,37 @@
 // Validate names the first member that cannot be.
 func (l EndpointList) Validate() error {
 	for _, m := range l.Endpoints {
-		if _, ok := phases[m.Phase]; !ok || m.ID == "" || m.Cell < 0 {
-			return fmt.Errorf("%w: member %q, cell %d, phase %q", errList, m.ID, m.Cell, m.Phase)
+		if _, ok := stateOfPhase[m.Phase]; !ok || m.ID == "" || m.Cell < 0 {
+			return fmt.Errorf("%w: member %q, cell %d, phase %q", errMalformedList, m.ID, m.Cell, m.Phase)
 		}
 		if _, err := netip.ParseAddrPort(m.Address); err != nil && m.Phase != "DELETED" {
-			return fmt.Errorf("%w: member %q: %w", errList, m.ID, err)
+			return fmt.Errorf("%w: member %q: %w", errMalformedList, m.ID, err)
 		}
 	}
 	return nil
 }
 
-var phases = map[string]scheduler.ReplicaState{"SERVING": scheduler.Ready, "DRAINING": scheduler.Draining,
+var stateOfPhase = map[string]scheduler.ReplicaState{"SERVING": scheduler.Ready, "DRAINING": scheduler.Draining,
 	"DELETED": scheduler.Removed}
 
 // Registry numbers the members and knows their addresses.
 type Registry struct {
-	zones   map[string]int
-	byID    map[string]uint32
-	address map[uint32]string
-	listed  map[string]float64            // members that are listed, with their starts as the list says them
-	entries map[string]scheduler.Endpoint // of members that are listed, as the list says them
-	hold    Suspender
-	ended   map[string]ending // of members that were told to drain or to be gone
+	zoneIndexes  map[string]int
+	numbers      map[string]uint32
+	addresses    map[uint32]string
+	listedStarts map[string]float64            // members that are listed, with their starts as the list says them
+	endpoints    map[string]scheduler.Endpoint // of members that are listed, as the list says them
+	suspender    Suspender
+	drains       map[string]drain // of members that were told to drain or to be gone
 }
 
-// ending is how a member was told to drain or to be gone.
-type ending struct {
+// drain is how a member was told to drain or to be gone.
+type drain struct {
 	started  float64 // the member's start, as the list had it
 	revision uint64  // of the list that told it
 }
 
-const mostEnded = 4096 // members of which it is kept that they have drained or gone
+const maxRememberedDrains = 4096 // members of which it is kept that they have drained or gone
 
 // Suspender says which members the operators hold out of service, and hears of every member that is listed.
 type Suspender interface {
@@ -83,16 +83,16 @@
 }
 
 // SetSuspender has members that h holds out given to the module as draining, whatever the list says.
-func (n *Registry) SetSuspender(h Suspender) { n.hold = h }
+func (r *Registry) SetSuspender(h Suspender) { r.suspender = h }
 
 // Endpoint is the module's form of a listed member, with what holds applied; false for one that is not listed.
-func (n *Registry) Endpoint(id string) (scheduler.Endpoint, bool) {
-	e, ok := n.entries[id]
-	return n.suspended(id, e), ok
+func (r *Registry) Endpoint(id string) (scheduler.Endpoint, bool) {
+	e, ok := r.endpoints[id]
+	return r.applySuspension(id, e), ok
 }
 
-func (n *Registry) suspended(id string, e scheduler.Endpoint) scheduler.Endpoint {
-	if n.hold != nil && e.State == scheduler.Ready && n.hold.Suspended(id) {
+func (r *Registry) applySuspension(id string, e scheduler.Endpoint) scheduler.Endpoint {
+	if r.suspender != nil && e.State == scheduler.Ready && r.suspender.Suspended(id) {
 		e.State = scheduler.Draining
 	}
 	return e
@@ -100,117 +100,117 @@
 
 // NewRegistry makes an empty table; zones are the settings' names in order.
 func NewRegistry(zones []string) *Registry {
-	n := &Registry{zones: map[string]int{}, byID: map[string]uint32{}, address: map[uint32]string{},
-		listed: map[string]float64{}, entries: map[string]scheduler.Endpoint{}, ended: map[string]ending{}}
+	r := &Registry{zoneIndexes: map[string]int{}, numbers: map[string]uint32{}, addresses: map[uint32]string{},
+		listedStarts: map[string]float64{}, endpoints: map[string]scheduler.Endpoint{}, drains: map[string]drain{}}
 	for i, z := range zones {
-		n.zones[z] = i
+		r.zoneIndexes[z] = i
 	}
-	return n
+	return r
 }
 
-// number is a member's number: the same at every broker, as the module takes turns by it.
-func (n *Registry) number(id string) uint32 {
-	if x, ok := n.byID[id]; ok {
+// assignNumber is a member's number: the same at every broker, as the module takes turns by it.
+func (r *Registry) assignNumber(id string) uint32 {
+	if x, ok := r.numbers[id]; ok {
 		return x
 	}
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id))
 	x := h.Sum32()
-	for _, taken := n.address[x]; taken; _, taken = n.address[x] {
+	for _, taken := r.addresses[x]; taken; _, taken = r.addresses[x] {
 		x++
 	}
-	n.byID[id], n.address[x] = x, ""
+	r.numbers[id], r.addresses[x] = x, ""
 	return x
 }
 
 // ReplicaNumber is the number of a member that is listed.
-func (n *Registry) ReplicaNumber(id string) (uint32, bool) {
-	_, ok := n.listed[id]
-	return n.byID[id], ok
+func (r *Registry) ReplicaNumber(id string) (uint32, bool) {
+	_, ok := r.listedStarts[id]
+	return r.numbers[id], ok
 }
 
 // Address is where a node listens, "" if it is not known any more.
-func (n *Registry) Address(node uint32) string { return n.address[node] }
+func (r *Registry) Address(node uint32) string { return r.addresses[node] }
 
 // Len is how many members are listed as serving or draining.
-func (n *Registry) Len() int { return len(n.listed) }
+func (r *Registry) Len() int { return len(r.listedStarts) }
 
-// recall is the state in which a member is listed. What was told of a drain or an end holds until the member
+// stateOf is the state in which a member is listed. What was told of a drain or an end holds until the member
 // has started anew, or a list of a higher version says otherwise: a service that answers from an older list,
 // or has started anew and counts from elsewhere, does not bring a member back.
-func (n *Registry) recall(m EndpointRecord, revision uint64) scheduler.ReplicaState {
-	state := phases[m.Phase]
-	was, ended := n.ended[m.ID]
+func (r *Registry) stateOf(m EndpointRecord, revision uint64) scheduler.ReplicaState {
+	state := stateOfPhase[m.Phase]
+	was, ended := r.drains[m.ID]
 	switch {
 	case state != scheduler.Ready:
-		n.end(m.ID, ending{m.StartedAtUnixMs, max(revision, was.revision)})
+		r.rememberDrain(m.ID, drain{m.StartedAtUnixMs, max(revision, was.revision)})
 	case ended && m.StartedAtUnixMs <= was.started && revision <= was.revision:
 		return scheduler.Draining
 	case ended:
-		delete(n.ended, m.ID)
+		delete(r.drains, m.ID)
 	}
 	return state
 }
 
-// end keeps that a member was told to drain or to be gone. Beyond a bound the one told first is forgotten.
-func (n *Registry) end(id string, e ending) {
-	if n.ended[id] = e; len(n.ended) <= mostEnded {
+// rememberDrain keeps that a member was told to drain or to be gone. Beyond a bound the one told first is forgotten.
+func (r *Registry) rememberDrain(id string, e drain) {
+	if r.drains[id] = e; len(r.drains) <= maxRememberedDrains {
 		return
 	}
 	oldest := id
-	for x, o := range n.ended {
-		if was := n.ended[oldest]; o.revision < was.revision || o.revision == was.revision && x < oldest {
+	for x, o := range r.drains {
+		if was := r.drains[oldest]; o.revision < was.revision || o.revision == was.revision && x < oldest {
 			oldest = x
 		}
 	}
-	delete(n.ended, oldest)
+	delete(r.drains, oldest)
 }
 
-// absent notes the members that a whole list has no more.
-func (n *Registry) absent(l EndpointList) {
+// drainAbsent notes the members that a whole list has no more.
+func (r *Registry) drainAbsent(l EndpointList) {
 	has := make(map[string]bool, len(l.Endpoints))
 	for _, m := range l.Endpoints {
 		has[m.ID] = true
 	}
-	for id, started := range n.listed {
+	for id, started := range r.listedStarts {
 		if !has[id] {
-			n.end(id, ending{started, l.Revision})
+			r.rememberDrain(id, drain{started, l.Revision})
 		}
 	}
 }
 
 // Apply takes a list and gives the module's form of it. shift turns a wall clock reading into the loop's.
-func (n *Registry) Apply(l EndpointList, shift float64) []scheduler.Endpoint {
+func (r *Registry) Apply(l EndpointList, shift float64) []scheduler.Endpoint {
 	if l.Complete {
-		n.absent(l)
-		clear(n.listed)
+		r.drainAbsent(l)
+		clear(r.listedStarts)
 	}
 	es := make([]scheduler.Endpoint, 0, len(l.Endpoints))
 	for _, m := range l.Endpoints {
-		e := scheduler.Endpoint{Replica: n.number(m.ID), Cell: m.Cell, Zone: n.zones[m.Zone],
-			State: n.recall(m, l.Revision)}
+		e := scheduler.Endpoint{Replica: r.assignNumber(m.ID), Cell: m.Cell, Zone: r.zoneIndexes[m.Zone],
+			State: r.stateOf(m, l.Revision)}
 		if m.StartedAtUnixMs > 0 {
 			e.StartedAt = max(m.StartedAtUnixMs+shift, 1)
 		}
 		if e.State == scheduler.Removed {
-			delete(n.listed, m.ID)
+			delete(r.listedStarts, m.ID)
 		} else {
-			n.listed[m.ID] = m.StartedAtUnixMs
-			n.address[e.Replica] = m.Address
-			n.entries[m.ID] = e
-			if n.hold != nil {
-				n.hold.MemberListed(m.ID)
+			r.listedStarts[m.ID] = m.StartedAtUnixMs
+			r.addresses[e.Replica] = m.Address
+			r.endpoints[m.ID] = e
+			if r.suspender != nil {
+				r.suspender.MemberListed(m.ID)
 			}
 		}
-		es = append(es, n.suspended(m.ID, e))
+		es = append(es, r.applySuspension(m.ID, e))
 	}
 	// Numbers of members that are gone are forgotten, as new ones come under new ids all day. One that comes
 	// back has its old number again, unless two ids clash.
-	for id, x := range n.byID {
-		if _, ok := n.listed[id]; !ok {
-			delete(n.byID, id)
-			delete(n.address, x)
-			delete(n.entries, id)
+	for id, x := range r.numbers {
+		if _, ok := r.listedStarts[id]; !ok {
+			delete(r.numbers, id)
+			delete(r.addresses, x)
+			delete(r.endpoints, id)
 		}
 	}
 	return es
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	dialMost  = 1000.0    // ms
-	maxAnswer = 256 << 10 // bytes: a list of 64 KiB that is indented, with its head, has room
-	path      = "/catalog/members"
+	dialTimeoutMs    = 1000.0    // ms
+	maxResponseBytes = 256 << 10 // bytes: a list of 64 KiB that is indented, with its head, has room
+	endpointListPath = "/catalog/members"
 )
 
 // Core takes the list.
@@ -28,32 +28,32 @@
 
 // Watcher keeps the list up to date over one connection, by what its reader decides. It implements core.List.
 type Watcher struct {
-	loop    *loop.Loop
-	core    Core
-	log     *logs.Log
-	nodes   *Registry
-	reader  *membership.Poller
-	address string
-	room    func() bool
-	s       *loop.Stream
-	up      bool
-	calling bool // a watch is on, or a call is out
-	out     bool // a call is out
-	calls   int
-	timer   *loop.Timer // the call that is out has failed
-	again   *loop.Timer // the next call is due
-	silent  bool        // calls come to nothing: that is logged once, and its end
+	loop           *loop.Loop
+	core           Core
+	log            *logs.Log
+	registry       *Registry
+	poller         *membership.Poller
+	address        string
+	freeDescriptor func() bool
+	stream         *loop.Stream
+	connected      bool
+	watching       bool // a watch is on, or a call is out
+	inFlight       bool // a call is out
+	answered       int
+	callTimer      *loop.Timer // the call that is out has failed
+	nextCallTimer  *loop.Timer // the next call is due
+	unresponsive   bool        // calls come to nothing: that is logged once, and its end
 }
 
 // NewWatcher makes a watcher that asks nothing until Watch, or Start where the list is pushed. room closes
 // what can be spared where the process has no descriptor left for a call.
 func NewWatcher(l *loop.Loop, c Core, log *logs.Log, nodes *Registry, reader *membership.Poller, address string,
 	room func() bool) *Watcher {
-	w := &Watcher{loop: l, core: c, log: log, nodes: nodes, reader: reader, address: address, room: room}
-	w.timer = l.NewTimer(func() { w.fail(logs.DiscoveryTimeout, errors.New("no answer in time")) })
-	w.again = l.NewTimer(func() {
-		if w.calling && !w.out {
-			w.call()
+	w := &Watcher{loop: l, core: c, log: log, registry: nodes, poller: reader, address: address, freeDescriptor: room}
+	w.callTimer = l.NewTimer(func() { w.failCall(logs.DiscoveryTimeout, errors.New("no answer in time")) })
+	w.nextCallTimer = l.NewTimer(func() {
+		if w.watching && !w.inFlight {
+			w.beginCall()
 		}
 	})
 	return w
@@ -61,31 +61,33 @@
 
 // Start begins to read a list that is pushed: the module does not ask for it.
 func (w *Watcher) Start() {
-	if w.reader.Pushed() {
+	if w.poller.Pushed() {
 		w.Watch()
 	}
 }
 
 // LoadCached takes the list that the configuration carries: possibly old, hence cached.
 func (w *Watcher) LoadCached(l EndpointList) {
-	w.reader.SetCached(l.Revision, len(l.Endpoints))
+	w.poller.SetCached(l.Revision, len(l.Endpoints))
 	l.Complete = true
-	w.core.EndpointsChanged(scheduler.UpdateCached, w.nodes.Apply(l, w.shift()))
+	w.core.EndpointsChanged(scheduler.UpdateCached, w.registry.Apply(l, w.clockOffsetMs()))
 }
 
-// shift takes a reading of the wall clock to the loop's.
-func (w *Watcher) shift() float64 { return w.loop.ReadClock() - float64(time.Now().UnixMicro())/1000 }
+// clockOffsetMs takes a reading of the wall clock to the loop's.
+func (w *Watcher) clockOffsetMs() float64 {
+	return w.loop.ReadClock() - float64(time.Now().UnixMicro())/1000
+}
 
 // Watch implements core.List.
 func (w *Watcher) Watch() {
-	if w.calling {
+	if w.watching {
 		return
 	}
-	w.calling = true
+	w.watching = true
 	// The module calls from the middle of its turn; the answer, a failure too, comes from the loop.
 	w.loop.Post(func() {
-		if w.calling && !w.out { // a move may have come between
-			w.call()
+		if w.watching && !w.inFlight { // a move may have come between
+			w.beginCall()
 		}
 	})
 }
@@ -94,105 +96,105 @@
 // same there. The old connection is closed with whatever it still holds, so that neither its late answer nor
 // its end is taken for the new one's.
 func (w *Watcher) MoveTo(address string) {
-	w.drop(logs.DiscoveryAddressChanged, nil)
-	w.reader.AddressChanged()
-	w.address, w.calling = address, true
-	w.call()
+	w.closeConnection(logs.DiscoveryAddressChanged, nil)
+	w.poller.AddressChanged()
+	w.address, w.watching = address, true
+	w.beginCall()
 }
 
-// call sends the next call of the watch, on the connection of the last if that is still open.
-func (w *Watcher) call() {
-	c := w.reader.BeginCall(w.loop.Now())
-	w.out = true
-	w.again.Stop()
-	if w.s == nil {
-		fd, err := loop.ConnectFreeing(w.address, w.room)
+// beginCall sends the next call of the watch, on the connection of the last if that is still open.
+func (w *Watcher) beginCall() {
+	c := w.poller.BeginCall(w.loop.Now())
+	w.inFlight = true
+	w.nextCallTimer.Stop()
+	if w.stream == nil {
+		fd, err := loop.ConnectFreeing(w.address, w.freeDescriptor)
 		if err == nil {
-			w.s, err = loop.NewStream(w.loop, fd, unix.EPOLLIN|unix.EPOLLOUT|unix.EPOLLRDHUP, w)
+			w.stream, err = loop.NewStream(w.loop, fd, unix.EPOLLIN|unix.EPOLLOUT|unix.EPOLLRDHUP, w)
 		}
 		if err != nil {
-			w.fail(logs.DiscoveryConnectFailed, err)
+			w.failCall(logs.DiscoveryConnectFailed, err)
 			return
 		}
-		w.up = false
-		w.timer.Set(w.loop.Now() + min(dialMost, c.Timeout))
+		w.connected = false
+		w.callTimer.Set(w.loop.Now() + min(dialTimeoutMs, c.Timeout))
 	} else {
-		w.timer.Set(w.loop.Now() + c.Timeout)
+		w.callTimer.Set(w.loop.Now() + c.Timeout)
 	}
-	target := path
+	target := endpointListPath
 	if !c.FullList {
-		target = fmt.Sprintf("%s?index=%d&wait=%.0f", path, c.SinceRevision, c.Wait)
+		target = fmt.Sprintf("%s?index=%d&wait=%.0f", endpointListPath, c.SinceRevision, c.Wait)
 	}
-	w.s.Out = append(w.s.Out, "GET "+target+" HTTP/1.1\r\nHost: "+w.address+"\r\n\r\n"...)
+	w.stream.Out = append(w.stream.Out, "GET "+target+" HTTP/1.1\r\nHost: "+w.address+"\r\n\r\n"...)
 	w.write()
 }
 
 func (w *Watcher) write() {
-	if !w.up {
+	if !w.connected {
 		return
 	}
-	if err := w.s.Flush(); err != nil {
-		w.fail(logs.DiscoveryReset, err)
+	if err := w.stream.Flush(); err != nil {
+		w.failCall(logs.DiscoveryReset, err)
 		return
 	}
 	want := uint32(unix.EPOLLIN | unix.EPOLLRDHUP)
-	if len(w.s.Out) > 0 {
+	if len(w.stream.Out) > 0 {
 		want |= unix.EPOLLOUT
 	}
-	w.s.SetEvents(want)
+	w.stream.SetEvents(want)
 }
 
 // Ready implements loop.Handler.
 func (w *Watcher) Ready(events uint32) {
-	if !w.up {
-		if err := loop.SocketError(w.s.FD); err != nil {
-			w.fail(logs.DiscoveryConnectFailed, err)
+	if !w.connected {
+		if err := loop.SocketError(w.stream.FD); err != nil {
+			w.failCall(logs.DiscoveryConnectFailed, err)
 			return
 		}
 		if events&unix.EPOLLOUT == 0 {
 			return
 		}
-		w.up = true
-		w.timer.Set(w.loop.Now() + w.reader.Timeout())
+		w.connected = true
+		w.callTimer.Set(w.loop.Now() + w.poller.Timeout())
 	}
 	if events&(unix.EPOLLIN|unix.EPOLLRDHUP|unix.EPOLLHUP|unix.EPOLLERR) != 0 {
-		eof, err := w.s.Read(maxAnswer)
-		s, calls := w.s, w.calls
-		if w.answer(eof); w.s != s {
+		eof, err := w.stream.Read(maxResponseBytes)
+		s, calls := w.stream, w.answered
+		if w.readResponse(eof); w.stream != s {
 			return // the connection is closed
 		}
 		switch {
-		case eof && w.calls > calls:
+		case eof && w.answered > calls:
 			// Its end came right behind an answer: the watch goes on over a new connection.
-			w.drop(logs.DiscoveryClosed, nil)
-			if w.out { // the next call was on this one
-				w.call()
+			w.closeConnection(logs.DiscoveryClosed, nil)
+			if w.inFlight { // the next call was on this one
+				w.beginCall()
 			}
 			return
 		case err != nil:
-			w.fail(logs.DiscoveryReset, err)
+			w.failCall(logs.DiscoveryReset, err)
 			return
-		case eof && (w.out || len(w.s.In) > 0):
-			w.fail(logs.DiscoveryClosed, nil)
+		case eof && (w.inFlight || len(w.stream.In) > 0):
+			w.failCall(logs.DiscoveryClosed, nil)
 			return
 		case eof:
-			w.drop(logs.DiscoveryClosed, nil)
+			w.closeConnection(logs.DiscoveryClosed, nil)
 			return
 		}
 	}
 	w.write()
 }
 
-// answer takes a whole answer, and goes on with the watch. ended tells that discovery has closed.
-func (w *Watcher) answer(ended bool) {
-	status, body, size, last, err := httpanswer.Parse(w.s.In, maxAnswer, ended)
+// readResponse takes a whole answer, and goes on with the watch. ended tells that discovery has closed.
+func (w *Watcher) readResponse(ended bool) {
+	status, body, size, last, err := httpanswer.Parse(w.stream.In, maxResponseBytes, ended)
 	if err == nil && size == 0 {
-		if len(w.s.In) >= maxAnswer {
-			w.fail(logs.DiscoveryMalformed, fmt.Errorf("answer over %d bytes", maxAnswer))
+		if len(w.stream.In) >= maxResponseBytes {
+			w.failCall(logs.DiscoveryMalformed, fmt.Errorf("answer over %d bytes", maxResponseBytes))
 		}
 		return
 	}
-	if err == nil && !w.out {
+	if err == nil && !w.inFlight {
 		err = errors.New("an answer to no call")
 	}
 	if err == nil && status != 200 {
@@ -203,18 +205,18 @@
 		l, err = ParseEndpointList(body)
 	}
 	if err != nil {
-		w.fail(logs.DiscoveryMalformed, err)
+		w.failCall(logs.DiscoveryMalformed, err)
 		return
 	}
-	w.calls++
-	w.s.Consume(size)
-	w.timer.Stop()
-	w.out = false
-	if w.silent {
-		w.silent = false
-		w.log.Info("list is read again", zap.String("address", w.address), zap.Any("counts", w.reader.Stats()))
+	w.answered++
+	w.stream.Consume(size)
+	w.callTimer.Stop()
+	w.inFlight = false
+	if w.unresponsive {
+		w.unresponsive = false
+		w.log.Info("list is read again", zap.String("address", w.address), zap.Any("counts", w.poller.Stats()))
 	}
-	next := w.reader.HandleResponse(w.loop.Now(), membership.Response{Complete: l.Complete, Revision: l.Revision,
+	next := w.poller.HandleResponse(w.loop.Now(), membership.Response{Complete: l.Complete, Revision: l.Revision,
 		EndpointCount: len(l.Endpoints)})
 	if next.Err != nil {
 		w.log.Warn("list not taken", zap.String("code", string(logs.DiscoveryListRejected)),
@@ -225,58 +227,58 @@
 		if l.Complete {
 			kind = scheduler.UpdateFull
 		}
-		w.core.EndpointsChanged(kind, w.nodes.Apply(l, w.shift()))
+		w.core.EndpointsChanged(kind, w.registry.Apply(l, w.clockOffsetMs()))
 	}
 	if last {
-		w.drop(logs.DiscoveryClosed, nil)
+		w.closeConnection(logs.DiscoveryClosed, nil)
 	}
 	// A watch goes on only if the next call comes within 200 ms.
 	if next.At <= w.loop.Now() {
-		w.call()
+		w.beginCall()
 	} else {
-		w.again.Set(next.At)
+		w.nextCallTimer.Set(next.At)
 	}
 }
 
-// drop closes the connection.
-func (w *Watcher) drop(code logs.Code, err error) {
-	if w.s != nil {
-		w.s.Close()
-		w.s, w.up = nil, false
-		w.log.ConnectionEnded(code, w.address, w.calls, err)
-		w.calls = 0
+// closeConnection closes the connection.
+func (w *Watcher) closeConnection(code logs.Code, err error) {
+	if w.stream != nil {
+		w.stream.Close()
+		w.stream, w.connected = nil, false
+		w.log.ConnectionEnded(code, w.address, w.answered, err)
+		w.answered = 0
 	}
 }
 
-// fail ends a call that came to nothing. Where the list is asked for the watch ends with it, silence aside:
+// failCall ends a call that came to nothing. Where the list is asked for the watch ends with it, silence aside:
 // the module hears of it and asks again after a delay of its own. An agent is read on at its pace.
-func (w *Watcher) fail(code logs.Code, err error) {
-	if w.s == nil && !w.silent {
+func (w *Watcher) failCall(code logs.Code, err error) {
+	if w.stream == nil && !w.unresponsive {
 		w.log.ConnectionEnded(code, w.address, 0, err)
 	}
-	w.drop(code, err)
-	w.timer.Stop()
-	w.again.Stop()
-	if !w.calling {
+	w.closeConnection(code, err)
+	w.callTimer.Stop()
+	w.nextCallTimer.Stop()
+	if !w.watching {
 		return
 	}
-	w.out = false
-	next := w.reader.HandleFailure(w.loop.Now(), code == logs.DiscoveryTimeout)
+	w.inFlight = false
+	next := w.poller.HandleFailure(w.loop.Now(), code == logs.DiscoveryTimeout)
 	if next.NotifyFailure {
-		w.calling = false
+		w.watching = false
 		w.core.EndpointsChanged(scheduler.UpdateFailed, nil)
 		return
 	}
-	if !w.silent {
-		w.silent = true
+	if !w.unresponsive {
+		w.unresponsive = true
 		w.log.Warn("list is silent: the last one holds", zap.String("code", string(logs.DiscoveryUnresponsive)),
 			zap.String("address", w.address))
 	}
-	w.again.Set(next.At)
+	w.nextCallTimer.Set(next.At)
 }
 
 // Close ends the watch without a word.
 func (w *Watcher) Close() {
-	w.calling = false
-	w.fail(logs.Shutdown, nil)
+	w.watching = false
+	w.failCall(logs.Shutdown, nil)
 }
