--- a/internal/discovery/list.go
+++ b/internal/discovery/registry.go
@@ -1,62 +1,11 @@
-// Package discovery keeps the list of nodes: it reads the list's form, watches for changes over HTTP/1.1 on
-// the loop, and knows each node's address.
 package discovery
 
 import (
-	"encoding/json"
-	"errors"
-	"fmt"
 	"hash/fnv"
-	"net/netip"
 
 	"ternstage/internal/decision/scheduler"
 )
 
-// EndpointList is the list in discovery's form.
-type EndpointList struct {
-	Revision  uint64           `json:"revision"`
-	Complete  bool             `json:"complete"`
-	Endpoints []EndpointRecord `json:"members"`
-}
-
-// EndpointRecord is one line of it.
-type EndpointRecord struct {
-	ID              string  `json:"id"`
-	Address         string  `json:"host_port"`
-	Zone            string  `json:"locality"`
-	Cell            int     `json:"cell"`
-	Phase           string  `json:"phase"`
-	Size            float64 `json:"size"`
-	StartedAtUnixMs float64 `json:"up_since_ms"`
-}
-
-var errMalformedList = errors.New("the list cannot be used")
-
-// ParseEndpointList reads a list and names what is wrong with it.
-func ParseEndpointList(text []byte) (EndpointList, error) {
-	var l EndpointList
-	if err := json.Unmarshal(text, &l); err != nil {
-		return EndpointList{}, fmt.Errorf("%w: %w", errMalformedList, err)
-	}
-	return l, l.Validate()
-}
-
-// Validate names the first member that cannot be.
-func (l EndpointList) Validate() error {
-	for _, m := range l.Endpoints {
-		if _, ok := stateOfPhase[m.Phase]; !ok || m.ID == "" || m.Cell < 0 {
-			return fmt.Errorf("%w: member %q, cell %d, phase %q", errMalformedList, m.ID, m.Cell, m.Phase)
-		}
-		if _, err := netip.ParseAddrPort(m.Address); err != nil && m.Phase != "DELETED" {
-			return fmt.Errorf("%w: member %q: %w", errMalformedList, m.ID, err)
-		}
-	}
-	return nil
-}
-
-var stateOfPhase = map[string]scheduler.ReplicaState{"SERVING": scheduler.Ready, "DRAINING": scheduler.Draining,
-	"DELETED": scheduler.Removed}
-
 // Registry numbers the members and knows their addresses.
 type Registry struct {
 	zoneIndexes  map[string]int
@@ -68,14 +17,6 @@
 	drains       map[string]drain // of members that were told to drain or to be gone
 }
 
-// drain is how a member was told to drain or to be gone.
-type drain struct {
-	started  float64 // the member's start, as the list had it
-	revision uint64  // of the list that told it
-}
-
-const maxRememberedDrains = 4096 // members of which it is kept that they have drained or gone
-
 // Suspender says which members the operators hold out of service, and hears of every member that is listed.
 type Suspender interface {
 	MemberListed(id string)
@@ -135,50 +76,6 @@
 // Len is how many members are listed as serving or draining.
 func (r *Registry) Len() int { return len(r.listedStarts) }
 
-// stateOf is the state in which a member is listed. What was told of a drain or an end holds until the member
-// has started anew, or a list of a higher version says otherwise: a service that answers from an older list,
-// or has started anew and counts from elsewhere, does not bring a member back.
-func (r *Registry) stateOf(m EndpointRecord, revision uint64) scheduler.ReplicaState {
-	state := stateOfPhase[m.Phase]
-	was, ended := r.drains[m.ID]
-	switch {
-	case state != scheduler.Ready:
-		r.rememberDrain(m.ID, drain{m.StartedAtUnixMs, max(revision, was.revision)})
-	case ended && m.StartedAtUnixMs <= was.started && revision <= was.revision:
-		return scheduler.Draining
-	case ended:
-		delete(r.drains, m.ID)
-	}
-	return state
-}
-
-// rememberDrain keeps that a member was told to drain or to be gone. Beyond a bound the one told first is forgotten.
-func (r *Registry) rememberDrain(id string, e drain) {
-	if r.drains[id] = e; len(r.drains) <= maxRememberedDrains {
-		return
-	}
-	oldest := id
-	for x, o := range r.drains {
-		if was := r.drains[oldest]; o.revision < was.revision || o.revision == was.revision && x < oldest {
-			oldest = x
-		}
-	}
-	delete(r.drains, oldest)
-}
-
-// drainAbsent notes the members that a whole list has no more.
-func (r *Registry) drainAbsent(l EndpointList) {
-	has := make(map[string]bool, len(l.Endpoints))
-	for _, m := range l.Endpoints {
-		has[m.ID] = true
-	}
-	for id, started := range r.listedStarts {
-		if !has[id] {
-			r.rememberDrain(id, drain{started, l.Revision})
-		}
-	}
-}
-
 // Apply takes a list and gives the module's form of it. shift turns a wall clock reading into the loop's.
 func (r *Registry) Apply(l EndpointList, shift float64) []scheduler.Endpoint {
 	if l.Complete {
