--- a/internal/discovery/document.go
+++ b/internal/discovery/document.go
@@ -9,47 +9,81 @@
 	"ternstage/internal/decision/scheduler"
 )
 
-// EndpointList is the list in discovery's form.
+// EndpointList mirrors the list on the wire.
 type EndpointList struct {
-	Revision  uint64           `json:"revision"`
-	Complete  bool             `json:"complete"`
+	// Revision is the version of the list. It grows while the service runs and may restart from any value after that.
+	Revision uint64 `json:"revision"`
+	// Complete says that Endpoints is the full list; otherwise it holds only the endpoints that have changed.
+	Complete bool `json:"complete"`
+	// Endpoints are the listed backends, in no particular order.
 	Endpoints []EndpointRecord `json:"members"`
 }
 
-// EndpointRecord is one line of it.
+// EndpointRecord mirrors one backend of the list on the wire.
 type EndpointRecord struct {
-	ID              string  `json:"id"`
-	Address         string  `json:"host_port"`
-	Zone            string  `json:"locality"`
-	Cell            int     `json:"cell"`
-	Phase           string  `json:"phase"`
-	Size            float64 `json:"size"`
+	// ID names the backend; it is the same at every broker.
+	ID string `json:"id"`
+	// Address is the IP address and port at which this broker reaches the backend; it may differ between brokers.
+	Address string `json:"host_port"`
+	// Zone is the name of the backend's zone; an unknown name counts as the first zone of the settings.
+	Zone string `json:"locality"`
+	// Cell is the index of the backend's cell, from 0.
+	Cell int `json:"cell"`
+	// Phase is one of the wire's words for the backend's state: SERVING, DRAINING or, only among changes, DELETED.
+	Phase string `json:"phase"`
+	// Size is the relative capacity of the backend; brokers do not use it.
+	Size float64 `json:"size"`
+	// StartedAtUnixMs is the last start of the backend's process as Unix time in ms; 0 means long ago.
 	StartedAtUnixMs float64 `json:"up_since_ms"`
 }
 
 var errMalformedList = errors.New("the list cannot be used")
 
-// ParseEndpointList reads a list and names what is wrong with it.
+var stateOfPhase = map[string]scheduler.ReplicaState{
+	"SERVING":  scheduler.Ready,
+	"DRAINING": scheduler.Draining,
+	"DELETED":  scheduler.Removed,
+}
+
+// ParseEndpointList decodes and validates a list. The error names the first fault.
 func ParseEndpointList(text []byte) (EndpointList, error) {
-	var l EndpointList
-	if err := json.Unmarshal(text, &l); err != nil {
+	var list EndpointList
+	if err := json.Unmarshal(text, &list); err != nil {
 		return EndpointList{}, fmt.Errorf("%w: %w", errMalformedList, err)
 	}
-	return l, l.Validate()
+	return list, list.Validate()
 }
 
-// Validate names the first member that cannot be.
+// Validate returns an error that names the first endpoint without an ID, with a negative cell, an unknown phase or, in
+// any phase but DELETED, an address that is no IP address and port.
 func (l EndpointList) Validate() error {
-	for _, m := range l.Endpoints {
-		if _, ok := stateOfPhase[m.Phase]; !ok || m.ID == "" || m.Cell < 0 {
-			return fmt.Errorf("%w: member %q, cell %d, phase %q", errMalformedList, m.ID, m.Cell, m.Phase)
+	for _, record := range l.Endpoints {
+		if _, ok := stateOfPhase[record.Phase]; !ok || record.ID == "" || record.Cell < 0 {
+			return fmt.Errorf("%w: member %q, cell %d, phase %q", errMalformedList, record.ID, record.Cell, record.Phase)
 		}
-		if _, err := netip.ParseAddrPort(m.Address); err != nil && m.Phase != "DELETED" {
-			return fmt.Errorf("%w: member %q: %w", errMalformedList, m.ID, err)
+		if _, err := netip.ParseAddrPort(record.Address); err != nil && record.state() != scheduler.Removed {
+			return fmt.Errorf("%w: member %q: %w", errMalformedList, record.ID, err)
 		}
 	}
 	return nil
 }
 
-var stateOfPhase = map[string]scheduler.ReplicaState{"SERVING": scheduler.Ready, "DRAINING": scheduler.Draining,
-	"DELETED": scheduler.Removed}
+// updateKind says to the scheduler what a list that was read from discovery holds.
+func (l EndpointList) updateKind() scheduler.UpdateKind {
+	if l.Complete {
+		return scheduler.UpdateFull
+	}
+	return scheduler.UpdateDelta
+}
+
+// state is the state that the record's phase stands for.
+func (r EndpointRecord) state() scheduler.ReplicaState { return stateOfPhase[r.Phase] }
+
+// startedAt converts the start to the loop's clock, whose readings are Unix time plus clockOffsetMs. The result is 0
+// for long ago and positive otherwise.
+func (r EndpointRecord) startedAt(clockOffsetMs float64) float64 {
+	if r.StartedAtUnixMs <= 0 {
+		return 0
+	}
+	return max(r.StartedAtUnixMs+clockOffsetMs, 1)
+}
--- a/internal/discovery/drains.go
+++ b/internal/discovery/drains.go
@@ -2,54 +2,51 @@
 
 import "ternstage/internal/decision/scheduler"
 
-// drain is how a member was told to drain or to be gone.
+// maxRememberedDrains bounds the drains that are remembered, in backends.
+const maxRememberedDrains = 4096
+
+// drain is what a list said when it reported a backend as draining or removed.
 type drain struct {
-	started  float64 // the member's start, as the list had it
-	revision uint64  // of the list that told it
+	startedAtUnixMs float64 // the backend's start
+	revision        uint64  // of the list
 }
 
-const maxRememberedDrains = 4096 // members of which it is kept that they have drained or gone
+// rememberedDrains holds the last drain of each backend, by backend ID.
+//
+// Invariant: a drain is in force until the backend restarts or a list of a higher revision reports the backend as
+// ready. So neither a service that serves from an older list nor one that has restarted, and counts revisions from
+// elsewhere, brings a drained backend back.
+type rememberedDrains map[string]drain
 
-// stateOf is the state in which a member is listed. What was told of a drain or an end holds until the member
-// has started anew, or a list of a higher version says otherwise: a service that answers from an older list,
-// or has started anew and counts from elsewhere, does not bring a member back.
-func (r *Registry) stateOf(m EndpointRecord, revision uint64) scheduler.ReplicaState {
-	state := stateOfPhase[m.Phase]
-	was, ended := r.drains[m.ID]
-	switch {
-	case state != scheduler.Ready:
-		r.rememberDrain(m.ID, drain{m.StartedAtUnixMs, max(revision, was.revision)})
-	case ended && m.StartedAtUnixMs <= was.started && revision <= was.revision:
+// stateOf returns the state in which the scheduler sees a record of the list of that revision, and remembers or forgets
+// the backend's drain accordingly.
+func (d rememberedDrains) stateOf(record EndpointRecord, revision uint64) scheduler.ReplicaState {
+	state := record.state()
+	last, drained := d[record.ID]
+	if state != scheduler.Ready {
+		d.remember(record.ID, drain{record.StartedAtUnixMs, max(revision, last.revision)})
+		return state
+	}
+	if drained && record.StartedAtUnixMs <= last.startedAtUnixMs && revision <= last.revision {
 		return scheduler.Draining
-	case ended:
-		delete(r.drains, m.ID)
 	}
+	delete(d, record.ID)
 	return state
 }
 
-// rememberDrain keeps that a member was told to drain or to be gone. Beyond a bound the one told first is forgotten.
-func (r *Registry) rememberDrain(id string, e drain) {
-	if r.drains[id] = e; len(r.drains) <= maxRememberedDrains {
+// remember records a drain. Beyond maxRememberedDrains the one of the lowest revision is forgotten, and among those of
+// one revision the one of the lowest ID.
+func (d rememberedDrains) remember(id string, latest drain) {
+	d[id] = latest
+	if len(d) <= maxRememberedDrains {
 		return
 	}
 	oldest := id
-	for x, o := range r.drains {
-		if was := r.drains[oldest]; o.revision < was.revision || o.revision == was.revision && x < oldest {
-			oldest = x
-		}
-	}
-	delete(r.drains, oldest)
-}
-
-// drainAbsent notes the members that a whole list has no more.
-func (r *Registry) drainAbsent(l EndpointList) {
-	has := make(map[string]bool, len(l.Endpoints))
-	for _, m := range l.Endpoints {
-		has[m.ID] = true
-	}
-	for id, started := range r.listedStarts {
-		if !has[id] {
-			r.rememberDrain(id, drain{started, l.Revision})
+	for candidate, last := range d {
+		oldestRevision := d[oldest].revision
+		if last.revision < oldestRevision || last.revision == oldestRevision && candidate < oldest {
+			oldest = candidate
 		}
 	}
+	delete(d, oldest)
 }
--- a/internal/discovery/registry.go
+++ b/internal/discovery/registry.go
@@ -6,109 +6,155 @@
 	"ternstage/internal/decision/scheduler"
 )
 
-// Registry numbers the members and knows their addresses.
-type Registry struct {
-	zoneIndexes  map[string]int
-	numbers      map[string]uint32
-	addresses    map[uint32]string
-	listedStarts map[string]float64            // members that are listed, with their starts as the list says them
-	endpoints    map[string]scheduler.Endpoint // of members that are listed, as the list says them
-	suspender    Suspender
-	drains       map[string]drain // of members that were told to drain or to be gone
-}
-
-// Suspender says which members the operators hold out of service, and hears of every member that is listed.
+// Suspender knows which backends an operator keeps out of service.
 type Suspender interface {
+	// MemberListed is called for each backend of each list that is applied, unless the list removes it.
 	MemberListed(id string)
+	// Suspended reports whether the backend is kept out of service.
 	Suspended(id string) bool
 }
 
-// SetSuspender has members that h holds out given to the module as draining, whatever the list says.
-func (r *Registry) SetSuspender(h Suspender) { r.suspender = h }
-
-// Endpoint is the module's form of a listed member, with what holds applied; false for one that is not listed.
-func (r *Registry) Endpoint(id string) (scheduler.Endpoint, bool) {
-	e, ok := r.endpoints[id]
-	return r.applySuspension(id, e), ok
-}
-
-func (r *Registry) applySuspension(id string, e scheduler.Endpoint) scheduler.Endpoint {
-	if r.suspender != nil && e.State == scheduler.Ready && r.suspender.Suspended(id) {
-		e.State = scheduler.Draining
-	}
-	return e
+// Registry knows the backends of the endpoint list: their replica numbers, addresses and states.
+//
+// Invariants: two listed backends never share a number; every backend in listedStarts has an entry in numbers,
+// addresses and endpoints, and no other backend has one once Apply has returned.
+type Registry struct {
+	zoneIndexes  map[string]int
+	numbers      map[string]uint32             // replica numbers by backend ID
+	addresses    map[uint32]string             // by replica number
+	listedStarts map[string]float64            // starts of the listed backends as Unix time in ms, by ID
+	endpoints    map[string]scheduler.Endpoint // listed backends before suspension, by ID
+	drains       rememberedDrains
+	suspender    Suspender
 }
 
-// NewRegistry makes an empty table; zones are the settings' names in order.
+// NewRegistry returns an empty Registry. zones are the zone names of the settings; their order gives the zone indexes.
 func NewRegistry(zones []string) *Registry {
-	r := &Registry{zoneIndexes: map[string]int{}, numbers: map[string]uint32{}, addresses: map[uint32]string{},
-		listedStarts: map[string]float64{}, endpoints: map[string]scheduler.Endpoint{}, drains: map[string]drain{}}
-	for i, z := range zones {
-		r.zoneIndexes[z] = i
+	registry := &Registry{
+		zoneIndexes:  map[string]int{},
+		numbers:      map[string]uint32{},
+		addresses:    map[uint32]string{},
+		listedStarts: map[string]float64{},
+		endpoints:    map[string]scheduler.Endpoint{},
+		drains:       rememberedDrains{},
+	}
+	for index, name := range zones {
+		registry.zoneIndexes[name] = index
 	}
-	return r
+	return registry
 }
 
-// assignNumber is a member's number: the same at every broker, as the module takes turns by it.
-func (r *Registry) assignNumber(id string) uint32 {
-	if x, ok := r.numbers[id]; ok {
-		return x
-	}
-	h := fnv.New32a()
-	_, _ = h.Write([]byte(id))
-	x := h.Sum32()
-	for _, taken := r.addresses[x]; taken; _, taken = r.addresses[x] {
-		x++
-	}
-	r.numbers[id], r.addresses[x] = x, ""
-	return x
+// SetSuspender makes the backends that suspender keeps out of service appear as draining, whatever the list says.
+// Without one no backend is suspended.
+func (r *Registry) SetSuspender(suspender Suspender) { r.suspender = suspender }
+
+// Endpoint returns the scheduler's form of a listed backend, with its suspension applied. ok is false, and the endpoint
+// meaningless, for a backend that is not listed.
+func (r *Registry) Endpoint(id string) (endpoint scheduler.Endpoint, ok bool) {
+	endpoint, ok = r.endpoints[id]
+	return r.applySuspension(id, endpoint), ok
 }
 
-// ReplicaNumber is the number of a member that is listed.
-func (r *Registry) ReplicaNumber(id string) (uint32, bool) {
-	_, ok := r.listedStarts[id]
+// ReplicaNumber returns the number of a listed backend; ok is false for one that is not listed.
+func (r *Registry) ReplicaNumber(id string) (number uint32, ok bool) {
+	_, ok = r.listedStarts[id]
 	return r.numbers[id], ok
 }
 
-// Address is where a node listens, "" if it is not known any more.
-func (r *Registry) Address(node uint32) string { return r.addresses[node] }
+// Address returns the IP address and port of a backend, or "" if it is not listed.
+func (r *Registry) Address(number uint32) string { return r.addresses[number] }
 
-// Len is how many members are listed as serving or draining.
+// Len returns the number of backends that are listed as ready or draining.
 func (r *Registry) Len() int { return len(r.listedStarts) }
 
-// Apply takes a list and gives the module's form of it. shift turns a wall clock reading into the loop's.
-func (r *Registry) Apply(l EndpointList, shift float64) []scheduler.Endpoint {
-	if l.Complete {
-		r.drainAbsent(l)
+// Apply applies a validated list and returns its endpoints in the scheduler's form, removed ones included.
+// clockOffsetMs is the loop's clock minus Unix time, in ms.
+func (r *Registry) Apply(list EndpointList, clockOffsetMs float64) []scheduler.Endpoint {
+	if list.Complete {
+		r.rememberAbsent(list)
 		clear(r.listedStarts)
 	}
-	es := make([]scheduler.Endpoint, 0, len(l.Endpoints))
-	for _, m := range l.Endpoints {
-		e := scheduler.Endpoint{Replica: r.assignNumber(m.ID), Cell: m.Cell, Zone: r.zoneIndexes[m.Zone],
-			State: r.stateOf(m, l.Revision)}
-		if m.StartedAtUnixMs > 0 {
-			e.StartedAt = max(m.StartedAtUnixMs+shift, 1)
+	endpoints := make([]scheduler.Endpoint, 0, len(list.Endpoints))
+	for _, record := range list.Endpoints {
+		endpoint := scheduler.Endpoint{
+			Replica:   r.assignNumber(record.ID),
+			Cell:      record.Cell,
+			Zone:      r.zoneIndexes[record.Zone],
+			StartedAt: record.startedAt(clockOffsetMs),
+			State:     r.drains.stateOf(record, list.Revision),
 		}
-		if e.State == scheduler.Removed {
-			delete(r.listedStarts, m.ID)
-		} else {
-			r.listedStarts[m.ID] = m.StartedAtUnixMs
-			r.addresses[e.Replica] = m.Address
-			r.endpoints[m.ID] = e
-			if r.suspender != nil {
-				r.suspender.MemberListed(m.ID)
-			}
+		r.store(record, endpoint)
+		endpoints = append(endpoints, r.applySuspension(record.ID, endpoint))
+	}
+	r.forgetUnlisted()
+	return endpoints
+}
+
+// store records a backend of an applied list as listed, or as not listed if it is removed.
+func (r *Registry) store(record EndpointRecord, endpoint scheduler.Endpoint) {
+	if endpoint.State == scheduler.Removed {
+		delete(r.listedStarts, record.ID)
+		return
+	}
+	r.listedStarts[record.ID] = record.StartedAtUnixMs
+	r.addresses[endpoint.Replica] = record.Address
+	r.endpoints[record.ID] = endpoint
+	if r.suspender != nil {
+		r.suspender.MemberListed(record.ID)
+	}
+}
+
+// rememberAbsent remembers a drain for each listed backend that a full list does not name.
+func (r *Registry) rememberAbsent(list EndpointList) {
+	present := make(map[string]bool, len(list.Endpoints))
+	for _, record := range list.Endpoints {
+		present[record.ID] = true
+	}
+	for id, startedAtUnixMs := range r.listedStarts {
+		if !present[id] {
+			r.drains.remember(id, drain{startedAtUnixMs, list.Revision})
 		}
-		es = append(es, r.applySuspension(m.ID, e))
 	}
-	// Numbers of members that are gone are forgotten, as new ones come under new ids all day. One that comes
-	// back has its old number again, unless two ids clash.
-	for id, x := range r.numbers {
+}
+
+// forgetUnlisted drops the numbers of backends that are not listed, as backends come under new IDs all the time. One
+// that returns gets its old number again unless another ID with the same hash has taken it.
+func (r *Registry) forgetUnlisted() {
+	for id, number := range r.numbers {
 		if _, ok := r.listedStarts[id]; !ok {
 			delete(r.numbers, id)
-			delete(r.addresses, x)
+			delete(r.addresses, number)
 			delete(r.endpoints, id)
 		}
 	}
-	return es
+}
+
+// assignNumber returns the replica number of a backend. It derives from the ID alone unless two hashes collide: the
+// brokers' schedulers rely on the same numbers to coordinate without messages.
+func (r *Registry) assignNumber(id string) uint32 {
+	if number, ok := r.numbers[id]; ok {
+		return number
+	}
+	hash := fnv.New32a()
+	_, _ = hash.Write([]byte(id))
+	number := hash.Sum32()
+	for r.numberTaken(number) {
+		number++
+	}
+	r.numbers[id] = number
+	r.addresses[number] = ""
+	return number
+}
+
+func (r *Registry) numberTaken(number uint32) bool {
+	_, taken := r.addresses[number]
+	return taken
+}
+
+// applySuspension returns a ready endpoint as draining if its backend is suspended.
+func (r *Registry) applySuspension(id string, endpoint scheduler.Endpoint) scheduler.Endpoint {
+	if r.suspender != nil && endpoint.State == scheduler.Ready && r.suspender.Suspended(id) {
+		endpoint.State = scheduler.Draining
+	}
+	return endpoint
 }
