--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"net/http"
 	"time"
 
 	"go.uber.org/zap"
@@ -14,12 +15,17 @@
 	"ternstage/internal/membership"
 )
 
-// Core takes the list.
+// Core receives the updates of the endpoint list.
 type Core interface {
-	EndpointsChanged(kind scheduler.UpdateKind, entries []scheduler.Endpoint)
+	// EndpointsChanged passes on a list, or, with scheduler.UpdateFailed and no endpoints, the end of the watch.
+	EndpointsChanged(kind scheduler.UpdateKind, endpoints []scheduler.Endpoint)
 }
 
-// Watcher keeps the list up to date over one connection, by what its reader decides. It implements core.List.
+// Watcher keeps the endpoint list up to date over at most one connection, as its Poller decides. It implements
+// core.EndpointList and loop.Handler, and runs on the loop's thread alone.
+//
+// Invariants until Close: inFlight implies watching; connected implies that stream is set; while watching, either a call
+// is in flight, or nextCallTimer is set, or a posted callIfDue is pending.
 type Watcher struct {
 	loop           *loop.Loop
 	core           Core
@@ -28,91 +34,107 @@
 	poller         *membership.Poller
 	address        string
 	freeDescriptor func() bool
-	stream         *loop.Stream
-	connected      bool
-	watching       bool // a watch is on, or a call is out
-	inFlight       bool // a call is out
-	answered       int
-	callTimer      *loop.Timer // the call that is out has failed
-	nextCallTimer  *loop.Timer // the next call is due
-	unresponsive   bool        // calls come to nothing: that is logged once, and its end
-}
-
-// NewWatcher makes a watcher that asks nothing until Watch, or Start where the list is pushed. room closes
-// what can be spared where the process has no descriptor left for a call.
-func NewWatcher(l *loop.Loop, c Core, log *logs.Log, nodes *Registry, reader *membership.Poller, address string,
-	room func() bool) *Watcher {
-	w := &Watcher{loop: l, core: c, log: log, registry: nodes, poller: reader, address: address, freeDescriptor: room}
-	w.callTimer = l.NewTimer(func() { w.failCall(logs.DiscoveryTimeout, errors.New("no answer in time")) })
-	w.nextCallTimer = l.NewTimer(func() {
-		if w.watching && !w.inFlight {
-			w.beginCall()
-		}
-	})
+
+	stream    *loop.Stream // nil without a connection
+	connected bool         // the TCP handshake of stream is done
+	answered  int          // calls answered on stream
+
+	watching      bool // calls follow one another until one fails in a way that the scheduler is notified of
+	inFlight      bool // a call awaits its response
+	callTimer     *loop.Timer
+	nextCallTimer *loop.Timer
+	unresponsive  bool // the last call failed, and that has been logged
+}
+
+// NewWatcher returns a Watcher that makes no call until Watch, or until Start in the pushed mode. address is the IP
+// address and port of the service or agent. Where the process is out of descriptors, freeDescriptor closes a connection
+// that can be spared and reports whether it did; nil stands for none.
+func NewWatcher(l *loop.Loop, core Core, log *logs.Log, registry *Registry, poller *membership.Poller, address string,
+	freeDescriptor func() bool) *Watcher {
+	w := &Watcher{
+		loop:           l,
+		core:           core,
+		log:            log,
+		registry:       registry,
+		poller:         poller,
+		address:        address,
+		freeDescriptor: freeDescriptor,
+	}
+	w.callTimer = l.NewTimer(w.callTimedOut)
+	w.nextCallTimer = l.NewTimer(w.callIfDue)
 	return w
 }
 
-// Start begins to read a list that is pushed: the module does not ask for it.
+// Start begins to read a pushed list, for which the scheduler does not call Watch. It does nothing for a polled list.
 func (w *Watcher) Start() {
 	if w.poller.Pushed() {
 		w.Watch()
 	}
 }
 
-// LoadCached takes the list that the configuration carries: possibly old, hence cached.
-func (w *Watcher) LoadCached(l EndpointList) {
-	w.poller.SetCached(l.Revision, len(l.Endpoints))
-	l.Complete = true
-	w.core.EndpointsChanged(scheduler.UpdateCached, w.registry.Apply(l, w.clockOffsetMs()))
-}
-
-// clockOffsetMs takes a reading of the wall clock to the loop's.
-func (w *Watcher) clockOffsetMs() float64 {
-	return w.loop.ReadClock() - float64(time.Now().UnixMicro())/1000
+// LoadCached applies the list that the configuration carries. It may be stale, so the scheduler is told that it comes
+// from a cache.
+func (w *Watcher) LoadCached(list EndpointList) {
+	w.poller.SetCached(list.Revision, len(list.Endpoints))
+	list.Complete = true
+	w.core.EndpointsChanged(scheduler.UpdateCached, w.registry.Apply(list, w.clockOffsetMs()))
 }
 
-// Watch implements core.List.
+// Watch begins to follow the list; it does nothing while the Watcher does so. It returns before any outcome, a failure
+// included, is passed on, since the scheduler calls it within a scheduling round.
 func (w *Watcher) Watch() {
 	if w.watching {
 		return
 	}
 	w.watching = true
-	// The module calls from the middle of its turn; the answer, a failure too, comes from the loop.
-	w.loop.Post(func() {
-		if w.watching && !w.inFlight { // a move may have come between
-			w.beginCall()
-		}
-	})
+	w.loop.Post(w.callIfDue)
 }
 
-// MoveTo goes on at another address, at once: the whole list is asked for anew, as versions need not be the
-// same there. The old connection is closed with whatever it still holds, so that neither its late answer nor
-// its end is taken for the new one's.
+// MoveTo continues at another address at once. The old connection is closed whatever is in flight on it, so that
+// neither a late response nor its end is taken for one of the new connection.
 func (w *Watcher) MoveTo(address string) {
 	w.closeConnection(logs.DiscoveryAddressChanged, nil)
 	w.poller.AddressChanged()
-	w.address, w.watching = address, true
+	w.address = address
+	w.watching = true
 	w.beginCall()
 }
 
-// readResponse takes a whole answer, and goes on with the watch. ended tells that discovery has closed.
-func (w *Watcher) readResponse(ended bool) {
-	status, body, size, last, err := httpanswer.Parse(w.stream.In, maxResponseBytes, ended)
+// Close ends the watch without notifying the scheduler.
+func (w *Watcher) Close() {
+	w.watching = false
+	w.failCall(logs.Shutdown, nil)
+}
+
+// clockOffsetMs is the loop's clock minus Unix time.
+func (w *Watcher) clockOffsetMs() float64 {
+	return w.loop.ReadClock() - float64(time.Now().UnixMicro())/1000
+}
+
+// callIfDue makes the next call unless MoveTo has made it meanwhile or the watch has ended.
+func (w *Watcher) callIfDue() {
+	if w.watching && !w.inFlight {
+		w.beginCall()
+	}
+}
+
+func (w *Watcher) callTimedOut() {
+	w.failCall(logs.DiscoveryTimeout, errors.New("no answer in time"))
+}
+
+// readResponse handles the response to the call in flight once it is complete. peerClosed says that no more input
+// follows.
+func (w *Watcher) readResponse(peerClosed bool) {
+	status, body, size, last, err := httpanswer.Parse(w.stream.In, maxResponseBytes, peerClosed)
 	if err == nil && size == 0 {
 		if len(w.stream.In) >= maxResponseBytes {
 			w.failCall(logs.DiscoveryMalformed, fmt.Errorf("answer over %d bytes", maxResponseBytes))
 		}
 		return
 	}
-	if err == nil && !w.inFlight {
-		err = errors.New("an answer to no call")
-	}
-	if err == nil && status != 200 {
-		err = fmt.Errorf("status %d", status)
-	}
-	var l EndpointList
+	var list EndpointList
 	if err == nil {
-		l, err = ParseEndpointList(body)
+		list, err = w.decode(status, body)
 	}
 	if err != nil {
 		w.failCall(logs.DiscoveryMalformed, err)
@@ -122,36 +144,49 @@
 	w.stream.Consume(size)
 	w.callTimer.Stop()
 	w.inFlight = false
-	if w.unresponsive {
-		w.unresponsive = false
-		w.log.Info("list is read again", zap.String("address", w.address), zap.Any("counts", w.poller.Stats()))
-	}
-	next := w.poller.HandleResponse(w.loop.Now(), membership.Response{Complete: l.Complete, Revision: l.Revision,
-		EndpointCount: len(l.Endpoints)})
-	if next.Err != nil {
-		w.log.Warn("list not taken", zap.String("code", string(logs.DiscoveryListRejected)),
-			zap.Uint64("revision", l.Revision), zap.Error(next.Err))
-	}
-	if next.Apply {
-		kind := scheduler.UpdateDelta
-		if l.Complete {
-			kind = scheduler.UpdateFull
-		}
-		w.core.EndpointsChanged(kind, w.registry.Apply(l, w.clockOffsetMs()))
-	}
+	w.logRecovery()
+	nextCallAt := w.applyList(list)
 	if last {
 		w.closeConnection(logs.DiscoveryClosed, nil)
 	}
-	// A watch goes on only if the next call comes within 200 ms.
-	if next.At <= w.loop.Now() {
+	// Discovery ends a watch unless the next call comes within 200 ms.
+	if nextCallAt <= w.loop.Now() {
 		w.beginCall()
 	} else {
-		w.nextCallTimer.Set(next.At)
+		w.nextCallTimer.Set(nextCallAt)
+	}
+}
+
+// decode returns the list of a complete response, or why it has none.
+func (w *Watcher) decode(status int, body []byte) (EndpointList, error) {
+	if !w.inFlight {
+		return EndpointList{}, errors.New("an answer to no call")
+	}
+	if status != http.StatusOK {
+		return EndpointList{}, fmt.Errorf("status %d", status)
 	}
+	return ParseEndpointList(body)
 }
 
-// failCall ends a call that came to nothing. Where the list is asked for the watch ends with it, silence aside:
-// the module hears of it and asks again after a delay of its own. An agent is read on at its pace.
+// applyList passes a list on unless the Poller rejects it, and returns when the next call is due.
+func (w *Watcher) applyList(list EndpointList) (nextCallAt float64) {
+	next := w.poller.HandleResponse(w.loop.Now(), membership.Response{
+		Complete:      list.Complete,
+		Revision:      list.Revision,
+		EndpointCount: len(list.Endpoints),
+	})
+	if next.Err != nil {
+		w.log.Warn("list not taken", zap.String("code", string(logs.DiscoveryListRejected)),
+			zap.Uint64("revision", list.Revision), zap.Error(next.Err))
+	}
+	if next.Apply {
+		w.core.EndpointsChanged(list.updateKind(), w.registry.Apply(list, w.clockOffsetMs()))
+	}
+	return next.At
+}
+
+// failCall ends the call in flight, and its connection, without a usable list. The Poller decides whether the watch
+// ends too, of which the scheduler is notified, or goes on with another call. The list in force stays.
 func (w *Watcher) failCall(code logs.Code, err error) {
 	if w.stream == nil && !w.unresponsive {
 		w.log.ConnectionEnded(code, w.address, 0, err)
@@ -169,16 +204,25 @@
 		w.core.EndpointsChanged(scheduler.UpdateFailed, nil)
 		return
 	}
-	if !w.unresponsive {
-		w.unresponsive = true
-		w.log.Warn("list is silent: the last one holds", zap.String("code", string(logs.DiscoveryUnresponsive)),
-			zap.String("address", w.address))
-	}
+	w.logUnresponsive()
 	w.nextCallTimer.Set(next.At)
 }
 
-// Close ends the watch without a word.
-func (w *Watcher) Close() {
-	w.watching = false
-	w.failCall(logs.Shutdown, nil)
+// logUnresponsive logs the first of several failures in a row.
+func (w *Watcher) logUnresponsive() {
+	if w.unresponsive {
+		return
+	}
+	w.unresponsive = true
+	w.log.Warn("list is silent: the last one holds", zap.String("code", string(logs.DiscoveryUnresponsive)),
+		zap.String("address", w.address))
+}
+
+// logRecovery logs the first response after failures.
+func (w *Watcher) logRecovery() {
+	if !w.unresponsive {
+		return
+	}
+	w.unresponsive = false
+	w.log.Info("list is read again", zap.String("address", w.address), zap.Any("counts", w.poller.Stats()))
 }
