--- a/internal/discovery/document.go
+++ b/internal/discovery/document.go
@@ -37,7 +37,7 @@
 	StartedAtUnixMs float64 `json:"up_since_ms"`
 }
 
-var errMalformedList = errors.New("the list cannot be used")
+var errMalformedList = errors.New("malformed endpoint list")
 
 var stateOfPhase = map[string]scheduler.ReplicaState{
 	"SERVING":  scheduler.Ready,
@@ -59,10 +59,11 @@
 func (l EndpointList) Validate() error {
 	for _, record := range l.Endpoints {
 		if _, ok := stateOfPhase[record.Phase]; !ok || record.ID == "" || record.Cell < 0 {
-			return fmt.Errorf("%w: member %q, cell %d, phase %q", errMalformedList, record.ID, record.Cell, record.Phase)
+			return fmt.Errorf("%w: endpoint %q, cell %d, phase %q",
+				errMalformedList, record.ID, record.Cell, record.Phase)
 		}
 		if _, err := netip.ParseAddrPort(record.Address); err != nil && record.state() != scheduler.Removed {
-			return fmt.Errorf("%w: member %q: %w", errMalformedList, record.ID, err)
+			return fmt.Errorf("%w: endpoint %q: %w", errMalformedList, record.ID, err)
 		}
 	}
 	return nil
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -119,7 +119,7 @@
 }
 
 func (w *Watcher) callTimedOut() {
-	w.failCall(logs.DiscoveryTimeout, errors.New("no answer in time"))
+	w.failCall(logs.DiscoveryTimeout, errors.New("no response in time"))
 }
 
 // readResponse handles the response to the call in flight once it is complete. peerClosed says that no more input
@@ -128,7 +128,7 @@
 	status, body, size, last, err := httpanswer.Parse(w.stream.In, maxResponseBytes, peerClosed)
 	if err == nil && size == 0 {
 		if len(w.stream.In) >= maxResponseBytes {
-			w.failCall(logs.DiscoveryMalformed, fmt.Errorf("answer over %d bytes", maxResponseBytes))
+			w.failCall(logs.DiscoveryMalformed, fmt.Errorf("response over %d bytes", maxResponseBytes))
 		}
 		return
 	}
@@ -160,7 +160,7 @@
 // decode returns the list of a complete response, or why it has none.
 func (w *Watcher) decode(status int, body []byte) (EndpointList, error) {
 	if !w.inFlight {
-		return EndpointList{}, errors.New("an answer to no call")
+		return EndpointList{}, errors.New("response without a call in flight")
 	}
 	if status != http.StatusOK {
 		return EndpointList{}, fmt.Errorf("status %d", status)
@@ -176,7 +176,7 @@
 		EndpointCount: len(list.Endpoints),
 	})
 	if next.Err != nil {
-		w.log.Warn("list not taken", zap.String("code", string(logs.DiscoveryListRejected)),
+		w.log.Warn("endpoint list rejected", zap.String("code", string(logs.DiscoveryListRejected)),
 			zap.Uint64("revision", list.Revision), zap.Error(next.Err))
 	}
 	if next.Apply {
@@ -214,7 +214,7 @@
 		return
 	}
 	w.unresponsive = true
-	w.log.Warn("list is silent: the last one holds", zap.String("code", string(logs.DiscoveryUnresponsive)),
+	w.log.Warn("discovery is unresponsive: the cached endpoint list stays in force", zap.String("code", string(logs.DiscoveryUnresponsive)),
 		zap.String("address", w.address))
 }
 
@@ -224,5 +224,5 @@
 		return
 	}
 	w.unresponsive = false
-	w.log.Info("list is read again", zap.String("address", w.address), zap.Any("counts", w.poller.Stats()))
+	w.log.Info("discovery responds again", zap.String("address", w.address), zap.Any("counts", w.poller.Stats()))
 }
--- a/test/pushed_test.go
+++ b/test/pushed_test.go
@@ -89,7 +89,7 @@
 	p.discovery.list.Revision = 3 // it has started anew and counts from elsewhere
 	p.discovery.mu.Unlock()
 	told = time.Now()
-	p.waitLog("list is read again")
+	p.waitLog("discovery responds again")
 	assert.Less(t, time.Since(told), 900*time.Millisecond, "patience and a period")
 	time.Sleep(time.Until(told.Add(1500 * time.Millisecond)))
 	assert.Zero(t, sentTo(ns, "s-2", told.Add(time.Second)), "what came while it was silent")
