--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -24,8 +24,8 @@
 // Watcher keeps the endpoint list up to date over at most one connection, as its Poller decides. It implements
 // core.EndpointList and loop.Handler, and runs on the loop's thread alone.
 //
-// Invariants until Close: inFlight implies watching; connected implies that stream is set; while watching, either a call
-// is in flight, or nextCallTimer is set, or a posted callIfDue is pending.
+// Invariants until Close: inFlight implies watching; connected implies that stream is set; while watching, either a
+// call is in flight, or nextCallTimer is set, or a posted callIfDue is pending.
 type Watcher struct {
 	loop           *loop.Loop
 	core           Core
@@ -214,8 +214,8 @@
 		return
 	}
 	w.unresponsive = true
-	w.log.Warn("discovery is unresponsive: the cached endpoint list stays in force", zap.String("code", string(logs.DiscoveryUnresponsive)),
-		zap.String("address", w.address))
+	w.log.Warn("discovery is unresponsive: the cached endpoint list stays in force",
+		zap.String("code", string(logs.DiscoveryUnresponsive)), zap.String("address", w.address))
 }
 
 // logRecovery logs the first response after failures.
