--- a/internal/reload/reload.go
+++ b/internal/reload/reload.go
@@ -37,27 +37,27 @@
 func (r *Reloader) Serve(signals <-chan os.Signal) {
 	for range signals {
 		c, err := config.Reload()
-		r.loop.Post(func() { r.take(c, err) })
+		r.loop.Post(func() { r.apply(c, err) })
 	}
 }
 
-// take puts a configuration into force, or says why it does not.
-func (r *Reloader) take(c *config.Config, err error) {
+// apply puts a configuration into force, or says why it does not.
+func (r *Reloader) apply(c *config.Config, err error) {
 	if err != nil {
 		r.log.Error("reload failed: the old configuration stays", zap.Error(err))
 		return
 	}
 	moved := c.Discovery != r.current.Discovery
 	r.log.Info("reloaded", zap.String("discovery", c.Discovery), zap.Bool("moved", moved),
-		zap.Strings("needs_restart", r.fixed(c)))
+		zap.Strings("needs_restart", r.needsRestart(c)))
 	if moved {
 		r.current.Discovery = c.Discovery
 		r.discovery.MoveTo(c.Discovery)
 	}
 }
 
-// fixed names what differs in the new configuration and stays as it is until a restart.
-func (r *Reloader) fixed(c *config.Config) []string {
+// needsRestart names what differs in the new configuration and stays as it is until a restart.
+func (r *Reloader) needsRestart(c *config.Config) []string {
 	old, names := r.current, []string{}
 	for _, f := range []struct {
 		name      string
