--- a/internal/reload/reload.go
+++ b/internal/reload/reload.go
@@ -1,6 +1,3 @@
-// Package reload takes a new configuration while the broker serves. It owns what SIGHUP means: the file is
-// read again and validated whole, what can change without a restart is moved to its new value, and a file
-// that cannot be used leaves everything as it was.
 package reload
 
 import (
@@ -13,63 +10,82 @@
 	"ternstage/internal/logs"
 )
 
-// Loop is how the reading side reaches the decisions.
-type Loop interface{ Post(work func()) }
+// Loop runs work on the thread that owns the broker's state.
+type Loop interface {
+	// Post queues work from any thread and does not wait for it.
+	Post(work func())
+}
 
-// Discovery is what moves to another address.
-type Discovery interface{ MoveTo(address string) }
+// Discovery follows the endpoint list.
+type Discovery interface {
+	// MoveTo continues at another IP address and port. It is called on the loop.
+	MoveTo(address string)
+}
 
 // Reloader holds the configuration in force.
 type Reloader struct {
 	loop      Loop
 	log       *logs.Log
 	discovery Discovery
-	current   *config.Config // the loop's alone
+	current   *config.Config // read and written on the loop only
 }
 
-// New makes a reloader of the configuration that the program was started with.
-func New(l Loop, log *logs.Log, d Discovery, c *config.Config) *Reloader {
-	return &Reloader{loop: l, log: log, discovery: d, current: c}
+// New returns a Reloader for a process that was started with the configuration started. It later writes the changed
+// address of discovery into it.
+func New(loop Loop, log *logs.Log, discovery Discovery, started *config.Config) *Reloader {
+	return &Reloader{loop: loop, log: log, discovery: discovery, current: started}
 }
 
-// Serve reads the file again for each signal, until the channel is closed. It runs beside the loop, so that
-// no request waits for the file.
+// Serve reads the file again for each signal, until the channel is closed. It blocks and must not run on the loop, so
+// that no request waits for the file.
 func (r *Reloader) Serve(signals <-chan os.Signal) {
 	for range signals {
-		c, err := config.Reload()
-		r.loop.Post(func() { r.apply(c, err) })
+		loaded, err := config.Reload()
+		r.loop.Post(func() { r.apply(loaded, err) })
 	}
 }
 
-// apply puts a configuration into force, or says why it does not.
-func (r *Reloader) apply(c *config.Config, err error) {
+// apply puts a configuration into force, or logs why it cannot.
+func (r *Reloader) apply(loaded *config.Config, err error) {
 	if err != nil {
 		r.log.Error("reload failed: the old configuration stays", zap.Error(err))
 		return
 	}
-	moved := c.Discovery != r.current.Discovery
-	r.log.Info("reloaded", zap.String("discovery", c.Discovery), zap.Bool("moved", moved),
-		zap.Strings("needs_restart", r.needsRestart(c)))
-	if moved {
-		r.current.Discovery = c.Discovery
-		r.discovery.MoveTo(c.Discovery)
+	addressChanged := loaded.Discovery != r.current.Discovery
+	r.log.Info("reloaded", zap.String("discovery", loaded.Discovery), zap.Bool("moved", addressChanged),
+		zap.Strings("needs_restart", r.needsRestart(loaded)))
+	if addressChanged {
+		r.current.Discovery = loaded.Discovery
+		r.discovery.MoveTo(loaded.Discovery)
 	}
 }
 
-// needsRestart names what differs in the new configuration and stays as it is until a restart.
-func (r *Reloader) needsRestart(c *config.Config) []string {
-	old, names := r.current, []string{}
-	for _, f := range []struct {
-		name      string
-		was, read any
+// limits are the parts of a configuration that the log names "limits".
+type limits struct {
+	cores          float64
+	memoryMB       int
+	maxDescriptors int
+}
+
+func limitsOf(c *config.Config) limits {
+	return limits{cores: c.Cores, memoryMB: c.MemoryMB, maxDescriptors: c.MaxDescriptors}
+}
+
+// needsRestart names the parts of a configuration that differ from those in force and stay as they are until a restart.
+// It is empty, not nil, where there are none.
+func (r *Reloader) needsRestart(loaded *config.Config) []string {
+	names := []string{}
+	for _, part := range []struct {
+		name            string
+		inForce, loaded any
 	}{
-		{"name", old.Name, c.Name}, {"listen", old.Listen, c.Listen},
-		{"limits", [3]float64{old.Cores, float64(old.MemoryMB), float64(old.MaxDescriptors)},
-			[3]float64{c.Cores, float64(c.MemoryMB), float64(c.MaxDescriptors)}},
-		{"settings", old.Settings, c.Settings},
+		{"name", r.current.Name, loaded.Name},
+		{"listen", r.current.Listen, loaded.Listen},
+		{"limits", limitsOf(r.current), limitsOf(loaded)},
+		{"settings", r.current.Settings, loaded.Settings},
 	} {
-		if !reflect.DeepEqual(f.was, f.read) {
-			names = append(names, f.name)
+		if !reflect.DeepEqual(part.inForce, part.loaded) {
+			names = append(names, part.name)
 		}
 	}
 	return names
