--- a/internal/reload/reload.go
+++ b/internal/reload/reload.go
@@ -52,7 +52,7 @@
 		return
 	}
 	addressChanged := loaded.Discovery != r.current.Discovery
-	r.log.Info("reloaded", zap.String("discovery", loaded.Discovery), zap.Bool("moved", addressChanged),
+	r.log.Info("reloaded", zap.String("discovery", loaded.Discovery), zap.Bool("address_changed", addressChanged),
 		zap.Strings("needs_restart", r.needsRestart(loaded)))
 	if addressChanged {
 		r.current.Discovery = loaded.Discovery
