--- a/internal/catalog/source.go
+++ b/internal/catalog/source.go
@@ -175,8 +175,8 @@
 
 // answer takes a whole answer, and goes on with the next call. ended tells that the other side has closed.
 func (s *Source) answer(ended bool) {
-	status, body, size, last, err := httpanswer.Parse(s.s.In, s.o.MaxAnswerBytes, ended)
-	if err == nil && size == 0 {
+	response, err := httpanswer.Parse(s.s.In, s.o.MaxAnswerBytes, ended)
+	if err == nil && !response.Complete() {
 		if len(s.s.In) >= s.o.MaxAnswerBytes+16<<10 {
 			s.fail(logs.ShardMapMalformed, fmt.Errorf("answer over %d bytes", s.o.MaxAnswerBytes))
 		}
@@ -185,23 +185,23 @@
 	if err == nil && !s.out {
 		err = errors.New("an answer to no call")
 	}
-	if err == nil && status != 200 {
-		err = fmt.Errorf("status %d", status)
+	if err == nil && response.Status != 200 {
+		err = fmt.Errorf("status %d", response.Status)
 	}
 	if err != nil {
 		s.fail(logs.ShardMapMalformed, err)
 		return
 	}
 	s.calls++
-	if len(body) <= parseHere {
-		w, cs, nodes, err := Parse(body)
-		s.took(size, last)
+	if len(response.Body) <= parseHere {
+		w, cs, nodes, err := Parse(response.Body)
+		s.took(response.Size, response.Last)
 		s.take(w, cs, nodes, err)
 		return
 	}
 	// A map of 100,000 slices takes 0.2 s to read: no request waits for that.
-	text, call := slices.Clone(body), s.calls
-	s.took(size, last)
+	text, call := slices.Clone(response.Body), s.calls
+	s.took(response.Size, response.Last)
 	go func() {
 		w, cs, nodes, err := Parse(text)
 		s.loop.Post(func() {
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -125,8 +125,8 @@
 // readResponse handles the response to the call in flight once it is complete. peerClosed says that no more input
 // follows.
 func (w *Watcher) readResponse(peerClosed bool) {
-	status, body, size, last, err := httpanswer.Parse(w.stream.In, maxResponseBytes, peerClosed)
-	if err == nil && size == 0 {
+	response, err := httpanswer.Parse(w.stream.In, maxResponseBytes, peerClosed)
+	if err == nil && !response.Complete() {
 		if len(w.stream.In) >= maxResponseBytes {
 			w.failCall(logs.DiscoveryMalformed, fmt.Errorf("response over %d bytes", maxResponseBytes))
 		}
@@ -134,19 +134,19 @@
 	}
 	var list EndpointList
 	if err == nil {
-		list, err = w.decode(status, body)
+		list, err = w.decode(response)
 	}
 	if err != nil {
 		w.failCall(logs.DiscoveryMalformed, err)
 		return
 	}
 	w.answered++
-	w.stream.Consume(size)
+	w.stream.Consume(response.Size)
 	w.callTimer.Stop()
 	w.inFlight = false
 	w.logRecovery()
 	nextCallAt := w.applyList(list)
-	if last {
+	if response.Last {
 		w.closeConnection(logs.DiscoveryClosed, nil)
 	}
 	// Discovery ends a watch unless the next call comes within 200 ms.
@@ -158,14 +158,14 @@
 }
 
 // decode returns the list of a complete response, or why it has none.
-func (w *Watcher) decode(status int, body []byte) (EndpointList, error) {
+func (w *Watcher) decode(response httpanswer.Response) (EndpointList, error) {
 	if !w.inFlight {
 		return EndpointList{}, errors.New("response without a call in flight")
 	}
-	if status != http.StatusOK {
-		return EndpointList{}, fmt.Errorf("status %d", status)
+	if response.Status != http.StatusOK {
+		return EndpointList{}, fmt.Errorf("status %d", response.Status)
 	}
-	return ParseEndpointList(body)
+	return ParseEndpointList(response.Body)
 }
 
 // applyList passes a list on unless the Poller rejects it, and returns when the next call is due.
