--- a/internal/httpanswer/response.go
+++ b/internal/httpanswer/response.go
@@ -9,7 +9,7 @@
 )
 
 // errMalformed reports input that is no HTTP/1.x response, or one whose body exceeds the limit.
-var errMalformed = errors.New("malformed answer")
+var errMalformed = errors.New("malformed response")
 
 const (
 	lineEnd   = "\r\n"
