--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -18,10 +18,10 @@
 const ClockStart = 24 * 3600 * 1000.0
 
 const (
-	maxEvents  = 128
-	mostRounds = 16       // batches of events before a decision is made without the rest
-	stale      = 20.0     // ms that a wake-up may be old at its decision: what has come since is read first
-	longest    = 60_000.0 // ms: the longest sleep, a bound on what a clock mistake could cost
+	eventsPerBatch = 128
+	maxBatches     = 16       // batches of events before a decision is made without the rest
+	maxRoundAgeMs  = 20.0     // ms that a wake-up may be old at its decision: what has come since is read first
+	maxSleepMs     = 60_000.0 // ms: the longest sleep, a bound on what a clock mistake could cost
 )
 
 // Handler is a connection, a listener or another owner of a descriptor.
@@ -32,35 +32,35 @@
 
 // Timer is one long-lived timer of a component. There are a few in all, none for a request.
 type Timer struct {
-	at   float64
-	fire func()
+	dueAt float64
+	fire  func()
 }
 
 // Set moves the timer to a time of the loop's clock.
-func (t *Timer) Set(at float64) { t.at = at }
+func (t *Timer) Set(at float64) { t.dueAt = at }
 
 // Stop disarms the timer.
-func (t *Timer) Stop() { t.at = math.Inf(1) }
+func (t *Timer) Stop() { t.dueAt = math.Inf(1) }
 
 // SetEarlier moves the timer to a time if that is before the present one.
-func (t *Timer) SetEarlier(at float64) { t.at = min(t.at, at) }
+func (t *Timer) SetEarlier(at float64) { t.dueAt = min(t.dueAt, at) }
 
-// watched is a descriptor that was added.
-type watched struct {
+// registration is a descriptor that was added.
+type registration struct {
 	Handler
-	nth int32
+	serial int32
 }
 
 // Loop is an epoll loop.
 type Loop struct {
-	epoll, wake int
-	start       time.Time
-	now         float64
-	handlers    map[int32]watched
-	added       int32 // descriptors so far: tells the events of one from those of the next of its number
-	timers      []*Timer
-	turn        func()
-	stopped     bool
+	epollFD, wakeFD int
+	startedAt       time.Time
+	now             float64
+	registrations   map[int32]registration
+	lastSerial      int32 // descriptors so far: tells the events of one from those of the next of its number
+	timers          []*Timer
+	onRoundEnd      func()
+	stopped         bool
 
 	mu     sync.Mutex
 	posted []func()
@@ -76,7 +76,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("eventfd: %w", err)
 	}
-	l := &Loop{epoll: ep, wake: wake, start: time.Now(), now: ClockStart, handlers: map[int32]watched{}}
+	l := &Loop{epollFD: ep, wakeFD: wake, startedAt: time.Now(), now: ClockStart, registrations: map[int32]registration{}}
 	if err := l.Add(wake, unix.EPOLLIN, l); err != nil {
 		return nil, err
 	}
@@ -86,41 +86,41 @@
 // Ready empties the eventfd; the posted work itself is run by Run.
 func (l *Loop) Ready(uint32) {
 	var b [8]byte
-	_, _ = unix.Read(l.wake, b[:])
+	_, _ = unix.Read(l.wakeFD, b[:])
 }
 
 // Now is the monotonic clock in ms as of this wake-up.
 func (l *Loop) Now() float64 { return l.now }
 
 // ReadClock reads the monotonic clock in ms.
-func (l *Loop) ReadClock() float64 { return ClockStart + float64(time.Since(l.start))/1e6 }
+func (l *Loop) ReadClock() float64 { return ClockStart + float64(time.Since(l.startedAt))/1e6 }
 
 // Add registers a descriptor.
 func (l *Loop) Add(fd int, events uint32, h Handler) error {
-	l.added++
-	e := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: l.added}
-	if err := unix.EpollCtl(l.epoll, unix.EPOLL_CTL_ADD, fd, &e); err != nil {
+	l.lastSerial++
+	e := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: l.lastSerial}
+	if err := unix.EpollCtl(l.epollFD, unix.EPOLL_CTL_ADD, fd, &e); err != nil {
 		return fmt.Errorf("epoll add: %w", err)
 	}
-	l.handlers[int32(fd)] = watched{h, l.added}
+	l.registrations[int32(fd)] = registration{h, l.lastSerial}
 	return nil
 }
 
 // SetEvents changes what a descriptor is watched for.
 func (l *Loop) SetEvents(fd int, events uint32) {
-	e := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: l.handlers[int32(fd)].nth}
-	_ = unix.EpollCtl(l.epoll, unix.EPOLL_CTL_MOD, fd, &e)
+	e := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: l.registrations[int32(fd)].serial}
+	_ = unix.EpollCtl(l.epollFD, unix.EPOLL_CTL_MOD, fd, &e)
 }
 
 // Close forgets a descriptor and closes it.
 func (l *Loop) Close(fd int) {
-	delete(l.handlers, int32(fd))
+	delete(l.registrations, int32(fd))
 	_ = unix.Close(fd)
 }
 
 // NewTimer makes a disarmed timer.
 func (l *Loop) NewTimer(fire func()) *Timer {
-	t := &Timer{at: math.Inf(1), fire: fire}
+	t := &Timer{dueAt: math.Inf(1), fire: fire}
 	l.timers = append(l.timers, t)
 	return t
 }
@@ -132,12 +132,12 @@
 	first := len(l.posted) == 1
 	l.mu.Unlock()
 	if first {
-		_, _ = unix.Write(l.wake, []byte{1, 0, 0, 0, 0, 0, 0, 0})
+		_, _ = unix.Write(l.wakeFD, []byte{1, 0, 0, 0, 0, 0, 0, 0})
 	}
 }
 
 // OnRoundEnd sets what runs once at the end of each wake-up.
-func (l *Loop) OnRoundEnd(turn func()) { l.turn = turn }
+func (l *Loop) OnRoundEnd(turn func()) { l.onRoundEnd = turn }
 
 // Stop makes Run return after this wake-up.
 func (l *Loop) Stop() { l.stopped = true }
@@ -145,17 +145,17 @@
 // Run serves until Stop.
 func (l *Loop) Run() error {
 	for !l.stopped {
-		sleep := l.sleep()
-		for range mostRounds {
+		sleep := l.sleepMs()
+		for range maxBatches {
 			if err := l.gather(sleep); err != nil {
 				return err
 			}
-			if sleep = 0; l.ReadClock()-l.now < stale {
+			if sleep = 0; l.ReadClock()-l.now < maxRoundAgeMs {
 				break
 			}
 		}
-		if l.turn != nil {
-			l.turn()
+		if l.onRoundEnd != nil {
+			l.onRoundEnd()
 		}
 	}
 	return nil
@@ -164,9 +164,9 @@
 // gather waits for events, and hands in all that has happened: every event that the kernel holds, what other
 // threads have posted, and the timers that are due.
 func (l *Loop) gather(sleep int) error {
-	var events [maxEvents]unix.EpollEvent
-	for range mostRounds {
-		n, err := unix.EpollWait(l.epoll, events[:], sleep)
+	var events [eventsPerBatch]unix.EpollEvent
+	for range maxBatches {
+		n, err := unix.EpollWait(l.epollFD, events[:], sleep)
 		if err != nil && !errors.Is(err, unix.EINTR) {
 			return fmt.Errorf("epoll wait: %w", err)
 		}
@@ -174,13 +174,13 @@
 		for i := range max(n, 0) {
 			// One closed earlier in this batch is gone from the map, or its number is another's by now: guards
 			// new connections against the events of old ones.
-			if w := l.handlers[events[i].Fd]; w.Handler != nil && w.nth == events[i].Pad {
+			if w := l.registrations[events[i].Fd]; w.Handler != nil && w.serial == events[i].Pad {
 				w.Ready(events[i].Events)
 			}
 		}
 		// A signal, also the one that lets a stopped process go on, ends the wait with nothing read, and a full
 		// batch leaves the rest behind.
-		if err == nil && n < maxEvents {
+		if err == nil && n < eventsPerBatch {
 			break
 		}
 		sleep = 0
@@ -193,7 +193,7 @@
 		f()
 	}
 	for _, t := range l.timers {
-		if l.now >= t.at {
+		if l.now >= t.dueAt {
 			t.Stop()
 			t.fire()
 		}
@@ -201,11 +201,11 @@
 	return nil
 }
 
-// sleep is how long epoll may wait, in whole ms: rounded up, so that a timer is due when it wakes.
-func (l *Loop) sleep() int {
+// sleepMs is how long epoll may wait, in whole ms: rounded up, so that a timer is due when it wakes.
+func (l *Loop) sleepMs() int {
 	next, now := math.Inf(1), l.ReadClock()
 	for _, t := range l.timers {
-		next = min(next, t.at)
+		next = min(next, t.dueAt)
 	}
-	return int(math.Ceil(min(max(next-now, 0), longest)))
+	return int(math.Ceil(min(max(next-now, 0), maxSleepMs)))
 }
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -58,7 +58,7 @@
 func TestAllEventsBeforeTheDecision(t *testing.T) {
 	l, err := New()
 	require.NoError(t, err)
-	const many = 3*maxEvents + 5
+	const many = 3*eventsPerBatch + 5
 	told, turns := map[int]bool{}, 0
 	for range many {
 		ours, theirs := pair(t)
@@ -87,7 +87,7 @@
 	require.NoError(t, l.Add(goes, unix.EPOLLIN|unix.EPOLLRDHUP, handler(func(uint32) { gone = true; l.Close(goes) })))
 	require.NoError(t, l.Add(slow, unix.EPOLLIN, handler(func(uint32) {
 		l.Close(slow)
-		for at := l.ReadClock(); l.ReadClock() < at+1.5*stale; {
+		for at := l.ReadClock(); l.ReadClock() < at+1.5*maxRoundAgeMs; {
 		}
 		require.NoError(t, unix.Shutdown(client, unix.SHUT_RDWR))
 	})))
--- a/internal/loop/socket.go
+++ b/internal/loop/socket.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
-const backlog = 512
+const listenBacklog = 512
 
 // Listen opens a non-blocking TCP listener on that address only.
 func Listen(address string) (int, error) {
@@ -23,7 +23,7 @@
 	// A restart takes the same address while old connections linger.
 	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
 	if err = unix.Bind(fd, sa); err == nil {
-		err = unix.Listen(fd, backlog)
+		err = unix.Listen(fd, listenBacklog)
 	}
 	if err != nil {
 		_ = unix.Close(fd)
--- a/internal/loop/stream.go
+++ b/internal/loop/stream.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	readSize  = 16 << 10
-	dropReads = 4 // of what is thrown away in one wake-up
+	readBytes       = 16 << 10
+	maxDiscardReads = 4 // of what is thrown away in one wake-up
 )
 
-var scratch [readSize]byte // the loop is one thread
+var readBuffer [readBytes]byte // the loop is one thread
 
 // Stream is the byte side of a connection: what was read and not parsed, what is to be written.
 type Stream struct {
@@ -35,10 +35,10 @@
 // Read takes what has come, up to limit bytes held. eof tells that the peer has ended its side.
 func (s *Stream) Read(limit int) (eof bool, err error) {
 	for len(s.In) < limit {
-		n, err := unix.Read(s.FD, scratch[:min(readSize, limit-len(s.In))])
+		n, err := unix.Read(s.FD, readBuffer[:min(readBytes, limit-len(s.In))])
 		switch {
 		case n > 0:
-			s.In = append(s.In, scratch[:n]...)
+			s.In = append(s.In, readBuffer[:n]...)
 		case n == 0 && err == nil:
 			return true, nil
 		case errors.Is(err, unix.EINTR):
@@ -67,8 +67,8 @@
 
 // DiscardInput throws away what has come, a few reads at most, and tells how much that was.
 func (s *Stream) DiscardInput() (n int, eof bool, err error) {
-	for range dropReads {
-		k, err := unix.Read(s.FD, scratch[:])
+	for range maxDiscardReads {
+		k, err := unix.Read(s.FD, readBuffer[:])
 		switch {
 		case k > 0:
 			n += k
@@ -85,7 +85,7 @@
 
 // Consume drops parsed bytes.
 func (s *Stream) Consume(n int) {
-	if s.In = append(s.In[:0], s.In[n:]...); len(s.In) == 0 && cap(s.In) > 4*readSize {
+	if s.In = append(s.In[:0], s.In[n:]...); len(s.In) == 0 && cap(s.In) > 4*readBytes {
 		s.In = nil // an idle connection keeps no large buffer
 	}
 }
