--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -1,12 +1,8 @@
-// Package loop is the one thread of decisions: an epoll loop that owns every platform socket and timer.
-// Connections are objects with a Ready callback; nothing is started for a single request. Other threads
-// reach the loop by Post alone.
 package loop
 
 import (
 	"errors"
 	"fmt"
-	"math"
 	"sync"
 	"time"
 
@@ -24,33 +20,6 @@
 	maxSleepMs     = 60_000.0 // ms: the longest sleep, a bound on what a clock mistake could cost
 )
 
-// Handler is a connection, a listener or another owner of a descriptor.
-type Handler interface {
-	// Ready tells what epoll said of the descriptor.
-	Ready(events uint32)
-}
-
-// Timer is one long-lived timer of a component. There are a few in all, none for a request.
-type Timer struct {
-	dueAt float64
-	fire  func()
-}
-
-// Set moves the timer to a time of the loop's clock.
-func (t *Timer) Set(at float64) { t.dueAt = at }
-
-// Stop disarms the timer.
-func (t *Timer) Stop() { t.dueAt = math.Inf(1) }
-
-// SetEarlier moves the timer to a time if that is before the present one.
-func (t *Timer) SetEarlier(at float64) { t.dueAt = min(t.dueAt, at) }
-
-// registration is a descriptor that was added.
-type registration struct {
-	Handler
-	serial int32
-}
-
 // Loop is an epoll loop.
 type Loop struct {
 	epollFD, wakeFD int
@@ -95,36 +64,6 @@
 // ReadClock reads the monotonic clock in ms.
 func (l *Loop) ReadClock() float64 { return ClockStart + float64(time.Since(l.startedAt))/1e6 }
 
-// Add registers a descriptor.
-func (l *Loop) Add(fd int, events uint32, h Handler) error {
-	l.lastSerial++
-	e := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: l.lastSerial}
-	if err := unix.EpollCtl(l.epollFD, unix.EPOLL_CTL_ADD, fd, &e); err != nil {
-		return fmt.Errorf("epoll add: %w", err)
-	}
-	l.registrations[int32(fd)] = registration{h, l.lastSerial}
-	return nil
-}
-
-// SetEvents changes what a descriptor is watched for.
-func (l *Loop) SetEvents(fd int, events uint32) {
-	e := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: l.registrations[int32(fd)].serial}
-	_ = unix.EpollCtl(l.epollFD, unix.EPOLL_CTL_MOD, fd, &e)
-}
-
-// Close forgets a descriptor and closes it.
-func (l *Loop) Close(fd int) {
-	delete(l.registrations, int32(fd))
-	_ = unix.Close(fd)
-}
-
-// NewTimer makes a disarmed timer.
-func (l *Loop) NewTimer(fire func()) *Timer {
-	t := &Timer{dueAt: math.Inf(1), fire: fire}
-	l.timers = append(l.timers, t)
-	return t
-}
-
 // Post hands work to the loop from any thread.
 func (l *Loop) Post(work func()) {
 	l.mu.Lock()
@@ -200,12 +139,3 @@
 	}
 	return nil
 }
-
-// sleepMs is how long epoll may wait, in whole ms: rounded up, so that a timer is due when it wakes.
-func (l *Loop) sleepMs() int {
-	next, now := math.Inf(1), l.ReadClock()
-	for _, t := range l.timers {
-		next = min(next, t.dueAt)
-	}
-	return int(math.Ceil(min(max(next-now, 0), maxSleepMs)))
-}
