--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -9,89 +9,80 @@
 	"golang.org/x/sys/unix"
 )
 
-// ClockStart is the reading, in ms, of the loop's clock at its start. It is a day, so that "0" (long ago) and a
-// start before ours are both told from a recent one.
+// ClockStart is the reading, in ms, of a loop's clock when the loop is made. It is one day: 0 can then stand for "long
+// ago", and times up to a day before the start of the process are positive.
 const ClockStart = 24 * 3600 * 1000.0
 
 const (
+	// eventsPerBatch is the number of events that one epoll_wait returns at most.
 	eventsPerBatch = 128
-	maxBatches     = 16       // batches of events before a decision is made without the rest
-	maxRoundAgeMs  = 20.0     // ms that a wake-up may be old at its decision: what has come since is read first
-	maxSleepMs     = 60_000.0 // ms: the longest sleep, a bound on what a clock mistake could cost
+	// maxBatches bounds the batches that one gather handles, so that a flood of events cannot defer the round for ever.
+	maxBatches = 16
+	// maxGathers bounds the gathers before a scheduling round, for the same reason.
+	maxGathers = 16
+	// maxRoundAgeMs is how old the loop's time may be when the scheduling round starts. Where handlers took longer, what
+	// has happened meanwhile is gathered first.
+	maxRoundAgeMs = 20.0
 )
 
-// Loop is an epoll loop.
+// Loop is an epoll loop. Only Post may be called from other threads.
+//
+// Invariant: onRoundEnd runs once per wake-up, after all events, posted work and due timers that were gathered.
 type Loop struct {
-	epollFD, wakeFD int
-	startedAt       time.Time
-	now             float64
-	registrations   map[int32]registration
-	lastSerial      int32 // descriptors so far: tells the events of one from those of the next of its number
-	timers          []*Timer
-	onRoundEnd      func()
-	stopped         bool
+	epollFD       int
+	startedAt     time.Time
+	now           float64
+	registrations map[int32]registration // by descriptor
+	lastSerial    int32
+	timers        []*Timer
+	onRoundEnd    func()
+	stopped       bool
 
-	mu     sync.Mutex
+	wakeup wakeup
+	mu     sync.Mutex // guards posted
 	posted []func()
 }
 
-// New makes a loop. turn runs once at the end of each wake-up, after all its events.
+// New returns a loop without timers and with no registration but its own.
 func New() (*Loop, error) {
-	ep, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
+	epollFD, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
 		return nil, fmt.Errorf("epoll: %w", err)
 	}
-	wake, err := unix.Eventfd(0, unix.EFD_CLOEXEC|unix.EFD_NONBLOCK)
+	posts, err := newWakeup()
 	if err != nil {
-		return nil, fmt.Errorf("eventfd: %w", err)
+		return nil, err
+	}
+	l := &Loop{
+		epollFD:       epollFD,
+		startedAt:     time.Now(),
+		now:           ClockStart,
+		registrations: map[int32]registration{},
+		wakeup:        posts,
 	}
-	l := &Loop{epollFD: ep, wakeFD: wake, startedAt: time.Now(), now: ClockStart, registrations: map[int32]registration{}}
-	if err := l.Add(wake, unix.EPOLLIN, l); err != nil {
+	if err := l.Add(posts.fd, unix.EPOLLIN, posts); err != nil {
 		return nil, err
 	}
 	return l, nil
 }
 
-// Ready empties the eventfd; the posted work itself is run by Run.
-func (l *Loop) Ready(uint32) {
-	var b [8]byte
-	_, _ = unix.Read(l.wakeFD, b[:])
-}
-
-// Now is the monotonic clock in ms as of this wake-up.
+// Now returns the monotonic time, in ms, at which the events that are being handled were gathered.
 func (l *Loop) Now() float64 { return l.now }
 
-// ReadClock reads the monotonic clock in ms.
+// ReadClock returns the present monotonic time in ms.
 func (l *Loop) ReadClock() float64 { return ClockStart + float64(time.Since(l.startedAt))/1e6 }
 
-// Post hands work to the loop from any thread.
-func (l *Loop) Post(work func()) {
-	l.mu.Lock()
-	l.posted = append(l.posted, work)
-	first := len(l.posted) == 1
-	l.mu.Unlock()
-	if first {
-		_, _ = unix.Write(l.wakeFD, []byte{1, 0, 0, 0, 0, 0, 0, 0})
-	}
-}
-
-// OnRoundEnd sets what runs once at the end of each wake-up.
-func (l *Loop) OnRoundEnd(turn func()) { l.onRoundEnd = turn }
+// OnRoundEnd sets the function that runs at the end of each wake-up; by default none does.
+func (l *Loop) OnRoundEnd(runRound func()) { l.onRoundEnd = runRound }
 
-// Stop makes Run return after this wake-up.
+// Stop makes Run return at the end of the present wake-up.
 func (l *Loop) Stop() { l.stopped = true }
 
-// Run serves until Stop.
+// Run handles events until Stop. It returns an error only if epoll fails.
 func (l *Loop) Run() error {
 	for !l.stopped {
-		sleep := l.sleepMs()
-		for range maxBatches {
-			if err := l.gather(sleep); err != nil {
-				return err
-			}
-			if sleep = 0; l.ReadClock()-l.now < maxRoundAgeMs {
-				break
-			}
+		if err := l.gatherUntilFresh(); err != nil {
+			return err
 		}
 		if l.onRoundEnd != nil {
 			l.onRoundEnd()
@@ -100,42 +91,50 @@
 	return nil
 }
 
-// gather waits for events, and hands in all that has happened: every event that the kernel holds, what other
-// threads have posted, and the timers that are due.
-func (l *Loop) gather(sleep int) error {
+// gatherUntilFresh waits for something to happen and gathers until the loop's time is recent enough for a round.
+func (l *Loop) gatherUntilFresh() error {
+	sleepMs := l.sleepMs()
+	for range maxGathers {
+		if err := l.gather(sleepMs); err != nil {
+			return err
+		}
+		if l.ReadClock()-l.now < maxRoundAgeMs {
+			return nil
+		}
+		sleepMs = 0
+	}
+	return nil
+}
+
+// gather waits up to sleepMs for events and handles all that has happened: every event that the kernel holds, then the
+// posted work, then the timers that are due.
+func (l *Loop) gather(sleepMs int) error {
+	if err := l.handleEvents(sleepMs); err != nil {
+		return err
+	}
+	l.runPosted()
+	l.fireTimers()
+	return nil
+}
+
+// handleEvents waits up to sleepMs and calls the handlers of all ready descriptors.
+func (l *Loop) handleEvents(sleepMs int) error {
 	var events [eventsPerBatch]unix.EpollEvent
 	for range maxBatches {
-		n, err := unix.EpollWait(l.epollFD, events[:], sleep)
+		count, err := unix.EpollWait(l.epollFD, events[:], sleepMs)
 		if err != nil && !errors.Is(err, unix.EINTR) {
 			return fmt.Errorf("epoll wait: %w", err)
 		}
 		l.now = l.ReadClock()
-		for i := range max(n, 0) {
-			// One closed earlier in this batch is gone from the map, or its number is another's by now: guards
-			// new connections against the events of old ones.
-			if w := l.registrations[events[i].Fd]; w.Handler != nil && w.serial == events[i].Pad {
-				w.Ready(events[i].Events)
-			}
-		}
-		// A signal, also the one that lets a stopped process go on, ends the wait with nothing read, and a full
-		// batch leaves the rest behind.
-		if err == nil && n < eventsPerBatch {
-			break
+		for _, event := range events[:max(count, 0)] {
+			l.dispatch(event)
 		}
-		sleep = 0
-	}
-	l.mu.Lock()
-	work := l.posted
-	l.posted = nil
-	l.mu.Unlock()
-	for _, f := range work {
-		f()
-	}
-	for _, t := range l.timers {
-		if l.now >= t.dueAt {
-			t.Stop()
-			t.fire()
+		// A signal, also the one that resumes a stopped process, ends the wait without events, and a full batch leaves
+		// events behind.
+		if err == nil && count < eventsPerBatch {
+			return nil
 		}
+		sleepMs = 0
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/loop/post.go
@@ -0,0 +1,52 @@
+package loop
+
+import (
+	"fmt"
+
+	"golang.org/x/sys/unix"
+)
+
+// wakeup is an eventfd that ends a wait for events.
+type wakeup struct{ fd int }
+
+func newWakeup() (wakeup, error) {
+	fd, err := unix.Eventfd(0, unix.EFD_CLOEXEC|unix.EFD_NONBLOCK)
+	if err != nil {
+		return wakeup{}, fmt.Errorf("eventfd: %w", err)
+	}
+	return wakeup{fd}, nil
+}
+
+// signal makes the eventfd readable. It may be called from any thread.
+func (w wakeup) signal() {
+	_, _ = unix.Write(w.fd, []byte{1, 0, 0, 0, 0, 0, 0, 0})
+}
+
+// Ready resets the eventfd. The posted work is run by runPosted.
+func (w wakeup) Ready(uint32) {
+	var counter [8]byte
+	_, _ = unix.Read(w.fd, counter[:])
+}
+
+// Post queues work for the loop and wakes it. It may be called from any thread, the loop's included, and does not wait
+// for the work. Work runs in the order in which it was posted.
+func (l *Loop) Post(work func()) {
+	l.mu.Lock()
+	l.posted = append(l.posted, work)
+	first := len(l.posted) == 1
+	l.mu.Unlock()
+	if first {
+		l.wakeup.signal()
+	}
+}
+
+// runPosted runs what has been posted; what that posts in turn waits for the next gather.
+func (l *Loop) runPosted() {
+	l.mu.Lock()
+	posted := l.posted
+	l.posted = nil
+	l.mu.Unlock()
+	for _, work := range posted {
+		work()
+	}
+}
