--- a/internal/loop/listener.go
+++ b/internal/loop/listener.go
@@ -1,76 +1,91 @@
 package loop
 
 import (
+	"errors"
 	"fmt"
 	"net/netip"
 
 	"golang.org/x/sys/unix"
 )
 
+// listenBacklog is the number of established connections that the kernel queues until they are accepted.
 const listenBacklog = 512
 
-// Listen opens a non-blocking TCP listener on that address only.
-func Listen(address string) (int, error) {
-	sa, family, err := resolve(address)
+// Listen opens a non-blocking TCP listener on one IP address and port.
+func Listen(address string) (fd int, err error) {
+	socketAddress, family, err := resolve(address)
 	if err != nil {
 		return -1, err
 	}
-	fd, err := unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
+	fd, err = openSocket(family)
 	if err != nil {
-		return -1, fmt.Errorf("socket: %w", err)
-	}
-	// A restart takes the same address while old connections linger.
-	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
-	if err = unix.Bind(fd, sa); err == nil {
-		err = unix.Listen(fd, listenBacklog)
+		return -1, err
 	}
-	if err != nil {
+	if err := bindAndListen(fd, socketAddress); err != nil {
 		_ = unix.Close(fd)
 		return -1, fmt.Errorf("listen on %s: %w", address, err)
 	}
 	return fd, nil
 }
 
-// Accept takes one connection; the error is EAGAIN when there is none.
-func Accept(listener int) (int, error) {
-	fd, _, err := unix.Accept4(listener, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
+func bindAndListen(fd int, address unix.Sockaddr) error {
+	// A restarted process takes the address while old connections are in TIME_WAIT.
+	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
+	if err := unix.Bind(fd, address); err != nil {
+		return err
+	}
+	return unix.Listen(fd, listenBacklog)
+}
+
+// Accept accepts one connection as a non-blocking descriptor. The error is unix.EAGAIN where none is queued.
+func Accept(listener int) (fd int, err error) {
+	fd, _, err = unix.Accept4(listener, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 	if err == nil {
-		_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
+		disableDelay(fd)
 	}
 	return fd, err
 }
 
-// Inherit takes a listening socket that the process was given at its start, as descriptor fd, and makes it
-// non-blocking and closed on exec. It must be a listening TCP socket over IPv4; anything else is an error
-// that names what it is.
+// Inherit prepares a listener that the process was started with, as descriptor fd: it becomes non-blocking and closed on
+// exec. It returns the listener's address and port. A descriptor that is no listening TCP socket over IPv4 is an error
+// that says what it is instead.
 func Inherit(fd int) (address string, err error) {
 	if fd < 0 {
 		return "", fmt.Errorf("descriptor %d: not a descriptor", fd)
 	}
-	kind, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_TYPE)
+	listening, err := inspectListener(fd)
 	if err != nil {
-		return "", fmt.Errorf("descriptor %d: not a socket: %w", fd, err)
+		return "", fmt.Errorf("descriptor %d: %w", fd, err)
+	}
+	if err := unix.SetNonblock(fd, true); err != nil {
+		return "", fmt.Errorf("descriptor %d: %w", fd, err)
+	}
+	unix.CloseOnExec(fd)
+	return listening.String(), nil
+}
+
+// inspectListener returns the address and port of a listening TCP socket over IPv4, or why a descriptor is none.
+func inspectListener(fd int) (netip.AddrPort, error) {
+	socketType, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_TYPE)
+	if err != nil {
+		return netip.AddrPort{}, fmt.Errorf("not a socket: %w", err)
 	}
 	listening, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN)
 	if err != nil {
-		return "", fmt.Errorf("descriptor %d: %w", fd, err)
+		return netip.AddrPort{}, err
 	}
-	sa, err := unix.Getsockname(fd)
+	socketAddress, err := unix.Getsockname(fd)
 	if err != nil {
-		return "", fmt.Errorf("descriptor %d: %w", fd, err)
+		return netip.AddrPort{}, err
 	}
-	in4, ok := sa.(*unix.SockaddrInet4)
+	inet4, isInet4 := socketAddress.(*unix.SockaddrInet4)
 	switch {
-	case kind != unix.SOCK_STREAM:
-		return "", fmt.Errorf("descriptor %d: a socket of type %d, not TCP", fd, kind)
-	case !ok:
-		return "", fmt.Errorf("descriptor %d: not an IPv4 socket", fd)
+	case socketType != unix.SOCK_STREAM:
+		return netip.AddrPort{}, fmt.Errorf("a socket of type %d, not TCP", socketType)
+	case !isInet4:
+		return netip.AddrPort{}, errors.New("not an IPv4 socket")
 	case listening != 1:
-		return "", fmt.Errorf("descriptor %d: a TCP socket that does not listen", fd)
+		return netip.AddrPort{}, errors.New("a TCP socket that does not listen")
 	}
-	if err := unix.SetNonblock(fd, true); err != nil {
-		return "", fmt.Errorf("descriptor %d: %w", fd, err)
-	}
-	unix.CloseOnExec(fd)
-	return netip.AddrPortFrom(netip.AddrFrom4(in4.Addr), uint16(in4.Port)).String(), nil
+	return netip.AddrPortFrom(netip.AddrFrom4(inet4.Addr), uint16(inet4.Port)), nil
 }
--- a/internal/loop/socket.go
+++ b/internal/loop/socket.go
@@ -8,51 +8,75 @@
 	"golang.org/x/sys/unix"
 )
 
-// Connect starts a non-blocking TCP connection; writable means that it is up or has failed.
-func Connect(address string) (int, error) {
-	sa, family, err := resolve(address)
+// Connect starts a non-blocking TCP connection to an IP address and port. The descriptor becomes writable once the
+// connection is established or has failed; SocketError tells which.
+func Connect(address string) (fd int, err error) {
+	socketAddress, family, err := resolve(address)
 	if err != nil {
 		return -1, err
 	}
-	fd, err := unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
+	fd, err = openSocket(family)
 	if err != nil {
-		return -1, fmt.Errorf("socket: %w", err)
+		return -1, err
 	}
-	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-	if err := unix.Connect(fd, sa); err != nil && err != unix.EINPROGRESS {
+	disableDelay(fd)
+	if err := unix.Connect(fd, socketAddress); err != nil && !errors.Is(err, unix.EINPROGRESS) {
 		_ = unix.Close(fd)
 		return -1, fmt.Errorf("connect to %s: %w", address, err)
 	}
 	return fd, nil
 }
 
-// ConnectFreeing is Connect for a process that may be out of descriptors: then room is asked for one, and the
-// connection is tried once more.
-func ConnectFreeing(address string, room func() bool) (int, error) {
-	fd, err := Connect(address)
-	if (errors.Is(err, unix.EMFILE) || errors.Is(err, unix.ENFILE)) && room != nil && room() {
+// ConnectFreeing is Connect for a process that may be out of descriptors. In that case it calls freeDescriptor once,
+// which closes a descriptor that can be spared and reports whether it did, and then tries once more. freeDescriptor may
+// be nil.
+func ConnectFreeing(address string, freeDescriptor func() bool) (fd int, err error) {
+	fd, err = Connect(address)
+	if outOfDescriptors(err) && freeDescriptor != nil && freeDescriptor() {
 		return Connect(address)
 	}
 	return fd, err
 }
 
-// SocketError is the pending error of a socket, nil if there is none.
+func outOfDescriptors(err error) bool {
+	return errors.Is(err, unix.EMFILE) || errors.Is(err, unix.ENFILE)
+}
+
+// SocketError returns and clears the pending error of a socket; nil if there is none.
 func SocketError(fd int) error {
-	if n, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ERROR); err != nil {
+	code, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ERROR)
+	if err != nil {
 		return err
-	} else if n != 0 {
-		return unix.Errno(n)
+	}
+	if code != 0 {
+		return unix.Errno(code)
 	}
 	return nil
 }
 
-func resolve(address string) (unix.Sockaddr, int, error) {
-	ap, err := netip.ParseAddrPort(address) // there is no DNS
+// openSocket opens a non-blocking TCP socket that is closed on exec.
+func openSocket(family int) (fd int, err error) {
+	fd, err = unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
+	if err != nil {
+		return -1, fmt.Errorf("socket: %w", err)
+	}
+	return fd, nil
+}
+
+// disableDelay switches Nagle's algorithm off: messages are small and latency counts.
+func disableDelay(fd int) {
+	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
+}
+
+// resolve parses an IP address and port; host names are not supported. An IPv4 address in IPv6 form counts as IPv4.
+func resolve(address string) (socketAddress unix.Sockaddr, family int, err error) {
+	addrPort, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, 0, fmt.Errorf("address %q: %w", address, err)
 	}
-	if a := ap.Addr().Unmap(); a.Is4() {
-		return &unix.SockaddrInet4{Port: int(ap.Port()), Addr: a.As4()}, unix.AF_INET, nil
+	port := int(addrPort.Port())
+	if addr := addrPort.Addr().Unmap(); addr.Is4() {
+		return &unix.SockaddrInet4{Port: port, Addr: addr.As4()}, unix.AF_INET, nil
 	}
-	return &unix.SockaddrInet6{Port: int(ap.Port()), Addr: ap.Addr().As16()}, unix.AF_INET6, nil
+	return &unix.SockaddrInet6{Port: port, Addr: addrPort.Addr().As16()}, unix.AF_INET6, nil
 }
