--- /dev/null
+++ b/internal/loop/post_test.go
@@ -0,0 +1,40 @@
+package loop
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// TestPostFromAnotherThread: posted work wakes the loop, and runs in order before the round.
+func TestPostFromAnotherThread(t *testing.T) {
+	l := newLoop(t)
+	const count = 100
+	ran := []int{}
+	go func() {
+		for i := range count {
+			l.Post(func() { ran = append(ran, i) })
+		}
+		l.Post(l.Stop)
+	}()
+	require.NoError(t, l.Run())
+	require.Len(t, ran, count)
+	assert.IsIncreasing(t, ran)
+}
+
+// TestPostFromTheLoop: what posted work posts runs in the next gather, which does not wait.
+func TestPostFromTheLoop(t *testing.T) {
+	l := newLoop(t)
+	rounds := 0
+	ranInRound := -1
+	l.Post(func() {
+		l.Post(func() {
+			ranInRound = rounds
+			l.Stop()
+		})
+	})
+	l.OnRoundEnd(func() { rounds++ })
+	require.NoError(t, l.Run())
+	assert.Equal(t, 1, ranInRound)
+}
