--- a/internal/loop/listener.go
+++ b/internal/loop/listener.go
@@ -46,9 +46,9 @@
 	return fd, err
 }
 
-// Inherit prepares a listener that the process was started with, as descriptor fd: it becomes non-blocking and closed on
-// exec. It returns the listener's address and port. A descriptor that is no listening TCP socket over IPv4 is an error
-// that says what it is instead.
+// Inherit prepares a listener that the process was started with, as descriptor fd: it becomes non-blocking and closed
+// on exec. It returns the listener's address and port. A descriptor that is no listening TCP socket over IPv4 is an
+// error that says what it is instead.
 func Inherit(fd int) (address string, err error) {
 	if fd < 0 {
 		return "", fmt.Errorf("descriptor %d: not a descriptor", fd)
