--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -64,19 +64,19 @@
 )
 
 const (
-	queueLines = 1024
-	syncWait   = 200 * time.Millisecond
+	maxQueuedLines = 1024
+	flushTimeout   = 200 * time.Millisecond
 )
 
 // Log is the program's log.
 type Log struct {
 	*zap.Logger
-	w *writer
+	writer *writer
 }
 
 // New opens the log on a file, usually standard error.
 func New(f *os.File, name string) *Log {
-	w := &writer{lines: make(chan []byte, queueLines), idle: make(chan chan struct{})}
+	w := &writer{lines: make(chan []byte, maxQueuedLines), flushRequests: make(chan chan struct{})}
 	go w.run(f)
 	c := zap.NewProductionEncoderConfig()
 	c.EncodeTime = zapcore.ISO8601TimeEncoder
@@ -99,7 +99,7 @@
 }
 
 // Dropped is how many lines found no room.
-func (l *Log) Dropped() uint64 { return l.w.dropped.Load() }
+func (l *Log) Dropped() uint64 { return l.writer.dropped.Load() }
 
 // SchedulerLine implements core.Log.
 func (l *Log) SchedulerLine(text string) { l.Info("module", zap.String("text", text)) }
@@ -116,22 +116,22 @@
 func (l *Log) Close() {
 	done := make(chan struct{})
 	select {
-	case l.w.idle <- done:
-	case <-time.After(syncWait):
+	case l.writer.flushRequests <- done:
+	case <-time.After(flushTimeout):
 		return
 	}
 	select {
 	case <-done:
-	case <-time.After(syncWait):
+	case <-time.After(flushTimeout):
 	}
 }
 
 // writer hands lines to a thread of its own. Guards the loop against a reader of the log that stalls: lines
 // beyond the queue are dropped and counted.
 type writer struct {
-	lines   chan []byte
-	idle    chan chan struct{}
-	dropped atomic.Uint64
+	lines         chan []byte
+	flushRequests chan chan struct{}
+	dropped       atomic.Uint64
 }
 
 // Write implements zapcore.WriteSyncer.
@@ -152,7 +152,7 @@
 		select {
 		case b := <-w.lines:
 			_, _ = f.Write(b)
-		case done := <-w.idle:
+		case done := <-w.flushRequests:
 			for len(w.lines) > 0 {
 				_, _ = f.Write(<-w.lines)
 			}
