--- a/internal/logs/codes.go
+++ b/internal/logs/codes.go
@@ -1,51 +1,115 @@
 package logs
 
-// Code is the reason for which a connection ended.
+// Code says why a connection ended, or what another line with a code reports. Operators and their tools rely on the
+// values: they do not change. Each comment says what happened, and what an operator may conclude.
 type Code string
 
-// The reasons; docs/LOGS.md documents them.
+// Connections of HTTP clients.
 const (
-	ClientClosed            Code = "C01" // it asked for the close, or the answer carried it
-	ClientLeftIdle          Code = "C02" // it closed between requests
-	ClientLeftRequest       Code = "C03" // it closed or reset while a request was open
-	ClientMalformed         Code = "C04" // answered 400
-	ClientEvicted           Code = "C05" // idle, and its descriptor was needed
-	ClientRequestTimeout    Code = "C06" // a request that did not come whole in time
-	ClientNoRequest         Code = "C07" // it never said anything
-	ClientNoDescriptor      Code = "C08" // no descriptor for it
-	BackendConnectFailed    Code = "L01"
-	BackendDialTimeout      Code = "L02"
-	BackendReset            Code = "L03"
-	BackendClosed           Code = "L04"
-	BackendIdle             Code = "L05"
-	BackendMalformedFrame   Code = "L06"
-	BackendWriteStalled     Code = "L07"
-	BackendEvicted          Code = "L08"
-	BackendAddressChanged   Code = "L10" // the list names another address
-	BackendUnresponsive     Code = "L09" // a part was given up on it and nothing had come since
-	BackendConnectionLimit  Code = "L11" // backends hold no more connections: idle ones beyond the limit go
-	DiscoveryClosed         Code = "D01"
-	DiscoveryReset          Code = "D02"
-	DiscoveryConnectFailed  Code = "D03"
-	DiscoveryTimeout        Code = "D04"
-	DiscoveryMalformed      Code = "D05"
+	// ClientClosed: the last response was sent, as the client or the broker had asked for the close; normal.
+	ClientClosed Code = "C01"
+	// ClientLeftIdle: the client closed or reset between requests; normal.
+	ClientLeftIdle Code = "C02"
+	// ClientLeftRequest: the client closed or reset with a request open; many mean that clients give up too early.
+	ClientLeftRequest Code = "C03"
+	// ClientMalformed: a request was malformed or broke its contract and got a 4xx response; the client needs a fix.
+	ClientMalformed Code = "C04"
+	// ClientEvicted: idle for 5 s, or idle when its descriptor was needed; the latter often means too few descriptors.
+	ClientEvicted Code = "C05"
+	// ClientRequestTimeout: 2 s passed before a request was complete (408) or a response read; a slow client or network.
+	ClientRequestTimeout Code = "C06"
+	// ClientNoRequest: nothing arrived for 2 s after the connection was opened; a port check or a stalled client.
+	ClientNoRequest Code = "C07"
+	// ClientNoDescriptor: an accepted connection could not be registered with epoll; the process lacks kernel resources.
+	ClientNoDescriptor Code = "C08"
+)
+
+// Connections to backends.
+const (
+	// BackendConnectFailed: the backend refused, or no socket could be opened; its process is down, or see the error.
+	BackendConnectFailed Code = "L01"
+	// BackendDialTimeout: no connection within the connect timeout; the backend's machine or the network is down.
+	BackendDialTimeout Code = "L02"
+	// BackendReset: the backend reset the connection; its process ended or it dropped the connection.
+	BackendReset Code = "L03"
+	// BackendClosed: the backend closed the connection; it restarts, or takes no more connections.
+	BackendClosed Code = "L04"
+	// BackendIdle: unused too long to be trusted, or the scheduler asked for new connections; normal.
+	BackendIdle Code = "L05"
+	// BackendMalformedFrame: the backend sent a malformed frame or an error frame; check its version.
+	BackendMalformedFrame Code = "L06"
+	// BackendWriteStalled: a part could not be written before its time to start ended; a stalled backend or network.
+	BackendWriteStalled Code = "L07"
+	// BackendEvicted: idle, and its descriptor was needed; the process has too few descriptors.
+	BackendEvicted Code = "L08"
+	// BackendUnresponsive: parts were given up without a response; at all brokers alike, that backend is stalled.
+	BackendUnresponsive Code = "L09"
+	// BackendAddressChanged: the endpoint list names another address; the backend has moved.
+	BackendAddressChanged Code = "L10"
+	// BackendConnectionLimit: idle beyond the limit in force, as backends lately rejected connections; they hold too many.
+	BackendConnectionLimit Code = "L11"
+)
+
+// Connections to discovery or to the discovery agent, and its endpoint lists.
+const (
+	// DiscoveryClosed: discovery closed the connection; normal behind a response, otherwise it restarts.
+	DiscoveryClosed Code = "D01"
+	// DiscoveryReset: discovery reset the connection; its process ended.
+	DiscoveryReset Code = "D02"
+	// DiscoveryConnectFailed: discovery refused, or no socket could be opened; its process is down, or see the error.
+	DiscoveryConnectFailed Code = "D03"
+	// DiscoveryTimeout: no response within the timeout of the call; discovery is stalled or the network is down.
+	DiscoveryTimeout Code = "D04"
+	// DiscoveryMalformed: a response with another status than 200 or without a valid list; 503 means overload.
+	DiscoveryMalformed Code = "D05"
+	// DiscoveryAddressChanged: a reload named another address; normal after SIGHUP.
 	DiscoveryAddressChanged Code = "D06"
-	DiscoveryUnresponsive   Code = "D07" // an agent that is pushed lists does not answer: the last list holds
-	DiscoveryListRejected   Code = "D08" // a list that would undo what is known
-	ShardMapClosed          Code = "M01"
-	ShardMapReset           Code = "M02"
-	ShardMapConnectFailed   Code = "M03"
-	ShardMapTimeout         Code = "M04"
-	ShardMapMalformed       Code = "M05"
-	ShardMapWatchCut        Code = "M06" // a node or client told of a newer map while a watch was out
-	ShardMapRejected        Code = "M10" // a map or a change was refused: the one in use stays
-	ShardMapCacheFailed     Code = "M11" // the kept map could not be written or used
-	Shutdown                Code = "S01"
-	OperatorDone            Code = "O01" // an operator's call was answered
-	OperatorDisconnected    Code = "O02" // the caller closed before its call came whole, or did not read
-	OperatorTimeout         Code = "O03" // the call did not come whole in time, and was answered 408
-	OperatorMalformed       Code = "O04" // not a call: answered 400, 413 or 431
-	OperatorLimit           Code = "O05" // too many callers at once: the first of them was answered 503
-	FlightClientClosed      Code = "F01"
-	FlightBackendClosed     Code = "F03"
+	// DiscoveryUnresponsive: calls fail and are repeated, logged once; the cached list ages until discovery responds.
+	DiscoveryUnresponsive Code = "D07"
+	// DiscoveryListRejected: a list was older, or empty in place of one that is not; discovery restarted or lost its state.
+	DiscoveryListRejected Code = "D08"
+)
+
+// Connections to the shard catalogue, and its shard maps.
+const (
+	// ShardMapClosed: the catalogue closed the connection; normal behind a response, otherwise it restarts.
+	ShardMapClosed Code = "M01"
+	// ShardMapReset: the catalogue reset the connection; its process ended.
+	ShardMapReset Code = "M02"
+	// ShardMapConnectFailed: the catalogue refused, or no socket could be opened; its process is down, or see the error.
+	ShardMapConnectFailed Code = "M03"
+	// ShardMapTimeout: no response within the timeout of the call; the catalogue is stalled or the network is down.
+	ShardMapTimeout Code = "M04"
+	// ShardMapMalformed: a response with another status than 200, or none of HTTP; check the address and the catalogue.
+	ShardMapMalformed Code = "M05"
+	// ShardMapWatchCut: a backend or client reported a newer map during a watch; normal while shards move.
+	ShardMapWatchCut Code = "M06"
+	// ShardMapRejected: a map or change failed validation, and the map in use stays; the catalogue needs a fix.
+	ShardMapRejected Code = "M10"
+	// ShardMapCacheFailed: the cached map could not be written or used; a restart would begin without it.
+	ShardMapCacheFailed Code = "M11"
+)
+
+// Calls to the admin API.
+const (
+	// OperatorDone: the call was answered.
+	OperatorDone Code = "O01"
+	// OperatorDisconnected: the caller closed before its call was complete, or did not read the response.
+	OperatorDisconnected Code = "O02"
+	// OperatorTimeout: the call was not complete in time (408); a slow caller or network.
+	OperatorTimeout Code = "O03"
+	// OperatorMalformed: the input was no call (400, 413 or 431); the caller is no admin client.
+	OperatorMalformed Code = "O04"
+	// OperatorLimit: too many callers at once, and the oldest got 503; callers leave connections open.
+	OperatorLimit Code = "O05"
+)
+
+// Connections of Arrow Flight, and the end of the process.
+const (
+	// FlightClientClosed: a Flight client's connection ended; normal.
+	FlightClientClosed Code = "F01"
+	// FlightBackendClosed: a Flight connection to a backend ended or could not be made; with an error, see that backend.
+	FlightBackendClosed Code = "F03"
+	// Shutdown: the broker is stopping; normal.
+	Shutdown Code = "S01"
 )
--- a/internal/logs/doc.go
+++ b/internal/logs/doc.go
@@ -1,3 +1,5 @@
-// Package logs writes the program's log with zap, one line for each connection that ends among others, and
-// never makes the loop wait for whoever reads it. docs/LOGS.md lists the codes.
+// Package logs writes the broker's log: JSON lines through zap, and for each connection that ends one line with a Code.
+//
+// Logging never makes the event loop wait: lines are queued for a writer thread, and dropped and counted where the
+// queue is full. docs/LOGS.md is the operators' table of codes and lines.
 package logs
--- a/internal/logs/log.go
+++ b/internal/logs/log.go
@@ -2,7 +2,6 @@
 
 import (
 	"os"
-	"time"
 
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
@@ -10,60 +9,53 @@
 	"ternstage/internal/core"
 )
 
-// Log is the program's log.
+// Log is the broker's log. It implements core.Log and may be used from any thread.
 type Log struct {
 	*zap.Logger
 	writer *writer
 }
 
-// New opens the log on a file, usually standard error.
-func New(f *os.File, name string) *Log {
-	w := &writer{lines: make(chan []byte, maxQueuedLines), flushRequests: make(chan chan struct{})}
-	go w.run(f)
-	c := zap.NewProductionEncoderConfig()
-	c.EncodeTime = zapcore.ISO8601TimeEncoder
-	z := zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(c), w, zap.InfoLevel)).With(zap.String("node", name))
-	return &Log{z, w}
+// New returns a log that writes to file, usually standard error, from a goroutine that lives as long as the process.
+// Each line carries the broker's name.
+func New(file *os.File, brokerName string) *Log {
+	writer := newWriter()
+	go writer.run(file)
+	encoding := zap.NewProductionEncoderConfig()
+	encoding.EncodeTime = zapcore.ISO8601TimeEncoder
+	zapCore := zapcore.NewCore(zapcore.NewJSONEncoder(encoding), writer, zap.InfoLevel)
+	return &Log{zap.New(zapCore).With(zap.String("node", brokerName)), writer}
 }
 
-// ConnectionEnded notes that a connection has ended.
+// ConnectionEnded logs the end of a connection. peer is the address of the other side, served the number of requests,
+// parts or calls that were answered on the connection, and err the fault that ended it or nil.
 func (l *Log) ConnectionEnded(code Code, peer string, served int, err error) {
-	f := []zap.Field{zap.String("code", string(code)), zap.String("peer", peer), zap.Int("served", served)}
+	fields := []zap.Field{zap.String("code", string(code)), zap.String("peer", peer), zap.Int("served", served)}
 	if err != nil {
-		f = append(f, zap.Error(err))
+		fields = append(fields, zap.Error(err))
 	}
-	l.Info("connection ended", f...)
+	l.Info("connection ended", fields...)
 }
 
-// Rejected notes that something with a code of its own was refused.
-func (l *Log) Rejected(code Code, what string, err error) {
-	l.Warn(what, zap.String("code", string(code)), zap.Error(err))
+// Rejected logs, as a warning with the given message, that something with a code of its own was rejected.
+func (l *Log) Rejected(code Code, message string, err error) {
+	l.Warn(message, zap.String("code", string(code)), zap.Error(err))
 }
 
-// Dropped is how many lines found no room.
-func (l *Log) Dropped() uint64 { return l.writer.dropped.Load() }
-
-// SchedulerLine implements core.Log.
+// SchedulerLine logs a line of the scheduler. It implements core.Log.
 func (l *Log) SchedulerLine(text string) { l.Info("module", zap.String("text", text)) }
 
-// RequestEnded implements core.Log: what was not served, or reached nobody, is worth a line.
-func (l *Log) RequestEnded(r *core.Request, a core.Answer) {
-	if a.Kind != core.Answered || r.ClientGone() {
-		l.Info("request ended", zap.String("id", r.ID), zap.Stringer("end", a.Kind), zap.Int("class", r.Class),
-			zap.Bool("client_left", r.ClientGone()))
-	}
-}
-
-// Close writes out what is queued, for a short time at most.
-func (l *Log) Close() {
-	done := make(chan struct{})
-	select {
-	case l.writer.flushRequests <- done:
-	case <-time.After(flushTimeout):
+// RequestEnded logs a request that was not answered, or whose client had disconnected; other requests leave no line. It
+// implements core.Log.
+func (l *Log) RequestEnded(request *core.Request, answer core.Answer) {
+	if answer.Kind == core.Answered && !request.ClientGone() {
 		return
 	}
-	select {
-	case <-done:
-	case <-time.After(flushTimeout):
-	}
+	l.Info("request ended", zap.String("id", request.ID), zap.Stringer("end", answer.Kind),
+		zap.Int("class", request.Class), zap.Bool("client_left", request.ClientGone()))
 }
+
+// Dropped returns the number of lines that were dropped since the start because the queue was full.
+func (l *Log) Dropped() uint64 { return l.writer.dropped.Load() }
+
+// Close waits until the queued lines are written, for twice flushTimeout at most. The log stays usable.
+func (l *Log) Close() { l.writer.flush() }
--- a/internal/logs/writer.go
+++ b/internal/logs/writer.go
@@ -1,47 +1,67 @@
 package logs
 
 import (
-	"os"
+	"io"
 	"sync/atomic"
 	"time"
 )
 
 const (
+	// maxQueuedLines bounds the lines that await being written; those beyond it are dropped.
 	maxQueuedLines = 1024
-	flushTimeout   = 200 * time.Millisecond
+	// flushTimeout bounds each of the two waits of a flush: until the writer thread accepts it, and until it is done.
+	flushTimeout = 200 * time.Millisecond
 )
 
-// writer hands lines to a thread of its own. Guards the loop against a reader of the log that stalls: lines
-// beyond the queue are dropped and counted.
+// writer hands lines to a thread of its own. It keeps the event loop from waiting for a reader of the log that stalls.
 type writer struct {
 	lines         chan []byte
-	flushRequests chan chan struct{}
+	flushRequests chan chan struct{} // each is closed once the lines that were queued are written
 	dropped       atomic.Uint64
 }
 
-// Write implements zapcore.WriteSyncer.
-func (w *writer) Write(b []byte) (int, error) {
+func newWriter() *writer {
+	return &writer{lines: make(chan []byte, maxQueuedLines), flushRequests: make(chan chan struct{})}
+}
+
+// Write queues a line or drops it; it never fails and never blocks. It implements zapcore.WriteSyncer.
+func (w *writer) Write(line []byte) (int, error) {
 	select {
-	case w.lines <- append([]byte(nil), b...):
+	case w.lines <- append([]byte(nil), line...): // zap reuses the buffer
 	default:
 		w.dropped.Add(1)
 	}
-	return len(b), nil
+	return len(line), nil
 }
 
-// Sync implements zapcore.WriteSyncer.
+// Sync does nothing: Close flushes. It implements zapcore.WriteSyncer.
 func (w *writer) Sync() error { return nil }
 
-func (w *writer) run(f *os.File) {
+// run writes the queued lines to out, for ever.
+func (w *writer) run(out io.Writer) {
 	for {
 		select {
-		case b := <-w.lines:
-			_, _ = f.Write(b)
+		case line := <-w.lines:
+			_, _ = out.Write(line)
 		case done := <-w.flushRequests:
 			for len(w.lines) > 0 {
-				_, _ = f.Write(<-w.lines)
+				_, _ = out.Write(<-w.lines)
 			}
 			close(done)
 		}
 	}
 }
+
+// flush waits until the queued lines are written, or until out has stalled for flushTimeout.
+func (w *writer) flush() {
+	done := make(chan struct{})
+	select {
+	case w.flushRequests <- done:
+	case <-time.After(flushTimeout):
+		return
+	}
+	select {
+	case <-done:
+	case <-time.After(flushTimeout):
+	}
+}
