--- a/internal/logs/log.go
+++ b/internal/logs/log.go
@@ -23,7 +23,7 @@
 	encoding := zap.NewProductionEncoderConfig()
 	encoding.EncodeTime = zapcore.ISO8601TimeEncoder
 	zapCore := zapcore.NewCore(zapcore.NewJSONEncoder(encoding), writer, zap.InfoLevel)
-	return &Log{zap.New(zapCore).With(zap.String("node", brokerName)), writer}
+	return &Log{zap.New(zapCore).With(zap.String("broker", brokerName)), writer}
 }
 
 // ConnectionEnded logs the end of a connection. peer is the address of the other side, served the number of requests,
@@ -42,7 +42,7 @@
 }
 
 // SchedulerLine logs a line of the scheduler. It implements core.Log.
-func (l *Log) SchedulerLine(text string) { l.Info("module", zap.String("text", text)) }
+func (l *Log) SchedulerLine(text string) { l.Info("scheduler", zap.String("text", text)) }
 
 // RequestEnded logs a request that was not answered, or whose client had disconnected; other requests leave no line. It
 // implements core.Log.
@@ -51,7 +51,7 @@
 		return
 	}
 	l.Info("request ended", zap.String("id", request.ID), zap.Stringer("end", answer.Kind),
-		zap.Int("class", request.Class), zap.Bool("client_left", request.ClientGone()))
+		zap.Int("class", request.Class), zap.Bool("client_gone", request.ClientGone()))
 }
 
 // Dropped returns the number of lines that were dropped since the start because the queue was full.
--- a/test/reload_test.go
+++ b/test/reload_test.go
@@ -47,7 +47,7 @@
 	for _, bad := range []string{"", "{", `{"discovery":"` + second.addr + `"}`} {
 		p.reload([]byte(bad))
 	}
-	p.waitLog(`"reload failed: the old configuration stays","node":"n0","error":"name: missing"`)
+	p.waitLog(`"reload failed: the old configuration stays","broker":"n0","error":"name: missing"`)
 	served("old")
 	require.Empty(t, calls(second))
 
