--- a/internal/logs/codes.go
+++ b/internal/logs/codes.go
@@ -46,7 +46,7 @@
 	BackendUnresponsive Code = "L09"
 	// BackendAddressChanged: the endpoint list names another address; the backend has moved.
 	BackendAddressChanged Code = "L10"
-	// BackendConnectionLimit: idle beyond the limit in force, as backends lately rejected connections; they hold too many.
+	// BackendConnectionLimit: idle beyond the limit in force, as backends lately rejected some; they hold too many.
 	BackendConnectionLimit Code = "L11"
 )
 
@@ -66,7 +66,7 @@
 	DiscoveryAddressChanged Code = "D06"
 	// DiscoveryUnresponsive: calls fail and are repeated, logged once; the cached list ages until discovery responds.
 	DiscoveryUnresponsive Code = "D07"
-	// DiscoveryListRejected: a list was older, or empty in place of one that is not; discovery restarted or lost its state.
+	// DiscoveryListRejected: a list was older, or empty in place of one that is not; discovery lost its state.
 	DiscoveryListRejected Code = "D08"
 )
 
