--- a/internal/logs/log.go
+++ b/internal/logs/log.go
@@ -51,7 +51,7 @@
 		return
 	}
 	l.Info("request ended", zap.String("id", request.ID), zap.Stringer("end", answer.Kind),
-		zap.Int("class", request.Class), zap.Bool("client_gone", request.ClientGone()))
+		zap.Int("class", request.Class), zap.Bool("client_disconnected", request.ClientGone()))
 }
 
 // Dropped returns the number of lines that were dropped since the start because the queue was full.
--- a/internal/logs/log_test.go
+++ b/internal/logs/log_test.go
@@ -60,7 +60,7 @@
 		}
 	})
 	assert.Equal(t, []map[string]any{
-		{"msg": "request ended", "broker": "n0", "id": "q1", "end": core.Rejected.String(), "class": 2.0, "client_gone": false},
-		{"msg": "request ended", "broker": "n0", "id": "q1", "end": core.Failed.String(), "class": 2.0, "client_gone": false},
+		{"msg": "request ended", "broker": "n0", "id": "q1", "end": core.Rejected.String(), "class": 2.0, "client_disconnected": false},
+		{"msg": "request ended", "broker": "n0", "id": "q1", "end": core.Failed.String(), "class": 2.0, "client_disconnected": false},
 	}, lines)
 }
--- a/test/crossings_test.go
+++ b/test/crossings_test.go
@@ -97,7 +97,7 @@
 		}
 		passes(t, p)
 		assert.Equal(t, 1, begun(ns, "bind-1"))
-		p.waitLog(`"id":"bind-1","end":"failed","class":1,"client_gone":true`)
+		p.waitLog(`"id":"bind-1","end":"failed","class":1,"client_disconnected":true`)
 	}
 }
 
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -193,7 +193,7 @@
 		r.p.waitLog(`"code":"C03"`)
 	}
 	close(r.nodes.let)
-	r.p.waitLog(`"id":"bind-left","end":"answered","class":1,"client_gone":true`)
+	r.p.waitLog(`"id":"bind-left","end":"answered","class":1,"client_disconnected":true`)
 }
 
 // twice: a second request of the same id is turned away while the first is out, which is answered.
