--- a/internal/discovery/registry_test.go
+++ b/internal/discovery/registry_test.go
@@ -51,7 +51,7 @@
 	assert.Equal(t, want.Replica, number)
 }
 
-// TestApplyRemoves: a backend that a change removes, or a full list does not name, is not known any more.
+// TestApplyRemoves: a backend that a change removes, or a full list does not name, has no number, address or endpoint.
 func TestApplyRemoves(t *testing.T) {
 	for name, list := range map[string]EndpointList{
 		"removed by a change":      change(42, EndpointRecord{ID: "s-1", Phase: "DELETED"}),
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -72,8 +72,7 @@
 	}
 }
 
-// LoadCached applies the list that the configuration carries. It may be stale, so the scheduler is told that it comes
-// from a cache.
+// LoadCached applies the list that the configuration carries. It may be stale, so it goes to the scheduler as cached.
 func (w *Watcher) LoadCached(list EndpointList) {
 	w.poller.SetCached(list.Revision, len(list.Endpoints))
 	list.Complete = true
--- a/internal/membership/poller.go
+++ b/internal/membership/poller.go
@@ -100,7 +100,7 @@
 	return Next{At: p.callStartedAt + p.retryIntervalMs(), Err: ErrStaleRevision}
 }
 
-// rejectEmpty handles a full list without endpoints. It cannot be told from the list of a service that has only just
+// rejectEmpty handles a full list without endpoints. It looks like the list of a service that has only just
 // started, so the cached list and all drain notifications stay in force.
 func (p *Poller) rejectEmpty(now float64) Next {
 	p.hasRevision = false
