--- /dev/null
+++ b/internal/discovery/connection_test.go
@@ -0,0 +1,73 @@
+package discovery
+
+import (
+	"bufio"
+	"encoding/json"
+	"fmt"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"ternstage/internal/decision/scheduler"
+	"ternstage/internal/lab/loopback"
+	"ternstage/internal/membership"
+)
+
+func TestRequestTarget(t *testing.T) {
+	assert.Equal(t, "/catalog/members", requestTarget(membership.Call{FullList: true, SinceRevision: 41, Wait: 100}))
+	assert.Equal(t, "/catalog/members?index=41&wait=100", requestTarget(membership.Call{SinceRevision: 41, Wait: 100}))
+	assert.Equal(t, "/catalog/members?index=0&wait=62", requestTarget(membership.Call{Wait: 62.4}), "whole ms")
+}
+
+// newRawDiscovery reads one call on each connection, writes the text and closes. It returns its address.
+func newRawDiscovery(t *testing.T, text string) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", loopback.Own())
+	require.NoError(t, err)
+	t.Cleanup(func() { _ = listener.Close() })
+	go func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			if _, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
+				_, _ = conn.Write([]byte(text))
+			}
+			_ = conn.Close()
+		}
+	}()
+	return listener.Addr().String()
+}
+
+// TestEndOfConnection: what the end of a connection means depends on what arrived before it.
+func TestEndOfConnection(t *testing.T) {
+	body, err := json.Marshal(fullList(41, ready("s-1", "10.1.0.18:8080")))
+	require.NoError(t, err)
+	sized := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	untilClose := "HTTP/1.1 200 OK\r\n\r\n" + string(body)
+	for name, c := range map[string]struct {
+		text string
+		want scheduler.UpdateKind
+	}{
+		"no response":                   {"", scheduler.UpdateFailed},
+		"half of a header":              {"HTTP/1.1 2", scheduler.UpdateFailed},
+		"half of a sized response":      {sized[:len(sized)-5], scheduler.UpdateFailed},
+		"half of one without a length":  {untilClose[:len(untilClose)-5], scheduler.UpdateFailed},
+		"a response and half of a next": {sized + "HTTP/1.1 2", scheduler.UpdateFull},
+		"a response without a length":   {untilClose, scheduler.UpdateFull},
+		"a sized response":              {sized, scheduler.UpdateFull},
+		"a header beyond the limit":     {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", maxResponseBytes), scheduler.UpdateFailed},
+	} {
+		t.Run(name, func(t *testing.T) {
+			h := newHarness(t, newRawDiscovery(t, c.text), membership.Options{})
+			h.watcher.Watch()
+			h.runUntil(t, func() bool { return len(h.core.kinds) > 0 })
+			assert.Equal(t, c.want, h.core.kinds[0])
+		})
+	}
+}
