--- a/internal/catalog/answer.go
+++ b/internal/catalog/answer.go
@@ -4,6 +4,7 @@
 	"errors"
 	"fmt"
 	"math"
+	"net/http"
 	"slices"
 
 	"ternstage/internal/httpanswer"
@@ -14,12 +15,10 @@
 // that no request waits for it.
 const maxInlineBytes = 128 << 10
 
-const statusOK = 200 // of HTTP
-
 // handleInput takes the answer off the input, if it is complete. eof says that the catalogue has closed its side.
 func (s *Source) handleInput(eof bool) {
-	status, body, size, last, err := httpanswer.Parse(s.stream.In, s.options.MaxAnswerBytes, eof)
-	if err == nil && size == 0 {
+	response, err := httpanswer.Parse(s.stream.In, s.options.MaxAnswerBytes, eof)
+	if err == nil && !response.Complete() {
 		if len(s.stream.In) >= s.options.MaxAnswerBytes+maxHeaderBytes {
 			s.fail(logs.ShardMapMalformed, fmt.Errorf("answer over %d bytes", s.options.MaxAnswerBytes))
 		}
@@ -28,32 +27,31 @@
 	if err == nil && !s.inFlight {
 		err = errors.New("an answer to no call")
 	}
-	if err == nil && status != statusOK {
-		err = fmt.Errorf("status %d", status)
+	if err == nil && response.Status != http.StatusOK {
+		err = fmt.Errorf("status %d", response.Status)
 	}
 	if err != nil {
 		s.fail(logs.ShardMapMalformed, err)
 		return
 	}
 	s.sequence++
-	if len(body) > maxInlineBytes {
-		go s.parseAndPost(slices.Clone(body), s.sequence)
-		s.finishCall(size, last)
+	if len(response.Body) > maxInlineBytes {
+		go s.parseAndPost(slices.Clone(response.Body), s.sequence)
+		s.finishCall(response)
 		return
 	}
-	update, err := Parse(body)
-	s.finishCall(size, last)
+	update, err := Parse(response.Body)
+	s.finishCall(response)
 	s.deliver(update, err)
 }
 
-// finishCall ends the call whose answer took size bytes of the input. last says that the catalogue will not answer
-// another call on this connection.
-func (s *Source) finishCall(size int, last bool) {
-	s.stream.Consume(size)
+// finishCall ends the call that has been answered, and the connection if no other answer follows on it.
+func (s *Source) finishCall(response httpanswer.Response) {
+	s.stream.Consume(response.Size)
 	s.inFlight = false
 	s.deadlineMs = math.Inf(1)
 	s.answers++
-	if last {
+	if response.Last {
 		s.disconnect(logs.ShardMapClosed, nil)
 	}
 }
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -1,211 +1,140 @@
-// Package loop is the one thread of decisions: an epoll loop that owns every platform socket and timer.
-// Connections are objects with a Ready callback; nothing is started for a single request. Other threads
-// reach the loop by Post alone.
 package loop
 
 import (
 	"errors"
 	"fmt"
-	"math"
 	"sync"
 	"time"
 
 	"golang.org/x/sys/unix"
 )
 
-// ClockStart is the reading, in ms, of the loop's clock at its start. It is a day, so that "0" (long ago) and a
-// start before ours are both told from a recent one.
+// ClockStart is the reading, in ms, of a loop's clock when the loop is made. It is one day: 0 can then stand for "long
+// ago", and times up to a day before the start of the process are positive.
 const ClockStart = 24 * 3600 * 1000.0
 
 const (
-	maxEvents  = 128
-	mostRounds = 16       // batches of events before a decision is made without the rest
-	stale      = 20.0     // ms that a wake-up may be old at its decision: what has come since is read first
-	longest    = 60_000.0 // ms: the longest sleep, a bound on what a clock mistake could cost
+	// eventsPerBatch is the number of events that one epoll_wait returns at most.
+	eventsPerBatch = 128
+	// maxBatches bounds the batches that one gather handles, so that a flood of events cannot defer the round for ever.
+	maxBatches = 16
+	// maxGathers bounds the gathers before a scheduling round, for the same reason.
+	maxGathers = 16
+	// maxRoundAgeMs is how old the loop's time may be when the scheduling round starts. Where handlers took longer, what
+	// has happened meanwhile is gathered first.
+	maxRoundAgeMs = 20.0
 )
 
-// Handler is a connection, a listener or another owner of a descriptor.
-type Handler interface {
-	// Ready tells what epoll said of the descriptor.
-	Ready(events uint32)
-}
-
-// Timer is one long-lived timer of a component. There are a few in all, none for a request.
-type Timer struct {
-	at   float64
-	fire func()
-}
-
-// Set moves the timer to a time of the loop's clock.
-func (t *Timer) Set(at float64) { t.at = at }
-
-// Stop disarms the timer.
-func (t *Timer) Stop() { t.at = math.Inf(1) }
-
-// SetEarlier moves the timer to a time if that is before the present one.
-func (t *Timer) SetEarlier(at float64) { t.at = min(t.at, at) }
-
-// watched is a descriptor that was added.
-type watched struct {
-	Handler
-	nth int32
-}
-
-// Loop is an epoll loop.
+// Loop is an epoll loop. Only Post may be called from other threads.
+//
+// Invariant: onRoundEnd runs once per wake-up, after all events, posted work and due timers that were gathered.
 type Loop struct {
-	epoll, wake int
-	start       time.Time
-	now         float64
-	handlers    map[int32]watched
-	added       int32 // descriptors so far: tells the events of one from those of the next of its number
-	timers      []*Timer
-	turn        func()
-	stopped     bool
-
-	mu     sync.Mutex
+	epollFD       int
+	startedAt     time.Time
+	now           float64
+	registrations map[int32]registration // by descriptor
+	lastSerial    int32
+	timers        []*Timer
+	onRoundEnd    func()
+	stopped       bool
+
+	wakeup wakeup
+	mu     sync.Mutex // guards posted
 	posted []func()
 }
 
-// New makes a loop. turn runs once at the end of each wake-up, after all its events.
+// New returns a loop without timers and with no registration but its own.
 func New() (*Loop, error) {
-	ep, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
+	epollFD, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
 		return nil, fmt.Errorf("epoll: %w", err)
 	}
-	wake, err := unix.Eventfd(0, unix.EFD_CLOEXEC|unix.EFD_NONBLOCK)
+	posts, err := newWakeup()
 	if err != nil {
-		return nil, fmt.Errorf("eventfd: %w", err)
+		return nil, err
 	}
-	l := &Loop{epoll: ep, wake: wake, start: time.Now(), now: ClockStart, handlers: map[int32]watched{}}
-	if err := l.Add(wake, unix.EPOLLIN, l); err != nil {
+	l := &Loop{
+		epollFD:       epollFD,
+		startedAt:     time.Now(),
+		now:           ClockStart,
+		registrations: map[int32]registration{},
+		wakeup:        posts,
+	}
+	if err := l.Add(posts.fd, unix.EPOLLIN, posts); err != nil {
 		return nil, err
 	}
 	return l, nil
 }
 
-// Ready empties the eventfd; the posted work itself is run by Run.
-func (l *Loop) Ready(uint32) {
-	var b [8]byte
-	_, _ = unix.Read(l.wake, b[:])
-}
-
-// Now is the monotonic clock in ms as of this wake-up.
+// Now returns the monotonic time, in ms, at which the events that are being handled were gathered.
 func (l *Loop) Now() float64 { return l.now }
 
-// ReadClock reads the monotonic clock in ms.
-func (l *Loop) ReadClock() float64 { return ClockStart + float64(time.Since(l.start))/1e6 }
+// ReadClock returns the present monotonic time in ms.
+func (l *Loop) ReadClock() float64 { return ClockStart + float64(time.Since(l.startedAt))/1e6 }
 
-// Add registers a descriptor.
-func (l *Loop) Add(fd int, events uint32, h Handler) error {
-	l.added++
-	e := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: l.added}
-	if err := unix.EpollCtl(l.epoll, unix.EPOLL_CTL_ADD, fd, &e); err != nil {
-		return fmt.Errorf("epoll add: %w", err)
-	}
-	l.handlers[int32(fd)] = watched{h, l.added}
-	return nil
-}
+// OnRoundEnd sets the function that runs at the end of each wake-up; by default none does.
+func (l *Loop) OnRoundEnd(runRound func()) { l.onRoundEnd = runRound }
 
-// SetEvents changes what a descriptor is watched for.
-func (l *Loop) SetEvents(fd int, events uint32) {
-	e := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: l.handlers[int32(fd)].nth}
-	_ = unix.EpollCtl(l.epoll, unix.EPOLL_CTL_MOD, fd, &e)
-}
-
-// Close forgets a descriptor and closes it.
-func (l *Loop) Close(fd int) {
-	delete(l.handlers, int32(fd))
-	_ = unix.Close(fd)
-}
-
-// NewTimer makes a disarmed timer.
-func (l *Loop) NewTimer(fire func()) *Timer {
-	t := &Timer{at: math.Inf(1), fire: fire}
-	l.timers = append(l.timers, t)
-	return t
-}
-
-// Post hands work to the loop from any thread.
-func (l *Loop) Post(work func()) {
-	l.mu.Lock()
-	l.posted = append(l.posted, work)
-	first := len(l.posted) == 1
-	l.mu.Unlock()
-	if first {
-		_, _ = unix.Write(l.wake, []byte{1, 0, 0, 0, 0, 0, 0, 0})
-	}
-}
-
-// OnRoundEnd sets what runs once at the end of each wake-up.
-func (l *Loop) OnRoundEnd(turn func()) { l.turn = turn }
-
-// Stop makes Run return after this wake-up.
+// Stop makes Run return at the end of the present wake-up.
 func (l *Loop) Stop() { l.stopped = true }
 
-// Run serves until Stop.
+// Run handles events until Stop. It returns an error only if epoll fails.
 func (l *Loop) Run() error {
 	for !l.stopped {
-		sleep := l.sleep()
-		for range mostRounds {
-			if err := l.gather(sleep); err != nil {
-				return err
-			}
-			if sleep = 0; l.ReadClock()-l.now < stale {
-				break
-			}
+		if err := l.gatherUntilFresh(); err != nil {
+			return err
 		}
-		if l.turn != nil {
-			l.turn()
+		if l.onRoundEnd != nil {
+			l.onRoundEnd()
 		}
 	}
 	return nil
 }
 
-// gather waits for events, and hands in all that has happened: every event that the kernel holds, what other
-// threads have posted, and the timers that are due.
-func (l *Loop) gather(sleep int) error {
-	var events [maxEvents]unix.EpollEvent
-	for range mostRounds {
-		n, err := unix.EpollWait(l.epoll, events[:], sleep)
-		if err != nil && !errors.Is(err, unix.EINTR) {
-			return fmt.Errorf("epoll wait: %w", err)
-		}
-		l.now = l.ReadClock()
-		for i := range max(n, 0) {
-			// One closed earlier in this batch is gone from the map, or its number is another's by now: guards
-			// new connections against the events of old ones.
-			if w := l.handlers[events[i].Fd]; w.Handler != nil && w.nth == events[i].Pad {
-				w.Ready(events[i].Events)
-			}
+// gatherUntilFresh waits for something to happen and gathers until the loop's time is recent enough for a round.
+func (l *Loop) gatherUntilFresh() error {
+	sleepMs := l.sleepMs()
+	for range maxGathers {
+		if err := l.gather(sleepMs); err != nil {
+			return err
 		}
-		// A signal, also the one that lets a stopped process go on, ends the wait with nothing read, and a full
-		// batch leaves the rest behind.
-		if err == nil && n < maxEvents {
-			break
+		if l.ReadClock()-l.now < maxRoundAgeMs {
+			return nil
 		}
-		sleep = 0
+		sleepMs = 0
 	}
-	l.mu.Lock()
-	work := l.posted
-	l.posted = nil
-	l.mu.Unlock()
-	for _, f := range work {
-		f()
-	}
-	for _, t := range l.timers {
-		if l.now >= t.at {
-			t.Stop()
-			t.fire()
-		}
+	return nil
+}
+
+// gather waits up to sleepMs for events and handles all that has happened: every event that the kernel holds, then the
+// posted work, then the timers that are due.
+func (l *Loop) gather(sleepMs int) error {
+	if err := l.handleEvents(sleepMs); err != nil {
+		return err
 	}
+	l.runPosted()
+	l.fireTimers()
 	return nil
 }
 
-// sleep is how long epoll may wait, in whole ms: rounded up, so that a timer is due when it wakes.
-func (l *Loop) sleep() int {
-	next, now := math.Inf(1), l.ReadClock()
-	for _, t := range l.timers {
-		next = min(next, t.at)
+// handleEvents waits up to sleepMs and calls the handlers of all ready descriptors.
+func (l *Loop) handleEvents(sleepMs int) error {
+	var events [eventsPerBatch]unix.EpollEvent
+	for range maxBatches {
+		count, err := unix.EpollWait(l.epollFD, events[:], sleepMs)
+		if err != nil && !errors.Is(err, unix.EINTR) {
+			return fmt.Errorf("epoll wait: %w", err)
+		}
+		l.now = l.ReadClock()
+		for _, event := range events[:max(count, 0)] {
+			l.dispatch(event)
+		}
+		// A signal, also the one that resumes a stopped process, ends the wait without events, and a full batch leaves
+		// events behind.
+		if err == nil && count < eventsPerBatch {
+			return nil
+		}
+		sleepMs = 0
 	}
-	return int(math.Ceil(min(max(next-now, 0), longest)))
+	return nil
 }
