--- a/internal/discovery/registry.go
+++ b/internal/discovery/registry.go
@@ -8,8 +8,8 @@
 
 // Suspender knows which backends an operator keeps out of service.
 type Suspender interface {
-	// MemberListed is called for each backend of each list that is applied, unless the list removes it.
-	MemberListed(id string)
+	// EndpointListed is called for each backend of each list that is applied, unless the list removes it.
+	EndpointListed(id string)
 	// Suspended reports whether the backend is kept out of service.
 	Suspended(id string) bool
 }
@@ -100,7 +100,7 @@
 	r.addresses[endpoint.Replica] = record.Address
 	r.endpoints[record.ID] = endpoint
 	if r.suspender != nil {
-		r.suspender.MemberListed(record.ID)
+		r.suspender.EndpointListed(record.ID)
 	}
 }
 
--- a/internal/ops/control/suspensions_test.go
+++ b/internal/ops/control/suspensions_test.go
@@ -20,7 +20,7 @@
 func TestSuspensionsAreShared(t *testing.T) {
 	path := statePath(t)
 	first, second := start(t, path), start(t, path)
-	first.Suspensions().MemberListed("s-1")
+	first.Suspensions().EndpointListed("s-1")
 	require.Equal(t, 200, first.Suspend("s-1").Status)
 	require.Equal(t, []scheduler.Endpoint{{Replica: '1', State: scheduler.Draining}}, first.endpoints,
 		"the scheduler is notified at once")
@@ -44,7 +44,7 @@
 func TestTornSuspensionFile(t *testing.T) {
 	path := statePath(t)
 	p := start(t, path)
-	p.Suspensions().MemberListed("s-1")
+	p.Suspensions().EndpointListed("s-1")
 	require.True(t, p.Suspend("s-1").OK())
 	require.NoError(t, os.WriteFile(path, []byte(`{"form":"ternstage held leafs","vers`), 0o600))
 	p.suspensions.refresh()
@@ -61,7 +61,7 @@
 // here.
 func TestSuspensionNotStored(t *testing.T) {
 	p := start(t, missingDirectory(t))
-	p.Suspensions().MemberListed("s-2")
+	p.Suspensions().EndpointListed("s-2")
 	result := p.Suspend("s-2")
 	assert.Equal(t, 500, result.Status, "not stored for the next process")
 	assert.Contains(t, result.Reason, "so here, but not kept for the next process: write ")
@@ -78,7 +78,7 @@
 	for w, suspended := range answered {
 		p := start(t, path)
 		for i := range callsPerProcess {
-			p.Suspensions().MemberListed(fmt.Sprintf("s-%d-%d", w, i))
+			p.Suspensions().EndpointListed(fmt.Sprintf("s-%d-%d", w, i))
 		}
 		writers.Go(func() {
 			for i := range callsPerProcess {
@@ -113,7 +113,7 @@
 func TestLockedByStoppedProcess(t *testing.T) {
 	path := statePath(t)
 	p := start(t, path)
-	p.Suspensions().MemberListed("s-1")
+	p.Suspensions().EndpointListed("s-1")
 	lock, err := statefile.Lock(path)
 	require.NoError(t, err)
 	began := time.Now()
--- a/internal/ops/maintenance/suspensions.go
+++ b/internal/ops/maintenance/suspensions.go
@@ -28,8 +28,8 @@
 	return &Suspensions{suspended: map[string]struct{}{}, known: map[string]struct{}{}}
 }
 
-// MemberListed notes that the endpoint list names the backend id. An invalid id is ignored.
-func (s *Suspensions) MemberListed(id string) {
+// EndpointListed notes that the endpoint list names the backend id. An invalid id is ignored.
+func (s *Suspensions) EndpointListed(id string) {
 	if s.isKnown(id) || !ValidID(id) {
 		return
 	}
@@ -121,7 +121,7 @@
 	slices.Sort(resumed)
 	for _, id := range added {
 		s.suspended[id] = struct{}{}
-		s.MemberListed(id)
+		s.EndpointListed(id)
 	}
 	return added, resumed
 }
--- a/internal/ops/maintenance/suspensions_test.go
+++ b/internal/ops/maintenance/suspensions_test.go
@@ -12,7 +12,7 @@
 func listed(ids ...string) *Suspensions {
 	s := NewSuspensions()
 	for _, id := range ids {
-		s.MemberListed(id)
+		s.EndpointListed(id)
 	}
 	return s
 }
@@ -48,7 +48,7 @@
 func TestSuspensionBounds(t *testing.T) {
 	s := NewSuspensions()
 	for i := range MaxSuspended + 1 {
-		s.MemberListed(fmt.Sprint("s-", i))
+		s.EndpointListed(fmt.Sprint("s-", i))
 	}
 	for i := range MaxSuspended {
 		require.True(t, s.Suspend(fmt.Sprint("s-", i)).OK())
@@ -58,7 +58,7 @@
 	assert.True(t, s.Suspend("s-0").OK(), "a suspended backend is still answered yes")
 
 	for i := range MaxKnownIDs + 10 {
-		s.MemberListed(fmt.Sprint("t-", i))
+		s.EndpointListed(fmt.Sprint("t-", i))
 	}
 	assert.Equal(t, uint64(MaxSuspended+1+10), s.ForgottenIDs, "the oldest ids are forgotten, and counted")
 	assert.Len(t, s.known, MaxKnownIDs)
