--- a/internal/ops/maintenance/doc.go
+++ b/internal/ops/maintenance/doc.go
@@ -8,7 +8,7 @@
 // says, until it is resumed:
 //
 //	suspensions := maintenance.NewSuspensions()
-//	suspensions.MemberListed("s-1") // for each backend that the endpoint list names
+//	suspensions.EndpointListed("s-1") // for each backend that the endpoint list names
 //	result := suspensions.Suspend("s-1")
 //	if result.Changed {
 //		save(maintenance.EncodeSuspensions(suspensions.IDs()))
