--- a/internal/decision/scheduler/fleet_test.go
+++ b/internal/decision/scheduler/fleet_model_test.go
@@ -2,10 +2,8 @@
 
 import (
 	"cmp"
-	"fmt"
 	"math/rand"
 	"slices"
-	"strings"
 	"testing"
 
 	"ternstage/internal/slicemap"
@@ -100,26 +98,6 @@
 	return counts
 }
 
-// TestCrowdGetsItsListFromANarrowService: all of a large fleet start at once before a list service that can
-// take 10 calls a second. Calls that wait until they fail use it up all the same, so what each may do alone
-// starves all of them.
-func TestCrowdGetsItsListFromANarrowService(t *testing.T) {
-	for _, peers := range []int{3, 20, 80, 200} {
-		t.Run(fmt.Sprint(peers), func(t *testing.T) {
-			within := 3 + peers*int(2*listServes)/1000 + 12 // 2 x in turn, and a delay
-			counts := subscribe(t, peers, peers, within)
-			if last := counts[len(counts)-1]; last < peers*9/10 {
-				t.Fatalf("%d of %d watch after %d s: %v", last, peers, within, counts)
-			}
-			t.Log(counts)
-		})
-	}
-	// The check is seen to fail: 80 that pace themselves as if they were few never get through.
-	if counts := subscribe(t, 80, 3, 25); counts[len(counts)-1] > 60 {
-		t.Fatalf("80 unpaced co-ordinators got through: %v", counts)
-	}
-}
-
 // fleet is a ring of replicas that serve parts one behind the other, and the co-ordinators before them, all on
 // one clock. Work of a part is 18 ms, a warm replica does 2 ms of work in a ms.
 type fleet struct {
@@ -278,153 +256,3 @@
 	}
 	return most
 }
-
-// TestFleetFeedsAColdReplicaWithinTheRule: 80 co-ordinators hear at one moment that a replica has started, as
-// cold and as slow to warm as the rules let it be. Summed over all of them it stays within the rule in every
-// window, also where a second holder is gone, and it is used for what it can do.
-func TestFleetFeedsAColdReplicaWithinTheRule(t *testing.T) {
-	for _, c := range []struct {
-		name  string
-		rate  float64 // queries a second of six parts: 100 replica parts a second are what a warm one can do
-		least float64 // share of what it can do that it is given in its first 6 s
-		cold  []int
-	}{{"alone", 60, 0.35, []int{0}}, {"all holders of a shard", 60, 0.35, []int{0, 1, 2}}, {"busy", 80, 0.4, []int{0}},
-		{"jammed", 105, 0.4, []int{0}}} {
-		t.Run(c.name, func(t *testing.T) {
-			f := newFleet(t, 80)
-			f.run(6000, c.rate, 6)
-			for _, i := range c.cold {
-				f.replicas[i].ready, f.replicas[i].sent = f.now-500, 0
-				f.replicas[i].work = nil
-			}
-			f.list()
-			at := f.now
-			f.run(6000, c.rate, 6)
-			for _, i := range c.cold {
-				r := f.replicas[i]
-				could := 0.0
-				for x := at; x < f.now; x++ {
-					could += f.able(r, x)
-				}
-				used, most := float64(r.sent)*fleetWork/could, f.pressure(r, at)
-				t.Logf("replica %d: %.2f of what it could do, %.2f of the rule at most", i, used, most)
-				if most > 0.9 || used < c.least {
-					t.Errorf("replica %d: %.2f of what the rule allows, %.2f of what it could do", i, most, used)
-				}
-			}
-		})
-	}
-}
-
-// TestWaitingIsNoWork: a jam makes usual latencies several times as long, and the parts no dearer: the allowance of
-// a replica that starts meanwhile is counted in what they took before.
-func TestWaitingIsNoWork(t *testing.T) {
-	g := newRig(t, settings())
-	g.fleet(UpdateFull)
-	for range 60 {
-		g.hinted(0, 20, 0, 2, 4)
-		g.turn()
-		g.pass(40, g.after(30))
-	}
-	calm := g.b.warmupWorkMs(1)
-	for range 200 {
-		g.hinted(0, 20, 0, 2, 4)
-		g.turn()
-		g.pass(120, g.after(100))
-	}
-	if g.b.latency.baseline < 2*calm || g.b.warmupWorkMs(1) > 1.5*calm {
-		t.Fatalf("usual %v ms in a jam, parts are taken for %v and then %v ms", g.b.latency.baseline, calm, g.b.warmupWorkMs(1))
-	}
-}
-
-// TestColdSharesGoWithWhatIsServed: 80 co-ordinators share the allowance of a replica that starts by what each gets
-// served. The busier has the larger share, and even if all used all of it in one window, that is within the rule.
-func TestColdSharesGoWithWhatIsServed(t *testing.T) {
-	f := newFleet(t, 80)
-	f.run(4000, 80, 6)
-	f.replicas[0].ready = f.now
-	f.list()
-	f.run(2000, 80, 6)
-	one := f.s.SlowStart.WorkMultiple * f.s.SlowStart.Window * (f.s.SlowStart.InitialCapacity + (1-f.s.SlowStart.InitialCapacity)*(2000-f.s.SlowStart.Window/2)/f.s.SlowStart.Duration)
-	sum, least, most := 0.0, 1e9, 0.0
-	for _, m := range f.all {
-		x := m.b.slowStart.quota.QuotaMs(allowanceMargin*one/80, one)
-		sum, least, most = sum+x, min(least, x), max(most, x)
-	}
-	rule := f.able(f.replicas[0], f.now-f.s.SlowStart.Window/2) * f.s.SlowStart.WorkMultiple * f.s.SlowStart.Window
-	t.Logf("%.2f of the rule in all, shares from %.1f to %.1f ms", sum/rule, least, most)
-	if sum > rule || sum < 0.4*rule || most < 2*least {
-		t.Fatalf("shares of %v ms of work in all, from %v to %v, the rule allows %v", sum, least, most, rule)
-	}
-}
-
-// TestHungReplicasOfManyAreNoIdleDrops: a co-ordinator that meets each of 60 replicas every other second does so on
-// connections that have been idle. Nine that hang are no sign that these are dropped; all that hang are.
-func TestHungReplicasOfManyAreNoIdleDrops(t *testing.T) {
-	for _, c := range []struct {
-		hung  uint32
-		drops bool
-	}{{9, false}, {60, true}} {
-		s := settings()
-		s.BrokerCount, s.Cells, s.Shards, s.AllowHedging = 80, 60, 60, false
-		g := newRig(t, s)
-		g.fleet(UpdateFull)
-		for i := range 30 {
-			var shards []int
-			for j := range 24 {
-				shards = append(shards, (i*13+j)%60)
-			}
-			g.query(0, shards...)
-			g.turn()
-			bad := func(a *rigSend) bool { return i >= 10 && a.replica <= c.hung }
-			g.pass(600, func(a *rigSend) {
-				if g.now >= a.at+20 && !bad(a) {
-					g.end(a, Succeeded)
-				}
-			})
-		}
-		dropped := 0
-		for _, l := range g.log {
-			if strings.Contains(l, " drop ") {
-				dropped++
-			}
-		}
-		if (dropped > 0) != c.drops {
-			t.Errorf("%d of 60 hang: %d times closed", c.hung, dropped)
-		}
-	}
-}
-
-// TestDearPartsAndFirstSamplesDoNotWidenAColdAllowance: few peers share by work, so a part of ten mean parts is
-// counted whole; and one quick sample is not what parts take from then on.
-func TestDearPartsAndFirstSamplesDoNotWidenAColdAllowance(t *testing.T) {
-	g := newRig(t, settings())
-	g.fleet(UpdateFull)
-	g.warm()
-	r := g.b.replicas.byID[1]
-	r.warmup.startedAt = g.now
-	g.b.settings.SlowStart.InitialCapacity = 0.5
-	if left, need := g.b.warmupQuotaMs(g.now, r, 10); need != g.b.warmupWorkMs(10) || left <= 0 {
-		t.Fatalf("a dear part needs %v of %v", need, left)
-	}
-	h := newRig(t, settings())
-	h.fleet(UpdateFull)
-	h.query(0, 0)
-	h.turn()
-	h.pass(10, h.after(1))
-	for range 60 {
-		h.hinted(0, 1, 0, 2, 4)
-		h.turn()
-		h.pass(120, h.after(100))
-	}
-	if w := h.b.warmupWorkMs(1); w < 50 {
-		t.Fatalf("a part of 100 ms is taken for %v ms", w)
-	}
-}
-
-// TestFirstCallIsWithinTheRule: however many peers there are, a start asks before silence counts as being told.
-func TestFirstCallIsWithinTheRule(t *testing.T) {
-	if counts := subscribe(t, 1, 2000, 9); counts[len(counts)-1] != 1 {
-		t.Fatalf("not asked within 9 s: %v", counts)
-	}
-}
