--- a/internal/decision/scheduler/dispatch_test.go
+++ b/internal/decision/scheduler/dispatch_test.go
@@ -2,17 +2,17 @@
 
 import "testing"
 
-func TestSharedCallCountsOnceAndGoesTogether(t *testing.T) {
-	s := settings()
-	s.MaxPartsPerCall, s.Shards = 16, 18
-	g := newRig(t, s)
-	g.fleet(UpdateFull)
-	g.query(0, 0, 6, 12)
-	g.turn()
-	if len(g.sends) != 3 || g.sends[0].replica != g.sends[1].replica || g.sends[1].replica != g.sends[2].replica {
-		t.Fatalf("parts with the same holders went apart: %v", g.log)
+func TestPartsWithSameReplicasShareOneCall(t *testing.T) {
+	settings := testSettings()
+	settings.MaxPartsPerCall, settings.Shards = 16, 18
+	h := newHarness(t, settings)
+	h.listFleet(UpdateFull)
+	h.submit(0, 0, 6, 12)
+	h.runRound()
+	if len(h.sent) != 3 || h.sent[0].replica != h.sent[1].replica || h.sent[1].replica != h.sent[2].replica {
+		t.Fatalf("parts with the same holders went apart: %v", h.log)
 	}
-	if r := g.b.replicas.byID[g.sends[0].replica]; r.callsInFlight != 1 {
+	if r := h.scheduler.replicas.byID[h.sent[0].replica]; r.callsInFlight != 1 {
 		t.Fatalf("%d calls counted", r.callsInFlight)
 	}
 }
--- a/internal/decision/scheduler/fleet_model_test.go
+++ b/internal/decision/scheduler/fleet_model_test.go
@@ -11,85 +11,85 @@
 
 // Many co-ordinators stepped together on virtual time: what is harmless in one and harmful when all do it.
 
-// quiet takes actions and notes that the list was asked for.
-type quiet struct{ asked bool }
+// discardActions takes actions and notes that the list was asked for.
+type discardActions struct{ polled bool }
 
-func (q *quiet) Send(uint64, uint32, float64) {}
-func (q *quiet) Cancel(uint64, int)           {}
-func (q *quiet) CloseIdleConnections(uint32)  {}
-func (q *quiet) Answer(uint64, bool)          {}
-func (q *quiet) Reject(uint64, float64)       {}
-func (q *quiet) Fail(uint64)                  {}
-func (q *quiet) SetTimer(float64)             {}
-func (q *quiet) WatchEndpoints()              { q.asked = true }
-func (q *quiet) Log(string)                   {}
+func (q *discardActions) Send(uint64, uint32, float64) {}
+func (q *discardActions) Cancel(uint64, int)           {}
+func (q *discardActions) CloseIdleConnections(uint32)  {}
+func (q *discardActions) Answer(uint64, bool)          {}
+func (q *discardActions) Reject(uint64, float64)       {}
+func (q *discardActions) Fail(uint64)                  {}
+func (q *discardActions) SetTimer(float64)             {}
+func (q *discardActions) WatchEndpoints()              { q.polled = true }
+func (q *discardActions) Log(string)                   {}
 
-// listService serves calls in turn, each for 100 ms; a call that has waited for 2 s fails, and its turn comes
+// discoveryService serves calls in turn, each for 100 ms; a call that has waited for 2 s fails, and its turn comes
 // all the same; so does one at once that finds 40 others waiting.
-type listService struct {
-	line  []listCall
-	until float64 // when it has served the first of the line
+type discoveryService struct {
+	queue    []pollCall
+	servedAt float64 // when it has served the first of the line
 }
 
-type listCall struct {
-	who int
-	at  float64
+type pollCall struct {
+	broker    int
+	arrivedAt float64
 }
 
 const (
-	listServes = 100.0
-	listWaits  = 2000.0
-	listLine   = 40
+	discoveryServiceMs   = 100.0
+	discoveryTimeoutMs   = 2000.0
+	discoveryQueueLength = 40
 )
 
-// subscribe counts who of so many co-ordinators has a watch after each second, all started at one moment.
+// countWatchingBrokers counts who of so many co-ordinators has a watch after each second, all started at one moment.
 // Each takes itself for one of told.
-func subscribe(t *testing.T, peers, told, seconds int) []int {
+func countWatchingBrokers(t *testing.T, peers, told, seconds int) []int {
 	t.Helper()
-	var acts []*quiet
+	var acts []*discardActions
 	var all []*Scheduler
 	for i := range peers {
-		s := settings()
-		s.BrokerCount, s.BrokerIndex, s.PollEndpoints, s.MaxStaleness = told, i%told, true, 10000
-		s.Placement = slicemap.NewRingPlacement(s.Shards, s.Cells, s.CellsPerShard)
-		a := &quiet{}
-		b, err := New(s, uint64(i)*7919+11, a)
+		settings := testSettings()
+		settings.BrokerCount, settings.BrokerIndex, settings.PollEndpoints, settings.MaxStaleness = told, i%told, true, 10000
+		settings.Placement = slicemap.NewRingPlacement(settings.Shards, settings.Cells, settings.CellsPerShard)
+		a := &discardActions{}
+		b, err := New(settings, uint64(i)*7919+11, a)
 		if err != nil {
 			t.Fatal(err)
 		}
 		b.EndpointsChanged(1000, UpdateCached, []Endpoint{{Replica: 1, State: Ready}})
 		acts, all = append(acts, a), append(all, b)
 	}
-	var l listService
+	var l discoveryService
 	failed, watching, counts := make([]bool, peers), map[int]bool{}, []int{}
 	for now := 1000.0; now < 1000+1000*float64(seconds); now += 5 {
-		for len(l.line) > 0 && now >= l.until {
-			if c := l.line[0]; now-c.at <= listWaits {
-				all[c.who].EndpointsChanged(now, UpdateDelta, nil)
-				watching[c.who] = true
+		for len(l.queue) > 0 && now >= l.servedAt {
+			if c := l.queue[0]; now-c.arrivedAt <= discoveryTimeoutMs {
+				all[c.broker].EndpointsChanged(now, UpdateDelta, nil)
+				watching[c.broker] = true
 			}
-			l.line, l.until = l.line[1:], l.until+listServes
+			l.queue, l.servedAt = l.queue[1:], l.servedAt+discoveryServiceMs
 		}
-		for _, c := range l.line {
-			if now-c.at > listWaits && !failed[c.who] {
-				failed[c.who] = true
-				all[c.who].EndpointsChanged(now, UpdateFailed, nil)
+		for _, c := range l.queue {
+			if now-c.arrivedAt > discoveryTimeoutMs && !failed[c.broker] {
+				failed[c.broker] = true
+				all[c.broker].EndpointsChanged(now, UpdateFailed, nil)
 			}
 		}
 		for i, b := range all {
 			b.TimerFired(now)
-			if b.RunRound(now); !acts[i].asked {
+			if b.RunRound(now); !acts[i].polled {
 				continue
 			}
-			if acts[i].asked = false; len(l.line) >= listLine {
+			if acts[i].polled = false; len(l.queue) >= discoveryQueueLength {
 				b.EndpointsChanged(now, UpdateFailed, nil)
 				continue
 			}
-			if len(l.line) == 0 {
-				l.until = now + listServes
+			if len(l.queue) == 0 {
+				l.servedAt = now + discoveryServiceMs
 			}
 			failed[i] = false
-			l.line = append(l.line, listCall{i, now})
+			l.queue = append(l.queue, pollCall{i, now})
 		}
 		if int(now)%1000 == 0 {
 			counts = append(counts, len(watching))
@@ -98,160 +98,160 @@
 	return counts
 }
 
-// fleet is a ring of replicas that serve parts one behind the other, and the co-ordinators before them, all on
+// fleetModel is a ring of replicas that serve parts one behind the other, and the co-ordinators before them, all on
 // one clock. Work of a part is 18 ms, a warm replica does 2 ms of work in a ms.
-type fleet struct {
+type fleetModel struct {
 	t        *testing.T
-	s        Settings
+	settings Settings
 	now      float64
-	all      []*member
-	replicas []*server
-	due      []*fleetTry // in order of their ends
-	rnd      *rand.Rand
-	next     uint64
+	brokers  []*modelBroker
+	replicas []*modelReplica
+	endings  []*modelAttempt // in order of their ends
+	random   *rand.Rand
+	nextID   uint64
 }
 
-type server struct {
-	ready float64 // 0 for long ago
-	busy  float64
-	work  []workSample // received
-	sent  int
+type modelReplica struct {
+	startedAt float64 // 0 for long ago
+	busyUntil float64
+	received  []workSample // received
+	attempts  int
 }
 
-type fleetTry struct {
-	m       *member
+type modelAttempt struct {
+	broker  *modelBroker
 	part    uint64
-	no      int
+	number  int
 	replica uint32
-	sent    float64
-	end     float64
+	sentAt  float64
+	endsAt  float64
 	outcome Outcome
-	over    bool
+	ended   bool
 }
 
-type member struct {
-	quiet
-	f     *fleet
-	b     *Scheduler
-	tries map[uint64][]*fleetTry
+type modelBroker struct {
+	discardActions
+	fleet     *fleetModel
+	scheduler *Scheduler
+	attempts  map[uint64][]*modelAttempt
 }
 
 const (
-	fleetWork  = 18.0 // ms of a part
-	fleetCores = 2.0
+	modelPartWorkMs   = 18.0 // ms of a part
+	modelReplicaSpeed = 2.0
 )
 
-func newFleet(t *testing.T, peers int) *fleet {
+func newFleetModel(t *testing.T, peers int) *fleetModel {
 	t.Helper()
-	f := &fleet{t: t, now: 1e6, rnd: rand.New(rand.NewSource(5)), s: Settings{
+	f := &fleetModel{t: t, now: 1e6, random: rand.New(rand.NewSource(5)), settings: Settings{
 		Classes:     []Class{{LatencyObjective: 400, Deadline: 1000, PriorityWeight: 1, LateFactor: 0.3, Idempotency: Idempotent, MinCompleteness: 1, CompletenessTarget: 1}},
 		BrokerCount: peers, TimerResolution: 1, Shards: 12, Cells: 6, CellsPerShard: 3, MaxPartsPerCall: 1, CanCancel: true, MaxAttempts: 4,
 		MaxRetryAfter: 1000, DrainGrace: 1000, SlowStart: SlowStartSettings{InitialCapacity: 0.21, Duration: 18000, WorkMultiple: 2.5, Window: 1500}}}
-	f.s.Placement = slicemap.NewRingPlacement(f.s.Shards, f.s.Cells, f.s.CellsPerShard)
-	for range f.s.Cells {
-		f.replicas = append(f.replicas, &server{})
+	f.settings.Placement = slicemap.NewRingPlacement(f.settings.Shards, f.settings.Cells, f.settings.CellsPerShard)
+	for range f.settings.Cells {
+		f.replicas = append(f.replicas, &modelReplica{})
 	}
 	for i := range peers {
-		m := &member{f: f, tries: map[uint64][]*fleetTry{}}
-		s := f.s
+		m := &modelBroker{fleet: f, attempts: map[uint64][]*modelAttempt{}}
+		s := f.settings
 		s.BrokerIndex = i
 		var err error
-		if m.b, err = New(s, uint64(i)*7919+3, m); err != nil {
+		if m.scheduler, err = New(s, uint64(i)*7919+3, m); err != nil {
 			t.Fatal(err)
 		}
-		f.all = append(f.all, m)
+		f.brokers = append(f.brokers, m)
 	}
-	f.list()
+	f.updateEndpoints()
 	return f
 }
 
-// list tells everybody of all replicas.
-func (f *fleet) list() {
-	var es []Endpoint
+// updateEndpoints tells everybody of all replicas.
+func (f *fleetModel) updateEndpoints() {
+	var endpoints []Endpoint
 	for i, r := range f.replicas {
-		es = append(es, Endpoint{Replica: uint32(i), Cell: i, State: Ready, StartedAt: r.ready})
+		endpoints = append(endpoints, Endpoint{Replica: uint32(i), Cell: i, State: Ready, StartedAt: r.startedAt})
 	}
-	for _, m := range f.all {
-		m.b.EndpointsChanged(f.now, UpdateFull, es)
+	for _, m := range f.brokers {
+		m.scheduler.EndpointsChanged(f.now, UpdateFull, endpoints)
 	}
 }
 
-// able is how much work a replica does in a ms.
-func (f *fleet) able(r *server, at float64) float64 {
-	if r.ready == 0 {
-		return fleetCores
+// capacityAt is how much work a replica does in a ms.
+func (f *fleetModel) capacityAt(r *modelReplica, at float64) float64 {
+	if r.startedAt == 0 {
+		return modelReplicaSpeed
 	}
-	ramp := min(1, (at-r.ready)/f.s.SlowStart.Duration)
-	return fleetCores * (f.s.SlowStart.InitialCapacity + (1-f.s.SlowStart.InitialCapacity)*ramp)
+	ramp := min(1, (at-r.startedAt)/f.settings.SlowStart.Duration)
+	return modelReplicaSpeed * (f.settings.SlowStart.InitialCapacity + (1-f.settings.SlowStart.InitialCapacity)*ramp)
 }
 
-func (m *member) Send(part uint64, replica uint32, timeout float64) {
-	f := m.f
+func (m *modelBroker) Send(part uint64, replica uint32, timeout float64) {
+	f := m.fleet
 	r := f.replicas[replica]
-	r.sent++
-	r.work = append(r.work, workSample{f.now, fleetWork})
-	e := &fleetTry{m: m, part: part, no: len(m.tries[part]), replica: replica, sent: f.now}
-	m.tries[part] = append(m.tries[part], e)
-	if e.end = f.now + timeout; timeout == 0 {
-		e.end = f.now + 1000
+	r.attempts++
+	r.received = append(r.received, workSample{f.now, modelPartWorkMs})
+	e := &modelAttempt{broker: m, part: part, number: len(m.attempts[part]), replica: replica, sentAt: f.now}
+	m.attempts[part] = append(m.attempts[part], e)
+	if e.endsAt = f.now + timeout; timeout == 0 {
+		e.endsAt = f.now + 1000
 	}
 	e.outcome = TimedOut
-	work := fleetWork * (0.5 + f.rnd.Float64())
-	r.busy = max(r.busy, f.now) + work/f.able(r, f.now)
+	work := modelPartWorkMs * (0.5 + f.random.Float64())
+	r.busyUntil = max(r.busyUntil, f.now) + work/f.capacityAt(r, f.now)
 	// One part alone takes a core's time, not that of two.
-	if done := max(r.busy, f.now+work/f.able(r, f.now)*fleetCores); done < e.end {
-		e.end, e.outcome = done, Succeeded
+	if done := max(r.busyUntil, f.now+work/f.capacityAt(r, f.now)*modelReplicaSpeed); done < e.endsAt {
+		e.endsAt, e.outcome = done, Succeeded
 	}
-	i, _ := slices.BinarySearchFunc(f.due, e, func(x, y *fleetTry) int { return cmp.Compare(x.end, y.end) })
-	f.due = slices.Insert(f.due, i, e)
+	i, _ := slices.BinarySearchFunc(f.endings, e, func(x, y *modelAttempt) int { return cmp.Compare(x.endsAt, y.endsAt) })
+	f.endings = slices.Insert(f.endings, i, e)
 }
 
-func (m *member) Cancel(part uint64, no int) {
-	if e := m.tries[part][no]; !e.over && e.outcome != Cancelled {
-		f := m.f
-		f.due = slices.DeleteFunc(f.due, func(x *fleetTry) bool { return x == e })
-		e.end, e.outcome = f.now, Cancelled
-		f.due = slices.Insert(f.due, 0, e)
+func (m *modelBroker) Cancel(part uint64, no int) {
+	if e := m.attempts[part][no]; !e.ended && e.outcome != Cancelled {
+		f := m.fleet
+		f.endings = slices.DeleteFunc(f.endings, func(x *modelAttempt) bool { return x == e })
+		e.endsAt, e.outcome = f.now, Cancelled
+		f.endings = slices.Insert(f.endings, 0, e)
 	}
 }
 
 // run steps the fleet for so long: so many queries a second of so many parts over all co-ordinators.
-func (f *fleet) run(ms, rate float64, parts int) {
+func (f *fleetModel) run(ms, rate float64, parts int) {
 	for end := f.now + ms; f.now < end; f.now++ {
-		for len(f.due) > 0 && f.due[0].end <= f.now {
-			e := f.due[0]
-			f.due, e.over = f.due[1:], true
-			e.m.b.AttemptEnded(f.now, AttemptResult{Part: e.part, Attempt: e.no, Replica: e.replica, Outcome: e.outcome,
-				Latency: f.now - e.sent})
+		for len(f.endings) > 0 && f.endings[0].endsAt <= f.now {
+			e := f.endings[0]
+			f.endings, e.ended = f.endings[1:], true
+			e.broker.scheduler.AttemptEnded(f.now, AttemptResult{Part: e.part, Attempt: e.number, Replica: e.replica, Outcome: e.outcome,
+				Latency: f.now - e.sentAt})
 		}
-		if f.rnd.Float64() < rate/1000 {
-			m := f.all[f.rnd.Intn(len(f.all))]
-			f.next++
-			q := f.next
-			m.b.QueryArrived(f.now, Query{ID: q, QueryGroup: int(q), Deadline: f.now + 1000})
-			first := f.rnd.Intn(f.s.Shards)
+		if f.random.Float64() < rate/1000 {
+			m := f.brokers[f.random.Intn(len(f.brokers))]
+			f.nextID++
+			q := f.nextID
+			m.scheduler.QueryArrived(f.now, Query{ID: q, QueryGroup: int(q), Deadline: f.now + 1000})
+			first := f.random.Intn(f.settings.Shards)
 			for i := range parts {
-				f.next++
-				m.b.PartArrived(f.now, Part{ID: f.next, QueryGroup: int(q), Shard: (first + i) % f.s.Shards,
-					Weight: 1 / float64(parts), CostHint: fleetWork, HasCostHint: true})
+				f.nextID++
+				m.scheduler.PartArrived(f.now, Part{ID: f.nextID, QueryGroup: int(q), Shard: (first + i) % f.settings.Shards,
+					Weight: 1 / float64(parts), CostHint: modelPartWorkMs, HasCostHint: true})
 			}
 		}
-		for _, m := range f.all {
-			m.b.TimerFired(f.now)
-			m.b.RunRound(f.now)
+		for _, m := range f.brokers {
+			m.scheduler.TimerFired(f.now)
+			m.scheduler.RunRound(f.now)
 		}
 	}
 }
 
-// pressure is the most that a replica was sent in any window, by what the rule of cold starts allows there.
-func (f *fleet) pressure(r *server, from float64) (most float64) {
-	for i, x := range r.work {
+// peakAllowanceUse is the most that a replica was sent in any window, by what the rule of cold starts allows there.
+func (f *fleetModel) peakAllowanceUse(r *modelReplica, from float64) (most float64) {
+	for i, x := range r.received {
 		sum := 0.0
-		for j := i; j >= 0 && r.work[j].at > x.at-f.s.SlowStart.Window; j-- {
-			sum += r.work[j].workMs
+		for j := i; j >= 0 && r.received[j].at > x.at-f.settings.SlowStart.Window; j-- {
+			sum += r.received[j].workMs
 		}
 		if x.at > from {
-			most = max(most, sum/(f.able(r, x.at-f.s.SlowStart.Window/2)*f.s.SlowStart.WorkMultiple*f.s.SlowStart.Window))
+			most = max(most, sum/(f.capacityAt(r, x.at-f.settings.SlowStart.Window/2)*f.settings.SlowStart.WorkMultiple*f.settings.SlowStart.Window))
 		}
 	}
 	return most
--- a/internal/decision/scheduler/harness_test.go
+++ b/internal/decision/scheduler/harness_test.go
@@ -9,58 +9,58 @@
 	"ternstage/internal/slicemap"
 )
 
-// rig is a co-ordinator for tests: it keeps what the module does and checks the rules on every action.
-type rig struct {
-	t        *testing.T
-	s        Settings
-	b        *Scheduler
-	now      float64
-	log      []string
-	queries  map[uint64]*rigQuery
-	parts    map[uint64]*rigPart
-	sends    []*rigSend
-	open     []*rigSend
-	told     map[uint32]float64 // when a replica was first called draining or gone
-	started  map[uint32]float64
-	coldTold map[uint32]float64 // when its start was told
-	cell     map[uint32]int
-	taken    []float64
-	extra    []float64
-	watches  int
-	refused  map[uint64]float64
-	bells    []float64
-	next     uint64
+// harness is a co-ordinator for tests: it keeps what the module does and checks the rules on every action.
+type harness struct {
+	t                 *testing.T
+	settings          Settings
+	scheduler         *Scheduler
+	now               float64
+	log               []string
+	queries           map[uint64]*testQuery
+	parts             map[uint64]*testPart
+	sent              []*sentAttempt
+	inFlight          []*sentAttempt
+	informedAt        map[uint32]float64 // when a replica was first called draining or gone
+	startedAt         map[uint32]float64
+	restartReportedAt map[uint32]float64 // when its start was told
+	cellOf            map[uint32]int
+	arrivals          []float64
+	retries           []float64
+	polls             int
+	rejected          map[uint64]float64
+	timers            []float64
+	nextID            uint64
 }
 
-type rigQuery struct {
-	q        Query
-	parts    []*rigPart
-	answers  int
-	whole    bool
-	how      string
-	gone     bool
-	finished float64
+type testQuery struct {
+	Query        Query
+	parts        []*testPart
+	answers      int
+	complete     bool
+	end          string
+	disconnected bool
+	endedAt      float64
 }
 
-type rigPart struct {
-	p     Part
-	q     *rigQuery
-	sends []*rigSend
-	in    bool
+type testPart struct {
+	Part     Part
+	query    *testQuery
+	attempts []*sentAttempt
+	arrived  bool
 }
 
-type rigSend struct {
-	part    *rigPart
-	no      int
-	replica uint32
-	at      float64
-	timeout float64
-	done    bool
-	out     Outcome
-	cancel  bool
+type sentAttempt struct {
+	part      *testPart
+	number    int
+	replica   uint32
+	sentAt    float64
+	timeoutMs float64
+	ended     bool
+	outcome   Outcome
+	cancelled bool
 }
 
-func settings() Settings {
+func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
 			{LatencyObjective: 1000, Deadline: 3000, PriorityWeight: 1, LateFactor: 0.3, Idempotency: Idempotent, MinCompleteness: 1, CompletenessTarget: 1},
@@ -76,122 +76,126 @@
 	}
 }
 
-func newRig(t *testing.T, s Settings) *rig {
+func newHarness(t *testing.T, settings Settings) *harness {
 	t.Helper()
-	g := &rig{t: t, s: s, now: 1e6, queries: map[uint64]*rigQuery{}, parts: map[uint64]*rigPart{},
-		told: map[uint32]float64{}, started: map[uint32]float64{},
-		coldTold: map[uint32]float64{}, cell: map[uint32]int{}, refused: map[uint64]float64{}}
+	h := &harness{t: t, settings: settings, now: 1e6, queries: map[uint64]*testQuery{}, parts: map[uint64]*testPart{},
+		informedAt: map[uint32]float64{}, startedAt: map[uint32]float64{},
+		restartReportedAt: map[uint32]float64{}, cellOf: map[uint32]int{}, rejected: map[uint64]float64{}}
 	var err error
-	if s.Placement == nil {
-		s.Placement = slicemap.NewRingPlacement(s.Shards, s.Cells, s.CellsPerShard)
+	if settings.Placement == nil {
+		settings.Placement = slicemap.NewRingPlacement(settings.Shards, settings.Cells, settings.CellsPerShard)
 	}
-	if g.b, err = New(s, 7, g); err != nil {
+	if h.scheduler, err = New(settings, 7, h); err != nil {
 		t.Fatal(err)
 	}
-	return g
+	return h
 }
 
-// fleet lists one replica a cell, numbered from 1, all long warm.
-func (g *rig) fleet(kind UpdateKind) {
-	var es []Endpoint
-	for i := 0; i < g.s.Cells; i++ {
-		es = append(es, Endpoint{Replica: uint32(i + 1), Cell: i, State: Ready})
+// listFleet lists one replica a cell, numbered from 1, all long warm.
+func (h *harness) listFleet(kind UpdateKind) {
+	var endpoints []Endpoint
+	for i := 0; i < h.settings.Cells; i++ {
+		endpoints = append(endpoints, Endpoint{Replica: uint32(i + 1), Cell: i, State: Ready})
 	}
-	g.list(kind, es...)
-	g.turn()
+	h.updateEndpoints(kind, endpoints...)
+	h.runRound()
 }
 
-func (g *rig) list(kind UpdateKind, es ...Endpoint) {
-	for _, e := range es {
-		g.cell[e.Replica] = e.Cell
+func (h *harness) updateEndpoints(kind UpdateKind, endpoints ...Endpoint) {
+	for _, e := range endpoints {
+		h.cellOf[e.Replica] = e.Cell
 		if e.State != Ready {
-			if _, ok := g.told[e.Replica]; !ok {
-				g.told[e.Replica] = g.now
+			if _, ok := h.informedAt[e.Replica]; !ok {
+				h.informedAt[e.Replica] = h.now
 			}
 		} else {
-			delete(g.told, e.Replica)
-			if e.StartedAt > g.started[e.Replica] {
-				g.coldTold[e.Replica] = g.now
+			delete(h.informedAt, e.Replica)
+			if e.StartedAt > h.startedAt[e.Replica] {
+				h.restartReportedAt[e.Replica] = h.now
 			}
-			g.started[e.Replica] = e.StartedAt
+			h.startedAt[e.Replica] = e.StartedAt
 		}
 	}
-	g.b.EndpointsChanged(g.now, kind, es)
+	h.scheduler.EndpointsChanged(h.now, kind, endpoints)
 }
 
-// query hands over a query of a class with parts at the given shards, all hinted alike.
-func (g *rig) query(class int, shards ...int) *rigQuery { return g.hinted(class, 100, shards...) }
+// submit hands over a query of a class with parts at the given shards, all hinted alike.
+func (h *harness) submit(class int, shards ...int) *testQuery {
+	return h.submitWithHint(class, 100, shards...)
+}
 
-func (g *rig) hinted(class int, hint float64, shards ...int) *rigQuery {
-	g.next++
-	q := &rigQuery{q: Query{ID: g.next, QueryGroup: int(g.next), Class: class, Deadline: g.now + 3000}}
-	g.queries[q.q.ID] = q
-	g.taken = append(g.taken, g.now)
-	g.b.QueryArrived(g.now, q.q)
+func (h *harness) submitWithHint(class int, hint float64, shards ...int) *testQuery {
+	h.nextID++
+	q := &testQuery{Query: Query{ID: h.nextID, QueryGroup: int(h.nextID), Class: class, Deadline: h.now + 3000}}
+	h.queries[q.Query.ID] = q
+	h.arrivals = append(h.arrivals, h.now)
+	h.scheduler.QueryArrived(h.now, q.Query)
 	for _, s := range shards {
-		g.part(q, s, hint, 1/float64(len(shards)))
+		h.addPart(q, s, hint, 1/float64(len(shards)))
 	}
 	return q
 }
 
-func (g *rig) part(q *rigQuery, shard int, hint, weight float64) {
-	g.next++
-	p := &rigPart{p: Part{ID: g.next, QueryGroup: q.q.QueryGroup, Shard: shard, Weight: weight, CostHint: hint, HasCostHint: hint > 0}, q: q}
+func (h *harness) addPart(q *testQuery, shard int, hint, weight float64) {
+	h.nextID++
+	p := &testPart{Part: Part{ID: h.nextID, QueryGroup: q.Query.QueryGroup, Shard: shard, Weight: weight, CostHint: hint, HasCostHint: hint > 0}, query: q}
 	q.parts = append(q.parts, p)
-	g.parts[p.p.ID] = p
-	g.taken = append(g.taken, g.now)
-	g.b.PartArrived(g.now, p.p)
+	h.parts[p.Part.ID] = p
+	h.arrivals = append(h.arrivals, h.now)
+	h.scheduler.PartArrived(h.now, p.Part)
 }
 
-func (g *rig) turn() { g.b.RunRound(g.now) }
+func (h *harness) runRound() { h.scheduler.RunRound(h.now) }
 
-// pass lets time go by in ticks, with the timers that were asked for; reply answers the attempts.
-func (g *rig) pass(ms float64, reply func(*rigSend)) {
-	for end := g.now + ms; g.now < end; {
-		g.now += g.s.TimerResolution
-		for len(g.bells) > 0 && g.bells[0] <= g.now {
-			g.bells = g.bells[1:]
-			g.b.TimerFired(g.now)
+// advance lets time go by in ticks, with the timers that were asked for; reply answers the attempts.
+func (h *harness) advance(ms float64, reply func(*sentAttempt)) {
+	for end := h.now + ms; h.now < end; {
+		h.now += h.settings.TimerResolution
+		for len(h.timers) > 0 && h.timers[0] <= h.now {
+			h.timers = h.timers[1:]
+			h.scheduler.TimerFired(h.now)
 		}
-		for _, a := range append([]*rigSend(nil), g.open...) {
-			if !a.done && a.cancel {
-				g.end(a, Cancelled)
-			} else if !a.done && a.timeout > 0 && g.now >= a.at+a.timeout {
-				g.end(a, TimedOut)
-			} else if !a.done && reply != nil {
+		for _, a := range append([]*sentAttempt(nil), h.inFlight...) {
+			if !a.ended && a.cancelled {
+				h.endAttempt(a, Cancelled)
+			} else if !a.ended && a.timeoutMs > 0 && h.now >= a.sentAt+a.timeoutMs {
+				h.endAttempt(a, TimedOut)
+			} else if !a.ended && reply != nil {
 				reply(a)
 			}
 		}
-		g.turn()
+		h.runRound()
 	}
 }
 
-func (g *rig) end(a *rigSend, o Outcome) { g.finish(a, AttemptResult{Outcome: o}) }
+func (h *harness) endAttempt(a *sentAttempt, o Outcome) {
+	h.endAttemptWith(a, AttemptResult{Outcome: o})
+}
 
-// finish ends an attempt; res says how.
-func (g *rig) finish(a *rigSend, res AttemptResult) {
-	a.done, a.out = true, res.Outcome
-	for i, x := range g.open {
+// endAttemptWith ends an attempt; res says how.
+func (h *harness) endAttemptWith(a *sentAttempt, res AttemptResult) {
+	a.ended, a.outcome = true, res.Outcome
+	for i, x := range h.inFlight {
 		if x == a {
-			g.open = append(g.open[:i], g.open[i+1:]...)
+			h.inFlight = append(h.inFlight[:i], h.inFlight[i+1:]...)
 			break
 		}
 	}
-	a.part.in = a.part.in || res.Outcome == Succeeded
-	res.Part, res.Attempt, res.Replica, res.Latency = a.part.p.ID, a.no, a.replica, g.now-a.at
-	g.b.AttemptEnded(g.now, res)
+	a.part.arrived = a.part.arrived || res.Outcome == Succeeded
+	res.Part, res.Attempt, res.Replica, res.Latency = a.part.Part.ID, a.number, a.replica, h.now-a.sentAt
+	h.scheduler.AttemptEnded(h.now, res)
 }
 
-// after answers every attempt well once it is ms old.
-func (g *rig) after(ms float64) func(*rigSend) {
-	return func(a *rigSend) {
-		if g.now >= a.at+ms {
-			g.end(a, Succeeded)
+// replyAfter answers every attempt well once it is ms old.
+func (h *harness) replyAfter(ms float64) func(*sentAttempt) {
+	return func(a *sentAttempt) {
+		if h.now >= a.sentAt+ms {
+			h.endAttempt(a, Succeeded)
 		}
 	}
 }
 
-func count(times []float64, from float64) (n int) {
+func countAfter(times []float64, from float64) (n int) {
 	for _, x := range times {
 		if x > from {
 			n++
@@ -200,150 +204,150 @@
 	return n
 }
 
-func (g *rig) Send(part uint64, replica uint32, timeout float64) {
-	p := g.parts[part]
-	g.log = append(g.log, fmt.Sprintf("%v send %d %d %v", g.now, part, replica, timeout))
+func (h *harness) Send(part uint64, replica uint32, timeout float64) {
+	p := h.parts[part]
+	h.log = append(h.log, fmt.Sprintf("%v send %d %d %v", h.now, part, replica, timeout))
 	if p == nil {
-		g.t.Fatalf("sent an unknown part %d", part)
+		h.t.Fatalf("sent an unknown part %d", part)
 	}
-	q, cls := p.q, g.s.Classes[p.q.q.Class]
-	if q.finished > 0 || g.now >= q.q.Deadline {
-		g.t.Fatalf("part %d sent after its query's end", part)
+	q, cls := p.query, h.settings.Classes[p.query.Query.Class]
+	if q.endedAt > 0 || h.now >= q.Query.Deadline {
+		h.t.Fatalf("part %d sent after its query's end", part)
 	}
-	off := (g.cell[replica] - p.p.Shard%g.s.Cells + g.s.Cells) % g.s.Cells
-	if off >= g.s.CellsPerShard {
-		g.t.Fatalf("shard %d sent to cell %d", p.p.Shard, g.cell[replica])
+	off := (h.cellOf[replica] - p.Part.Shard%h.settings.Cells + h.settings.Cells) % h.settings.Cells
+	if off >= h.settings.CellsPerShard {
+		h.t.Fatalf("shard %d sent to cell %d", p.Part.Shard, h.cellOf[replica])
 	}
-	if at, ok := g.told[replica]; ok && g.now > at+g.s.DrainGrace {
-		g.t.Fatalf("replica %d sent to %v ms after its drain was told", replica, g.now-at)
+	if at, ok := h.informedAt[replica]; ok && h.now > at+h.settings.DrainGrace {
+		h.t.Fatalf("replica %d sent to %v ms after its drain was told", replica, h.now-at)
 	}
 	live := 0
-	for _, a := range p.sends {
-		mayRun := !a.done || a.out < Rejected
-		if !a.done {
+	for _, a := range p.attempts {
+		mayRun := !a.ended || a.outcome < Rejected
+		if !a.ended {
 			live++
 		}
-		if mayRun && (cls.Idempotency == NonIdempotent || cls.Idempotency == IdempotentWithKey && g.now > a.at+cls.DedupWindow) {
-			g.t.Fatalf("part %d repeated against its effect", part)
+		if mayRun && (cls.Idempotency == NonIdempotent || cls.Idempotency == IdempotentWithKey && h.now > a.sentAt+cls.DedupWindow) {
+			h.t.Fatalf("part %d repeated against its effect", part)
 		}
 	}
-	if live > 0 && !g.s.AllowHedging || live > 1 {
-		g.t.Fatalf("part %d has %d attempts out already", part, live)
+	if live > 0 && !h.settings.AllowHedging || live > 1 {
+		h.t.Fatalf("part %d has %d attempts out already", part, live)
 	}
-	if len(p.sends) > 0 && g.s.RetryBudget.Window > 0 {
-		g.extra = append(g.extra, g.now)
-		limit := g.s.RetryBudget.Spare + g.s.RetryBudget.Ratio*float64(count(g.taken, g.now-g.s.RetryBudget.Window))
-		if n := count(g.extra, g.now-g.s.RetryBudget.Window); float64(n) > limit {
-			g.t.Fatalf("%d further attempts in the window, %v allowed", n, limit)
+	if len(p.attempts) > 0 && h.settings.RetryBudget.Window > 0 {
+		h.retries = append(h.retries, h.now)
+		limit := h.settings.RetryBudget.Spare + h.settings.RetryBudget.Ratio*float64(countAfter(h.arrivals, h.now-h.settings.RetryBudget.Window))
+		if n := countAfter(h.retries, h.now-h.settings.RetryBudget.Window); float64(n) > limit {
+			h.t.Fatalf("%d further attempts in the window, %v allowed", n, limit)
 		}
 	}
-	a := &rigSend{part: p, no: len(p.sends), replica: replica, at: g.now, timeout: timeout}
-	p.sends = append(p.sends, a)
-	g.sends, g.open = append(g.sends, a), append(g.open, a)
-	if start := g.started[replica]; start > 0 && g.now < start+g.s.SlowStart.Duration && g.s.BrokerCount <= 4 { // more take turns
+	a := &sentAttempt{part: p, number: len(p.attempts), replica: replica, sentAt: h.now, timeoutMs: timeout}
+	p.attempts = append(p.attempts, a)
+	h.sent, h.inFlight = append(h.sent, a), append(h.inFlight, a)
+	if start := h.startedAt[replica]; start > 0 && h.now < start+h.settings.SlowStart.Duration && h.settings.BrokerCount <= 4 { // more take turns
 		work := 0.0
-		for _, x := range g.sends {
-			if x.replica == replica && x.at > g.now-g.s.SlowStart.Window && x.at >= g.coldTold[replica] {
-				work += x.part.p.CostHint
+		for _, x := range h.sent {
+			if x.replica == replica && x.sentAt > h.now-h.settings.SlowStart.Window && x.sentAt >= h.restartReportedAt[replica] {
+				work += x.part.Part.CostHint
 			}
 		}
 		// A machine of two cores, as it serves parts side by side: what it can do at present, halved for a peer.
-		ramp := math.Max(0, g.now-start) / g.s.SlowStart.Duration
-		if able := 2 * (g.s.SlowStart.InitialCapacity + (1-g.s.SlowStart.InitialCapacity)*ramp); work > g.s.SlowStart.WorkMultiple*able*g.s.SlowStart.Window/float64(g.s.BrokerCount) {
-			g.t.Fatalf("cold replica %d sent %v ms of work %v ms after its start", replica, work, g.now-start)
+		ramp := math.Max(0, h.now-start) / h.settings.SlowStart.Duration
+		if able := 2 * (h.settings.SlowStart.InitialCapacity + (1-h.settings.SlowStart.InitialCapacity)*ramp); work > h.settings.SlowStart.WorkMultiple*able*h.settings.SlowStart.Window/float64(h.settings.BrokerCount) {
+			h.t.Fatalf("cold replica %d sent %v ms of work %v ms after its start", replica, work, h.now-start)
 		}
 	}
 }
 
-func (g *rig) Cancel(part uint64, attempt int) {
-	g.log = append(g.log, fmt.Sprintf("%v cancel %d %d", g.now, part, attempt))
-	if p := g.parts[part]; p == nil || attempt >= len(p.sends) {
-		g.t.Fatalf("cancelled what was never sentAt: %d %d", part, attempt)
+func (h *harness) Cancel(part uint64, attempt int) {
+	h.log = append(h.log, fmt.Sprintf("%v cancel %d %d", h.now, part, attempt))
+	if p := h.parts[part]; p == nil || attempt >= len(p.attempts) {
+		h.t.Fatalf("cancelled what was never sentAt: %d %d", part, attempt)
 	} else {
-		p.sends[attempt].cancel = true
+		p.attempts[attempt].cancelled = true
 	}
 }
 
-func (g *rig) final(id uint64, how string) *rigQuery {
-	g.log = append(g.log, fmt.Sprintf("%v %s %d", g.now, how, id))
-	q := g.queries[id]
-	if q == nil || q.finished > 0 || q.gone {
-		g.t.Fatalf("%s of query %d: unknown or ended already", how, id)
+func (h *harness) endQuery(id uint64, how string) *testQuery {
+	h.log = append(h.log, fmt.Sprintf("%v %s %d", h.now, how, id))
+	q := h.queries[id]
+	if q == nil || q.endedAt > 0 || q.disconnected {
+		h.t.Fatalf("%s of query %d: unknown or ended already", how, id)
 	}
-	if g.now > q.q.Deadline {
-		g.t.Fatalf("%s of query %d %v ms late", how, id, g.now-q.q.Deadline)
+	if h.now > q.Query.Deadline {
+		h.t.Fatalf("%s of query %d %v ms late", how, id, h.now-q.Query.Deadline)
 	}
-	q.finished, q.how = g.now, how
+	q.endedAt, q.end = h.now, how
 	return q
 }
 
-func (g *rig) Answer(id uint64, whole bool) {
-	q := g.queries[id]
-	cls, share, n := g.s.Classes[q.q.Class], 0.0, len(q.parts)
+func (h *harness) Answer(id uint64, whole bool) {
+	q := h.queries[id]
+	cls, share, n := h.settings.Classes[q.Query.Class], 0.0, len(q.parts)
 	for _, p := range q.parts {
-		if p.in {
-			share += p.p.Weight
+		if p.arrived {
+			share += p.Part.Weight
 		}
 	}
 	if share < cls.MinCompleteness-1e-4 || whole && share < cls.CompletenessTarget-1e-4 || n == 0 {
-		g.t.Fatalf("query %d answered (whole %v) from %v", id, whole, share)
+		h.t.Fatalf("query %d answered (whole %v) from %v", id, whole, share)
 	}
-	q.answers, q.whole = q.answers+1, whole
+	q.answers, q.complete = q.answers+1, whole
 	if cls.SecondStepParts > 0 && q.answers == 1 {
 		q.parts = nil
 		return
 	}
-	g.final(id, "answer")
+	h.endQuery(id, "answer")
 }
 
-func (g *rig) Reject(id uint64, after float64) {
-	q := g.final(id, "refuse")
-	g.refused[id] = after
+func (h *harness) Reject(id uint64, after float64) {
+	q := h.endQuery(id, "reject")
+	h.rejected[id] = after
 	for _, p := range q.parts {
-		for _, a := range p.sends {
-			if g.s.Classes[q.q.Class].Idempotency == NonIdempotent && (!a.done || a.out < Rejected) {
-				g.t.Fatalf("query %d refused though a part may have run", id)
+		for _, a := range p.attempts {
+			if h.settings.Classes[q.Query.Class].Idempotency == NonIdempotent && (!a.ended || a.outcome < Rejected) {
+				h.t.Fatalf("query %d refused though a part may have run", id)
 			}
 		}
 	}
 }
 
-func (g *rig) Fail(id uint64)         { g.final(id, "fail") }
-func (g *rig) SetTimer(after float64) { g.bells = append(g.bells, g.now+after) }
-func (g *rig) CloseIdleConnections(r uint32) {
-	g.log = append(g.log, fmt.Sprintf("%v drop %d", g.now, r))
+func (h *harness) Fail(id uint64)         { h.endQuery(id, "fail") }
+func (h *harness) SetTimer(after float64) { h.timers = append(h.timers, h.now+after) }
+func (h *harness) CloseIdleConnections(r uint32) {
+	h.log = append(h.log, fmt.Sprintf("%v close %d", h.now, r))
 }
-func (g *rig) WatchEndpoints() { g.watches++ }
-func (g *rig) Log(text string) { g.log = append(g.log, text) }
+func (h *harness) WatchEndpoints() { h.polls++ }
+func (h *harness) Log(text string) { h.log = append(h.log, text) }
 
-func (g *rig) mustEnd(q *rigQuery, how string) {
-	g.t.Helper()
-	if q.how != how {
-		g.t.Fatalf("query %d ended by %q, want %q\n%s", q.q.ID, q.how, how, strings.Join(g.log, "\n"))
+func (h *harness) requireEnd(q *testQuery, how string) {
+	h.t.Helper()
+	if q.end != how {
+		h.t.Fatalf("query %d ended by %q, want %q\n%s", q.Query.ID, q.end, how, strings.Join(h.log, "\n"))
 	}
 }
 
-// warm lets the fleet serve some traffic, so that usual latencies are known.
-func (g *rig) warm() {
+// learnBaseline lets the fleet serve some traffic, so that usual latencies are known.
+func (h *harness) learnBaseline() {
 	for range 60 {
-		g.query(0, 0, 2, 4)
-		g.query(0, 1, 3, 5)
-		g.turn()
-		g.pass(120, g.after(100))
+		h.submit(0, 0, 2, 4)
+		h.submit(0, 1, 3, 5)
+		h.runRound()
+		h.advance(120, h.replyAfter(100))
 	}
 }
 
-// keyed hands over a query about a key.
-func (g *rig) keyed(key uint64, shards ...int) *rigQuery {
-	g.next++
-	q := &rigQuery{q: Query{ID: g.next, QueryGroup: int(g.next), Key: key, Deadline: g.now + 3000}}
-	g.queries[q.q.ID] = q
-	g.taken = append(g.taken, g.now)
-	g.b.QueryArrived(g.now, q.q)
+// submitWithKey hands over a query about a key.
+func (h *harness) submitWithKey(key uint64, shards ...int) *testQuery {
+	h.nextID++
+	q := &testQuery{Query: Query{ID: h.nextID, QueryGroup: int(h.nextID), Key: key, Deadline: h.now + 3000}}
+	h.queries[q.Query.ID] = q
+	h.arrivals = append(h.arrivals, h.now)
+	h.scheduler.QueryArrived(h.now, q.Query)
 	for _, s := range shards {
-		g.part(q, s, 100, 1/float64(len(shards)))
+		h.addPart(q, s, 100, 1/float64(len(shards)))
 	}
 	return q
 }
 
-func (g *rig) turned(q *rigQuery) *rigQuery { g.turn(); return q }
+func (h *harness) decided(q *testQuery) *testQuery { h.runRound(); return q }
--- a/internal/decision/scheduler/queues_test.go
+++ b/internal/decision/scheduler/queues_test.go
@@ -5,19 +5,19 @@
 	"testing"
 )
 
-func TestQueueThresholdsSeparateWhateverTheUnit(t *testing.T) {
+func TestBottleneckQueueIsIndependentOfHintUnit(t *testing.T) {
 	for _, unit := range []float64{0.001, 1, 5000} {
-		b := newRig(t, settings())
-		b.fleet(UpdateFull)
+		b := newHarness(t, testSettings())
+		b.listFleet(UpdateFull)
 		for range 200 {
-			b.hinted(0, unit, 0)
-			b.hinted(0, unit, 1)
-			b.hinted(0, 4*unit, 2)
-			b.turn()
-			b.pass(10, b.after(0))
+			b.submitWithHint(0, unit, 0)
+			b.submitWithHint(0, unit, 1)
+			b.submitWithHint(0, 4*unit, 2)
+			b.runRound()
+			b.advance(10, b.replyAfter(0))
 		}
-		cheap, dear := b.hinted(0, unit, 0), b.hinted(0, 4*unit, 2)
-		if a, c := bottleneckQueue(b.b.parts[cheap.parts[0].p.ID].cost), bottleneckQueue(b.b.parts[dear.parts[0].p.ID].cost); a >= c {
+		cheap, dear := b.submitWithHint(0, unit, 0), b.submitWithHint(0, 4*unit, 2)
+		if a, c := bottleneckQueue(b.scheduler.parts[cheap.parts[0].Part.ID].cost), bottleneckQueue(b.scheduler.parts[dear.parts[0].Part.ID].cost); a >= c {
 			t.Fatalf("unit %v: cheap in queue %d, dear in %d", unit, a, c)
 		}
 	}
@@ -26,26 +26,26 @@
 	}
 }
 
-func TestWithoutHintsCallSizesSeparate(t *testing.T) {
-	s := settings()
-	s.MaxPartsPerCall, s.Shards = 16, 24
-	g := newRig(t, s)
-	g.fleet(UpdateFull)
+func TestCallSizeSelectsQueueWithoutHints(t *testing.T) {
+	settings := testSettings()
+	settings.MaxPartsPerCall, settings.Shards = 16, 24
+	h := newHarness(t, settings)
+	h.listFleet(UpdateFull)
 	p := func(shards ...int) (ps []*part) {
-		q := &query{class: &s.Classes[0]}
+		q := &query{class: &settings.Classes[0]}
 		for i, sh := range shards {
 			ps = append(ps, &part{Part: Part{ID: uint64(i), Shard: sh}, query: q, cost: 1})
 		}
 		return ps
 	}
-	g.b.enqueue(g.now, p(0))
-	g.b.enqueue(g.now, p(1, 7, 13, 19)) // the same holders: one call of cost 4
-	if len(g.b.queues.dense[0].fifo[0]) != 1 || len(g.b.queues.dense[1].fifo[3]) != 1 {
+	h.scheduler.enqueue(h.now, p(0))
+	h.scheduler.enqueue(h.now, p(1, 7, 13, 19)) // the same holders: one call of cost 4
+	if len(h.scheduler.queues.dense[0].fifo[0]) != 1 || len(h.scheduler.queues.dense[1].fifo[3]) != 1 {
 		t.Fatal("one part belongs in the fastest queue, a call of four in the slowest")
 	}
 }
 
-func TestRatioRule(t *testing.T) {
+func TestSlackQueueMatchesCostRatio(t *testing.T) {
 	for _, c := range []struct {
 		b     int
 		ratio float64
@@ -57,18 +57,18 @@
 	}
 }
 
-func TestDeficitRoundRobinSharesByRate(t *testing.T) {
-	s := &shardQueues{}
-	for i := range s.fifo {
+func TestDeficitRoundRobinFollowsQueueRates(t *testing.T) {
+	queues := &shardQueues{}
+	for i := range queues.fifo {
 		for range 1000 {
-			s.fifo[i] = append(s.fifo[i], &queuedCall{cost: 1.5})
+			queues.fifo[i] = append(queues.fifo[i], &queuedCall{cost: 1.5})
 		}
 	}
 	var got [queueCount]float64
 	for range 1000 {
-		i := s.next()
-		s.deficit[i] -= 1.5
-		s.fifo[i] = s.fifo[i][1:]
+		i := queues.next()
+		queues.deficit[i] -= 1.5
+		queues.fifo[i] = queues.fifo[i][1:]
 		got[i]++
 	}
 	for i, n := range got {
@@ -78,66 +78,66 @@
 	}
 }
 
-func TestHoldOnlyWhileEveryReplicaIsSlowAndNeverWithNothingOut(t *testing.T) {
-	g := newRig(t, settings())
-	g.fleet(UpdateFull)
-	g.warm()
-	var qs []*rigQuery
+func TestPartsAreQueuedOnlyWhileEveryReplicaIsBusy(t *testing.T) {
+	h := newHarness(t, testSettings())
+	h.listFleet(UpdateFull)
+	h.learnBaseline()
+	var queries []*testQuery
 	for range 100 {
-		qs = append(qs, g.query(0, 0))
+		queries = append(queries, h.submit(0, 0))
 	}
-	g.turn()
-	sent := len(g.open)
+	h.runRound()
+	sent := len(h.inFlight)
 	if sent < 3 || sent >= 100 {
 		t.Fatalf("%d of 100 parts of one shard let go at once", sent)
 	}
-	g.pass(150, nil)
-	if len(g.open) > 30 {
-		t.Fatalf("%d out at stalled replicas", len(g.open))
+	h.advance(150, nil)
+	if len(h.inFlight) > 30 {
+		t.Fatalf("%d out at stalled replicas", len(h.inFlight))
 	}
-	for _, a := range append([]*rigSend(nil), g.open...) {
+	for _, a := range append([]*sentAttempt(nil), h.inFlight...) {
 		if a.replica == 1 {
-			g.end(a, Succeeded)
+			h.endAttempt(a, Succeeded)
 		}
 	}
-	before := len(g.sends)
-	g.turn()
-	if len(g.sends) == before {
+	before := len(h.sent)
+	h.runRound()
+	if len(h.sent) == before {
 		t.Fatal("a replica with nothing of ours out was held against")
 	}
-	g.pass(3000, g.after(100))
-	for _, q := range qs {
-		if q.finished == 0 {
-			t.Fatalf("query %d never ended", q.q.ID)
+	h.advance(3000, h.replyAfter(100))
+	for _, q := range queries {
+		if q.endedAt == 0 {
+			t.Fatalf("query %d never ended", q.Query.ID)
 		}
 	}
 }
 
-func TestPromotionAtHalfTheAim(t *testing.T) {
-	s, class := &shardQueues{}, settings().Classes[0]
+func TestCallIsPromotedAfterHalfTheObjective(t *testing.T) {
+	queues, class := &shardQueues{}, testSettings().Classes[0]
 	q := &query{class: &class, arrivedAt: 0}
 	c := &queuedCall{parts: []*part{{query: q, queued: true}}, cost: 9}
-	s.fifo[3] = []*queuedCall{c}
-	if s.refresh(class.LatencyObjective * promotionObjectiveShare); len(s.fifo[3]) != 1 {
+	queues.fifo[3] = []*queuedCall{c}
+	if queues.refresh(class.LatencyObjective * promotionObjectiveShare); len(queues.fifo[3]) != 1 {
 		t.Fatal("promoted too early")
 	}
-	if s.refresh(class.LatencyObjective*promotionObjectiveShare + 1); len(s.fifo[0]) != 1 || len(s.fifo[3]) != 0 {
+	if queues.refresh(class.LatencyObjective*promotionObjectiveShare + 1); len(queues.fifo[0]) != 1 || len(queues.fifo[3]) != 0 {
 		t.Fatal("not promoted")
 	}
 }
 
 // Among many co-ordinators own counts do not show a queue: a query's parts are spread over a set's replicas.
-func TestManyPeersDoNotSendBatches(t *testing.T) {
+func TestLargeFleetDoesNotBatchCheapCalls(t *testing.T) {
 	for _, peers := range []int{2, 40} {
-		s := settings()
-		s.BrokerCount, s.MaxPartsPerCall, s.Shards, s.Cells, s.CellsPerShard = peers, 16, 3, 1, 1
-		g := newRig(t, s)
-		g.list(UpdateFull, Endpoint{Replica: 1, State: Ready}, Endpoint{Replica: 2, State: Ready}, Endpoint{Replica: 3, State: Ready})
-		g.turn()
-		g.query(0, 0, 1, 2)
-		g.turn()
+		settings := testSettings()
+		settings.BrokerCount, settings.MaxPartsPerCall, settings.Shards, settings.Cells, settings.CellsPerShard = peers, 16, 3, 1, 1
+		h := newHarness(t, settings)
+		h.updateEndpoints(UpdateFull, Endpoint{Replica: 1, State: Ready}, Endpoint{Replica: 2, State: Ready}, Endpoint{Replica: 3, State: Ready})
+		h.runRound()
+		h.submit(0, 0, 1, 2)
+		h.runRound()
 		used := map[uint32]bool{}
-		for _, a := range g.open {
+		for _, a := range h.inFlight {
 			used[a.replica] = true
 		}
 		if want := map[int]int{2: 1, 40: 3}[peers]; len(used) != want {
--- a/internal/decision/scheduler/replica_selection_test.go
+++ b/internal/decision/scheduler/replica_selection_test.go
@@ -2,15 +2,15 @@
 
 import "testing"
 
-func TestFewestOwnCallsOut(t *testing.T) {
-	g := newRig(t, settings())
-	g.fleet(UpdateFull)
+func TestSelectsReplicaWithFewestCallsInFlight(t *testing.T) {
+	h := newHarness(t, testSettings())
+	h.listFleet(UpdateFull)
 	for range 3 {
-		g.query(0, 0)
-		g.turn()
+		h.submit(0, 0)
+		h.runRound()
 	}
 	seen := map[uint32]bool{}
-	for _, a := range g.sends {
+	for _, a := range h.sent {
 		seen[a.replica] = true
 	}
 	if len(seen) != 3 {
@@ -20,52 +20,52 @@
 
 // Neighbouring shards of a ring have holders in common: where a call costs nearly as much as a part, parts of one turn
 // share calls, also among many co-ordinators; where it costs little they do not.
-func TestDearCallsAreSharedInARing(t *testing.T) {
+func TestExpensiveCallsAreSharedAcrossNeighboringShards(t *testing.T) {
 	for _, dear := range []bool{false, true} {
-		s := settings()
-		s.BrokerCount, s.MaxPartsPerCall, s.CallOverhead = 40, 4, 10
+		settings := testSettings()
+		settings.BrokerCount, settings.MaxPartsPerCall, settings.CallOverhead = 40, 4, 10
 		if dear {
-			s.CallOverhead = 80
+			settings.CallOverhead = 80
 		}
-		g := newRig(t, s)
-		g.fleet(UpdateFull)
-		g.query(0, 0, 1, 2, 3, 4, 5)
-		g.turn()
+		h := newHarness(t, settings)
+		h.listFleet(UpdateFull)
+		h.submit(0, 0, 1, 2, 3, 4, 5)
+		h.runRound()
 		used := map[uint32]bool{}
-		for _, a := range g.open {
+		for _, a := range h.inFlight {
 			used[a.replica] = true
 		}
-		if len(g.open) != 6 || dear && len(used) > 3 || !dear && len(used) < 5 {
-			t.Errorf("dear %v: %d parts in %d calls", dear, len(g.open), len(used))
+		if len(h.inFlight) != 6 || dear && len(used) > 3 || !dear && len(used) < 5 {
+			t.Errorf("dear %v: %d parts in %d calls", dear, len(h.inFlight), len(used))
 		}
 	}
 }
 
 // One of many co-ordinators seldom has anything out at a replica. That alone must not let parts through to a shard whose
 // replicas are all jammed; they go at a pace, and freely again when the replicas are sound.
-func TestJammedShardGetsPartsAtAPace(t *testing.T) {
-	s := settings()
-	s.BrokerCount, s.Classes[0].LatencyObjective, s.Classes[0].Deadline = 40, 2900, 3000
-	g := newRig(t, s)
-	g.fleet(UpdateFull)
-	g.warm()
-	slow := func(a *rigSend) { // the replicas of shard 0 are 8 times slower than the others
-		if g.now >= a.at+100 && a.replica > 3 || g.now >= a.at+800 {
-			g.end(a, Succeeded)
+func TestCongestedShardIsSentPartsAtAPace(t *testing.T) {
+	settings := testSettings()
+	settings.BrokerCount, settings.Classes[0].LatencyObjective, settings.Classes[0].Deadline = 40, 2900, 3000
+	h := newHarness(t, settings)
+	h.listFleet(UpdateFull)
+	h.learnBaseline()
+	slow := func(a *sentAttempt) { // the replicas of shard 0 are 8 times slower than the others
+		if h.now >= a.sentAt+100 && a.replica > 3 || h.now >= a.sentAt+800 {
+			h.endAttempt(a, Succeeded)
 		}
 	}
-	ask := func(n int, reply func(*rigSend)) (sent int) {
-		before := len(g.sends)
+	ask := func(n int, reply func(*sentAttempt)) (sent int) {
+		before := len(h.sent)
 		for i := range n {
-			g.query(0, 3)
+			h.submit(0, 3)
 			if i%4 == 0 {
-				g.query(0, 0)
+				h.submit(0, 0)
 			}
-			g.turn()
-			g.pass(100, reply)
+			h.runRound()
+			h.advance(100, reply)
 		}
-		for _, a := range g.sends[before:] {
-			if a.part.p.Shard == 0 {
+		for _, a := range h.sent[before:] {
+			if a.part.Part.Shard == 0 {
 				sent++
 			}
 		}
@@ -75,8 +75,8 @@
 	if n := ask(60, slow); n > 12 || n == 0 {
 		t.Fatalf("%d of 15 parts went to a jammed shard", n)
 	}
-	ask(100, g.after(100))
-	if n := ask(60, g.after(100)); n < 14 {
+	ask(100, h.replyAfter(100))
+	if n := ask(60, h.replyAfter(100)); n < 14 {
 		t.Fatalf("%d of 15 parts once the replicas are sound again", n)
 	}
 }
--- a/internal/decision/scheduler/retry_budget_test.go
+++ b/internal/decision/scheduler/retry_budget_test.go
@@ -2,16 +2,16 @@
 
 import "testing"
 
-func TestAttemptBudget(t *testing.T) {
-	g := newRig(t, settings())
-	g.fleet(UpdateFull)
-	g.warm()
+func TestRetriesStayWithinBudget(t *testing.T) {
+	h := newHarness(t, testSettings())
+	h.listFleet(UpdateFull)
+	h.learnBaseline()
 	for range 30 { // everything fails at once; the rig checks the budget
-		g.query(0, 0, 1, 2)
-		g.turn()
-		g.pass(30, func(a *rigSend) { g.end(a, Failed) })
+		h.submit(0, 0, 1, 2)
+		h.runRound()
+		h.advance(30, func(a *sentAttempt) { h.endAttempt(a, Failed) })
 	}
-	if len(g.extra) == 0 {
+	if len(h.retries) == 0 {
 		t.Fatal("no further attempt was ever made")
 	}
 }
--- a/internal/decision/scheduler/retry_test.go
+++ b/internal/decision/scheduler/retry_test.go
@@ -2,92 +2,92 @@
 
 import "testing"
 
-func TestEffects(t *testing.T) {
-	g := newRig(t, settings())
-	g.fleet(UpdateFull)
-	g.warm()
-	q := g.query(2, 0)
-	g.turn()
-	g.now += 5
-	g.end(g.open[0], ConnectFailed) // never ran: may go again
-	g.turn()
-	if n := len(q.parts[0].sends); n != 2 {
+func TestRetryRespectsIdempotency(t *testing.T) {
+	h := newHarness(t, testSettings())
+	h.listFleet(UpdateFull)
+	h.learnBaseline()
+	q := h.submit(2, 0)
+	h.runRound()
+	h.now += 5
+	h.endAttempt(h.inFlight[0], ConnectFailed) // never ran: may go again
+	h.runRound()
+	if n := len(q.parts[0].attempts); n != 2 {
 		t.Fatalf("%d attempts after a proof that the first never ran", n)
 	}
-	g.now += 5
-	g.end(g.open[0], Failed)
-	g.turn()
-	g.mustEnd(q, "fail") // at once, not at the deadline
-	k := g.query(4, 1)
-	g.turn()
-	g.pass(450, nil) // past the window of 400
-	g.end(k.parts[0].sends[len(k.parts[0].sends)-1], Failed)
-	n := len(k.parts[0].sends)
-	g.pass(500, nil)
-	if len(k.parts[0].sends) != n {
+	h.now += 5
+	h.endAttempt(h.inFlight[0], Failed)
+	h.runRound()
+	h.requireEnd(q, "fail") // at once, not at the deadline
+	k := h.submit(4, 1)
+	h.runRound()
+	h.advance(450, nil) // past the window of 400
+	h.endAttempt(k.parts[0].attempts[len(k.parts[0].attempts)-1], Failed)
+	n := len(k.parts[0].attempts)
+	h.advance(500, nil)
+	if len(k.parts[0].attempts) != n {
 		t.Fatal("keyed part sent again outside its window")
 	}
 }
 
-func TestDeadSetDoesNotBurnTries(t *testing.T) {
-	g := newRig(t, settings())
-	g.fleet(UpdateFull)
-	g.warm()
-	q := g.query(0, 0)
-	g.turn()
-	back := g.now + 280
-	g.pass(700, func(a *rigSend) {
-		if g.now < back {
-			g.end(a, ConnectFailed)
-		} else if g.now >= a.at+50 {
-			g.end(a, Succeeded)
+func TestUnreachableReplicasDoNotExhaustAttempts(t *testing.T) {
+	h := newHarness(t, testSettings())
+	h.listFleet(UpdateFull)
+	h.learnBaseline()
+	q := h.submit(0, 0)
+	h.runRound()
+	back := h.now + 280
+	h.advance(700, func(a *sentAttempt) {
+		if h.now < back {
+			h.endAttempt(a, ConnectFailed)
+		} else if h.now >= a.sentAt+50 {
+			h.endAttempt(a, Succeeded)
 		}
 	})
-	g.mustEnd(q, "answer") // its replicas refused connections for 280 ms and came back
+	h.requireEnd(q, "answer") // its replicas refused connections for 280 ms and came back
 }
 
-func TestFullReplicasAreNotHammered(t *testing.T) {
-	g := newRig(t, settings())
-	g.fleet(UpdateFull)
-	g.warm()
-	n := len(g.sends)
-	g.query(0, 0)
-	g.turn()
-	g.pass(900, func(a *rigSend) { g.end(a, Rejected) })
-	if got := len(g.sends) - n; got > 6 {
+func TestRejectingReplicasGetFewAttempts(t *testing.T) {
+	h := newHarness(t, testSettings())
+	h.listFleet(UpdateFull)
+	h.learnBaseline()
+	n := len(h.sent)
+	h.submit(0, 0)
+	h.runRound()
+	h.advance(900, func(a *sentAttempt) { h.endAttempt(a, Rejected) })
+	if got := len(h.sent) - n; got > 6 {
 		t.Fatalf("%d attempts at full replicas", got)
 	}
 }
 
-func TestReservePartsStandIn(t *testing.T) {
-	g := newRig(t, settings())
-	g.fleet(UpdateFull)
-	q := g.query(3, 0, 1, 2, 3, 4, 5, 0, 1, 2)
-	g.turn()
-	first := len(g.sends)
+func TestReservePartSubstitutesFailedPart(t *testing.T) {
+	h := newHarness(t, testSettings())
+	h.listFleet(UpdateFull)
+	q := h.submit(3, 0, 1, 2, 3, 4, 5, 0, 1, 2)
+	h.runRound()
+	first := len(h.sent)
 	if first >= 9 || first < 6 {
 		t.Fatalf("%d of 9 parts asked where 67%% make it whole", first)
 	}
-	g.now += 5
-	g.end(g.open[0], Failed)
-	g.turn()
-	if len(g.sends) != first+1 || len(g.extra) != 0 {
+	h.now += 5
+	h.endAttempt(h.inFlight[0], Failed)
+	h.runRound()
+	if len(h.sent) != first+1 || len(h.retries) != 0 {
 		t.Fatal("a reserve part should stand in for the failed one, without a further attempt")
 	}
-	g.pass(200, g.after(50))
-	g.mustEnd(q, "answer")
+	h.advance(200, h.replyAfter(50))
+	h.requireEnd(q, "answer")
 }
 
-func TestPartThatIsOverIsNotSentAgain(t *testing.T) {
-	g := newRig(t, settings())
-	g.fleet(UpdateFull)
-	q := g.query(0, 0)
-	g.turn()
-	g.b.AttemptEnded(g.now, AttemptResult{Part: q.parts[0].p.ID, Replica: q.parts[0].sends[0].replica, Outcome: Failed, PartDone: true})
-	g.turn()
-	g.pass(100, nil)
-	if len(q.parts[0].sends) != 1 {
+func TestFinishedPartIsNotRetried(t *testing.T) {
+	h := newHarness(t, testSettings())
+	h.listFleet(UpdateFull)
+	q := h.submit(0, 0)
+	h.runRound()
+	h.scheduler.AttemptEnded(h.now, AttemptResult{Part: q.parts[0].Part.ID, Replica: q.parts[0].attempts[0].replica, Outcome: Failed, PartDone: true})
+	h.runRound()
+	h.advance(100, nil)
+	if len(q.parts[0].attempts) != 1 {
 		t.Fatal("a part that is over was sent again")
 	}
-	g.mustEnd(q, "refuse")
+	h.requireEnd(q, "reject")
 }
--- a/internal/decision/scheduler/zone_latency_test.go
+++ b/internal/decision/scheduler/zone_latency_test.go
@@ -4,28 +4,28 @@
 
 // A slow way to another zone is told from slow replicas by all of that zone being slow from here: its replicas leave the
 // choice within seconds, though each has had but a few parts, and come back when the way is sound.
-func TestSlowWayToAZoneIsLeftAndComesBack(t *testing.T) {
-	s := settings()
-	s.BrokerCount, s.Shards, s.Cells, s.CellsPerShard, s.LocalZone = 40, 10, 10, 1, 2 // two other zones, equally good
-	g := newRig(t, s)
-	var es []Endpoint
+func TestSlowZoneIsAvoidedAndReadmitted(t *testing.T) {
+	settings := testSettings()
+	settings.BrokerCount, settings.Shards, settings.Cells, settings.CellsPerShard, settings.LocalZone = 40, 10, 10, 1, 2 // two other zones, equally good
+	h := newHarness(t, settings)
+	var endpoints []Endpoint
 	for i := range uint32(200) {
-		es = append(es, Endpoint{Replica: i + 1, Cell: int(i % 10), Zone: int(i/10) % 2, State: Ready})
+		endpoints = append(endpoints, Endpoint{Replica: i + 1, Cell: int(i % 10), Zone: int(i/10) % 2, State: Ready})
 	}
-	g.list(UpdateFull, es...)
-	g.turn()
+	h.updateEndpoints(UpdateFull, endpoints...)
+	h.runRound()
 	across := func(n int, ms float64) (sent int) {
-		before := len(g.sends)
+		before := len(h.sent)
 		for i := range n {
-			g.query(0, i%10, (i+3)%10)
-			g.turn()
-			g.pass(50, func(a *rigSend) {
-				if zone := (a.replica - 1) / 10 % 2; g.now >= a.at+100 && zone == 0 || g.now >= a.at+ms {
-					g.end(a, Succeeded)
+			h.submit(0, i%10, (i+3)%10)
+			h.runRound()
+			h.advance(50, func(a *sentAttempt) {
+				if zone := (a.replica - 1) / 10 % 2; h.now >= a.sentAt+100 && zone == 0 || h.now >= a.sentAt+ms {
+					h.endAttempt(a, Succeeded)
 				}
 			})
 		}
-		for _, a := range g.sends[before:] {
+		for _, a := range h.sent[before:] {
 			if (a.replica-1)/10%2 == 1 {
 				sent++
 			}
@@ -44,48 +44,48 @@
 }
 
 // One replica that stood still brings many late parts back at once: they say nothing of the others in its zone.
-func TestAStallIsNoSlowWay(t *testing.T) {
-	g := newRig(t, settings())
-	g.fleet(UpdateFull)
-	g.warm()
-	r := g.b.replicas.byID[3]
+func TestStalledReplicaDoesNotSlowItsZone(t *testing.T) {
+	h := newHarness(t, testSettings())
+	h.listFleet(UpdateFull)
+	h.learnBaseline()
+	r := h.scheduler.replicas.byID[3]
 	for range 40 {
-		g.b.zones.observe(g.now, r, 30)
+		h.scheduler.zones.observe(h.now, r, 30)
 	}
-	if way := g.b.zones.latency(g.now, r.Zone); way > 1.2 || !r.outliers.countedAsSlow {
+	if way := h.scheduler.zones.latency(h.now, r.Zone); way > 1.2 || !r.outliers.countedAsSlow {
 		t.Fatalf("40 parts out of one stall make the way %v", way)
 	}
-	g.b.zones.observe(g.now, r, 1)
+	h.scheduler.zones.observe(h.now, r, 1)
 	if r.outliers.countedAsSlow {
 		t.Fatal("an answer as usual leaves it slow")
 	}
 }
 
 // A zone that goes silent shows in what is late there, long before a time-out tells of it.
-func TestSilentZoneIsLeftBeforeAnyTimeOut(t *testing.T) {
-	s := settings()
-	s.BrokerCount, s.Shards, s.Cells, s.CellsPerShard, s.LocalZone = 40, 10, 10, 1, 2
-	s.Classes[0].LatencyObjective, s.Classes[0].Deadline, s.AllowHedging = 2900, 3000, false
-	g := newRig(t, s)
-	var es []Endpoint
+func TestSilentZoneIsAvoidedBeforeTimeouts(t *testing.T) {
+	settings := testSettings()
+	settings.BrokerCount, settings.Shards, settings.Cells, settings.CellsPerShard, settings.LocalZone = 40, 10, 10, 1, 2
+	settings.Classes[0].LatencyObjective, settings.Classes[0].Deadline, settings.AllowHedging = 2900, 3000, false
+	h := newHarness(t, settings)
+	var endpoints []Endpoint
 	for i := range uint32(200) {
-		es = append(es, Endpoint{Replica: i + 1, Cell: int(i % 10), Zone: int(i/10) % 2, State: Ready})
+		endpoints = append(endpoints, Endpoint{Replica: i + 1, Cell: int(i % 10), Zone: int(i/10) % 2, State: Ready})
 	}
-	g.list(UpdateFull, es...)
-	g.turn()
-	silent := func(a *rigSend) bool { return (a.replica-1)/10%2 == 1 }
+	h.updateEndpoints(UpdateFull, endpoints...)
+	h.runRound()
+	silent := func(a *sentAttempt) bool { return (a.replica-1)/10%2 == 1 }
 	ask := func(n int, lost bool) (sent int) {
-		before := len(g.sends)
+		before := len(h.sent)
 		for i := range n {
-			g.query(0, i%10, (i+3)%10)
-			g.turn()
-			g.pass(25, func(a *rigSend) {
-				if g.now >= a.at+100 && (!lost || !silent(a)) {
-					g.end(a, Succeeded)
+			h.submit(0, i%10, (i+3)%10)
+			h.runRound()
+			h.advance(25, func(a *sentAttempt) {
+				if h.now >= a.sentAt+100 && (!lost || !silent(a)) {
+					h.endAttempt(a, Succeeded)
 				}
 			})
 		}
-		for _, a := range g.sends[before:] {
+		for _, a := range h.sent[before:] {
 			if silent(a) {
 				sent++
 			}
