--- a/internal/decision/scheduler/harness_test.go
+++ b/internal/decision/scheduler/harness_test.go
@@ -3,33 +3,55 @@
 import (
 	"fmt"
 	"math"
+	"slices"
 	"strings"
 	"testing"
 
 	"ternstage/internal/slicemap"
 )
 
-// harness is a co-ordinator for tests: it keeps what the module does and checks the rules on every action.
+// The final answers of queries, as testQuery.end records them.
+const (
+	endAnswer = "answer"
+	endReject = "reject"
+	endFail   = "fail"
+)
+
+// The classes of testSettings.
+const (
+	classDefault = iota
+	classPartial
+	classNonIdempotent
+	classPartialTarget
+	classWithKey
+	classTwoSteps
+)
+
+// harness drives one scheduler on virtual time and implements its Actions. It records every action and fails the
+// test at the first one that breaks an invariant of the package.
 type harness struct {
-	t                 *testing.T
-	settings          Settings
-	scheduler         *Scheduler
-	now               float64
-	log               []string
-	queries           map[uint64]*testQuery
-	parts             map[uint64]*testPart
-	sent              []*sentAttempt
-	inFlight          []*sentAttempt
-	informedAt        map[uint32]float64 // when a replica was first called draining or gone
+	t         *testing.T
+	settings  Settings
+	scheduler *Scheduler
+	now       float64
+	log       []string
+
+	queries  map[uint64]*testQuery
+	parts    map[uint64]*testPart
+	sent     []*sentAttempt
+	inFlight []*sentAttempt
+	nextID   uint64
+
+	informedAt        map[uint32]float64 // when a replica was first reported draining or removed
 	startedAt         map[uint32]float64
-	restartReportedAt map[uint32]float64 // when its start was told
+	restartReportedAt map[uint32]float64 // when a replica's last start was reported
 	cellOf            map[uint32]int
-	arrivals          []float64
-	retries           []float64
-	polls             int
-	rejected          map[uint64]float64
-	timers            []float64
-	nextID            uint64
+
+	arrivals []float64          // times of queries and parts
+	retries  []float64          // times of attempts beyond the first of a part
+	rejected map[uint64]float64 // retry-after of rejected queries, in ms
+	timers   []float64          // when timers are due
+	polls    int                // of the endpoint list
 }
 
 type testQuery struct {
@@ -37,7 +59,7 @@
 	parts        []*testPart
 	answers      int
 	complete     bool
-	end          string
+	end          string // its final answer; empty while it is open
 	disconnected bool
 	endedAt      float64
 }
@@ -60,38 +82,75 @@
 	cancelled bool
 }
 
+func (a *sentAttempt) mayHaveRun() bool { return !a.ended || a.outcome.mayHaveRun() }
+
+// testSettings describes two brokers before a ring of six cells; each shard is held by three of them.
 func testSettings() Settings {
+	base := Class{LatencyObjective: 1000, Deadline: 3000, PriorityWeight: 1, LateFactor: 0.3,
+		Idempotency: Idempotent, MinCompleteness: 1, CompletenessTarget: 1}
+	partial := base
+	partial.PriorityWeight = 2
+	partial.LateFactor = 0.1
+	partial.MinCompleteness = 0.5
+	partial.PartialFactor = 0.8
+	nonIdempotent := base
+	nonIdempotent.LateFactor = 0
+	nonIdempotent.Idempotency = NonIdempotent
+	partialTarget := base
+	partialTarget.PriorityWeight = 2
+	partialTarget.MinCompleteness = 0.67
+	partialTarget.CompletenessTarget = 0.67
+	withKey := base
+	withKey.LateFactor = 0.1
+	withKey.Idempotency = IdempotentWithKey
+	withKey.DedupWindow = 400
+	twoSteps := base
+	twoSteps.SecondStepParts = 2
 	return Settings{
-		Classes: []Class{
-			{LatencyObjective: 1000, Deadline: 3000, PriorityWeight: 1, LateFactor: 0.3, Idempotency: Idempotent, MinCompleteness: 1, CompletenessTarget: 1},
-			{LatencyObjective: 1000, Deadline: 3000, PriorityWeight: 2, LateFactor: 0.1, Idempotency: Idempotent, MinCompleteness: 0.5, CompletenessTarget: 1, PartialFactor: 0.8},
-			{LatencyObjective: 1000, Deadline: 3000, PriorityWeight: 1, Idempotency: NonIdempotent, MinCompleteness: 1, CompletenessTarget: 1},
-			{LatencyObjective: 1000, Deadline: 3000, PriorityWeight: 2, LateFactor: 0.3, Idempotency: Idempotent, MinCompleteness: 0.67, CompletenessTarget: 0.67},
-			{LatencyObjective: 1000, Deadline: 3000, PriorityWeight: 1, LateFactor: 0.1, Idempotency: IdempotentWithKey, DedupWindow: 400, MinCompleteness: 1, CompletenessTarget: 1},
-			{LatencyObjective: 1000, Deadline: 3000, PriorityWeight: 1, LateFactor: 0.3, Idempotency: Idempotent, MinCompleteness: 1, CompletenessTarget: 1, SecondStepParts: 2},
-		},
-		BrokerCount: 2, TimerResolution: 5, Shards: 6, Cells: 6, CellsPerShard: 3, MaxPartsPerCall: 1, CanCancel: true, AllowHedging: true, MaxAttempts: 4,
-		MaxRetryAfter: 1000, DrainGrace: 500, SlowStart: SlowStartSettings{InitialCapacity: 0.15, Duration: 15000, WorkMultiple: 4, Window: 1000},
-		RetryBudget: RetryBudgetSettings{Spare: 5, Ratio: 0.05, Window: 2000}, AnswerGrace: 20,
+		Classes:         []Class{base, partial, nonIdempotent, partialTarget, withKey, twoSteps},
+		BrokerCount:     2,
+		TimerResolution: 5,
+		Shards:          6,
+		Cells:           6,
+		CellsPerShard:   3,
+		MaxPartsPerCall: 1,
+		CanCancel:       true,
+		AllowHedging:    true,
+		MaxAttempts:     4,
+		MaxRetryAfter:   1000,
+		DrainGrace:      500,
+		SlowStart:       SlowStartSettings{InitialCapacity: 0.15, Duration: 15000, WorkMultiple: 4, Window: 1000},
+		RetryBudget:     RetryBudgetSettings{Spare: 5, Ratio: 0.05, Window: 2000},
+		AnswerGrace:     20,
 	}
 }
 
 func newHarness(t *testing.T, settings Settings) *harness {
 	t.Helper()
-	h := &harness{t: t, settings: settings, now: 1e6, queries: map[uint64]*testQuery{}, parts: map[uint64]*testPart{},
-		informedAt: map[uint32]float64{}, startedAt: map[uint32]float64{},
-		restartReportedAt: map[uint32]float64{}, cellOf: map[uint32]int{}, rejected: map[uint64]float64{}}
-	var err error
+	h := &harness{
+		t:                 t,
+		settings:          settings,
+		now:               1e6,
+		queries:           map[uint64]*testQuery{},
+		parts:             map[uint64]*testPart{},
+		informedAt:        map[uint32]float64{},
+		startedAt:         map[uint32]float64{},
+		restartReportedAt: map[uint32]float64{},
+		cellOf:            map[uint32]int{},
+		rejected:          map[uint64]float64{},
+	}
 	if settings.Placement == nil {
 		settings.Placement = slicemap.NewRingPlacement(settings.Shards, settings.Cells, settings.CellsPerShard)
 	}
-	if h.scheduler, err = New(settings, 7, h); err != nil {
+	scheduler, err := New(settings, 7, h)
+	if err != nil {
 		t.Fatal(err)
 	}
+	h.scheduler = scheduler
 	return h
 }
 
-// listFleet lists one replica a cell, numbered from 1, all long warm.
+// listFleet lists one warm replica for each cell, numbered from 1, and runs a round.
 func (h *harness) listFleet(kind UpdateKind) {
 	var endpoints []Endpoint
 	for i := 0; i < h.settings.Cells; i++ {
@@ -101,44 +160,65 @@
 	h.runRound()
 }
 
+// updateEndpoints delivers an update of the endpoint list and notes what the rules on drains and slow start need.
 func (h *harness) updateEndpoints(kind UpdateKind, endpoints ...Endpoint) {
 	for _, e := range endpoints {
 		h.cellOf[e.Replica] = e.Cell
 		if e.State != Ready {
-			if _, ok := h.informedAt[e.Replica]; !ok {
+			if _, known := h.informedAt[e.Replica]; !known {
 				h.informedAt[e.Replica] = h.now
 			}
-		} else {
-			delete(h.informedAt, e.Replica)
-			if e.StartedAt > h.startedAt[e.Replica] {
-				h.restartReportedAt[e.Replica] = h.now
-			}
-			h.startedAt[e.Replica] = e.StartedAt
+			continue
 		}
+		delete(h.informedAt, e.Replica)
+		if e.StartedAt > h.startedAt[e.Replica] {
+			h.restartReportedAt[e.Replica] = h.now
+		}
+		h.startedAt[e.Replica] = e.StartedAt
 	}
 	h.scheduler.EndpointsChanged(h.now, kind, endpoints)
 }
 
-// submit hands over a query of a class with parts at the given shards, all hinted alike.
+// submit submits a query of a class with a part at each of the given shards, all with the same cost hint.
 func (h *harness) submit(class int, shards ...int) *testQuery {
 	return h.submitWithHint(class, 100, shards...)
 }
 
 func (h *harness) submitWithHint(class int, hint float64, shards ...int) *testQuery {
+	return h.submitQuery(Query{Class: class}, hint, shards...)
+}
+
+// submitWithKey submits a query of the default class about a key.
+func (h *harness) submitWithKey(key uint64, shards ...int) *testQuery {
+	return h.submitQuery(Query{Key: key}, 100, shards...)
+}
+
+// submitQuery numbers a query, gives it the deadline of its class, and submits it with a part at each shard.
+func (h *harness) submitQuery(in Query, hint float64, shards ...int) *testQuery {
 	h.nextID++
-	q := &testQuery{Query: Query{ID: h.nextID, QueryGroup: int(h.nextID), Class: class, Deadline: h.now + 3000}}
-	h.queries[q.Query.ID] = q
+	in.ID = h.nextID
+	in.QueryGroup = int(h.nextID)
+	in.Deadline = h.now + 3000
+	q := &testQuery{Query: in}
+	h.queries[in.ID] = q
 	h.arrivals = append(h.arrivals, h.now)
-	h.scheduler.QueryArrived(h.now, q.Query)
-	for _, s := range shards {
-		h.addPart(q, s, hint, 1/float64(len(shards)))
+	h.scheduler.QueryArrived(h.now, in)
+	for _, shard := range shards {
+		h.addPart(q, shard, hint, 1/float64(len(shards)))
 	}
 	return q
 }
 
 func (h *harness) addPart(q *testQuery, shard int, hint, weight float64) {
 	h.nextID++
-	p := &testPart{Part: Part{ID: h.nextID, QueryGroup: q.Query.QueryGroup, Shard: shard, Weight: weight, CostHint: hint, HasCostHint: hint > 0}, query: q}
+	p := &testPart{query: q, Part: Part{
+		ID:          h.nextID,
+		QueryGroup:  q.Query.QueryGroup,
+		Shard:       shard,
+		Weight:      weight,
+		CostHint:    hint,
+		HasCostHint: hint > 0,
+	}}
 	q.parts = append(q.parts, p)
 	h.parts[p.Part.ID] = p
 	h.arrivals = append(h.arrivals, h.now)
@@ -147,7 +227,14 @@
 
 func (h *harness) runRound() { h.scheduler.RunRound(h.now) }
 
-// advance lets time go by in ticks, with the timers that were asked for; reply answers the attempts.
+// decided runs the round that decides on a query, and returns the query.
+func (h *harness) decided(q *testQuery) *testQuery {
+	h.runRound()
+	return q
+}
+
+// advance lets virtual time pass in ticks: due timers fire, cancelled attempts and timeouts end, reply may end the
+// other attempts in flight (nil for no reply), and a round follows.
 func (h *harness) advance(ms float64, reply func(*sentAttempt)) {
 	for end := h.now + ms; h.now < end; {
 		h.now += h.settings.TimerResolution
@@ -155,12 +242,14 @@
 			h.timers = h.timers[1:]
 			h.scheduler.TimerFired(h.now)
 		}
-		for _, a := range append([]*sentAttempt(nil), h.inFlight...) {
-			if !a.ended && a.cancelled {
+		for _, a := range slices.Clone(h.inFlight) {
+			switch {
+			case a.ended:
+			case a.cancelled:
 				h.endAttempt(a, Cancelled)
-			} else if !a.ended && a.timeoutMs > 0 && h.now >= a.sentAt+a.timeoutMs {
+			case a.timeoutMs > 0 && h.now >= a.sentAt+a.timeoutMs:
 				h.endAttempt(a, TimedOut)
-			} else if !a.ended && reply != nil {
+			case reply != nil:
 				reply(a)
 			}
 		}
@@ -168,186 +257,254 @@
 	}
 }
 
-func (h *harness) endAttempt(a *sentAttempt, o Outcome) {
-	h.endAttemptWith(a, AttemptResult{Outcome: o})
+// replyAfter is a reply for advance: every attempt succeeds once it is so many ms old.
+func (h *harness) replyAfter(ms float64) func(*sentAttempt) {
+	return func(a *sentAttempt) {
+		if h.now >= a.sentAt+ms {
+			h.endAttempt(a, Succeeded)
+		}
+	}
+}
+
+// endAttempt ends an attempt in flight now.
+func (h *harness) endAttempt(a *sentAttempt, outcome Outcome) {
+	h.endAttemptWith(a, AttemptResult{Outcome: outcome})
+}
+
+// endAttemptWith ends an attempt in flight now; result says how, without what the harness knows itself.
+func (h *harness) endAttemptWith(a *sentAttempt, result AttemptResult) {
+	a.ended = true
+	a.outcome = result.Outcome
+	if i := slices.Index(h.inFlight, a); i >= 0 {
+		h.inFlight = slices.Delete(h.inFlight, i, i+1)
+	}
+	a.part.arrived = a.part.arrived || result.Outcome == Succeeded
+	result.Part = a.part.Part.ID
+	result.Attempt = a.number
+	result.Replica = a.replica
+	result.Latency = h.now - a.sentAt
+	h.scheduler.AttemptEnded(h.now, result)
+}
+
+// learnBaseline serves traffic at 100 ms a part, so that baseline latencies are known.
+func (h *harness) learnBaseline() {
+	for range 60 {
+		h.submit(classDefault, 0, 2, 4)
+		h.submit(classDefault, 1, 3, 5)
+		h.runRound()
+		h.advance(120, h.replyAfter(100))
+	}
+}
+
+// requireEnd fails the test unless the query has ended with the given final answer.
+func (h *harness) requireEnd(q *testQuery, end string) {
+	h.t.Helper()
+	if q.end != end {
+		h.t.Fatalf("query %d ended with %q, want %q\n%s", q.Query.ID, q.end, end, strings.Join(h.log, "\n"))
+	}
 }
 
-// endAttemptWith ends an attempt; res says how.
-func (h *harness) endAttemptWith(a *sentAttempt, res AttemptResult) {
-	a.ended, a.outcome = true, res.Outcome
-	for i, x := range h.inFlight {
-		if x == a {
-			h.inFlight = append(h.inFlight[:i], h.inFlight[i+1:]...)
-			break
+// sentTo counts the attempts sent to a replica among the given ones.
+func sentTo(replica uint32, attempts []*sentAttempt) int {
+	count := 0
+	for _, a := range attempts {
+		if a.replica == replica {
+			count++
 		}
 	}
-	a.part.arrived = a.part.arrived || res.Outcome == Succeeded
-	res.Part, res.Attempt, res.Replica, res.Latency = a.part.Part.ID, a.number, a.replica, h.now-a.sentAt
-	h.scheduler.AttemptEnded(h.now, res)
+	return count
 }
 
-// replyAfter answers every attempt well once it is ms old.
-func (h *harness) replyAfter(ms float64) func(*sentAttempt) {
-	return func(a *sentAttempt) {
-		if h.now >= a.sentAt+ms {
-			h.endAttempt(a, Succeeded)
+// replicasUsed is the set of replicas that the given attempts were sent to.
+func replicasUsed(attempts []*sentAttempt) map[uint32]bool {
+	used := map[uint32]bool{}
+	for _, a := range attempts {
+		used[a.replica] = true
+	}
+	return used
+}
+
+// idleCloses counts how often the scheduler closed idle connections.
+func (h *harness) idleCloses() int {
+	count := 0
+	for _, line := range h.log {
+		if strings.Contains(line, " close ") {
+			count++
 		}
 	}
+	return count
 }
 
-func countAfter(times []float64, from float64) (n int) {
-	for _, x := range times {
-		if x > from {
-			n++
+// countAfter counts the times after from.
+func countAfter(times []float64, from float64) int {
+	count := 0
+	for _, at := range times {
+		if at > from {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-func (h *harness) Send(part uint64, replica uint32, timeout float64) {
+// Send checks an attempt against all rules on sending and records it.
+func (h *harness) Send(part uint64, replica uint32, timeoutMs float64) {
+	h.log = append(h.log, fmt.Sprintf("%v send %d %d %v", h.now, part, replica, timeoutMs))
 	p := h.parts[part]
-	h.log = append(h.log, fmt.Sprintf("%v send %d %d %v", h.now, part, replica, timeout))
 	if p == nil {
-		h.t.Fatalf("sent an unknown part %d", part)
+		h.t.Fatalf("unknown part %d sent", part)
+	}
+	h.checkDestination(p, replica)
+	h.checkRepeat(p)
+	if len(p.attempts) > 0 && h.settings.RetryBudget.Window > 0 {
+		h.checkRetryBudget()
 	}
-	q, cls := p.query, h.settings.Classes[p.query.Query.Class]
-	if q.endedAt > 0 || h.now >= q.Query.Deadline {
-		h.t.Fatalf("part %d sent after its query's end", part)
+	a := &sentAttempt{part: p, number: len(p.attempts), replica: replica, sentAt: h.now, timeoutMs: timeoutMs}
+	p.attempts = append(p.attempts, a)
+	h.sent = append(h.sent, a)
+	h.inFlight = append(h.inFlight, a)
+	h.checkSlowStart(replica)
+}
+
+// checkDestination requires that a part's query is open and that the replica holds its shard and is not drained.
+func (h *harness) checkDestination(p *testPart, replica uint32) {
+	if p.query.endedAt > 0 || h.now >= p.query.Query.Deadline {
+		h.t.Fatalf("part %d sent after the end of its query", p.Part.ID)
 	}
-	off := (h.cellOf[replica] - p.Part.Shard%h.settings.Cells + h.settings.Cells) % h.settings.Cells
-	if off >= h.settings.CellsPerShard {
-		h.t.Fatalf("shard %d sent to cell %d", p.Part.Shard, h.cellOf[replica])
+	cells := h.settings.Cells
+	offset := (h.cellOf[replica] - p.Part.Shard%cells + cells) % cells
+	if offset >= h.settings.CellsPerShard {
+		h.t.Fatalf("part of shard %d sent to cell %d, which does not hold it", p.Part.Shard, h.cellOf[replica])
 	}
-	if at, ok := h.informedAt[replica]; ok && h.now > at+h.settings.DrainGrace {
-		h.t.Fatalf("replica %d sent to %v ms after its drain was told", replica, h.now-at)
+	informedAt, isLeaving := h.informedAt[replica]
+	if isLeaving && h.now > informedAt+h.settings.DrainGrace {
+		h.t.Fatalf("part sent to replica %d %v ms after its drain was reported", replica, h.now-informedAt)
 	}
-	live := 0
+}
+
+// checkRepeat requires that the class of a part and the settings allow one more attempt.
+func (h *harness) checkRepeat(p *testPart) {
+	class := h.settings.Classes[p.query.Query.Class]
+	inFlight := 0
 	for _, a := range p.attempts {
-		mayRun := !a.ended || a.outcome < Rejected
 		if !a.ended {
-			live++
+			inFlight++
 		}
-		if mayRun && (cls.Idempotency == NonIdempotent || cls.Idempotency == IdempotentWithKey && h.now > a.sentAt+cls.DedupWindow) {
-			h.t.Fatalf("part %d repeated against its effect", part)
+		isPastDedup := class.Idempotency == IdempotentWithKey && h.now > a.sentAt+class.DedupWindow
+		if a.mayHaveRun() && (class.Idempotency == NonIdempotent || isPastDedup) {
+			h.t.Fatalf("part %d repeated although it is not idempotent", p.Part.ID)
 		}
 	}
-	if live > 0 && !h.settings.AllowHedging || live > 1 {
-		h.t.Fatalf("part %d has %d attempts out already", part, live)
+	if inFlight > 0 && !h.settings.AllowHedging || inFlight > 1 {
+		h.t.Fatalf("part %d sent with %d attempts in flight", p.Part.ID, inFlight)
 	}
-	if len(p.attempts) > 0 && h.settings.RetryBudget.Window > 0 {
-		h.retries = append(h.retries, h.now)
-		limit := h.settings.RetryBudget.Spare + h.settings.RetryBudget.Ratio*float64(countAfter(h.arrivals, h.now-h.settings.RetryBudget.Window))
-		if n := countAfter(h.retries, h.now-h.settings.RetryBudget.Window); float64(n) > limit {
-			h.t.Fatalf("%d further attempts in the window, %v allowed", n, limit)
-		}
+}
+
+// checkRetryBudget counts a retry and requires that the retry budget allows it.
+func (h *harness) checkRetryBudget() {
+	budget := h.settings.RetryBudget
+	from := h.now - budget.Window
+	h.retries = append(h.retries, h.now)
+	limit := budget.Spare + budget.Ratio*float64(countAfter(h.arrivals, from))
+	used := countAfter(h.retries, from)
+	if float64(used) > limit {
+		h.t.Fatalf("%d retries in the window, want at most %v", used, limit)
 	}
-	a := &sentAttempt{part: p, number: len(p.attempts), replica: replica, sentAt: h.now, timeoutMs: timeout}
-	p.attempts = append(p.attempts, a)
-	h.sent, h.inFlight = append(h.sent, a), append(h.inFlight, a)
-	if start := h.startedAt[replica]; start > 0 && h.now < start+h.settings.SlowStart.Duration && h.settings.BrokerCount <= 4 { // more take turns
-		work := 0.0
-		for _, x := range h.sent {
-			if x.replica == replica && x.sentAt > h.now-h.settings.SlowStart.Window && x.sentAt >= h.restartReportedAt[replica] {
-				work += x.part.Part.CostHint
-			}
-		}
-		// A machine of two cores, as it serves parts side by side: what it can do at present, halved for a peer.
-		ramp := math.Max(0, h.now-start) / h.settings.SlowStart.Duration
-		if able := 2 * (h.settings.SlowStart.InitialCapacity + (1-h.settings.SlowStart.InitialCapacity)*ramp); work > h.settings.SlowStart.WorkMultiple*able*h.settings.SlowStart.Window/float64(h.settings.BrokerCount) {
-			h.t.Fatalf("cold replica %d sent %v ms of work %v ms after its start", replica, work, h.now-start)
+}
+
+// checkSlowStart requires that the work sent to a warming replica in the window is within this broker's even share
+// of the allowance. In large fleets quotas are not even, so the sum over brokers is checked elsewhere.
+func (h *harness) checkSlowStart(replica uint32) {
+	slowStart := h.settings.SlowStart
+	startedAt := h.startedAt[replica]
+	isWarming := startedAt > 0 && h.now < startedAt+slowStart.Duration
+	if !isWarming || h.settings.BrokerCount > 4 {
+		return
+	}
+	work := 0.0
+	for _, a := range h.sent {
+		isInWindow := a.sentAt > h.now-slowStart.Window && a.sentAt >= h.restartReportedAt[replica]
+		if a.replica == replica && isInWindow {
+			work += a.part.Part.CostHint
 		}
 	}
+	// The replica has two cores, as it serves parts side by side.
+	ramp := math.Max(0, h.now-startedAt) / slowStart.Duration
+	capacity := 2 * (slowStart.InitialCapacity + (1-slowStart.InitialCapacity)*ramp)
+	if work > slowStart.WorkMultiple*capacity*slowStart.Window/float64(h.settings.BrokerCount) {
+		h.t.Fatalf("warming replica %d sent %v ms of work %v ms after its start", replica, work, h.now-startedAt)
+	}
 }
 
+// Cancel notes that an attempt is cancelled; advance ends it.
 func (h *harness) Cancel(part uint64, attempt int) {
 	h.log = append(h.log, fmt.Sprintf("%v cancel %d %d", h.now, part, attempt))
-	if p := h.parts[part]; p == nil || attempt >= len(p.attempts) {
-		h.t.Fatalf("cancelled what was never sentAt: %d %d", part, attempt)
-	} else {
-		p.attempts[attempt].cancelled = true
-	}
-}
-
-func (h *harness) endQuery(id uint64, how string) *testQuery {
-	h.log = append(h.log, fmt.Sprintf("%v %s %d", h.now, how, id))
-	q := h.queries[id]
-	if q == nil || q.endedAt > 0 || q.disconnected {
-		h.t.Fatalf("%s of query %d: unknown or ended already", how, id)
-	}
-	if h.now > q.Query.Deadline {
-		h.t.Fatalf("%s of query %d %v ms late", how, id, h.now-q.Query.Deadline)
+	p := h.parts[part]
+	if p == nil || attempt >= len(p.attempts) {
+		h.t.Fatalf("attempt %d of part %d cancelled, but it was never sent", attempt, part)
 	}
-	q.endedAt, q.end = h.now, how
-	return q
+	p.attempts[attempt].cancelled = true
 }
 
-func (h *harness) Answer(id uint64, whole bool) {
+// Answer requires that enough has arrived for the answer. The first answer of two does not end the query.
+func (h *harness) Answer(id uint64, complete bool) {
 	q := h.queries[id]
-	cls, share, n := h.settings.Classes[q.Query.Class], 0.0, len(q.parts)
+	class := h.settings.Classes[q.Query.Class]
+	weight := 0.0
 	for _, p := range q.parts {
 		if p.arrived {
-			share += p.Part.Weight
+			weight += p.Part.Weight
 		}
 	}
-	if share < cls.MinCompleteness-1e-4 || whole && share < cls.CompletenessTarget-1e-4 || n == 0 {
-		h.t.Fatalf("query %d answered (whole %v) from %v", id, whole, share)
+	isTooLittle := weight < class.MinCompleteness-1e-4 || complete && weight < class.CompletenessTarget-1e-4
+	if isTooLittle || len(q.parts) == 0 {
+		h.t.Fatalf("query %d answered (complete: %v) with a weight of %v", id, complete, weight)
 	}
-	q.answers, q.complete = q.answers+1, whole
-	if cls.SecondStepParts > 0 && q.answers == 1 {
+	q.answers++
+	q.complete = complete
+	if class.SecondStepParts > 0 && q.answers == 1 {
 		q.parts = nil
 		return
 	}
-	h.endQuery(id, "answer")
+	h.endQuery(id, endAnswer)
 }
 
-func (h *harness) Reject(id uint64, after float64) {
-	q := h.endQuery(id, "reject")
-	h.rejected[id] = after
+// Reject requires that no non-idempotent part may have run: the client is told that asking again is harmless.
+func (h *harness) Reject(id uint64, retryAfterMs float64) {
+	q := h.endQuery(id, endReject)
+	h.rejected[id] = retryAfterMs
 	for _, p := range q.parts {
 		for _, a := range p.attempts {
-			if h.settings.Classes[q.Query.Class].Idempotency == NonIdempotent && (!a.ended || a.outcome < Rejected) {
-				h.t.Fatalf("query %d refused though a part may have run", id)
+			if h.settings.Classes[q.Query.Class].Idempotency == NonIdempotent && a.mayHaveRun() {
+				h.t.Fatalf("query %d rejected although a part of it may have run", id)
 			}
 		}
 	}
 }
 
-func (h *harness) Fail(id uint64)         { h.endQuery(id, "fail") }
-func (h *harness) SetTimer(after float64) { h.timers = append(h.timers, h.now+after) }
-func (h *harness) CloseIdleConnections(r uint32) {
-	h.log = append(h.log, fmt.Sprintf("%v close %d", h.now, r))
-}
-func (h *harness) WatchEndpoints() { h.polls++ }
-func (h *harness) Log(text string) { h.log = append(h.log, text) }
+// Fail ends a query without any promise.
+func (h *harness) Fail(id uint64) { h.endQuery(id, endFail) }
 
-func (h *harness) requireEnd(q *testQuery, how string) {
-	h.t.Helper()
-	if q.end != how {
-		h.t.Fatalf("query %d ended by %q, want %q\n%s", q.Query.ID, q.end, how, strings.Join(h.log, "\n"))
+// endQuery requires that the query is open and in time, and records its final answer.
+func (h *harness) endQuery(id uint64, end string) *testQuery {
+	h.log = append(h.log, fmt.Sprintf("%v %s %d", h.now, end, id))
+	q := h.queries[id]
+	if q == nil || q.endedAt > 0 || q.disconnected {
+		h.t.Fatalf("%s of query %d, which is unknown or has ended", end, id)
 	}
-}
-
-// learnBaseline lets the fleet serve some traffic, so that usual latencies are known.
-func (h *harness) learnBaseline() {
-	for range 60 {
-		h.submit(0, 0, 2, 4)
-		h.submit(0, 1, 3, 5)
-		h.runRound()
-		h.advance(120, h.replyAfter(100))
+	if h.now > q.Query.Deadline {
+		h.t.Fatalf("%s of query %d %v ms after its deadline", end, id, h.now-q.Query.Deadline)
 	}
+	q.endedAt = h.now
+	q.end = end
+	return q
 }
 
-// submitWithKey hands over a query about a key.
-func (h *harness) submitWithKey(key uint64, shards ...int) *testQuery {
-	h.nextID++
-	q := &testQuery{Query: Query{ID: h.nextID, QueryGroup: int(h.nextID), Key: key, Deadline: h.now + 3000}}
-	h.queries[q.Query.ID] = q
-	h.arrivals = append(h.arrivals, h.now)
-	h.scheduler.QueryArrived(h.now, q.Query)
-	for _, s := range shards {
-		h.addPart(q, s, 100, 1/float64(len(shards)))
-	}
-	return q
+func (h *harness) SetTimer(afterMs float64) { h.timers = append(h.timers, h.now+afterMs) }
+
+func (h *harness) CloseIdleConnections(replica uint32) {
+	h.log = append(h.log, fmt.Sprintf("%v close %d", h.now, replica))
 }
 
-func (h *harness) decided(q *testQuery) *testQuery { h.runRound(); return q }
+func (h *harness) WatchEndpoints() { h.polls++ }
+
+func (h *harness) Log(text string) { h.log = append(h.log, text) }
