--- a/internal/decision/scheduler/completion_test.go
+++ b/internal/decision/scheduler/completion_test.go
@@ -2,132 +2,152 @@
 
 import "testing"
 
+// TestUnansweredQueriesEndOnce guarantees one final answer where there is nothing to answer with: a rejection if
+// asking again is harmless, a failure if a non-idempotent part may have run. The harness fails the test on a second.
 func TestUnansweredQueriesEndOnce(t *testing.T) {
 	h := newHarness(t, testSettings())
-	empty := h.submit(0)
+	withoutParts := h.submit(classDefault)
 	h.runRound()
-	h.requireEnd(empty, "reject")
-	nobody := h.submit(0, 0) // no replica is known at all
+	h.requireEnd(withoutParts, endReject)
+	withoutReplicas := h.submit(classDefault, 0)
 	h.runRound()
 	h.advance(3000, nil)
-	h.requireEnd(nobody, "reject")
+	h.requireEnd(withoutReplicas, endReject)
 	h.listFleet(UpdateFull)
-	hung := h.submit(0, 0)
+	stalled := h.submit(classDefault, 0)
 	h.runRound()
 	h.advance(3100, nil)
-	h.requireEnd(hung, "reject")
-	unsafe := h.submit(2, 0)
+	h.requireEnd(stalled, endReject)
+	nonIdempotent := h.submit(classNonIdempotent, 0)
 	h.runRound()
 	h.advance(3100, nil)
-	h.requireEnd(unsafe, "fail") // it may have run: no promise
+	h.requireEnd(nonIdempotent, endFail)
 }
 
+// TestNegligibleLateFactorEndsQueryAtObjective guarantees that queries whose late answer is worth little end at
+// their objective, and so do their attempts, while others are waited for.
 func TestNegligibleLateFactorEndsQueryAtObjective(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
-	little, more := h.submit(4, 0), h.submit(0, 1)
+	worthless := h.submit(classWithKey, 0)
+	worthwhile := h.submit(classDefault, 1)
 	h.runRound()
 	for _, a := range h.inFlight {
-		if class := a.part.query.Query.Class; (a.timeoutMs <= 1000) != (class == 4) {
-			t.Fatalf("class %d: time-out %v", class, a.timeoutMs)
+		class := a.part.query.Query.Class
+		if (a.timeoutMs <= 1000) != (class == classWithKey) {
+			t.Fatalf("class %d: timeout %v", class, a.timeoutMs)
 		}
 	}
 	h.advance(1010, nil)
-	h.requireEnd(little, "fail") // keyed and possibly run: no promise
-	if more.endedAt > 0 {
-		t.Fatal("a query with late worth was ended at its aim")
+	h.requireEnd(worthless, endFail) // it may have run: no promise
+	if worthwhile.endedAt > 0 {
+		t.Fatal("a query whose late answer has worth was ended at its objective")
 	}
 }
 
+// TestPartialAnswerAtObjective guarantees that a class that allows it is answered with what has arrived, marked as
+// incomplete, instead of missing its objective.
 func TestPartialAnswerAtObjective(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
-	q := h.submit(1, 0, 1, 2, 3)
+	q := h.submit(classPartial, 0, 1, 2, 3)
 	h.runRound()
 	for _, a := range append([]*sentAttempt(nil), h.inFlight[:3]...) {
 		h.endAttempt(a, Succeeded)
 	}
 	h.advance(995, nil)
-	h.requireEnd(q, "answer")
+	h.requireEnd(q, endAnswer)
 	if q.complete {
-		t.Fatal("marked whole")
+		t.Fatal("a partial answer is marked complete")
 	}
 }
 
-// A partial answer must be at the client, not only out, by the aim: it leaves before the last sweep that could miss it.
+// TestPartialAnswerPrecedesObjectiveByMargin guarantees that a partial answer leaves early enough to be at the
+// client by the objective, however the objective falls between two looks at the open queries.
 func TestPartialAnswerPrecedesObjectiveByMargin(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
 	h.learnBaseline()
-	arrived := h.now
-	q := h.submit(1, 0, 1, 2, 3)
+	arrivedAt := h.now
+	q := h.submit(classPartial, 0, 1, 2, 3)
 	h.runRound()
-	stuck := h.inFlight[0].part
+	stalled := h.inFlight[0].part
 	h.advance(1000, func(a *sentAttempt) {
-		if a.part != stuck && h.now >= a.sentAt+90 {
+		if a.part != stalled && h.now >= a.sentAt+90 {
 			h.endAttempt(a, Succeeded)
 		}
 	})
-	h.requireEnd(q, "answer")
-	if early := arrived + h.settings.Classes[1].LatencyObjective - q.endedAt; early < finalAnswerMarginMs {
-		t.Fatalf("answered %v ms before the aim", early)
+	h.requireEnd(q, endAnswer)
+	margin := arrivedAt + h.settings.Classes[classPartial].LatencyObjective - q.endedAt
+	if margin < finalAnswerMarginMs {
+		t.Fatalf("answered %v ms before the objective, want %v at least", margin, finalAnswerMarginMs)
 	}
 }
 
+// TestSecondStepEndsWithCompleteAnswer guarantees that the first answer of a class with two steps keeps the query
+// open, and the second ends it.
 func TestSecondStepEndsWithCompleteAnswer(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
-	q := h.submit(5, 0, 1)
+	q := h.submit(classTwoSteps, 0, 1)
 	h.runRound()
 	h.advance(60, h.replyAfter(40))
 	if q.answers != 1 || q.endedAt > 0 {
-		t.Fatal("first step not answered")
+		t.Fatal("first step not answered, or the query ended with it")
 	}
 	h.addPart(q, 0, 100, 0.5)
 	h.addPart(q, 1, 100, 0.5)
 	h.runRound()
 	h.advance(60, h.replyAfter(40))
-	h.requireEnd(q, "answer")
+	h.requireEnd(q, endAnswer)
 	if q.answers != 2 || !q.complete {
-		t.Fatalf("%+v", q)
+		t.Fatalf("%d answers, complete %v; want 2 and true", q.answers, q.complete)
 	}
 }
 
-// A second step with fewer parts than stated, or at shards whose holders have left, ends in one honest final answer.
+// TestDegenerateSecondStepEndsOnce guarantees one honest final answer to queries whose second step has fewer parts
+// than stated, or parts at shards whose replicas have been removed.
 func TestDegenerateSecondStepEndsOnce(t *testing.T) {
-	for name, odd := range map[string]func(h *harness, q *testQuery){
-		"no holders": func(h *harness, q *testQuery) {
+	const withoutReplicas = "no replicas"
+	for name, begin := range map[string]func(h *harness, q *testQuery){
+		withoutReplicas: func(h *harness, q *testQuery) {
 			h.updateEndpoints(UpdateFull, Endpoint{Replica: 5, Cell: 4, State: Ready})
 			h.addPart(q, 0, 100, 0.5)
 			h.addPart(q, 1, 100, 0.5)
 		},
 		"one part of two": func(h *harness, q *testQuery) { h.addPart(q, 0, 100, 1) },
-		"no parts at all": func(*harness, *testQuery) {},
+		"no parts":        func(*harness, *testQuery) {},
 	} {
-		h := newHarness(t, testSettings())
-		h.listFleet(UpdateFull)
-		q := h.decided(h.submit(5, 0, 1))
-		h.advance(150, h.replyAfter(100))
-		if q.answers != 1 {
-			t.Fatalf("%s: no first answer", name)
-		}
-		odd(h, q)
-		h.runRound()
-		h.advance(3200, h.replyAfter(100))
-		if q.endedAt == 0 || q.endedAt > q.Query.Deadline+h.settings.AnswerGrace || name == "no holders" && q.answers > 1 && q.complete {
-			t.Errorf("%s: finished at %v by %q, deadline %v", name, q.endedAt, q.end, q.Query.Deadline)
-		}
+		t.Run(name, func(t *testing.T) {
+			h := newHarness(t, testSettings())
+			h.listFleet(UpdateFull)
+			q := h.decided(h.submit(classTwoSteps, 0, 1))
+			h.advance(150, h.replyAfter(100))
+			if q.answers != 1 {
+				t.Fatalf("%d answers to the first step, want 1", q.answers)
+			}
+			begin(h, q)
+			h.runRound()
+			h.advance(3200, h.replyAfter(100))
+			isLate := q.endedAt > q.Query.Deadline+h.settings.AnswerGrace
+			isFalselyComplete := name == withoutReplicas && q.answers > 1 && q.complete
+			if q.endedAt == 0 || isLate || isFalselyComplete {
+				t.Errorf("ended at %v with %q (complete: %v), deadline %v", q.endedAt, q.end, q.complete, q.Query.Deadline)
+			}
+		})
 	}
 }
 
+// TestCoarseTimerStillAnswersBeforeDeadline guarantees that the final answer is not late where timers are coarse;
+// the harness fails the test on a late one.
 func TestCoarseTimerStillAnswersBeforeDeadline(t *testing.T) {
 	settings := testSettings()
 	settings.TimerResolution = 100
 	h := newHarness(t, settings)
 	h.listFleet(UpdateFull)
-	q := h.submit(0, 0)
+	q := h.submit(classDefault, 0)
 	q.Query.Deadline += 37
 	h.runRound()
-	h.advance(3200, nil) // the rig fails the test on a late answer
-	h.requireEnd(q, "reject")
+	h.advance(3200, nil)
+	h.requireEnd(q, endReject)
 }
--- a/internal/decision/scheduler/queues_test.go
+++ b/internal/decision/scheduler/queues_test.go
@@ -5,58 +5,80 @@
 	"testing"
 )
 
+// TestBottleneckQueueIsIndependentOfHintUnit guarantees that cheap and expensive queries land in different queues
+// whatever unit the cost hints are in, as the unit of cost is the mean hint.
 func TestBottleneckQueueIsIndependentOfHintUnit(t *testing.T) {
 	for _, unit := range []float64{0.001, 1, 5000} {
-		b := newHarness(t, testSettings())
-		b.listFleet(UpdateFull)
+		h := newHarness(t, testSettings())
+		h.listFleet(UpdateFull)
 		for range 200 {
-			b.submitWithHint(0, unit, 0)
-			b.submitWithHint(0, unit, 1)
-			b.submitWithHint(0, 4*unit, 2)
-			b.runRound()
-			b.advance(10, b.replyAfter(0))
+			h.submitWithHint(classDefault, unit, 0)
+			h.submitWithHint(classDefault, unit, 1)
+			h.submitWithHint(classDefault, 4*unit, 2)
+			h.runRound()
+			h.advance(10, h.replyAfter(0))
 		}
-		cheap, dear := b.submitWithHint(0, unit, 0), b.submitWithHint(0, 4*unit, 2)
-		if a, c := bottleneckQueue(b.scheduler.parts[cheap.parts[0].Part.ID].cost), bottleneckQueue(b.scheduler.parts[dear.parts[0].Part.ID].cost); a >= c {
-			t.Fatalf("unit %v: cheap in queue %d, dear in %d", unit, a, c)
+		cheap := h.submitWithHint(classDefault, unit, 0)
+		expensive := h.submitWithHint(classDefault, 4*unit, 2)
+		cheapQueue := bottleneckQueue(h.scheduler.parts[cheap.parts[0].Part.ID].cost)
+		expensiveQueue := bottleneckQueue(h.scheduler.parts[expensive.parts[0].Part.ID].cost)
+		if cheapQueue >= expensiveQueue {
+			t.Fatalf("unit %v: cheap query in queue %d, expensive one in %d", unit, cheapQueue, expensiveQueue)
 		}
 	}
 	if bottleneckQueue(1) != 0 || bottleneckQueue(queueThresholdRatio) != 1 || bottleneckQueue(0.2) != 0 || bottleneckQueue(1e9) != queueCount-1 {
-		t.Fatal("thresholds")
+		t.Fatal("the thresholds of the queues are not the powers of their ratio")
 	}
 }
 
+// TestCallSizeSelectsQueueWithoutHints guarantees that, where all parts cost the same, the number of parts in a call
+// decides on its queue.
 func TestCallSizeSelectsQueueWithoutHints(t *testing.T) {
 	settings := testSettings()
-	settings.MaxPartsPerCall, settings.Shards = 16, 24
+	settings.MaxPartsPerCall = 16
+	settings.Shards = 24
 	h := newHarness(t, settings)
 	h.listFleet(UpdateFull)
-	p := func(shards ...int) (ps []*part) {
-		q := &query{class: &settings.Classes[0]}
-		for i, sh := range shards {
-			ps = append(ps, &part{Part: Part{ID: uint64(i), Shard: sh}, query: q, cost: 1})
+	queryParts := func(shards ...int) []*part {
+		var parts []*part
+		q := &query{class: &settings.Classes[classDefault]}
+		for i, shard := range shards {
+			parts = append(parts, &part{Part: Part{ID: uint64(i), Shard: shard}, query: q, cost: 1})
 		}
-		return ps
+		return parts
 	}
-	h.scheduler.enqueue(h.now, p(0))
-	h.scheduler.enqueue(h.now, p(1, 7, 13, 19)) // the same holders: one call of cost 4
+	h.scheduler.enqueue(h.now, queryParts(0))
+	h.scheduler.enqueue(h.now, queryParts(1, 7, 13, 19)) // the same replicas: one call of cost 4
 	if len(h.scheduler.queues.dense[0].fifo[0]) != 1 || len(h.scheduler.queues.dense[1].fifo[3]) != 1 {
-		t.Fatal("one part belongs in the fastest queue, a call of four in the slowest")
+		t.Fatal("want a call of one part in the fastest queue and a call of four in the slowest")
 	}
 }
 
+// TestSlackQueueMatchesCostRatio guarantees that a call that costs less than its query's bottleneck goes to a slower
+// queue, so that both finish together, and never to a faster one.
 func TestSlackQueueMatchesCostRatio(t *testing.T) {
-	for _, c := range []struct {
-		b     int
-		ratio float64
-		want  int
-	}{{0, 1, 0}, {0, 0.8, 1}, {0, 0.59, 2}, {0, 0.1, 3}, {1, 1, 1}, {1, 0.5, 3}, {3, 0.1, 3}} {
-		if got := slackQueue(c.b, c.ratio); got != c.want {
-			t.Errorf("bottleneck in %d, ratio %v: queue %d, want %d", c.b, c.ratio, got, c.want)
+	for _, test := range []struct {
+		bottleneck int
+		ratio      float64
+		want       int
+	}{
+		{0, 1, 0},
+		{0, 0.8, 1},
+		{0, 0.59, 2},
+		{0, 0.1, 3},
+		{1, 1, 1},
+		{1, 0.5, 3},
+		{3, 0.1, 3},
+	} {
+		got := slackQueue(test.bottleneck, test.ratio)
+		if got != test.want {
+			t.Errorf("bottleneck in queue %d, ratio %v: queue %d, want %d", test.bottleneck, test.ratio, got, test.want)
 		}
 	}
 }
 
+// TestDeficitRoundRobinFollowsQueueRates guarantees that no queue starves: full queues are drained in proportion to
+// their rates.
 func TestDeficitRoundRobinFollowsQueueRates(t *testing.T) {
 	queues := &shardQueues{}
 	for i := range queues.fifo {
@@ -64,36 +86,39 @@
 			queues.fifo[i] = append(queues.fifo[i], &queuedCall{cost: 1.5})
 		}
 	}
-	var got [queueCount]float64
+	var released [queueCount]float64
 	for range 1000 {
 		i := queues.next()
 		queues.deficit[i] -= 1.5
 		queues.fifo[i] = queues.fifo[i][1:]
-		got[i]++
+		released[i]++
 	}
-	for i, n := range got {
-		if want := 1000 * queueRates[i] / 14; math.Abs(n-want) > 15 {
-			t.Errorf("queue %d released %v of 1000, want about %v", i, n, want)
+	for i, got := range released {
+		want := 1000 * queueRates[i] / 14
+		if math.Abs(got-want) > 15 {
+			t.Errorf("queue %d released %v of 1000 calls, want about %v", i, got, want)
 		}
 	}
 }
 
+// TestPartsAreQueuedOnlyWhileEveryReplicaIsBusy guarantees that parts wait at the broker instead of at replicas that
+// are at their limit or stalled, but not for a replica with nothing in flight: queueing cannot deadlock.
 func TestPartsAreQueuedOnlyWhileEveryReplicaIsBusy(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
 	h.learnBaseline()
 	var queries []*testQuery
 	for range 100 {
-		queries = append(queries, h.submit(0, 0))
+		queries = append(queries, h.submit(classDefault, 0))
 	}
 	h.runRound()
 	sent := len(h.inFlight)
 	if sent < 3 || sent >= 100 {
-		t.Fatalf("%d of 100 parts of one shard let go at once", sent)
+		t.Fatalf("%d of 100 parts of one shard sent at once", sent)
 	}
 	h.advance(150, nil)
 	if len(h.inFlight) > 30 {
-		t.Fatalf("%d out at stalled replicas", len(h.inFlight))
+		t.Fatalf("%d attempts in flight at stalled replicas", len(h.inFlight))
 	}
 	for _, a := range append([]*sentAttempt(nil), h.inFlight...) {
 		if a.replica == 1 {
@@ -103,7 +128,7 @@
 	before := len(h.sent)
 	h.runRound()
 	if len(h.sent) == before {
-		t.Fatal("a replica with nothing of ours out was held against")
+		t.Fatal("nothing sent to a replica with nothing in flight")
 	}
 	h.advance(3000, h.replyAfter(100))
 	for _, q := range queries {
@@ -113,35 +138,45 @@
 	}
 }
 
+// TestCallIsPromotedAfterHalfTheObjective guarantees that an expensive call does not miss its objective behind a
+// steady flow of cheap ones: it jumps to the fastest queue once half of the objective has passed.
 func TestCallIsPromotedAfterHalfTheObjective(t *testing.T) {
-	queues, class := &shardQueues{}, testSettings().Classes[0]
+	queues := &shardQueues{}
+	class := testSettings().Classes[classDefault]
 	q := &query{class: &class, arrivedAt: 0}
-	c := &queuedCall{parts: []*part{{query: q, queued: true}}, cost: 9}
-	queues.fifo[3] = []*queuedCall{c}
-	if queues.refresh(class.LatencyObjective * promotionObjectiveShare); len(queues.fifo[3]) != 1 {
-		t.Fatal("promoted too early")
+	call := &queuedCall{parts: []*part{{query: q, queued: true}}, cost: 9}
+	queues.fifo[3] = []*queuedCall{call}
+	queues.refresh(class.LatencyObjective * promotionObjectiveShare)
+	if len(queues.fifo[3]) != 1 {
+		t.Fatal("call promoted too early")
 	}
-	if queues.refresh(class.LatencyObjective*promotionObjectiveShare + 1); len(queues.fifo[0]) != 1 || len(queues.fifo[3]) != 0 {
-		t.Fatal("not promoted")
+	queues.refresh(class.LatencyObjective*promotionObjectiveShare + 1)
+	if len(queues.fifo[0]) != 1 || len(queues.fifo[3]) != 0 {
+		t.Fatal("call not promoted")
 	}
 }
 
-// Among many co-ordinators own counts do not show a queue: a query's parts are spread over a set's replicas.
+// TestLargeFleetDoesNotBatchCheapCalls guarantees that one of many brokers spreads a query's parts over the replicas
+// of a shard: its own counts do not show the queue that a batch would land on.
 func TestLargeFleetDoesNotBatchCheapCalls(t *testing.T) {
-	for _, peers := range []int{2, 40} {
+	for _, test := range []struct{ brokers, wantReplicas int }{
+		{brokers: 2, wantReplicas: 1},
+		{brokers: 40, wantReplicas: 3},
+	} {
 		settings := testSettings()
-		settings.BrokerCount, settings.MaxPartsPerCall, settings.Shards, settings.Cells, settings.CellsPerShard = peers, 16, 3, 1, 1
+		settings.BrokerCount = test.brokers
+		settings.MaxPartsPerCall = 16
+		settings.Shards = 3
+		settings.Cells = 1
+		settings.CellsPerShard = 1
 		h := newHarness(t, settings)
 		h.updateEndpoints(UpdateFull, Endpoint{Replica: 1, State: Ready}, Endpoint{Replica: 2, State: Ready}, Endpoint{Replica: 3, State: Ready})
 		h.runRound()
-		h.submit(0, 0, 1, 2)
+		h.submit(classDefault, 0, 1, 2)
 		h.runRound()
-		used := map[uint32]bool{}
-		for _, a := range h.inFlight {
-			used[a.replica] = true
-		}
-		if want := map[int]int{2: 1, 40: 3}[peers]; len(used) != want {
-			t.Errorf("%d peers: parts at %d replicas, %d wanted", peers, len(used), want)
+		used := replicasUsed(h.inFlight)
+		if len(used) != test.wantReplicas {
+			t.Errorf("%d brokers: parts sent to %d replicas, want %d", test.brokers, len(used), test.wantReplicas)
 		}
 	}
 }
--- a/internal/decision/scheduler/retry_test.go
+++ b/internal/decision/scheduler/retry_test.go
@@ -2,92 +2,108 @@
 
 import "testing"
 
+// TestRetryRespectsIdempotency guarantees that a non-idempotent part is retried only while no attempt can have run,
+// and a part with an idempotency key only within its deduplication window.
 func TestRetryRespectsIdempotency(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
 	h.learnBaseline()
-	q := h.submit(2, 0)
+	nonIdempotent := h.submit(classNonIdempotent, 0)
 	h.runRound()
 	h.now += 5
-	h.endAttempt(h.inFlight[0], ConnectFailed) // never ran: may go again
+	h.endAttempt(h.inFlight[0], ConnectFailed) // it never ran, so it may be sent again
 	h.runRound()
-	if n := len(q.parts[0].attempts); n != 2 {
-		t.Fatalf("%d attempts after a proof that the first never ran", n)
+	attempts := len(nonIdempotent.parts[0].attempts)
+	if attempts != 2 {
+		t.Fatalf("%d attempts after the first never ran, want 2", attempts)
 	}
 	h.now += 5
 	h.endAttempt(h.inFlight[0], Failed)
 	h.runRound()
-	h.requireEnd(q, "fail") // at once, not at the deadline
-	k := h.submit(4, 1)
+	h.requireEnd(nonIdempotent, endFail) // at once, not at the deadline
+	withKey := h.submit(classWithKey, 1)
 	h.runRound()
-	h.advance(450, nil) // past the window of 400
-	h.endAttempt(k.parts[0].attempts[len(k.parts[0].attempts)-1], Failed)
-	n := len(k.parts[0].attempts)
+	h.advance(450, nil) // past the deduplication window of 400 ms
+	last := withKey.parts[0].attempts[len(withKey.parts[0].attempts)-1]
+	h.endAttempt(last, Failed)
+	attempts = len(withKey.parts[0].attempts)
 	h.advance(500, nil)
-	if len(k.parts[0].attempts) != n {
-		t.Fatal("keyed part sent again outside its window")
+	if len(withKey.parts[0].attempts) != attempts {
+		t.Fatal("part sent again after its deduplication window")
 	}
 }
 
+// TestUnreachableReplicasDoNotExhaustAttempts guarantees that a short outage of all replicas of a shard does not use
+// up a query's attempts: here they refuse connections for 280 ms and come back.
 func TestUnreachableReplicasDoNotExhaustAttempts(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
 	h.learnBaseline()
-	q := h.submit(0, 0)
+	q := h.submit(classDefault, 0)
 	h.runRound()
-	back := h.now + 280
+	recoversAt := h.now + 280
 	h.advance(700, func(a *sentAttempt) {
-		if h.now < back {
+		if h.now < recoversAt {
 			h.endAttempt(a, ConnectFailed)
 		} else if h.now >= a.sentAt+50 {
 			h.endAttempt(a, Succeeded)
 		}
 	})
-	h.requireEnd(q, "answer") // its replicas refused connections for 280 ms and came back
+	h.requireEnd(q, endAnswer)
 }
 
+// TestRejectingReplicasGetFewAttempts guarantees that retries do not feed the overload of replicas that reject.
 func TestRejectingReplicasGetFewAttempts(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
 	h.learnBaseline()
-	n := len(h.sent)
-	h.submit(0, 0)
+	before := len(h.sent)
+	h.submit(classDefault, 0)
 	h.runRound()
 	h.advance(900, func(a *sentAttempt) { h.endAttempt(a, Rejected) })
-	if got := len(h.sent) - n; got > 6 {
-		t.Fatalf("%d attempts at full replicas", got)
+	sent := len(h.sent) - before
+	if sent > 6 {
+		t.Fatalf("%d attempts at rejecting replicas, want 6 at most", sent)
 	}
 }
 
+// TestReservePartSubstitutesFailedPart guarantees that, where less than all makes an answer complete, only what
+// suffices is asked, and another part is asked in place of a failed one without spending a retry.
 func TestReservePartSubstitutesFailedPart(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
-	q := h.submit(3, 0, 1, 2, 3, 4, 5, 0, 1, 2)
+	q := h.submit(classPartialTarget, 0, 1, 2, 3, 4, 5, 0, 1, 2)
 	h.runRound()
-	first := len(h.sent)
-	if first >= 9 || first < 6 {
-		t.Fatalf("%d of 9 parts asked where 67%% make it whole", first)
+	asked := len(h.sent)
+	if asked >= 9 || asked < 6 {
+		t.Fatalf("%d of 9 parts asked where 67%% make the answer complete", asked)
 	}
 	h.now += 5
 	h.endAttempt(h.inFlight[0], Failed)
 	h.runRound()
-	if len(h.sent) != first+1 || len(h.retries) != 0 {
-		t.Fatal("a reserve part should stand in for the failed one, without a further attempt")
+	if len(h.sent) != asked+1 || len(h.retries) != 0 {
+		t.Fatal("want a reserve part sent in place of the failed one, and no retry")
 	}
 	h.advance(200, h.replyAfter(50))
-	h.requireEnd(q, "answer")
+	h.requireEnd(q, endAnswer)
 }
 
+// TestFinishedPartIsNotRetried guarantees that a part whose result says PartDone is not sent again.
 func TestFinishedPartIsNotRetried(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
-	q := h.submit(0, 0)
+	q := h.submit(classDefault, 0)
 	h.runRound()
-	h.scheduler.AttemptEnded(h.now, AttemptResult{Part: q.parts[0].Part.ID, Replica: q.parts[0].attempts[0].replica, Outcome: Failed, PartDone: true})
+	h.scheduler.AttemptEnded(h.now, AttemptResult{
+		Part:     q.parts[0].Part.ID,
+		Replica:  q.parts[0].attempts[0].replica,
+		Outcome:  Failed,
+		PartDone: true,
+	})
 	h.runRound()
 	h.advance(100, nil)
 	if len(q.parts[0].attempts) != 1 {
-		t.Fatal("a part that is over was sent again")
+		t.Fatal("a finished part was sent again")
 	}
-	h.requireEnd(q, "reject")
+	h.requireEnd(q, endReject)
 }
