--- a/internal/decision/scheduler/endpoint_list_test.go
+++ b/internal/decision/scheduler/endpoint_list_test.go
@@ -1,107 +1,114 @@
 package scheduler
 
 import (
-	"fmt"
+	"strconv"
 	"testing"
 )
 
+// TestDrainingReplicaGetsNothingUntilReadyAgain guarantees that draining and removed replicas get nothing new, and
+// that a replica that is ready again is used like the others.
 func TestDrainingReplicaGetsNothingUntilReadyAgain(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
 	h.updateEndpoints(UpdateDelta, Endpoint{Replica: 1, Cell: 0, State: Draining}, Endpoint{Replica: 2, Cell: 1, State: Removed})
 	for range 40 {
-		h.submit(0, 0)
+		h.submit(classDefault, 0)
 		h.runRound()
 		h.advance(50, h.replyAfter(40))
 	}
 	for _, a := range h.sent {
 		if a.replica != 3 {
-			t.Fatalf("replica %d got a part", a.replica)
+			t.Fatalf("part sent to replica %d, want only 3", a.replica)
 		}
 	}
 	h.updateEndpoints(UpdateDelta, Endpoint{Replica: 1, Cell: 0, State: Ready})
-	n := len(h.sent)
+	before := len(h.sent)
 	for range 10 {
-		h.submit(0, 0)
+		h.submit(classDefault, 0)
 		h.runRound()
 		h.advance(20, nil)
 	}
-	back := false
-	for _, a := range h.sent[n:] {
-		back = back || a.replica == 1
-	}
-	if !back {
-		t.Fatal("a replica that is ready again gets nothing")
+	if sentTo(1, h.sent[before:]) == 0 {
+		t.Fatal("nothing sent to a replica that is ready again")
 	}
 }
 
+// TestFailedPollBacksOff guarantees that a failed poll is repeated, after a delay and once only, and that nothing is
+// polled while a watch runs.
 func TestFailedPollBacksOff(t *testing.T) {
 	settings := testSettings()
-	settings.PollEndpoints, settings.MaxStaleness = true, 10000
+	settings.PollEndpoints = true
+	settings.MaxStaleness = 10000
 	h := newHarness(t, settings)
 	h.listFleet(UpdateCached)
 	if h.polls != 1 {
-		t.Fatalf("%d calls after a start with a cached list", h.polls)
+		t.Fatalf("%d polls after a start with a cached list, want 1", h.polls)
 	}
-	for range 5 { // every call fails
+	for range 5 {
 		h.updateEndpoints(UpdateFailed)
 		h.runRound()
-		n := h.polls
+		before := h.polls
 		h.advance(100, nil)
-		if h.polls != n {
-			t.Fatal("asked again at once")
+		if h.polls != before {
+			t.Fatal("polled again at once after a failure")
 		}
 		h.advance(4000, nil)
-		if h.polls != n+1 {
-			t.Fatalf("%d calls in 4 s after a failure", h.polls-n)
+		if h.polls != before+1 {
+			t.Fatalf("%d polls in 4 s after a failure, want 1", h.polls-before)
 		}
 	}
 	h.updateEndpoints(UpdateDelta)
-	n := h.polls
+	before := h.polls
 	h.runRound()
 	h.advance(20000, nil)
-	if h.polls != n {
-		t.Fatal("asked again while subscribed")
+	if h.polls != before {
+		t.Fatal("polled while a watch runs")
 	}
 }
 
+// TestRecoversFromStaleListWithSpentRetryBudget guarantees that queries are answered soon after an update that
+// names the new processes, although failures at the old ones have spent the retry budget by then.
 func TestRecoversFromStaleListWithSpentRetryBudget(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
 	h.learnBaseline()
-	for range 10 { // budget spent on failures while replicas 2 and 3 are replaced without the list saying so
-		h.submit(0, 0, 1, 2)
+	for range 10 { // replicas 2 and 3 have been replaced, which the endpoint list does not show yet
+		h.submit(classDefault, 0, 1, 2)
 		h.runRound()
 		h.advance(20, func(a *sentAttempt) { h.endAttempt(a, ConnectFailed) })
 	}
-	h.updateEndpoints(UpdateFull, Endpoint{Replica: 1, Cell: 0, State: Ready}, Endpoint{Replica: 22, Cell: 1, State: Ready, StartedAt: h.now},
-		Endpoint{Replica: 33, Cell: 2, State: Ready, StartedAt: h.now}, Endpoint{Replica: 4, Cell: 3, State: Ready},
-		Endpoint{Replica: 5, Cell: 4, State: Ready}, Endpoint{Replica: 6, Cell: 5, State: Ready})
+	h.updateEndpoints(UpdateFull,
+		Endpoint{Replica: 1, Cell: 0, State: Ready},
+		Endpoint{Replica: 22, Cell: 1, State: Ready, StartedAt: h.now},
+		Endpoint{Replica: 33, Cell: 2, State: Ready, StartedAt: h.now},
+		Endpoint{Replica: 4, Cell: 3, State: Ready},
+		Endpoint{Replica: 5, Cell: 4, State: Ready},
+		Endpoint{Replica: 6, Cell: 5, State: Ready})
 	h.runRound()
 	h.advance(4000, h.replyAfter(50))
 	answered := 0
 	for range 40 {
-		q := h.submit(0, 0, 1, 2)
+		q := h.submit(classDefault, 0, 1, 2)
 		h.runRound()
 		h.advance(150, h.replyAfter(50))
-		if q.end == "answer" {
+		if q.end == endAnswer {
 			answered++
 		}
 	}
 	if answered < 36 {
-		t.Fatalf("%d of 40 answered after the release", answered)
+		t.Fatalf("%d of 40 queries answered after the update, want 36 at least", answered)
 	}
 }
 
-// TestReplacingMostReplicasAtOnceLosesNoQuery: one answer names other machines in the place of four of six; what was out
-// at the old ones and what comes next is answered, by the new ones too.
+// TestReplacingMostReplicasAtOnceLosesNoQuery guarantees that an update which replaces four of six replicas loses
+// neither what is in flight at the old ones nor what comes next, and that the new ones are used.
 func TestReplacingMostReplicasAtOnceLosesNoQuery(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
 	h.learnBaseline()
 	var queries []*testQuery
 	for i := range 4 {
-		queries = append(queries, h.submit(0, i, i+1, i+2))
+		queries = append(queries, h.submit(classDefault, i, i+1, i+2))
 	}
 	h.runRound()
 	endpoints := []Endpoint{{Replica: 5, Cell: 4, State: Ready}, {Replica: 6, Cell: 5, State: Ready}}
@@ -109,22 +116,22 @@
 		endpoints = append(endpoints, Endpoint{Replica: uint32(101 + i), Cell: i, State: Ready, StartedAt: h.now - 100})
 	}
 	h.updateEndpoints(UpdateFull, endpoints...)
-	old := len(h.sent)
+	before := len(h.sent)
 	h.advance(100, h.replyAfter(20))
 	for i := range 100 {
-		queries = append(queries, h.submit(0, i%6))
+		queries = append(queries, h.submit(classDefault, i%6))
 		h.runRound()
 		h.advance(30, h.replyAfter(20))
 	}
 	h.advance(200, h.replyAfter(20))
-	used := map[uint32]bool{}
-	for _, a := range h.sent[old:] {
-		if used[a.replica] = true; a.replica <= 4 && a.sentAt > 1e6+h.settings.DrainGrace+1e5 {
-			t.Fatalf("sent to %d, which is gone", a.replica)
+	used := replicasUsed(h.sent[before:])
+	for _, a := range h.sent[before:] {
+		if a.replica <= 4 && a.sentAt > 1e6+h.settings.DrainGrace+1e5 {
+			t.Fatalf("part sent to replica %d, which has been removed", a.replica)
 		}
 	}
 	for _, q := range queries {
-		h.requireEnd(q, "answer")
+		h.requireEnd(q, endAnswer)
 	}
 	for id := uint32(101); id <= 104; id++ {
 		if !used[id] {
@@ -133,95 +140,109 @@
 	}
 }
 
-// A list that names far more replicas than the settings suggest is taken as it is; no peers means one co-ordinator.
+// TestLongEndpointListAndUnsetBrokerCount guarantees that a list may name far more replicas than the settings
+// suggest, also in cells that hold nothing, and that a BrokerCount of 0 means one broker.
 func TestLongEndpointListAndUnsetBrokerCount(t *testing.T) {
 	settings := testSettings()
-	settings.BrokerCount, settings.BrokerIndex = 0, 0
+	settings.BrokerCount = 0
+	settings.BrokerIndex = 0
 	h := newHarness(t, settings)
 	var endpoints []Endpoint
 	for i := 0; i < 3000; i++ {
-		endpoints = append(endpoints, Endpoint{Replica: uint32(i + 1), Cell: i % 9, State: Ready}) // cells 6 to 8 hold nothing
+		endpoints = append(endpoints, Endpoint{Replica: uint32(i + 1), Cell: i % 9, State: Ready})
 	}
 	h.updateEndpoints(UpdateFull, endpoints...)
-	q := h.submit(0, 0, 1, 2)
+	q := h.submit(classDefault, 0, 1, 2)
 	h.runRound()
 	h.advance(200, h.replyAfter(90))
-	h.requireEnd(q, "answer")
+	h.requireEnd(q, endAnswer)
 }
 
-// Zones of any number in the list are taken as they are.
+// TestArbitraryZoneNumbersAreAccepted guarantees that the numbers of zones need not be small or positive.
 func TestArbitraryZoneNumbersAreAccepted(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.updateEndpoints(UpdateFull, Endpoint{Replica: 1, State: Ready, Zone: -7}, Endpoint{Replica: 2, State: Ready, Zone: 1 << 40})
-	q := h.decided(h.submit(0, 0))
+	q := h.decided(h.submit(classDefault, 0))
 	h.advance(200, h.replyAfter(100))
-	h.requireEnd(q, "answer")
+	h.requireEnd(q, endAnswer)
 }
 
-// TestSuspendedShardIsRejectedUntilReplicaReturns: a query for a set whose replicas are all suspended is refused at once with advice, others are
-// served; with one of the last two back and cold it is served within the cold share, and nothing goes to the other.
+// TestSuspendedShardIsRejectedUntilReplicaReturns guarantees that a query for a shard whose replicas are all
+// suspended is rejected at once with a retry-after, while others are served; and that, once one replica is back and
+// warming up, it serves within its slow-start allowance and the other still gets nothing.
 func TestSuspendedShardIsRejectedUntilReplicaReturns(t *testing.T) {
 	settings := testSettings()
-	settings.Shards, settings.Cells, settings.CellsPerShard = 6, 6, 2
+	settings.Shards = 6
+	settings.Cells = 6
+	settings.CellsPerShard = 2
 	h := newHarness(t, settings)
 	h.listFleet(UpdateFull)
 	h.learnBaseline()
 	h.updateEndpoints(UpdateDelta, Endpoint{Replica: 1, Cell: 0, State: Draining}, Endpoint{Replica: 2, Cell: 1, State: Draining})
 	h.advance(settings.DrainGrace+100, h.replyAfter(40))
 	h.sent = nil
-	gone, whole := h.submit(0, 0), h.submit(0, 3)
+	suspended := h.submit(classDefault, 0)
+	elsewhere := h.submit(classDefault, 3)
 	h.runRound()
-	if gone.end != "reject" || h.rejected[gone.Query.ID] <= 0 {
-		t.Fatalf("a query without a replica ended as %q, to come back after %v", gone.end, h.rejected[gone.Query.ID])
+	retryAfter := h.rejected[suspended.Query.ID]
+	if suspended.end != endReject || retryAfter <= 0 {
+		t.Fatalf("a query without a replica ended with %q, retry-after %v ms", suspended.end, retryAfter)
 	}
 	h.advance(200, h.replyAfter(40))
-	if whole.end != "answer" {
-		t.Fatalf("a query elsewhere ended as %q", whole.end)
+	if elsewhere.end != endAnswer {
+		t.Fatalf("a query of another shard ended with %q", elsewhere.end)
 	}
 	h.updateEndpoints(UpdateDelta, Endpoint{Replica: 2, Cell: 1, State: Ready, StartedAt: h.now - 200})
 	served := 0
 	for range 100 {
-		q := h.submit(0, 0)
+		q := h.submit(classDefault, 0)
 		h.runRound()
 		h.advance(50, h.replyAfter(40))
-		if q.end == "answer" {
+		if q.end == endAnswer {
 			served++
 		}
 	}
 	for _, a := range h.sent {
 		if a.replica == 1 {
-			t.Fatal("a suspended replica was sent to")
+			t.Fatal("part sent to a suspended replica")
 		}
 	}
-	most := settings.SlowStart.WorkMultiple * settings.SlowStart.Window * (settings.SlowStart.InitialCapacity + 5000/settings.SlowStart.Duration) / 100 // parts of 100 ms, as it is 5 s on
-	if got := peakWindowCountAt(h.sent, 2, settings.SlowStart.Window); served == 0 || float64(got) > most {
-		t.Fatalf("%d served by the cold one, %d in a window, %v allowed", served, got, most)
+	// In parts of 100 ms, by the capacity 5 s after the start.
+	slowStart := settings.SlowStart
+	allowed := slowStart.WorkMultiple * slowStart.Window * (slowStart.InitialCapacity + 5000/slowStart.Duration) / 100
+	peak := peakWindowCountAt(h.sent, 2, slowStart.Window)
+	if served == 0 || float64(peak) > allowed {
+		t.Fatalf("%d queries served by a warming replica, %d parts in a window, want at most %v", served, peak, allowed)
 	}
 }
 
-// TestManyBrokersShareASlowDiscoveryService: all of a large fleet start at once before a list service that can
-// take 10 calls a second. Calls that wait until they fail use it up all the same, so what each may do alone
-// starves all of them.
+// TestManyBrokersShareASlowDiscoveryService guarantees that a large fleet that starts at one moment gets its
+// endpoint lists from a discovery service that serves 10 polls a second. Polls that wait until they fail use the
+// service up all the same, so a pace that is fine for one broker starves all of them.
 func TestManyBrokersShareASlowDiscoveryService(t *testing.T) {
-	for _, peers := range []int{3, 20, 80, 200} {
-		t.Run(fmt.Sprint(peers), func(t *testing.T) {
-			within := 3 + peers*int(2*discoveryServiceMs)/1000 + 12 // 2 x in turn, and a delay
-			counts := countWatchingBrokers(t, peers, peers, within)
-			if last := counts[len(counts)-1]; last < peers*9/10 {
-				t.Fatalf("%d of %d watch after %d s: %v", last, peers, within, counts)
+	for _, brokers := range []int{3, 20, 80, 200} {
+		t.Run(strconv.Itoa(brokers), func(t *testing.T) {
+			seconds := 3 + brokers*int(2*discoveryServiceMs)/1000 + 12 // twice the service time of all, and a delay
+			counts := countWatchingBrokers(t, brokers, brokers, seconds)
+			last := counts[len(counts)-1]
+			if last < brokers*9/10 {
+				t.Fatalf("%d of %d brokers watch after %d s: %v", last, brokers, seconds, counts)
 			}
 			t.Log(counts)
 		})
 	}
-	// The check is seen to fail: 80 that pace themselves as if they were few never get through.
-	if counts := countWatchingBrokers(t, 80, 3, 25); counts[len(counts)-1] > 60 {
-		t.Fatalf("80 unpaced co-ordinators got through: %v", counts)
+	// The model can fail: 80 brokers that pace themselves as if they were 3 do not get through.
+	counts := countWatchingBrokers(t, 80, 3, 25)
+	if counts[len(counts)-1] > 60 {
+		t.Fatalf("80 unpaced brokers got through: %v", counts)
 	}
 }
 
-// TestFirstPollPrecedesMaxStaleness: however many peers there are, a start asks before silence counts as being told.
+// TestFirstPollPrecedesMaxStaleness guarantees that, however many brokers there are, the first poll after a start
+// comes before the broker counts as notified of changes.
 func TestFirstPollPrecedesMaxStaleness(t *testing.T) {
-	if counts := countWatchingBrokers(t, 1, 2000, 9); counts[len(counts)-1] != 1 {
-		t.Fatalf("not asked within 9 s: %v", counts)
+	counts := countWatchingBrokers(t, 1, 2000, 9)
+	if counts[len(counts)-1] != 1 {
+		t.Fatalf("not polled within 9 s: %v", counts)
 	}
 }
--- a/internal/decision/scheduler/fleet_model_test.go
+++ b/internal/decision/scheduler/fleet_model_test.go
@@ -9,26 +9,33 @@
 	"ternstage/internal/slicemap"
 )
 
-// Many co-ordinators stepped together on virtual time: what is harmless in one and harmful when all do it.
+// The models of this file step many brokers together on virtual time. They show what is harmless in one broker and
+// harmful when all of them do it.
 
-// discardActions takes actions and notes that the list was asked for.
+// discardActions drops all actions but notes that the endpoint list was polled.
 type discardActions struct{ polled bool }
 
-func (q *discardActions) Send(uint64, uint32, float64) {}
-func (q *discardActions) Cancel(uint64, int)           {}
-func (q *discardActions) CloseIdleConnections(uint32)  {}
-func (q *discardActions) Answer(uint64, bool)          {}
-func (q *discardActions) Reject(uint64, float64)       {}
-func (q *discardActions) Fail(uint64)                  {}
-func (q *discardActions) SetTimer(float64)             {}
-func (q *discardActions) WatchEndpoints()              { q.polled = true }
-func (q *discardActions) Log(string)                   {}
+func (d *discardActions) Send(uint64, uint32, float64) {}
+func (d *discardActions) Cancel(uint64, int)           {}
+func (d *discardActions) CloseIdleConnections(uint32)  {}
+func (d *discardActions) Answer(uint64, bool)          {}
+func (d *discardActions) Reject(uint64, float64)       {}
+func (d *discardActions) Fail(uint64)                  {}
+func (d *discardActions) SetTimer(float64)             {}
+func (d *discardActions) WatchEndpoints()              { d.polled = true }
+func (d *discardActions) Log(string)                   {}
 
-// discoveryService serves calls in turn, each for 100 ms; a call that has waited for 2 s fails, and its turn comes
-// all the same; so does one at once that finds 40 others waiting.
+const (
+	discoveryServiceMs   = 100.0
+	discoveryTimeoutMs   = 2000.0
+	discoveryQueueLength = 40
+)
+
+// discoveryService serves polls one after another. A poll fails once it has waited for the timeout, but is still
+// served in its turn; one that finds a full queue fails at once.
 type discoveryService struct {
 	queue    []pollCall
-	servedAt float64 // when it has served the first of the line
+	servedAt float64 // when the first of the queue is served
 }
 
 type pollCall struct {
@@ -36,77 +43,111 @@
 	arrivedAt float64
 }
 
-const (
-	discoveryServiceMs   = 100.0
-	discoveryTimeoutMs   = 2000.0
-	discoveryQueueLength = 40
-)
+// discoveryModel is a number of brokers before one discovery service.
+type discoveryModel struct {
+	service  discoveryService
+	brokers  []*Scheduler
+	actions  []*discardActions
+	timedOut []bool       // by broker: its last poll has failed
+	watching map[int]bool // the brokers that have been served
+}
 
-// countWatchingBrokers counts who of so many co-ordinators has a watch after each second, all started at one moment.
-// Each takes itself for one of told.
-func countWatchingBrokers(t *testing.T, peers, told, seconds int) []int {
+// newDiscoveryModel starts brokers at one moment with a cached list. Each takes itself for one of assumedBrokers.
+func newDiscoveryModel(t *testing.T, brokers, assumedBrokers int) *discoveryModel {
 	t.Helper()
-	var acts []*discardActions
-	var all []*Scheduler
-	for i := range peers {
+	m := &discoveryModel{timedOut: make([]bool, brokers), watching: map[int]bool{}}
+	for i := range brokers {
 		settings := testSettings()
-		settings.BrokerCount, settings.BrokerIndex, settings.PollEndpoints, settings.MaxStaleness = told, i%told, true, 10000
+		settings.BrokerCount = assumedBrokers
+		settings.BrokerIndex = i % assumedBrokers
+		settings.PollEndpoints = true
+		settings.MaxStaleness = 10000
 		settings.Placement = slicemap.NewRingPlacement(settings.Shards, settings.Cells, settings.CellsPerShard)
-		a := &discardActions{}
-		b, err := New(settings, uint64(i)*7919+11, a)
+		actions := &discardActions{}
+		broker, err := New(settings, uint64(i)*7919+11, actions)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.EndpointsChanged(1000, UpdateCached, []Endpoint{{Replica: 1, State: Ready}})
-		acts, all = append(acts, a), append(all, b)
+		broker.EndpointsChanged(1000, UpdateCached, []Endpoint{{Replica: 1, State: Ready}})
+		m.actions = append(m.actions, actions)
+		m.brokers = append(m.brokers, broker)
 	}
-	var l discoveryService
-	failed, watching, counts := make([]bool, peers), map[int]bool{}, []int{}
+	return m
+}
+
+// countWatchingBrokers returns how many of so many brokers have a watch after each second.
+func countWatchingBrokers(t *testing.T, brokers, assumedBrokers, seconds int) []int {
+	t.Helper()
+	m := newDiscoveryModel(t, brokers, assumedBrokers)
+	counts := []int{}
 	for now := 1000.0; now < 1000+1000*float64(seconds); now += 5 {
-		for len(l.queue) > 0 && now >= l.servedAt {
-			if c := l.queue[0]; now-c.arrivedAt <= discoveryTimeoutMs {
-				all[c.broker].EndpointsChanged(now, UpdateDelta, nil)
-				watching[c.broker] = true
-			}
-			l.queue, l.servedAt = l.queue[1:], l.servedAt+discoveryServiceMs
+		m.serve(now)
+		m.failTimedOut(now)
+		m.runRounds(now)
+		if int(now)%1000 == 0 {
+			counts = append(counts, len(m.watching))
 		}
-		for _, c := range l.queue {
-			if now-c.arrivedAt > discoveryTimeoutMs && !failed[c.broker] {
-				failed[c.broker] = true
-				all[c.broker].EndpointsChanged(now, UpdateFailed, nil)
-			}
+	}
+	return counts
+}
+
+// serve ends the polls whose service is over; only those that have not timed out bring a list.
+func (m *discoveryModel) serve(now float64) {
+	service := &m.service
+	for len(service.queue) > 0 && now >= service.servedAt {
+		call := service.queue[0]
+		if now-call.arrivedAt <= discoveryTimeoutMs {
+			m.brokers[call.broker].EndpointsChanged(now, UpdateDelta, nil)
+			m.watching[call.broker] = true
 		}
-		for i, b := range all {
-			b.TimerFired(now)
-			if b.RunRound(now); !acts[i].polled {
-				continue
-			}
-			if acts[i].polled = false; len(l.queue) >= discoveryQueueLength {
-				b.EndpointsChanged(now, UpdateFailed, nil)
-				continue
-			}
-			if len(l.queue) == 0 {
-				l.servedAt = now + discoveryServiceMs
-			}
-			failed[i] = false
-			l.queue = append(l.queue, pollCall{i, now})
+		service.queue = service.queue[1:]
+		service.servedAt += discoveryServiceMs
+	}
+}
+
+func (m *discoveryModel) failTimedOut(now float64) {
+	for _, call := range m.service.queue {
+		if now-call.arrivedAt > discoveryTimeoutMs && !m.timedOut[call.broker] {
+			m.timedOut[call.broker] = true
+			m.brokers[call.broker].EndpointsChanged(now, UpdateFailed, nil)
 		}
-		if int(now)%1000 == 0 {
-			counts = append(counts, len(watching))
+	}
+}
+
+// runRounds runs a round at each broker and takes the polls that they make.
+func (m *discoveryModel) runRounds(now float64) {
+	service := &m.service
+	for i, broker := range m.brokers {
+		broker.TimerFired(now)
+		broker.RunRound(now)
+		if !m.actions[i].polled {
+			continue
+		}
+		m.actions[i].polled = false
+		if len(service.queue) >= discoveryQueueLength {
+			broker.EndpointsChanged(now, UpdateFailed, nil)
+			continue
+		}
+		if len(service.queue) == 0 {
+			service.servedAt = now + discoveryServiceMs
 		}
+		m.timedOut[i] = false
+		service.queue = append(service.queue, pollCall{broker: i, arrivedAt: now})
 	}
-	return counts
 }
 
-// fleetModel is a ring of replicas that serve parts one behind the other, and the co-ordinators before them, all on
-// one clock. Work of a part is 18 ms, a warm replica does 2 ms of work in a ms.
+const (
+	modelPartWorkMs   = 18.0 // mean work of a part
+	modelReplicaSpeed = 2.0  // ms of work per ms that a warm replica does
+)
+
+// fleetModel is a ring of replicas, which serve parts one after another, and the brokers before them.
 type fleetModel struct {
-	t        *testing.T
 	settings Settings
 	now      float64
 	brokers  []*modelBroker
 	replicas []*modelReplica
-	endings  []*modelAttempt // in order of their ends
+	endings  []*modelAttempt // attempts in flight, in order of their ends
 	random   *rand.Rand
 	nextID   uint64
 }
@@ -114,7 +155,7 @@
 type modelReplica struct {
 	startedAt float64 // 0 for long ago
 	busyUntil float64
-	received  []workSample // received
+	received  []workSample
 	attempts  int
 }
 
@@ -133,126 +174,186 @@
 	discardActions
 	fleet     *fleetModel
 	scheduler *Scheduler
-	attempts  map[uint64][]*modelAttempt
+	attempts  map[uint64][]*modelAttempt // by part
 }
 
-const (
-	modelPartWorkMs   = 18.0 // ms of a part
-	modelReplicaSpeed = 2.0
-)
-
-func newFleetModel(t *testing.T, peers int) *fleetModel {
+func newFleetModel(t *testing.T, brokers int) *fleetModel {
 	t.Helper()
-	f := &fleetModel{t: t, now: 1e6, random: rand.New(rand.NewSource(5)), settings: Settings{
-		Classes:     []Class{{LatencyObjective: 400, Deadline: 1000, PriorityWeight: 1, LateFactor: 0.3, Idempotency: Idempotent, MinCompleteness: 1, CompletenessTarget: 1}},
-		BrokerCount: peers, TimerResolution: 1, Shards: 12, Cells: 6, CellsPerShard: 3, MaxPartsPerCall: 1, CanCancel: true, MaxAttempts: 4,
-		MaxRetryAfter: 1000, DrainGrace: 1000, SlowStart: SlowStartSettings{InitialCapacity: 0.21, Duration: 18000, WorkMultiple: 2.5, Window: 1500}}}
+	class := Class{LatencyObjective: 400, Deadline: 1000, PriorityWeight: 1, LateFactor: 0.3, Idempotency: Idempotent,
+		MinCompleteness: 1, CompletenessTarget: 1}
+	f := &fleetModel{now: 1e6, random: rand.New(rand.NewSource(5)), settings: Settings{
+		Classes:         []Class{class},
+		BrokerCount:     brokers,
+		TimerResolution: 1,
+		Shards:          12,
+		Cells:           6,
+		CellsPerShard:   3,
+		MaxPartsPerCall: 1,
+		CanCancel:       true,
+		MaxAttempts:     4,
+		MaxRetryAfter:   1000,
+		DrainGrace:      1000,
+		SlowStart:       SlowStartSettings{InitialCapacity: 0.21, Duration: 18000, WorkMultiple: 2.5, Window: 1500},
+	}}
 	f.settings.Placement = slicemap.NewRingPlacement(f.settings.Shards, f.settings.Cells, f.settings.CellsPerShard)
 	for range f.settings.Cells {
 		f.replicas = append(f.replicas, &modelReplica{})
 	}
-	for i := range peers {
-		m := &modelBroker{fleet: f, attempts: map[uint64][]*modelAttempt{}}
-		s := f.settings
-		s.BrokerIndex = i
-		var err error
-		if m.scheduler, err = New(s, uint64(i)*7919+3, m); err != nil {
+	for i := range brokers {
+		broker := &modelBroker{fleet: f, attempts: map[uint64][]*modelAttempt{}}
+		settings := f.settings
+		settings.BrokerIndex = i
+		scheduler, err := New(settings, uint64(i)*7919+3, broker)
+		if err != nil {
 			t.Fatal(err)
 		}
-		f.brokers = append(f.brokers, m)
+		broker.scheduler = scheduler
+		f.brokers = append(f.brokers, broker)
 	}
 	f.updateEndpoints()
 	return f
 }
 
-// updateEndpoints tells everybody of all replicas.
+// updateEndpoints informs all brokers of all replicas.
 func (f *fleetModel) updateEndpoints() {
 	var endpoints []Endpoint
 	for i, r := range f.replicas {
 		endpoints = append(endpoints, Endpoint{Replica: uint32(i), Cell: i, State: Ready, StartedAt: r.startedAt})
 	}
-	for _, m := range f.brokers {
-		m.scheduler.EndpointsChanged(f.now, UpdateFull, endpoints)
+	for _, broker := range f.brokers {
+		broker.scheduler.EndpointsChanged(f.now, UpdateFull, endpoints)
 	}
 }
 
-// capacityAt is how much work a replica does in a ms.
+// restart makes a replica start half a second ago. The brokers are informed by updateEndpoints.
+func (f *fleetModel) restart(r *modelReplica) {
+	r.startedAt = f.now - 500
+	r.attempts = 0
+	r.received = nil
+}
+
+// capacityAt is how many ms of work a replica does in a ms.
 func (f *fleetModel) capacityAt(r *modelReplica, at float64) float64 {
 	if r.startedAt == 0 {
 		return modelReplicaSpeed
 	}
-	ramp := min(1, (at-r.startedAt)/f.settings.SlowStart.Duration)
-	return modelReplicaSpeed * (f.settings.SlowStart.InitialCapacity + (1-f.settings.SlowStart.InitialCapacity)*ramp)
+	slowStart := f.settings.SlowStart
+	ramp := min(1, (at-r.startedAt)/slowStart.Duration)
+	return modelReplicaSpeed * (slowStart.InitialCapacity + (1-slowStart.InitialCapacity)*ramp)
 }
 
-func (m *modelBroker) Send(part uint64, replica uint32, timeout float64) {
+// Send has the replica serve the part after all that it was sent before.
+func (m *modelBroker) Send(part uint64, replica uint32, timeoutMs float64) {
 	f := m.fleet
 	r := f.replicas[replica]
 	r.attempts++
 	r.received = append(r.received, workSample{f.now, modelPartWorkMs})
-	e := &modelAttempt{broker: m, part: part, number: len(m.attempts[part]), replica: replica, sentAt: f.now}
-	m.attempts[part] = append(m.attempts[part], e)
-	if e.endsAt = f.now + timeout; timeout == 0 {
-		e.endsAt = f.now + 1000
+	a := &modelAttempt{
+		broker:  m,
+		part:    part,
+		number:  len(m.attempts[part]),
+		replica: replica,
+		sentAt:  f.now,
+		endsAt:  f.now + timeoutMs,
+		outcome: TimedOut,
+	}
+	if timeoutMs == 0 {
+		a.endsAt = f.now + 1000
 	}
-	e.outcome = TimedOut
+	m.attempts[part] = append(m.attempts[part], a)
 	work := modelPartWorkMs * (0.5 + f.random.Float64())
 	r.busyUntil = max(r.busyUntil, f.now) + work/f.capacityAt(r, f.now)
-	// One part alone takes a core's time, not that of two.
-	if done := max(r.busyUntil, f.now+work/f.capacityAt(r, f.now)*modelReplicaSpeed); done < e.endsAt {
-		e.endsAt, e.outcome = done, Succeeded
+	// A part alone has one core to itself, not the speed of all.
+	doneAt := max(r.busyUntil, f.now+work/f.capacityAt(r, f.now)*modelReplicaSpeed)
+	if doneAt < a.endsAt {
+		a.endsAt = doneAt
+		a.outcome = Succeeded
 	}
-	i, _ := slices.BinarySearchFunc(f.endings, e, func(x, y *modelAttempt) int { return cmp.Compare(x.endsAt, y.endsAt) })
-	f.endings = slices.Insert(f.endings, i, e)
+	byEnd := func(x, y *modelAttempt) int { return cmp.Compare(x.endsAt, y.endsAt) }
+	i, _ := slices.BinarySearchFunc(f.endings, a, byEnd)
+	f.endings = slices.Insert(f.endings, i, a)
 }
 
-func (m *modelBroker) Cancel(part uint64, no int) {
-	if e := m.attempts[part][no]; !e.ended && e.outcome != Cancelled {
-		f := m.fleet
-		f.endings = slices.DeleteFunc(f.endings, func(x *modelAttempt) bool { return x == e })
-		e.endsAt, e.outcome = f.now, Cancelled
-		f.endings = slices.Insert(f.endings, 0, e)
+// Cancel ends an attempt with the next tick. The replica does its work all the same.
+func (m *modelBroker) Cancel(part uint64, attempt int) {
+	f := m.fleet
+	a := m.attempts[part][attempt]
+	if a.ended || a.outcome == Cancelled {
+		return
 	}
+	f.endings = slices.DeleteFunc(f.endings, func(other *modelAttempt) bool { return other == a })
+	a.endsAt = f.now
+	a.outcome = Cancelled
+	f.endings = slices.Insert(f.endings, 0, a)
 }
 
-// run steps the fleet for so long: so many queries a second of so many parts over all co-ordinators.
+// run steps the fleet for so many ms with queries of so many parts at a rate per second, over all brokers.
 func (f *fleetModel) run(ms, rate float64, parts int) {
 	for end := f.now + ms; f.now < end; f.now++ {
-		for len(f.endings) > 0 && f.endings[0].endsAt <= f.now {
-			e := f.endings[0]
-			f.endings, e.ended = f.endings[1:], true
-			e.broker.scheduler.AttemptEnded(f.now, AttemptResult{Part: e.part, Attempt: e.number, Replica: e.replica, Outcome: e.outcome,
-				Latency: f.now - e.sentAt})
-		}
+		f.endAttempts()
 		if f.random.Float64() < rate/1000 {
-			m := f.brokers[f.random.Intn(len(f.brokers))]
-			f.nextID++
-			q := f.nextID
-			m.scheduler.QueryArrived(f.now, Query{ID: q, QueryGroup: int(q), Deadline: f.now + 1000})
-			first := f.random.Intn(f.settings.Shards)
-			for i := range parts {
-				f.nextID++
-				m.scheduler.PartArrived(f.now, Part{ID: f.nextID, QueryGroup: int(q), Shard: (first + i) % f.settings.Shards,
-					Weight: 1 / float64(parts), CostHint: modelPartWorkMs, HasCostHint: true})
-			}
+			f.submit(parts)
 		}
-		for _, m := range f.brokers {
-			m.scheduler.TimerFired(f.now)
-			m.scheduler.RunRound(f.now)
+		for _, broker := range f.brokers {
+			broker.scheduler.TimerFired(f.now)
+			broker.scheduler.RunRound(f.now)
 		}
 	}
 }
 
-// peakAllowanceUse is the most that a replica was sent in any window, by what the rule of cold starts allows there.
-func (f *fleetModel) peakAllowanceUse(r *modelReplica, from float64) (most float64) {
-	for i, x := range r.received {
+func (f *fleetModel) endAttempts() {
+	for len(f.endings) > 0 && f.endings[0].endsAt <= f.now {
+		a := f.endings[0]
+		f.endings = f.endings[1:]
+		a.ended = true
+		a.broker.scheduler.AttemptEnded(f.now, AttemptResult{
+			Part:    a.part,
+			Attempt: a.number,
+			Replica: a.replica,
+			Outcome: a.outcome,
+			Latency: f.now - a.sentAt,
+		})
+	}
+}
+
+// submit submits a query to a random broker, with parts at successive shards from a random one on.
+func (f *fleetModel) submit(parts int) {
+	broker := f.brokers[f.random.Intn(len(f.brokers))]
+	f.nextID++
+	id := f.nextID
+	broker.scheduler.QueryArrived(f.now, Query{ID: id, QueryGroup: int(id), Deadline: f.now + 1000})
+	first := f.random.Intn(f.settings.Shards)
+	for i := range parts {
+		f.nextID++
+		broker.scheduler.PartArrived(f.now, Part{
+			ID:          f.nextID,
+			QueryGroup:  int(id),
+			Shard:       (first + i) % f.settings.Shards,
+			Weight:      1 / float64(parts),
+			CostHint:    modelPartWorkMs,
+			HasCostHint: true,
+		})
+	}
+}
+
+// allowanceAt is the work that all brokers may send a replica in the window that ends at a time.
+func (f *fleetModel) allowanceAt(r *modelReplica, at float64) float64 {
+	slowStart := f.settings.SlowStart
+	return f.capacityAt(r, at-slowStart.Window/2) * slowStart.WorkMultiple * slowStart.Window
+}
+
+// peakAllowanceUse is the most work that a replica was sent in any window that ended after a time, as a share of
+// the slow-start allowance there.
+func (f *fleetModel) peakAllowanceUse(r *modelReplica, after float64) float64 {
+	peak := 0.0
+	for i, last := range r.received {
 		sum := 0.0
-		for j := i; j >= 0 && r.received[j].at > x.at-f.settings.SlowStart.Window; j-- {
+		for j := i; j >= 0 && r.received[j].at > last.at-f.settings.SlowStart.Window; j-- {
 			sum += r.received[j].workMs
 		}
-		if x.at > from {
-			most = max(most, sum/(f.capacityAt(r, x.at-f.settings.SlowStart.Window/2)*f.settings.SlowStart.WorkMultiple*f.settings.SlowStart.Window))
+		if last.at > after {
+			peak = max(peak, sum/f.allowanceAt(r, last.at))
 		}
 	}
-	return most
+	return peak
 }
--- a/internal/decision/scheduler/slow_start_test.go
+++ b/internal/decision/scheduler/slow_start_test.go
@@ -8,6 +8,8 @@
 	"pgregory.net/rapid"
 )
 
+// TestWarmingReplicaStaysWithinAllowance guarantees that a shard whose replicas have all just started is fed within
+// this broker's share of their allowance; the harness checks it on every send.
 func TestWarmingReplicaStaysWithinAllowance(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
@@ -15,112 +17,128 @@
 	for i := uint32(1); i <= 3; i++ {
 		h.updateEndpoints(UpdateDelta, Endpoint{Replica: i, Cell: int(i) - 1, State: Ready, StartedAt: h.now})
 	}
-	for range 100 { // the rig checks the allowance on every send
-		h.submit(0, 0)
+	for range 100 {
+		h.submit(classDefault, 0)
 		h.runRound()
 		h.advance(20, h.replyAfter(15))
 	}
 }
 
-// A co-ordinator that restarts has forgotten what it sent a cold replica, which still counts there: for one window it
-// sends it nothing, then as usual.
+// TestRestartedBrokerWaitsOneAllowanceWindow guarantees that a restart of the broker does not spend an allowance
+// twice. What the process before sent a warming replica is not known and still counts there, so the new process
+// sends it nothing for one window, and then as usual.
 func TestRestartedBrokerWaitsOneAllowanceWindow(t *testing.T) {
 	settings := testSettings()
-	settings.Cells, settings.Shards, settings.CellsPerShard = 1, 1, 1
+	settings.Cells = 1
+	settings.Shards = 1
+	settings.CellsPerShard = 1
 	h := newHarness(t, settings)
 	h.updateEndpoints(UpdateCached, Endpoint{Replica: 1, State: Ready, StartedAt: h.now - 2000}, Endpoint{Replica: 2, State: Ready})
-	sent := func(ms float64) (n int) {
+	sentToWarming := func(ms float64) int {
 		before := len(h.sent)
 		for range int(ms / 50) {
-			h.submit(0, 0)
+			h.submit(classDefault, 0)
 			h.runRound()
 			h.advance(50, h.replyAfter(100))
 		}
-		for _, a := range h.sent[before:] {
-			if a.replica == 1 {
-				n++
-			}
-		}
-		return n
+		return sentTo(1, h.sent[before:])
 	}
-	if n := sent(950); n > 0 {
-		t.Fatalf("%d parts sent to a cold replica in the first window after a restart", n)
+	sent := sentToWarming(950)
+	if sent > 0 {
+		t.Fatalf("%d parts sent to a warming replica in the first window after a restart", sent)
 	}
-	sent(100)
-	if n := sent(2000); n == 0 {
-		t.Fatal("a cold replica is left out for good")
+	sentToWarming(100)
+	sent = sentToWarming(2000)
+	if sent == 0 {
+		t.Fatal("nothing sent to a warming replica after the first window")
 	}
 }
 
-// Tens of co-ordinators together stay within a cold replica's allowance in every window, and each gets a turn.
+// fullAllowance is the work in ms that all brokers may send a warming replica of the greatest speed in the window
+// that ends so many ms after its start.
+func fullAllowance(slowStart SlowStartSettings, ageMs float64) float64 {
+	ramp := math.Min(1, ageMs/slowStart.Duration)
+	capacity := slowStart.InitialCapacity + (1-slowStart.InitialCapacity)*ramp
+	return maxReplicaSpeed * slowStart.WorkMultiple * capacity * slowStart.Window
+}
+
+// TestBrokersTogetherStayWithinAllowance guarantees that what all brokers send a warming replica is within its
+// allowance in every window, for two brokers or for tens, and that most of them get to use it.
 func TestBrokersTogetherStayWithinAllowance(t *testing.T) {
-	for _, peers := range []int{2, 22, 84} {
+	for _, brokers := range []int{2, 22, 84} {
 		settings := testSettings()
-		settings.BrokerCount, settings.CellsPerShard, settings.SlowStart.Window = peers, 1, 3000
+		settings.BrokerCount = brokers
+		settings.CellsPerShard = 1
+		settings.SlowStart.Window = 3000
+		slowStart := settings.SlowStart
+		startedAt := 1e6 - 100.0
 		sent := []workSample{}
-		ready := 1e6 - 100.0
-		fed := 0
-		for me := 0; me < peers; me++ {
-			settings.BrokerIndex = me
+		brokersThatSent := 0
+		for broker := range brokers {
+			settings.BrokerIndex = broker
 			h := newHarness(t, settings)
 			var endpoints []Endpoint
 			for i := 0; i < settings.Cells; i++ {
-				endpoints = append(endpoints, Endpoint{Replica: uint32(i + 1), Cell: i, State: Ready, StartedAt: ready})
+				endpoints = append(endpoints, Endpoint{Replica: uint32(i + 1), Cell: i, State: Ready, StartedAt: startedAt})
 			}
 			h.updateEndpoints(UpdateFull, endpoints...)
-			for end := h.now + settings.SlowStart.Duration; h.now < end; {
-				h.submit(0, 0)
+			for end := h.now + slowStart.Duration; h.now < end; {
+				h.submit(classDefault, 0)
 				h.runRound()
 				h.advance(250, h.replyAfter(100))
 			}
-			n := 0
+			hasSent := false
 			for _, a := range h.sent {
 				if a.replica == 1 && a.number == 0 {
 					sent = append(sent, workSample{a.sentAt, 100})
-					n++
+					hasSent = true
 				}
 			}
-			if n > 0 {
-				fed++
+			if hasSent {
+				brokersThatSent++
 			}
 		}
-		if 3*fed < 2*peers { // the allowance of the whole ramp holds no more than about 80 turns of two parts
-			t.Errorf("%d peers: only %d ever used the cold replica, the last of its shard", peers, fed)
+		// The allowance of the whole slow start holds no more than about 80 slots of two parts.
+		if 3*brokersThatSent < 2*brokers {
+			t.Errorf("%d brokers: only %d ever used the warming replica", brokers, brokersThatSent)
 		}
-		total := 0.0
-		for _, x := range sent {
+		peak := 0.0 // work in a window as a share of the allowance
+		for _, last := range sent {
 			sum := 0.0
-			for _, y := range sent {
-				if y.at > x.at-settings.SlowStart.Window && y.at <= x.at {
-					sum += y.workMs
+			for _, sample := range sent {
+				if sample.at > last.at-slowStart.Window && sample.at <= last.at {
+					sum += sample.workMs
 				}
 			}
-			total = math.Max(total, sum/(maxReplicaSpeed*settings.SlowStart.WorkMultiple*(settings.SlowStart.InitialCapacity+(1-settings.SlowStart.InitialCapacity)*math.Min(1, (x.at-ready)/settings.SlowStart.Duration))*settings.SlowStart.Window))
+			peak = math.Max(peak, sum/fullAllowance(slowStart, last.at-startedAt))
 		}
-		if total > 1 || total == 0 {
-			t.Errorf("%d peers: %v of what a cold replica may be sent", peers, total)
+		if peak > 1 || peak == 0 {
+			t.Errorf("%d brokers: %v of the allowance sent in a window", brokers, peak)
 		}
 	}
 }
 
-// Beside other fit replicas of its shard a cold one is used by more co-ordinators, as each sends it little; what all
-// send stays inside the rule also when every one of them is busy and half of a shard is cold.
+// TestWarmingReplicasBesideWarmOnesStayWithinAllowance guarantees the same where half of a shard's replicas are
+// warm: more brokers use a warming one then, as each sends it little, and all of them are busy.
 func TestWarmingReplicasBesideWarmOnesStayWithinAllowance(t *testing.T) {
 	settings := testSettings()
-	settings.BrokerCount, settings.SlowStart.Window = 84, 3000
-	ready, sent := 1e6-100.0, []float64{}
-	for me := 0; me < settings.BrokerCount; me++ {
-		settings.BrokerIndex = me
+	settings.BrokerCount = 84
+	settings.SlowStart.Window = 3000
+	startedAt := 1e6 - 100.0
+	sent := []float64{}
+	for broker := range settings.BrokerCount {
+		settings.BrokerIndex = broker
 		h := newHarness(t, settings)
 		for i := 0; i < settings.Cells; i++ {
 			e := Endpoint{Replica: uint32(i + 1), Cell: i, State: Ready}
 			if i%2 == 0 {
-				e.StartedAt = ready
+				e.StartedAt = startedAt
 			}
 			h.updateEndpoints(UpdateDelta, e)
 		}
 		for end := h.now + settings.SlowStart.Duration; h.now < end; {
-			h.submit(0, me%6, (me+3)%6) // 84 co-ordinators: 6 ms of work in a ms, what three warm replicas can just do
+			// All brokers together ask for 6 ms of work per ms, the most that three warm replicas can do.
+			h.submit(classDefault, broker%6, (broker+3)%6)
 			h.runRound()
 			h.advance(2800, h.replyAfter(100))
 		}
@@ -131,115 +149,143 @@
 		}
 	}
 	if len(sent) < 40 {
-		t.Errorf("the cold replica got %d parts of all co-ordinators", len(sent))
+		t.Errorf("%d parts of all brokers sent to the warming replica, want 40 at least", len(sent))
 	}
-	for _, x := range sent {
-		able := maxReplicaSpeed * (settings.SlowStart.InitialCapacity + (1-settings.SlowStart.InitialCapacity)*math.Min(1, (x-ready)/settings.SlowStart.Duration))
-		if work := 100 * float64(countAfter(sent, x-settings.SlowStart.Window)-countAfter(sent, x)); work > able*settings.SlowStart.WorkMultiple*settings.SlowStart.Window {
-			t.Fatalf("%v ms of work sent in the window to %v", work, x-ready)
+	for _, at := range sent {
+		work := 100 * float64(countAfter(sent, at-settings.SlowStart.Window)-countAfter(sent, at))
+		if work > fullAllowance(settings.SlowStart, at-startedAt) {
+			t.Fatalf("%v ms of work sent in the window that ends %v ms after the start", work, at-startedAt)
 		}
 	}
 }
 
-// TestFleetUsesWarmingReplicaWithinAllowance: 80 co-ordinators hear at one moment that a replica has started, as
-// cold and as slow to warm as the rules let it be. Summed over all of them it stays within the rule in every
-// window, also where a second holder is gone, and it is used for what it can do.
+// TestFleetUsesWarmingReplicaWithinAllowance guarantees that 80 brokers that hear at one moment of a replica's start
+// stay within its allowance together, in every window and also where no replica of a shard is warm, and that they
+// use what it can do. The replica is as slow to warm up as the rules allow.
 func TestFleetUsesWarmingReplicaWithinAllowance(t *testing.T) {
-	for _, c := range []struct {
-		name  string
-		rate  float64 // queries a second of six parts: 100 replica parts a second are what a warm one can do
-		least float64 // share of what it can do that it is given in its first 6 s
-		cold  []int
-	}{{"alone", 60, 0.35, []int{0}}, {"all holders of a shard", 60, 0.35, []int{0, 1, 2}}, {"busy", 80, 0.4, []int{0}},
-		{"jammed", 105, 0.4, []int{0}}} {
-		t.Run(c.name, func(t *testing.T) {
+	for _, test := range []struct {
+		name    string
+		rate    float64 // queries of six parts a second; a warm replica serves 100 parts a second
+		minUse  float64 // share of what a warming replica can do that it is sent in its first 6 s
+		warming []int
+	}{
+		{"one replica", 60, 0.35, []int{0}},
+		{"all replicas of a shard", 60, 0.35, []int{0, 1, 2}},
+		{"busy", 80, 0.4, []int{0}},
+		{"congested", 105, 0.4, []int{0}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
 			f := newFleetModel(t, 80)
-			f.run(6000, c.rate, 6)
-			for _, i := range c.cold {
-				f.replicas[i].startedAt, f.replicas[i].attempts = f.now-500, 0
-				f.replicas[i].received = nil
+			f.run(6000, test.rate, 6)
+			for _, i := range test.warming {
+				f.restart(f.replicas[i])
 			}
 			f.updateEndpoints()
-			at := f.now
-			f.run(6000, c.rate, 6)
-			for _, i := range c.cold {
+			begin := f.now
+			f.run(6000, test.rate, 6)
+			for _, i := range test.warming {
 				r := f.replicas[i]
-				could := 0.0
-				for x := at; x < f.now; x++ {
-					could += f.capacityAt(r, x)
+				capacity := 0.0
+				for at := begin; at < f.now; at++ {
+					capacity += f.capacityAt(r, at)
 				}
-				used, most := float64(r.attempts)*modelPartWorkMs/could, f.peakAllowanceUse(r, at)
-				t.Logf("replica %d: %.2f of what it could do, %.2f of the rule at most", i, used, most)
-				if most > 0.9 || used < c.least {
-					t.Errorf("replica %d: %.2f of what the rule allows, %.2f of what it could do", i, most, used)
+				use := float64(r.attempts) * modelPartWorkMs / capacity
+				peak := f.peakAllowanceUse(r, begin)
+				t.Logf("replica %d: %.2f of its capacity used, at most %.2f of its allowance", i, use, peak)
+				if peak > 0.9 || use < test.minUse {
+					t.Errorf("replica %d: %.2f of its allowance, %.2f of its capacity used", i, peak, use)
 				}
 			}
 		})
 	}
 }
 
-// TestSlowStartQuotasFollowServedWork: 80 co-ordinators share the allowance of a replica that starts by what each gets
-// served. The busier has the larger share, and even if all used all of it in one window, that is within the rule.
+// TestSlowStartQuotasFollowServedWork guarantees that the busier of 80 brokers have larger quotas of a starting
+// replica's allowance, and that all quotas together are within it.
 func TestSlowStartQuotasFollowServedWork(t *testing.T) {
 	f := newFleetModel(t, 80)
 	f.run(4000, 80, 6)
 	f.replicas[0].startedAt = f.now
 	f.updateEndpoints()
 	f.run(2000, 80, 6)
-	one := f.settings.SlowStart.WorkMultiple * f.settings.SlowStart.Window * (f.settings.SlowStart.InitialCapacity + (1-f.settings.SlowStart.InitialCapacity)*(2000-f.settings.SlowStart.Window/2)/f.settings.SlowStart.Duration)
-	sum, least, most := 0.0, 1e9, 0.0
-	for _, m := range f.brokers {
-		x := m.scheduler.slowStart.quota.QuotaMs(allowanceMargin*one/80, one)
-		sum, least, most = sum+x, min(least, x), max(most, x)
+	slowStart := f.settings.SlowStart
+	capacity := slowStart.InitialCapacity + (1-slowStart.InitialCapacity)*(2000-slowStart.Window/2)/slowStart.Duration
+	allowanceOfOneCore := slowStart.WorkMultiple * slowStart.Window * capacity
+	sum := 0.0
+	smallest := 1e9
+	largest := 0.0
+	for _, broker := range f.brokers {
+		quota := broker.scheduler.slowStart.quota.QuotaMs(allowanceMargin*allowanceOfOneCore/80, allowanceOfOneCore)
+		sum += quota
+		smallest = min(smallest, quota)
+		largest = max(largest, quota)
 	}
-	rule := f.capacityAt(f.replicas[0], f.now-f.settings.SlowStart.Window/2) * f.settings.SlowStart.WorkMultiple * f.settings.SlowStart.Window
-	t.Logf("%.2f of the rule in all, shares from %.1f to %.1f ms", sum/rule, least, most)
-	if sum > rule || sum < 0.4*rule || most < 2*least {
-		t.Fatalf("shares of %v ms of work in all, from %v to %v, the rule allows %v", sum, least, most, rule)
+	allowance := f.allowanceAt(f.replicas[0], f.now)
+	t.Logf("%.2f of the allowance in all, quotas from %.1f to %.1f ms", sum/allowance, smallest, largest)
+	if sum > allowance || sum < 0.4*allowance || largest < 2*smallest {
+		t.Fatalf("quotas of %v ms of work in all, from %v to %v, of an allowance of %v", sum, smallest, largest, allowance)
 	}
 }
 
-// quotaInParts is what coldMay gives a broker, in parts, of an even share of so many.
-func quotaInParts(parts float64, me, n int, node uint32) float64 {
-	const ramp, window, unit = 18_000.0, 1500.0, 100.0
-	s := Settings{BrokerIndex: me, BrokerCount: n, SlowStart: SlowStartSettings{InitialCapacity: 1, Duration: ramp, Window: window}}
-	s.SlowStart.WorkMultiple = parts * unit * float64(n) / allowanceMargin / s.SlowStart.Window
-	b := &Scheduler{settings: s, costs: costModel{meanHint: unit}, slowStart: newSlowStart(s.SlowStart, n)}
-	b.slowStart.startedAt = -ramp
-	may, _ := b.warmupQuotaMs(1, &replica{Endpoint: Endpoint{Replica: node}, warmup: warmupState{startedAt: 1}}, 1)
-	return may / unit
+// quotaInParts is the quota of a warming replica that a broker gets, in parts, where the even share is so many.
+func quotaInParts(evenShare float64, broker, brokers int, replicaID uint32) float64 {
+	const durationMs, windowMs, partWorkMs = 18_000.0, 1500.0, 100.0
+	settings := Settings{
+		BrokerIndex: broker,
+		BrokerCount: brokers,
+		SlowStart: SlowStartSettings{
+			InitialCapacity: 1,
+			Duration:        durationMs,
+			Window:          windowMs,
+			WorkMultiple:    evenShare * partWorkMs * float64(brokers) / allowanceMargin / windowMs,
+		},
+	}
+	s := &Scheduler{
+		settings:  settings,
+		costs:     costModel{meanHint: partWorkMs},
+		slowStart: newSlowStart(settings.SlowStart, brokers),
+	}
+	s.slowStart.startedAt = -durationMs
+	r := &replica{Endpoint: Endpoint{Replica: replicaID}, warmup: warmupState{startedAt: 1}}
+	quotaMs, _ := s.warmupQuotaMs(1, r, 1)
+	return quotaMs / partWorkMs
 }
 
-// TestRoundedQuotasAddUpToAllowance: all brokers that use whatever their turns give them send no more in any window than
-// what their shares add up to, and a part; with a tenth more of them than each is told, a tenth more and a part. A turn is of
-// the node and the broker alone: it does not move, so that no window sees more than one, whatever their clocks say.
+// TestRoundedQuotasAddUpToAllowance guarantees that brokers that use all of their rounded quotas send no more in any
+// window than their shares add up to, and one part; with a tenth more brokers than each assumes, a tenth more and
+// one part. A slot depends on the replica and the broker alone: as it does not move, no window sees more than one,
+// whatever the brokers' clocks say.
 func TestRoundedQuotasAddUpToAllowance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		told := rapid.IntRange(5, 1000).Draw(t, "told")
-		n := told + rapid.IntRange(0, told/10).Draw(t, "more")
-		parts := rapid.Float64Range(0.001, 1.999).Draw(t, "parts")
-		node := rapid.Uint32().Draw(t, "node")
+		assumed := rapid.IntRange(5, 1000).Draw(t, "assumed brokers")
+		brokers := assumed + rapid.IntRange(0, assumed/10).Draw(t, "more brokers")
+		evenShare := rapid.Float64Range(0.001, 1.999).Draw(t, "even share in parts")
+		replicaID := rapid.Uint32().Draw(t, "replica")
 		sum := 0.0
-		for me := range n {
-			sum += quotaInParts(parts, me%told, told, node)
+		for broker := range brokers {
+			sum += quotaInParts(evenShare, broker%assumed, assumed, replicaID)
 		}
-		assert.LessOrEqual(t, sum, float64(told)*parts+float64(n-told)*(math.Floor(parts)+1)+1, "%d brokers", n)
-		assert.GreaterOrEqual(t, sum, float64(told)*parts-1, "none of it is lost to rounding")
+		allowance := float64(assumed) * evenShare
+		excess := float64(brokers-assumed) * (math.Floor(evenShare) + 1)
+		assert.LessOrEqual(t, sum, allowance+excess+1, "quotas of %d brokers", brokers)
+		assert.GreaterOrEqual(t, sum, allowance-1, "more than a part is lost to rounding")
 	})
 }
 
-// TestSlotsAreSpreadOverBrokers: of many nodes that start at one moment each broker may send some a part, and none has many more than
-// another.
+// TestSlotsAreSpreadOverBrokers guarantees that, of many replicas that start at one moment, each broker has slots of
+// some, and none has many more than another.
 func TestSlotsAreSpreadOverBrokers(t *testing.T) {
-	const n, nodes, parts = 300, 120, 0.1
-	least, most := math.Inf(1), 0.0
-	for me := range n {
+	const brokers, replicas, evenShare = 300, 120, 0.1
+	fewest := math.Inf(1)
+	most := 0.0
+	for broker := range brokers {
 		sum := 0.0
-		for node := range uint32(nodes) {
-			sum += quotaInParts(parts, me, n, node)
+		for replicaID := range uint32(replicas) {
+			sum += quotaInParts(evenShare, broker, brokers, replicaID)
 		}
-		least, most = math.Min(least, sum), math.Max(most, sum)
+		fewest = math.Min(fewest, sum)
+		most = math.Max(most, sum)
 	}
-	assert.GreaterOrEqual(t, least, 0.8*nodes*parts)
-	assert.LessOrEqual(t, most, 1.2*nodes*parts)
+	assert.GreaterOrEqual(t, fewest, 0.8*replicas*evenShare)
+	assert.LessOrEqual(t, most, 1.2*replicas*evenShare)
 }
