--- a/internal/decision/scheduler/admission_test.go
+++ b/internal/decision/scheduler/admission_test.go
@@ -8,259 +8,281 @@
 	"ternstage/internal/decision/fleetshare"
 )
 
+// TestOverloadShedsLowPriorityFirst guarantees that an overloaded broker answers more queries of high priority than
+// of low, and that every rejection carries a retry-after within bounds.
 func TestOverloadShedsLowPriorityFirst(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
 	h.learnBaseline()
 	var low, high []*testQuery
 	for range 300 {
-		low, high = append(low, h.submit(0, 0, 1)), append(high, h.submit(1, 0, 1))
+		low = append(low, h.submit(classDefault, 0, 1))
+		high = append(high, h.submit(classPartial, 0, 1))
 		h.runRound()
 		h.advance(10, h.replyAfter(150))
 	}
 	h.advance(3000, h.replyAfter(150))
-	done := func(queries []*testQuery) (n int) {
+	countAnswered := func(queries []*testQuery) int {
+		answered := 0
 		for _, q := range queries {
-			if q.end == "answer" {
-				n++
+			if q.end == endAnswer {
+				answered++
 			}
 		}
-		return n
+		return answered
 	}
-	if l, h := done(low), done(high); h <= l || h == 300 {
-		t.Fatalf("answered %d of low worth and %d of high", l, h)
+	answeredLow := countAnswered(low)
+	answeredHigh := countAnswered(high)
+	if answeredHigh <= answeredLow || answeredHigh == 300 {
+		t.Fatalf("answered %d of 300 queries of low priority and %d of high", answeredLow, answeredHigh)
 	}
-	for id, after := range h.rejected {
-		if after <= 0 || after > h.settings.MaxRetryAfter {
-			t.Fatalf("query %d refused with retry-after %v", id, after)
+	for id, retryAfter := range h.rejected {
+		if retryAfter <= 0 || retryAfter > h.settings.MaxRetryAfter {
+			t.Fatalf("query %d rejected with a retry-after of %v ms", id, retryAfter)
 		}
 	}
 }
 
+// TestLateClientRetryHasLowPriority guarantees that a repeat of a query whose objective has passed since its first
+// try is shed first, and that nothing is left of it once its client has left.
 func TestLateClientRetryHasLowPriority(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
 	h.learnBaseline()
 	q := Query{ID: 900000, QueryGroup: 900000, Deadline: h.now + 1500, ClientRetry: true} // half of its time is gone
 	h.scheduler.QueryArrived(h.now, q)
-	if v := h.scheduler.queries[q.ID].priority; v >= 0.3 {
-		t.Fatalf("a repeat past its aim is valued at %v", v)
+	priority := h.scheduler.queries[q.ID].priority
+	if priority >= 0.3 {
+		t.Fatalf("a repeat past its objective has priority %v, want below 0.3", priority)
 	}
 	delete(h.queries, q.ID)
 	h.scheduler.ClientDisconnected(h.now, q.ID)
 	if len(h.scheduler.queries) != 0 {
-		t.Fatal("a query is left behind")
+		t.Fatal("a query is left behind after its client disconnected")
 	}
 }
 
-// A query larger than the fleet's room is let in once in the time in which the room could have carried it.
+// TestQueryLargerThanFleetLimitIsPaced guarantees that a query that costs more than the fleet's limit is not
+// rejected for good: one is admitted in the time in which the limit could have carried it.
 func TestQueryLargerThanFleetLimitIsPaced(t *testing.T) {
 	settings := testSettings()
-	settings.BrokerCount, settings.Shards = 40, 60
+	settings.BrokerCount = 40
+	settings.Shards = 60
 	h := newHarness(t, settings)
 	h.listFleet(UpdateFull)
 	h.learnBaseline() // calls take 100 ms
 	shards := make([]int, 40)
-	for k := range shards {
-		shards[k] = k
+	for i := range shards {
+		shards[i] = i
 	}
 	h.scheduler.fleet.cost = 8
-	h.decided(h.submit(0, shards...))
+	h.decided(h.submit(classDefault, shards...))
 	h.advance(200, h.replyAfter(5))
 	h.scheduler.fleet.cost = 8
-	if early := h.decided(h.submit(0, shards...)); early.end != "reject" {
-		t.Fatalf("a second query of 40 parts was let in after 200 ms: %q", early.end)
+	early := h.decided(h.submit(classDefault, shards...))
+	if early.end != endReject {
+		t.Fatalf("a second query of 40 parts was not rejected after 200 ms: %q", early.end)
 	}
 	h.advance(400, h.replyAfter(5))
 	h.scheduler.fleet.cost = 8
-	if later := h.decided(h.submit(0, shards...)); later.end != "" {
-		t.Fatalf("still turned away after 600 ms: %q", later.end)
+	later := h.decided(h.submit(classDefault, shards...))
+	if later.end != "" {
+		t.Fatalf("a query of 40 parts was still not admitted after 600 ms: %q", later.end)
 	}
 }
 
-// TestShardWithoutReplicasIsRejectedAtOnce: what the list names no holder for is refused at once, with advice when to come back; where
-// enough of a query is held, it is answered in part as ever.
+// TestShardWithoutReplicasIsRejectedAtOnce guarantees that a query whose shard has no replica in the endpoint list is
+// rejected at once, with a retry-after; one of which enough is held is answered partially.
 func TestShardWithoutReplicasIsRejectedAtOnce(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.updateEndpoints(UpdateFull, Endpoint{Replica: 4, Cell: 3, State: Ready})
-	q := h.submit(0, 0)
+	q := h.submit(classDefault, 0)
 	h.runRound()
-	h.requireEnd(q, "reject")
+	h.requireEnd(q, endReject)
 	if q.endedAt != h.now || h.rejected[q.Query.ID] <= 0 || len(h.sent) > 0 {
-		t.Fatalf("refused at %v of %v, come back after %v", q.endedAt, h.now, h.rejected[q.Query.ID])
+		t.Fatalf("rejected at %v, now %v, retry-after %v ms", q.endedAt, h.now, h.rejected[q.Query.ID])
 	}
-	half := h.submit(1, 0, 3)
+	half := h.submit(classPartial, 0, 3)
 	h.runRound()
 	h.advance(3500, h.replyAfter(20))
-	if h.requireEnd(half, "answer"); half.complete {
-		t.Fatal("marked whole")
+	h.requireEnd(half, endAnswer)
+	if half.complete {
+		t.Fatal("a partial answer is marked complete")
 	}
 }
 
-// TestQueryWithTooLittleTimeIsRejected: one of 300, or of 6, holds nothing when a query comes, and the fleet takes
-// 160 ms for a part. A query that is left 90 ms is refused at once, one of twelve parts with 220 ms too; with 300 brokers
-// one that is left 150 ms, of twelve parts 400 ms, as well; with six, where queries were seen to take no more, 220 and 700 ms
-// are enough. Where the last part of queries takes 480 ms, one of two parts with 400 ms is refused, though the median has
-// hardly moved. With time all are taken. One of three goes by what it holds itself, as ever.
+// TestQueryWithTooLittleTimeIsRejected guarantees that brokers of large fleets reject at once what would not be
+// answered in time, although they have nothing queued that would show it; parts take 160 ms. The more brokers there
+// are, the more time is asked for, as each sees too few queries to learn how long they take. With time enough all
+// are admitted, and one of three brokers rejects none for the time left.
 func TestQueryWithTooLittleTimeIsRejected(t *testing.T) {
-	for _, peers := range []int{3, 6, 300} {
+	for _, brokers := range []int{3, 6, 300} {
 		settings := testSettings()
-		settings.BrokerCount, settings.AllowHedging = peers, false
+		settings.BrokerCount = brokers
+		settings.AllowHedging = false
 		h := newHarness(t, settings)
 		h.listFleet(UpdateFull)
 		h.learnBaseline()
 		for i := range 120 {
-			h.submit(0, i%6)
+			h.submit(classDefault, i%6)
 			h.runRound()
 			h.advance(200, h.replyAfter(160))
 		}
-		take := func(left float64, shards ...int) bool {
+		isAdmitted := func(remainingMs float64, shards ...int) bool {
 			h.nextID++
-			q := &testQuery{Query: Query{ID: h.nextID, QueryGroup: int(h.nextID), Deadline: h.now + left}}
+			q := &testQuery{Query: Query{ID: h.nextID, QueryGroup: int(h.nextID), Deadline: h.now + remainingMs}}
 			h.queries[q.Query.ID] = q
 			h.scheduler.QueryArrived(h.now, q.Query)
-			for _, sh := range shards {
-				h.addPart(q, sh, 100, 1/float64(len(shards)))
+			for _, shard := range shards {
+				h.addPart(q, shard, 100, 1/float64(len(shards)))
 			}
 			h.runRound()
-			at := q.end
+			endAtOnce := q.end
 			h.advance(500, h.replyAfter(160))
-			return at == ""
+			return endAtOnce == ""
 		}
-		all := []int{0, 1, 2, 3, 4, 5}
-		twelve := append(all, all...)
-		assert.Equal(t, peers == 3, take(90, 0), peers)
-		assert.Equal(t, peers == 3, take(220, twelve...), peers)
-		assert.Equal(t, peers == 3, take(150, 0) && peers != 6, peers)
-		assert.Equal(t, peers == 3, take(400, twelve...) && peers != 6, peers)
-		assert.Equal(t, peers != 300, take(220, 0), peers)
-		assert.True(t, take(700, twelve...), peers)
-		assert.True(t, take(3000, 0), peers)
-		assert.True(t, take(3000, all...), peers)
-		for range 40 {
-			h.submit(0, 0, 3)
+		six := []int{0, 1, 2, 3, 4, 5}
+		twelve := append(six, six...)
+		assert.Equal(t, brokers == 3, isAdmitted(90, 0), "%d brokers, 90 ms left", brokers)
+		assert.Equal(t, brokers == 3, isAdmitted(220, twelve...), "%d brokers, 220 ms left for twelve parts", brokers)
+		assert.Equal(t, brokers == 3, isAdmitted(150, 0) && brokers != 6, "%d brokers, 150 ms left", brokers)
+		assert.Equal(t, brokers == 3, isAdmitted(400, twelve...) && brokers != 6, "%d brokers, 400 ms left for twelve parts", brokers)
+		assert.Equal(t, brokers != 300, isAdmitted(220, 0), "%d brokers, 220 ms left", brokers)
+		assert.True(t, isAdmitted(700, twelve...), "%d brokers, 700 ms left for twelve parts", brokers)
+		assert.True(t, isAdmitted(3000, 0), "%d brokers, 3 s left", brokers)
+		assert.True(t, isAdmitted(3000, six...), "%d brokers, 3 s left for six parts", brokers)
+		for range 40 { // the last part of queries takes 480 ms, which hardly moves the median
+			h.submit(classDefault, 0, 3)
 			h.runRound()
 			h.advance(600, func(a *sentAttempt) {
+				latency := 160.0
 				if a.part.Part.Shard == 0 {
-					h.replyAfter(480)(a)
-				} else {
-					h.replyAfter(160)(a)
+					latency = 480
 				}
+				h.replyAfter(latency)(a)
 			})
 		}
-		assert.Equal(t, peers == 3, take(400, 2, 4), peers)
+		assert.Equal(t, brokers == 3, isAdmitted(400, 2, 4), "%d brokers, 400 ms left where last parts take 480", brokers)
 	}
 }
 
-// TestShardWithoutWarmupQuotaIsRejectedAtOnce: all replicas of a shard are cold and their allowance, or its turn, is another's. What
-// needs it is refused at the door with advice, and what does not is served; a broker of the first turns has it served.
+// TestShardWithoutWarmupQuotaIsRejectedAtOnce guarantees that, where all replicas of a shard are warming up, brokers
+// whose quota of them is nothing reject its queries at once with a retry-after and serve others; brokers with a slot
+// have them answered.
 func TestShardWithoutWarmupQuotaIsRejectedAtOnce(t *testing.T) {
 	ends := map[string]int{}
-	for me := range 300 {
+	for broker := range 300 {
 		settings := testSettings()
-		settings.BrokerCount, settings.BrokerIndex, settings.SlowStart.WorkMultiple = 300, me, 10
+		settings.BrokerCount = 300
+		settings.BrokerIndex = broker
+		settings.SlowStart.WorkMultiple = 10
 		h := newHarness(t, settings)
 		h.listFleet(UpdateFull)
 		h.learnBaseline()
 		h.advance(2000, h.replyAfter(40))
-		h.scheduler.slowStart.quota = fleetshare.NewSlowStartQuota(300) // with its even share, under a tenth of a part
+		h.scheduler.slowStart.quota = fleetshare.NewSlowStartQuota(300) // the even share: under a tenth of a part
 		for i := 1; i <= 3; i++ {
 			h.updateEndpoints(UpdateDelta, Endpoint{Replica: uint32(i), Cell: i - 1, State: Ready, StartedAt: h.now})
 		}
-		closed, open := h.submit(0, 0), h.submit(0, 3) // held by 1 to 3, and by 4 to 6
+		warming := h.submit(classDefault, 0) // at replicas 1 to 3
+		warm := h.submit(classDefault, 3)    // at replicas 4 to 6
 		h.runRound()
-		if closed.end == "reject" {
-			assert.Positive(t, h.rejected[closed.Query.ID], "with advice")
+		if warming.end == endReject {
+			assert.Positive(t, h.rejected[warming.Query.ID], "retry-after")
 		}
 		h.advance(200, h.replyAfter(40))
-		assert.Equal(t, "answer", open.end)
-		ends[closed.end]++
+		assert.Equal(t, endAnswer, warm.end)
+		ends[warming.end]++
 	}
-	assert.Greater(t, ends["reject"], 150, ends)
-	assert.Greater(t, ends["answer"], 10, ends)
-	assert.Equal(t, 300, ends["reject"]+ends["answer"], "none waits: %v", ends)
+	assert.Greater(t, ends[endReject], 150, ends)
+	assert.Greater(t, ends[endAnswer], 10, ends)
+	assert.Equal(t, 300, ends[endReject]+ends[endAnswer], "some query waits: %v", ends)
 }
 
-// TestRejectedConnectionsDoNotThrottleClients: one of 30 has a third of its parts turned away since nodes hold no more
-// connections. That says nothing of what the fleet serves, so nothing is refused for it; as many turned away by full
-// queues do close the door in part.
+// TestRejectedConnectionsDoNotThrottleClients guarantees that parts rejected because replicas hold no more
+// connections, which says nothing of what the fleet serves, do not make the broker reject queries. As many
+// rejections by full queues do.
 func TestRejectedConnectionsDoNotThrottleClients(t *testing.T) {
-	for _, alone := range []bool{true, false} {
+	for _, connectionOnly := range []bool{true, false} {
 		settings := testSettings()
-		settings.BrokerCount, settings.RetryBudget.Spare = 30, 1e6
+		settings.BrokerCount = 30
+		settings.RetryBudget.Spare = 1e6
 		h := newHarness(t, settings)
 		h.listFleet(UpdateFull)
 		h.learnBaseline()
 		n := 0
 		for range 400 {
-			h.submit(0, n%6)
+			h.submit(classDefault, n%6)
 			h.runRound()
 			h.advance(60, func(a *sentAttempt) {
 				if a.number == 0 && n%2 == 0 {
 					n++
-					h.endAttemptWith(a, AttemptResult{Outcome: Rejected, ConnectionOnly: alone})
+					h.endAttemptWith(a, AttemptResult{Outcome: Rejected, ConnectionOnly: connectionOnly})
 					return
 				}
 				h.replyAfter(40)(a)
 			})
 			n++
 		}
-		assert.Equal(t, alone, h.scheduler.throttle.RejectedShare() == 0, "excess %v, by connection %v", h.scheduler.throttle.RejectedShare(), alone)
+		rejectedShare := h.scheduler.throttle.RejectedShare()
+		assert.Equal(t, connectionOnly, rejectedShare == 0, "rejected share %v, connection only: %v", rejectedShare, connectionOnly)
 	}
 }
 
-// TestCongestedShardIsOmittedFromPartialQueries: all replicas of shard 0 are jammed, the others are quick. A query of twelve parts whose answer
-// may lack some is let in without asking shard 0, and answered in part as soon as the others are in; one that has to be
-// whole is refused; and where the others are held too, so is the first.
+// TestCongestedShardIsOmittedFromPartialQueries guarantees that a query whose answer may lack some parts is admitted
+// without those of a congested shard and answered as soon as the others are in; one that must be complete is
+// rejected, and so is the first where too many of the other shards are congested too.
 func TestCongestedShardIsOmittedFromPartialQueries(t *testing.T) {
 	settings := testSettings()
-	settings.Shards, settings.Cells, settings.CellsPerShard, settings.CanCancel = 12, 12, 1, false
+	settings.Shards = 12
+	settings.Cells = 12
+	settings.CellsPerShard = 1
+	settings.CanCancel = false
 	h := newHarness(t, settings)
 	h.listFleet(UpdateFull)
 	h.learnBaseline()
-	stuck := map[uint32]bool{1: true}
+	stalled := map[uint32]bool{1: true}
 	reply := func(a *sentAttempt) {
-		if !stuck[a.replica] {
+		if !stalled[a.replica] {
 			h.replyAfter(40)(a)
 		}
 	}
-	jam := func() {
-		for range 6 {
-			h.submit(0, 0)
-			h.runRound()
-		}
-		h.advance(300, reply)
+	for range 6 {
+		h.submit(classDefault, 0)
+		h.runRound()
 	}
-	jam()
+	h.advance(300, reply)
 	all := []int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11}
-	part, whole := h.submit(1, all...), h.submit(0, 0, 1)
+	partial := h.submit(classPartial, all...)
+	complete := h.submit(classDefault, 0, 1)
 	h.runRound()
-	assert.Equal(t, "reject", whole.end)
-	assert.Empty(t, part.parts[0].attempts, "shard 0 is not asked")
-	assert.Empty(t, part.end)
+	assert.Equal(t, endReject, complete.end)
+	assert.Empty(t, partial.parts[0].attempts, "the congested shard is asked")
+	assert.Empty(t, partial.end)
 	begin := h.now
 	h.advance(200, reply)
-	assert.Equal(t, "answer", part.end)
-	assert.False(t, part.complete)
-	assert.Less(t, part.endedAt-begin, 150.0, "it does not wait for what was not asked")
+	assert.Equal(t, endAnswer, partial.end)
+	assert.False(t, partial.complete)
+	assert.Less(t, partial.endedAt-begin, 150.0, "the answer waited for what was not asked")
 
-	for _, r := range []uint32{3, 5, 7, 9, 11} { // now half of the others are held, under the bound
-		stuck[r] = true
+	// Nearly half of the other shards become congested, each less than the bound for one.
+	for _, replica := range []uint32{3, 5, 7, 9, 11} {
+		stalled[replica] = true
 		for range 6 {
-			h.submit(0, int(r-1))
+			h.submit(classDefault, int(replica-1))
 		}
 	}
 	h.runRound()
 	h.advance(220, reply)
-	busy := h.submit(1, all...)
+	overloaded := h.submit(classPartial, all...)
 	h.runRound()
-	assert.Equal(t, "reject", busy.end)
+	assert.Equal(t, endReject, overloaded.end)
 }
 
-// Many replicas lost at one moment with parts of a popular key: the key did not do it, and its queries go on.
+// TestMassResetDoesNotBlockQueriesOfSameKey guarantees that a key is not blamed for replicas that were lost at one
+// moment with parts of it in flight: its next query is admitted.
 func TestMassResetDoesNotBlockQueriesOfSameKey(t *testing.T) {
-	settings := testSettings()
-	h := newHarness(t, settings)
+	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
 	h.learnBaseline()
 	h.decided(h.submitWithKey(77, 0, 2, 4))
@@ -271,7 +293,8 @@
 	}
 	h.runRound()
 	h.advance(400, h.replyAfter(60))
-	if q := h.decided(h.submitWithKey(77, 0, 2, 4)); q.end != "" {
-		t.Fatalf("the key's next query was ended at once: %s", q.end)
+	q := h.decided(h.submitWithKey(77, 0, 2, 4))
+	if q.end != "" {
+		t.Fatalf("the next query of the key ended at once: %s", q.end)
 	}
 }
--- a/internal/decision/scheduler/idle_connections_test.go
+++ b/internal/decision/scheduler/idle_connections_test.go
@@ -1,110 +1,104 @@
 package scheduler
 
-import (
-	"strings"
-	"testing"
-)
+import "testing"
 
-// Connections dropped while idle: a reset at once is not the replica's fault, the part is tried again at once, and
-// later sends on idle connections close them first. The replica stays in use and is not taken for cold.
+// useAllConnections marks the connections to replicas 1 to 6 as used just now.
+func (h *harness) useAllConnections() {
+	for id := uint32(1); id <= 6; id++ {
+		h.scheduler.replicas.byID[id].lastUsedAt = h.now
+	}
+}
+
+// TestResetOfIdleConnectionDoesNotBlameReplica guarantees that a quick reset of an idle connection does not count
+// against its replica, that the part is retried at once, and that later sends close idle connections first, so that
+// no non-idempotent part is lost with one.
 func TestResetOfIdleConnectionDoesNotBlameReplica(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
 	h.learnBaseline()
-	for id := uint32(1); id <= 6; id++ { // every connection has carried something
-		h.scheduler.replicas.byID[id].lastUsedAt = h.now
-	}
+	h.useAllConnections()
 	h.advance(3000, nil)
-	q := h.submit(0, 0)
+	q := h.submit(classDefault, 0)
 	h.runRound()
 	first := h.inFlight[0]
 	h.advance(5, nil)
 	h.endAttempt(first, ConnectionReset)
 	h.runRound()
 	if len(h.inFlight) != 1 {
-		t.Fatalf("%d attempts out after the reset, 1 wanted", len(h.inFlight))
+		t.Fatalf("%d attempts in flight after the reset, want 1", len(h.inFlight))
 	}
-	if r := h.scheduler.replicas.byID[first.replica]; !h.scheduler.isHealthy(h.now, r) || r.outliers.isLost {
+	r := h.scheduler.replicas.byID[first.replica]
+	if !h.scheduler.isHealthy(h.now, r) || r.outliers.isLost {
 		t.Fatal("the replica is blamed for its idle connection")
 	}
 	h.advance(200, h.replyAfter(90))
-	h.requireEnd(q, "answer")
+	h.requireEnd(q, endAnswer)
 	h.advance(2000, nil)
-	h.submit(2, 1)
+	h.submit(classNonIdempotent, 1)
 	h.runRound()
-	drops := 0
-	for _, l := range h.log {
-		if strings.Contains(l, " close ") {
-			drops++
-		}
-	}
-	if drops == 0 {
-		t.Fatal("an unsafe part went out on a doubtful connection")
+	if h.idleCloses() == 0 {
+		t.Fatal("a non-idempotent part was sent on an idle connection that may be lost")
 	}
 }
 
-// Parts that go out beside one on a connection that was idle share its fate: their resets are not the replica's.
+// TestConcurrentAttemptsShareIdleConnection guarantees that attempts sent beside one on an idle connection share its
+// fate: their resets are not blamed on the replica either.
 func TestConcurrentAttemptsShareIdleConnection(t *testing.T) {
 	settings := testSettings()
-	settings.CellsPerShard, settings.MaxPartsPerCall, settings.BrokerCount = 1, 1, 40
+	settings.CellsPerShard = 1
+	settings.MaxPartsPerCall = 1
+	settings.BrokerCount = 40
 	h := newHarness(t, settings)
 	h.listFleet(UpdateFull)
 	h.learnBaseline()
 	h.scheduler.replicas.byID[1].lastUsedAt = h.now
 	h.advance(3000, nil)
-	q := h.submit(0, 0)
+	q := h.submit(classDefault, 0)
 	h.runRound()
-	h.submit(0, 0)
+	h.submit(classDefault, 0)
 	h.runRound()
 	for _, a := range append([]*sentAttempt(nil), h.inFlight...) {
 		h.endAttempt(a, ConnectionReset)
 	}
-	if r := h.scheduler.replicas.byID[1]; r.outliers.isLost || !h.scheduler.isHealthy(h.now, r) {
-		t.Fatal("the replica is blamed for a second part on its idle connection")
+	r := h.scheduler.replicas.byID[1]
+	if r.outliers.isLost || !h.scheduler.isHealthy(h.now, r) {
+		t.Fatal("the replica is blamed for a second attempt on its idle connection")
 	}
 	h.runRound()
 	h.advance(300, h.replyAfter(90))
-	h.requireEnd(q, "answer")
+	h.requireEnd(q, endAnswer)
 }
 
-// Connections dropped in silence: parts on idle ones hang. Two in a row close idle connections before later sends, and the
-// replicas stay in use; dials that then time out end that, as new connections are dear.
+// TestSilentIdleConnectionLossIsDetected guarantees that idle connections dropped in silence, on which attempts
+// stall, are found: they are closed before later sends, and the replicas stay in use. Dials that time out end that,
+// as new connections are expensive then.
 func TestSilentIdleConnectionLossIsDetected(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
 	h.learnBaseline()
-	drops := func() (n int) {
-		for _, l := range h.log {
-			if strings.Contains(l, " close ") {
-				n++
-			}
-		}
-		return n
-	}
-	for i := 0; i < 6; i++ {
-		for id := uint32(1); id <= 6; id++ {
-			h.scheduler.replicas.byID[id].lastUsedAt = h.now
-		}
+	for i := range 6 {
+		h.useAllConnections()
 		h.advance(3000, nil)
-		h.submit(0, i)
+		h.submit(classDefault, i)
 		h.runRound()
-		h.advance(1500, func(a *sentAttempt) { // what goes out on an idle connection hangs, copies and closed ones do not
-			if h.now >= a.sentAt+90 && (drops() > 0 || a.number > 0) {
+		// Attempts on idle connections stall; retries, and all attempts once idle connections are closed, do not.
+		h.advance(1500, func(a *sentAttempt) {
+			if h.now >= a.sentAt+90 && (h.idleCloses() > 0 || a.number > 0) {
 				h.endAttempt(a, Succeeded)
 			}
 		})
 	}
-	if drops() == 0 {
-		t.Fatal("idle connections that hang are never closed")
+	if h.idleCloses() == 0 {
+		t.Fatal("idle connections on which attempts stall are never closed")
 	}
 	h.advance(4000, nil)
 	for _, r := range h.scheduler.replicas.ordered {
 		if !h.scheduler.isHealthy(h.now, r) {
-			t.Errorf("replica %d is still a suspect", r.Replica)
+			t.Errorf("replica %d is still an outlier", r.Replica)
 		}
 	}
 	for i := 0; i < 3 && len(h.scheduler.replicas.ordered) > 0; i++ {
-		h.submit(0, i)
+		h.submit(classDefault, i)
 		h.runRound()
 		h.advance(250, nil)
 		for _, a := range append([]*sentAttempt(nil), h.inFlight...) {
@@ -112,19 +106,25 @@
 		}
 	}
 	if h.scheduler.idle.areUnsafe(h.now) {
-		t.Error("idle connections are still closed though new ones cannot be had")
+		t.Error("idle connections are still closed although new ones cannot be made")
 	}
 }
 
-// TestStalledReplicasAreNotIdleConnectionLoss: a co-ordinator that meets each of 60 replicas every other second does so on
-// connections that have been idle. Nine that hang are no sign that these are dropped; all that hang are.
+// TestStalledReplicasAreNotIdleConnectionLoss guarantees that a broker that meets each of 60 replicas on an idle
+// connection anyway does not take a few stalled replicas for lost connections, but does where all stall.
 func TestStalledReplicasAreNotIdleConnectionLoss(t *testing.T) {
-	for _, c := range []struct {
-		hung  uint32
-		drops bool
-	}{{9, false}, {60, true}} {
+	for _, test := range []struct {
+		stalled    uint32 // of 60 replicas
+		wantCloses bool
+	}{
+		{9, false},
+		{60, true},
+	} {
 		settings := testSettings()
-		settings.BrokerCount, settings.Cells, settings.Shards, settings.AllowHedging = 80, 60, 60, false
+		settings.BrokerCount = 80
+		settings.Cells = 60
+		settings.Shards = 60
+		settings.AllowHedging = false
 		h := newHarness(t, settings)
 		h.listFleet(UpdateFull)
 		for i := range 30 {
@@ -132,23 +132,18 @@
 			for j := range 24 {
 				shards = append(shards, (i*13+j)%60)
 			}
-			h.submit(0, shards...)
+			h.submit(classDefault, shards...)
 			h.runRound()
-			bad := func(a *sentAttempt) bool { return i >= 10 && a.replica <= c.hung }
 			h.advance(600, func(a *sentAttempt) {
-				if h.now >= a.sentAt+20 && !bad(a) {
-					h.endAttempt(a, Succeeded)
+				isStalled := i >= 10 && a.replica <= test.stalled
+				if !isStalled {
+					h.replyAfter(20)(a)
 				}
 			})
 		}
-		dropped := 0
-		for _, l := range h.log {
-			if strings.Contains(l, " close ") {
-				dropped++
-			}
-		}
-		if (dropped > 0) != c.drops {
-			t.Errorf("%d of 60 hang: %d times closed", c.hung, dropped)
+		closes := h.idleCloses()
+		if (closes > 0) != test.wantCloses {
+			t.Errorf("%d of 60 replicas stalled: idle connections closed %d times", test.stalled, closes)
 		}
 	}
 }
--- a/internal/decision/scheduler/latency_test.go
+++ b/internal/decision/scheduler/latency_test.go
@@ -2,26 +2,30 @@
 
 import "testing"
 
-// The parts of a long query come back sorted by latency: the fastest is not the usual one.
+// TestBaselineOfSortedLatencies guarantees that the baseline is a quantile of all latencies although the parts of a
+// long query come back sorted by latency, the fastest first.
 func TestBaselineOfSortedLatencies(t *testing.T) {
 	settings := testSettings()
-	settings.Shards, settings.RetryBudget.Window, settings.SlowStart.WorkMultiple = 60, 0, 0
+	settings.Shards = 60
+	settings.RetryBudget.Window = 0
+	settings.SlowStart.WorkMultiple = 0
 	h := newHarness(t, settings)
 	h.listFleet(UpdateFull)
-	for i := 0; i < 3; i++ {
-		var shards []int
-		for k := range 20 {
-			shards = append(shards, k)
-		}
-		h.submit(0, shards...)
+	var shards []int
+	for shard := range 20 {
+		shards = append(shards, shard)
+	}
+	for range 3 {
+		h.submit(classDefault, shards...)
 		h.runRound()
-		for n := 0; len(h.inFlight) > 0; n++ {
+		for len(h.inFlight) > 0 {
 			h.now += 5
 			h.endAttempt(h.inFlight[0], Succeeded)
 		}
 		h.runRound()
 	}
-	if h.scheduler.latency.baseline < 30 || h.scheduler.latency.baseline > 60 { // latencies are 5, 10 ... 100
-		t.Fatalf("usual latency %v", h.scheduler.latency.baseline)
+	baseline := h.scheduler.latency.baseline
+	if baseline < 30 || baseline > 60 {
+		t.Fatalf("baseline %v ms of latencies 5, 10 ... 100, want 30 to 60", baseline)
 	}
 }
--- a/internal/decision/scheduler/placement_test.go
+++ b/internal/decision/scheduler/placement_test.go
@@ -2,17 +2,21 @@
 
 import "testing"
 
-// What waits at one shard of a set of replicas holds up the others of the set: they are refused as it is.
+// TestQueueingTimeIsSharedWithinPlacementGroup guarantees that what is queued at one shard tells how long a part of
+// another one with the same replicas would wait, and says nothing of other replicas.
 func TestQueueingTimeIsSharedWithinPlacementGroup(t *testing.T) {
 	settings := testSettings()
-	settings.Shards, settings.Cells, settings.CellsPerShard = 6, 2, 1
+	settings.Shards = 6
+	settings.Cells = 2
+	settings.CellsPerShard = 1
 	h := newHarness(t, settings)
 	h.scheduler.queues.activate(0, h.now).fifo[0] = []*queuedCall{{}}
 	h.scheduler.queues.activate(0, h.now).oldestQueuedAt = h.now - 200
 	h.scheduler.noteQueueing(h.now)
 	for shard, want := range []float64{200, 0, 200, 0, 200, 0} {
-		if held := h.now - h.scheduler.queuedSince(shard, h.now); held != want {
-			t.Errorf("shard %d: held %v, want %v", shard, held, want)
+		got := h.now - h.scheduler.queuedSince(shard, h.now)
+		if got != want {
+			t.Errorf("shard %d: queued for %v ms, want %v", shard, got, want)
 		}
 	}
 }
--- a/internal/decision/scheduler/settings_test.go
+++ b/internal/decision/scheduler/settings_test.go
@@ -8,37 +8,41 @@
 	"ternstage/internal/slicemap"
 )
 
+// TestSettingsOutOfRangeAreNamedInError guarantees that New rejects contradictory settings and says which they are.
 func TestSettingsOutOfRangeAreNamedInError(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
-		"CellsPerShard":     func(settings *Settings) { settings.CellsPerShard = 7 },
-		"DrainGrace":        func(settings *Settings) { settings.DrainGrace = -1 },
-		"Classes[0]":        func(settings *Settings) { settings.Classes[0].MinCompleteness = 1.2 },
-		"RetryBudget.Spare": func(settings *Settings) { settings.RetryBudget.Spare = -1 },
+		"CellsPerShard":     func(s *Settings) { s.CellsPerShard = 7 },
+		"DrainGrace":        func(s *Settings) { s.DrainGrace = -1 },
+		"Classes[0]":        func(s *Settings) { s.Classes[0].MinCompleteness = 1.2 },
+		"RetryBudget.Spare": func(s *Settings) { s.RetryBudget.Spare = -1 },
 	} {
 		settings := testSettings()
 		change(&settings)
 		settings.Placement = slicemap.NewRingPlacement(settings.Shards, settings.Cells, settings.CellsPerShard)
-		if _, err := New(settings, 1, &harness{}); err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("%s: %v", name, err)
+		_, err := New(settings, 1, &harness{})
+		if err == nil || !strings.Contains(err.Error(), name) {
+			t.Errorf("%s: error %v", name, err)
 		}
 	}
 }
 
+// TestInvalidNumbersAreNamedInError guarantees the same for NaN, infinities and numbers that make no sense, which
+// would otherwise spread through all estimates.
 func TestInvalidNumbersAreNamedInError(t *testing.T) {
-	for name, spoil := range map[string]func(*Settings){
-		"BrokerIndex":               func(settings *Settings) { settings.BrokerIndex = 2 },
-		"SlowStart.Window":          func(settings *Settings) { settings.SlowStart.Window = math.NaN() },
-		"TimerResolution":           func(settings *Settings) { settings.TimerResolution = math.Inf(1) },
-		"SlowStart.InitialCapacity": func(settings *Settings) { settings.SlowStart.InitialCapacity = 1.5 },
-		"Classes":                   func(settings *Settings) { settings.Classes[1].PriorityWeight = math.NaN() },
-		"TenantRates":               func(settings *Settings) { settings.TenantRates = []float64{-1} },
-		"Shards":                    func(settings *Settings) { settings.Shards = 0 },
+	for name, change := range map[string]func(*Settings){
+		"BrokerIndex":               func(s *Settings) { s.BrokerIndex = 2 },
+		"SlowStart.Window":          func(s *Settings) { s.SlowStart.Window = math.NaN() },
+		"TimerResolution":           func(s *Settings) { s.TimerResolution = math.Inf(1) },
+		"SlowStart.InitialCapacity": func(s *Settings) { s.SlowStart.InitialCapacity = 1.5 },
+		"Classes":                   func(s *Settings) { s.Classes[1].PriorityWeight = math.NaN() },
+		"TenantRates":               func(s *Settings) { s.TenantRates = []float64{-1} },
+		"Shards":                    func(s *Settings) { s.Shards = 0 },
 	} {
 		settings := testSettings()
-		settings.Classes = append([]Class(nil), settings.Classes...)
-		spoil(&settings)
+		change(&settings)
 		settings.Placement = slicemap.NewRingPlacement(settings.Shards, settings.Cells, settings.CellsPerShard)
-		if _, err := New(settings, 1, newHarness(t, testSettings())); err == nil || !strings.Contains(err.Error(), name) {
+		_, err := New(settings, 1, newHarness(t, testSettings()))
+		if err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: error %v", name, err)
 		}
 	}
--- a/internal/decision/scheduler/tenant_quota_test.go
+++ b/internal/decision/scheduler/tenant_quota_test.go
@@ -2,23 +2,29 @@
 
 import "testing"
 
-// A tenant's surge is turned away before others' queries where something must be refused, and only then.
+// TestTenantOverQuotaIsRejectedFirst guarantees that, where something must be rejected, a tenant's surge is rejected
+// before the queries of a tenant within its quota.
 func TestTenantOverQuotaIsRejectedFirst(t *testing.T) {
-	even, fair := runTenantSurge(t, 1), runTenantSurge(t, 0.1)
-	if even[1] < 8 || float64(fair[1]) > 0.7*float64(even[1]) || fair[0] < fair[1] {
-		t.Fatalf("refused of the surging tenant and of the other: %v, and %v if all were worth the same", fair, even)
+	without := runTenantSurge(t, 1)
+	with := runTenantSurge(t, 0.1)
+	if without[1] < 8 || float64(with[1]) > 0.7*float64(without[1]) || with[0] < with[1] {
+		t.Fatalf("rejected queries of the surging tenant and of the other: %v, without quotas %v", with, without)
 	}
 }
 
-// runTenantSurge has one of two tenants ask seven times as much as the other of a fleet that gets slow, and tells whose queries
-// were refused.
-func runTenantSurge(t *testing.T, overShare float64) [2]int {
+// runTenantSurge has tenant 0 submit seven times as many queries as tenant 1 to a fleet that becomes slow, and counts
+// the rejected queries by tenant. Nothing may be rejected while the fleet is fast.
+func runTenantSurge(t *testing.T, overQuotaFactor float64) [2]int {
+	t.Helper()
 	settings := testSettings()
-	settings.BrokerCount, settings.TenantRates, settings.OverQuotaFactor = 1, []float64{10, 10}, overShare
+	settings.BrokerCount = 1
+	settings.TenantRates = []float64{10, 10}
+	settings.OverQuotaFactor = overQuotaFactor
 	h := newHarness(t, settings)
 	h.listFleet(UpdateFull)
 	h.learnBaseline()
-	count := func(tick float64, reply float64) (refused [2]int) {
+	countRejected := func(intervalMs, latencyMs float64) [2]int {
+		var rejected [2]int
 		for i := range 60 {
 			for n := range 8 {
 				tenant := 0
@@ -30,16 +36,17 @@
 				h.queries[q.Query.ID] = q
 				h.scheduler.QueryArrived(h.now, q.Query)
 				h.addPart(q, (i+n)%6, 100, 1)
-				was := len(h.rejected)
+				before := len(h.rejected)
 				h.runRound()
-				refused[tenant] += len(h.rejected) - was
+				rejected[tenant] += len(h.rejected) - before
 			}
-			h.advance(tick, h.replyAfter(reply))
+			h.advance(intervalMs, h.replyAfter(latencyMs))
 		}
-		return refused
+		return rejected
 	}
-	if r := count(200, 60); r[0]+r[1] > 0 {
-		t.Fatalf("refused with room to spare: %v", r)
+	rejected := countRejected(200, 60)
+	if rejected[0]+rejected[1] > 0 {
+		t.Fatalf("rejected queries by tenant on a fast fleet: %v", rejected)
 	}
-	return count(50, 350)
+	return countRejected(50, 350)
 }
--- a/internal/decision/scheduler/zone_latency_test.go
+++ b/internal/decision/scheduler/zone_latency_test.go
@@ -2,11 +2,15 @@
 
 import "testing"
 
-// A slow way to another zone is told from slow replicas by all of that zone being slow from here: its replicas leave the
-// choice within seconds, though each has had but a few parts, and come back when the way is sound.
-func TestSlowZoneIsAvoidedAndReadmitted(t *testing.T) {
-	settings := testSettings()
-	settings.BrokerCount, settings.Shards, settings.Cells, settings.CellsPerShard, settings.LocalZone = 40, 10, 10, 1, 2 // two other zones, equally good
+// newTwoZoneHarness is the harness of one of 40 brokers, in a third zone, before 200 replicas in zones 0 and 1 that
+// are equally good. Each of ten shards has ten replicas in each zone.
+func newTwoZoneHarness(t *testing.T, settings Settings) *harness {
+	t.Helper()
+	settings.BrokerCount = 40
+	settings.Shards = 10
+	settings.Cells = 10
+	settings.CellsPerShard = 1
+	settings.LocalZone = 2
 	h := newHarness(t, settings)
 	var endpoints []Endpoint
 	for i := range uint32(200) {
@@ -14,87 +18,91 @@
 	}
 	h.updateEndpoints(UpdateFull, endpoints...)
 	h.runRound()
-	across := func(n int, ms float64) (sent int) {
-		before := len(h.sent)
-		for i := range n {
-			h.submit(0, i%10, (i+3)%10)
-			h.runRound()
-			h.advance(50, func(a *sentAttempt) {
-				if zone := (a.replica - 1) / 10 % 2; h.now >= a.sentAt+100 && zone == 0 || h.now >= a.sentAt+ms {
-					h.endAttempt(a, Succeeded)
-				}
-			})
+	return h
+}
+
+func isInZone1(a *sentAttempt) bool { return (a.replica-1)/10%2 == 1 }
+
+// sentToZone1 submits queries of two parts at an interval and counts the parts that are sent to zone 1.
+func (h *harness) sentToZone1(queries int, intervalMs float64, reply func(*sentAttempt)) int {
+	before := len(h.sent)
+	for i := range queries {
+		h.submit(classDefault, i%10, (i+3)%10)
+		h.runRound()
+		h.advance(intervalMs, reply)
+	}
+	sent := 0
+	for _, a := range h.sent[before:] {
+		if isInZone1(a) {
+			sent++
 		}
-		for _, a := range h.sent[before:] {
-			if (a.replica-1)/10%2 == 1 {
-				sent++
+	}
+	return sent
+}
+
+// TestSlowZoneIsAvoidedAndReadmitted guarantees that a slow network path to a zone is told from slow replicas: all
+// replicas of the zone are avoided within seconds, though each has had but a few parts, and used again once the path
+// is fast.
+func TestSlowZoneIsAvoidedAndReadmitted(t *testing.T) {
+	h := newTwoZoneHarness(t, testSettings())
+	replyWithZone1 := func(ms float64) func(*sentAttempt) {
+		return func(a *sentAttempt) {
+			if h.now >= a.sentAt+100 && !isInZone1(a) || h.now >= a.sentAt+ms {
+				h.endAttempt(a, Succeeded)
 			}
 		}
-		return sent
 	}
-	across(100, 110)
-	across(60, 700) // 3 s: about one part at each tenth replica there
-	if n := across(60, 700); n > 10 {
-		t.Fatalf("%d of 120 parts still went the slow way", n)
+	h.sentToZone1(100, 50, replyWithZone1(110))
+	h.sentToZone1(60, 50, replyWithZone1(700)) // 3 s: about one part at each tenth replica of the zone
+	sent := h.sentToZone1(60, 50, replyWithZone1(700))
+	if sent > 10 {
+		t.Fatalf("%d of 120 parts sent to the slow zone, want 10 at most", sent)
 	}
-	across(600, 110)
-	if n := across(60, 110); n < 12 {
-		t.Fatalf("%d of 120 parts go there after the way is sound", n)
+	h.sentToZone1(600, 50, replyWithZone1(110))
+	sent = h.sentToZone1(60, 50, replyWithZone1(110))
+	if sent < 12 {
+		t.Fatalf("%d of 120 parts sent to the zone after its recovery, want 12 at least", sent)
 	}
 }
 
-// One replica that stood still brings many late parts back at once: they say nothing of the others in its zone.
+// TestStalledReplicaDoesNotSlowItsZone guarantees that many late answers out of one stalled replica count once for
+// its zone, as they say nothing of the other replicas there.
 func TestStalledReplicaDoesNotSlowItsZone(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
 	h.learnBaseline()
+	zones := &h.scheduler.zones
 	r := h.scheduler.replicas.byID[3]
 	for range 40 {
-		h.scheduler.zones.observe(h.now, r, 30)
+		zones.observe(h.now, r, 30)
 	}
-	if way := h.scheduler.zones.latency(h.now, r.Zone); way > 1.2 || !r.outliers.countedAsSlow {
-		t.Fatalf("40 parts out of one stall make the way %v", way)
+	latency := zones.latency(h.now, r.Zone)
+	if latency > 1.2 || !r.outliers.countedAsSlow {
+		t.Fatalf("zone latency %v after 40 late answers of one replica, want 1.2 at most", latency)
 	}
-	h.scheduler.zones.observe(h.now, r, 1)
+	zones.observe(h.now, r, 1)
 	if r.outliers.countedAsSlow {
-		t.Fatal("an answer as usual leaves it slow")
+		t.Fatal("the replica still counts as slow after a normal answer")
 	}
 }
 
-// A zone that goes silent shows in what is late there, long before a time-out tells of it.
+// TestSilentZoneIsAvoidedBeforeTimeouts guarantees that a zone that answers nothing any more shows in what is late
+// there, long before attempts time out.
 func TestSilentZoneIsAvoidedBeforeTimeouts(t *testing.T) {
 	settings := testSettings()
-	settings.BrokerCount, settings.Shards, settings.Cells, settings.CellsPerShard, settings.LocalZone = 40, 10, 10, 1, 2
-	settings.Classes[0].LatencyObjective, settings.Classes[0].Deadline, settings.AllowHedging = 2900, 3000, false
-	h := newHarness(t, settings)
-	var endpoints []Endpoint
-	for i := range uint32(200) {
-		endpoints = append(endpoints, Endpoint{Replica: i + 1, Cell: int(i % 10), Zone: int(i/10) % 2, State: Ready})
-	}
-	h.updateEndpoints(UpdateFull, endpoints...)
-	h.runRound()
-	silent := func(a *sentAttempt) bool { return (a.replica-1)/10%2 == 1 }
-	ask := func(n int, lost bool) (sent int) {
-		before := len(h.sent)
-		for i := range n {
-			h.submit(0, i%10, (i+3)%10)
-			h.runRound()
-			h.advance(25, func(a *sentAttempt) {
-				if h.now >= a.sentAt+100 && (!lost || !silent(a)) {
-					h.endAttempt(a, Succeeded)
-				}
-			})
-		}
-		for _, a := range h.sent[before:] {
-			if silent(a) {
-				sent++
-			}
+	settings.Classes[classDefault].LatencyObjective = 2900
+	settings.Classes[classDefault].Deadline = 3000
+	settings.AllowHedging = false
+	h := newTwoZoneHarness(t, settings)
+	replyFromZone0 := func(a *sentAttempt) {
+		if !isInZone1(a) {
+			h.replyAfter(100)(a)
 		}
-		return sent
 	}
-	ask(200, false)
-	first := ask(30, true) // less than a second
-	if n := ask(30, true); first < 8 || n > first/3 {
-		t.Fatalf("%d parts to the silent zone at first, then %d", first, n)
+	h.sentToZone1(200, 25, h.replyAfter(100))
+	atFirst := h.sentToZone1(30, 25, replyFromZone0) // less than a second
+	sent := h.sentToZone1(30, 25, replyFromZone0)
+	if atFirst < 8 || sent > atFirst/3 {
+		t.Fatalf("%d parts sent to the silent zone at first, then %d", atFirst, sent)
 	}
 }
