--- a/internal/decision/fleetshare/client_throttle_test.go
+++ b/internal/decision/fleetshare/client_throttle_test.go
@@ -9,90 +9,133 @@
 	"pgregory.net/rapid"
 )
 
-// fleet plays n brokers before a fleet that serves so much work a second and holds 0.4 s of it: what is sent over that is
-// lost, each broker's parts in equal share. It gives what was sent and served in the last half, by what can be served.
-func fleet(n int, rate func(broker int) float64, serves float64, seconds int) (sent, served float64) {
-	dice := rand.New(rand.NewPCG(uint64(n), 1))
-	brokers := make([]ClientThrottle, n)
-	for i := range brokers {
-		brokers[i] = NewClientThrottle(n)
+const (
+	partsPerQuery = 10
+	stepSeconds   = 0.1
+	queueSeconds  = 0.4 // how much of its work the fleet queues
+)
+
+// throttledFleet is a number of brokers before a fleet that serves so much work a second and queues some of it. What
+// is sent beyond that is rejected, the same share of each broker's parts.
+type throttledFleet struct {
+	brokers []ClientThrottle
+	random  *rand.Rand
+	serves  float64 // work a second
+	queued  float64 // work
+}
+
+func newThrottledFleet(brokers int, serves float64) *throttledFleet {
+	f := &throttledFleet{
+		brokers: make([]ClientThrottle, brokers),
+		random:  rand.New(rand.NewPCG(uint64(brokers), 1)),
+		serves:  serves,
 	}
-	const parts, step = 10, 0.1
-	held := 0.0
-	for k := range int(float64(seconds) / step) {
-		in := make([]int, n)
-		sum := 0.0
-		for i := range brokers {
-			for q := rate(i) * step / parts; q > dice.Float64(); q-- {
-				if !brokers[i].ShouldReject(0.5, dice.Float64) {
-					in[i], sum = in[i]+1, sum+parts
-				}
+	for i := range f.brokers {
+		f.brokers[i] = NewClientThrottle(brokers)
+	}
+	return f
+}
+
+// step lets the brokers send for one step, at a rate of work a second for each, and returns the work that was sent and
+// served.
+func (f *throttledFleet) step(rate func(broker int) float64) (sent, served float64) {
+	queries := make([]int, len(f.brokers))
+	for i := range f.brokers {
+		for due := rate(i) * stepSeconds / partsPerQuery; due > f.random.Float64(); due-- {
+			if !f.brokers[i].ShouldReject(0.5, f.random.Float64) {
+				queries[i]++
+				sent += partsPerQuery
 			}
 		}
-		held = math.Max(0, held-serves*step)
-		share := math.Min(1, (0.4*serves-held)/math.Max(sum, 1e-9))
-		held += sum * share
-		for i := range brokers {
-			for range in[i] * parts {
-				brokers[i].RecordResult(1, dice.Float64() < share)
-			}
+	}
+	f.queued = math.Max(0, f.queued-f.serves*stepSeconds)
+	acceptedShare := math.Min(1, (queueSeconds*f.serves-f.queued)/math.Max(sent, 1e-9))
+	f.queued += sent * acceptedShare
+	for i := range f.brokers {
+		for range queries[i] * partsPerQuery {
+			f.brokers[i].RecordResult(1, f.random.Float64() < acceptedShare)
 		}
-		if k >= int(float64(seconds)/step/2) {
-			sent, served = sent+sum, served+sum*share
+	}
+	return sent, sent * acceptedShare
+}
+
+// runThrottledFleet returns the work that is sent and served in the last half of a run, as shares of what the fleet
+// can serve.
+func runThrottledFleet(brokers int, rate func(broker int) float64, serves float64, seconds int) (sent, served float64) {
+	f := newThrottledFleet(brokers, serves)
+	steps := int(float64(seconds) / stepSeconds)
+	half := int(float64(seconds) / stepSeconds / 2)
+	for i := range steps {
+		stepSent, stepServed := f.step(rate)
+		if i >= half {
+			sent += stepSent
+			served += stepServed
 		}
 	}
-	whole := serves * float64(seconds) / 2
-	return sent / whole, served / whole
+	capacity := serves * float64(seconds) / 2
+	return sent / capacity, served / capacity
 }
 
-// TestSumStaysWithinWhatIsServed: whatever the number of brokers and however their traffic is split, what they send
-// together at twice to three times what the fleet serves stays near that, and most of the fleet is used.
-func TestSumStaysWithinWhatIsServed(t *testing.T) {
-	for _, n := range []int{30, 300, 1000} {
-		for name, rate := range map[string]func(int) float64{
-			"even":                  func(int) float64 { return 30 },
-			"a tenth asks for most": func(i int) float64 { return map[bool]float64{true: 240, false: 20.0 / 3}[i%10 == 0] },
-		} {
-			for _, over := range []float64{0.8, 1.5, 2.5} {
-				serves := 30 * float64(n) / over
-				sent, served := fleet(n, rate, serves, 120)
-				assert.LessOrEqual(t, sent, 1.5, "%d brokers, %s, asked for %v", n, name, over)
-				assert.GreaterOrEqual(t, served, 0.93*math.Min(1, over), "%d brokers, %s, asked for %v", n, name, over)
+// TestThrottledBrokersSendWhatIsServed guarantees that, whatever the number of brokers and however their traffic is
+// split, what they send together stays near what the fleet serves, and that most of the fleet is used.
+func TestThrottledBrokersSendWhatIsServed(t *testing.T) {
+	rates := map[string]func(broker int) float64{
+		"even": func(int) float64 { return 30 },
+		"a tenth has most": func(broker int) float64 {
+			if broker%10 == 0 {
+				return 240
+			}
+			return 20.0 / 3
+		},
+	}
+	for _, brokers := range []int{30, 300, 1000} {
+		for name, rate := range rates {
+			for _, overload := range []float64{0.8, 1.5, 2.5} {
+				serves := 30 * float64(brokers) / overload
+				sent, served := runThrottledFleet(brokers, rate, serves, 120)
+				assert.LessOrEqual(t, sent, 1.5, "%d brokers, traffic %s, overload %v", brokers, name, overload)
+				assert.GreaterOrEqual(t, served, 0.93*math.Min(1, overload), "%d brokers, traffic %s, overload %v", brokers, name, overload)
 			}
 		}
 	}
 }
 
-// TestFewBrokersTurnNothingAway: their own results by node tell more.
-func TestFewBrokersTurnNothingAway(t *testing.T) {
-	for n := range 5 {
-		th := NewClientThrottle(n)
+// TestSmallFleetIsNotThrottled guarantees that brokers of small fleets reject nothing by this rule: their own results
+// by backend tell more.
+func TestSmallFleetIsNotThrottled(t *testing.T) {
+	for brokers := range 5 {
+		throttle := NewClientThrottle(brokers)
 		for range 1000 {
-			th.RecordResult(5, false)
+			throttle.RecordResult(5, false)
 		}
-		assert.Zero(t, th.RejectedShare(), n)
+		assert.Zero(t, throttle.RejectedShare(), "%d brokers", brokers)
 	}
 }
 
-// TestThrottleIsBounded: whatever ends how, a share is always let in, worth more is refused no sooner, nothing is refused
-// where all is served, and a fleet that is sound again is found so within 100 work.
-func TestThrottleIsBounded(t *testing.T) {
+// TestThrottleIsBoundedAndRecovers guarantees, whatever the results, that a share of queries is always admitted, that
+// a higher priority is not rejected sooner, and that nothing is rejected once so much work has been accepted in a row;
+// then no random number is drawn.
+func TestThrottleIsBoundedAndRecovers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		th := NewClientThrottle(rapid.IntRange(0, 2000).Draw(t, "n"))
+		throttle := NewClientThrottle(rapid.IntRange(0, 2000).Draw(t, "brokers"))
 		for range rapid.IntRange(0, 300).Draw(t, "parts") {
-			th.RecordResult(rapid.Float64Range(0, 1e6).Draw(t, "work"), rapid.Bool().Draw(t, "served"))
-			assert.LessOrEqual(t, th.RejectedShare(), 1-minAdmittedShare+1e-9)
-			assert.GreaterOrEqual(t, th.RejectedShare(), 0.0)
-			dice := rapid.Float64Range(0, 1).Draw(t, "dice")
-			fix := func() float64 { return dice }
-			if th.ShouldReject(1, fix) {
-				assert.True(t, th.ShouldReject(0.2, fix), "what is worth more was refused first")
+			throttle.RecordResult(rapid.Float64Range(0, 1e6).Draw(t, "work"), rapid.Bool().Draw(t, "accepted"))
+			assert.LessOrEqual(t, throttle.RejectedShare(), 1-minAdmittedShare+1e-9)
+			assert.GreaterOrEqual(t, throttle.RejectedShare(), 0.0)
+			number := rapid.Float64Range(0, 1).Draw(t, "random number")
+			random := func() float64 { return number }
+			if throttle.ShouldReject(1, random) {
+				assert.True(t, throttle.ShouldReject(0.2, random), "the higher priority was rejected first")
 			}
 		}
 		for range 100 * int(math.Ceil(-math.Log(minAdmittedShare)/throttleRise/100)) {
-			th.RecordResult(1, true)
+			throttle.RecordResult(1, true)
+		}
+		assert.Zero(t, throttle.RejectedShare())
+		noRandom := func() float64 {
+			t.Fatal("random number drawn although nothing is rejected")
+			return 0
 		}
-		assert.Zero(t, th.RejectedShare())
-		assert.False(t, th.ShouldReject(0, func() float64 { t.Fatal("dice rolled where nothing is turned away"); return 0 }))
+		assert.False(t, throttle.ShouldReject(0, noRandom))
 	})
 }
--- a/internal/decision/fleetshare/slow_start_quota_test.go
+++ b/internal/decision/fleetshare/slow_start_quota_test.go
@@ -7,66 +7,70 @@
 	"pgregory.net/rapid"
 )
 
-// TestSharesOfColdNodesStayWithinTheAllowance: whatever traffic each of any number of brokers has, and however wrong they
-// are about their number, what all may send a cold node is within the allowance, as long as no warm node does more than it
-// can. One that is told too many is not less than even.
-func TestSharesOfColdNodesStayWithinTheAllowance(t *testing.T) {
+// TestQuotasTogetherStayWithinAllowance guarantees that, whatever traffic each of any number of brokers has and
+// however wrong they are about their number, what all may send a warming backend is within the bound that the
+// package derives, as long as no warm backend does more than it can.
+func TestQuotasTogetherStayWithinAllowance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.IntRange(5, 400).Draw(t, "brokers")
-		told := max(5, int(float64(n)*rapid.Float64Range(0.9, 4).Draw(t, "told, by their number")))
+		brokers := rapid.IntRange(5, 400).Draw(t, "brokers")
+		assumed := max(5, int(float64(brokers)*rapid.Float64Range(0.9, 4).Draw(t, "assumed brokers, by their number")))
 		cores := rapid.Float64Range(1, 8).Draw(t, "cores")
-		warm := rapid.IntRange(1, 200).Draw(t, "warm nodes")
-		uneven := rapid.SampledFrom([]float64{0, 1, 3, 8}).Draw(t, "unevenness")
-		dice := rapid.Float64Range(0, 1)
-		weights, sum := make([]float64, n), 0.0
+		warm := rapid.IntRange(1, 200).Draw(t, "warm backends")
+		unevenness := rapid.SampledFrom([]float64{0, 1, 3, 8}).Draw(t, "unevenness")
+		weights := make([]float64, brokers)
+		totalWeight := 0.0
 		for i := range weights {
 			weights[i] = 1
-			if uneven > 0 {
-				weights[i] = 1 / (0.01 + uneven*dice.Draw(t, "weight"))
+			if unevenness > 0 {
+				weights[i] = 1 / (0.01 + unevenness*rapid.Float64Range(0, 1).Draw(t, "weight"))
 			}
-			sum += weights[i]
+			totalWeight += weights[i]
 		}
-		all := make([]SlowStartQuota, n)
-		for i := range all {
-			all[i] = NewSlowStartQuota(told)
+		quotas := make([]SlowStartQuota, brokers)
+		for i := range quotas {
+			quotas[i] = NewSlowStartQuota(assumed)
 		}
-		const step = 250.0
-		for k := range rapid.IntRange(8, 60).Draw(t, "steps") {
-			used := rapid.Float64Range(0, 1).Draw(t, "of what they can do, done")
-			for i := range all {
-				all[i].Advance(1000+step*float64(k), func(float64) int { return warm })
-				all[i].RecordServed(weights[i] / sum * used * cores * step * float64(warm))
+		const stepMs = 250.0
+		for step := range rapid.IntRange(8, 60).Draw(t, "steps") {
+			utilization := rapid.Float64Range(0, 1).Draw(t, "utilization of warm backends")
+			for i := range quotas {
+				quotas[i].Advance(1000+stepMs*float64(step), func(float64) int { return warm })
+				quotas[i].RecordServed(weights[i] / totalWeight * utilization * cores * stepMs * float64(warm))
 			}
 		}
-		const one = 1000.0
-		shares := 0.0
-		for i := range all {
-			all[i].Advance(1e6, func(float64) int { return 0 }) // none is warm: what was served before tells
-			shares += all[i].QuotaMs(0.7*one/float64(told), one)
+		const allowance = 1000.0 // of a backend with one core
+		sum := 0.0
+		for i := range quotas {
+			quotas[i].Advance(1e6, func(float64) int { return 0 }) // none is warm: the history stays as it was
+			sum += quotas[i].QuotaMs(0.7*allowance/float64(assumed), allowance)
 		}
-		// (1 - weight) x even is 4/told of 0.7, and for all of them 0.7 x 4/told x n/told.
-		few := 0.7 * one * 4 / float64(told) * float64(n) / float64(told)
-		assert.LessOrEqual(t, shares, ownWorkShare*one*cores+idleShare*0.7*one*float64(n)/float64(told)+few+1e-6)
+		// The even shares count with 1 - weight, which is 4/assumed; each is 0.7/assumed of the allowance.
+		ownWork := ownWorkShare * allowance * cores
+		idle := idleShare * 0.7 * allowance * float64(brokers) / float64(assumed)
+		even := 0.7 * allowance * 4 / float64(assumed) * float64(brokers) / float64(assumed)
+		assert.LessOrEqual(t, sum, ownWork+idle+even+1e-6)
 	})
 }
 
-// TestShareGoesWithTraffic: a broker that gets eight times as much served may send a cold node eight times as much; one
-// that gets nothing keeps a part of the even share; before there is any history the share is even, and for few brokers ever.
-func TestShareGoesWithTraffic(t *testing.T) {
-	const even, one = 2.0, 1000.0
-	share := func(n int, work float64, steps int) float64 {
-		c := NewSlowStartQuota(n)
-		for k := range steps {
-			c.Advance(float64(k+1)*250, func(float64) int { return 10 })
-			c.RecordServed(work)
+// TestQuotaFollowsServedWork guarantees that a broker that had eight times as much work served has eight times the
+// quota, that one without any keeps a part of the even share, and that the share is even before there is any history
+// and in small fleets.
+func TestQuotaFollowsServedWork(t *testing.T) {
+	const evenShare, allowance = 2.0, 1000.0
+	quota := func(brokers int, workMs float64, steps int) float64 {
+		q := NewSlowStartQuota(brokers)
+		for step := range steps {
+			q.Advance(float64(step+1)*250, func(float64) int { return 10 })
+			q.RecordServed(workMs)
 		}
-		return c.QuotaMs(even, one)
+		return q.QuotaMs(evenShare, allowance)
 	}
-	assert.Equal(t, even, share(300, 100, 3))
-	assert.Equal(t, even, share(4, 100, 100))
-	w := 1 - 4.0/300
-	mean, much := share(300, 10, 40), share(300, 80, 40)
-	assert.InDelta(t, 8, (much-(1-w)*even)/(mean-(1-w)*even), 1e-6)
-	assert.InDelta(t, ownWorkShare*one*10/2500, (mean-(1-w)*even)/w, 0.2)
-	assert.InDelta(t, idleShare*even*w+(1-w)*even, share(300, 0, 40), 1e-9)
+	assert.Equal(t, evenShare, quota(300, 100, 3))
+	assert.Equal(t, evenShare, quota(4, 100, 100))
+	weight := 1 - 4.0/300
+	mean := quota(300, 10, 40)
+	busy := quota(300, 80, 40)
+	assert.InDelta(t, 8, (busy-(1-weight)*evenShare)/(mean-(1-weight)*evenShare), 1e-6)
+	assert.InDelta(t, ownWorkShare*allowance*10/2500, (mean-(1-weight)*evenShare)/weight, 0.2)
+	assert.InDelta(t, idleShare*evenShare*weight+(1-weight)*evenShare, quota(300, 0, 40), 1e-9)
 }
