--- a/internal/decision/scheduler/admission_test.go
+++ b/internal/decision/scheduler/admission_test.go
@@ -298,3 +298,38 @@
 		t.Fatalf("the next query of the key ended at once: %s", q.end)
 	}
 }
+
+// TestRejectionReasons guarantees why a query is rejected, and that too little time is the first reason.
+func TestRejectionReasons(t *testing.T) {
+	for name, test := range map[string]struct {
+		class       int
+		remainingMs float64
+		load        admissionLoad
+		inFlight    float64
+		failedWork  float64
+		want        rejection
+	}{
+		"no load":                        {classDefault, 3000, admissionLoad{}, 0, 0, notRejected},
+		"too late":                       {classDefault, 50, admissionLoad{}, 0, 0, rejectedTooLate},
+		"too late and over limit":        {classDefault, 50, admissionLoad{}, 101, 0, rejectedTooLate},
+		"parts missing":                  {classDefault, 3000, admissionLoad{missingWeight: 0.4}, 0, 0, rejectedMissingParts},
+		"parts queued, none missing":     {classDefault, 3000, admissionLoad{queuedWeight: 1}, 0, 0, notRejected},
+		"parts missing, partial allowed": {classPartial, 3000, admissionLoad{missingWeight: 0.4}, 0, 0, notRejected},
+		"over limit":                     {classDefault, 3000, admissionLoad{}, 101, 0, rejectedOverLimit},
+		"larger than limit":              {classDefault, 3000, admissionLoad{cost: 200}, 0, 0, rejectedPacing},
+		"throttled":                      {classDefault, 3000, admissionLoad{}, 0, 64, rejectedThrottled},
+	} {
+		settings := testSettings()
+		settings.BrokerCount = 40
+		h := newHarness(t, settings)
+		s := h.scheduler
+		s.latency.partMs = 100
+		s.lastAdmittedAt = h.now
+		s.fleet.inFlight = test.inFlight
+		s.throttle.RecordResult(test.failedWork, false)
+		deadline := h.now + test.remainingMs
+		q := &query{Query: Query{Deadline: deadline}, class: &settings.Classes[test.class], expectedLastPartMs: 100}
+		test.load.limit = 100
+		assert.Equal(t, test.want, s.checkAdmission(h.now, q, test.load), name)
+	}
+}
--- a/internal/decision/scheduler/concurrency_limit_test.go
+++ b/internal/decision/scheduler/concurrency_limit_test.go
@@ -1,6 +1,11 @@
 package scheduler
 
-import "testing"
+import (
+	"math"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
 
 // TestStalledPartDoesNotBlockItsReplica guarantees that parts stalled by themselves, which may not be hedged, do not
 // keep others from their replicas: here one at each replica of a shard.
@@ -149,3 +154,43 @@
 		t.Fatalf("%d queries rejected after the fleet has recovered", rejected)
 	}
 }
+
+// TestReplicaLimitAdapts guarantees that the limit grows while it is in use and answers are normal, shrinks to what is
+// in flight with slow ones, once for all attempts sent before, and collapses with a stall.
+func TestReplicaLimitAdapts(t *testing.T) {
+	for name, test := range map[string]struct {
+		limit      replicaLimit
+		isQueueing bool
+		want       float64
+	}{
+		"normal, in use":        {replicaLimit{inFlight: 5, cost: 10}, false, 10.1},
+		"normal, not in use":    {replicaLimit{inFlight: 4, cost: 10}, false, 10},
+		"queueing":              {replicaLimit{inFlight: 5, cost: 10}, true, 5},
+		"queueing, minimum":     {replicaLimit{inFlight: 0.5, cost: 10}, true, minReplicaLimit},
+		"queueing, over limit":  {replicaLimit{inFlight: 20, cost: 10}, true, 10},
+		"queueing, already cut": {replicaLimit{inFlight: 5, cost: 10, cutAt: 160}, true, 10},
+	} {
+		limit := test.limit
+		limit.observe(200, &attempt{part: &part{cost: 2}, sentAt: 150}, test.isQueueing)
+		assert.InDelta(t, test.want, limit.cost, 1e-9, name)
+	}
+	stalled := replicaLimit{inFlight: 5, cost: 10}
+	stalled.collapse(200, 150)
+	assert.Equal(t, minReplicaLimit, stalled.cost)
+}
+
+// TestFleetLimitIsForLargeFleets guarantees that only brokers of large fleets cut the fleet's limit: by a factor of
+// what is in flight, once for what was sent before, and not below the minimum.
+func TestFleetLimitIsForLargeFleets(t *testing.T) {
+	for brokers, wants := range map[int][]float64{
+		smallFleetBrokers:     {math.Inf(1), math.Inf(1), math.Inf(1)},
+		smallFleetBrokers + 1: {85, 85, minFleetLimit},
+	} {
+		s := &Scheduler{settings: Settings{BrokerCount: brokers}, fleet: newFleetLimit()}
+		for i, cut := range []struct{ inFlight, now, sentAt float64 }{{100, 200, 150}, {50, 210, 150}, {1, 300, 250}} {
+			s.fleet.inFlight = cut.inFlight
+			s.cutFleetLimit(cut.now, cut.sentAt)
+			assert.Equal(t, wants[i], s.fleet.cost, "%d brokers, cut %d", brokers, i)
+		}
+	}
+}
--- a/internal/decision/scheduler/cost_test.go
+++ b/internal/decision/scheduler/cost_test.go
@@ -1,6 +1,10 @@
 package scheduler
 
-import "testing"
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
 
 // TestMeanHintIsUnbiasedFromTheStart guarantees that the mean hint does not lean on the very first hint.
 func TestMeanHintIsUnbiasedFromTheStart(t *testing.T) {
@@ -82,3 +86,24 @@
 		t.Fatalf("baseline %v ms under congestion, work of a part %v ms before and %v ms then", baseline, before, after)
 	}
 }
+
+// TestCostIsRelativeToMeanHint guarantees that cost is the hint divided by the mean hint, within bounds, and that
+// parts without a usable hint cost 1 and leave the mean as it is.
+func TestCostIsRelativeToMeanHint(t *testing.T) {
+	for name, test := range map[string]struct {
+		part               Part
+		wantCost, wantMean float64
+	}{
+		"no hint":       {Part{CostHint: 500}, 1, 100},
+		"zero hint":     {Part{HasCostHint: true}, 1, 100},
+		"negative hint": {Part{CostHint: -1, HasCostHint: true}, 1, 100},
+		"absurd hint":   {Part{CostHint: maxCostHint, HasCostHint: true}, 1, 100},
+		"twice":         {Part{CostHint: 200, HasCostHint: true}, 200 / 100.2, 100.2},
+		"tiny":          {Part{CostHint: 1, HasCostHint: true}, minPartCost, 100 - 99*hintGain},
+		"huge":          {Part{CostHint: 1e6, HasCostHint: true}, maxPartCost, 100 + 999900*hintGain},
+	} {
+		costs := costModel{meanHint: 100, hints: 1e6}
+		assert.InDelta(t, test.wantCost, costs.costOf(&test.part), 1e-9, name)
+		assert.InDelta(t, test.wantMean, costs.meanHint, 1e-9, name)
+	}
+}
--- a/internal/decision/scheduler/endpoint_list_test.go
+++ b/internal/decision/scheduler/endpoint_list_test.go
@@ -1,8 +1,11 @@
 package scheduler
 
 import (
+	"math"
 	"strconv"
 	"testing"
+
+	"github.com/stretchr/testify/assert"
 )
 
 // TestDrainingReplicaGetsNothingUntilReadyAgain guarantees that draining and removed replicas get nothing new, and
@@ -246,3 +249,28 @@
 		t.Fatalf("not polled within 9 s: %v", counts)
 	}
 }
+
+// TestPollBackoffGrows guarantees that delays after failed polls grow to a bound, which is higher in a large fleet
+// that has a list, are jittered by half at most, and start again after a success.
+func TestPollBackoffGrows(t *testing.T) {
+	for name, test := range map[string]struct {
+		brokers  int
+		replicas []*replica
+		want     []float64
+	}{
+		"small fleet":                {2, []*replica{{}}, []float64{500, 1000, 1500, 1500}},
+		"large fleet":                {300, []*replica{{}}, []float64{1500, 1800, 3600, 14400, 20000, 20000}},
+		"large fleet without a list": {300, nil, []float64{500, 1000, 1500, 1500}},
+	} {
+		s := &Scheduler{settings: Settings{BrokerCount: test.brokers, MaxStaleness: 10000}}
+		s.replicas.ordered = test.replicas
+		for i, want := range test.want {
+			s.backOff(0)
+			assert.InDelta(t, want, s.poll.backoffMs, 1e-6, "%s, failure %d", name, i)
+			assert.GreaterOrEqual(t, s.poll.dueAt, 0.5*want, "%s, failure %d", name, i)
+			assert.LessOrEqual(t, s.poll.dueAt, want, "%s, failure %d", name, i)
+		}
+		s.updateReceived(0, UpdateDelta, 1)
+		assert.Equal(t, endpointPoll{dueAt: math.Inf(1)}, s.poll, name)
+	}
+}
--- /dev/null
+++ b/internal/decision/scheduler/event_window_test.go
@@ -0,0 +1,21 @@
+package scheduler
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+// TestEventWindowForgetsOldEvents guarantees that events count from their time on and are dropped once they are older
+// than the window and the rounding of a timer tick.
+func TestEventWindowForgetsOldEvents(t *testing.T) {
+	var window eventWindow
+	for _, at := range []float64{0, 50, 101} {
+		window.add(at, 100)
+	}
+	assert.Equal(t, eventWindow{0, 50, 101}, window)
+	assert.Equal(t, 2.0, window.countSince(50))
+	assert.Equal(t, 1.0, window.countSince(50.5))
+	window.add(101.5, 100)
+	assert.Equal(t, eventWindow{50, 101, 101.5}, window)
+}
--- a/internal/decision/scheduler/idle_connections_test.go
+++ b/internal/decision/scheduler/idle_connections_test.go
@@ -1,6 +1,10 @@
 package scheduler
 
-import "testing"
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
 
 // useAllConnections marks the connections to replicas 1 to 6 as used just now.
 func (h *harness) useAllConnections() {
@@ -147,3 +151,32 @@
 		}
 	}
 }
+
+// TestIdleConnectionLossRate guarantees which ends of attempts raise and lower the loss rate, and from when on the
+// connection is blamed and not the replica.
+func TestIdleConnectionLossRate(t *testing.T) {
+	const idle, busy = idleConnectionMinMs, 0.0
+	for name, test := range map[string]struct {
+		before, idleMs       float64
+		outcome              Outcome
+		hasReset, hasStalled bool
+		replicas             int
+		wantRate             float64
+		wantBlamed           bool
+	}{
+		"reset in use":               {0, busy, ConnectionReset, true, false, 6, 0, false},
+		"reset on idle":              {0, idle, ConnectionReset, true, false, 6, 1, true},
+		"reset on idle, large fleet": {0, idle, ConnectionReset, true, false, 99, 0.04, false},
+		"stall on idle":              {0, idle, TimedOut, false, true, 6, 0.3, false},
+		"second stall on idle":       {0.3, idle, TimedOut, false, true, 6, 0.51, true},
+		"stall in use":               {0.4, busy, TimedOut, false, true, 6, 0.28, false},
+		"success on idle":            {0.4, idle, Succeeded, false, false, 6, 0.28, false},
+		"success in use":             {0.4, busy, Succeeded, false, false, 6, 0.4, false},
+	} {
+		connections := idleConnections{lossRate: decayingAverage{at: 1000, value: test.before}}
+		a := &attempt{replica: &replica{}, idleMs: test.idleMs}
+		blamed := connections.observe(1000, a, test.outcome, test.hasReset, test.hasStalled, test.replicas)
+		assert.Equal(t, test.wantBlamed, blamed, name)
+		assert.InDelta(t, test.wantRate, connections.lossRate.value, 1e-9, name)
+	}
+}
--- a/internal/decision/scheduler/latency_test.go
+++ b/internal/decision/scheduler/latency_test.go
@@ -1,6 +1,10 @@
 package scheduler
 
-import "testing"
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
 
 // TestBaselineOfSortedLatencies guarantees that the baseline is a quantile of all latencies although the parts of a
 // long query come back sorted by latency, the fastest first.
@@ -29,3 +33,54 @@
 		t.Fatalf("baseline %v ms of latencies 5, 10 ... 100, want 30 to 60", baseline)
 	}
 }
+
+// TestBaselineFollowsLowQuantile guarantees that the baseline is the quantile of the first samples, and then moves by
+// a small step with each; and that its floor hardly rises while latencies include queueing, and falls with it at once.
+func TestBaselineFollowsLowQuantile(t *testing.T) {
+	var latency latencyEstimator
+	for i := range baselineSamples {
+		latency.observeBaseline(float64(i + 1))
+	}
+	assert.Equal(t, 23.0, latency.baseline) // of 1 to 64
+	floor := latency.baselineFloor
+	latency.observeBaseline(1000)
+	assert.InDelta(t, 23*1.0035, latency.baseline, 1e-9)
+	assert.InDelta(t, floor, latency.baselineFloor, 1e-3)
+	latency.observeBaseline(1)
+	assert.InDelta(t, 23*1.0035*0.9935, latency.baseline, 1e-9)
+	assert.Equal(t, latency.baseline, latency.baselineFloor)
+}
+
+// TestQueueingLevelFollowsObjective guarantees that a replica counts as queueing from a share of the shortest
+// objective on, by the mean call, within bounds.
+func TestQueueingLevelFollowsObjective(t *testing.T) {
+	for baseline, want := range map[float64]float64{10: queueingLevelMax, 100: 3.3, 1000: queueingLevelMin} {
+		latency := newLatencyEstimator(1000)
+		latency.baseline = baseline
+		latency.observeCall(0.5, 1)
+		assert.InDelta(t, want, latency.queueingLevel, 1e-9, "baseline %v", baseline)
+		assert.InDelta(t, 0.5*baseline*meanGain, latency.partMs, 1e-9, "baseline %v", baseline)
+	}
+}
+
+// TestFleetMediansMoveByFixedSteps guarantees that one latency, however long, moves the medians by one step, the
+// overload median by less for parts of a long query, and that they do not fall below 1.
+func TestFleetMediansMoveByFixedSteps(t *testing.T) {
+	for name, test := range map[string]struct {
+		before, perCost         float64
+		queryParts              int
+		wantLevel, wantOverload float64
+	}{
+		"slow":             {2, 300, 1, 2.1, 2.1},
+		"stalled":          {2, 30000, 1, 2.1, 2.1},
+		"slow, long query": {2, 300, 15, 2.1, 2.05},
+		"fast":             {2, 100, 1, 1.9, 1.9},
+		"fast, long query": {2, 100, 15, 1.9, 1.95},
+		"at the minimum":   {1, 50, 1, 1, 1},
+	} {
+		latency := latencyEstimator{baseline: 100, fleetLevel: test.before, overloadMedian: test.before}
+		latency.observeFleet(test.perCost, test.queryParts)
+		assert.InDelta(t, test.wantLevel, latency.fleetLevel, 1e-9, name)
+		assert.InDelta(t, test.wantOverload, latency.overloadMedian, 1e-9, name)
+	}
+}
--- a/internal/decision/scheduler/queues_test.go
+++ b/internal/decision/scheduler/queues_test.go
@@ -3,6 +3,8 @@
 import (
 	"math"
 	"testing"
+
+	"github.com/stretchr/testify/assert"
 )
 
 // TestBottleneckQueueIsIndependentOfHintUnit guarantees that cheap and expensive queries land in different queues
@@ -180,3 +182,22 @@
 		}
 	}
 }
+
+// TestQueueTableKeepsActiveShardsInOrder guarantees that rounds visit active shards in order whatever came first, and
+// that a shard at which nothing is queued is no longer active; beyond the dense ids it is forgotten.
+func TestQueueTableKeepsActiveShardsInOrder(t *testing.T) {
+	table := newQueueTable()
+	for _, shard := range []int{denseShards, 3, 1, 3} {
+		queues := table.activate(shard, 1000)
+		queues.fifo[0] = append(queues.fifo[0], &queuedCall{})
+	}
+	table.sortActive()
+	assert.Equal(t, []*shardQueues{table.of(1), table.of(3), table.of(denseShards)}, table.active)
+	for _, queues := range table.active {
+		queues.pop(0)
+	}
+	table.dropIdle()
+	assert.Equal(t, []*shardQueues{table.of(3)}, table.active)
+	assert.NotNil(t, table.of(1))
+	assert.Nil(t, table.of(denseShards))
+}
--- a/internal/decision/scheduler/replica_selection_test.go
+++ b/internal/decision/scheduler/replica_selection_test.go
@@ -1,6 +1,10 @@
 package scheduler
 
-import "testing"
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
 
 // TestSelectsReplicaWithFewestCallsInFlight guarantees that load is spread over the replicas of a shard.
 func TestSelectsReplicaWithFewestCallsInFlight(t *testing.T) {
@@ -85,3 +89,22 @@
 		t.Fatalf("%d of 15 parts sent once the replicas are fast again, want 14 at least", sent)
 	}
 }
+
+// TestRankOrder guarantees that the tier decides first, then the calls in flight, then the tie break.
+func TestRankOrder(t *testing.T) {
+	ordered := []rank{
+		{tierHealthy, 0, 1},
+		{tierHealthy, 0, 2},
+		{tierHealthy, 1, 0},
+		{tierDoubtful, 0, 0},
+		{tierOutlier, 0, 0},
+		{tierHealthy + tierAlreadyUsed, 0, 0},
+	}
+	for i, first := range ordered {
+		assert.Zero(t, first.compare(first))
+		for _, second := range ordered[i+1:] {
+			assert.Negative(t, first.compare(second), "%v, %v", first, second)
+			assert.Positive(t, second.compare(first), "%v, %v", second, first)
+		}
+	}
+}
--- a/internal/decision/scheduler/retry_budget_test.go
+++ b/internal/decision/scheduler/retry_budget_test.go
@@ -1,6 +1,10 @@
 package scheduler
 
-import "testing"
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
 
 // TestRetriesStayWithinBudget guarantees that retries are made, but not beyond the budget where everything fails at
 // once; the harness checks the budget on every retry.
@@ -17,3 +21,28 @@
 		t.Fatal("no retry was made")
 	}
 }
+
+// TestRetryBudgetFollowsArrivals guarantees that the budget is a fixed number and a share of what arrived in the
+// window, and that a window of 0 means no budget.
+func TestRetryBudgetFollowsArrivals(t *testing.T) {
+	arrivals := eventWindow{1000, 1000, 1000, 1000}
+	for name, test := range map[string]struct {
+		settings RetryBudgetSettings
+		now      float64
+		want     int // of 10 retries
+	}{
+		"with arrivals":    {RetryBudgetSettings{Spare: 2, Ratio: 0.5, Window: 1000}, 1000, 4},
+		"arrivals expired": {RetryBudgetSettings{Spare: 2, Ratio: 0.5, Window: 1000}, 3000, 2},
+		"no window":        {RetryBudgetSettings{}, 1000, 10},
+	} {
+		budget := retryBudget{settings: test.settings}
+		allowed := 0
+		for range 10 {
+			if budget.allows(test.now, arrivals) {
+				allowed++
+				budget.spend(test.now)
+			}
+		}
+		assert.Equal(t, test.want, allowed, name)
+	}
+}
--- a/internal/decision/scheduler/settings_test.go
+++ b/internal/decision/scheduler/settings_test.go
@@ -1,10 +1,13 @@
 package scheduler
 
 import (
+	"errors"
 	"math"
 	"strings"
 	"testing"
 
+	"github.com/stretchr/testify/assert"
+
 	"ternstage/internal/slicemap"
 )
 
@@ -47,3 +50,18 @@
 		}
 	}
 }
+
+// TestSettingErrorNamesSetting guarantees that callers can tell which setting is wrong, and that missing actions are
+// an error of their own.
+func TestSettingErrorNamesSetting(t *testing.T) {
+	settings := testSettings()
+	settings.Placement = slicemap.NewRingPlacement(settings.Shards, settings.Cells, settings.CellsPerShard)
+	settings.TenantRates = []float64{1, -1}
+	_, err := New(settings, 1, nil)
+	assert.ErrorIs(t, err, ErrNoActions)
+	_, err = New(settings, 1, &harness{})
+	var settingErr *SettingError
+	assert.True(t, errors.As(err, &settingErr), "error %v", err)
+	assert.Equal(t, &SettingError{Setting: "TenantRates[1]", Problem: "-1 is out of range"}, settingErr)
+	assert.EqualError(t, err, "TenantRates[1]: -1 is out of range")
+}
--- a/internal/decision/scheduler/tenant_quota_test.go
+++ b/internal/decision/scheduler/tenant_quota_test.go
@@ -1,6 +1,10 @@
 package scheduler
 
-import "testing"
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
 
 // TestTenantOverQuotaIsRejectedFirst guarantees that, where something must be rejected, a tenant's surge is rejected
 // before the queries of a tenant within its quota.
@@ -50,3 +54,33 @@
 	}
 	return countRejected(50, 350)
 }
+
+// TestTokenBucketHoldsOneSecond guarantees that a bucket saves up one second's worth of tokens at most, and one at
+// least, so that slow rates are served too; a refusal costs nothing.
+func TestTokenBucketHoldsOneSecond(t *testing.T) {
+	for rate, wants := range map[float64][]bool{
+		0:   {false, false, false, false, false},
+		0.5: {true, false, false, false, true},
+		2:   {true, true, false, true, true},
+	} {
+		var bucket tokenBucket
+		for i, afterMs := range []float64{0, 0, 0, 500, 2000} {
+			assert.Equal(t, wants[i], bucket.take(1e6+afterMs, rate), "rate %v, take %d", rate, i)
+		}
+	}
+}
+
+// TestTenantQuotaIsDividedAmongBrokers guarantees that each broker admits its even part of a tenant's rate, and that
+// unknown tenants have no quota.
+func TestTenantQuotaIsDividedAmongBrokers(t *testing.T) {
+	quotas := newTenantQuotas([]float64{10, 100}, 2)
+	for tenant, want := range map[int]int{-1: 60, 0: 5, 1: 50, 2: 60} {
+		admitted := 0
+		for range 60 {
+			if quotas.admit(1e6, tenant) {
+				admitted++
+			}
+		}
+		assert.Equal(t, want, admitted, "tenant %d", tenant)
+	}
+}
--- a/internal/decision/scheduler/zone_latency_test.go
+++ b/internal/decision/scheduler/zone_latency_test.go
@@ -1,6 +1,10 @@
 package scheduler
 
-import "testing"
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
 
 // newTwoZoneHarness is the harness of one of 40 brokers, in a third zone, before 200 replicas in zones 0 and 1 that
 // are equally good. Each of ten shards has ten replicas in each zone.
@@ -106,3 +110,22 @@
 		t.Fatalf("%d parts sent to the silent zone at first, then %d", atFirst, sent)
 	}
 }
+
+// TestZoneLatencyIsMedianOverReplicas guarantees that each slow replica moves its zone's latency by one step, once,
+// that faster answers move it down again, not below 1, and that the best zone is known.
+func TestZoneLatencyIsMedianOverReplicas(t *testing.T) {
+	zones := newZoneLatencies()
+	slow := &replica{}
+	other := &replica{}
+	wants := []float64{1.05, 1.05, 1.1025, 1.047375, 1, 1}
+	for i, r := range []*replica{slow, slow, other, other, other, other} {
+		normalized := 10.0
+		if i >= 3 {
+			normalized = 0.9
+		}
+		zones.observe(1000, r, normalized)
+		assert.InDelta(t, wants[i], zones.latency(1000, 0), 1e-9, "answer %d", i)
+	}
+	zones.observe(1000, &replica{Endpoint: Endpoint{Zone: 1}}, 10)
+	assert.InDelta(t, 1, zones.best, 1e-9)
+}
