--- /dev/null
+++ b/internal/decision/scheduler/concurrency_limit_test.go
@@ -0,0 +1,196 @@
+package scheduler
+
+import (
+	"math"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+// TestStalledPartDoesNotBlockItsReplica guarantees that parts stalled by themselves, which may not be hedged, do not
+// keep others from their replicas: here one at each replica of a shard.
+func TestStalledPartDoesNotBlockItsReplica(t *testing.T) {
+	h := newHarness(t, testSettings())
+	h.listFleet(UpdateFull)
+	h.learnBaseline()
+	stalled := map[*sentAttempt]bool{}
+	for range 3 {
+		q := h.submit(classNonIdempotent, 0)
+		h.runRound()
+		stalled[q.parts[0].attempts[0]] = true
+	}
+	answered := 0
+	for range 30 {
+		q := h.submit(classDefault, 0)
+		h.runRound()
+		h.advance(25, func(a *sentAttempt) {
+			if !stalled[a] {
+				h.replyAfter(20)(a)
+			}
+		})
+		if q.end == endAnswer {
+			answered++
+		}
+	}
+	if answered < 28 {
+		t.Fatalf("%d of 30 queries answered beside three stalled parts, want 28 at least", answered)
+	}
+}
+
+// TestOvertakenAttemptLeavesReplicaLimit guarantees that an attempt that a later one has overtaken no longer counts
+// toward the limit of its replica, and is taken off it only once.
+func TestOvertakenAttemptLeavesReplicaLimit(t *testing.T) {
+	h := newHarness(t, testSettings())
+	h.listFleet(UpdateFull)
+	h.learnBaseline()
+	r := h.scheduler.replicas.byID[3]
+	stalled := &attempt{
+		part:      &part{cost: 2},
+		replica:   r,
+		call:      &callInFlight{partsInFlight: 1, cost: 2},
+		sentAt:    h.now - 50,
+		limitCost: 2,
+	}
+	next := &attempt{
+		part:      &part{query: &query{class: &h.settings.Classes[classDefault]}, cost: 1},
+		replica:   r,
+		call:      &callInFlight{partsInFlight: 1, cost: 1},
+		sentAt:    h.now - 10,
+		limitCost: 1,
+	}
+	r.inFlight = []*attempt{stalled, next}
+	r.limit.inFlight = 3
+	h.scheduler.learn(h.now, next, AttemptResult{Outcome: Succeeded, Latency: 60})
+	if r.limit.inFlight != 1 || !stalled.overtaken || stalled.limitCost != 0 {
+		t.Fatalf("cost in flight %v, overtaken %v; want 1 and true", r.limit.inFlight, stalled.overtaken)
+	}
+	h.scheduler.learn(h.now, next, AttemptResult{Outcome: Succeeded, Latency: 60})
+	if r.limit.inFlight != 1 {
+		t.Fatalf("cost in flight %v after a second success, want 1: taken off twice", r.limit.inFlight)
+	}
+}
+
+// TestFleetLimitShedsLoadAndRecovers guarantees that one of many brokers, which has little in flight itself, sheds
+// load by the latency of the fleet, and admits everything again once that is normal.
+func TestFleetLimitShedsLoadAndRecovers(t *testing.T) {
+	settings := testSettings()
+	settings.BrokerCount = 60
+	h := newHarness(t, settings)
+	h.listFleet(UpdateFull)
+	h.learnBaseline()
+	countRejected := func(rounds int, latencyMs float64) int {
+		rejected := 0
+		for i := range rounds {
+			before := len(h.rejected)
+			h.submit(classDefault, i%6)
+			h.submit(classDefault, (i+1)%6)
+			h.runRound()
+			h.advance(50, h.replyAfter(latencyMs))
+			rejected += len(h.rejected) - before
+		}
+		return rejected
+	}
+	rejected := countRejected(40, 90)
+	if rejected != 0 {
+		t.Fatalf("%d queries rejected on a healthy fleet", rejected)
+	}
+	rejected = countRejected(80, 900)
+	if rejected == 0 {
+		t.Fatal("nothing rejected on a fleet that is ten times slower")
+	}
+	h.advance(3000, h.replyAfter(90))
+	countRejected(40, 90)
+	rejected = countRejected(40, 90)
+	if rejected != 0 {
+		t.Fatalf("%d queries rejected after the fleet has recovered", rejected)
+	}
+}
+
+// TestWastedLongQueriesCutFleetLimit guarantees that fewer queries are admitted where long ones end at their
+// objective with a part missing, which wastes all that was done for them, also if each broker has only one at a time;
+// and that normal answers raise the limit again.
+func TestWastedLongQueriesCutFleetLimit(t *testing.T) {
+	settings := testSettings()
+	settings.BrokerCount = 40
+	settings.Shards = 60
+	settings.RetryBudget.Window = 0
+	settings.AllowHedging = false
+	settings.MaxAttempts = 1
+	settings.Classes[classDefault].LateFactor = 0.1
+	h := newHarness(t, settings)
+	h.listFleet(UpdateFull)
+	h.learnBaseline()
+	var shards []int
+	for shard := range 30 {
+		shards = append(shards, shard)
+	}
+	countRejected := func(queries int, intervalMs, latencyMs float64, isPartStalled bool) int {
+		rejected := 0
+		for range queries {
+			before := len(h.rejected)
+			h.submit(classDefault, shards...)
+			h.runRound()
+			rejected += len(h.rejected) - before
+			h.advance(intervalMs, func(a *sentAttempt) {
+				if !isPartStalled || a.part.Part.Shard != 7 {
+					h.replyAfter(latencyMs)(a)
+				}
+			})
+		}
+		return rejected
+	}
+	rejected := countRejected(20, 300, 100, false)
+	if rejected > 0 {
+		t.Fatalf("%d queries rejected on a healthy fleet", rejected)
+	}
+	countRejected(30, 300, 350, true)
+	rejected = countRejected(30, 300, 350, true)
+	if rejected < 4 {
+		t.Fatalf("%d of 30 queries rejected while all end with a part missing, want 4 at least", rejected)
+	}
+	countRejected(40, 300, 100, false)
+	rejected = countRejected(20, 300, 100, false)
+	if rejected > 0 {
+		t.Fatalf("%d queries rejected after the fleet has recovered", rejected)
+	}
+}
+
+// TestReplicaLimitAdapts guarantees that the limit grows while it is in use and answers are normal, shrinks to what is
+// in flight with slow ones, once for all attempts sent before, and collapses with a stall.
+func TestReplicaLimitAdapts(t *testing.T) {
+	for name, test := range map[string]struct {
+		limit      replicaLimit
+		isQueueing bool
+		want       float64
+	}{
+		"normal, in use":        {replicaLimit{inFlight: 5, cost: 10}, false, 10.1},
+		"normal, not in use":    {replicaLimit{inFlight: 4, cost: 10}, false, 10},
+		"queueing":              {replicaLimit{inFlight: 5, cost: 10}, true, 5},
+		"queueing, minimum":     {replicaLimit{inFlight: 0.5, cost: 10}, true, minReplicaLimit},
+		"queueing, over limit":  {replicaLimit{inFlight: 20, cost: 10}, true, 10},
+		"queueing, already cut": {replicaLimit{inFlight: 5, cost: 10, cutAt: 160}, true, 10},
+	} {
+		limit := test.limit
+		limit.observe(200, &attempt{part: &part{cost: 2}, sentAt: 150}, test.isQueueing)
+		assert.InDelta(t, test.want, limit.cost, 1e-9, name)
+	}
+	stalled := replicaLimit{inFlight: 5, cost: 10}
+	stalled.collapse(200, 150)
+	assert.Equal(t, minReplicaLimit, stalled.cost)
+}
+
+// TestFleetLimitIsForLargeFleets guarantees that only brokers of large fleets cut the fleet's limit: by a factor of
+// what is in flight, once for what was sent before, and not below the minimum.
+func TestFleetLimitIsForLargeFleets(t *testing.T) {
+	for brokers, wants := range map[int][]float64{
+		smallFleetBrokers:     {math.Inf(1), math.Inf(1), math.Inf(1)},
+		smallFleetBrokers + 1: {85, 85, minFleetLimit},
+	} {
+		s := &Scheduler{settings: Settings{BrokerCount: brokers}, fleet: newFleetLimit()}
+		for i, cut := range []struct{ inFlight, now, sentAt float64 }{{100, 200, 150}, {50, 210, 150}, {1, 300, 250}} {
+			s.fleet.inFlight = cut.inFlight
+			s.cutFleetLimit(cut.now, cut.sentAt)
+			assert.Equal(t, wants[i], s.fleet.cost, "%d brokers, cut %d", brokers, i)
+		}
+	}
+}
