--- a/internal/decision/scheduler/admission.go
+++ b/internal/decision/scheduler/admission.go
@@ -183,8 +183,8 @@
 }
 
 // checkAdmission sheds load, lowest priority first. Overload shows in calls that wait at the shards and, in a large
-// fleet, in the cost in flight and in how much of what is sent is accepted. A query larger than the limit is let in
-// at a pace. Parts that would be missing are fatal unless the class may be answered without them.
+// fleet, in the cost in flight and in how much of what is sent is accepted. A query larger than the limit is
+// admitted at a pace. Parts that would be missing are fatal unless the class may be answered without them.
 func (s *Scheduler) checkAdmission(now float64, q *query, load admissionLoad) rejection {
 	remaining := q.Deadline - s.answerMarginMs - now
 	if s.deadlines.IsTooLate(remaining, q.expectedLastPartMs) {
--- a/internal/decision/scheduler/doc.go
+++ b/internal/decision/scheduler/doc.go
@@ -12,7 +12,7 @@
 // Times and durations are milliseconds; times are readings of one monotonic clock that the caller passes in. Work
 // is milliseconds of service time. Cost is work divided by the mean cost hint, so a part of cost 1 is an average
 // part. A normalized latency is a latency per unit of cost divided by the baseline latency, so 1 is normal. Weights
-// are shares of a query's answer and add up to 1.
+// are shares of a query's answer and add up to 1. A time of 0 means never, or not yet.
 //
 // # Life of a query
 //
--- a/internal/decision/scheduler/events.go
+++ b/internal/decision/scheduler/events.go
@@ -84,7 +84,7 @@
 	TimedOut                // no reply in time
 	ConnectionReset         // the connection broke
 	Cancelled               // by this broker
-	Rejected                // turned down by the replica before it ran
+	Rejected                // refused by the replica before it ran
 	ConnectFailed           // no connection could be made
 	NotSent                 // ended before anything was sent
 	NotHolder               // the replica does not hold the shard, or not yet
@@ -115,7 +115,7 @@
 
 // reflectsLoad reports whether the result tells whether the fleet accepts what it is sent. No answer tells nothing,
 // as stalled replicas and broken networks look like that too; nor do a part sent to the wrong replica and a
-// connection that was turned down, which says nothing of the replica's queue.
+// connection that was refused, which says nothing of the replica's queue.
 func (r AttemptResult) reflectsLoad() bool {
 	switch r.Outcome {
 	case TimedOut, Cancelled, NotSent, NotHolder:
--- a/internal/decision/scheduler/hedging.go
+++ b/internal/decision/scheduler/hedging.go
@@ -32,8 +32,8 @@
 	return now-a.sentAt > hedgeDelayFactor*s.latency.fleetLevel*s.expectedLatencyMs(a)
 }
 
-// superviseAttempt covers an attempt that is late: with a substitute part, a hedged request, or by moving it to
-// another replica.
+// superviseAttempt covers an attempt that is late: with a substitute part, a hedged request, or by
+// reassigning it to another replica.
 func (s *Scheduler) superviseAttempt(now float64, p *part, a *attempt) {
 	if !s.isLate(now, a) {
 		return
--- a/internal/decision/scheduler/settings.go
+++ b/internal/decision/scheduler/settings.go
@@ -130,7 +130,7 @@
 
 // SettingError says which setting is out of its range.
 type SettingError struct {
-	// Setting is the field of Settings, with its index where it is a list.
+	// Setting names the field of Settings, or the fields that do not fit each other; a list has the index of its entry.
 	Setting string
 	// Problem says what is wrong with its value.
 	Problem string
--- a/internal/decision/scheduler/zone_latency.go
+++ b/internal/decision/scheduler/zone_latency.go
@@ -23,7 +23,8 @@
 	return 1 + z.excess[zone].valueAt(now, badnessHalfLifeMaxMs)
 }
 
-// observe takes the normalized latency of an attempt at a replica. A slow replica counts once until it answers at
+// observe takes the normalized latency of an attempt at a replica; one that is not below the zone's level raises it.
+// A slow replica counts once until it answers at
 // its zone's level, as late answers out of one stalled replica say nothing of the others there.
 func (z *zoneLatencies) observe(now float64, r *replica, normalized float64) {
 	level := z.latency(now, r.Zone)
