--- a/internal/decision/scheduler/queues.go
+++ b/internal/decision/scheduler/queues.go
@@ -15,6 +15,8 @@
 	promotionObjectiveShare = 0.5
 	// denseShards bounds the ids of shards that keep their place in the round robin while nothing is queued.
 	denseShards = 4096
+	// callBufferSize is the number of calls of a query that are grouped without allocation.
+	callBufferSize = 16
 )
 
 // queueRates are the rates of deficit round robin, in cost per round, from the fastest queue on.
@@ -212,7 +214,9 @@
 
 // enqueue groups parts with the same replicas into calls and queues the calls at their shards.
 func (s *Scheduler) enqueue(now float64, parts []*part) {
-	calls, bottleneck := s.groupIntoCalls(now, parts)
+	var buffer [callBufferSize]*queuedCall
+	calls := s.groupIntoCalls(buffer[:0], now, parts)
+	bottleneck := mostExpensive(calls)
 	for _, call := range calls {
 		queue := bottleneckQueue(bottleneck.cost)
 		if call != bottleneck {
@@ -223,14 +227,13 @@
 	}
 }
 
-// groupIntoCalls groups parts into calls and returns the most expensive one with them. In a large fleet parts share
-// a call only where calls are expensive: a batch lands on a queue that this broker's own counts do not show.
-func (s *Scheduler) groupIntoCalls(now float64, parts []*part) (calls []*queuedCall, bottleneck *queuedCall) {
+// groupIntoCalls groups parts into calls, which it appends to calls. In a large fleet parts share a call only where
+// calls are expensive: a batch lands on a queue that this broker's own counts do not show.
+func (s *Scheduler) groupIntoCalls(calls []*queuedCall, now float64, parts []*part) []*queuedCall {
 	maxParts := s.settings.MaxPartsPerCall
 	if s.isLargeFleet() && !s.callsAreExpensive() {
 		maxParts = 1
 	}
-	bottleneck = &queuedCall{}
 	for _, p := range parts {
 		call := s.findCall(calls, p, maxParts)
 		if call == nil {
@@ -240,11 +243,19 @@
 		call.parts = append(call.parts, p)
 		call.cost = min(call.cost+p.cost, maxPartCost)
 		p.queued = true
-		if call.cost > bottleneck.cost {
-			bottleneck = call
+	}
+	return calls
+}
+
+// mostExpensive is the call with the highest cost, the first of equals; nil if there is none.
+func mostExpensive(calls []*queuedCall) *queuedCall {
+	var most *queuedCall
+	for _, call := range calls {
+		if most == nil || call.cost > most.cost {
+			most = call
 		}
 	}
-	return calls, bottleneck
+	return most
 }
 
 // findCall is the first call that a part can join, or nil.
