--- a/cmd/ternstage/admin_suspended.go
+++ b/cmd/ternstage/admin_suspended.go
@@ -48,7 +48,7 @@
 // an error that names it.
 func readStoredState(dir string) (storedState, error) {
 	state := storedState{Suspended: []string{}}
-	path := filepath.Join(dir, heldFile)
+	path := filepath.Join(dir, suspensionsFile)
 	text, err := os.ReadFile(path)
 	if err == nil {
 		state.Suspended, err = maintenance.DecodeSuspensions(text)
--- a/cmd/ternstage/admin_suspended_test.go
+++ b/cmd/ternstage/admin_suspended_test.go
@@ -16,7 +16,7 @@
 func storedDir(t *testing.T, suspensions, drain []byte) string {
 	t.Helper()
 	dir := t.TempDir()
-	path := filepath.Join(dir, heldFile)
+	path := filepath.Join(dir, suspensionsFile)
 	for name, text := range map[string][]byte{path: suspensions, control.DrainPath(path): drain} {
 		if text != nil {
 			require.NoError(t, os.WriteFile(name, text, 0o600))
--- a/cmd/ternstage/serve.go
+++ b/cmd/ternstage/serve.go
@@ -47,11 +47,11 @@
 // one closed under its request.
 const keptIdle = 1000.0
 
-// heldFile keeps the leafs that operators hold out, in $TMPDIR, which the processes of an aggregator share.
-const heldFile = "ternstage-held-leafs.json"
+// suspensionsFile keeps the leafs that operators hold out, in $TMPDIR, which the processes of an aggregator share.
+const suspensionsFile = "ternstage-held-leafs.json"
 
-// handFile keeps what the process that hands over had sent to cold leafs, beside it.
-const handFile = "ternstage-cold-sent.json"
+// handoverFile keeps what the process that hands over had sent to cold leafs, beside it.
+const handoverFile = "ternstage-cold-sent.json"
 
 // serve runs the broker until it is told to end.
 func serve(operatorFile string) error {
@@ -120,10 +120,10 @@
 	var ops *control.Control
 	if cfg.AdminAddress != "" {
 		// Held leafs are read before the list, so that none of them is taken for serving at the start.
-		ops = control.New(l, log, filepath.Join(os.TempDir(), heldFile), nodes, c, server)
+		ops = control.New(l, log, filepath.Join(os.TempDir(), suspensionsFile), nodes, c, server)
 		nodes.SetSuspender(ops.Suspensions())
 		if cfg.InheritedFD > 0 {
-			ops.EnableHandover(control.HandoverConfig{Path: filepath.Join(os.TempDir(), handFile), WindowMs: cfg.Scheduler.SlowStart.Window,
+			ops.EnableHandover(control.HandoverConfig{Path: filepath.Join(os.TempDir(), handoverFile), WindowMs: cfg.Scheduler.SlowStart.Window,
 				StartedUnixMs: float64(started.UnixMicro()) / 1000, BrokerCount: cfg.Scheduler.BrokerCount, Core: c,
 				Known: func(x uint32) bool { return nodes.Address(x) != "" }})
 		}
