--- /dev/null
+++ b/cmd/ternstage/broker.go
@@ -0,0 +1,230 @@
+package main
+
+import (
+	"os"
+	"path/filepath"
+	"time"
+
+	"ternstage/internal/backends"
+	"ternstage/internal/clients"
+	"ternstage/internal/config"
+	"ternstage/internal/core"
+	"ternstage/internal/discovery"
+	"ternstage/internal/flight"
+	"ternstage/internal/logs"
+	"ternstage/internal/loop"
+	"ternstage/internal/membership"
+	"ternstage/internal/ops/adminapi"
+	"ternstage/internal/ops/control"
+	"ternstage/internal/slicemap"
+)
+
+// Files in $TMPDIR, which the processes of one broker share. Earlier versions use the same names.
+const (
+	// suspensionsFile stores the backends that operators have suspended.
+	suspensionsFile = "ternstage-held-leafs.json"
+	// handoverFile stores what the process that hands over had sent to warming backends.
+	handoverFile = "ternstage-cold-sent.json"
+)
+
+// broker holds the parts of one broker. All but the log belong to the event loop.
+type broker struct {
+	config    *config.Config
+	features  *features
+	log       *logs.Log
+	startedAt time.Time
+
+	loop        *loop.Loop
+	endpoints   *discovery.Registry
+	shardMap    *slicemap.Map // nil where placement is fixed
+	core        *core.Core
+	limits      connectionLimits
+	front       *clients.Server
+	flightFront *flight.Front // nil where it is switched off
+	backend     backend
+	watcher     *discovery.Watcher
+	control     *control.Control // nil where there is no admin API
+
+	closers []func() // see onClose
+}
+
+// backend is a core.Backend that the program can close.
+type backend interface {
+	core.Backend
+	Close()
+}
+
+// build makes the parts of the broker. Timers that are due together fire in the order in which they were made, and
+// the loop knows descriptors in the order in which they were added: the order of the steps is part of the behavior.
+func (b *broker) build() error {
+	if err := b.newCore(); err != nil {
+		return err
+	}
+	b.limitConnections()
+	if err := b.listenClients(); err != nil {
+		return err
+	}
+	b.newBackend()
+	b.newEndpointList()
+	if err := b.listenAdmin(); err != nil {
+		return err
+	}
+	b.followEndpointList()
+	b.followCatalogue()
+	b.loop.OnRoundEnd(b.core.RunRound)
+	return b.listenFlight()
+}
+
+// onClose has close call the function, before those that were given earlier.
+func (b *broker) onClose(closer func()) { b.closers = append(b.closers, closer) }
+
+// close closes the parts that are closed however the run ends, the last one that was built first.
+func (b *broker) close() {
+	for i := len(b.closers) - 1; i >= 0; i-- {
+		b.closers[i]()
+	}
+}
+
+// closeConnections closes the connections of clients, backends and discovery after the loop has ended.
+func (b *broker) closeConnections() {
+	b.front.Close()
+	b.backend.Close()
+	b.watcher.Close()
+}
+
+// newCore makes the event loop and the core with its scheduler.
+func (b *broker) newCore() error {
+	eventLoop, err := loop.New()
+	if err != nil {
+		return err
+	}
+	b.loop = eventLoop
+	clock := newCoreClock(eventLoop)
+	b.endpoints = discovery.NewRegistry(b.config.Zones)
+	b.useShardMap()
+	b.core, err = core.New(b.config.Scheduler, b.config.Seed, core.Options{
+		MaxOpen:  b.config.MaxOpen,
+		Clock:    clock,
+		Log:      b.log,
+		ShardMap: b.shardMap,
+	})
+	return err
+}
+
+// coreClock is the event loop as core sees it: one timer for all that core waits for.
+type coreClock struct {
+	*loop.Loop
+	timer *loop.Timer
+}
+
+// newCoreClock makes the timer. It only wakes the loop up: a scheduling round ends every wake-up.
+func newCoreClock(eventLoop *loop.Loop) *coreClock {
+	return &coreClock{Loop: eventLoop, timer: eventLoop.NewTimer(func() {})}
+}
+
+// WakeAt implements core.Clock.
+func (c *coreClock) WakeAt(atMs float64) { c.timer.SetEarlier(atMs) }
+
+// limitConnections divides the descriptors between the kinds of connections.
+func (b *broker) limitConnections() {
+	b.limits = divideDescriptors(allowedDescriptors(b.config.MaxDescriptors, b.log), b.config.AdminAddress != "",
+		b.features.flight.Enabled, b.features.flight.MaxConnections)
+	b.features.flight.MaxConnections = b.limits.flight
+}
+
+// listenClients opens the HTTP front.
+func (b *broker) listenClients() error {
+	front, err := clients.NewServer(b.loop, b.core, b.config.Contracts, b.log, b.config.Listen, clients.Options{
+		MaxConnections:   b.limits.clients,
+		MaxBufferedBytes: maxClientBytes(b.config),
+		Pages:            b.pages(),
+		InheritedFD:      b.config.InheritedFD,
+	}, b.ready)
+	if err != nil {
+		return err
+	}
+	b.front = front
+	return nil
+}
+
+// ready tells whether the broker knows backends and, under resharding, where the shards are.
+func (b *broker) ready() bool {
+	return b.endpoints.Len() > 0 && (b.shardMap == nil || b.core.Epoch() > 0)
+}
+
+// newBackend makes the client of the backends: frames or Flight.
+func (b *broker) newBackend() {
+	if b.features.flight.Backends {
+		b.backend = flight.NewBackendClient(b.loop, b.core, b.log, flight.BackendOptions{
+			StreamsPerConnection: b.config.StreamsPerConnection,
+			DialTimeout:          b.config.DialTimeout,
+			KeepAlive:            b.config.KeepAlive,
+			MaxConnections:       b.limits.backends,
+		}, b.endpoints.Address)
+		return
+	}
+	b.backend = backends.NewPool(b.loop, b.core, b.log, backends.Options{
+		MaxPartsPerCall:      b.config.Scheduler.MaxPartsPerCall,
+		StreamsPerConnection: b.config.StreamsPerConnection,
+		DialTimeout:          b.config.DialTimeout,
+		KeepAlive:            b.config.KeepAlive,
+		MaxConnections:       b.limits.backends,
+		Resharding:           b.shardMap != nil,
+		FreeDescriptor:       b.front.FreeDescriptor,
+	}, b.endpoints.Address)
+}
+
+// newEndpointList makes the watch of the endpoint list, which followEndpointList starts, and completes the core.
+func (b *broker) newEndpointList() {
+	settings := b.config.Scheduler
+	poller := membership.NewPoller(membership.Options{
+		Pushed:      !settings.PollEndpoints,
+		DrainGrace:  settings.DrainGrace,
+		BrokerIndex: settings.BrokerIndex,
+		BrokerCount: settings.BrokerCount,
+	})
+	b.watcher = discovery.NewWatcher(b.loop, b.core, b.log, b.endpoints, poller, b.config.Discovery,
+		b.front.FreeDescriptor)
+	b.core.Attach(b.backend, b.watcher)
+}
+
+// listenAdmin opens the admin API, if the configuration has an address for it. Suspended backends are read before the
+// endpoint list, so that none of them is selected at the start.
+func (b *broker) listenAdmin() error {
+	if b.config.AdminAddress == "" {
+		return nil
+	}
+	path := filepath.Join(os.TempDir(), suspensionsFile)
+	b.control = control.New(b.loop, b.log, path, b.endpoints, b.core, b.front)
+	b.endpoints.SetSuspender(b.control.Suspensions())
+	if b.inheritsListener() {
+		b.control.EnableHandover(b.handoverConfig())
+	}
+	server, err := adminapi.Listen(b.loop, b.control, b.log, b.config.AdminAddress)
+	if err != nil {
+		return err
+	}
+	b.onClose(server.Close)
+	b.control.Start()
+	return nil
+}
+
+// inheritsListener tells whether the platform keeps the clients' listener: another process then takes over.
+func (b *broker) inheritsListener() bool { return b.config.InheritedFD > 0 }
+
+func (b *broker) handoverConfig() control.HandoverConfig {
+	return control.HandoverConfig{
+		Path:          filepath.Join(os.TempDir(), handoverFile),
+		WindowMs:      b.config.Scheduler.SlowStart.Window,
+		StartedUnixMs: float64(b.startedAt.UnixMicro()) / 1000,
+		BrokerCount:   b.config.Scheduler.BrokerCount,
+		Core:          b.core,
+		Known:         func(replica uint32) bool { return b.endpoints.Address(replica) != "" },
+	}
+}
+
+// followEndpointList applies the endpoints that the configuration names and follows discovery.
+func (b *broker) followEndpointList() {
+	b.watcher.LoadKnown(b.config.KnownEndpoints)
+	b.watcher.Start()
+}
