--- /dev/null
+++ b/cmd/ternstage/broker_test.go
@@ -0,0 +1,17 @@
+package main
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+func TestPartsAreClosedInReverseOrder(t *testing.T) {
+	var closed []string
+	b := &broker{}
+	for _, part := range []string{"admin API", "cached map", "shard catalogue"} {
+		b.onClose(func() { closed = append(closed, part) })
+	}
+	b.close()
+	assert.Equal(t, []string{"shard catalogue", "cached map", "admin API"}, closed)
+}
