--- a/cmd/ternstage/serve.go
+++ b/cmd/ternstage/serve.go
@@ -42,8 +42,8 @@
 	}
 	counts := b.core.Counts()
 	b.closeConnections()
-	log.Info("stopped", zap.Uint64("taken", counts.Submitted), zap.Uint64("answered", counts.Answered),
-		zap.Uint64("refused", counts.Rejected), zap.Uint64("failed", counts.Failed),
+	log.Info("stopped", zap.Uint64("submitted", counts.Submitted), zap.Uint64("answered", counts.Answered),
+		zap.Uint64("rejected", counts.Rejected), zap.Uint64("failed", counts.Failed),
 		zap.Uint64("log_lines_dropped", log.Dropped()), zap.Int("goroutines", runtime.NumGoroutine()))
 	return nil
 }
@@ -78,7 +78,7 @@
 	if b.features.flightFromTOML {
 		b.log.Info("flight.toml is read; its place is the operator's file now, see deploy/operator.jsonnet")
 	}
-	b.log.Info("serving", zap.String("listen", b.config.Listen), zap.Int("known", b.endpoints.Len()),
-		zap.Bool("flight", b.features.flight.Enabled), zap.Bool("slices_move", b.shardMap != nil),
+	b.log.Info("serving", zap.String("listen", b.config.Listen), zap.Int("endpoints", b.endpoints.Len()),
+		zap.Bool("flight", b.features.flight.Enabled), zap.Bool("resharding", b.shardMap != nil),
 		zap.Int("goroutines", runtime.NumGoroutine()))
 }
--- a/cmd/ternstage/sharding.go
+++ b/cmd/ternstage/sharding.go
@@ -60,14 +60,14 @@
 // called. A file that cannot be used is logged; the catalogue then gives the first map.
 func (b *broker) cacheShardMap(sharding *operator.Sharding) (end func()) {
 	cache := catalog.NewCache(sharding.Cache, func(err error) {
-		b.log.Rejected(logs.ShardMapCacheFailed, "map not kept", err)
+		b.log.Rejected(logs.ShardMapCacheFailed, "shard map not cached", err)
 	})
 	snapshot, err := cache.Load()
 	if err == nil && snapshot != nil {
 		err = b.core.ApplySnapshot(*snapshot)
 	}
 	if err != nil {
-		b.log.Rejected(logs.ShardMapCacheFailed, "kept map not used", err)
+		b.log.Rejected(logs.ShardMapCacheFailed, "cached shard map not used", err)
 	}
 	b.core.OnMapChanged(func(version *slicemap.Version) {
 		cache.Save(version, b.shardMap.Retired(maxCachedRetired))
