--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -35,8 +35,8 @@
 
 	MaxOpen              int
 	StreamsPerConnection int
-	DialTimeout          float64
-	KeepAlive            float64
+	DialTimeoutMs          float64
+	IdleTimeoutMs            float64
 }
 
 type file struct {
@@ -187,15 +187,15 @@
 		return errors.New("settings: limits: a negative max_open, multiplex, dial_timeout_ms or keepalive_ms")
 	}
 	c.Zones, c.MaxOpen, c.StreamsPerConnection = s.Areas, l.MaxOpen, max(l.Multiplex, 0)
-	c.DialTimeout, c.KeepAlive = l.DialTimeout, l.KeepAlive
+	c.DialTimeoutMs, c.IdleTimeoutMs = l.DialTimeout, l.KeepAlive
 	if c.StreamsPerConnection == 0 {
 		c.StreamsPerConnection = defaultStreams
 	}
-	if c.DialTimeout == 0 {
-		c.DialTimeout = defaultDialTimeout
+	if c.DialTimeoutMs == 0 {
+		c.DialTimeoutMs = defaultDialTimeout
 	}
-	if c.KeepAlive == 0 {
-		c.KeepAlive = defaultKeepAlive
+	if c.IdleTimeoutMs == 0 {
+		c.IdleTimeoutMs = defaultKeepAlive
 	}
 	classes := make([]contract.Class, 0, len(s.Categories))
 	for i, k := range s.Categories {
