--- /dev/null
+++ b/internal/config/validate.go
@@ -0,0 +1,94 @@
+package config
+
+import (
+	"errors"
+	"fmt"
+	"math"
+	"net/netip"
+)
+
+const (
+	// minMemoryMB leaves room beside the program's text and its tables.
+	minMemoryMB = 24
+	// minDescriptors leaves some for clients and backends.
+	minDescriptors = 64
+)
+
+var (
+	// ErrNotConfigured tells that BALANCER_CONFIG names no file.
+	ErrNotConfigured = errors.New(envConfig + ": missing")
+	// ErrMissing tells that a required setting is missing or empty.
+	ErrMissing = errors.New("missing")
+
+	errNegativeLimit = errors.New("a negative max_open, multiplex, dial_timeout_ms or keepalive_ms")
+)
+
+// SettingError tells which setting cannot be used.
+type SettingError struct {
+	// Setting is the platform's name of the setting or of the variable of the environment. A setting within another
+	// is a SettingError in Err.
+	Setting string
+	// Err tells what is wrong with its value.
+	Err error
+}
+
+// Error names the setting and the problem.
+func (e *SettingError) Error() string { return e.Setting + ": " + e.Err.Error() }
+
+// Unwrap returns the problem.
+func (e *SettingError) Unwrap() error { return e.Err }
+
+func settingError(setting string, err error) error { return &SettingError{Setting: setting, Err: err} }
+
+// validateNames checks the broker's name and its addresses.
+func (c *Config) validateNames() error {
+	if c.Name == "" {
+		return settingError("name", ErrMissing)
+	}
+	if err := validateAddress("listen", c.Listen); err != nil {
+		return err
+	}
+	if err := validateAddress("discovery", c.Discovery); err != nil {
+		return err
+	}
+	if c.AdminAddress == "" {
+		return nil
+	}
+	return validateAddress("mgmt", c.AdminAddress)
+}
+
+func validateAddress(setting, address string) error {
+	if _, err := netip.ParseAddrPort(address); err != nil {
+		return settingError(setting, err)
+	}
+	return nil
+}
+
+func (c *Config) validateLimits() error {
+	coresInRange := c.Cores > 0 && !math.IsInf(c.Cores, 0)
+	if !coresInRange || c.MemoryMB < minMemoryMB || c.MaxDescriptors < minDescriptors {
+		return settingError("limits", fmt.Errorf(
+			"cores %v, memory_mb %d, sockets %d: out of range (%d MB and %d at least)",
+			c.Cores, c.MemoryMB, c.MaxDescriptors, minMemoryMB, minDescriptors))
+	}
+	return nil
+}
+
+// validate checks what package wire and the scheduler do not check.
+func (s *platformSettings) validate() error {
+	limits := s.Limits
+	if limits.MaxOpen < 0 || limits.Multiplex < 0 || limits.DialTimeoutMs < 0 || limits.KeepaliveMs < 0 {
+		return settingError("limits", errNegativeLimit)
+	}
+	for i, category := range s.Categories {
+		if category.Name == "" {
+			return settingError(elementName("categories", i, "name"), ErrMissing)
+		}
+	}
+	for i, customer := range s.Customers {
+		if customer.Name == "" {
+			return settingError(elementName("customers", i, "name"), ErrMissing)
+		}
+	}
+	return nil
+}
