--- a/cmd/ternstage/sharding.go
+++ b/cmd/ternstage/sharding.go
@@ -44,12 +44,12 @@
 	sharding := b.features.file.Sharding
 	var source slicemap.Source = catalog.NewSource(b.loop, b.core, b.log, catalog.Options{
 		Address:        sharding.Catalogue,
-		MaxAnswerBytes: sharding.AnswerBytes(),
+		MaxAnswerBytes: sharding.MaxAnswerBytes(),
 		Poller:         sharding.PollerOptions(),
 		Seed:           b.config.Seed,
 	})
 	b.core.OnNewerMap(source.NewerEpochSeen)
-	if sharding.Cache != "" {
+	if sharding.CachePath != "" {
 		b.onClose(b.cacheShardMap(sharding))
 	}
 	b.loop.Post(source.Start)
@@ -59,7 +59,7 @@
 // cacheShardMap applies the map that the last run stored and stores those that follow, until the returned function is
 // called. A file that cannot be used is logged; the catalogue then gives the first map.
 func (b *broker) cacheShardMap(sharding *operator.Sharding) (end func()) {
-	cache := catalog.NewCache(sharding.Cache, func(err error) {
+	cache := catalog.NewCache(sharding.CachePath, func(err error) {
 		b.log.Rejected(logs.ShardMapCacheFailed, "shard map not cached", err)
 	})
 	snapshot, err := cache.Load()
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -30,11 +30,11 @@
 	WatchTimeoutMs *float64 `json:"wait_ms"`
 	JitterMs       *float64 `json:"spread_ms"`
 	MinIntervalMs  *float64 `json:"rest_ms"`
-	AnswerMB       int      `json:"answer_mb"`
+	MaxAnswerMB       int      `json:"answer_mb"`
 	MaxShards      int      `json:"most"`
 	MaxVersions    int      `json:"versions"`
 	MaxRetired     int      `json:"history"`
-	Cache          string   `json:"cache"`
+	CachePath          string   `json:"cache"`
 }
 
 const defaultAnswerMB = 32
@@ -62,10 +62,10 @@
 	return o
 }
 
-// AnswerBytes bounds an answer of the catalogue.
-func (s *Sharding) AnswerBytes() int {
-	if s.AnswerMB == 0 {
+// MaxAnswerBytes bounds an answer of the catalogue.
+func (s *Sharding) MaxAnswerBytes() int {
+	if s.MaxAnswerMB == 0 {
 		return defaultAnswerMB << 20
 	}
-	return s.AnswerMB << 20
+	return s.MaxAnswerMB << 20
 }
