--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,6 +1,3 @@
-// Package operator reads the operator's file: what an installation switches on beside the platform's
-// settings. It is Jsonnet, held against api/operator.schema.json, and read only where --operator or
-// TERNSTAGE_OPERATOR names it. Without one everything in it is off.
 package operator
 
 import (
@@ -9,63 +6,92 @@
 	"ternstage/internal/slicemap"
 )
 
+const (
+	defaultMaxAnswerMB = 32
+	bytesPerMB         = 1 << 20
+)
+
 // File is the operator's file.
 type File struct {
-	Flight   *Flight   `json:"flight"`
+	// Flight switches on Arrow Flight; nil, the default, leaves it to flight.toml.
+	Flight *Flight `json:"flight"`
+	// Sharding switches on resharding; nil, the default, for a fixed placement.
 	Sharding *Sharding `json:"slices"`
 }
 
-// Flight is the Arrow Flight front and back end.
+// Flight is the section for Arrow Flight.
 type Flight struct {
-	Enabled              bool   `json:"enabled"`
-	Listen               string `json:"listen"`
-	Backends             bool   `json:"nodes"`
-	StreamsPerConnection int    `json:"streams"`
-	MaxConnections       int    `json:"conns"`
+	// Enabled opens the front for Flight clients; false by default.
+	Enabled bool `json:"enabled"`
+	// Listen is the front's address, "HOST:PORT" with a numeric host. Required if Enabled.
+	Listen string `json:"listen"`
+	// Backends has the backends asked over Flight in place of frames; false by default.
+	Backends bool `json:"nodes"`
+	// StreamsPerConnection is the number of calls at a time on one connection of a client; 0, the default, stands for
+	// the default of package flight.
+	StreamsPerConnection int `json:"streams"`
+	// MaxConnections is the number of connections of Flight clients at a time; 0, the default, stands for the default
+	// of package flight.
+	MaxConnections int `json:"conns"`
 }
 
-// Sharding says where the map of slices comes from; slices move if it is there.
+// Sharding is the section for resharding: how the shard catalogue is followed. nil stands for the default in
+// slicemap.DefaultPollerOptions.
 type Sharding struct {
-	Catalogue      string   `json:"catalogue"`
+	// Catalogue is the address of the shard catalogue, "HOST:PORT" with a numeric host. Required.
+	Catalogue string `json:"catalogue"`
+	// WatchTimeoutMs is the time in milliseconds for which one watch call may wait.
 	WatchTimeoutMs *float64 `json:"wait_ms"`
-	JitterMs       *float64 `json:"spread_ms"`
-	MinIntervalMs  *float64 `json:"rest_ms"`
-	MaxAnswerMB       int      `json:"answer_mb"`
-	MaxShards      int      `json:"most"`
-	MaxVersions    int      `json:"versions"`
-	MaxRetired     int      `json:"history"`
-	CachePath          string   `json:"cache"`
+	// JitterMs is the longest random delay in milliseconds of a poll that a hint of a newer epoch causes.
+	JitterMs *float64 `json:"spread_ms"`
+	// MinIntervalMs is the least time in milliseconds between two such polls.
+	MinIntervalMs *float64 `json:"rest_ms"`
+	// MaxAnswerMB bounds one answer of the catalogue, in units of 2^20 bytes; 0, the default, stands for 32.
+	MaxAnswerMB int `json:"answer_mb"`
+	// MaxShards bounds the shards of one map; 0, the default, stands for slicemap.DefaultMaxShards.
+	MaxShards int `json:"most"`
+	// MaxVersions bounds the versions of the map that are retained for queries; 0, the default, stands for
+	// slicemap.DefaultMaxVersions.
+	MaxVersions int `json:"versions"`
+	// MaxRetired bounds the retired shards whose ids can be resolved; 0, the default, stands for
+	// slicemap.DefaultMaxRetired.
+	MaxRetired int `json:"history"`
+	// CachePath is a file that outlives the process and stores the last map; "", the default, for none.
+	CachePath string `json:"cache"`
 }
 
-const defaultAnswerMB = 32
-
-// Load reads the file; no path is an empty file.
+// Load reads and validates the file at path. An empty path stands for an empty file. Errors are those of package
+// jsonnetfile.
 func Load(path string) (*File, error) {
-	f := &File{}
+	file := &File{}
 	if path == "" {
-		return f, nil
+		return file, nil
 	}
-	return f, jsonnetfile.Load(path, api.OperatorSchema, nil, f)
+	if err := jsonnetfile.Load(path, api.OperatorSchema, nil, file); err != nil {
+		return nil, err
+	}
+	return file, nil
 }
 
-// PollerOptions is how the catalogue is followed.
+// PollerOptions returns how the shard catalogue is polled.
 func (s *Sharding) PollerOptions() slicemap.PollerOptions {
-	o := slicemap.DefaultPollerOptions
-	for _, v := range []struct {
-		to   *float64
-		from *float64
-	}{{&o.WatchTimeoutMs, s.WatchTimeoutMs}, {&o.JitterMs, s.JitterMs}, {&o.MinIntervalMs, s.MinIntervalMs}} {
-		if v.from != nil {
-			*v.to = *v.from
-		}
+	options := slicemap.DefaultPollerOptions
+	override(&options.WatchTimeoutMs, s.WatchTimeoutMs)
+	override(&options.JitterMs, s.JitterMs)
+	override(&options.MinIntervalMs, s.MinIntervalMs)
+	return options
+}
+
+func override(option, value *float64) {
+	if value != nil {
+		*option = *value
 	}
-	return o
 }
 
-// MaxAnswerBytes bounds an answer of the catalogue.
+// MaxAnswerBytes returns MaxAnswerMB in bytes.
 func (s *Sharding) MaxAnswerBytes() int {
 	if s.MaxAnswerMB == 0 {
-		return defaultAnswerMB << 20
+		return defaultMaxAnswerMB * bytesPerMB
 	}
-	return s.MaxAnswerMB << 20
+	return s.MaxAnswerMB * bytesPerMB
 }
