--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -30,7 +30,7 @@
 		if err != nil {
 			return err
 		}
-		h.reply.Reset(b.Index)
+		h.reply.Reset(b.Number)
 		if err := h.play(b); err != nil {
 			return err
 		}
@@ -66,14 +66,14 @@
 	for i := 0; i < b.Len(); i++ {
 		r := b.Record(i)
 		switch r.Code() {
-		case wire.EvContext:
+		case wire.EventInstance:
 			id := r.U32(1)
 			if cur = h.instances[id]; cur == nil {
 				cur = &instance{id: id}
 				h.instances[id] = cur
 			}
 			continue
-		case wire.EvPool:
+		case wire.EventEndpointTable:
 			es, err := b.Entries(r)
 			if err != nil {
 				return err
@@ -87,7 +87,7 @@
 			continue
 		}
 		if cur == nil {
-			return fmt.Errorf("frame %d: record %d comes before any instance is named", b.Index, i)
+			return fmt.Errorf("frame %d: record %d comes before any instance is named", b.Number, i)
 		}
 		if err := h.event(cur, b, r); err != nil {
 			return err
@@ -96,10 +96,10 @@
 	for _, in := range h.touched {
 		in.touched = false
 		if in.module != nil {
-			in.guard(func() { in.module.RunRound(b.Clock) })
+			in.guard(func() { in.module.RunRound(b.NowMs) })
 		}
 		if len(in.actions) > 0 {
-			h.reply.As(in.id)
+			h.reply.SelectInstance(in.id)
 		}
 		for _, act := range in.actions {
 			act(&h.reply)
@@ -110,9 +110,9 @@
 }
 
 func (h *host) event(in *instance, b *wire.Batch, r wire.Record) error {
-	now := b.Clock
+	now := b.NowMs
 	switch r.Code() {
-	case wire.EvCreate:
+	case wire.EventCreate:
 		in.actions = in.actions[:0]
 		text, err := b.Bytes(r, 9)
 		if err != nil {
@@ -125,13 +125,13 @@
 		if in.module, err = scheduler.New(s, r.U64(1), in); err != nil {
 			return fmt.Errorf("settings: %w", err)
 		}
-	case wire.EvTeardown:
+	case wire.EventTeardown:
 		in.module, in.actions = nil, in.actions[:0]
 		return nil
-	case wire.EvOpened, wire.EvSampled, wire.EvNoteFrom, wire.EvBell, wire.EvResponse, wire.EvTopology,
-		wire.EvReq, wire.EvClientGone:
+	case wire.EventAnswerBegun, wire.EventProbeEnded, wire.EventMessage, wire.EventTimer, wire.EventAttemptEnded, wire.EventEndpoints,
+		wire.EventRequest, wire.EventClientDisconnected:
 	default:
-		return fmt.Errorf("frame %d: event code %d is unknown", b.Index, r.Code())
+		return fmt.Errorf("frame %d: event code %d is unknown", b.Number, r.Code())
 	}
 	if in.module == nil {
 		return nil
@@ -142,17 +142,17 @@
 	}
 	m := in.module
 	switch r.Code() {
-	case wire.EvTopology:
+	case wire.EventEndpoints:
 		kind := r.U8(1)
 		if kind > uint8(scheduler.UpdateFailed) {
-			return fmt.Errorf("frame %d: list form %d is unknown", b.Index, kind)
+			return fmt.Errorf("frame %d: list form %d is unknown", b.Number, kind)
 		}
 		var list []scheduler.Endpoint
 		if scheduler.UpdateKind(kind) != scheduler.UpdateFailed {
 			list = h.pools[r.U8(6)]
 		}
 		in.guard(func() { m.EndpointsChanged(now, scheduler.UpdateKind(kind), list) })
-	case wire.EvReq:
+	case wire.EventRequest:
 		group, bits := int(r.F32(39)), r.U16(51)
 		if r.F32(43) < 0 {
 			q := scheduler.Query{ID: r.U64(1), QueryGroup: group, Class: int(r.U16(9)), Tenant: int(r.U32(11)),
@@ -163,18 +163,18 @@
 		p := scheduler.Part{ID: r.U64(1), QueryGroup: group, Shard: int(r.F32(43)), Key: r.U64(15), Weight: r.F32(47),
 			CostHint: r.F64(31), HasCostHint: bits&1 != 0}
 		in.guard(func() { m.PartArrived(now, p) })
-	case wire.EvResponse:
+	case wire.EventAttemptEnded:
 		res := scheduler.AttemptResult{Part: r.U64(1), Attempt: int(r.U16(9)), Replica: r.U32(11), Latency: r.F64(17),
 			PartDone: r.U8(25) != 0}
 		known := true
 		if res.Outcome, known = outcomes[r.U16(15)]; !known {
-			return fmt.Errorf("frame %d: outcome %d is unknown", b.Index, r.U16(15))
+			return fmt.Errorf("frame %d: outcome %d is unknown", b.Number, r.U16(15))
 		}
 		in.guard(func() { m.AttemptEnded(now, res) })
-	case wire.EvNoteFrom: // nothing is said to peers, and nothing is expected of them
-	case wire.EvClientGone:
+	case wire.EventMessage: // nothing is said to peers, and nothing is expected of them
+	case wire.EventClientDisconnected:
 		in.guard(func() { m.ClientDisconnected(now, r.U64(1)) })
-	case wire.EvBell:
+	case wire.EventTimer:
 		in.guard(func() { m.TimerFired(now) })
 	}
 	return nil
@@ -188,7 +188,7 @@
 func (in *instance) guard(f func()) {
 	defer func() {
 		if e := recover(); e != nil {
-			in.do(func(w *wire.Reply) { w.Panic(fmt.Sprint(e)) })
+			in.do(func(w *wire.Reply) { w.Fault(fmt.Sprint(e)) })
 			in.module = nil
 		}
 	}()
@@ -201,37 +201,37 @@
 
 // Send implements scheduler.Actions; so do the methods below.
 func (in *instance) Send(part uint64, replica uint32, timeout float64) {
-	in.do(func(w *wire.Reply) { w.Dispatch(part, timeout, replica) })
+	in.do(func(w *wire.Reply) { w.Send(part, timeout, replica) })
 }
 
 // Cancel stops waiting for an attempt.
 func (in *instance) Cancel(part uint64, attempt int) {
-	in.do(func(w *wire.Reply) { w.UndoSend(part, uint16(attempt)) })
+	in.do(func(w *wire.Reply) { w.Cancel(part, uint16(attempt)) })
 }
 
 // CloseIdleConnections closes idle connections.
 func (in *instance) CloseIdleConnections(replica uint32) {
-	in.do(func(w *wire.Reply) { w.DropConns(replica) })
+	in.do(func(w *wire.Reply) { w.CloseIdleConnections(replica) })
 }
 
 // Answer answers a query.
 func (in *instance) Answer(query uint64, whole bool) {
-	in.do(func(w *wire.Reply) { w.Respond(query, whole) })
+	in.do(func(w *wire.Reply) { w.Answer(query, whole) })
 }
 
 // Reject refuses a query.
 func (in *instance) Reject(query uint64, after float64) {
-	in.do(func(w *wire.Reply) { w.NotNow(query, after) })
+	in.do(func(w *wire.Reply) { w.Reject(query, after) })
 }
 
 // Fail fails a query.
-func (in *instance) Fail(query uint64) { in.do(func(w *wire.Reply) { w.GiveUp(query) }) }
+func (in *instance) Fail(query uint64) { in.do(func(w *wire.Reply) { w.Fail(query) }) }
 
 // SetTimer sets a timer.
-func (in *instance) SetTimer(after float64) { in.do(func(w *wire.Reply) { w.After(after, 0) }) }
+func (in *instance) SetTimer(after float64) { in.do(func(w *wire.Reply) { w.SetTimer(after, 0) }) }
 
 // WatchEndpoints subscribes to the list.
-func (in *instance) WatchEndpoints() { in.do((*wire.Reply).Track) }
+func (in *instance) WatchEndpoints() { in.do((*wire.Reply).WatchEndpoints) }
 
 // Log writes a report line.
-func (in *instance) Log(text string) { in.do(func(w *wire.Reply) { w.Remark(text) }) }
+func (in *instance) Log(text string) { in.do(func(w *wire.Reply) { w.Log(text) }) }
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -44,27 +44,27 @@
 }
 
 func (f *frame) context(id uint32) {
-	f.add(wire.EvContext, func(r []byte) { binary.LittleEndian.PutUint32(r[1:], id) })
+	f.add(wire.EventInstance, func(r []byte) { binary.LittleEndian.PutUint32(r[1:], id) })
 }
 
 func (f *frame) create(id uint32) {
 	f.context(id)
-	f.add(wire.EvCreate, func(r []byte) {
+	f.add(wire.EventCreate, func(r []byte) {
 		r[1] = 7
 		f.ref(r[9:], []byte(settingsText), len(settingsText))
 	})
-	f.add(wire.EvPool, func(r []byte) {
-		list := make([]byte, 2*wire.EntrySize)
+	f.add(wire.EventEndpointTable, func(r []byte) {
+		list := make([]byte, 2*wire.EndpointSize)
 		list[4], list[21], list[22], list[26], list[43] = 10, 1, 1, 11, 1
 		f.ref(r[2:], list, 2)
 	})
-	f.add(wire.EvTopology, func(r []byte) { r[1] = 2 })
+	f.add(wire.EventEndpoints, func(r []byte) { r[1] = 2 })
 }
 
 func (f *frame) query(context uint32, id uint64, deadline float64) {
 	f.context(context)
 	for i, shard := range []float32{-1, 0, 1} {
-		f.add(wire.EvReq, func(r []byte) {
+		f.add(wire.EventRequest, func(r []byte) {
 			binary.LittleEndian.PutUint64(r[1:], id+uint64(i))
 			binary.LittleEndian.PutUint64(r[23:], math.Float64bits(deadline))
 			binary.LittleEndian.PutUint32(r[39:], math.Float32bits(float32(id)))
@@ -85,14 +85,14 @@
 	for len(raw) > 0 {
 		n, size, source := binary.LittleEndian.Uint32(raw[4:]), binary.LittleEndian.Uint32(raw[8:]), uint32(0)
 		for i := range n {
-			r := raw[wire.ReplyHeader+i*wire.ActionSize:][:wire.ActionSize]
-			if r[0] == wire.AcSource {
+			r := raw[wire.ReplyHeaderSize+i*wire.ActionSize:][:wire.ActionSize]
+			if r[0] == wire.ActionInstance {
 				source = binary.LittleEndian.Uint32(r[1:])
 			} else {
 				got[source] = append(got[source], string(r))
 			}
 		}
-		raw = raw[wire.ReplyHeader+size:]
+		raw = raw[wire.ReplyHeaderSize+size:]
 	}
 	return got
 }
@@ -109,7 +109,7 @@
 				f.query(id, uint64(id)*1000+uint64(step)*3, clock+1000)
 			}
 			f.context(id)
-			f.add(wire.EvBell, nil)
+			f.add(wire.EventTimer, nil)
 		}
 		in = append(in, f.bytes(step, clock)...)
 	}
@@ -128,11 +128,11 @@
 
 func TestBadInputEndsWithAPlainMessage(t *testing.T) {
 	var unnamed, unknown, settings frame
-	unnamed.add(wire.EvBell, nil)
+	unnamed.add(wire.EventTimer, nil)
 	unknown.context(1)
 	unknown.add(99, nil)
 	settings.context(1)
-	settings.add(wire.EvCreate, func(r []byte) { settings.ref(r[9:], []byte("{]"), 2) })
+	settings.add(wire.EventCreate, func(r []byte) { settings.ref(r[9:], []byte("{]"), 2) })
 	for name, in := range map[string][]byte{"garbage": []byte("not a frame at all, but long"), "cut": day(1)[:700],
 		"unnamed": unnamed.bytes(1, 1), "unknown": unknown.bytes(1, 1), "settings": settings.bytes(1, 1)} {
 		if err := run(bytes.NewReader(in), &bytes.Buffer{}); err == nil || strings.Contains(err.Error(), "\n") {
@@ -155,7 +155,7 @@
 	}
 	var out bytes.Buffer
 	if _, err := w.WriteTo(&out); err != nil || !strings.HasSuffix(out.String(), "index out of range") ||
-		out.Bytes()[wire.ReplyHeader] != wire.AcPanic || in.module != nil {
+		out.Bytes()[wire.ReplyHeaderSize] != wire.ActionFault || in.module != nil {
 		t.Fatalf("%q %v", out.String(), err)
 	}
 }
@@ -166,18 +166,18 @@
 	a.query(1, 10, 2000)
 	b.context(1)
 	for part := range uint64(2) { // both parts are answered: the query would be, too
-		b.add(wire.EvResponse, func(r []byte) {
+		b.add(wire.EventAttemptEnded, func(r []byte) {
 			binary.LittleEndian.PutUint64(r[1:], 11+part)
 			binary.LittleEndian.PutUint16(r[15:], 200)
 		})
 	}
 	with := play(t, append(a.bytes(1, 1000), b.bytes(2, 1010)...))[1]
-	b.add(wire.EvTeardown, nil)
+	b.add(wire.EventTeardown, nil)
 	b.create(1)
 	without := play(t, append(a.bytes(1, 1000), b.bytes(2, 1010)...))[1]
 	answers := func(records []string) (n int) {
 		for _, r := range records {
-			if r[0] == wire.AcRespond {
+			if r[0] == wire.ActionAnswer {
 				n++
 			}
 		}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -11,51 +11,50 @@
 
 // Sizes of the frame's pieces in bytes.
 const (
-	HeaderSize    = 20
-	ReplyHeader   = 12
-	EventSize     = 56
-	ActionSize    = 24
-	EntrySize     = 22
-	maxFrame      = 1 << 30
-	maxPoolNumber = 15
+	HeaderSize      = 20
+	ReplyHeaderSize = 12
+	EventSize       = 56
+	ActionSize      = 24
+	EndpointSize    = 22
+	maxFrameSize    = 1 << 30
+	maxPoolNumber   = 15
 )
 
 // Event codes.
 const (
-	EvContext    = 1
-	EvOpened     = 2
-	EvBell       = 3
-	EvResponse   = 4
-	EvTopology   = 5
-	EvSampled    = 6
-	EvCreate     = 7
-	EvTeardown   = 8
-	EvNoteFrom   = 9
-	EvReq        = 10
-	EvPool       = 11
-	EvClientGone = 12
+	EventInstance           = 1
+	EventAnswerBegun        = 2
+	EventTimer              = 3
+	EventAttemptEnded       = 4
+	EventEndpoints          = 5
+	EventProbeEnded         = 6
+	EventCreate             = 7
+	EventTeardown           = 8
+	EventMessage            = 9
+	EventRequest            = 10
+	EventEndpointTable      = 11
+	EventClientDisconnected = 12
 )
 
 // Action codes.
 const (
-	AcPanic     = 1
-	AcAfter     = 4
-	AcDispatch  = 5
-	AcRespond   = 7
-	AcRemark    = 8
-	AcShare     = 9
-	AcGiveUp    = 10
-	AcNotNow    = 11
-	AcSource    = 12
-	AcDropConns = 3
-	AcUndoSend  = 13
-	AcTrack     = 14
+	ActionFault                = 1
+	ActionSetTimer             = 4
+	ActionSend                 = 5
+	ActionAnswer               = 7
+	ActionLog                  = 8
+	ActionFail                 = 10
+	ActionReject               = 11
+	ActionInstance             = 12
+	ActionCloseIdleConnections = 3
+	ActionCancel               = 13
+	ActionWatchEndpoints       = 14
 )
 
 // Batch is one frame of events.
 type Batch struct {
-	Index   uint32
-	Clock   float64
+	Number  uint32
+	NowMs   float64
 	records []byte
 	tail    []byte
 }
@@ -69,20 +68,20 @@
 		}
 		return nil, fmt.Errorf("frame header cut short: %w", err)
 	}
-	b := &Batch{Index: binary.LittleEndian.Uint32(h[0:]), Clock: f64(h[12:])}
+	b := &Batch{Number: binary.LittleEndian.Uint32(h[0:]), NowMs: f64(h[12:])}
 	n, size := uint64(binary.LittleEndian.Uint32(h[4:])), uint64(binary.LittleEndian.Uint32(h[8:]))
-	if n*EventSize > size || size > maxFrame {
-		return nil, fmt.Errorf("frame %d: %d records do not fit in %d bytes", b.Index, n, size)
+	if n*EventSize > size || size > maxFrameSize {
+		return nil, fmt.Errorf("frame %d: %d records do not fit in %d bytes", b.Number, n, size)
 	}
-	if math.IsNaN(b.Clock) || math.IsInf(b.Clock, 0) {
-		return nil, fmt.Errorf("frame %d: the clock is not a number", b.Index)
+	if math.IsNaN(b.NowMs) || math.IsInf(b.NowMs, 0) {
+		return nil, fmt.Errorf("frame %d: the clock is not a number", b.Number)
 	}
 	body, err := io.ReadAll(io.LimitReader(r, int64(size)))
 	if err != nil {
-		return nil, fmt.Errorf("frame %d: %w", b.Index, err)
+		return nil, fmt.Errorf("frame %d: %w", b.Number, err)
 	}
 	if uint64(len(body)) < size {
-		return nil, fmt.Errorf("frame %d: cut short, %d of %d bytes", b.Index, len(body), size)
+		return nil, fmt.Errorf("frame %d: cut short, %d of %d bytes", b.Number, len(body), size)
 	}
 	b.records, b.tail = body[:n*EventSize], body[n*EventSize:]
 	return b, nil
@@ -100,18 +99,18 @@
 // Entries resolves a POOL record's entries.
 func (b *Batch) Entries(r Record) ([]Entry, error) {
 	if r.U8(1) > maxPoolNumber {
-		return nil, fmt.Errorf("frame %d: list number %d is out of range", b.Index, r.U8(1))
+		return nil, fmt.Errorf("frame %d: list number %d is out of range", b.Number, r.U8(1))
 	}
-	raw, err := b.slice(r, 2, EntrySize)
+	raw, err := b.slice(r, 2, EndpointSize)
 	if err != nil {
 		return nil, err
 	}
-	es := make([]Entry, 0, len(raw)/EntrySize)
-	for ; len(raw) >= EntrySize; raw = raw[EntrySize:] {
+	es := make([]Entry, 0, len(raw)/EndpointSize)
+	for ; len(raw) >= EndpointSize; raw = raw[EndpointSize:] {
 		e := Entry{Cell: binary.LittleEndian.Uint16(raw), Zone: binary.LittleEndian.Uint16(raw[2:]),
 			Replica: binary.LittleEndian.Uint32(raw[4:]), ReadyAt: f64(raw[12:]), State: raw[21]}
 		if e.State > 2 {
-			return nil, fmt.Errorf("frame %d: replica state %d is unknown", b.Index, e.State)
+			return nil, fmt.Errorf("frame %d: replica state %d is unknown", b.Number, e.State)
 		}
 		es = append(es, e)
 	}
@@ -121,7 +120,7 @@
 func (b *Batch) slice(r Record, at, unit int) ([]byte, error) {
 	off, n := uint64(r.U32(at)), uint64(r.U32(at+4))*uint64(unit)
 	if off+n > uint64(len(b.tail)) {
-		return nil, fmt.Errorf("frame %d: %d bytes at %d lie beyond the tail of %d", b.Index, n, off, len(b.tail))
+		return nil, fmt.Errorf("frame %d: %d bytes at %d lie beyond the tail of %d", b.Number, n, off, len(b.tail))
 	}
 	return b.tail[off : off+n], nil
 }
@@ -176,13 +175,13 @@
 	w.index, w.n, w.records, w.tail, w.source = index, 0, w.records[:0], w.tail[:0], -1
 }
 
-// As names the instance that the following actions belong to.
-func (w *Reply) As(instance uint32) {
+// SelectInstance names the instance that the following actions belong to.
+func (w *Reply) SelectInstance(instance uint32) {
 	if w.source == int64(instance) {
 		return
 	}
 	w.source = int64(instance)
-	binary.LittleEndian.PutUint32(w.add(AcSource)[1:], instance)
+	binary.LittleEndian.PutUint32(w.add(ActionInstance)[1:], instance)
 }
 
 func (w *Reply) add(code byte) []byte {
@@ -193,69 +192,60 @@
 	return w.records[at:]
 }
 
-// Dispatch starts an attempt.
-func (w *Reply) Dispatch(id uint64, timeout float64, replica uint32) {
-	r := w.add(AcDispatch)
+// Send starts an attempt.
+func (w *Reply) Send(id uint64, timeout float64, replica uint32) {
+	r := w.add(ActionSend)
 	binary.LittleEndian.PutUint64(r[1:], id)
 	putF64(r[9:], timeout)
 	binary.LittleEndian.PutUint32(r[17:], replica)
 }
 
-// UndoSend cancels an attempt.
-func (w *Reply) UndoSend(id uint64, attempt uint16) {
-	r := w.add(AcUndoSend)
+// Cancel cancels an attempt.
+func (w *Reply) Cancel(id uint64, attempt uint16) {
+	r := w.add(ActionCancel)
 	binary.LittleEndian.PutUint64(r[1:], id)
 	binary.LittleEndian.PutUint16(r[9:], attempt)
 }
 
-// DropConns closes idle connections to a replica.
-func (w *Reply) DropConns(replica uint32) {
-	binary.LittleEndian.PutUint32(w.add(AcDropConns)[1:], replica)
+// CloseIdleConnections closes idle connections to a replica.
+func (w *Reply) CloseIdleConnections(replica uint32) {
+	binary.LittleEndian.PutUint32(w.add(ActionCloseIdleConnections)[1:], replica)
 }
 
-// Respond answers a query.
-func (w *Reply) Respond(id uint64, whole bool) {
-	r := w.add(AcRespond)
+// Answer answers a query.
+func (w *Reply) Answer(id uint64, whole bool) {
+	r := w.add(ActionAnswer)
 	binary.LittleEndian.PutUint64(r[1:], id)
 	if whole {
 		r[9] = 1
 	}
 }
 
-// NotNow refuses a query.
-func (w *Reply) NotNow(id uint64, coolDown float64) {
-	r := w.add(AcNotNow)
+// Reject refuses a query.
+func (w *Reply) Reject(id uint64, coolDown float64) {
+	r := w.add(ActionReject)
 	binary.LittleEndian.PutUint64(r[1:], id)
 	putF64(r[9:], coolDown)
 }
 
-// GiveUp fails a query.
-func (w *Reply) GiveUp(id uint64) { binary.LittleEndian.PutUint64(w.add(AcGiveUp)[1:], id) }
+// Fail fails a query.
+func (w *Reply) Fail(id uint64) { binary.LittleEndian.PutUint64(w.add(ActionFail)[1:], id) }
 
-// After sets a timer.
-func (w *Reply) After(wait float64, ref uint32) {
-	r := w.add(AcAfter)
+// SetTimer sets a timer.
+func (w *Reply) SetTimer(wait float64, ref uint32) {
+	r := w.add(ActionSetTimer)
 	putF64(r[1:], wait)
 	binary.LittleEndian.PutUint32(r[9:], ref)
 }
 
-// Track subscribes to the list.
-func (w *Reply) Track() { w.add(AcTrack)[1] = 1 }
+// WatchEndpoints subscribes to the list.
+func (w *Reply) WatchEndpoints() { w.add(ActionWatchEndpoints)[1] = 1 }
 
-// Remark writes a report line.
-func (w *Reply) Remark(text string) { w.text(AcRemark, text) }
+// Log writes a report line.
+func (w *Reply) Log(text string) { w.text(ActionLog, text) }
 
-// Share sends a message to all other instances.
-func (w *Reply) Share(message []byte) {
-	r := w.add(AcShare)
-	r[1], r[2] = 0xff, 0xff
-	binary.LittleEndian.PutUint32(r[3:], uint32(len(w.tail)))
-	binary.LittleEndian.PutUint32(r[7:], uint32(len(message)))
-	w.tail = append(w.tail, message...)
-}
-
-// Panic reports that the decision code failed.
-func (w *Reply) Panic(text string) { w.text(AcPanic, text) }
+// Fault reports that the decision code failed.
+func (w *Reply) Fault(text string) { w.text(ActionFault, text) }
 
 func (w *Reply) text(code byte, text string) {
 	r := w.add(code)
@@ -266,7 +256,7 @@
 
 // WriteTo writes the frame.
 func (w *Reply) WriteTo(out io.Writer) (int64, error) {
-	var h [ReplyHeader]byte
+	var h [ReplyHeaderSize]byte
 	binary.LittleEndian.PutUint32(h[0:], w.index)
 	binary.LittleEndian.PutUint32(h[4:], w.n)
 	binary.LittleEndian.PutUint32(h[8:], uint32(len(w.records)+len(w.tail)))
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -35,11 +35,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b.Index != 12 || b.Len() != 5 || b.Clock != 8412.25 {
+	if b.Number != 12 || b.Len() != 5 || b.NowMs != 8412.25 {
 		t.Fatalf("header: %+v, %d records", b, b.Len())
 	}
 	r := b.Record(1)
-	if r.Code() != EvReq || r.U64(1) != 0xe4f25d3a91c4 || r.F64(23) != 8652.25 || r.F64(31) != 12 ||
+	if r.Code() != EventRequest || r.U64(1) != 0xe4f25d3a91c4 || r.F64(23) != 8652.25 || r.F64(31) != 12 ||
 		r.F32(39) != 214 ||
 		r.F32(47) != 0.125 || r.U16(51) != 1 {
 		t.Fatalf("request record decoded wrongly: % x", []byte(r))
@@ -87,11 +87,11 @@
 func TestReplyMatchesTheWire(t *testing.T) {
 	var w Reply
 	w.Reset(12)
-	w.As(3)
-	w.Dispatch(0xe4f25d3a91c4, 80, 0x03124a07)
-	w.After(500, 77)
-	w.As(5)
-	w.Remark("two servers known")
+	w.SelectInstance(3)
+	w.Send(0xe4f25d3a91c4, 80, 0x03124a07)
+	w.SetTimer(500, 77)
+	w.SelectInstance(5)
+	w.Log("two servers known")
 	var out bytes.Buffer
 	if _, err := w.WriteTo(&out); err != nil {
 		t.Fatal(err)
