--- /dev/null
+++ b/cmd/simadapter/fixture_test.go
@@ -0,0 +1,157 @@
+package main
+
+import (
+	"bytes"
+	"encoding/binary"
+	"math"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"ternstage/internal/decision/scheduler"
+	"ternstage/internal/wire"
+)
+
+const settingsText = `{"balancers": 2, "categories": [{"aim_ms": 500, "deadline_ms": 1000, "effect": "read_like",
+	"worth": 1, "late_worth": 0.3}], "domain": {"sets": 2, "slices": 2, "width": 2, "per_call": 1},
+	"limits": {"parallel_tries": true, "try_limit": 3, "cancel": true}, "resolution_ms": 5, "unheard_of": {}}`
+
+// frame builds a batch.
+type frame struct {
+	records []byte
+	tail    []byte
+	count   uint32 // of records
+}
+
+// add adds a record, whose fields set writes; nil for a record without fields.
+func (f *frame) add(code wire.EventCode, set func(record []byte)) {
+	record := make([]byte, wire.EventSize)
+	record[0] = byte(code)
+	if set != nil {
+		set(record)
+	}
+	f.records = append(f.records, record...)
+	f.count++
+}
+
+// refer writes a reference to data, which it adds to the tail.
+func (f *frame) refer(field []byte, data []byte, elements int) {
+	binary.LittleEndian.PutUint32(field, uint32(len(f.tail)))
+	binary.LittleEndian.PutUint32(field[4:], uint32(elements))
+	f.tail = append(f.tail, data...)
+}
+
+// bytes returns the frame.
+func (f *frame) bytes(number uint32, nowMs float64) []byte {
+	header := make([]byte, wire.HeaderSize)
+	binary.LittleEndian.PutUint32(header, number)
+	binary.LittleEndian.PutUint32(header[4:], f.count)
+	binary.LittleEndian.PutUint32(header[8:], uint32(len(f.records)+len(f.tail)))
+	binary.LittleEndian.PutUint64(header[12:], math.Float64bits(nowMs))
+	return append(append(header, f.records...), f.tail...)
+}
+
+// selectInstance names the instance of the records that follow.
+func (f *frame) selectInstance(id uint32) {
+	f.add(wire.EventInstance, func(record []byte) { binary.LittleEndian.PutUint32(record[1:], id) })
+}
+
+// create starts an instance with two replicas, 10 in cell 0 and 11 in cell 1.
+func (f *frame) create(id uint32) {
+	f.selectInstance(id)
+	f.add(wire.EventCreate, func(record []byte) {
+		record[1] = 7 // the seed
+		f.refer(record[9:], []byte(settingsText), len(settingsText))
+	})
+	f.add(wire.EventEndpointTable, func(record []byte) {
+		endpoints := make([]byte, 2*wire.EndpointSize)
+		first := endpoints[:wire.EndpointSize]
+		first[4] = 10
+		first[21] = byte(scheduler.Ready)
+		second := endpoints[wire.EndpointSize:]
+		second[0] = 1
+		second[4] = 11
+		second[21] = byte(scheduler.Ready)
+		f.refer(record[2:], endpoints, 2)
+	})
+	f.add(wire.EventEndpoints, func(record []byte) { record[1] = byte(scheduler.UpdateCached) })
+}
+
+// query adds a query with an id and its two parts, whose ids follow it.
+func (f *frame) query(instance uint32, id uint64, deadlineMs float64) {
+	f.selectInstance(instance)
+	for i, shard := range []float32{-1, 0, 1} {
+		f.add(wire.EventRequest, func(record []byte) {
+			binary.LittleEndian.PutUint64(record[1:], id+uint64(i))
+			binary.LittleEndian.PutUint64(record[23:], math.Float64bits(deadlineMs))
+			binary.LittleEndian.PutUint32(record[39:], math.Float32bits(float32(id)))
+			binary.LittleEndian.PutUint32(record[43:], math.Float32bits(shard))
+			binary.LittleEndian.PutUint32(record[47:], math.Float32bits(0.5))
+		})
+	}
+}
+
+// succeed ends the first attempt of a part.
+func (f *frame) succeed(part uint64) {
+	f.add(wire.EventAttemptEnded, func(record []byte) {
+		binary.LittleEndian.PutUint64(record[1:], part)
+		binary.LittleEndian.PutUint16(record[15:], 200)
+	})
+}
+
+// day is 40 batches in which each instance starts, takes a query in every third batch and has a timer in each.
+func day(instances ...uint32) []byte {
+	const batches = 40
+	var input []byte
+	for number := range uint32(batches) {
+		var f frame
+		nowMs := 1000 + 10*float64(number)
+		for _, id := range instances {
+			if number == 0 {
+				f.create(id)
+			}
+			if number%3 == 1 {
+				f.query(id, uint64(id)*1000+uint64(number)*3, nowMs+1000)
+			}
+			f.selectInstance(id)
+			f.add(wire.EventTimer, nil)
+		}
+		input = append(input, f.bytes(number, nowMs)...)
+	}
+	return input
+}
+
+// play runs the adapter and returns the actions of each instance, record by record.
+func play(t *testing.T, input []byte) map[uint32][]string {
+	t.Helper()
+	var out bytes.Buffer
+	require.NoError(t, run(bytes.NewReader(input), &out))
+	actions := map[uint32][]string{}
+	replies := out.Bytes()
+	for len(replies) > 0 {
+		count := binary.LittleEndian.Uint32(replies[4:])
+		size := binary.LittleEndian.Uint32(replies[8:])
+		instance := uint32(0)
+		for i := range count {
+			record := replies[wire.ReplyHeaderSize+i*wire.ActionSize:][:wire.ActionSize]
+			if wire.ActionCode(record[0]) == wire.ActionInstance {
+				instance = binary.LittleEndian.Uint32(record[1:])
+			} else {
+				actions[instance] = append(actions[instance], string(record))
+			}
+		}
+		replies = replies[wire.ReplyHeaderSize+size:]
+	}
+	return actions
+}
+
+// countActions counts the records with a code.
+func countActions(records []string, code wire.ActionCode) int {
+	count := 0
+	for _, record := range records {
+		if wire.ActionCode(record[0]) == code {
+			count++
+		}
+	}
+	return count
+}
--- /dev/null
+++ b/cmd/simadapter/instance.go
@@ -0,0 +1,108 @@
+package main
+
+import (
+	"fmt"
+
+	"ternstage/internal/decision/scheduler"
+	"ternstage/internal/wire"
+)
+
+// instance is one broker of the simulation. It implements scheduler.Actions.
+//
+// It keeps the scheduler's actions until the end of the batch, as a teardown later in the batch voids them.
+type instance struct {
+	id        uint32
+	scheduler *scheduler.Scheduler // nil before EventCreate, and after EventTeardown or a panic
+	actions   []func(*wire.Reply)
+	active    bool // in host.active
+}
+
+// create starts the instance anew.
+func (in *instance) create(record wire.Record) error {
+	in.actions = in.actions[:0]
+	seed, settings, err := record.Creation()
+	if err != nil {
+		return err
+	}
+	in.scheduler, err = scheduler.New(settings, seed, in)
+	if err != nil {
+		return fmt.Errorf("settings: %w", err)
+	}
+	return nil
+}
+
+// tearDown forgets all that the instance held.
+func (in *instance) tearDown() {
+	in.scheduler = nil
+	in.actions = in.actions[:0]
+}
+
+// guard calls the scheduler. A panic ends the instance and becomes the wire's fault.
+func (in *instance) guard(call func()) {
+	defer func() {
+		if failure := recover(); failure != nil {
+			in.add(func(reply *wire.Reply) { reply.Fault(fmt.Sprint(failure)) })
+			in.scheduler = nil
+		}
+	}()
+	if in.scheduler != nil {
+		call()
+	}
+}
+
+func (in *instance) add(action func(*wire.Reply)) { in.actions = append(in.actions, action) }
+
+// flush moves the actions of the batch to the reply.
+func (in *instance) flush(reply *wire.Reply) {
+	if len(in.actions) > 0 {
+		reply.SelectInstance(in.id)
+	}
+	for _, action := range in.actions {
+		action(reply)
+	}
+	in.actions = in.actions[:0]
+}
+
+// Send implements scheduler.Actions.
+func (in *instance) Send(part uint64, replica uint32, timeoutMs float64) {
+	in.add(func(reply *wire.Reply) { reply.Send(part, timeoutMs, replica) })
+}
+
+// Cancel implements scheduler.Actions.
+func (in *instance) Cancel(part uint64, attempt int) {
+	in.add(func(reply *wire.Reply) { reply.Cancel(part, uint16(attempt)) })
+}
+
+// CloseIdleConnections implements scheduler.Actions.
+func (in *instance) CloseIdleConnections(replica uint32) {
+	in.add(func(reply *wire.Reply) { reply.CloseIdleConnections(replica) })
+}
+
+// Answer implements scheduler.Actions.
+func (in *instance) Answer(query uint64, complete bool) {
+	in.add(func(reply *wire.Reply) { reply.Answer(query, complete) })
+}
+
+// Reject implements scheduler.Actions.
+func (in *instance) Reject(query uint64, retryAfterMs float64) {
+	in.add(func(reply *wire.Reply) { reply.Reject(query, retryAfterMs) })
+}
+
+// Fail implements scheduler.Actions.
+func (in *instance) Fail(query uint64) {
+	in.add(func(reply *wire.Reply) { reply.Fail(query) })
+}
+
+// SetTimer implements scheduler.Actions. The timer's reference is not used: the scheduler tells by the time whether the
+// timer that it waits for has fired.
+func (in *instance) SetTimer(afterMs float64) {
+	in.add(func(reply *wire.Reply) { reply.SetTimer(afterMs, 0) })
+}
+
+// WatchEndpoints implements scheduler.Actions.
+func (in *instance) WatchEndpoints() { in.add((*wire.Reply).WatchEndpoints) }
+
+// Log implements scheduler.Actions.
+func (in *instance) Log(text string) {
+	in.add(func(reply *wire.Reply) { reply.Log(text) })
+}
