--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -8,100 +8,164 @@
 	"ternstage/internal/slicemap"
 )
 
-type settingsText struct {
-	Balancers  int `json:"balancers"`
-	Me         int `json:"me"`
-	Zone       int `json:"zone"`
-	Categories []struct {
-		Aim      float64 `json:"aim_ms"`
-		Deadline float64 `json:"deadline_ms"`
-		Window   float64 `json:"dedup_window_ms"`
-		Effect   string  `json:"effect"`
-		Late     float64 `json:"late_worth"`
-		Worth    float64 `json:"worth"`
-	} `json:"categories"`
-	Customers []struct {
-		Allowance float64 `json:"allowance_per_s"`
-	} `json:"customers"`
-	Discovery string `json:"discovery"`
-	Domain    struct {
-		CallCost float64   `json:"call_cost_ms"`
-		Need     []float64 `json:"complete_from"`
-		Fetch    []int     `json:"fetch_parts"`
-		Partial  []float64 `json:"incomplete_worth"`
-		Floor    []float64 `json:"min_share"`
-		PerCall  int       `json:"per_call"`
-		Sets     int       `json:"sets"`
-		Slices   int       `json:"slices"`
-		Width    int       `json:"width"`
-	} `json:"domain"`
-	Rules struct {
-		AskWithin float64 `json:"ask_within_ms"`
-		Share     float64 `json:"budget_share"`
-		Spare     float64 `json:"spare_attempts"`
-		Window    float64 `json:"extra_window_ms"`
-		ColdFrom  float64 `json:"cold_from"`
-		WarmIn    float64 `json:"warm_within_ms"`
-		Grace     float64 `json:"drain_grace_ms"`
-		FallTimes float64 `json:"fall_multiple"`
-		FallFor   float64 `json:"fall_ms"`
-		Answer    float64 `json:"grace_to_answer_ms"`
-	} `json:"invariants"`
-	Limits struct {
-		Cancel     bool    `json:"cancel"`
-		Parallel   bool    `json:"parallel_tries"`
-		Tries      int     `json:"try_limit"`
-		RetryAfter bool    `json:"retry_after"`
-		MaxWait    float64 `json:"max_retry_after_ms"`
-	} `json:"limits"`
-	OverShare float64 `json:"over_share_worth"`
-	Tick      float64 `json:"resolution_ms"`
+// platformSettings mirrors the JSON of the settings that the scheduler uses. Times are in milliseconds.
+type platformSettings struct {
+	Balancers      int                `json:"balancers"`
+	Me             int                `json:"me"`
+	Zone           int                `json:"zone"`
+	Categories     []platformCategory `json:"categories"`
+	Customers      []platformCustomer `json:"customers"`
+	Discovery      string             `json:"discovery"`
+	Domain         platformDomain     `json:"domain"`
+	Invariants     platformInvariants `json:"invariants"`
+	Limits         platformLimits     `json:"limits"`
+	OverShareWorth float64            `json:"over_share_worth"`
+	ResolutionMs   float64            `json:"resolution_ms"`
 }
 
-// ParseSettings reads the settings text of a CREATE event. Unknown keys are ignored.
+type platformCategory struct {
+	AimMs         float64 `json:"aim_ms"`
+	DeadlineMs    float64 `json:"deadline_ms"`
+	DedupWindowMs float64 `json:"dedup_window_ms"`
+	Effect        string  `json:"effect"`
+	LateWorth     float64 `json:"late_worth"`
+	Worth         float64 `json:"worth"`
+}
+
+type platformCustomer struct {
+	AllowancePerS float64 `json:"allowance_per_s"`
+}
+
+// platformDomain holds lists by the index of a category. They may be shorter than the list of categories.
+type platformDomain struct {
+	CallCostMs      float64   `json:"call_cost_ms"`
+	CompleteFrom    []float64 `json:"complete_from"`
+	FetchParts      []int     `json:"fetch_parts"`
+	IncompleteWorth []float64 `json:"incomplete_worth"`
+	MinShare        []float64 `json:"min_share"`
+	PerCall         int       `json:"per_call"`
+	Sets            int       `json:"sets"`
+	Slices          int       `json:"slices"`
+	Width           int       `json:"width"`
+}
+
+type platformInvariants struct {
+	AskWithinMs     float64 `json:"ask_within_ms"`
+	BudgetShare     float64 `json:"budget_share"`
+	SpareAttempts   float64 `json:"spare_attempts"`
+	ExtraWindowMs   float64 `json:"extra_window_ms"`
+	ColdFrom        float64 `json:"cold_from"`
+	WarmWithinMs    float64 `json:"warm_within_ms"`
+	DrainGraceMs    float64 `json:"drain_grace_ms"`
+	FallMultiple    float64 `json:"fall_multiple"`
+	FallMs          float64 `json:"fall_ms"`
+	GraceToAnswerMs float64 `json:"grace_to_answer_ms"`
+}
+
+type platformLimits struct {
+	Cancel          bool    `json:"cancel"`
+	ParallelTries   bool    `json:"parallel_tries"`
+	TryLimit        int     `json:"try_limit"`
+	RetryAfter      bool    `json:"retry_after"`
+	MaxRetryAfterMs float64 `json:"max_retry_after_ms"`
+}
+
+// pollDiscovery is the value of "discovery" where changes of the endpoint list have to be asked for.
+const pollDiscovery = "on_request"
+
+// idempotencies maps the values of "effect".
+var idempotencies = map[string]scheduler.Idempotency{
+	"read_like":       scheduler.Idempotent,
+	"idempotency_key": scheduler.IdempotentWithKey,
+	"non_idempotent":  scheduler.NonIdempotent,
+}
+
+// ParseSettings parses the platform's settings, as EventCreate and the configuration of a broker contain them, with the
+// placement that they state. It ignores names that the scheduler has no use for, and does not check ranges, which
+// scheduler.New does. Errors name the setting.
 func ParseSettings(text []byte) (scheduler.Settings, error) {
-	var t settingsText
-	if err := json.Unmarshal(text, &t); err != nil {
+	var decoded platformSettings
+	if err := json.Unmarshal(text, &decoded); err != nil {
 		return scheduler.Settings{}, fmt.Errorf("settings: %w", err)
 	}
-	s := scheduler.Settings{OverQuotaFactor: t.OverShare, BrokerIndex: t.Me, BrokerCount: t.Balancers, LocalZone: t.Zone, TimerResolution: t.Tick,
-		Shards: t.Domain.Slices, Cells: t.Domain.Sets, CellsPerShard: t.Domain.Width, MaxPartsPerCall: t.Domain.PerCall,
-		CallOverhead: t.Domain.CallCost, PollEndpoints: t.Discovery == "on_request", MaxStaleness: t.Rules.AskWithin,
-		CanCancel: t.Limits.Cancel, AllowHedging: t.Limits.Parallel,
-		MaxAttempts: t.Limits.Tries,
-		DrainGrace:  t.Rules.Grace, SlowStart: scheduler.SlowStartSettings{InitialCapacity: t.Rules.ColdFrom,
-			Duration: t.Rules.WarmIn, WorkMultiple: t.Rules.FallTimes, Window: t.Rules.FallFor},
-		RetryBudget: scheduler.RetryBudgetSettings{Spare: t.Rules.Spare, Ratio: t.Rules.Share, Window: t.Rules.Window},
-		AnswerGrace: t.Rules.Answer}
-	s.Placement = slicemap.NewRingPlacement(s.Shards, s.Cells, s.CellsPerShard)
-	if t.Limits.RetryAfter {
-		s.MaxRetryAfter = t.Limits.MaxWait
-	}
-	for i, c := range t.Categories {
-		k := scheduler.Class{LatencyObjective: c.Aim, Deadline: c.Deadline, PriorityWeight: c.Worth, LateFactor: c.Late, DedupWindow: c.Window,
-			MinCompleteness: at(t.Domain.Floor, i, 1), CompletenessTarget: at(t.Domain.Need, i, 1), PartialFactor: at(t.Domain.Partial, i, 0),
-			SecondStepParts: at(t.Domain.Fetch, i, 0)}
-		switch c.Effect {
-		case "read_like":
-			k.Idempotency = scheduler.Idempotent
-		case "idempotency_key":
-			k.Idempotency = scheduler.IdempotentWithKey
-		case "non_idempotent":
-			k.Idempotency = scheduler.NonIdempotent
-		default:
-			return s, fmt.Errorf("settings: categories[%d].effect %q is unknown", i, c.Effect)
+	settings := decoded.schedulerSettings()
+	for i := range decoded.Categories {
+		class, err := decoded.class(i)
+		if err != nil {
+			return scheduler.Settings{}, fmt.Errorf("settings: %w", err)
 		}
-		s.Classes = append(s.Classes, k)
+		settings.Classes = append(settings.Classes, class)
+	}
+	for _, customer := range decoded.Customers {
+		settings.TenantRates = append(settings.TenantRates, customer.AllowancePerS)
+	}
+	return settings, nil
+}
+
+// schedulerSettings maps all but the classes and tenants.
+func (s *platformSettings) schedulerSettings() scheduler.Settings {
+	settings := scheduler.Settings{
+		OverQuotaFactor: s.OverShareWorth,
+		BrokerIndex:     s.Me,
+		BrokerCount:     s.Balancers,
+		LocalZone:       s.Zone,
+		TimerResolution: s.ResolutionMs,
+		Shards:          s.Domain.Slices,
+		Cells:           s.Domain.Sets,
+		CellsPerShard:   s.Domain.Width,
+		Placement:       slicemap.NewRingPlacement(s.Domain.Slices, s.Domain.Sets, s.Domain.Width),
+		MaxPartsPerCall: s.Domain.PerCall,
+		CallOverhead:    s.Domain.CallCostMs,
+		PollEndpoints:   s.Discovery == pollDiscovery,
+		MaxStaleness:    s.Invariants.AskWithinMs,
+		CanCancel:       s.Limits.Cancel,
+		AllowHedging:    s.Limits.ParallelTries,
+		MaxAttempts:     s.Limits.TryLimit,
+		DrainGrace:      s.Invariants.DrainGraceMs,
+		SlowStart: scheduler.SlowStartSettings{
+			InitialCapacity: s.Invariants.ColdFrom,
+			Duration:        s.Invariants.WarmWithinMs,
+			WorkMultiple:    s.Invariants.FallMultiple,
+			Window:          s.Invariants.FallMs,
+		},
+		RetryBudget: scheduler.RetryBudgetSettings{
+			Spare:  s.Invariants.SpareAttempts,
+			Ratio:  s.Invariants.BudgetShare,
+			Window: s.Invariants.ExtraWindowMs,
+		},
+		AnswerGrace: s.Invariants.GraceToAnswerMs,
+	}
+	if s.Limits.RetryAfter {
+		settings.MaxRetryAfter = s.Limits.MaxRetryAfterMs
 	}
-	for _, c := range t.Customers {
-		s.TenantRates = append(s.TenantRates, c.Allowance)
+	return settings
+}
+
+// class maps the category at an index. What the domain does not state for it: an answer needs all of the weight, is
+// worth nothing if it is partial, and there is no second step.
+func (s *platformSettings) class(index int) (scheduler.Class, error) {
+	category := s.Categories[index]
+	idempotency, ok := idempotencies[category.Effect]
+	if !ok {
+		return scheduler.Class{}, fmt.Errorf("categories[%d].effect %q is unknown", index, category.Effect)
 	}
-	return s, nil
+	return scheduler.Class{
+		LatencyObjective:   category.AimMs,
+		Deadline:           category.DeadlineMs,
+		PriorityWeight:     category.Worth,
+		LateFactor:         category.LateWorth,
+		Idempotency:        idempotency,
+		DedupWindow:        category.DedupWindowMs,
+		MinCompleteness:    elementOr(s.Domain.MinShare, index, 1),
+		CompletenessTarget: elementOr(s.Domain.CompleteFrom, index, 1),
+		PartialFactor:      elementOr(s.Domain.IncompleteWorth, index, 0),
+		SecondStepParts:    elementOr(s.Domain.FetchParts, index, 0),
+	}, nil
 }
 
-func at[T any](list []T, i int, absent T) T {
-	if i < len(list) {
-		return list[i]
+func elementOr[T any](list []T, index int, absent T) T {
+	if index < len(list) {
+		return list[index]
 	}
 	return absent
 }
