--- a/cmd/ternstage/broker.go
+++ b/cmd/ternstage/broker.go
@@ -216,13 +216,19 @@
 	return control.HandoverConfig{
 		Path:          filepath.Join(os.TempDir(), handoverFile),
 		WindowMs:      b.config.Scheduler.SlowStart.Window,
-		StartedUnixMs: float64(b.startedAt.UnixMicro()) / 1000,
+		StartedUnixMs: unixMs(b.startedAt),
 		BrokerCount:   b.config.Scheduler.BrokerCount,
 		Core:          b.core,
 		Known:         func(replica uint32) bool { return b.endpoints.Address(replica) != "" },
 	}
 }
 
+// unixMs returns a time as Unix time in milliseconds, with microseconds as a fraction.
+func unixMs(at time.Time) float64 {
+	const microsecondsPerMs = 1000
+	return float64(at.UnixMicro()) / microsecondsPerMs
+}
+
 // followEndpointList applies the endpoints that the configuration names and follows discovery.
 func (b *broker) followEndpointList() {
 	b.watcher.LoadKnown(b.config.KnownEndpoints)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -103,10 +103,12 @@
 		return nil, err
 	}
 	var err error
-	if c.InheritedFD, err = inheritedFD(env); err != nil {
+	c.InheritedFD, err = inheritedFD(env)
+	if err != nil {
 		return nil, err
 	}
-	if c.Seed, err = parseSeed(decoded.Seed); err != nil {
+	c.Seed, err = parseSeed(decoded.Seed)
+	if err != nil {
 		return nil, err
 	}
 	if err := c.validateLimits(); err != nil {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -87,11 +87,13 @@
 		return settingError("settings", ErrMissing)
 	}
 	var err error
-	if c.Scheduler, err = wire.ParseSettings(text); err != nil {
+	c.Scheduler, err = wire.ParseSettings(text)
+	if err != nil {
 		return err
 	}
 	var decoded platformSettings
-	if err := errors.Join(json.Unmarshal(text, &decoded), json.Unmarshal(text, &c.Settings)); err != nil {
+	err = errors.Join(json.Unmarshal(text, &decoded), json.Unmarshal(text, &c.Settings))
+	if err != nil {
 		return settingError("settings", err)
 	}
 	if err := decoded.validate(); err != nil {
--- a/internal/wire/fixture_test.go
+++ b/internal/wire/fixture_test.go
@@ -12,9 +12,9 @@
 // frame decodes a frame that is written in hexadecimal digits and white space.
 func frame(t *testing.T, text string) []byte {
 	t.Helper()
-	bytes, err := hex.DecodeString(strings.Join(strings.Fields(text), ""))
+	decoded, err := hex.DecodeString(strings.Join(strings.Fields(text), ""))
 	require.NoError(t, err)
-	return bytes
+	return decoded
 }
 
 // eventRecord pads the text of an event's record with zeros.
