--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -23,8 +23,8 @@
 		MemoryMB *int     `json:"memory_mb"`
 		Sockets  *int     `json:"sockets"`
 	} `json:"limits"`
-	Known    discovery.EndpointList  `json:"known"`
-	Settings json.RawMessage `json:"settings"`
+	Known    discovery.EndpointList `json:"known"`
+	Settings json.RawMessage        `json:"settings"`
 }
 
 // config maps the file, except for the settings and what has to be parsed.
--- a/internal/discovery/registry_test.go
+++ b/internal/discovery/registry_test.go
@@ -28,7 +28,7 @@
 	listed    []string
 }
 
-func (s *fakeSuspender) EndpointListed(id string)   { s.listed = append(s.listed, id) }
+func (s *fakeSuspender) EndpointListed(id string) { s.listed = append(s.listed, id) }
 func (s *fakeSuspender) Suspended(id string) bool { return s.suspended[id] }
 
 // TestApplyTranslates: zones become indexes, starts move to the loop's clock, and numbers depend on the ID alone.
