--- a/internal/backends/frame.go
+++ b/internal/backends/frame.go
@@ -23,17 +23,17 @@
 )
 
 const (
-	frameHead = 4
-	maxFrame  = 80 << 10 // bytes: a value goes into a body of 64 KiB at most
+	frameHeaderBytes = 4
+	maxFrameBytes  = 80 << 10 // bytes: a value goes into a body of 64 KiB at most
 )
 
-var errFrame = errors.New("the frame cannot be used")
+var errMalformedFrame = errors.New("the frame cannot be used")
 
-// begin appends the head of a frame, to be closed by finish.
-func begin(out []byte, letter byte) []byte { return append(out, 0, 0, 0, 0, letter) }
+// beginFrame appends the head of a frame, to be closed by finish.
+func beginFrame(out []byte, letter byte) []byte { return append(out, 0, 0, 0, 0, letter) }
 
-func finish(out []byte, at int) []byte {
-	binary.BigEndian.PutUint32(out[at:], uint32(len(out)-at-frameHead))
+func finishFrame(out []byte, at int) []byte {
+	binary.BigEndian.PutUint32(out[at:], uint32(len(out)-at-frameHeaderBytes))
 	return out
 }
 
@@ -62,40 +62,40 @@
 	return append(out, text...)
 }
 
-// next splits the first whole frame off in. size is 0 while it is not whole; what can be told of a frame
+// nextFrame splits the first whole frame off in. size is 0 while it is not whole; what can be told of a frame
 // that is not is checked at once.
-func next(in []byte) (letter byte, rest []byte, size int, err error) {
-	if len(in) < frameHead {
+func nextFrame(in []byte) (letter byte, rest []byte, size int, err error) {
+	if len(in) < frameHeaderBytes {
 		return 0, nil, 0, nil
 	}
 	n := binary.BigEndian.Uint32(in)
-	if n < 1 || n > maxFrame {
-		return 0, nil, 0, fmt.Errorf("%w: length %d", errFrame, n)
+	if n < 1 || n > maxFrameBytes {
+		return 0, nil, 0, fmt.Errorf("%w: length %d", errMalformedFrame, n)
 	}
-	if len(in) > frameHead {
-		switch letter = in[frameHead]; letter {
+	if len(in) > frameHeaderBytes {
+		switch letter = in[frameHeaderBytes]; letter {
 		case frameAnswer, frameProbe, frameLoad, frameError:
 		default:
-			return 0, nil, 0, fmt.Errorf("%w: letter %q", errFrame, letter)
+			return 0, nil, 0, fmt.Errorf("%w: letter %q", errMalformedFrame, letter)
 		}
 	}
-	if size = frameHead + int(n); len(in) < size {
+	if size = frameHeaderBytes + int(n); len(in) < size {
 		return 0, nil, 0, nil
 	}
-	return letter, in[frameHead+1 : size], size, nil
+	return letter, in[frameHeaderBytes+1 : size], size, nil
 }
 
 // The ends of an answer.
 const (
-	endOK   = "ok"
-	endErr  = "err"
-	endBusy = "busy"
-	endGone = "moved" // where slices move: it does not hold the districts; its epoch stands for the score
+	statusOK   = "ok"
+	statusFailed  = "err"
+	statusRejected = "busy"
+	statusNotHolder = "moved" // where slices move: it does not hold the districts; its epoch stands for the score
 )
 
 // answer is an A frame.
 type answer struct {
-	id, end string
+	partID, status string
 	epoch   uint64 // of moved
 	value   []byte
 }
@@ -105,25 +105,25 @@
 func parseAnswer(rest []byte, slices bool) (answer, error) {
 	line, value, ok := bytes.Cut(rest, []byte{'\n'})
 	f := bytes.SplitN(line, []byte{' '}, 4)
-	a := answer{id: string(f[0]), value: value}
+	a := answer{partID: string(f[0]), value: value}
 	if !ok || len(f) != 4 {
-		return a, fmt.Errorf("%w: answer line %.100q", errFrame, line)
+		return a, fmt.Errorf("%w: answer line %.100q", errMalformedFrame, line)
 	}
-	if a.end = string(f[1]); a.end == endGone && slices {
+	if a.status = string(f[1]); a.status == statusNotHolder && slices {
 		var err error
 		if a.epoch, err = strconv.ParseUint(string(f[2]), 10, 63); err != nil || a.epoch == 0 {
-			return a, fmt.Errorf("%w: epoch %.40q", errFrame, f[2])
+			return a, fmt.Errorf("%w: epoch %.40q", errMalformedFrame, f[2])
 		}
 		return a, nil
 	}
-	if a.end != endOK && a.end != endErr && a.end != endBusy {
-		return a, fmt.Errorf("%w: end %.20q", errFrame, a.end)
+	if a.status != statusOK && a.status != statusFailed && a.status != statusRejected {
+		return a, fmt.Errorf("%w: end %.20q", errMalformedFrame, a.status)
 	}
 	if _, err := strconv.ParseFloat(string(f[2]), 64); err != nil {
-		return a, fmt.Errorf("%w: score %.40q", errFrame, f[2])
+		return a, fmt.Errorf("%w: score %.40q", errMalformedFrame, f[2])
 	}
-	if a.end == endOK && !core.ValidValue(value) {
-		return a, fmt.Errorf("%w: value %.40q", errFrame, value)
+	if a.status == statusOK && !core.ValidValue(value) {
+		return a, fmt.Errorf("%w: value %.40q", errMalformedFrame, value)
 	}
 	return a, nil
 }
--- a/internal/backends/limit_test.go
+++ b/internal/backends/limit_test.go
@@ -118,7 +118,7 @@
 			h.release <- struct{}{}
 		}
 	}
-	var limit connLimit
+	var limit connectionLimit
 	o.next = func(round int) bool {
 		switch served := o.got[round-1][told{scheduler.Succeeded, false}]; {
 		case h.queue:
@@ -127,7 +127,7 @@
 			send(6)
 		default:
 			h.mu.Lock()
-			h.queue, limit = true, p.limit
+			h.queue, limit = true, p.connectionLimit
 			h.mu.Unlock()
 			send(4)
 		}
@@ -143,8 +143,8 @@
 	}
 	assert.Equal(t, map[told]int{{scheduler.Succeeded, false}: 6}, o.got[last-1], "they share what stands: %v", o.got)
 	assert.Equal(t, map[told]int{{scheduler.Rejected, false}: 4}, o.got[last])
-	assert.Equal(t, limit, p.limit, "a full queue says nothing of connections")
-	assert.Less(t, limit.now(l.Now()), spread)
+	assert.Equal(t, limit, p.connectionLimit, "a full queue says nothing of connections")
+	assert.Less(t, limit.current(l.Now()), maxUnsharedConnections)
 	p.Close()
 }
 
@@ -157,18 +157,18 @@
 		for _, held := range []float64{1.2, 2, 3.3} {
 			holds := int(held * float64(n))
 			dice := rand.New(rand.NewPCG(uint64(holds), 7))
-			limits, have, used := make([]connLimit, n), make([][nodes]int, n), [nodes]int{}
+			limits, have, used := make([]connectionLimit, n), make([][nodes]int, n), [nodes]int{}
 			over, none, asked := 0, 0, 0
 			for now := 0.0; now < end; now += step {
 				for _, i := range dice.Perm(n) {
 					l := &limits[i]
 					for k := range nodes {
-						for have[i][k] > l.now(now) { // idle ones beyond the limit are closed
+						for have[i][k] > l.current(now) { // idle ones beyond the limit are closed
 							have[i][k], used[k] = have[i][k]-1, used[k]-1
 						}
-						for want := min(l.now(now), 1+dice.IntN(6)); have[i][k] < want; {
+						for want := min(l.current(now), 1+dice.IntN(6)); have[i][k] < want; {
 							if used[k] == holds {
-								l.turnedAway(now, now)
+								l.connectionRejected(now, now)
 								if over++; have[i][k] == 0 {
 									none++
 								}
@@ -177,7 +177,7 @@
 							have[i][k], used[k] = have[i][k]+1, used[k]+1
 						}
 						asked++
-						if x := l.now(now); x < 1 || x > spread {
+						if x := l.current(now); x < 1 || x > maxUnsharedConnections {
 							t.Fatalf("limit %d", x)
 						}
 					}
@@ -194,7 +194,7 @@
 			assert.Less(t, float64(over)/float64(asked), 0.06, "%d brokers, %v held: turned away", n, held)
 			assert.Greater(t, float64(sum), 0.5*float64(holds*nodes), "%d brokers, %v held: used", n, held)
 			for i := range limits {
-				assert.Equal(t, spread, limits[i].now(end+spread*limitGrow))
+				assert.Equal(t, maxUnsharedConnections, limits[i].current(end+maxUnsharedConnections*limitGrowthMs))
 			}
 		}
 	}
--- a/internal/backends/pool.go
+++ b/internal/backends/pool.go
@@ -26,14 +26,14 @@
 }
 
 const (
-	idleShare = 0.9    // of the backend's idle time, after which we close: a close that crosses a part resets it
-	idleSpare = 1500.0 // ms: at least so long before the backend does
-	maxRead   = 2 * maxFrame
+	idleCloseRatio = 0.9    // of the backend's idle time, after which we close: a close that crosses a part resets it
+	idleCloseMarginMs = 1500.0 // ms: at least so long before the backend does
+	maxUnparsedBytes   = 2 * maxFrameBytes
 
-	wholeMost = 300.0 // ms from a frame's first byte to its last
-	givenMost = 64    // parts given up on a connection that may still be answered
-	atOnce    = 5.0   // ms after which a connection that breaks did so under the part, not before it
-	freshFor  = 250.0 // ms since a connection was last used, within which it may carry a part that must not
+	maxFrameDurationMs = 300.0 // ms from a frame's first byte to its last
+	maxAbandonedParts = 64    // parts given up on a connection that may still be answered
+	immediateLossMs    = 5.0   // ms after which a connection that breaks did so under the part, not before it
+	maxNonIdempotentIdleMs  = 250.0 // ms since a connection was last used, within which it may carry a part that must not
 	// run twice: one that has gone dead unseen would lose it
 )
 
@@ -48,35 +48,35 @@
 	loop    *loop.Loop
 	core    Core
 	log     *logs.Log
-	o       Options
+	options       Options
 	address func(node uint32) string
-	nodes   map[uint32]*node
-	dirty   []*node // sent to in this turn
-	conns   int
-	risk    idleRisk
-	limit   connLimit
+	backends   map[uint32]*backend
+	unflushed   []*backend // sent to in this turn
+	connectionCount   int
+	idleRisk    idleRisk
+	connectionLimit   connectionLimit
 	timer   *loop.Timer
 }
 
 // NewPool makes a pool; address looks a node's address up.
 func NewPool(l *loop.Loop, c Core, log *logs.Log, o Options, address func(uint32) string) *Pool {
 	o.MaxPartsPerCall, o.StreamsPerConnection, o.MaxConnections = max(o.MaxPartsPerCall, 1), max(o.StreamsPerConnection, 1), max(o.MaxConnections, 1)
-	p := &Pool{loop: l, core: c, log: log, o: o, address: address, nodes: map[uint32]*node{}}
-	p.timer = l.NewTimer(p.tend)
+	p := &Pool{loop: l, core: c, log: log, options: o, address: address, backends: map[uint32]*backend{}}
+	p.timer = l.NewTimer(p.enforceTimeouts)
 	return p
 }
 
-type node struct {
-	number uint32
-	addr   string
-	conns  []*conn
-	turn   []*core.Attempt // sent in this turn, not yet in calls
+type backend struct {
+	replica uint32
+	address   string
+	connections  []*connection
+	unplaced   []*core.Attempt // sent in this turn, not yet in calls
 }
 
-// usable is how many connections take calls.
-func (l *node) usable() (n int) {
-	for _, c := range l.conns {
-		if c.retired == "" && c.first == nil {
+// usableConnections is how many connections take calls.
+func (l *backend) usableConnections() (n int) {
+	for _, c := range l.connections {
+		if c.retiredFor == "" && c.pendingRejection == nil {
 			n++
 		}
 	}
@@ -85,112 +85,112 @@
 
 // call is one Q frame.
 type call struct {
-	conn  *conn
-	parts []*out
-	left  int // parts out
-	sent  float64
-	end   uint64  // the frame's last byte, counted on its connection; 0 until it is encoded
-	idle  float64 // ms that its connection had been idle
+	connection  *connection
+	parts []*part
+	partsInFlight  int // parts out
+	sentAt  float64
+	endOffset   uint64  // the frame's last byte, counted on its connection; 0 until it is encoded
+	idleBefore  float64 // ms that its connection had been idle
 }
 
-// out is a part that is out; it is the attempt's handle.
-type out struct {
-	a    *core.Attempt
+// part is a part that is out; it is the attempt's handle.
+type part struct {
+	attempt    *core.Attempt
 	id   string
 	call *call
-	over bool
+	ended bool
 }
 
 // Send implements core.Backend.
 func (p *Pool) Send(a *core.Attempt) {
-	l := p.nodes[a.Backend]
+	l := p.backends[a.Backend]
 	if l == nil {
-		l = &node{number: a.Backend}
-		p.nodes[a.Backend] = l
+		l = &backend{replica: a.Backend}
+		p.backends[a.Backend] = l
 	}
-	if len(l.turn) == 0 {
-		p.dirty = append(p.dirty, l)
+	if len(l.unplaced) == 0 {
+		p.unflushed = append(p.unflushed, l)
 	}
-	l.turn = append(l.turn, a)
+	l.unplaced = append(l.unplaced, a)
 }
 
 // Flush implements core.Backend: the parts of this turn go out in calls.
 func (p *Pool) Flush() {
-	dirty := p.dirty
-	p.dirty = nil
+	dirty := p.unflushed
+	p.unflushed = nil
 	for _, l := range dirty {
-		turn := l.turn
-		l.turn = nil
-		if addr := p.address(l.number); addr != l.addr {
+		turn := l.unplaced
+		l.unplaced = nil
+		if addr := p.address(l.replica); addr != l.address {
 			// A new address: connections to the old one take nothing new.
-			for _, c := range l.conns {
+			for _, c := range l.connections {
 				c.retire(logs.BackendAddressChanged)
 			}
-			l.addr = addr
+			l.address = addr
 		}
-		for parts := range slices.Chunk(turn, p.o.MaxPartsPerCall) {
-			p.place(l, parts)
+		for parts := range slices.Chunk(turn, p.options.MaxPartsPerCall) {
+			p.placeCall(l, parts)
 		}
-		for _, c := range slices.Clone(l.conns) {
+		for _, c := range slices.Clone(l.connections) {
 			c.write()
 		}
 	}
-	p.plan()
+	p.armTimer()
 }
 
-// place gives a call to a connection.
-func (p *Pool) place(l *node, parts []*core.Attempt) {
-	k := &call{sent: p.loop.Now()}
+// placeCall gives a call to a connection.
+func (p *Pool) placeCall(l *backend, parts []*core.Attempt) {
+	k := &call{sentAt: p.loop.Now()}
 	for _, a := range parts {
-		o := &out{a: a, id: partID(a), call: k}
+		o := &part{attempt: a, id: partID(a), call: k}
 		a.Handle = o
 		k.parts = append(k.parts, o)
 	}
-	k.left = len(k.parts)
-	best := p.choose(l, slices.ContainsFunc(parts, func(a *core.Attempt) bool { return a.NonIdempotent }))
+	k.partsInFlight = len(k.parts)
+	best := p.selectConnection(l, slices.ContainsFunc(parts, func(a *core.Attempt) bool { return a.NonIdempotent }))
 	if best == nil {
 		for _, o := range k.parts {
-			o.over = true
-			p.core.AttemptEndedLater(o.a, scheduler.ConnectFailed)
+			o.ended = true
+			p.core.AttemptEndedLater(o.attempt, scheduler.ConnectFailed)
 		}
 		return
 	}
-	if k.conn = best; best.up && len(best.calls) == 0 {
-		k.idle = p.loop.Now() - best.heard
+	if k.connection = best; best.established && len(best.calls) == 0 {
+		k.idleBefore = p.loop.Now() - best.lastReceivedAt
 	}
-	best.calls, best.waiting = append(best.calls, k), append(best.waiting, k)
-	best.idleAt = math.Inf(1)
+	best.calls, best.unencoded = append(best.calls, k), append(best.unencoded, k)
+	best.idleCloseAt = math.Inf(1)
 	for _, o := range k.parts {
-		best.byID[o.id] = o
+		best.partsByID[o.id] = o
 	}
 }
 
-// choose is the connection for a call. Calls share one only when there are many: whatever comes spoilt or
+// selectConnection is the connection for a call. Calls share one only when there are many: whatever comes spoilt or
 // breaks off takes all with it that is out beside it. Of idle ones it takes the one used last, so that
 // others can go. once tells that the call must not be lost with a connection that has gone dead while
 // nobody looked.
-func (p *Pool) choose(l *node, once bool) *conn {
-	var best *conn
-	now, most := p.loop.Now(), max(1, min(p.limit.now(p.loop.Now()), p.o.MaxConnections/max(len(p.nodes), 1)))
-	for _, c := range l.conns {
+func (p *Pool) selectConnection(l *backend, once bool) *connection {
+	var best *connection
+	now, most := p.loop.Now(), max(1, min(p.connectionLimit.current(p.loop.Now()), p.options.MaxConnections/max(len(p.backends), 1)))
+	for _, c := range l.connections {
 		unused := 0.0
-		if c.up && len(c.calls) == 0 {
-			unused = now - c.heard
+		if c.established && len(c.calls) == 0 {
+			unused = now - c.lastReceivedAt
 		}
-		if !p.risk.fits(now, unused, riskMost) {
+		if !p.idleRisk.allows(now, unused, maxLossRate) {
 			c.retire(logs.BackendIdle)
 		}
-		if c.retired != "" || c.first != nil || len(c.calls)+len(c.given) >= p.o.StreamsPerConnection ||
-			once && (unused > freshFor || !p.risk.fits(now, unused, riskOnce)) {
+		if c.retiredFor != "" || c.pendingRejection != nil || len(c.calls)+len(c.abandoned) >= p.options.StreamsPerConnection ||
+			once && (unused > maxNonIdempotentIdleMs || !p.idleRisk.allows(now, unused, maxNonIdempotentLossRate)) {
 			continue
 		}
 		if best == nil || len(c.calls) < len(best.calls) ||
-			len(c.calls) == len(best.calls) && c.heard > best.heard {
+			len(c.calls) == len(best.calls) && c.lastReceivedAt > best.lastReceivedAt {
 			best = c
 		}
 	}
-	if best == nil || len(best.calls) > 0 && l.usable() < most && p.conns < p.o.MaxConnections {
-		if c := p.dial(l); c != nil {
+	if best == nil || len(best.calls) > 0 && l.usableConnections() < most && p.connectionCount < p.options.MaxConnections {
+		if c := p.openConnection(l); c != nil {
 			return c
 		}
 	}
@@ -199,18 +199,18 @@
 
 // Withdraw implements core.Backend.
 func (p *Pool) Withdraw(a *core.Attempt) bool {
-	if l := p.nodes[a.Backend]; l != nil {
-		if i := slices.Index(l.turn, a); i >= 0 {
-			l.turn = slices.Delete(l.turn, i, i+1)
+	if l := p.backends[a.Backend]; l != nil {
+		if i := slices.Index(l.unplaced, a); i >= 0 {
+			l.unplaced = slices.Delete(l.unplaced, i, i+1)
 			return true
 		}
 	}
-	o, _ := a.Handle.(*out)
-	if o == nil || o.over || o.call.end > 0 {
+	o, _ := a.Handle.(*part)
+	if o == nil || o.ended || o.call.endOffset > 0 {
 		return false
 	}
-	o.over = true
-	o.call.conn.done(o) // not encoded: it is left out of the frame
+	o.ended = true
+	o.call.connection.removePart(o) // not encoded: it is left out of the frame
 	return true
 }
 
@@ -219,32 +219,32 @@
 	if p.Withdraw(a) {
 		return true
 	}
-	o, _ := a.Handle.(*out)
-	if o == nil || o.over {
+	o, _ := a.Handle.(*part)
+	if o == nil || o.ended {
 		return false
 	}
-	k, c := o.call, o.call.conn
-	o.over = true
-	if c.given[o.id] = true; c.heard < k.sent {
+	k, c := o.call, o.call.connection
+	o.ended = true
+	if c.abandoned[o.id] = true; c.lastReceivedAt < k.sentAt {
 		// Nothing has come since the part went out: the connection may have gone dead unseen. A new one tells
 		// whether the backend can be reached.
 		c.retire(logs.BackendUnresponsive)
 	}
-	if len(c.given) > givenMost {
+	if len(c.abandoned) > maxAbandonedParts {
 		c.retire(logs.BackendUnresponsive)
 	}
-	at := len(c.s.Out)
-	c.s.Out = finish(append(begin(c.s.Out, frameAbandon), o.id...), at)
-	c.queued += uint64(len(c.s.Out) - at)
-	c.done(o)
+	at := len(c.stream.Out)
+	c.stream.Out = finishFrame(append(beginFrame(c.stream.Out, frameAbandon), o.id...), at)
+	c.queuedBytes += uint64(len(c.stream.Out) - at)
+	c.removePart(o)
 	c.write()
 	return false
 }
 
 // CloseIdleConnections implements core.Backend.
 func (p *Pool) CloseIdleConnections(node uint32) {
-	if l := p.nodes[node]; l != nil {
-		for _, c := range slices.Clone(l.conns) {
+	if l := p.backends[node]; l != nil {
+		for _, c := range slices.Clone(l.connections) {
 			if len(c.calls) == 0 {
 				c.close(logs.BackendIdle, nil)
 			}
@@ -253,23 +253,23 @@
 }
 
 // OpenConnections is how many connections there are.
-func (p *Pool) OpenConnections() int { return p.conns }
+func (p *Pool) OpenConnections() int { return p.connectionCount }
 
 // Close closes what is open, at the end of the program.
 func (p *Pool) Close() {
-	for _, l := range p.nodes {
-		for _, c := range slices.Clone(l.conns) {
+	for _, l := range p.backends {
+		for _, c := range slices.Clone(l.connections) {
 			c.close(logs.Shutdown, nil)
 		}
 	}
 }
 
-// makeRoom closes the connection that has stood idle longest, so that another backend can be reached.
-func (p *Pool) makeRoom() bool {
-	var idle *conn
-	for _, l := range p.nodes {
-		for _, c := range l.conns {
-			if len(c.calls) == 0 && c.up && (idle == nil || c.idleAt < idle.idleAt) {
+// evictIdleConnection closes the connection that has stood idle longest, so that another backend can be reached.
+func (p *Pool) evictIdleConnection() bool {
+	var idle *connection
+	for _, l := range p.backends {
+		for _, c := range l.connections {
+			if len(c.calls) == 0 && c.established && (idle == nil || c.idleCloseAt < idle.idleCloseAt) {
 				idle = c
 			}
 		}
@@ -281,50 +281,50 @@
 	return true
 }
 
-// tend closes what is idle, gives up dials that take too long and parts that wait unwritten.
-func (p *Pool) tend() {
+// enforceTimeouts closes what is idle, gives up dials that take too long and parts that wait unwritten.
+func (p *Pool) enforceTimeouts() {
 	now := p.loop.Now()
-	for _, l := range p.nodes {
-		for _, c := range slices.Clone(l.conns) {
+	for _, l := range p.backends {
+		for _, c := range slices.Clone(l.connections) {
 			switch {
-			case !c.up && now >= c.dialBy:
+			case !c.established && now >= c.dialDeadline:
 				c.close(logs.BackendDialTimeout, nil)
-			case c.first != nil && now >= c.firstBy:
-				c.notCrowded()
-			case now >= c.cutAt:
-				c.spoilt(nil, fmt.Errorf("%w: it does not come whole", errFrame))
-			case len(c.calls) == 0 && c.retired != "":
-				c.close(c.retired, nil)
-			case len(c.calls) == 0 && now >= c.idleAt:
+			case c.pendingRejection != nil && now >= c.rejectionDueAt:
+				c.reportPendingRejection()
+			case now >= c.frameDeadline:
+				c.closeMalformed(nil, fmt.Errorf("%w: it does not come whole", errMalformedFrame))
+			case len(c.calls) == 0 && c.retiredFor != "":
+				c.close(c.retiredFor, nil)
+			case len(c.calls) == 0 && now >= c.idleCloseAt:
 				c.close(logs.BackendIdle, nil)
-			case now >= c.sendBy():
-				c.stuck(now)
+			case now >= c.startDeadline():
+				c.endStalled(now)
 			}
 		}
-		if len(l.conns) == 0 && len(l.turn) == 0 && p.address(l.number) == "" {
-			delete(p.nodes, l.number)
+		if len(l.connections) == 0 && len(l.unplaced) == 0 && p.address(l.replica) == "" {
+			delete(p.backends, l.replica)
 		}
 	}
-	p.plan()
+	p.armTimer()
 }
 
-// plan sets the pool's one timer.
-func (p *Pool) plan() {
+// armTimer sets the pool's one timer.
+func (p *Pool) armTimer() {
 	next := math.Inf(1)
-	for _, l := range p.nodes {
-		for _, c := range l.conns {
-			if !c.up {
-				next = min(next, c.dialBy)
+	for _, l := range p.backends {
+		for _, c := range l.connections {
+			if !c.established {
+				next = min(next, c.dialDeadline)
 			} else {
-				next = min(next, c.idleAt, c.cutAt)
+				next = min(next, c.idleCloseAt, c.frameDeadline)
 			}
-			if c.first != nil {
-				next = min(next, c.firstBy)
+			if c.pendingRejection != nil {
+				next = min(next, c.rejectionDueAt)
 			}
-			if c.retired != "" && len(c.calls) == 0 {
+			if c.retiredFor != "" && len(c.calls) == 0 {
 				next = min(next, p.loop.Now())
 			}
-			next = min(next, c.sendBy())
+			next = min(next, c.startDeadline())
 		}
 	}
 	p.timer.Set(next)
@@ -340,23 +340,23 @@
 	return string(out)
 }
 
-// dial opens a connection; nil if there can be none.
-func (p *Pool) dial(l *node) *conn {
-	if p.conns >= p.o.MaxConnections && !p.makeRoom() || l.addr == "" {
+// openConnection opens a connection; nil if there can be none.
+func (p *Pool) openConnection(l *backend) *connection {
+	if p.connectionCount >= p.options.MaxConnections && !p.evictIdleConnection() || l.address == "" {
 		return nil
 	}
-	fd, err := loop.ConnectFreeing(l.addr, func() bool { return p.o.FreeDescriptor != nil && p.o.FreeDescriptor() || p.makeRoom() })
+	fd, err := loop.ConnectFreeing(l.address, func() bool { return p.options.FreeDescriptor != nil && p.options.FreeDescriptor() || p.evictIdleConnection() })
 	now := p.loop.Now()
-	c := &conn{pool: p, node: l, byID: map[string]*out{}, given: map[string]bool{}, opened: now,
-		dialBy: now + p.o.DialTimeout, heard: now, idleAt: math.Inf(1), cutAt: math.Inf(1)}
+	c := &connection{pool: p, backend: l, partsByID: map[string]*part{}, abandoned: map[string]bool{}, openedAt: now,
+		dialDeadline: now + p.options.DialTimeout, lastReceivedAt: now, idleCloseAt: math.Inf(1), frameDeadline: math.Inf(1)}
 	if err == nil {
-		c.s, err = loop.NewStream(p.loop, fd, unix.EPOLLIN|unix.EPOLLOUT|unix.EPOLLRDHUP, c)
+		c.stream, err = loop.NewStream(p.loop, fd, unix.EPOLLIN|unix.EPOLLOUT|unix.EPOLLRDHUP, c)
 	}
 	if err != nil {
-		p.log.ConnectionEnded(logs.BackendConnectFailed, l.addr, 0, err)
+		p.log.ConnectionEnded(logs.BackendConnectFailed, l.address, 0, err)
 		return nil
 	}
-	l.conns = append(l.conns, c)
-	p.conns++
+	l.connections = append(l.connections, c)
+	p.connectionCount++
 	return c
 }
--- a/internal/backends/pool_test.go
+++ b/internal/backends/pool_test.go
@@ -96,5 +96,5 @@
 	assert.Zero(t, p.OpenConnections())
 	n, _ := io.Copy(io.Discard, c)
 	assert.Less(t, n, int64(16<<20))
-	assert.True(t, math.IsInf(new(conn).sendBy(), 1))
+	assert.True(t, math.IsInf(new(connection).startDeadline(), 1))
 }
