--- a/internal/backends/limit.go
+++ b/internal/backends/connection_limit.go
@@ -3,8 +3,8 @@
 import "math"
 
 const (
-	maxUnsharedConnections    = 4      // connections to a backend on which nothing else is out, before calls share one
-	limitGrowthMs = 5000.0 // ms without a connection turned away for one more
+	maxUnsharedConnections = 4      // connections to a backend on which nothing else is out, before calls share one
+	limitGrowthMs          = 5000.0 // ms without a connection turned away for one more
 )
 
 // connectionLimit is how many connections to one backend are opened so that calls need not share one. A backend
--- a/internal/backends/frame.go
+++ b/internal/backends/frame.go
@@ -1,5 +1,3 @@
-// Package backends speaks frames to nodes: a pool of connections for each, calls that share a connection, and
-// what is proved of a part when a connection breaks.
 package backends
 
 import (
@@ -8,7 +6,6 @@
 	"errors"
 	"fmt"
 	"strconv"
-
 	"ternstage/internal/core"
 )
 
@@ -24,7 +21,7 @@
 
 const (
 	frameHeaderBytes = 4
-	maxFrameBytes  = 80 << 10 // bytes: a value goes into a body of 64 KiB at most
+	maxFrameBytes    = 80 << 10 // bytes: a value goes into a body of 64 KiB at most
 )
 
 var errMalformedFrame = errors.New("the frame cannot be used")
@@ -87,17 +84,17 @@
 
 // The ends of an answer.
 const (
-	statusOK   = "ok"
-	statusFailed  = "err"
-	statusRejected = "busy"
+	statusOK        = "ok"
+	statusFailed    = "err"
+	statusRejected  = "busy"
 	statusNotHolder = "moved" // where slices move: it does not hold the districts; its epoch stands for the score
 )
 
 // answer is an A frame.
 type answer struct {
 	partID, status string
-	epoch   uint64 // of moved
-	value   []byte
+	epoch          uint64 // of moved
+	value          []byte
 }
 
 // parseAnswer reads an A frame. An answer that cannot be read may still tell whose it is. The report has no
--- a/internal/backends/idle.go
+++ b/internal/backends/idle_risk.go
@@ -3,12 +3,12 @@
 import "math"
 
 const (
-	idleTimeSlots = 16      // of idle times, each twice as long as the one before: 1 ms to a minute
-	firstIdleSlot = 3       // slot, of 8 ms, under which a connection is in use rather than idle
-	newestLossWeight  = 0.1     // weight of the newest part that went out on an idle connection
-	lossHalfLifeMs  = 30000.0 // ms in which what is known halves, so that it is tried again
-	maxLossRate  = 0.25    // share of parts lost from which connections so long idle are not used again
-	maxNonIdempotentLossRate  = 0.03    // the same for parts that must not run twice
+	idleTimeSlots            = 16      // of idle times, each twice as long as the one before: 1 ms to a minute
+	firstIdleSlot            = 3       // slot, of 8 ms, under which a connection is in use rather than idle
+	newestLossWeight         = 0.1     // weight of the newest part that went out on an idle connection
+	lossHalfLifeMs           = 30000.0 // ms in which what is known halves, so that it is tried again
+	maxLossRate              = 0.25    // share of parts lost from which connections so long idle are not used again
+	maxNonIdempotentLossRate = 0.03    // the same for parts that must not run twice
 )
 
 // idleRisk learns how long a connection may be idle before something on the way drops it unseen: then the
