--- a/internal/backends/abandon.go
+++ b/internal/backends/abandon.go
@@ -2,50 +2,57 @@
 
 import (
 	"slices"
+
 	"ternstage/internal/core"
 	"ternstage/internal/logs"
 )
 
-// Withdraw implements core.Backend.
-func (p *Pool) Withdraw(a *core.Attempt) bool {
-	if l := p.backends[a.Backend]; l != nil {
-		if i := slices.Index(l.unplaced, a); i >= 0 {
-			l.unplaced = slices.Delete(l.unplaced, i, i+1)
+// maxAbandonedParts is how many abandoned parts without an answer a connection may have before it takes no new calls.
+const maxAbandonedParts = 64
+
+// Withdraw implements core.Backend. A part can be withdrawn until its call is encoded: it is left out of the frame.
+func (p *Pool) Withdraw(attempt *core.Attempt) bool {
+	if backend := p.backends[attempt.Backend]; backend != nil {
+		if i := slices.Index(backend.unplaced, attempt); i >= 0 {
+			backend.unplaced = slices.Delete(backend.unplaced, i, i+1)
 			return true
 		}
 	}
-	o, _ := a.Handle.(*part)
-	if o == nil || o.ended || o.call.endOffset > 0 {
+	part, _ := attempt.Handle.(*part)
+	if part == nil || part.ended || part.call.encoded() {
 		return false
 	}
-	o.ended = true
-	o.call.connection.removePart(o) // not encoded: it is left out of the frame
+	part.ended = true
+	part.call.connection.removePart(part)
 	return true
 }
 
-// Abandon implements core.Backend.
-func (p *Pool) Abandon(a *core.Attempt) (neverRan bool) {
-	if p.Withdraw(a) {
+// Abandon implements core.Backend. An abandoned part that was sent may still be answered; that answer is ignored.
+func (p *Pool) Abandon(attempt *core.Attempt) (neverRan bool) {
+	withdrawn := p.Withdraw(attempt)
+	if withdrawn {
 		return true
 	}
-	o, _ := a.Handle.(*part)
-	if o == nil || o.ended {
+	part, _ := attempt.Handle.(*part)
+	if part == nil || part.ended {
 		return false
 	}
-	k, c := o.call, o.call.connection
-	o.ended = true
-	if c.abandoned[o.id] = true; c.lastReceivedAt < k.sentAt {
-		// Nothing has come since the part went out: the connection may have gone dead unseen. A new one tells
-		// whether the backend can be reached.
+	part.ended = true
+	c := part.call.connection
+	c.abandoned[part.id] = true
+	if c.lastReceivedAt < part.call.sentAt {
+		// Nothing has come since the part was sent: the connection may have been lost unseen. A new one shows whether
+		// the backend can be reached.
 		c.retire(logs.BackendUnresponsive)
 	}
 	if len(c.abandoned) > maxAbandonedParts {
 		c.retire(logs.BackendUnresponsive)
 	}
-	at := len(c.stream.Out)
-	c.stream.Out = finishFrame(append(beginFrame(c.stream.Out, frameAbandon), o.id...), at)
-	c.queuedBytes += uint64(len(c.stream.Out) - at)
-	c.removePart(o)
+	start := len(c.stream.Out)
+	c.stream.Out = beginFrame(c.stream.Out, frameAbandon)
+	c.stream.Out = append(c.stream.Out, part.id...)
+	c.endFrame(start)
+	c.removePart(part)
 	c.write()
 	return false
 }
--- a/internal/backends/answers.go
+++ b/internal/backends/answers.go
@@ -3,71 +3,83 @@
 import (
 	"fmt"
 	"slices"
+
 	"ternstage/internal/decision/scheduler"
 )
 
-// handleAnswer takes one frame of the backend. Where it cannot be used it names the part that it was for, if it can.
-func (c *connection) handleAnswer(letter byte, rest []byte) (*part, error) {
-	if letter != frameAnswer {
-		// No probe is sent, so nothing but answers can be good; an E says that we were not understood.
-		return nil, fmt.Errorf("%w: letter %q: %.100q", errMalformedFrame, letter, rest)
+// handleFrame handles one frame of the backend. Errors wrap errMalformedFrame; then it returns the part that the
+// frame was for, nil if that is unknown.
+func (c *connection) handleFrame(frame frame) (*part, error) {
+	if frame.letter != frameAnswer {
+		// Only answers are asked for; an error frame says that the backend did not understand this broker.
+		return nil, fmt.Errorf("%w: letter %q: %.100q", errMalformedFrame, frame.letter, frame.body)
+	}
+	answer, err := parseAnswer(frame.body, c.pool.options.Resharding)
+	part := c.partsByID[answer.partID]
+	if err != nil {
+		return part, err
+	}
+	if part == nil && c.abandoned[answer.partID] {
+		delete(c.abandoned, answer.partID)
+		return nil, nil
 	}
-	a, err := parseAnswer(rest, c.pool.options.Resharding)
-	o := c.partsByID[a.partID]
-	switch {
-	case err != nil:
-		return o, err
-	case o == nil && c.abandoned[a.partID]:
-		delete(c.abandoned, a.partID)
-		return nil, nil // given up before: a late answer is ignored
-	case o == nil || o.call.endOffset == 0 || o == c.pendingRejection:
-		// A second copy, or somebody else's: the part that it stands for will never be answered here.
-		return nil, fmt.Errorf("%w: part %.100q is not out", errMalformedFrame, a.partID)
+	if part == nil || !part.call.encoded() || part == c.pendingRejection {
+		// A duplicate, or an answer to another broker: the part that it was meant for will not be answered here.
+		return nil, fmt.Errorf("%w: part %.100q is not in flight", errMalformedFrame, answer.partID)
 	}
+	c.handleAnswer(part, answer)
+	return part, nil
+}
+
+// handleAnswer ends a part as it was answered. The rejection of the first part that a connection answers is kept back.
+func (c *connection) handleAnswer(part *part, answer answer) {
 	if c.pendingRejection != nil {
-		c.reportPendingRejection() // it answers more: it is held
+		// One more answer after the rejection: the backend keeps the connection.
+		c.reportPendingRejection()
 	}
-	if a.status == statusRejected && c.served == 0 && !c.peerEnded {
-		c.pendingRejection, c.rejectionDueAt = o, c.lastReceivedAt+immediateLossMs
-		return o, nil
+	if answer.status == statusRejected && c.partsServed == 0 && !c.peerEnded {
+		c.pendingRejection = part
+		c.rejectionDueAt = c.lastReceivedAt + immediateLossMs
+		return
 	}
-	o.ended = true
-	if k := o.call; k.idleBefore > 0 {
-		c.pool.idleRisk.record(c.lastReceivedAt, k.idleBefore, false)
+	part.ended = true
+	if part.call.idleBeforeMs > 0 {
+		c.pool.idleRisk.record(c.lastReceivedAt, part.call.idleBeforeMs, false)
 	}
-	c.removePart(o)
-	c.served++
-	switch a.status {
+	c.removePart(part)
+	c.partsServed++
+	switch answer.status {
 	case statusOK:
-		c.pool.core.AttemptEnded(o.attempt, scheduler.Succeeded, slices.Clone(a.value))
+		c.pool.core.AttemptEnded(part.attempt, scheduler.Succeeded, slices.Clone(answer.value))
 	case statusFailed:
-		c.pool.core.AttemptEnded(o.attempt, scheduler.Failed, nil)
+		c.pool.core.AttemptEnded(part.attempt, scheduler.Failed, nil)
 	case statusRejected:
-		if c.served == 1 && c.peerEnded {
-			c.rejectedByLimit(o)
+		if c.partsServed == 1 && c.peerEnded {
+			c.attributeToConnectionLimit(part)
 		}
-		c.pool.core.AttemptEnded(o.attempt, scheduler.Rejected, nil)
+		c.pool.core.AttemptEnded(part.attempt, scheduler.Rejected, nil)
 	case statusNotHolder:
-		o.attempt.BackendEpoch = a.epoch
-		c.pool.core.AttemptEnded(o.attempt, scheduler.NotHolder, nil)
+		part.attempt.BackendEpoch = answer.epoch
+		c.pool.core.AttemptEnded(part.attempt, scheduler.NotHolder, nil)
 	}
-	return o, nil
 }
 
-// rejectedByLimit notes that the backend holds no more connections: it answered the first part on this one with busy
-// and ended it. That says nothing of its queue.
-func (c *connection) rejectedByLimit(o *part) {
+// attributeToConnectionLimit notes that the backend is at its limit of connections: it rejected the first part on
+// this one and ended it. That says nothing about its load.
+func (c *connection) attributeToConnectionLimit(part *part) {
 	c.pool.connectionLimit.connectionRejected(c.pool.loop.Now(), c.openedAt)
-	o.attempt.ConnectionOnly = true
+	part.attempt.ConnectionOnly = true
 }
 
-// reportPendingRejection tells the first part's end as a full queue's: the connection has not ended with it.
+// reportPendingRejection reports the pending rejection as that of a full queue: the connection did not end with it.
 func (c *connection) reportPendingRejection() {
-	o := c.pendingRejection
+	part := c.pendingRejection
 	c.pendingRejection = nil
-	if c.served++; !o.ended {
-		o.ended = true
-		c.removePart(o)
-		c.pool.core.AttemptEnded(o.attempt, scheduler.Rejected, nil)
+	c.partsServed++
+	if part.ended {
+		return
 	}
+	part.ended = true
+	c.removePart(part)
+	c.pool.core.AttemptEnded(part.attempt, scheduler.Rejected, nil)
 }
--- a/internal/backends/call.go
+++ b/internal/backends/call.go
@@ -4,70 +4,75 @@
 	"math"
 	"slices"
 	"strconv"
+
 	"ternstage/internal/core"
 	"ternstage/internal/decision/scheduler"
 )
 
-type backend struct {
-	replica     uint32
-	address     string
-	connections []*connection
-	unplaced    []*core.Attempt // sent in this turn, not yet in calls
-}
-
-// call is one Q frame.
+// call is one frame of parts to a backend.
 type call struct {
-	connection    *connection
+	connection    *connection // nil until it is placed
 	parts         []*part
-	partsInFlight int // parts out
+	partsInFlight int
 	sentAt        float64
-	endOffset     uint64  // the frame's last byte, counted on its connection; 0 until it is encoded
-	idleBefore    float64 // ms that its connection had been idle
+	// endOffset is the position of the frame's last byte among all bytes written on the connection; 0 until the call is
+	// encoded. It tells whether the frame is completely written.
+	endOffset uint64
+	// idleBeforeMs is how long the connection had been idle when the call was placed; 0 if it was in use or new.
+	idleBeforeMs float64
 }
 
-// part is a part that is out; it is the attempt's handle.
+// part is an attempt as the pool keeps it. It is the attempt's Handle.
 type part struct {
 	attempt *core.Attempt
-	id      string
+	id      string // on the wire
 	call    *call
-	ended   bool
+	ended   bool // its outcome is reported, or no longer wanted
 }
 
-// placeCall gives a call to a connection.
-func (p *Pool) placeCall(l *backend, parts []*core.Attempt) {
-	k := &call{sentAt: p.loop.Now()}
-	for _, a := range parts {
-		o := &part{attempt: a, id: partID(a), call: k}
-		a.Handle = o
-		k.parts = append(k.parts, o)
+// encoded tells that the call's frame is in the connection's output: from then on nothing can be left out of it.
+func (c *call) encoded() bool { return c.endOffset > 0 }
+
+// equals tells that other is the same call.
+func (c *call) equals(other *call) bool { return c == other }
+
+// placeCall makes a call of these attempts and places it on a connection. Without a connection they end as
+// ConnectFailed.
+func (p *Pool) placeCall(backend *backendState, attempts []*core.Attempt) {
+	call := &call{sentAt: p.loop.Now()}
+	for _, attempt := range attempts {
+		part := &part{attempt: attempt, id: partID(attempt), call: call}
+		attempt.Handle = part
+		call.parts = append(call.parts, part)
 	}
-	k.partsInFlight = len(k.parts)
-	best := p.selectConnection(l, slices.ContainsFunc(parts, func(a *core.Attempt) bool { return a.NonIdempotent }))
-	if best == nil {
-		for _, o := range k.parts {
-			o.ended = true
-			p.core.AttemptEndedLater(o.attempt, scheduler.ConnectFailed)
+	call.partsInFlight = len(call.parts)
+	nonIdempotent := slices.ContainsFunc(attempts, func(a *core.Attempt) bool { return a.NonIdempotent })
+	connection := p.selectConnection(backend, nonIdempotent)
+	if connection == nil {
+		for _, part := range call.parts {
+			part.ended = true
+			p.core.AttemptEndedLater(part.attempt, scheduler.ConnectFailed)
 		}
 		return
 	}
-	if k.connection = best; best.established && len(best.calls) == 0 {
-		k.idleBefore = p.loop.Now() - best.lastReceivedAt
-	}
-	best.calls, best.unencoded = append(best.calls, k), append(best.unencoded, k)
-	best.idleCloseAt = math.Inf(1)
-	for _, o := range k.parts {
-		best.partsByID[o.id] = o
+	call.connection = connection
+	call.idleBeforeMs = connection.idleMs(p.loop.Now())
+	connection.calls = append(connection.calls, call)
+	connection.unencoded = append(connection.unencoded, call)
+	connection.idleCloseAt = math.Inf(1)
+	for _, part := range call.parts {
+		connection.partsByID[part.id] = part
 	}
 }
 
-// partID is the part's name on the wire. Where slices move, one may be asked for several ranges of districts
-// by one query, so the first district is part of the name.
-func partID(a *core.Attempt) string {
-	out := appendInt(append([]byte(a.Request), '.'), a.Shard)
-	if a.Epoch > 0 {
-		out = appendInt(append(out, '.'), a.Buckets.Start)
+// partID returns the name of a part on the wire: request.shard. While shards move, a request may ask one shard for
+// several ranges of buckets, so the first bucket is appended: request.shard.bucket.
+func partID(attempt *core.Attempt) string {
+	id := append([]byte(attempt.Request), '.')
+	id = strconv.AppendInt(id, int64(attempt.Shard), 10)
+	if attempt.Epoch > 0 {
+		id = append(id, '.')
+		id = strconv.AppendInt(id, int64(attempt.Buckets.Start), 10)
 	}
-	return string(out)
+	return string(id)
 }
-
-func appendInt(out []byte, n int) []byte { return strconv.AppendInt(out, int64(n), 10) }
--- a/internal/backends/connection.go
+++ b/internal/backends/connection.go
@@ -3,34 +3,45 @@
 import (
 	"math"
 	"slices"
-	"ternstage/internal/logs"
-	"ternstage/internal/loop"
 
 	"golang.org/x/sys/unix"
+
+	"ternstage/internal/logs"
+	"ternstage/internal/loop"
 )
 
-// connection is a connection to a backend.
+// maxUnparsedBytes bounds what is read and not yet parsed: one frame and the beginning of the next.
+const maxUnparsedBytes = 2 * maxFrameBytes
+
+// connection is one connection to a backend.
 type connection struct {
-	pool             *Pool
-	backend          *backend
-	stream           *loop.Stream
-	established      bool
-	closed           bool
-	retiredFor       logs.Code // takes nothing new, and why; empty if it does
-	calls            []*call
-	unencoded        []*call // of calls: those not yet encoded
-	partsByID        map[string]*part
-	abandoned        map[string]bool // parts given up, whose answers may still come
-	queuedBytes      uint64          // bytes handed to the stream so far
-	served           int
-	peerEnded        bool  // the backend has ended it: what is read now was its last
-	pendingRejection *part // answered busy, the first here: told once it is known whether the connection ends with it
+	pool    *Pool
+	backend *backendState
+	stream  *loop.Stream
+
+	established bool
+	closed      bool
+	peerEnded   bool      // the backend ended or reset it: what is being parsed is the last that came
+	retiredFor  logs.Code // why it takes no new calls; "" while it does
+
+	calls       []*call          // in flight
+	unencoded   []*call          // of calls: those whose frame is not yet in the output
+	partsByID   map[string]*part // in flight
+	abandoned   map[string]bool  // parts that are no longer wanted and may still be answered
+	partsServed int              // parts that were answered, whatever the answer
+	queuedBytes uint64           // handed to the stream since the connection was opened
+
+	// pendingRejection is the first part that was answered on this connection, if it was rejected. Its outcome is
+	// reported once it is known whether the connection ends with it (see connection_limit.go), at rejectionDueAt at the
+	// latest. It stays in calls until then.
+	pendingRejection *part
 	rejectionDueAt   float64
-	openedAt         float64
-	lastReceivedAt   float64 // when bytes last came, or it came up
-	dialDeadline     float64
-	idleCloseAt      float64 // when it is closed as idle
-	frameDeadline    float64 // when a frame that is not whole is taken for one that never will be
+
+	openedAt       float64
+	dialDeadline   float64 // when it must be established
+	lastReceivedAt float64 // when bytes last came; before the first, when it was opened or established
+	idleCloseAt    float64 // when it is closed as idle; +Inf while it has calls
+	frameDeadline  float64 // when a partly received frame counts as malformed; +Inf without one
 }
 
 // Ready implements loop.Handler.
@@ -43,67 +54,76 @@
 		if events&unix.EPOLLOUT == 0 {
 			return
 		}
-		c.established, c.lastReceivedAt = true, c.pool.loop.Now()
-		c.startIdle()
+		c.established = true
+		c.lastReceivedAt = c.pool.loop.Now()
+		c.scheduleIdleClose()
 	}
-	if events&(unix.EPOLLIN|unix.EPOLLRDHUP|unix.EPOLLHUP|unix.EPOLLERR) != 0 && !c.read() {
-		return
+	if events&(unix.EPOLLIN|unix.EPOLLRDHUP|unix.EPOLLHUP|unix.EPOLLERR) != 0 {
+		open := c.read()
+		if !open {
+			return
+		}
 	}
 	c.write()
 	c.pool.armTimer()
 }
 
-// read takes answers; false if the connection has ended. What came whole before the end counts.
-func (c *connection) read() bool {
+// read takes answers and returns false if the connection has ended. Complete answers count even if the connection
+// ended after them.
+func (c *connection) read() (open bool) {
 	for {
-		held := len(c.stream.In)
+		unparsedBytes := len(c.stream.In)
 		eof, err := c.stream.Read(maxUnparsedBytes)
-		if len(c.stream.In) > held {
+		if len(c.stream.In) > unparsedBytes {
 			c.lastReceivedAt = c.pool.loop.Now()
 		}
 		c.peerEnded = eof || err != nil
-		full := len(c.stream.In) == maxUnparsedBytes // more may be waiting; a long frame in part alone is no reason to go on
-		if !c.handleFrames() {
-			return false
-		}
+		bufferFull := len(c.stream.In) == maxUnparsedBytes // more may be waiting in the kernel
+		sound := c.handleFrames()
 		switch {
+		case !sound:
+			return false
 		case err != nil:
 			c.close(logs.BackendReset, err)
 			return false
 		case eof:
 			c.close(logs.BackendClosed, nil)
 			return false
-		case !full:
+		case !bufferFull:
 			return true
 		}
 	}
 }
 
-func (c *connection) handleFrames() bool {
-	at := 0
+// handleFrames handles the complete frames of the input. A malformed one closes the connection; then it returns false.
+func (c *connection) handleFrames() (sound bool) {
+	parsedBytes := 0
 	for {
-		letter, rest, size, err := nextFrame(c.stream.In[at:])
-		var o *part
-		if err == nil && size > 0 {
-			o, err = c.handleAnswer(letter, rest)
-		}
+		frame, err := nextFrame(c.stream.In[parsedBytes:])
 		if err != nil {
-			c.closeMalformed(o, err)
+			c.closeMalformed(nil, err)
 			return false
 		}
-		if size == 0 {
+		if frame.sizeBytes == 0 {
 			break
 		}
-		at += size
+		part, err := c.handleFrame(frame)
+		if err != nil {
+			c.closeMalformed(part, err)
+			return false
+		}
+		parsedBytes += frame.sizeBytes
 		c.frameDeadline = math.Inf(1)
 	}
-	if c.stream.Consume(at); len(c.stream.In) > 0 {
+	c.stream.Consume(parsedBytes)
+	if len(c.stream.In) > 0 {
 		c.frameDeadline = min(c.frameDeadline, c.pool.loop.Now()+maxFrameDurationMs)
 	}
 	return true
 }
 
-// write encodes the waiting calls, at the last moment so that d is what remains, and writes.
+// write encodes the waiting calls and writes what the kernel takes. A call is encoded only when all before it is
+// written, so that the time that it announces to the backend is what really remains.
 func (c *connection) write() {
 	if c.closed || !c.established {
 		return
@@ -118,54 +138,61 @@
 		if len(c.stream.Out) > 0 || len(c.unencoded) == 0 {
 			break
 		}
-		k := c.unencoded[0]
+		call := c.unencoded[0]
 		c.unencoded = c.unencoded[1:]
-		c.stream.Out = beginFrame(c.stream.Out, frameQuery)
-		for _, o := range k.parts {
-			if !o.ended {
-				c.stream.Out = appendPart(c.stream.Out, o.id, o.attempt, int(math.Ceil(max(o.attempt.Deadline-now, 1))), o.attempt.Query)
-			}
-		}
-		c.stream.Out = finishFrame(c.stream.Out, 0)
-		c.queuedBytes += uint64(len(c.stream.Out))
-		k.endOffset = c.queuedBytes
+		c.encode(call, now)
 	}
-	want := uint32(unix.EPOLLIN | unix.EPOLLRDHUP)
+	events := uint32(unix.EPOLLIN | unix.EPOLLRDHUP)
 	if len(c.stream.Out) > 0 {
-		want |= unix.EPOLLOUT
+		events |= unix.EPOLLOUT
 	}
-	c.stream.SetEvents(want)
+	c.stream.SetEvents(events)
 }
 
-// removePart takes a part off the connection, and its call when that was the last.
-func (c *connection) removePart(o *part) {
-	if c.partsByID[o.id] == o {
-		delete(c.partsByID, o.id)
-	}
-	k := o.call
-	if k.partsInFlight--; k.partsInFlight > 0 {
-		return
+// encode appends the frame of a call to the output, without the parts that have ended meanwhile.
+func (c *connection) encode(call *call, now float64) {
+	start := len(c.stream.Out)
+	c.stream.Out = beginFrame(c.stream.Out, frameQuery)
+	for _, part := range call.parts {
+		if part.ended {
+			continue
+		}
+		remainingMs := int(math.Ceil(max(part.attempt.Deadline-now, 1)))
+		c.stream.Out = appendPart(c.stream.Out, part.id, part.attempt, remainingMs)
 	}
-	is := func(x *call) bool { return x == k }
-	c.calls, c.unencoded = slices.DeleteFunc(c.calls, is), slices.DeleteFunc(c.unencoded, is)
-	c.startIdle()
+	c.endFrame(start)
+	call.endOffset = c.queuedBytes
 }
 
-// startIdle notes since when the connection stands idle.
-func (c *connection) startIdle() {
-	c.idleCloseAt = math.Inf(1)
-	if len(c.calls) == 0 {
-		if c.backend.usableConnections() > c.pool.connectionLimit.current(c.pool.loop.Now()) {
-			c.retire(logs.BackendConnectionLimit)
-		}
-		k := c.pool.options.KeepAlive
-		c.idleCloseAt = c.pool.loop.Now() + max(min(k*idleCloseRatio, k-idleCloseMarginMs), 0)
+// endFrame ends the frame that begins at this position of the output, and counts its bytes.
+func (c *connection) endFrame(start int) {
+	endFrame(c.stream.Out, start)
+	c.queuedBytes += uint64(len(c.stream.Out) - start)
+}
+
+// written tells that the kernel has taken the call's frame completely: from then on its parts may run.
+func (c *connection) written(call *call) bool {
+	return call.encoded() && call.endOffset <= c.stream.BytesWritten
+}
+
+// removePart takes a part off the connection, and its call with the last one.
+func (c *connection) removePart(part *part) {
+	if c.partsByID[part.id] == part {
+		delete(c.partsByID, part.id)
+	}
+	call := part.call
+	call.partsInFlight--
+	if call.partsInFlight > 0 {
+		return
 	}
+	c.calls = slices.DeleteFunc(c.calls, call.equals)
+	c.unencoded = slices.DeleteFunc(c.unencoded, call.equals)
+	c.scheduleIdleClose()
 }
 
-// retire lets the connection end with what is out on it.
-func (c *connection) retire(why logs.Code) {
+// retire ends the connection once it has no call in flight; it takes no new ones. The first reason counts.
+func (c *connection) retire(reason logs.Code) {
 	if c.retiredFor == "" {
-		c.retiredFor = why
+		c.retiredFor = reason
 	}
 }
--- a/internal/backends/connection_end.go
+++ b/internal/backends/connection_end.go
@@ -2,12 +2,17 @@
 
 import (
 	"slices"
+
 	"ternstage/internal/decision/scheduler"
 	"ternstage/internal/logs"
 )
 
-// close ends the connection and every part out on it: one whose frame was not wholly written never ran, any
-// other may have.
+// immediateLossMs separates what happens at once from what happens later: a connection that breaks within it after a
+// call was placed broke because it was used, and one that ends within it after a rejection ended with the rejection.
+const immediateLossMs = 5.0
+
+// close ends the connection and every part in flight on it. A part whose frame was not completely written never ran;
+// any other may have. A repeated call does nothing.
 func (c *connection) close(code logs.Code, err error) {
 	if c.closed {
 		return
@@ -15,65 +20,92 @@
 	c.closed = true
 	c.stream.Close()
 	c.pool.connectionCount--
-	alone := c.isConnectionOnly(code)
-	broken := scheduler.ConnectionReset
-	if code == logs.BackendMalformedFrame || code == logs.BackendUnresponsive {
-		broken = scheduler.Cancelled // it is we who end it
-	}
-	c.backend.connections = slices.DeleteFunc(c.backend.connections, func(x *connection) bool { return x == c })
-	c.pool.log.ConnectionEnded(code, c.backend.address, c.served, err)
-	for _, k := range c.calls {
-		outcome := scheduler.ConnectFailed
-		if k.endOffset > 0 && k.endOffset <= c.stream.BytesWritten {
-			outcome = broken
-		}
-		for _, o := range k.parts {
-			if !o.ended {
-				end := outcome
-				if o.ended, o.attempt.ConnectionOnly = true, alone; o == c.pendingRejection {
-					if end = scheduler.Rejected; code == logs.BackendClosed || code == logs.BackendReset {
-						c.rejectedByLimit(o)
-					}
-				}
-				c.pool.core.AttemptEndedLater(o.attempt, end)
+	connectionOnly := c.attributeLoss(code)
+	c.backend.connections = slices.DeleteFunc(c.backend.connections, func(other *connection) bool { return other == c })
+	c.pool.log.ConnectionEnded(code, c.backend.address, c.partsServed, err)
+	for _, call := range c.calls {
+		outcome := c.lossOutcome(call, code)
+		for _, part := range call.parts {
+			if !part.ended {
+				c.endLostPart(part, outcome, code, connectionOnly)
 			}
 		}
 	}
-	c.calls, c.unencoded = nil, nil
+	c.calls = nil
+	c.unencoded = nil
 }
 
-// closeMalformed closes a connection on which something came that cannot be used: nothing good comes on it any
-// more. The part that was answered so, or else the one that has waited longest, has failed and may have
-// run; so may the others have, of which nothing is said against the backend.
-func (c *connection) closeMalformed(o *part, err error) {
-	for i := 0; o == nil && i < len(c.calls); i++ {
-		for _, x := range c.calls[i].parts {
-			if o == nil && !x.ended && x.call.endOffset > 0 {
-				o = x
-			}
-		}
+// lossOutcome is the outcome of the parts of a call whose connection was closed for the reason code.
+func (c *connection) lossOutcome(call *call, code logs.Code) scheduler.Outcome {
+	switch {
+	case !c.written(call):
+		return scheduler.ConnectFailed
+	case code == logs.BackendMalformedFrame || code == logs.BackendUnresponsive:
+		return scheduler.Cancelled // closed by the broker
 	}
-	if o != nil && !o.ended {
-		o.ended = true
-		c.pool.core.AttemptEnded(o.attempt, scheduler.Failed, nil)
+	return scheduler.ConnectionReset
+}
+
+// endLostPart ends a part with its connection. A pending rejection is reported as such, and attributed to the
+// connection limit if it was the backend that ended the connection.
+func (c *connection) endLostPart(part *part, outcome scheduler.Outcome, code logs.Code, connectionOnly bool) {
+	part.ended = true
+	part.attempt.ConnectionOnly = connectionOnly
+	if part == c.pendingRejection {
+		outcome = scheduler.Rejected
+		if code == logs.BackendClosed || code == logs.BackendReset {
+			c.attributeToConnectionLimit(part)
+		}
 	}
-	c.close(logs.BackendMalformedFrame, err)
+	c.pool.core.AttemptEndedLater(part.attempt, outcome)
 }
 
-// isConnectionOnly tells that only this connection broke and the backend stands: another to it does, or it broke as soon
-// as it was used again, where the end of a process would have shown while it was idle. The latter also
-// tells for how long connections may be idle. Guards backends against being held for lost, and for cold once
-// they serve again.
-func (c *connection) isConnectionOnly(code logs.Code) bool {
+// attributeLoss tells that only this connection broke while the backend is up: either it broke as soon as it was used
+// after being idle, where the end of a process would have shown before, or another connection to the backend is
+// open. The former is recorded for idleRisk. Without this a backend would count as lost, and as warming up once it
+// serves again.
+func (c *connection) attributeLoss(code logs.Code) (connectionOnly bool) {
 	if code != logs.BackendReset && code != logs.BackendClosed && code != logs.BackendConnectFailed {
 		return false
 	}
 	now := c.pool.loop.Now()
-	if len(c.calls) == 1 && c.calls[0].endOffset > 0 {
-		if k := c.calls[0]; now-k.sentAt < immediateLossMs && k.idleBefore > immediateLossMs {
-			c.pool.idleRisk.record(now, k.idleBefore, true)
+	if len(c.calls) == 1 && c.calls[0].encoded() {
+		only := c.calls[0]
+		if now-only.sentAt < immediateLossMs && only.idleBeforeMs > immediateLossMs {
+			c.pool.idleRisk.record(now, only.idleBeforeMs, true)
 			return true
 		}
 	}
-	return slices.ContainsFunc(c.backend.connections, func(x *connection) bool { return x != c && x.established && x.stream.PeerOpen() })
+	return slices.ContainsFunc(c.backend.connections, func(other *connection) bool {
+		return other != c && other.established && other.stream.PeerOpen()
+	})
+}
+
+// closeMalformed closes a connection on which a malformed frame came: what follows it cannot be trusted. The part that
+// the frame was for, or else the oldest in flight, has failed and may have run. So may the others have, of which
+// nothing is held against the backend.
+func (c *connection) closeMalformed(part *part, err error) {
+	if part == nil {
+		part = c.oldestPart()
+	}
+	if part != nil && !part.ended {
+		part.ended = true
+		c.pool.core.AttemptEnded(part.attempt, scheduler.Failed, nil)
+	}
+	c.close(logs.BackendMalformedFrame, err)
+}
+
+// oldestPart returns the part that has been in flight longest; nil without one.
+func (c *connection) oldestPart() *part {
+	for _, call := range c.calls {
+		if !call.encoded() {
+			continue
+		}
+		for _, part := range call.parts {
+			if !part.ended {
+				return part
+			}
+		}
+	}
+	return nil
 }
--- a/internal/backends/connection_limit.go
+++ b/internal/backends/connection_limit.go
@@ -3,21 +3,27 @@
 import "math"
 
 const (
-	maxUnsharedConnections = 4      // connections to a backend on which nothing else is out, before calls share one
-	limitGrowthMs          = 5000.0 // ms without a connection turned away for one more
+	// maxUnsharedConnections is the number of connections to one backend, each with a call, from which calls share one.
+	maxUnsharedConnections = 4
+	// limitGrowthMs is the time without a rejected connection in which the limit grows by one.
+	limitGrowthMs = 5000.0
 )
 
-// connectionLimit is how many connections to one backend are opened so that calls need not share one. A backend
-// holds so many from all brokers together, a number that nobody is told: it answers the first call on one
-// more with busy and closes it. Each broker halves what it opens when that happens, to no less than one, once
-// for all that were opened before; it grows by one each limitGrow without. So what all open together comes
-// down below what backends hold, whatever the number of brokers is; calls that share one cost nothing but
-// what breaks with it. Times are the loop's, in ms.
+// connectionLimit is how many connections to one backend are opened so that calls need not share one. It is one limit
+// for all backends of a Pool.
+//
+// A backend accepts a number of connections from all brokers together that is not announced. It rejects the first
+// call on one more and closes it. The limit follows by additive increase and multiplicative decrease: it halves on such
+// a rejection, to no less than 1, and grows by 1 every limitGrowthMs without. Connections that were opened before the
+// last decrease do not decrease it again. So all brokers together settle below what the backends accept, whatever
+// their number. The zero value is at the maximum.
 type connectionLimit struct {
-	limit, changedAt, reducedAt float64 // most as it was at at; what was opened before cutAt says nothing more
+	limit     float64 // as of changedAt; 0 before the first rejection
+	changedAt float64 // growth counts from here: the last rejection
+	reducedAt float64
 }
 
-// current is the limit, in 1 to spread.
+// current returns the limit, 1 to maxUnsharedConnections.
 func (l *connectionLimit) current(now float64) int {
 	if l.limit == 0 {
 		return maxUnsharedConnections
@@ -25,9 +31,12 @@
 	return int(math.Min(maxUnsharedConnections, l.limit+(now-l.changedAt)/limitGrowthMs))
 }
 
-// connectionRejected notes that a connection opened at opened was one too many for its backend.
-func (l *connectionLimit) connectionRejected(now, opened float64) {
-	if l.changedAt = now; l.limit == 0 || opened >= l.reducedAt {
-		l.limit, l.reducedAt = math.Max(1, float64(l.current(now))/2), now
+// connectionRejected notes that a connection opened at openedAt was one too many for its backend. Growth since the last
+// rejection is lost.
+func (l *connectionLimit) connectionRejected(now, openedAt float64) {
+	l.changedAt = now
+	if l.limit == 0 || openedAt >= l.reducedAt {
+		l.limit = math.Max(1, float64(l.current(now))/2)
+		l.reducedAt = now
 	}
 }
--- a/internal/backends/connection_selection.go
+++ b/internal/backends/connection_selection.go
@@ -2,90 +2,161 @@
 
 import (
 	"math"
-	"ternstage/internal/logs"
-	"ternstage/internal/loop"
 
 	"golang.org/x/sys/unix"
+
+	"ternstage/internal/logs"
+	"ternstage/internal/loop"
 )
 
-// usableConnections is how many connections take calls.
-func (l *backend) usableConnections() (n int) {
-	for _, c := range l.connections {
-		if c.retiredFor == "" && c.pendingRejection == nil {
-			n++
-		}
-	}
-	return n
-}
+// maxNonIdempotentIdleMs is how long an idle connection may carry a call with a non-idempotent part: one that was
+// lost unseen would lose the part, which must not be retried.
+const maxNonIdempotentIdleMs = 250.0
 
-// selectConnection is the connection for a call. Calls share one only when there are many: whatever comes spoilt or
-// breaks off takes all with it that is out beside it. Of idle ones it takes the one used last, so that
-// others can go. once tells that the call must not be lost with a connection that has gone dead while
-// nobody looked.
-func (p *Pool) selectConnection(l *backend, once bool) *connection {
+// selectConnection returns the connection for a call, nil if there is none. Calls share a connection only when the
+// backend's connections are at their limit: a malformed frame or a reset ends all calls beside the one at fault. Among
+// idle connections it prefers the one used last, so that the others reach their idle timeout. nonIdempotent tells that
+// the call must not be lost with a connection that was dropped unseen while it was idle.
+func (p *Pool) selectConnection(backend *backendState, nonIdempotent bool) *connection {
+	now := p.loop.Now()
+	maxConnections := p.maxBackendConnections(now)
 	var best *connection
-	now, most := p.loop.Now(), max(1, min(p.connectionLimit.current(p.loop.Now()), p.options.MaxConnections/max(len(p.backends), 1)))
-	for _, c := range l.connections {
-		unused := 0.0
-		if c.established && len(c.calls) == 0 {
-			unused = now - c.lastReceivedAt
+	for _, candidate := range backend.connections {
+		idleMs := candidate.idleMs(now)
+		if !p.idleRisk.allows(now, idleMs, maxLossRate) {
+			candidate.retire(logs.BackendIdle)
 		}
-		if !p.idleRisk.allows(now, unused, maxLossRate) {
-			c.retire(logs.BackendIdle)
-		}
-		if c.retiredFor != "" || c.pendingRejection != nil || len(c.calls)+len(c.abandoned) >= p.options.StreamsPerConnection ||
-			once && (unused > maxNonIdempotentIdleMs || !p.idleRisk.allows(now, unused, maxNonIdempotentLossRate)) {
+		if !candidate.hasCapacity() || nonIdempotent && !p.idleRisk.allowsNonIdempotent(now, idleMs) {
 			continue
 		}
-		if best == nil || len(c.calls) < len(best.calls) ||
-			len(c.calls) == len(best.calls) && c.lastReceivedAt > best.lastReceivedAt {
-			best = c
+		if best == nil || candidate.preferredTo(best) {
+			best = candidate
 		}
 	}
-	if best == nil || len(best.calls) > 0 && l.usableConnections() < most && p.connectionCount < p.options.MaxConnections {
-		if c := p.openConnection(l); c != nil {
-			return c
+	mayOpen := backend.usableConnections() < maxConnections && p.connectionCount < p.options.MaxConnections
+	if best == nil || len(best.calls) > 0 && mayOpen {
+		if opened := p.openConnection(backend); opened != nil {
+			return opened
 		}
 	}
 	return best
 }
 
-// openConnection opens a connection; nil if there can be none.
-func (p *Pool) openConnection(l *backend) *connection {
-	if p.connectionCount >= p.options.MaxConnections && !p.evictIdleConnection() || l.address == "" {
-		return nil
+// maxBackendConnections is the number of connections to one backend up to which calls do not share one.
+func (p *Pool) maxBackendConnections(now float64) int {
+	fairShare := p.options.MaxConnections / max(len(p.backends), 1)
+	return max(1, min(p.connectionLimit.current(now), fairShare))
+}
+
+// usableConnections returns how many connections take calls, if they have the capacity.
+func (b *backendState) usableConnections() int {
+	usable := 0
+	for _, c := range b.connections {
+		if c.usable() {
+			usable++
+		}
 	}
-	fd, err := loop.ConnectFreeing(l.address, func() bool {
-		return p.options.FreeDescriptor != nil && p.options.FreeDescriptor() || p.evictIdleConnection()
-	})
-	now := p.loop.Now()
-	c := &connection{pool: p, backend: l, partsByID: map[string]*part{}, abandoned: map[string]bool{}, openedAt: now,
-		dialDeadline: now + p.options.DialTimeout, lastReceivedAt: now, idleCloseAt: math.Inf(1), frameDeadline: math.Inf(1)}
-	if err == nil {
-		c.stream, err = loop.NewStream(p.loop, fd, unix.EPOLLIN|unix.EPOLLOUT|unix.EPOLLRDHUP, c)
+	return usable
+}
+
+// usable tells that the connection takes calls, if it has the capacity.
+func (c *connection) usable() bool { return c.retiredFor == "" && c.pendingRejection == nil }
+
+// hasCapacity tells that the connection takes one more call. Abandoned parts count, as the backend may still work on
+// them.
+func (c *connection) hasCapacity() bool {
+	return c.usable() && len(c.calls)+len(c.abandoned) < c.pool.options.StreamsPerConnection
+}
+
+// preferredTo tells that a call is better placed on c than on other.
+func (c *connection) preferredTo(other *connection) bool {
+	if len(c.calls) != len(other.calls) {
+		return len(c.calls) < len(other.calls)
 	}
+	return c.lastReceivedAt > other.lastReceivedAt
+}
+
+// idleMs is how long an established connection without calls has received nothing; 0 for any other.
+func (c *connection) idleMs(now float64) float64 {
+	if !c.established || len(c.calls) > 0 {
+		return 0
+	}
+	return now - c.lastReceivedAt
+}
+
+// openConnection begins to open a connection; it returns nil if there can be none. At the limit of all connections
+// the one that has been idle longest makes way.
+func (p *Pool) openConnection(backend *backendState) *connection {
+	if p.connectionCount >= p.options.MaxConnections {
+		evicted := p.evictIdleConnection()
+		if !evicted {
+			return nil
+		}
+	}
+	if backend.address == "" {
+		return nil
+	}
+	c, err := p.dial(backend)
 	if err != nil {
-		p.log.ConnectionEnded(logs.BackendConnectFailed, l.address, 0, err)
+		p.log.ConnectionEnded(logs.BackendConnectFailed, backend.address, 0, err)
 		return nil
 	}
-	l.connections = append(l.connections, c)
+	backend.connections = append(backend.connections, c)
 	p.connectionCount++
 	return c
 }
 
-// evictIdleConnection closes the connection that has stood idle longest, so that another backend can be reached.
+// dial starts to connect to a backend. Its error is that of the socket.
+func (p *Pool) dial(backend *backendState) (*connection, error) {
+	fd, err := loop.ConnectFreeing(backend.address, p.freeDescriptor)
+	if err != nil {
+		return nil, err
+	}
+	now := p.loop.Now()
+	c := &connection{
+		pool:           p,
+		backend:        backend,
+		partsByID:      map[string]*part{},
+		abandoned:      map[string]bool{},
+		openedAt:       now,
+		dialDeadline:   now + p.options.DialTimeout,
+		lastReceivedAt: now,
+		idleCloseAt:    math.Inf(1),
+		frameDeadline:  math.Inf(1),
+	}
+	c.stream, err = loop.NewStream(p.loop, fd, unix.EPOLLIN|unix.EPOLLOUT|unix.EPOLLRDHUP, c)
+	if err != nil {
+		return nil, err
+	}
+	return c, nil
+}
+
+// freeDescriptor closes something that can be spared when the process is out of file descriptors, and tells whether
+// it did.
+func (p *Pool) freeDescriptor() bool {
+	if p.options.FreeDescriptor != nil && p.options.FreeDescriptor() {
+		return true
+	}
+	return p.evictIdleConnection()
+}
+
+// evictIdleConnection closes the connection that has been idle longest, so that another backend can be reached. It
+// returns false if none is idle.
 func (p *Pool) evictIdleConnection() bool {
-	var idle *connection
-	for _, l := range p.backends {
-		for _, c := range l.connections {
-			if len(c.calls) == 0 && c.established && (idle == nil || c.idleCloseAt < idle.idleCloseAt) {
-				idle = c
+	var longestIdle *connection
+	for _, backend := range p.backends {
+		for _, c := range backend.connections {
+			if len(c.calls) > 0 || !c.established {
+				continue
+			}
+			if longestIdle == nil || c.idleCloseAt < longestIdle.idleCloseAt {
+				longestIdle = c
 			}
 		}
 	}
-	if idle == nil {
+	if longestIdle == nil {
 		return false
 	}
-	idle.close(logs.BackendEvicted, nil)
+	longestIdle.close(logs.BackendEvicted, nil)
 	return true
 }
--- a/internal/backends/idle_risk.go
+++ b/internal/backends/idle_risk.go
@@ -3,47 +3,65 @@
 import "math"
 
 const (
-	idleTimeSlots            = 16      // of idle times, each twice as long as the one before: 1 ms to a minute
-	firstIdleSlot            = 3       // slot, of 8 ms, under which a connection is in use rather than idle
-	newestLossWeight         = 0.1     // weight of the newest part that went out on an idle connection
-	lossHalfLifeMs           = 30000.0 // ms in which what is known halves, so that it is tried again
-	maxLossRate              = 0.25    // share of parts lost from which connections so long idle are not used again
-	maxNonIdempotentLossRate = 0.03    // the same for parts that must not run twice
+	// idleTimeSlots is the number of classes of idle times. Each is twice as wide as the one before: the first
+	// ends at 2 ms, the last begins at 32.8 s.
+	idleTimeSlots = 16
+	// firstIdleSlot is the first class that counts, from 8 ms: a connection that was idle for less counts as in use.
+	firstIdleSlot = 3
+	// newestLossWeight is the weight of the newest observation in a loss rate.
+	newestLossWeight = 0.1
+	// lossHalfLifeMs is the time in which a loss rate halves, so that idle connections are tried again.
+	lossHalfLifeMs = 30000.0
+	// maxLossRate is the loss rate above which a connection that has been idle so long is not used again.
+	maxLossRate = 0.25
+	// maxNonIdempotentLossRate is the same for calls with a non-idempotent part.
+	maxNonIdempotentLossRate = 0.03
 )
 
-// idleRisk learns how long a connection may be idle before something on the way drops it unseen: then the
-// next part on it is lost at once. One fault in between does not tell; several of the same idle time do.
+// idleRisk estimates how likely a connection was dropped unseen while it was idle, so that the next call on it is lost
+// at once. It keeps a decaying loss rate for each class of idle times; one loss alone stays below maxLossRate. The zero
+// value is ready to use.
 type idleRisk struct {
-	lossRates, updatedAt [idleTimeSlots]float64
+	lossRates [idleTimeSlots]float64 // as of updatedAt
+	updatedAt [idleTimeSlots]float64
 }
 
-func idleTimeSlot(idle float64) int {
-	return min(max(int(math.Log2(max(idle, 1))), 0), idleTimeSlots-1)
+// idleTimeSlot returns the class of an idle time.
+func idleTimeSlot(idleMs float64) int {
+	return min(max(int(math.Log2(max(idleMs, 1))), 0), idleTimeSlots-1)
 }
 
-// record takes what became of a part on a connection that had been idle.
-func (r *idleRisk) record(now, idle float64, lost bool) {
-	i := idleTimeSlot(idle)
-	if i < firstIdleSlot {
+// record notes whether a call on a connection that had been idle was lost at once.
+func (r *idleRisk) record(now, idleMs float64, lost bool) {
+	slot := idleTimeSlot(idleMs)
+	if slot < firstIdleSlot {
 		return
 	}
-	r.lossRates[i] = r.lossRate(i, now) * (1 - newestLossWeight)
-	if r.updatedAt[i] = now; lost {
-		r.lossRates[i] += newestLossWeight
+	rate := r.lossRate(slot, now) * (1 - newestLossWeight)
+	if lost {
+		rate += newestLossWeight
 	}
+	r.lossRates[slot] = rate
+	r.updatedAt[slot] = now
 }
 
-func (r *idleRisk) lossRate(i int, now float64) float64 {
-	return r.lossRates[i] * math.Exp2((r.updatedAt[i]-now)/lossHalfLifeMs)
+// lossRate returns the loss rate of a class at present.
+func (r *idleRisk) lossRate(slot int, now float64) float64 {
+	return r.lossRates[slot] * math.Exp2((r.updatedAt[slot]-now)/lossHalfLifeMs)
 }
 
-// allows tells whether a part may go out on a connection that has been idle for so long: what is lost after
-// less idle time is lost after more.
-func (r *idleRisk) allows(now, idle, most float64) bool {
-	for i := firstIdleSlot; i <= idleTimeSlot(idle); i++ {
-		if r.lossRate(i, now) > most {
+// allows tells that the loss rate of connections that have been idle so long is not above maxRate. What is lost after
+// a shorter idle time counts too, as it would be lost after a longer one.
+func (r *idleRisk) allows(now, idleMs, maxRate float64) bool {
+	for slot := firstIdleSlot; slot <= idleTimeSlot(idleMs); slot++ {
+		if r.lossRate(slot, now) > maxRate {
 			return false
 		}
 	}
 	return true
 }
+
+// allowsNonIdempotent tells that a connection that has been idle so long may carry a non-idempotent part.
+func (r *idleRisk) allowsNonIdempotent(now, idleMs float64) bool {
+	return idleMs <= maxNonIdempotentIdleMs && r.allows(now, idleMs, maxNonIdempotentLossRate)
+}
--- a/internal/backends/timeouts.go
+++ b/internal/backends/timeouts.go
@@ -4,95 +4,122 @@
 	"fmt"
 	"math"
 	"slices"
+
 	"ternstage/internal/decision/scheduler"
 	"ternstage/internal/logs"
 )
 
 const (
-	idleCloseRatio    = 0.9    // of the backend's idle time, after which we close: a close that crosses a part resets it
-	idleCloseMarginMs = 1500.0 // ms: at least so long before the backend does
-	maxUnparsedBytes  = 2 * maxFrameBytes
-
-	maxFrameDurationMs     = 300.0 // ms from a frame's first byte to its last
-	maxAbandonedParts      = 64    // parts given up on a connection that may still be answered
-	immediateLossMs        = 5.0   // ms after which a connection that breaks did so under the part, not before it
-	maxNonIdempotentIdleMs = 250.0 // ms since a connection was last used, within which it may carry a part that must not
-	// run twice: one that has gone dead unseen would lose it
+	// idleCloseRatio is the part of the backend's idle timeout after which the broker closes an idle connection. A
+	// close by the backend that crosses a call would reset it.
+	idleCloseRatio = 0.9
+	// idleCloseMarginMs is how long before the backend's idle timeout the broker closes at the latest.
+	idleCloseMarginMs = 1500.0
+	// maxFrameDurationMs is the time from the first byte of a frame to its last, beyond which it is malformed.
+	maxFrameDurationMs = 300.0
 )
 
-// enforceTimeouts closes what is idle, gives up dials that take too long and parts that wait unwritten.
+// enforceTimeouts ends what is out of time and forgets backends that have left the endpoint list.
 func (p *Pool) enforceTimeouts() {
 	now := p.loop.Now()
-	for _, l := range p.backends {
-		for _, c := range slices.Clone(l.connections) {
-			switch {
-			case !c.established && now >= c.dialDeadline:
-				c.close(logs.BackendDialTimeout, nil)
-			case c.pendingRejection != nil && now >= c.rejectionDueAt:
-				c.reportPendingRejection()
-			case now >= c.frameDeadline:
-				c.closeMalformed(nil, fmt.Errorf("%w: it does not come whole", errMalformedFrame))
-			case len(c.calls) == 0 && c.retiredFor != "":
-				c.close(c.retiredFor, nil)
-			case len(c.calls) == 0 && now >= c.idleCloseAt:
-				c.close(logs.BackendIdle, nil)
-			case now >= c.startDeadline():
-				c.endStalled(now)
-			}
+	for _, backend := range p.backends {
+		for _, c := range slices.Clone(backend.connections) {
+			c.enforceTimeouts(now)
 		}
-		if len(l.connections) == 0 && len(l.unplaced) == 0 && p.address(l.replica) == "" {
-			delete(p.backends, l.replica)
+		if len(backend.connections) == 0 && len(backend.unplaced) == 0 && p.address(backend.replica) == "" {
+			delete(p.backends, backend.replica)
 		}
 	}
 	p.armTimer()
 }
 
-// armTimer sets the pool's one timer.
+// armTimer sets the pool's only timer to the earliest timeout.
 func (p *Pool) armTimer() {
-	next := math.Inf(1)
-	for _, l := range p.backends {
-		for _, c := range l.connections {
-			if !c.established {
-				next = min(next, c.dialDeadline)
-			} else {
-				next = min(next, c.idleCloseAt, c.frameDeadline)
-			}
-			if c.pendingRejection != nil {
-				next = min(next, c.rejectionDueAt)
-			}
-			if c.retiredFor != "" && len(c.calls) == 0 {
-				next = min(next, p.loop.Now())
-			}
-			next = min(next, c.startDeadline())
+	earliest := math.Inf(1)
+	for _, backend := range p.backends {
+		for _, c := range backend.connections {
+			earliest = min(earliest, c.nextTimeout())
 		}
 	}
-	p.timer.Set(next)
+	p.timer.Set(earliest)
+}
+
+// enforceTimeouts carries out the first timeout that is due. What else is due follows when the timer fires again.
+func (c *connection) enforceTimeouts(now float64) {
+	switch {
+	case !c.established && now >= c.dialDeadline:
+		c.close(logs.BackendDialTimeout, nil)
+	case c.pendingRejection != nil && now >= c.rejectionDueAt:
+		c.reportPendingRejection()
+	case now >= c.frameDeadline:
+		c.closeMalformed(nil, fmt.Errorf("%w: incomplete for too long", errMalformedFrame))
+	case len(c.calls) == 0 && c.retiredFor != "":
+		c.close(c.retiredFor, nil)
+	case len(c.calls) == 0 && now >= c.idleCloseAt:
+		c.close(logs.BackendIdle, nil)
+	case now >= c.startDeadline():
+		c.endStalled(now)
+	}
+}
+
+// nextTimeout returns when enforceTimeouts has something to do next; +Inf for nothing.
+func (c *connection) nextTimeout() float64 {
+	next := c.startDeadline()
+	if c.established {
+		next = min(next, c.idleCloseAt, c.frameDeadline)
+	} else {
+		next = min(next, c.dialDeadline)
+	}
+	if c.pendingRejection != nil {
+		next = min(next, c.rejectionDueAt)
+	}
+	if c.retiredFor != "" && len(c.calls) == 0 {
+		next = min(next, c.pool.loop.Now())
+	}
+	return next
+}
+
+// scheduleIdleClose sets when the connection is closed as idle. An idle connection beyond the connection limit is
+// retired instead.
+func (c *connection) scheduleIdleClose() {
+	c.idleCloseAt = math.Inf(1)
+	if len(c.calls) > 0 {
+		return
+	}
+	now := c.pool.loop.Now()
+	if c.backend.usableConnections() > c.pool.connectionLimit.current(now) {
+		c.retire(logs.BackendConnectionLimit)
+	}
+	keepAlive := c.pool.options.KeepAlive
+	c.idleCloseAt = now + max(min(keepAlive*idleCloseRatio, keepAlive-idleCloseMarginMs), 0)
 }
 
-// startDeadline is when the first part that is not wholly written has to be, if any is.
+// startDeadline returns when the first part that is not completely written has to be; +Inf if all are.
 func (c *connection) startDeadline() float64 {
-	by := math.Inf(1)
+	deadline := math.Inf(1)
 	if len(c.unencoded) == 0 && (len(c.calls) == 0 || len(c.stream.Out) == 0) {
-		return by // all is written, as nearly always
+		return deadline // the usual case, without a look at the calls
 	}
-	for _, k := range c.calls {
-		if k.endOffset > 0 && k.endOffset <= c.stream.BytesWritten {
+	for _, call := range c.calls {
+		if c.written(call) {
 			continue
 		}
-		for _, o := range k.parts {
-			if !o.ended || k.endOffset > 0 {
-				by = min(by, o.attempt.StartBy)
+		for _, part := range call.parts {
+			// A part that ended after it was encoded is still in the frame, so it counts.
+			if !part.ended || call.encoded() {
+				deadline = min(deadline, part.attempt.StartBy)
 			}
 		}
 	}
-	return by
+	return deadline
 }
 
-// endStalled gives up parts whose time to begin is over; the connection gets no new ones. A frame that is written
-// in part can only be taken back by closing the connection.
+// endStalled ends the parts that may not begin any more, on a connection that does not take them. It takes no new
+// calls. A partly written frame can only be taken back by closing the connection.
 func (c *connection) endStalled(now float64) {
-	for _, k := range c.calls {
-		if k.endOffset > c.stream.BytesWritten && slices.ContainsFunc(k.parts, func(o *part) bool { return now >= o.attempt.StartBy }) {
+	expired := func(part *part) bool { return now >= part.attempt.StartBy }
+	for _, call := range c.calls {
+		if call.endOffset > c.stream.BytesWritten && slices.ContainsFunc(call.parts, expired) {
 			c.close(logs.BackendWriteStalled, nil)
 			return
 		}
@@ -101,14 +128,15 @@
 	c.expireUnencoded(now)
 }
 
-// expireUnencoded takes out of the waiting calls what may not begin any more.
+// expireUnencoded ends the parts of the unencoded calls that may not begin any more.
 func (c *connection) expireUnencoded(now float64) {
-	for _, k := range slices.Clone(c.unencoded) {
-		for _, o := range k.parts {
-			if !o.ended && now >= o.attempt.StartBy {
-				o.ended = true
-				c.removePart(o)
-				c.pool.core.AttemptEndedLater(o.attempt, scheduler.ConnectFailed)
+	// removePart takes calls out of the list.
+	for _, call := range slices.Clone(c.unencoded) {
+		for _, part := range call.parts {
+			if !part.ended && now >= part.attempt.StartBy {
+				part.ended = true
+				c.removePart(part)
+				c.pool.core.AttemptEndedLater(part.attempt, scheduler.ConnectFailed)
 			}
 		}
 	}
