--- /dev/null
+++ b/internal/backends/fixture_test.go
@@ -0,0 +1,69 @@
+package backends
+
+import (
+	"net"
+	"os"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"ternstage/internal/core"
+	"ternstage/internal/decision/scheduler"
+	"ternstage/internal/lab/loopback"
+	"ternstage/internal/logs"
+	"ternstage/internal/loop"
+)
+
+// outcomeRecorder is a Core that records the outcomes of attempts and stops the loop with each.
+type outcomeRecorder struct {
+	loop     *loop.Loop
+	outcomes []scheduler.Outcome
+	lastAt   float64 // when the last one was reported
+}
+
+func (r *outcomeRecorder) AttemptEnded(attempt *core.Attempt, outcome scheduler.Outcome, _ []byte) {
+	r.AttemptEndedLater(attempt, outcome)
+}
+
+func (r *outcomeRecorder) AttemptEndedLater(_ *core.Attempt, outcome scheduler.Outcome) {
+	r.outcomes = append(r.outcomes, outcome)
+	r.lastAt = r.loop.Now()
+	r.loop.Stop()
+}
+
+// newLoop returns a loop that stops after timeoutMs, should the test not stop it before.
+func newLoop(t *testing.T, timeoutMs float64) *loop.Loop {
+	t.Helper()
+	eventLoop, err := loop.New()
+	require.NoError(t, err)
+	eventLoop.NewTimer(eventLoop.Stop).Set(eventLoop.ReadClock() + timeoutMs)
+	return eventLoop
+}
+
+// newPool returns a Pool all of whose backends have one address.
+func newPool(eventLoop *loop.Loop, outcomes Core, dialTimeoutMs float64, address string) *Pool {
+	options := Options{StreamsPerConnection: 8, DialTimeout: dialTimeoutMs, KeepAlive: 30000, MaxConnections: 8}
+	return NewPool(eventLoop, outcomes, logs.New(os.Stderr, "test"), options, func(uint32) string { return address })
+}
+
+// newRecordingPool returns a Pool for the backend at address, and what records its outcomes.
+func newRecordingPool(t *testing.T, address string) (*Pool, *outcomeRecorder) {
+	t.Helper()
+	eventLoop := newLoop(t, 4000)
+	recorder := &outcomeRecorder{loop: eventLoop}
+	return newPool(eventLoop, recorder, 5000, address), recorder
+}
+
+// listen returns a listener at an address of its own, closed with the test.
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	listener, err := net.Listen("tcp", loopback.Own())
+	require.NoError(t, err)
+	closeAfter(t, listener)
+	return listener
+}
+
+func closeAfter(t *testing.T, closer interface{ Close() error }) {
+	t.Helper()
+	t.Cleanup(func() { _ = closer.Close() })
+}
