--- a/internal/flight/config.go
+++ b/internal/flight/config.go
@@ -22,23 +22,23 @@
 }
 
 const (
-	defaultStreams = 128
-	defaultConns   = 128
+	defaultStreamsPerConnection = 128
+	defaultMaxConnections       = 128
 )
 
 // Defaults fills in what the operators left out.
 func (c *Config) Defaults() {
 	if c.StreamsPerConnection == 0 {
-		c.StreamsPerConnection = defaultStreams
+		c.StreamsPerConnection = defaultStreamsPerConnection
 	}
 	if c.MaxConnections == 0 {
-		c.MaxConnections = defaultConns
+		c.MaxConnections = defaultMaxConnections
 	}
 }
 
 // Load reads the file; one that is not there leaves Flight off.
 func Load(path string) (Config, error) {
-	c := Config{StreamsPerConnection: defaultStreams, MaxConnections: defaultConns}
+	c := Config{StreamsPerConnection: defaultStreamsPerConnection, MaxConnections: defaultMaxConnections}
 	m, err := toml.DecodeFile(path, &c)
 	if errors.Is(err, os.ErrNotExist) {
 		return Config{}, nil
--- a/internal/flight/front.go
+++ b/internal/flight/front.go
@@ -31,17 +31,17 @@
 
 // The metadata keys of a query; they mean what the HTTP front's headers of the same names mean.
 const (
-	keyID     = "x-request-id"
-	keyClass  = "x-class"
-	keyTenant = "x-tenant"
-	keyRetry  = "x-retry"
-	keyDedup  = "idempotency-key"
+	keyID          = "x-request-id"
+	keyClass       = "x-class"
+	keyTenant      = "x-tenant"
+	keyRetry       = "x-retry"
+	keyIdempotency = "idempotency-key"
 )
 
 const (
-	maxTicket = 64 << 10
-	maxGRPC   = maxTicket + 16<<10
-	metaWhole = "complete" // schema metadata of an answer: "true" or "false"
+	maxTicketBytes   = 64 << 10
+	maxRequestBytes  = maxTicketBytes + 16<<10
+	metadataComplete = "complete" // schema metadata of an answer: "true" or "false"
 )
 
 // Core is what the front asks of core, on the loop.
@@ -59,24 +59,24 @@
 // Front serves Flight to clients.
 type Front struct {
 	flight.BaseFlightServer
-	loop     Loop
-	core     Core
-	book     *contract.Contracts
-	log      *logs.Log
-	server   *grpc.Server
-	draining atomic.Bool
-	open     atomic.Int64
+	loop      Loop
+	core      Core
+	contracts *contract.Contracts
+	log       *logs.Log
+	server    *grpc.Server
+	draining  atomic.Bool
+	open      atomic.Int64
 }
 
 // Listen starts the front.
 func Listen(c Config, l Loop, k Core, b *contract.Contracts, log *logs.Log) (*Front, error) {
-	f := &Front{loop: l, core: k, book: b, log: log}
+	f := &Front{loop: l, core: k, contracts: b, log: log}
 	ln, err := net.Listen("tcp", c.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("flight: %w", err)
 	}
-	f.server = grpc.NewServer(grpc.MaxConcurrentStreams(uint32(c.StreamsPerConnection)), grpc.MaxRecvMsgSize(maxGRPC),
-		grpc.MaxHeaderListSize(16<<10), grpc.StatsHandler(&connLog{log: log}))
+	f.server = grpc.NewServer(grpc.MaxConcurrentStreams(uint32(c.StreamsPerConnection)), grpc.MaxRecvMsgSize(maxRequestBytes),
+		grpc.MaxHeaderListSize(16<<10), grpc.StatsHandler(&connectionLog{log: log}))
 	flight.RegisterFlightServiceServer(f.server, f)
 	go func() {
 		if err := f.server.Serve(netutil.LimitListener(ln, c.MaxConnections)); err != nil {
@@ -99,17 +99,17 @@
 	{Name: "doc", Type: arrow.BinaryTypes.Binary},
 }
 
-// districtFields follow where slices move: the districts of a row, hi not included.
-var districtFields = []arrow.Field{
+// bucketFields follow where slices move: the districts of a row, hi not included.
+var bucketFields = []arrow.Field{
 	{Name: "lo", Type: arrow.PrimitiveTypes.Int32},
 	{Name: "hi", Type: arrow.PrimitiveTypes.Int32},
 }
 
-// call is one DoGet on its way through core. It implements core.Client.
-type call struct{ answer chan core.Answer }
+// clientCall is one DoGet on its way through core. It implements core.Client.
+type clientCall struct{ answer chan core.Answer }
 
 // Finish implements core.Client: it runs on the loop and never waits.
-func (c *call) Finish(a core.Answer) { c.answer <- a }
+func (c *clientCall) Finish(a core.Answer) { c.answer <- a }
 
 // DoGet takes a query: the ticket is its body, the metadata its envelope, the call's deadline its deadline.
 func (f *Front) DoGet(t *flight.Ticket, s flight.FlightService_DoGetServer) error {
@@ -118,10 +118,10 @@
 	if err != nil {
 		return err
 	}
-	if len(t.GetTicket()) > maxTicket {
+	if len(t.GetTicket()) > maxTicketBytes {
 		return status.Error(codes.InvalidArgument, "the ticket is over 64 KiB")
 	}
-	c := &call{make(chan core.Answer, 1)}
+	c := &clientCall{make(chan core.Answer, 1)}
 	taken := make(chan error, 1)
 	var r *core.Request // the loop's alone, but for its being set before taken is sent to
 	f.loop.Post(func() {
@@ -133,7 +133,7 @@
 		if by, ok := ctx.Deadline(); ok {
 			env.ClientTimeout = float64(time.Until(by)) / 1e6
 		}
-		q, err := f.book.ParseQuery(env, t.GetTicket(), f.loop.Now())
+		q, err := f.contracts.ParseQuery(env, t.GetTicket(), f.loop.Now())
 		if err == nil {
 			q.Client, r = c, q
 			err = f.core.Submit(q)
@@ -141,7 +141,7 @@
 		taken <- err
 	})
 	if err := <-taken; err != nil {
-		return refusal(err)
+		return rejectedQueryError(err)
 	}
 	var a core.Answer
 	select {
@@ -154,10 +154,10 @@
 			return status.FromContextError(ctx.Err()).Err()
 		}
 	}
-	if err := final(a); err != nil {
+	if err := unansweredError(a); err != nil {
 		return err
 	}
-	return send(s, a)
+	return sendAnswer(s, a)
 }
 
 // envelope reads the metadata of a query.
@@ -173,11 +173,11 @@
 		return contract.Envelope{}, status.Error(codes.InvalidArgument, "the call has no deadline")
 	}
 	return contract.Envelope{ID: one(keyID), Class: one(keyClass), Tenant: one(keyTenant),
-		ClientRetry: one(keyRetry) == "1", IdempotencyKey: one(keyDedup)}, nil
+		ClientRetry: one(keyRetry) == "1", IdempotencyKey: one(keyIdempotency)}, nil
 }
 
-// refusal maps what a front says of a query that core has not taken.
-func refusal(err error) error {
+// rejectedQueryError maps what a front says of a query that core has not taken.
+func rejectedQueryError(err error) error {
 	switch {
 	case errors.Is(err, contract.ErrUnknownClass):
 		return status.Error(codes.NotFound, err.Error())
@@ -190,7 +190,7 @@
 	if errors.As(err, &stale) {
 		st := status.New(codes.InvalidArgument, err.Error())
 		info := &errdetails.ErrorInfo{Reason: "STALE_SLICE", Domain: "ternstage",
-			Metadata: map[string]string{metaEpoch: strconv.FormatUint(stale.Epoch, 10)}}
+			Metadata: map[string]string{metadataEpoch: strconv.FormatUint(stale.Epoch, 10)}}
 		if with, err := st.WithDetails(info); err == nil {
 			st = with
 		}
@@ -199,8 +199,8 @@
 	return status.Error(codes.InvalidArgument, err.Error())
 }
 
-// final maps a final answer that is not served; nil if it is.
-func final(a core.Answer) error {
+// unansweredError maps a final answer that is not served; nil if it is.
+func unansweredError(a core.Answer) error {
 	switch {
 	case a.Kind == core.Answered:
 		return nil
@@ -217,12 +217,12 @@
 	return status.Error(codes.Internal, "failed; what was asked for may have been done")
 }
 
-// send writes the answer as one record batch, a row for each part that is in.
-func send(s flight.FlightService_DoGetServer, a core.Answer) error {
-	names, values, fields := []string{metaWhole}, []string{strconv.FormatBool(a.Complete)}, answerSchema
+// sendAnswer writes the answer as one record batch, a row for each part that is in.
+func sendAnswer(s flight.FlightService_DoGetServer, a core.Answer) error {
+	names, values, fields := []string{metadataComplete}, []string{strconv.FormatBool(a.Complete)}, answerSchema
 	if a.Epoch > 0 {
-		names, values = append(names, metaEpoch), append(values, strconv.FormatUint(a.Epoch, 10))
-		fields = append(slices.Clone(fields), districtFields...)
+		names, values = append(names, metadataEpoch), append(values, strconv.FormatUint(a.Epoch, 10))
+		fields = append(slices.Clone(fields), bucketFields...)
 	}
 	meta := arrow.NewMetadata(names, values)
 	schema := arrow.NewSchema(fields, &meta)
@@ -247,7 +247,7 @@
 
 // GetFlightInfo names the one endpoint of a query, this one: the descriptor's command becomes its ticket.
 func (f *Front) GetFlightInfo(_ context.Context, d *flight.FlightDescriptor) (*flight.FlightInfo, error) {
-	if d.GetType() != flight.DescriptorCMD || len(d.GetCmd()) == 0 || len(d.GetCmd()) > maxTicket {
+	if d.GetType() != flight.DescriptorCMD || len(d.GetCmd()) == 0 || len(d.GetCmd()) > maxTicketBytes {
 		return nil, status.Error(codes.InvalidArgument, "the descriptor is not a command of 64 KiB at most")
 	}
 	return &flight.FlightInfo{Schema: flight.SerializeSchema(arrow.NewSchema(answerSchema, nil),
@@ -261,24 +261,24 @@
 		memory.DefaultAllocator)}, nil
 }
 
-// connLog leaves one line for each client connection that ends. It implements stats.Handler.
-type connLog struct{ log *logs.Log }
+// connectionLog leaves one line for each client connection that ends. It implements stats.Handler.
+type connectionLog struct{ log *logs.Log }
 
-type connKey struct{}
+type connectionKey struct{}
 
-type connState struct {
+type connectionState struct {
 	peer   string
 	served atomic.Int64
 }
 
 // TagConn implements stats.Handler; so do the methods below.
-func (*connLog) TagConn(ctx context.Context, i *stats.ConnTagInfo) context.Context {
-	return context.WithValue(ctx, connKey{}, &connState{peer: i.RemoteAddr.String()})
+func (*connectionLog) TagConn(ctx context.Context, i *stats.ConnTagInfo) context.Context {
+	return context.WithValue(ctx, connectionKey{}, &connectionState{peer: i.RemoteAddr.String()})
 }
 
 // HandleConn notes the end.
-func (h *connLog) HandleConn(ctx context.Context, s stats.ConnStats) {
-	if c, ok := ctx.Value(connKey{}).(*connState); ok {
+func (h *connectionLog) HandleConn(ctx context.Context, s stats.ConnStats) {
+	if c, ok := ctx.Value(connectionKey{}).(*connectionState); ok {
 		if _, end := s.(*stats.ConnEnd); end {
 			h.log.ConnectionEnded(logs.FlightClientClosed, c.peer, int(c.served.Load()), nil)
 		}
@@ -286,11 +286,11 @@
 }
 
 // TagRPC adds nothing.
-func (*connLog) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context { return ctx }
+func (*connectionLog) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context { return ctx }
 
 // HandleRPC counts calls.
-func (*connLog) HandleRPC(ctx context.Context, s stats.RPCStats) {
-	if c, ok := ctx.Value(connKey{}).(*connState); ok {
+func (*connectionLog) HandleRPC(ctx context.Context, s stats.RPCStats) {
+	if c, ok := ctx.Value(connectionKey{}).(*connectionState); ok {
 		if _, end := s.(*stats.End); end {
 			c.served.Add(1)
 		}
--- a/internal/flight/nodes.go
+++ b/internal/flight/nodes.go
@@ -39,128 +39,128 @@
 }
 
 const (
-	maxAnswer = 256 << 10
-	idleShare = 0.9
+	maxAnswerBytes = 256 << 10
+	idleCloseRatio = 0.9
 )
 
 // BackendClient asks rate nodes over Flight. It implements core.Backend. A part is a DoGet of its own: Flight has no
 // call that carries several tickets.
 type BackendClient struct {
-	loop    Loop
-	core    Outcomes
-	log     *logs.Log
-	o       BackendOptions
-	address func(node uint32) string
-	nodes   map[uint32][]*channel // by node: its connections; the loop's alone
-	conns   int
-	turn    []*attempt
+	loop            Loop
+	core            Outcomes
+	log             *logs.Log
+	options         BackendOptions
+	address         func(node uint32) string
+	connections     map[uint32][]*backendConnection // by node: its connections; the loop's alone
+	connectionCount int
+	unflushed       []*attempt
 }
 
-// channel is one gRPC connection to a node.
-type channel struct {
-	node    uint32
-	addr    string
-	cc      *grpc.ClientConn
-	client  flight.Client
-	out     int
-	served  int
-	retired bool
+// backendConnection is one gRPC connection to a node.
+type backendConnection struct {
+	replica  uint32
+	address  string
+	grpcConn *grpc.ClientConn
+	client   flight.Client
+	inFlight int
+	served   int
+	retired  bool
 }
 
 // attempt is an attempt that is out; it is the handle of core's.
 type attempt struct {
 	*core.Attempt
-	ch     *channel
-	cancel context.CancelFunc
-	state  atomic.Int32 // stateWaiting until its call begins or it is given up
-	over   bool         // the loop's: its outcome is known or no longer wanted
+	connection *backendConnection
+	cancel     context.CancelFunc
+	state      atomic.Int32 // stateWaiting until its call begins or it is given up
+	ended      bool         // the loop's: its outcome is known or no longer wanted
 
-	nodeEpoch uint64 // the goroutine's until it posts
+	backendEpoch uint64 // the goroutine's until it posts
 }
 
 const (
-	stateWaiting = iota
-	stateCalled  // from here on it may have run
-	stateDropped // from here on it never will
+	stateWaiting   = iota
+	stateBegun     // from here on it may have run
+	stateWithdrawn // from here on it never will
 )
 
 // NewBackendClient makes the back end; address looks a node's address up.
 func NewBackendClient(l Loop, c Outcomes, log *logs.Log, o BackendOptions, address func(uint32) string) *BackendClient {
-	return &BackendClient{loop: l, core: c, log: log, o: o, address: address, nodes: map[uint32][]*channel{}}
+	return &BackendClient{loop: l, core: c, log: log, options: o, address: address, connections: map[uint32][]*backendConnection{}}
 }
 
 // Send implements core.Backend.
 func (n *BackendClient) Send(a *core.Attempt) {
 	x := &attempt{Attempt: a}
 	a.Handle = x
-	n.turn = append(n.turn, x)
+	n.unflushed = append(n.unflushed, x)
 }
 
 // Flush implements core.Backend.
 func (n *BackendClient) Flush() {
-	turn := n.turn
-	n.turn = nil
+	turn := n.unflushed
+	n.unflushed = nil
 	for _, x := range turn {
-		if x.over {
+		if x.ended {
 			continue
 		}
-		if x.ch = n.channel(x.Backend); x.ch == nil {
-			x.over = true
+		if x.connection = n.selectConnection(x.Backend); x.connection == nil {
+			x.ended = true
 			n.core.AttemptEndedLater(x.Attempt, scheduler.ConnectFailed)
 			continue
 		}
-		x.ch.out++
+		x.connection.inFlight++
 		left := time.Duration(max(x.Deadline-n.loop.Now(), 1) * 1e6)
-		hold := time.Duration(max(min(x.StartBy-n.loop.Now(), n.o.DialTimeout), 0) * 1e6)
+		hold := time.Duration(max(min(x.StartBy-n.loop.Now(), n.options.DialTimeout), 0) * 1e6)
 		ctx, cancel := context.WithTimeout(context.Background(), left)
 		x.cancel = cancel
-		go n.run(ctx, x, left, hold)
+		go n.runAttempt(ctx, x, left, hold)
 	}
 }
 
-// channel is a connection to a node with a stream to spare.
-func (n *BackendClient) channel(node uint32) *channel {
+// selectConnection is a connection to a node with a stream to spare.
+func (n *BackendClient) selectConnection(node uint32) *backendConnection {
 	addr := n.address(node)
 	if addr == "" {
 		return nil
 	}
-	for _, ch := range n.nodes[node] {
-		if ch.addr != addr {
+	for _, ch := range n.connections[node] {
+		if ch.address != addr {
 			n.retire(ch)
-		} else if ch.out < n.o.StreamsPerConnection && !ch.retired {
+		} else if ch.inFlight < n.options.StreamsPerConnection && !ch.retired {
 			return ch
 		}
 	}
-	if n.conns >= n.o.MaxConnections {
+	if n.connectionCount >= n.options.MaxConnections {
 		return nil
 	}
-	idle := time.Duration(n.o.KeepAlive * idleShare * 1e6)
+	idle := time.Duration(n.options.KeepAlive * idleCloseRatio * 1e6)
 	// No retries by gRPC: whether a part goes out again is the module's decision.
 	cc, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithDisableRetry(), grpc.WithDisableServiceConfig(), grpc.WithIdleTimeout(idle),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxAnswer)), grpc.WithNoProxy())
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxAnswerBytes)), grpc.WithNoProxy())
 	if err != nil {
 		n.log.ConnectionEnded(logs.FlightBackendClosed, addr, 0, err)
 		return nil
 	}
-	ch := &channel{node: node, addr: addr, cc: cc, client: flight.NewClientFromConn(cc, nil)}
-	n.nodes[node] = append(n.nodes[node], ch)
-	n.conns++
+	ch := &backendConnection{replica: node, address: addr, grpcConn: cc, client: flight.NewClientFromConn(cc, nil)}
+	n.connections[node] = append(n.connections[node], ch)
+	n.connectionCount++
 	return ch
 }
 
 // retire lets a connection end with what is out on it.
-func (n *BackendClient) retire(ch *channel) {
-	if ch.retired = true; ch.out > 0 {
+func (n *BackendClient) retire(ch *backendConnection) {
+	if ch.retired = true; ch.inFlight > 0 {
 		return
 	}
-	list := n.nodes[ch.node]
+	list := n.connections[ch.replica]
 	for i, x := range list {
 		if x == ch {
-			n.nodes[ch.node] = append(list[:i:i], list[i+1:]...)
-			n.conns--
-			_ = ch.cc.Close()
-			n.log.ConnectionEnded(logs.FlightBackendClosed, ch.addr, ch.served, nil)
+			n.connections[ch.replica] = append(list[:i:i], list[i+1:]...)
+			n.connectionCount--
+			_ = ch.grpcConn.Close()
+			n.log.ConnectionEnded(logs.FlightBackendClosed, ch.address, ch.served, nil)
 		}
 	}
 }
@@ -168,10 +168,10 @@
 // Withdraw implements core.Backend.
 func (n *BackendClient) Withdraw(a *core.Attempt) bool {
 	x, _ := a.Handle.(*attempt)
-	if x == nil || x.over || !x.state.CompareAndSwap(stateWaiting, stateDropped) {
+	if x == nil || x.ended || !x.state.CompareAndSwap(stateWaiting, stateWithdrawn) {
 		return false
 	}
-	n.leave(x)
+	n.endWait(x)
 	return true
 }
 
@@ -180,23 +180,23 @@
 	if n.Withdraw(a) {
 		return true
 	}
-	if x, _ := a.Handle.(*attempt); x != nil && !x.over {
-		n.leave(x)
+	if x, _ := a.Handle.(*attempt); x != nil && !x.ended {
+		n.endWait(x)
 	}
 	return false
 }
 
-// leave ends the wait for an attempt.
-func (n *BackendClient) leave(x *attempt) {
-	if x.over = true; x.cancel != nil {
+// endWait ends the wait for an attempt.
+func (n *BackendClient) endWait(x *attempt) {
+	if x.ended = true; x.cancel != nil {
 		x.cancel()
 	}
 }
 
 // CloseIdleConnections implements core.Backend.
 func (n *BackendClient) CloseIdleConnections(node uint32) {
-	for _, ch := range n.nodes[node] {
-		if ch.out == 0 {
+	for _, ch := range n.connections[node] {
+		if ch.inFlight == 0 {
 			n.retire(ch)
 		}
 	}
@@ -204,38 +204,38 @@
 
 // Close closes what is open, at the end of the program.
 func (n *BackendClient) Close() {
-	for _, list := range n.nodes {
+	for _, list := range n.connections {
 		for _, ch := range list {
-			_ = ch.cc.Close()
-			n.log.ConnectionEnded(logs.Shutdown, ch.addr, ch.served, nil)
+			_ = ch.grpcConn.Close()
+			n.log.ConnectionEnded(logs.Shutdown, ch.address, ch.served, nil)
 		}
 	}
-	clear(n.nodes)
+	clear(n.connections)
 }
 
-// run is the goroutine of one attempt: gRPC's calls wait. It tells the loop of the outcome and touches
+// runAttempt is the goroutine of one attempt: gRPC's calls wait. It tells the loop of the outcome and touches
 // nothing else. The call begins within hold or not at all.
-func (n *BackendClient) run(ctx context.Context, x *attempt, left, hold time.Duration) {
+func (n *BackendClient) runAttempt(ctx context.Context, x *attempt, left, hold time.Duration) {
 	defer x.cancel()
 	o, value := n.ask(ctx, x, left, hold)
 	n.loop.Post(func() {
-		if x.ch.out--; x.ch.retired {
-			n.retire(x.ch)
+		if x.connection.inFlight--; x.connection.retired {
+			n.retire(x.connection)
 		}
-		if x.over {
+		if x.ended {
 			return // given up before: a late answer is ignored
 		}
-		x.over = true
+		x.ended = true
 		if o == scheduler.Succeeded {
-			x.ch.served++
+			x.connection.served++
 		}
-		x.BackendEpoch = x.nodeEpoch
+		x.BackendEpoch = x.backendEpoch
 		n.core.AttemptEnded(x.Attempt, o, value)
 	})
 }
 
-// ticket is what a node is asked with.
-type ticket struct {
+// backendTicket is what a node is asked with.
+type backendTicket struct {
 	ID    string `json:"id"`
 	Shard int    `json:"shard"`
 	D     int    `json:"d"`
@@ -251,9 +251,9 @@
 func (n *BackendClient) ask(ctx context.Context, x *attempt, left, hold time.Duration) (o scheduler.Outcome,
 	value []byte) {
 	begin := time.Now()
-	up := n.connected(ctx, x.ch.cc, hold) && time.Since(begin) <= hold
-	if !up || !x.state.CompareAndSwap(stateWaiting, stateCalled) {
-		x.state.CompareAndSwap(stateWaiting, stateDropped)
+	up := n.waitConnected(ctx, x.connection.grpcConn, hold) && time.Since(begin) <= hold
+	if !up || !x.state.CompareAndSwap(stateWaiting, stateBegun) {
+		x.state.CompareAndSwap(stateWaiting, stateWithdrawn)
 		return scheduler.ConnectFailed, nil // no call was begun: it never ran
 	}
 	defer func() {
@@ -262,7 +262,7 @@
 			o = scheduler.ConnectionReset
 		}
 	}()
-	ask := ticket{ID: fmt.Sprintf("%s.%d", x.Request, x.Shard), Shard: x.Shard,
+	ask := backendTicket{ID: fmt.Sprintf("%s.%d", x.Request, x.Shard), Shard: x.Shard,
 		D: max(int((left - time.Since(begin)).Milliseconds()), 1), Q: string(x.Query), K: x.IdempotencyKey}
 	if x.Epoch > 0 {
 		ask.ID, ask.Epoch, ask.Range = fmt.Sprintf("%s.%d", ask.ID, x.Buckets.Start), x.Epoch, &x.Buckets
@@ -271,18 +271,18 @@
 	if err != nil {
 		return scheduler.NotSent, nil
 	}
-	s, err := x.ch.client.DoGet(ctx, &flight.Ticket{Ticket: t})
+	s, err := x.connection.client.DoGet(ctx, &flight.Ticket{Ticket: t})
 	if err != nil {
-		return x.ended(err), nil
+		return x.callOutcome(err), nil
 	}
 	r, err := flight.NewRecordReader(s)
 	if err != nil {
-		return x.ended(err), nil
+		return x.callOutcome(err), nil
 	}
 	defer r.Release()
 	// The first batch is the answer: a stream that breaks after it does not undo it.
 	if !r.Next() {
-		return x.ended(r.Err()), nil
+		return x.callOutcome(r.Err()), nil
 	}
 	rec := r.RecordBatch()
 	if rec.NumCols() < 1 || rec.NumRows() < 1 {
@@ -302,8 +302,8 @@
 	return scheduler.Succeeded, value
 }
 
-// connected waits until a connection is up, for so long at most. A refused one tells at once.
-func (n *BackendClient) connected(ctx context.Context, cc *grpc.ClientConn, most time.Duration) bool {
+// waitConnected waits until a connection is up, for so long at most. A refused one tells at once.
+func (n *BackendClient) waitConnected(ctx context.Context, cc *grpc.ClientConn, most time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, most)
 	defer cancel()
 	state := cc.GetState()
@@ -330,29 +330,29 @@
 // The reason and the key of the ErrorInfo by which a node says FAILED_PRECONDITION where slices move: it does
 // not hold the districts at its epoch, and nothing of the part ran.
 const (
-	reasonMoved = "MOVED"
-	metaEpoch   = "epoch"
+	reasonNotHolder = "MOVED"
+	metadataEpoch   = "epoch"
 )
 
-// ended maps how the attempt's call ended, and takes the node's epoch where it says that the part's districts
+// callOutcome maps how the attempt's call ended, and takes the node's epoch where it says that the part's districts
 // are not its own. Read by the loop only after run has posted.
-func (x *attempt) ended(err error) scheduler.Outcome {
+func (x *attempt) callOutcome(err error) scheduler.Outcome {
 	if st, ok := status.FromError(err); ok && x.Epoch > 0 && st.Code() == codes.FailedPrecondition {
 		for _, d := range st.Details() {
-			if i, ok := d.(*errdetails.ErrorInfo); ok && i.Reason == reasonMoved {
-				if epoch, err := strconv.ParseUint(i.Metadata[metaEpoch], 10, 63); err == nil && epoch > 0 {
-					x.nodeEpoch = epoch
+			if i, ok := d.(*errdetails.ErrorInfo); ok && i.Reason == reasonNotHolder {
+				if epoch, err := strconv.ParseUint(i.Metadata[metadataEpoch], 10, 63); err == nil && epoch > 0 {
+					x.backendEpoch = epoch
 					return scheduler.NotHolder
 				}
 			}
 		}
 	}
-	return outcomeOf(err)
+	return outcomeOfError(err)
 }
 
-// outcomeOf maps how a call ended that had begun: only the node's own word that it is full proves that the
+// outcomeOfError maps how a call ended that had begun: only the node's own word that it is full proves that the
 // part never ran.
-func outcomeOf(err error) scheduler.Outcome {
+func outcomeOfError(err error) scheduler.Outcome {
 	var st interface{ GRPCStatus() *status.Status }
 	if !errors.As(err, &st) {
 		return scheduler.ConnectionReset // a stream that ended early or cannot be read
