--- a/internal/flight/backend_client.go
+++ b/internal/flight/backend_client.go
@@ -2,122 +2,139 @@
 
 import (
 	"context"
+
 	"ternstage/internal/core"
 	"ternstage/internal/decision/scheduler"
 	"ternstage/internal/logs"
-	"time"
 )
 
-// Outcomes takes what became of attempts, on the loop.
+// Outcomes takes the outcomes of attempts, on the loop.
 type Outcomes interface {
-	AttemptEnded(a *core.Attempt, o scheduler.Outcome, value []byte)
-	AttemptEndedLater(a *core.Attempt, o scheduler.Outcome)
+	// AttemptEnded reports an outcome; value is the answer of an attempt that succeeded and nil otherwise.
+	AttemptEnded(attempt *core.Attempt, outcome scheduler.Outcome, value []byte)
+	// AttemptEndedLater does the same from within a call by core, which is not called back: it only queues the outcome.
+	AttemptEndedLater(attempt *core.Attempt, outcome scheduler.Outcome)
 }
 
-// BackendOptions are the limits of the back end, from the settings.
+// BackendOptions are the limits of a BackendClient. They have no defaults: they come from the platform's settings.
 type BackendOptions struct {
+	// StreamsPerConnection is the maximum number of calls in flight on one connection.
 	StreamsPerConnection int
-	DialTimeout          float64 // ms
-	KeepAlive            float64 // ms
-	MaxConnections       int
+	// DialTimeout is the time in ms for which an attempt waits for its connection.
+	DialTimeout float64
+	// KeepAlive is the time in ms after which a backend closes an idle connection.
+	KeepAlive float64
+	// MaxConnections is the maximum number of connections to all backends together.
+	MaxConnections int
 }
 
-const (
-	maxAnswerBytes = 256 << 10
-	idleCloseRatio = 0.9
-)
-
-// BackendClient asks rate nodes over Flight. It implements core.Backend. A part is a DoGet of its own: Flight has no
-// call that carries several tickets.
+// BackendClient asks backends over Flight. It implements core.Backend. Each part is a DoGet of its own, as no call of
+// Flight carries several tickets. Its methods are called on the loop.
 type BackendClient struct {
-	loop            Loop
-	core            Outcomes
-	log             *logs.Log
-	options         BackendOptions
-	address         func(node uint32) string
-	connections     map[uint32][]*backendConnection // by node: its connections; the loop's alone
-	connectionCount int
-	unflushed       []*attempt
+	loop    Loop
+	core    Outcomes
+	log     *logs.Log
+	options BackendOptions
+	address func(replica uint32) string // "" for a backend that is not in the endpoint list
+
+	connections     map[uint32][]*backendConnection // by replica number
+	connectionCount int                             // to all backends
+	unflushed       []*attempt                      // sent since the last Flush
 }
 
-// NewBackendClient makes the back end; address looks a node's address up.
-func NewBackendClient(l Loop, c Outcomes, log *logs.Log, o BackendOptions, address func(uint32) string) *BackendClient {
-	return &BackendClient{loop: l, core: c, log: log, options: o, address: address, connections: map[uint32][]*backendConnection{}}
+// NewBackendClient returns a BackendClient without connections. address returns the address of a backend by its replica
+// number, and "" for one that is not in the endpoint list.
+func NewBackendClient(loop Loop, outcomes Outcomes, log *logs.Log, options BackendOptions,
+	address func(replica uint32) string) *BackendClient {
+	return &BackendClient{
+		loop:        loop,
+		core:        outcomes,
+		log:         log,
+		options:     options,
+		address:     address,
+		connections: map[uint32][]*backendConnection{},
+	}
 }
 
 // Send implements core.Backend.
-func (n *BackendClient) Send(a *core.Attempt) {
-	x := &attempt{Attempt: a}
-	a.Handle = x
-	n.unflushed = append(n.unflushed, x)
+func (c *BackendClient) Send(coreAttempt *core.Attempt) {
+	attempt := &attempt{Attempt: coreAttempt}
+	coreAttempt.Handle = attempt
+	c.unflushed = append(c.unflushed, attempt)
 }
 
 // Flush implements core.Backend.
-func (n *BackendClient) Flush() {
-	turn := n.unflushed
-	n.unflushed = nil
-	for _, x := range turn {
-		if x.ended {
-			continue
-		}
-		if x.connection = n.selectConnection(x.Backend); x.connection == nil {
-			x.ended = true
-			n.core.AttemptEndedLater(x.Attempt, scheduler.ConnectFailed)
-			continue
+func (c *BackendClient) Flush() {
+	unflushed := c.unflushed
+	c.unflushed = nil
+	for _, attempt := range unflushed {
+		if !attempt.ended {
+			c.start(attempt)
 		}
-		x.connection.inFlight++
-		left := time.Duration(max(x.Deadline-n.loop.Now(), 1) * 1e6)
-		hold := time.Duration(max(min(x.StartBy-n.loop.Now(), n.options.DialTimeout), 0) * 1e6)
-		ctx, cancel := context.WithTimeout(context.Background(), left)
-		x.cancel = cancel
-		go n.runAttempt(ctx, x, left, hold)
 	}
 }
 
-// Withdraw implements core.Backend.
-func (n *BackendClient) Withdraw(a *core.Attempt) bool {
-	x, _ := a.Handle.(*attempt)
-	if x == nil || x.ended || !x.state.CompareAndSwap(stateWaiting, stateWithdrawn) {
+// start starts the goroutine of an attempt. Without a connection the attempt ends as ConnectFailed.
+func (c *BackendClient) start(attempt *attempt) {
+	attempt.connection = c.selectConnection(attempt.Backend)
+	if attempt.connection == nil {
+		attempt.ended = true
+		c.core.AttemptEndedLater(attempt.Attempt, scheduler.ConnectFailed)
+		return
+	}
+	attempt.connection.inFlight++
+	now := c.loop.Now()
+	attempt.remaining = fromMs(max(attempt.Deadline-now, minRemainingMs))
+	attempt.startWindow = fromMs(max(min(attempt.StartBy-now, c.options.DialTimeout), 0))
+	ctx, cancel := context.WithTimeout(context.Background(), attempt.remaining)
+	attempt.cancel = cancel
+	go c.runAttempt(ctx, attempt)
+}
+
+// Withdraw implements core.Backend. An attempt can be withdrawn until its call begins.
+func (c *BackendClient) Withdraw(coreAttempt *core.Attempt) bool {
+	attempt, _ := coreAttempt.Handle.(*attempt)
+	if attempt == nil || attempt.ended {
+		return false
+	}
+	withdrawn := attempt.state.CompareAndSwap(stateWaiting, stateNeverBegins)
+	if !withdrawn {
 		return false
 	}
-	n.endWait(x)
+	attempt.endWait()
 	return true
 }
 
-// Abandon implements core.Backend.
-func (n *BackendClient) Abandon(a *core.Attempt) (neverRan bool) {
-	if n.Withdraw(a) {
+// Abandon implements core.Backend. gRPC tells the backend that the call is cancelled.
+func (c *BackendClient) Abandon(coreAttempt *core.Attempt) (neverRan bool) {
+	withdrawn := c.Withdraw(coreAttempt)
+	if withdrawn {
 		return true
 	}
-	if x, _ := a.Handle.(*attempt); x != nil && !x.ended {
-		n.endWait(x)
+	attempt, _ := coreAttempt.Handle.(*attempt)
+	if attempt != nil && !attempt.ended {
+		attempt.endWait()
 	}
 	return false
 }
 
-// endWait ends the wait for an attempt.
-func (n *BackendClient) endWait(x *attempt) {
-	if x.ended = true; x.cancel != nil {
-		x.cancel()
-	}
-}
-
 // CloseIdleConnections implements core.Backend.
-func (n *BackendClient) CloseIdleConnections(node uint32) {
-	for _, ch := range n.connections[node] {
-		if ch.inFlight == 0 {
-			n.retire(ch)
+func (c *BackendClient) CloseIdleConnections(replica uint32) {
+	// retire replaces the list that is ranged over.
+	for _, connection := range c.connections[replica] {
+		if connection.inFlight == 0 {
+			c.retire(connection)
 		}
 	}
 }
 
-// Close closes what is open, at the end of the program.
-func (n *BackendClient) Close() {
-	for _, list := range n.connections {
-		for _, ch := range list {
-			_ = ch.grpcConn.Close()
-			n.log.ConnectionEnded(logs.Shutdown, ch.address, ch.served, nil)
+// Close closes all connections, at the end of the process. The calls in flight end, and with them their goroutines.
+func (c *BackendClient) Close() {
+	for _, connections := range c.connections {
+		for _, connection := range connections {
+			_ = connection.grpcConn.Close()
+			c.log.ConnectionEnded(logs.Shutdown, connection.address, connection.callsServed, nil)
 		}
 	}
-	clear(n.connections)
+	clear(c.connections)
 }
--- a/internal/flight/backend_connection.go
+++ b/internal/flight/backend_connection.go
@@ -2,94 +2,123 @@
 
 import (
 	"context"
-	"ternstage/internal/logs"
+	"slices"
 	"time"
 
 	"github.com/apache/arrow-go/v18/arrow/flight"
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/connectivity"
 	"google.golang.org/grpc/credentials/insecure"
+
+	"ternstage/internal/logs"
+)
+
+const (
+	// maxAnswerBytes is the maximum size of a message of a backend.
+	maxAnswerBytes = 256 << 10
+	// idleCloseRatio is the part of the backend's idle timeout after which gRPC closes an idle connection. A close by
+	// the backend that crosses a call would reset it.
+	idleCloseRatio = 0.9
 )
 
-// backendConnection is one gRPC connection to a node.
+// backendConnection is one gRPC connection to a backend.
 type backendConnection struct {
-	replica  uint32
-	address  string
-	grpcConn *grpc.ClientConn
-	client   flight.Client
-	inFlight int
-	served   int
-	retired  bool
+	replica     uint32
+	address     string
+	grpcConn    *grpc.ClientConn // safe for concurrent use
+	client      flight.Client    // safe for concurrent use
+	inFlight    int              // attempts
+	callsServed int              // attempts that succeeded
+	retired     bool             // takes no new attempts; closed when none is in flight
 }
 
-// selectConnection is a connection to a node with a stream to spare.
-func (n *BackendClient) selectConnection(node uint32) *backendConnection {
-	addr := n.address(node)
-	if addr == "" {
+// selectConnection returns the first connection to a backend that takes one more attempt, or a new one. It is nil if
+// the backend has no address or there are too many connections. Connections to another address are retired.
+func (c *BackendClient) selectConnection(replica uint32) *backendConnection {
+	address := c.address(replica)
+	if address == "" {
 		return nil
 	}
-	for _, ch := range n.connections[node] {
-		if ch.address != addr {
-			n.retire(ch)
-		} else if ch.inFlight < n.options.StreamsPerConnection && !ch.retired {
-			return ch
+	// retire replaces the list that is ranged over.
+	for _, connection := range c.connections[replica] {
+		if connection.address != address {
+			c.retire(connection)
+		} else if connection.inFlight < c.options.StreamsPerConnection && !connection.retired {
+			return connection
 		}
 	}
-	if n.connectionCount >= n.options.MaxConnections {
+	if c.connectionCount >= c.options.MaxConnections {
 		return nil
 	}
-	idle := time.Duration(n.options.KeepAlive * idleCloseRatio * 1e6)
-	// No retries by gRPC: whether a part goes out again is the module's decision.
-	cc, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithDisableRetry(), grpc.WithDisableServiceConfig(), grpc.WithIdleTimeout(idle),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxAnswerBytes)), grpc.WithNoProxy())
+	return c.openConnection(replica, address)
+}
+
+// openConnection opens a connection; nil if gRPC takes the address for none. gRPC connects when it is first used.
+func (c *BackendClient) openConnection(replica uint32, address string) *backendConnection {
+	grpcConn, err := grpc.NewClient("passthrough:///"+address,
+		grpc.WithTransportCredentials(insecure.NewCredentials()),
+		grpc.WithDisableRetry(), // whether a part is sent again is the scheduler's decision
+		grpc.WithDisableServiceConfig(),
+		grpc.WithIdleTimeout(fromMs(c.options.KeepAlive*idleCloseRatio)),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxAnswerBytes)),
+		grpc.WithNoProxy(),
+	)
 	if err != nil {
-		n.log.ConnectionEnded(logs.FlightBackendClosed, addr, 0, err)
+		c.log.ConnectionEnded(logs.FlightBackendClosed, address, 0, err)
 		return nil
 	}
-	ch := &backendConnection{replica: node, address: addr, grpcConn: cc, client: flight.NewClientFromConn(cc, nil)}
-	n.connections[node] = append(n.connections[node], ch)
-	n.connectionCount++
-	return ch
+	connection := &backendConnection{
+		replica:  replica,
+		address:  address,
+		grpcConn: grpcConn,
+		client:   flight.NewClientFromConn(grpcConn, nil),
+	}
+	c.connections[replica] = append(c.connections[replica], connection)
+	c.connectionCount++
+	return connection
 }
 
-// retire lets a connection end with what is out on it.
-func (n *BackendClient) retire(ch *backendConnection) {
-	if ch.retired = true; ch.inFlight > 0 {
+// retire closes a connection once it has no attempt in flight; it takes no new ones.
+func (c *BackendClient) retire(connection *backendConnection) {
+	connection.retired = true
+	if connection.inFlight > 0 {
 		return
 	}
-	list := n.connections[ch.replica]
-	for i, x := range list {
-		if x == ch {
-			n.connections[ch.replica] = append(list[:i:i], list[i+1:]...)
-			n.connectionCount--
-			_ = ch.grpcConn.Close()
-			n.log.ConnectionEnded(logs.FlightBackendClosed, ch.address, ch.served, nil)
-		}
+	connections := c.connections[connection.replica]
+	i := slices.Index(connections, connection)
+	if i < 0 {
+		return
 	}
+	c.connections[connection.replica] = slices.Concat(connections[:i], connections[i+1:])
+	c.connectionCount--
+	_ = connection.grpcConn.Close()
+	c.log.ConnectionEnded(logs.FlightBackendClosed, connection.address, connection.callsServed, nil)
 }
 
-// waitConnected waits until a connection is up, for so long at most. A refused one tells at once.
-func (n *BackendClient) waitConnected(ctx context.Context, cc *grpc.ClientConn, most time.Duration) bool {
-	ctx, cancel := context.WithTimeout(ctx, most)
+// waitReady waits until a connection is established, for the timeout at most, and tells whether it is. A refused
+// connection ends the wait at once. It runs on an attempt's goroutine.
+func waitReady(ctx context.Context, grpcConn *grpc.ClientConn, timeout time.Duration) bool {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	state := cc.GetState()
+	state := grpcConn.GetState()
 	if state == connectivity.TransientFailure {
-		cc.ResetConnectBackoff() // gRPC's own delay is not the module's
-		cc.WaitForStateChange(ctx, state)
-		state = cc.GetState()
+		// The backoff between attempts is the scheduler's decision, not gRPC's.
+		grpcConn.ResetConnectBackoff()
+		grpcConn.WaitForStateChange(ctx, state)
+		state = grpcConn.GetState()
 	}
 	for state != connectivity.Ready {
 		if state == connectivity.TransientFailure || state == connectivity.Shutdown {
 			return false
 		}
 		if state == connectivity.Idle {
-			cc.Connect()
+			grpcConn.Connect()
 		}
-		if !cc.WaitForStateChange(ctx, state) {
+		changed := grpcConn.WaitForStateChange(ctx, state)
+		if !changed {
 			return false
 		}
-		state = cc.GetState()
+		state = grpcConn.GetState()
 	}
 	return true
 }
--- a/internal/flight/backend_wire.go
+++ b/internal/flight/backend_wire.go
@@ -1,23 +1,46 @@
 package flight
 
-import "ternstage/internal/slicemap"
+import (
+	"fmt"
+	"time"
 
-// backendTicket is what a node is asked with.
+	"ternstage/internal/core"
+	"ternstage/internal/slicemap"
+)
+
+// A backend that is not the holder answers FAILED_PRECONDITION with an ErrorInfo of this reason and its epoch under
+// this metadata key. Nothing of the part ran.
+const (
+	reasonNotHolder = "MOVED"
+	notHolderEpoch  = "epoch"
+)
+
+// backendTicket is the ticket of one part. Its JSON names are those of the backends' wire.
 type backendTicket struct {
-	ID    string `json:"id"`
-	Shard int    `json:"shard"`
-	D     int    `json:"d"`
-	Q     string `json:"q"`
-	K     string `json:"k,omitempty"` // the client's key by which repeats are dropped
+	ID             string `json:"id"` // request.shard, and .first bucket while shards move
+	Shard          int    `json:"shard"`
+	RemainingMs    int    `json:"d"` // for which the broker waits, 1 at least
+	Query          string `json:"q"`
+	IdempotencyKey string `json:"k,omitempty"`
 
-	// Where slices move: the epoch by which the part was routed and its districts, hi not included.
+	// While shards move: the epoch by which the part was routed, and its range of buckets as lo and hi.
 	Epoch uint64 `json:"e,omitempty"`
 	*slicemap.Range
 }
 
-// The reason and the key of the ErrorInfo by which a node says FAILED_PRECONDITION where slices move: it does
-// not hold the districts at its epoch, and nothing of the part ran.
-const (
-	reasonNotHolder = "MOVED"
-	metadataEpoch   = "epoch"
-)
+// newBackendTicket returns the ticket of an attempt that has this time left.
+func newBackendTicket(attempt *core.Attempt, remaining time.Duration) backendTicket {
+	ticket := backendTicket{
+		ID:             fmt.Sprintf("%s.%d", attempt.Request, attempt.Shard),
+		Shard:          attempt.Shard,
+		RemainingMs:    max(int(remaining.Milliseconds()), 1),
+		Query:          string(attempt.Query),
+		IdempotencyKey: attempt.IdempotencyKey,
+	}
+	if attempt.Epoch > 0 {
+		ticket.ID = fmt.Sprintf("%s.%d", ticket.ID, attempt.Buckets.Start)
+		ticket.Epoch = attempt.Epoch
+		ticket.Range = &attempt.Buckets
+	}
+	return ticket
+}
--- a/internal/flight/client_wire.go
+++ b/internal/flight/client_wire.go
@@ -2,52 +2,78 @@
 
 import (
 	"context"
-	"ternstage/internal/contract"
 
 	"github.com/apache/arrow-go/v18/arrow"
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/metadata"
 	"google.golang.org/grpc/status"
+
+	"ternstage/internal/contract"
 )
 
-// The metadata keys of a query; they mean what the HTTP front's headers of the same names mean.
+// The metadata keys of a query; they mean what the HTTP front's header fields of the same names mean.
 const (
-	keyID          = "x-request-id"
+	keyRequestID   = "x-request-id"
 	keyClass       = "x-class"
 	keyTenant      = "x-tenant"
-	keyRetry       = "x-retry"
+	keyClientRetry = "x-retry" // "1" for a client retry
 	keyIdempotency = "idempotency-key"
 )
 
+// The keys of an answer's schema metadata.
+const (
+	answerComplete = "complete" // "true" or "false"
+	answerEpoch    = "epoch"    // of the shard map; only while shards move
+)
+
+// The ErrorInfo of a query that names shards by too old an epoch.
 const (
-	maxTicketBytes   = 64 << 10
-	maxRequestBytes  = maxTicketBytes + 16<<10
-	metadataComplete = "complete" // schema metadata of an answer: "true" or "false"
+	errorDomain     = "ternstage"
+	errorStaleEpoch = "STALE_SLICE"
+	errorEpochInUse = "epoch" // metadata key
 )
 
-var answerSchema = []arrow.Field{
+const (
+	// maxTicketBytes is the maximum size of a ticket, which is that of a query's body.
+	maxTicketBytes = 64 << 10
+	// maxMessageBytes is the maximum size of a message: a ticket and what Flight adds to it.
+	maxMessageBytes = maxTicketBytes + 16<<10
+	// maxMetadataBytes is the maximum size of a call's metadata.
+	maxMetadataBytes = 16 << 10
+)
+
+// answerFields has one row for each part that arrived.
+var answerFields = []arrow.Field{
 	{Name: "shard", Type: arrow.PrimitiveTypes.Int32},
 	{Name: "doc", Type: arrow.BinaryTypes.Binary},
 }
 
-// bucketFields follow where slices move: the districts of a row, hi not included.
+// bucketFields follow while shards move: the range of buckets of a row, hi not included.
 var bucketFields = []arrow.Field{
 	{Name: "lo", Type: arrow.PrimitiveTypes.Int32},
 	{Name: "hi", Type: arrow.PrimitiveTypes.Int32},
 }
 
-// envelope reads the metadata of a query.
+// envelope reads the metadata of a query. A call without a deadline is an error with the code InvalidArgument.
 func envelope(ctx context.Context) (contract.Envelope, error) {
-	md, _ := metadata.FromIncomingContext(ctx)
-	one := func(key string) string {
-		if v := md.Get(key); len(v) > 0 {
-			return v[0]
-		}
-		return ""
-	}
 	if _, ok := ctx.Deadline(); !ok {
 		return contract.Envelope{}, status.Error(codes.InvalidArgument, "the call has no deadline")
 	}
-	return contract.Envelope{ID: one(keyID), Class: one(keyClass), Tenant: one(keyTenant),
-		ClientRetry: one(keyRetry) == "1", IdempotencyKey: one(keyIdempotency)}, nil
+	incoming, _ := metadata.FromIncomingContext(ctx)
+	return contract.Envelope{
+		ID:             firstValue(incoming, keyRequestID),
+		Class:          firstValue(incoming, keyClass),
+		Tenant:         firstValue(incoming, keyTenant),
+		ClientRetry:    firstValue(incoming, keyClientRetry) == "1",
+		IdempotencyKey: firstValue(incoming, keyIdempotency),
+	}, nil
+}
+
+// firstValue returns the first value of a metadata key, "" without one.
+func firstValue(incoming metadata.MD, key string) string {
+	values := incoming.Get(key)
+	if len(values) == 0 {
+		return ""
+	}
+	return values[0]
 }
--- a/internal/flight/config.go
+++ b/internal/flight/config.go
@@ -9,21 +9,26 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Config is what the file says.
-type Config struct {
-	Enabled              bool   `toml:"enabled"` // the front listens
-	Listen               string `toml:"listen"`  // where it listens
-	Backends             bool   `toml:"nodes"`   // rate nodes are asked over Flight in place of frames
-	StreamsPerConnection int    `toml:"streams"` // calls of one client connection at a time
-	MaxConnections       int    `toml:"conns"`   // client connections at a time
-}
-
 const (
 	defaultStreamsPerConnection = 128
 	defaultMaxConnections       = 128
 )
 
-// Defaults fills in what the operators left out.
+// Config is the content of deploy/flight.toml or of the operator's file.
+type Config struct {
+	// Enabled tells that the front listens. The default is false.
+	Enabled bool `toml:"enabled"`
+	// Listen is the IP address and port at which the front listens. It is required if Enabled is set.
+	Listen string `toml:"listen"`
+	// Backends tells that backends are asked over Flight instead of frames. The default is false.
+	Backends bool `toml:"nodes"`
+	// StreamsPerConnection is the maximum number of calls in flight on one client connection. The default is 128.
+	StreamsPerConnection int `toml:"streams"`
+	// MaxConnections is the maximum number of client connections. More wait in the listener's queue. The default is 128.
+	MaxConnections int `toml:"conns"`
+}
+
+// Defaults sets what is 0 to its default.
 func (c *Config) Defaults() {
 	if c.StreamsPerConnection == 0 {
 		c.StreamsPerConnection = defaultStreamsPerConnection
@@ -33,26 +38,28 @@
 	}
 }
 
-// Load reads the file; one that is not there leaves Flight off.
+// Load reads a TOML file. Without the file, Flight is off, which is no error. Errors name the file: unknown keys,
+// limits under 1 and, if the front is enabled, an invalid address.
 func Load(path string) (Config, error) {
-	c := Config{StreamsPerConnection: defaultStreamsPerConnection, MaxConnections: defaultMaxConnections}
-	m, err := toml.DecodeFile(path, &c)
+	config := Config{StreamsPerConnection: defaultStreamsPerConnection, MaxConnections: defaultMaxConnections}
+	metadata, err := toml.DecodeFile(path, &config)
 	if errors.Is(err, os.ErrNotExist) {
 		return Config{}, nil
 	}
 	if err != nil {
 		return Config{}, fmt.Errorf("%s: %w", path, err)
 	}
-	if odd := m.Undecoded(); len(odd) > 0 {
-		return Config{}, fmt.Errorf("%s: %s: unknown key", path, odd[0])
+	if unknown := metadata.Undecoded(); len(unknown) > 0 {
+		return Config{}, fmt.Errorf("%s: %s: unknown key", path, unknown[0])
 	}
-	if c.StreamsPerConnection < 1 || c.MaxConnections < 1 {
-		return Config{}, fmt.Errorf("%s: streams and conns: %d and %d, 1 at least", path, c.StreamsPerConnection, c.MaxConnections)
+	if config.StreamsPerConnection < 1 || config.MaxConnections < 1 {
+		return Config{}, fmt.Errorf("%s: streams and conns: %d and %d, 1 at least", path, config.StreamsPerConnection,
+			config.MaxConnections)
 	}
-	if c.Enabled {
-		if _, err := netip.ParseAddrPort(c.Listen); err != nil {
+	if config.Enabled {
+		if _, err := netip.ParseAddrPort(config.Listen); err != nil {
 			return Config{}, fmt.Errorf("%s: listen: %w", path, err)
 		}
 	}
-	return c, nil
+	return config, nil
 }
--- a/internal/flight/connection_log.go
+++ b/internal/flight/connection_log.go
@@ -3,43 +3,49 @@
 import (
 	"context"
 	"sync/atomic"
-	"ternstage/internal/logs"
 
 	"google.golang.org/grpc/stats"
+
+	"ternstage/internal/logs"
 )
 
-// connectionLog leaves one line for each client connection that ends. It implements stats.Handler.
+// connectionLog logs one line for each client connection that ends. It implements stats.Handler; gRPC calls it from
+// its own goroutines.
 type connectionLog struct{ log *logs.Log }
 
+// connectionKey is the context key of a connection's connectionState.
 type connectionKey struct{}
 
+// connectionState is what the line says.
 type connectionState struct {
-	peer   string
-	served atomic.Int64
+	peer        string // address
+	callsServed atomic.Int64
 }
 
-// TagConn implements stats.Handler; so do the methods below.
-func (*connectionLog) TagConn(ctx context.Context, i *stats.ConnTagInfo) context.Context {
-	return context.WithValue(ctx, connectionKey{}, &connectionState{peer: i.RemoteAddr.String()})
+// TagConn implements stats.Handler.
+func (*connectionLog) TagConn(ctx context.Context, info *stats.ConnTagInfo) context.Context {
+	return context.WithValue(ctx, connectionKey{}, &connectionState{peer: info.RemoteAddr.String()})
 }
 
-// HandleConn notes the end.
-func (h *connectionLog) HandleConn(ctx context.Context, s stats.ConnStats) {
-	if c, ok := ctx.Value(connectionKey{}).(*connectionState); ok {
-		if _, end := s.(*stats.ConnEnd); end {
-			h.log.ConnectionEnded(logs.FlightClientClosed, c.peer, int(c.served.Load()), nil)
-		}
+// HandleConn implements stats.Handler: it logs the end of a connection.
+func (h *connectionLog) HandleConn(ctx context.Context, event stats.ConnStats) {
+	if _, ended := event.(*stats.ConnEnd); !ended {
+		return
+	}
+	if connection, ok := ctx.Value(connectionKey{}).(*connectionState); ok {
+		h.log.ConnectionEnded(logs.FlightClientClosed, connection.peer, int(connection.callsServed.Load()), nil)
 	}
 }
 
-// TagRPC adds nothing.
+// TagRPC implements stats.Handler.
 func (*connectionLog) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context { return ctx }
 
-// HandleRPC counts calls.
-func (*connectionLog) HandleRPC(ctx context.Context, s stats.RPCStats) {
-	if c, ok := ctx.Value(connectionKey{}).(*connectionState); ok {
-		if _, end := s.(*stats.End); end {
-			c.served.Add(1)
-		}
+// HandleRPC implements stats.Handler: it counts the calls that have ended.
+func (*connectionLog) HandleRPC(ctx context.Context, event stats.RPCStats) {
+	if _, ended := event.(*stats.End); !ended {
+		return
+	}
+	if connection, ok := ctx.Value(connectionKey{}).(*connectionState); ok {
+		connection.callsServed.Add(1)
 	}
 }
--- a/internal/flight/front_answer.go
+++ b/internal/flight/front_answer.go
@@ -6,9 +6,6 @@
 	"fmt"
 	"slices"
 	"strconv"
-	"ternstage/internal/contract"
-	"ternstage/internal/core"
-	"time"
 
 	"github.com/apache/arrow-go/v18/arrow"
 	"github.com/apache/arrow-go/v18/arrow/array"
@@ -18,11 +15,19 @@
 	"google.golang.org/genproto/googleapis/rpc/errdetails"
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
+	"google.golang.org/protobuf/protoadapt"
 	"google.golang.org/protobuf/types/known/durationpb"
+
+	"ternstage/internal/contract"
+	"ternstage/internal/core"
 )
 
-// rejectedQueryError maps what a front says of a query that core has not taken.
-func rejectedQueryError(err error) error {
+// minRetryDelayMs is the least RetryDelay that a client is told.
+const minRetryDelayMs = 1.0
+
+// invalidQueryStatus returns the status of a query that was not submitted. An outdated epoch has an ErrorInfo with the
+// one in use.
+func invalidQueryStatus(err error) error {
 	switch {
 	case errors.Is(err, contract.ErrUnknownClass):
 		return status.Error(codes.NotFound, err.Error())
@@ -33,59 +38,77 @@
 	}
 	var stale *core.StaleEpochError
 	if errors.As(err, &stale) {
-		st := status.New(codes.InvalidArgument, err.Error())
-		info := &errdetails.ErrorInfo{Reason: "STALE_SLICE", Domain: "ternstage",
-			Metadata: map[string]string{metadataEpoch: strconv.FormatUint(stale.Epoch, 10)}}
-		if with, err := st.WithDetails(info); err == nil {
-			st = with
-		}
-		return st.Err()
+		return statusWithDetail(codes.InvalidArgument, err.Error(), &errdetails.ErrorInfo{
+			Reason:   errorStaleEpoch,
+			Domain:   errorDomain,
+			Metadata: map[string]string{errorEpochInUse: strconv.FormatUint(stale.Epoch, 10)},
+		})
 	}
 	return status.Error(codes.InvalidArgument, err.Error())
 }
 
-// unansweredError maps a final answer that is not served; nil if it is.
-func unansweredError(a core.Answer) error {
+// unansweredStatus returns the status of a query that was rejected or failed; nil if it was answered.
+func unansweredStatus(answer core.Answer) error {
 	switch {
-	case a.Kind == core.Answered:
+	case answer.Kind == core.Answered:
 		return nil
-	case a.Kind == core.Rejected:
-		st := status.New(codes.Unavailable, "refused: trying again is harmless")
-		delay := durationpb.New(time.Duration(max(a.RetryAfter, 1) * 1e6))
-		if with, err := st.WithDetails(&errdetails.RetryInfo{RetryDelay: delay}); err == nil {
-			st = with
-		}
-		return st.Err()
-	case a.TimedOut:
+	case answer.Kind == core.Rejected:
+		delay := durationpb.New(fromMs(max(answer.RetryAfter, minRetryDelayMs)))
+		return statusWithDetail(codes.Unavailable, "refused: trying again is harmless",
+			&errdetails.RetryInfo{RetryDelay: delay})
+	case answer.TimedOut:
 		return status.Error(codes.DeadlineExceeded, "no answer in time; what was asked for may have been done")
 	}
 	return status.Error(codes.Internal, "failed; what was asked for may have been done")
 }
 
-// sendAnswer writes the answer as one record batch, a row for each part that is in.
-func sendAnswer(s flight.FlightService_DoGetServer, a core.Answer) error {
-	names, values, fields := []string{metadataComplete}, []string{strconv.FormatBool(a.Complete)}, answerSchema
-	if a.Epoch > 0 {
-		names, values = append(names, metadataEpoch), append(values, strconv.FormatUint(a.Epoch, 10))
-		fields = append(slices.Clone(fields), bucketFields...)
-	}
-	meta := arrow.NewMetadata(names, values)
-	schema := arrow.NewSchema(fields, &meta)
-	b := array.NewRecordBuilder(memory.DefaultAllocator, schema)
-	defer b.Release()
-	for _, v := range a.Values {
-		b.Field(0).(*array.Int32Builder).Append(int32(v.Shard))
-		b.Field(1).(*array.BinaryBuilder).Append(v.Doc)
-		if a.Epoch > 0 {
-			b.Field(2).(*array.Int32Builder).Append(int32(v.Buckets.Start))
-			b.Field(3).(*array.Int32Builder).Append(int32(v.Buckets.End))
-		}
+// statusWithDetail returns a status with one detail, or without it should it not be encodable.
+func statusWithDetail(code codes.Code, message string, detail protoadapt.MessageV1) error {
+	plain := status.New(code, message)
+	detailed, err := plain.WithDetails(detail)
+	if err != nil {
+		return plain.Err()
 	}
-	rec := b.NewRecordBatch()
-	defer rec.Release()
-	w := flight.NewRecordWriter(s, ipc.WithSchema(schema))
-	if err := w.Write(rec); err != nil {
+	return detailed.Err()
+}
+
+// sendAnswer sends an answer as one record batch with a row for each part that arrived.
+func sendAnswer(stream flight.FlightService_DoGetServer, answer core.Answer) error {
+	schema := schemaOf(answer)
+	record := recordOf(answer, schema)
+	defer record.Release()
+	writer := flight.NewRecordWriter(stream, ipc.WithSchema(schema))
+	if err := writer.Write(record); err != nil {
 		return fmt.Errorf("flight answer: %w", err)
 	}
-	return w.Close()
+	return writer.Close()
+}
+
+// schemaOf returns the schema of an answer, with the buckets and the epoch while shards move.
+func schemaOf(answer core.Answer) *arrow.Schema {
+	keys := []string{answerComplete}
+	values := []string{strconv.FormatBool(answer.Complete)}
+	fields := answerFields
+	if answer.Epoch > 0 {
+		keys = append(keys, answerEpoch)
+		values = append(values, strconv.FormatUint(answer.Epoch, 10))
+		fields = slices.Concat(answerFields, bucketFields)
+	}
+	metadata := arrow.NewMetadata(keys, values)
+	return arrow.NewSchema(fields, &metadata)
+}
+
+// recordOf returns the rows of an answer; the caller releases them.
+func recordOf(answer core.Answer, schema *arrow.Schema) arrow.RecordBatch {
+	builder := array.NewRecordBuilder(memory.DefaultAllocator, schema)
+	defer builder.Release()
+	for _, value := range answer.Values {
+		builder.Field(0).(*array.Int32Builder).Append(int32(value.Shard))
+		builder.Field(1).(*array.BinaryBuilder).Append(value.Doc)
+		if answer.Epoch > 0 {
+			builder.Field(2).(*array.Int32Builder).Append(int32(value.Buckets.Start))
+			builder.Field(3).(*array.Int32Builder).Append(int32(value.Buckets.End))
+		}
+	}
+	return builder.NewRecordBatch()
 }
--- a/internal/flight/outcome.go
+++ b/internal/flight/outcome.go
@@ -3,37 +3,53 @@
 import (
 	"errors"
 	"strconv"
-	"ternstage/internal/decision/scheduler"
 
 	"google.golang.org/genproto/googleapis/rpc/errdetails"
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
+
+	"ternstage/internal/decision/scheduler"
 )
 
-// callOutcome maps how the attempt's call ended, and takes the node's epoch where it says that the part's districts
-// are not its own. Read by the loop only after run has posted.
-func (x *attempt) callOutcome(err error) scheduler.Outcome {
-	if st, ok := status.FromError(err); ok && x.Epoch > 0 && st.Code() == codes.FailedPrecondition {
-		for _, d := range st.Details() {
-			if i, ok := d.(*errdetails.ErrorInfo); ok && i.Reason == reasonNotHolder {
-				if epoch, err := strconv.ParseUint(i.Metadata[metadataEpoch], 10, 63); err == nil && epoch > 0 {
-					x.backendEpoch = epoch
-					return scheduler.NotHolder
-				}
-			}
+// callOutcome returns the outcome of the attempt by the error of its call, and sets backendEpoch with NotHolder. It
+// runs on the attempt's goroutine.
+func (a *attempt) callOutcome(err error) scheduler.Outcome {
+	if a.Epoch > 0 {
+		if epoch, ok := epochOfNotHolder(err); ok {
+			a.backendEpoch = epoch
+			return scheduler.NotHolder
 		}
 	}
 	return outcomeOfError(err)
 }
 
-// outcomeOfError maps how a call ended that had begun: only the node's own word that it is full proves that the
-// part never ran.
+// epochOfNotHolder returns the epoch of the backend's shard map if the error says that it is not the holder.
+func epochOfNotHolder(err error) (uint64, bool) {
+	callStatus, ok := status.FromError(err)
+	if !ok || callStatus.Code() != codes.FailedPrecondition {
+		return 0, false
+	}
+	for _, detail := range callStatus.Details() {
+		info, ok := detail.(*errdetails.ErrorInfo)
+		if !ok || info.Reason != reasonNotHolder {
+			continue
+		}
+		epoch, err := strconv.ParseUint(info.Metadata[notHolderEpoch], 10, 63)
+		if err == nil && epoch > 0 {
+			return epoch, true
+		}
+	}
+	return 0, false
+}
+
+// outcomeOfError returns the outcome of a call that had begun by its error. Only a rejection by the backend proves that
+// the part did not run. Without a status the stream ended early or is malformed.
 func outcomeOfError(err error) scheduler.Outcome {
-	var st interface{ GRPCStatus() *status.Status }
-	if !errors.As(err, &st) {
-		return scheduler.ConnectionReset // a stream that ended early or cannot be read
+	var withStatus interface{ GRPCStatus() *status.Status }
+	if !errors.As(err, &withStatus) {
+		return scheduler.ConnectionReset
 	}
-	switch st.GRPCStatus().Code() {
+	switch withStatus.GRPCStatus().Code() {
 	case codes.ResourceExhausted:
 		return scheduler.Rejected
 	case codes.DeadlineExceeded:
