--- a/internal/backends/connection_selection.go
+++ b/internal/backends/connection_selection.go
@@ -9,14 +9,11 @@
 	"ternstage/internal/loop"
 )
 
-// maxNonIdempotentIdleMs is how long an idle connection may carry a call with a non-idempotent part: one that was
-// lost unseen would lose the part, which must not be retried.
-const maxNonIdempotentIdleMs = 250.0
-
 // selectConnection returns the connection for a call, nil if there is none. Calls share a connection only when the
 // backend's connections are at their limit: a malformed frame or a reset ends all calls beside the one at fault. Among
 // idle connections it prefers the one used last, so that the others reach their idle timeout. nonIdempotent tells that
-// the call must not be lost with a connection that was dropped unseen while it was idle.
+// the call must not be lost with a connection that was dropped unseen while it was idle. Connections that are likely to
+// have been dropped are retired.
 func (p *Pool) selectConnection(backend *backendState, nonIdempotent bool) *connection {
 	now := p.loop.Now()
 	maxConnections := p.maxBackendConnections(now)
@@ -35,7 +32,8 @@
 	}
 	mayOpen := backend.usableConnections() < maxConnections && p.connectionCount < p.options.MaxConnections
 	if best == nil || len(best.calls) > 0 && mayOpen {
-		if opened := p.openConnection(backend); opened != nil {
+		opened := p.openConnection(backend)
+		if opened != nil {
 			return opened
 		}
 	}
--- a/internal/backends/idle_risk.go
+++ b/internal/backends/idle_risk.go
@@ -16,6 +16,9 @@
 	maxLossRate = 0.25
 	// maxNonIdempotentLossRate is the same for calls with a non-idempotent part.
 	maxNonIdempotentLossRate = 0.03
+	// maxNonIdempotentIdleMs is how long a connection may have been idle that carries a call with a non-idempotent part,
+	// whatever the loss rates are: a part that is lost with its connection must not be retried.
+	maxNonIdempotentIdleMs = 250.0
 )
 
 // idleRisk estimates how likely a connection was dropped unseen while it was idle, so that the next call on it is lost
