--- /dev/null
+++ b/internal/flight/backend_client_test.go
@@ -0,0 +1,231 @@
+package flight
+
+import (
+	"encoding/json"
+	"net"
+	"testing"
+	"time"
+
+	"github.com/apache/arrow-go/v18/arrow"
+	"github.com/apache/arrow-go/v18/arrow/array"
+	"github.com/apache/arrow-go/v18/arrow/flight"
+	"github.com/apache/arrow-go/v18/arrow/ipc"
+	"github.com/apache/arrow-go/v18/arrow/memory"
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+
+	"ternstage/internal/core"
+	"ternstage/internal/decision/scheduler"
+	"ternstage/internal/lab/loopback"
+)
+
+// testBackend answers each DoGet with its error, or else with its values in one column of one record batch. If it is
+// stalled it answers nothing.
+type testBackend struct {
+	flight.BaseFlightServer
+	err     error
+	values  []string
+	stalled bool
+	tickets chan backendTicket
+	ended   chan struct{} // one for each call that ended while the backend was stalled
+}
+
+func (b *testBackend) DoGet(flightTicket *flight.Ticket, stream flight.FlightService_DoGetServer) error {
+	var ticket backendTicket
+	if err := json.Unmarshal(flightTicket.Ticket, &ticket); err != nil {
+		return status.Error(codes.InvalidArgument, err.Error())
+	}
+	b.tickets <- ticket
+	if b.stalled {
+		<-stream.Context().Done()
+		b.ended <- struct{}{}
+		return stream.Context().Err()
+	}
+	if b.err != nil {
+		return b.err
+	}
+	schema := arrow.NewSchema([]arrow.Field{{Name: "doc", Type: arrow.BinaryTypes.Binary}}, nil)
+	builder := array.NewRecordBuilder(memory.DefaultAllocator, schema)
+	defer builder.Release()
+	for _, value := range b.values {
+		builder.Field(0).(*array.BinaryBuilder).Append([]byte(value))
+	}
+	record := builder.NewRecordBatch()
+	defer record.Release()
+	writer := flight.NewRecordWriter(stream, ipc.WithSchema(schema))
+	if err := writer.Write(record); err != nil {
+		return err
+	}
+	return writer.Close()
+}
+
+// serve starts the backend and returns its address.
+func (b *testBackend) serve(t *testing.T) string {
+	t.Helper()
+	b.tickets = make(chan backendTicket, 8)
+	b.ended = make(chan struct{}, 8)
+	listener, err := net.Listen("tcp", loopback.Own())
+	require.NoError(t, err)
+	server := grpc.NewServer()
+	flight.RegisterFlightServiceServer(server, b)
+	go func() { _ = server.Serve(listener) }()
+	t.Cleanup(server.Stop)
+	return listener.Addr().String()
+}
+
+// attemptResult is what a BackendClient reported of an attempt.
+type attemptResult struct {
+	outcome scheduler.Outcome
+	value   string
+}
+
+type resultRecorder chan attemptResult
+
+func (r resultRecorder) AttemptEnded(_ *core.Attempt, outcome scheduler.Outcome, value []byte) {
+	r <- attemptResult{outcome, string(value)}
+}
+
+func (r resultRecorder) AttemptEndedLater(attempt *core.Attempt, outcome scheduler.Outcome) {
+	r.AttemptEnded(attempt, outcome, nil)
+}
+
+// clientFixture is a BackendClient all of whose backends have one address.
+type clientFixture struct {
+	*BackendClient
+	loop    *testLoop
+	results resultRecorder
+}
+
+func newClientFixture(t *testing.T, address string) *clientFixture {
+	t.Helper()
+	f := &clientFixture{loop: newTestLoop(t), results: make(resultRecorder, 8)}
+	options := BackendOptions{StreamsPerConnection: 2, DialTimeout: 1000, KeepAlive: 30000, MaxConnections: 2}
+	f.BackendClient = NewBackendClient(f.loop, f.results, newLog(), options, func(uint32) string { return address })
+	t.Cleanup(func() { f.loop.do(t, f.Close) })
+	return f
+}
+
+// send sends an attempt with 2 s left.
+func (f *clientFixture) send(t *testing.T) *core.Attempt {
+	t.Helper()
+	endAt := f.loop.Now() + 2000
+	attempt := &core.Attempt{Request: "a", Shard: 3, Backend: 1, Query: []byte("text"), Deadline: endAt, StartBy: endAt}
+	f.loop.do(t, func() {
+		f.Send(attempt)
+		f.Flush()
+	})
+	return attempt
+}
+
+func TestAttemptResults(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		backend testBackend
+		want    attemptResult
+	}{
+		{"a value", testBackend{values: []string{"value"}}, attemptResult{scheduler.Succeeded, "value"}},
+		{"the first value counts", testBackend{values: []string{"first", "second"}}, attemptResult{scheduler.Succeeded, "first"}},
+		{"no value", testBackend{}, attemptResult{outcome: scheduler.Failed}},
+		{"an invalid value", testBackend{values: []string{"\xff"}}, attemptResult{outcome: scheduler.Failed}},
+		{"an error", testBackend{err: status.Error(codes.Internal, "")}, attemptResult{outcome: scheduler.Failed}},
+		{"rejected", testBackend{err: status.Error(codes.ResourceExhausted, "")}, attemptResult{outcome: scheduler.Rejected}},
+		{"reset", testBackend{err: status.Error(codes.Unavailable, "")}, attemptResult{outcome: scheduler.ConnectionReset}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			client := newClientFixture(t, c.backend.serve(t))
+			client.send(t)
+			assert.Equal(t, c.want, receive(t, client.results))
+			ticket := receive(t, c.backend.tickets)
+			assert.Equal(t, "a.3", ticket.ID)
+			assert.Equal(t, "text", ticket.Query)
+			assert.InDelta(t, 2000, ticket.RemainingMs, 1000)
+		})
+	}
+}
+
+func TestAttemptWithoutConnection(t *testing.T) {
+	refusing, err := loopback.Free()
+	require.NoError(t, err)
+	for name, address := range map[string]string{"not in the endpoint list": "", "refused": refusing} {
+		t.Run(name, func(t *testing.T) {
+			client := newClientFixture(t, address)
+			client.send(t)
+			assert.Equal(t, attemptResult{outcome: scheduler.ConnectFailed}, receive(t, client.results))
+		})
+	}
+}
+
+func TestUnflushedAttemptWithdrawn(t *testing.T) {
+	backend := &testBackend{values: []string{"value"}}
+	client := newClientFixture(t, backend.serve(t))
+	client.loop.do(t, func() {
+		attempt := &core.Attempt{Request: "a", Backend: 1, Deadline: 2000, StartBy: 2000}
+		client.Send(attempt)
+		assert.True(t, client.Withdraw(attempt))
+		assert.False(t, client.Withdraw(attempt), "a second time")
+		client.Flush()
+		assert.Zero(t, client.connectionCount)
+	})
+	assert.Empty(t, client.results)
+	assert.Empty(t, backend.tickets)
+}
+
+// TestBegunAttemptAbandoned checks that a call in flight is cancelled at the backend, may have run, and has no outcome.
+func TestBegunAttemptAbandoned(t *testing.T) {
+	backend := &testBackend{stalled: true}
+	client := newClientFixture(t, backend.serve(t))
+	attempt := client.send(t)
+	receive(t, backend.tickets)
+	client.loop.do(t, func() {
+		assert.False(t, client.Withdraw(attempt))
+		assert.False(t, client.Abandon(attempt), "it may have run")
+	})
+	receive(t, backend.ended)
+	require.Eventually(t, func() bool { return client.attemptsInFlight(t) == 0 }, 5*time.Second, 5*time.Millisecond)
+	assert.Empty(t, client.results)
+}
+
+// attemptsInFlight counts them over all connections.
+func (f *clientFixture) attemptsInFlight(t *testing.T) int {
+	t.Helper()
+	inFlight := 0
+	f.loop.do(t, func() {
+		for _, connections := range f.connections {
+			for _, connection := range connections {
+				inFlight += connection.inFlight
+			}
+		}
+	})
+	return inFlight
+}
+
+// TestConnectionLimits checks that attempts share connections up to the limit of each, and end as ConnectFailed beyond
+// the limit of connections.
+func TestConnectionLimits(t *testing.T) {
+	backend := &testBackend{stalled: true}
+	client := newClientFixture(t, backend.serve(t))
+	for range 4 {
+		client.send(t)
+	}
+	assert.Equal(t, 4, client.attemptsInFlight(t))
+	client.loop.do(t, func() { assert.Len(t, client.connections[1], 2) })
+	assert.Empty(t, client.results)
+	client.send(t)
+	assert.Equal(t, attemptResult{outcome: scheduler.ConnectFailed}, receive(t, client.results))
+}
+
+func TestIdleConnectionsClosed(t *testing.T) {
+	backend := &testBackend{values: []string{"value"}}
+	client := newClientFixture(t, backend.serve(t))
+	client.send(t)
+	receive(t, client.results)
+	client.loop.do(t, func() {
+		assert.Equal(t, 1, client.connectionCount)
+		client.CloseIdleConnections(1)
+		assert.Zero(t, client.connectionCount)
+		assert.Empty(t, client.connections[1])
+	})
+}
--- /dev/null
+++ b/internal/flight/fixture_test.go
@@ -0,0 +1,69 @@
+package flight
+
+import (
+	"os"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"ternstage/internal/logs"
+)
+
+// testLoop runs posted work on a goroutine of its own.
+type testLoop struct {
+	work      chan func()
+	stopped   chan struct{}
+	startedAt time.Time
+}
+
+// newTestLoop returns a loop that stops with the test.
+func newTestLoop(t *testing.T) *testLoop {
+	t.Helper()
+	l := &testLoop{work: make(chan func(), 1024), stopped: make(chan struct{}), startedAt: time.Now()}
+	go l.run()
+	t.Cleanup(func() { close(l.stopped) })
+	return l
+}
+
+func (l *testLoop) run() {
+	for {
+		select {
+		case work := <-l.work:
+			work()
+		case <-l.stopped:
+			return
+		}
+	}
+}
+
+// Post implements Loop.
+func (l *testLoop) Post(work func()) { l.work <- work }
+
+// Now implements Loop.
+func (l *testLoop) Now() float64 { return toMs(time.Since(l.startedAt)) }
+
+// do runs work on the loop and waits for its end.
+func (l *testLoop) do(t *testing.T, work func()) {
+	t.Helper()
+	done := make(chan struct{})
+	l.Post(func() {
+		defer close(done)
+		work()
+	})
+	receive(t, done)
+}
+
+// receive returns the next value of a channel, or its zero value when it is closed. It fails the test after 5 s.
+func receive[T any](t *testing.T, from <-chan T) T {
+	t.Helper()
+	select {
+	case value := <-from:
+		return value
+	case <-time.After(5 * time.Second):
+		require.FailNow(t, "nothing came within 5 s")
+	}
+	panic("not reached")
+}
+
+func newLog() *logs.Log { return logs.New(os.Stderr, "test") }
