--- a/internal/backends/connection_limit_test.go
+++ b/internal/backends/connection_limit_test.go
@@ -18,7 +18,7 @@
 	accepted    [simulatedBackends]int   // by backend
 
 	attempts     int // a broker wanted connections to a backend
-	rejected     int // of these: it was refused one
+	rejected     int // of these: one was rejected
 	disconnected int // of these: it was left without any
 }
 
--- a/internal/backends/pool.go
+++ b/internal/backends/pool.go
@@ -144,7 +144,7 @@
 // OpenConnections returns the number of connections to all backends, including those not yet established.
 func (p *Pool) OpenConnections() int { return p.connectionCount }
 
-// Close closes all connections, at the end of the process. Attempts in flight are reported as lost.
+// Close closes all connections, at the end of the process. Attempts in flight end as on any closed connection.
 func (p *Pool) Close() {
 	for _, backend := range p.backends {
 		for _, c := range slices.Clone(backend.connections) {
--- a/internal/flight/client_wire.go
+++ b/internal/flight/client_wire.go
@@ -42,7 +42,7 @@
 	maxMetadataBytes = 16 << 10
 )
 
-// answerFields has one row for each part that arrived.
+// answerFields are the columns of an answer, which has one row for each part that arrived.
 var answerFields = []arrow.Field{
 	{Name: "shard", Type: arrow.PrimitiveTypes.Int32},
 	{Name: "doc", Type: arrow.BinaryTypes.Binary},
--- a/internal/flight/front_answer.go
+++ b/internal/flight/front_answer.go
@@ -22,7 +22,7 @@
 	"ternstage/internal/core"
 )
 
-// minRetryDelayMs is the least RetryDelay that a client is told.
+// minRetryDelayMs is the least RetryDelay of a rejected query.
 const minRetryDelayMs = 1.0
 
 // invalidQueryStatus returns the status of a query that was not submitted. An outdated epoch has an ErrorInfo with the
