--- /dev/null
+++ b/internal/backends/abandon.go
@@ -0,0 +1,58 @@
+package backends
+
+import (
+	"slices"
+
+	"ternstage/internal/core"
+	"ternstage/internal/logs"
+)
+
+// maxAbandonedParts is how many abandoned parts without an answer a connection may have before it takes no new calls.
+const maxAbandonedParts = 64
+
+// Withdraw implements core.Backend. A part can be withdrawn until its call is encoded: it is left out of the frame.
+func (p *Pool) Withdraw(attempt *core.Attempt) bool {
+	if backend := p.backends[attempt.Backend]; backend != nil {
+		if i := slices.Index(backend.unplaced, attempt); i >= 0 {
+			backend.unplaced = slices.Delete(backend.unplaced, i, i+1)
+			return true
+		}
+	}
+	part, _ := attempt.Handle.(*part)
+	if part == nil || part.ended || part.call.encoded() {
+		return false
+	}
+	part.ended = true
+	part.call.connection.removePart(part)
+	return true
+}
+
+// Abandon implements core.Backend. An abandoned part that was sent may still be answered; that answer is ignored.
+func (p *Pool) Abandon(attempt *core.Attempt) (neverRan bool) {
+	withdrawn := p.Withdraw(attempt)
+	if withdrawn {
+		return true
+	}
+	part, _ := attempt.Handle.(*part)
+	if part == nil || part.ended {
+		return false
+	}
+	part.ended = true
+	c := part.call.connection
+	c.abandoned[part.id] = true
+	if c.lastReceivedAt < part.call.sentAt {
+		// Nothing has come since the part was sent: the connection may have been lost unseen. A new one shows whether
+		// the backend can be reached.
+		c.retire(logs.BackendUnresponsive)
+	}
+	if len(c.abandoned) > maxAbandonedParts {
+		c.retire(logs.BackendUnresponsive)
+	}
+	start := len(c.stream.Out)
+	c.stream.Out = beginFrame(c.stream.Out, frameAbandon)
+	c.stream.Out = append(c.stream.Out, part.id...)
+	c.endFrame(start)
+	c.removePart(part)
+	c.write()
+	return false
+}
--- /dev/null
+++ b/internal/backends/connection_limit_test.go
@@ -0,0 +1,98 @@
+package backends
+
+import (
+	"math/rand/v2"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+const simulatedBackends = 6
+
+// limitSimulation has brokers that open connections to backends that accept a limited number each.
+type limitSimulation struct {
+	maxAccepted int // connections that a backend accepts from all brokers together
+	random      *rand.Rand
+	limits      []connectionLimit        // by broker
+	open        [][simulatedBackends]int // by broker and backend
+	accepted    [simulatedBackends]int   // by backend
+
+	attempts     int // a broker wanted connections to a backend
+	rejected     int // of these: one was rejected
+	disconnected int // of these: it was left without any
+}
+
+// step lets every broker, in random order, adjust its connections to every backend.
+func (s *limitSimulation) step(t *testing.T, now float64) {
+	t.Helper()
+	for _, broker := range s.random.Perm(len(s.limits)) {
+		for backend := range simulatedBackends {
+			s.adjust(broker, backend, now)
+			current := s.limits[broker].current(now)
+			if current < 1 || current > maxUnsharedConnections {
+				t.Fatalf("limit %d", current)
+			}
+		}
+	}
+}
+
+// adjust closes a broker's connections to a backend beyond its limit and opens up to a random number within it.
+func (s *limitSimulation) adjust(broker, backend int, now float64) {
+	limit := &s.limits[broker]
+	open := &s.open[broker][backend]
+	accepted := &s.accepted[backend]
+	for *open > limit.current(now) {
+		*open--
+		*accepted--
+	}
+	wanted := min(limit.current(now), 1+s.random.IntN(6))
+	for *open < wanted {
+		if *accepted == s.maxAccepted {
+			limit.connectionRejected(now, now)
+			s.rejected++
+			if *open == 0 {
+				s.disconnected++
+			}
+			break
+		}
+		*open++
+		*accepted++
+	}
+	s.attempts++
+}
+
+// TestConnectionLimitConverges checks any number of brokers before backends that accept one to four connections for each
+// of them, while every broker wants up to six. In the last 20 s of 30 nearly every broker has a connection to each
+// backend, few connections are rejected, and most of what the backends accept is used. A limit always is in 1 to
+// maxUnsharedConnections, and back at the maximum 20 s later.
+func TestConnectionLimitConverges(t *testing.T) {
+	const stepMs, settledMs, endMs = 250.0, 10000.0, 30000.0
+	for _, brokers := range []int{2, 8, 24, 48, 80, 300, 1000} {
+		for _, acceptedPerBroker := range []float64{1.2, 2, 3.3} {
+			maxAccepted := int(acceptedPerBroker * float64(brokers))
+			s := &limitSimulation{
+				maxAccepted: maxAccepted,
+				random:      rand.New(rand.NewPCG(uint64(maxAccepted), 7)),
+				limits:      make([]connectionLimit, brokers),
+				open:        make([][simulatedBackends]int, brokers),
+			}
+			for now := 0.0; now < endMs; now += stepMs {
+				s.step(t, now)
+				if now == settledMs {
+					s.attempts, s.rejected, s.disconnected = 0, 0, 0
+				}
+			}
+			used := 0
+			for _, accepted := range s.accepted {
+				used += accepted
+			}
+			attempts := float64(s.attempts)
+			assert.Less(t, float64(s.disconnected)/attempts, 0.01, "%d brokers, %v accepted for each: without any", brokers, acceptedPerBroker)
+			assert.Less(t, float64(s.rejected)/attempts, 0.06, "%d brokers, %v accepted for each: rejected", brokers, acceptedPerBroker)
+			assert.Greater(t, float64(used), 0.5*float64(maxAccepted*simulatedBackends), "%d brokers, %v accepted for each: used", brokers, acceptedPerBroker)
+			for i := range s.limits {
+				assert.Equal(t, maxUnsharedConnections, s.limits[i].current(endMs+maxUnsharedConnections*limitGrowthMs))
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/flight/connection_log.go
@@ -0,0 +1,51 @@
+package flight
+
+import (
+	"context"
+	"sync/atomic"
+
+	"google.golang.org/grpc/stats"
+
+	"ternstage/internal/logs"
+)
+
+// connectionLog logs one line for each client connection that ends. It implements stats.Handler; gRPC calls it from
+// its own goroutines.
+type connectionLog struct{ log *logs.Log }
+
+// connectionKey is the context key of a connection's connectionState.
+type connectionKey struct{}
+
+// connectionState is what the line says.
+type connectionState struct {
+	peer        string // address
+	callsServed atomic.Int64
+}
+
+// TagConn implements stats.Handler.
+func (*connectionLog) TagConn(ctx context.Context, info *stats.ConnTagInfo) context.Context {
+	return context.WithValue(ctx, connectionKey{}, &connectionState{peer: info.RemoteAddr.String()})
+}
+
+// HandleConn implements stats.Handler: it logs the end of a connection.
+func (h *connectionLog) HandleConn(ctx context.Context, event stats.ConnStats) {
+	if _, ended := event.(*stats.ConnEnd); !ended {
+		return
+	}
+	if connection, ok := ctx.Value(connectionKey{}).(*connectionState); ok {
+		h.log.ConnectionEnded(logs.FlightClientClosed, connection.peer, int(connection.callsServed.Load()), nil)
+	}
+}
+
+// TagRPC implements stats.Handler.
+func (*connectionLog) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context { return ctx }
+
+// HandleRPC implements stats.Handler: it counts the calls that have ended.
+func (*connectionLog) HandleRPC(ctx context.Context, event stats.RPCStats) {
+	if _, ended := event.(*stats.End); !ended {
+		return
+	}
+	if connection, ok := ctx.Value(connectionKey{}).(*connectionState); ok {
+		connection.callsServed.Add(1)
+	}
+}
--- a/internal/flight/front.go
+++ b/internal/flight/front.go
@@ -2,91 +2,76 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"net"
-	"slices"
-	"strconv"
-	"sync/atomic"
 	"time"
 
 	"github.com/apache/arrow-go/v18/arrow"
-	"github.com/apache/arrow-go/v18/arrow/array"
 	"github.com/apache/arrow-go/v18/arrow/flight"
-	"github.com/apache/arrow-go/v18/arrow/ipc"
 	"github.com/apache/arrow-go/v18/arrow/memory"
 	"golang.org/x/net/netutil"
-	"google.golang.org/genproto/googleapis/rpc/errdetails"
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/codes"
-	"google.golang.org/grpc/metadata"
-	"google.golang.org/grpc/stats"
 	"google.golang.org/grpc/status"
-	"google.golang.org/protobuf/types/known/durationpb"
 
 	"ternstage/internal/contract"
 	"ternstage/internal/core"
 	"ternstage/internal/logs"
 )
 
-// The metadata keys of a query; they mean what the HTTP front's headers of the same names mean.
-const (
-	keyID     = "x-request-id"
-	keyClass  = "x-class"
-	keyTenant = "x-tenant"
-	keyRetry  = "x-retry"
-	keyDedup  = "idempotency-key"
-)
-
-const (
-	maxTicket = 64 << 10
-	maxGRPC   = maxTicket + 16<<10
-	metaWhole = "complete" // schema metadata of an answer: "true" or "false"
-)
-
-// Core is what the front asks of core, on the loop.
+// Core takes the queries of clients, on the loop.
 type Core interface {
-	Submit(*core.Request) error
-	ClientDisconnected(*core.Request)
+	// Submit takes a query; its error says why the query is invalid. The answer goes to the request's Client.
+	Submit(request *core.Request) error
+	// ClientDisconnected ends a submitted query whose client no longer waits.
+	ClientDisconnected(request *core.Request)
 }
 
-// Loop is how this package's goroutines reach the decisions.
+// Loop is the event loop, as this package's goroutines reach it.
 type Loop interface {
+	// Post runs work on the loop, in the order of the calls. It may be called from any goroutine and does not wait.
 	Post(work func())
+	// Now returns the time of the current wake-up in ms. It is for the loop only.
 	Now() float64
 }
 
 // Front serves Flight to clients.
 type Front struct {
 	flight.BaseFlightServer
-	loop     Loop
-	core     Core
-	book     *contract.Contracts
-	log      *logs.Log
-	server   *grpc.Server
-	draining atomic.Bool
-	open     atomic.Int64
+	loop      Loop
+	core      Core
+	contracts *contract.Contracts // the loop's alone
+	log       *logs.Log
+	server    *grpc.Server
 }
 
-// Listen starts the front.
-func Listen(c Config, l Loop, k Core, b *contract.Contracts, log *logs.Log) (*Front, error) {
-	f := &Front{loop: l, core: k, book: b, log: log}
-	ln, err := net.Listen("tcp", c.Listen)
+// Listen starts the front. Its error wraps that of the listener. Stop ends the goroutine that accepts connections.
+func Listen(config Config, loop Loop, queries Core, contracts *contract.Contracts, log *logs.Log) (*Front, error) {
+	front := &Front{loop: loop, core: queries, contracts: contracts, log: log}
+	listener, err := net.Listen("tcp", config.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("flight: %w", err)
 	}
-	f.server = grpc.NewServer(grpc.MaxConcurrentStreams(uint32(c.StreamsPerConnection)), grpc.MaxRecvMsgSize(maxGRPC),
-		grpc.MaxHeaderListSize(16<<10), grpc.StatsHandler(&connLog{log: log}))
-	flight.RegisterFlightServiceServer(f.server, f)
-	go func() {
-		if err := f.server.Serve(netutil.LimitListener(ln, c.MaxConnections)); err != nil {
-			log.Error("flight front: " + err.Error())
-		}
-	}()
-	return f, nil
+	front.server = grpc.NewServer(
+		grpc.MaxConcurrentStreams(uint32(config.StreamsPerConnection)),
+		grpc.MaxRecvMsgSize(maxMessageBytes),
+		grpc.MaxHeaderListSize(maxMetadataBytes),
+		grpc.StatsHandler(&connectionLog{log: log}),
+	)
+	flight.RegisterFlightServiceServer(front.server, front)
+	go front.serve(netutil.LimitListener(listener, config.MaxConnections))
+	return front, nil
+}
+
+// serve accepts connections until Stop is called or the listener fails.
+func (f *Front) serve(listener net.Listener) {
+	if err := f.server.Serve(listener); err != nil {
+		f.log.Error("flight front: " + err.Error())
+	}
 }
 
-// Stop takes no new calls and lets those that are taken end; done is posted to the loop when they have.
+// Stop accepts no new connections and calls and lets those in flight end. It does not wait: done runs on the loop when
+// the last call has ended.
 func (f *Front) Stop(done func()) {
 	go func() {
 		f.server.GracefulStop()
@@ -94,205 +79,118 @@
 	}()
 }
 
-var answerSchema = []arrow.Field{
-	{Name: "shard", Type: arrow.PrimitiveTypes.Int32},
-	{Name: "doc", Type: arrow.BinaryTypes.Binary},
-}
+// clientCall is one DoGet of a client. It implements core.Client.
+type clientCall struct {
+	front    *Front
+	envelope contract.Envelope
+	ticket   []byte
 
-// districtFields follow where slices move: the districts of a row, hi not included.
-var districtFields = []arrow.Field{
-	{Name: "lo", Type: arrow.PrimitiveTypes.Int32},
-	{Name: "hi", Type: arrow.PrimitiveTypes.Int32},
+	// submitted receives the error of submit; the capacity of 1 keeps the loop from waiting.
+	submitted chan error
+	// answer receives the final answer; the capacity of 1 keeps the loop from waiting.
+	answer chan core.Answer
+	// request is the loop's. It is set before submitted receives.
+	request *core.Request
 }
 
-// call is one DoGet on its way through core. It implements core.Client.
-type call struct{ answer chan core.Answer }
-
-// Finish implements core.Client: it runs on the loop and never waits.
-func (c *call) Finish(a core.Answer) { c.answer <- a }
+// Finish implements core.Client.
+func (c *clientCall) Finish(answer core.Answer) { c.answer <- answer }
 
-// DoGet takes a query: the ticket is its body, the metadata its envelope, the call's deadline its deadline.
-func (f *Front) DoGet(t *flight.Ticket, s flight.FlightService_DoGetServer) error {
-	ctx := s.Context()
-	env, err := envelope(ctx)
+// DoGet answers a query: the ticket is its body, the call's metadata its envelope, the call's deadline its deadline.
+// It implements the Flight service. Errors are gRPC statuses, see front_answer.go.
+func (f *Front) DoGet(ticket *flight.Ticket, stream flight.FlightService_DoGetServer) error {
+	ctx := stream.Context()
+	envelope, err := envelope(ctx)
 	if err != nil {
 		return err
 	}
-	if len(t.GetTicket()) > maxTicket {
+	if len(ticket.GetTicket()) > maxTicketBytes {
 		return status.Error(codes.InvalidArgument, "the ticket is over 64 KiB")
 	}
-	c := &call{make(chan core.Answer, 1)}
-	taken := make(chan error, 1)
-	var r *core.Request // the loop's alone, but for its being set before taken is sent to
-	f.loop.Post(func() {
-		if err := ctx.Err(); err != nil {
-			taken <- err
-			return
-		}
-		// What the call waited for the loop is part of its time.
-		if by, ok := ctx.Deadline(); ok {
-			env.ClientTimeout = float64(time.Until(by)) / 1e6
-		}
-		q, err := f.book.ParseQuery(env, t.GetTicket(), f.loop.Now())
-		if err == nil {
-			q.Client, r = c, q
-			err = f.core.Submit(q)
-		}
-		taken <- err
-	})
-	if err := <-taken; err != nil {
-		return refusal(err)
+	call := &clientCall{
+		front:     f,
+		envelope:  envelope,
+		ticket:    ticket.GetTicket(),
+		submitted: make(chan error, 1),
+		answer:    make(chan core.Answer, 1),
 	}
-	var a core.Answer
-	select {
-	case a = <-c.answer:
-	case <-ctx.Done():
-		select {
-		case a = <-c.answer: // a cancel that crosses a good answer does not undo it
-		default:
-			f.loop.Post(func() { f.core.ClientDisconnected(r) })
-			return status.FromContextError(ctx.Err()).Err()
-		}
+	f.loop.Post(func() { call.submitted <- call.submit(ctx) })
+	if err := <-call.submitted; err != nil {
+		return invalidQueryStatus(err)
 	}
-	if err := final(a); err != nil {
+	answer, err := call.await(ctx)
+	if err != nil {
 		return err
 	}
-	return send(s, a)
-}
-
-// envelope reads the metadata of a query.
-func envelope(ctx context.Context) (contract.Envelope, error) {
-	md, _ := metadata.FromIncomingContext(ctx)
-	one := func(key string) string {
-		if v := md.Get(key); len(v) > 0 {
-			return v[0]
-		}
-		return ""
-	}
-	if _, ok := ctx.Deadline(); !ok {
-		return contract.Envelope{}, status.Error(codes.InvalidArgument, "the call has no deadline")
+	if err := unansweredStatus(answer); err != nil {
+		return err
 	}
-	return contract.Envelope{ID: one(keyID), Class: one(keyClass), Tenant: one(keyTenant),
-		ClientRetry: one(keyRetry) == "1", IdempotencyKey: one(keyDedup)}, nil
+	return sendAnswer(stream, answer)
 }
 
-// refusal maps what a front says of a query that core has not taken.
-func refusal(err error) error {
-	switch {
-	case errors.Is(err, contract.ErrUnknownClass):
-		return status.Error(codes.NotFound, err.Error())
-	case errors.Is(err, contract.ErrUnknownTenant):
-		return status.Error(codes.PermissionDenied, err.Error())
-	case errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded):
-		return status.FromContextError(err).Err()
+// submit hands the query to core. It runs on the loop. The time that the call waited for the loop is part of the
+// client's timeout.
+func (c *clientCall) submit(ctx context.Context) error {
+	if err := ctx.Err(); err != nil {
+		return err
 	}
-	var stale *core.StaleEpochError
-	if errors.As(err, &stale) {
-		st := status.New(codes.InvalidArgument, err.Error())
-		info := &errdetails.ErrorInfo{Reason: "STALE_SLICE", Domain: "ternstage",
-			Metadata: map[string]string{metaEpoch: strconv.FormatUint(stale.Epoch, 10)}}
-		if with, err := st.WithDetails(info); err == nil {
-			st = with
-		}
-		return st.Err()
+	if deadline, ok := ctx.Deadline(); ok {
+		c.envelope.ClientTimeout = toMs(time.Until(deadline))
 	}
-	return status.Error(codes.InvalidArgument, err.Error())
-}
-
-// final maps a final answer that is not served; nil if it is.
-func final(a core.Answer) error {
-	switch {
-	case a.Kind == core.Answered:
-		return nil
-	case a.Kind == core.Rejected:
-		st := status.New(codes.Unavailable, "refused: trying again is harmless")
-		delay := durationpb.New(time.Duration(max(a.RetryAfter, 1) * 1e6))
-		if with, err := st.WithDetails(&errdetails.RetryInfo{RetryDelay: delay}); err == nil {
-			st = with
-		}
-		return st.Err()
-	case a.TimedOut:
-		return status.Error(codes.DeadlineExceeded, "no answer in time; what was asked for may have been done")
+	request, err := c.front.contracts.ParseQuery(c.envelope, c.ticket, c.front.loop.Now())
+	if err != nil {
+		return err
 	}
-	return status.Error(codes.Internal, "failed; what was asked for may have been done")
+	request.Client = c
+	c.request = request
+	return c.front.core.Submit(request)
 }
 
-// send writes the answer as one record batch, a row for each part that is in.
-func send(s flight.FlightService_DoGetServer, a core.Answer) error {
-	names, values, fields := []string{metaWhole}, []string{strconv.FormatBool(a.Complete)}, answerSchema
-	if a.Epoch > 0 {
-		names, values = append(names, metaEpoch), append(values, strconv.FormatUint(a.Epoch, 10))
-		fields = append(slices.Clone(fields), districtFields...)
-	}
-	meta := arrow.NewMetadata(names, values)
-	schema := arrow.NewSchema(fields, &meta)
-	b := array.NewRecordBuilder(memory.DefaultAllocator, schema)
-	defer b.Release()
-	for _, v := range a.Values {
-		b.Field(0).(*array.Int32Builder).Append(int32(v.Shard))
-		b.Field(1).(*array.BinaryBuilder).Append(v.Doc)
-		if a.Epoch > 0 {
-			b.Field(2).(*array.Int32Builder).Append(int32(v.Buckets.Start))
-			b.Field(3).(*array.Int32Builder).Append(int32(v.Buckets.End))
-		}
+// await waits for the final answer. If the call ends first, core is informed and the call's status returned; an answer
+// that is there by then still counts.
+func (c *clientCall) await(ctx context.Context) (core.Answer, error) {
+	select {
+	case answer := <-c.answer:
+		return answer, nil
+	case <-ctx.Done():
 	}
-	rec := b.NewRecordBatch()
-	defer rec.Release()
-	w := flight.NewRecordWriter(s, ipc.WithSchema(schema))
-	if err := w.Write(rec); err != nil {
-		return fmt.Errorf("flight answer: %w", err)
+	select {
+	case answer := <-c.answer:
+		return answer, nil
+	default:
 	}
-	return w.Close()
+	c.front.loop.Post(func() { c.front.core.ClientDisconnected(c.request) })
+	return core.Answer{}, status.FromContextError(ctx.Err()).Err()
 }
 
-// GetFlightInfo names the one endpoint of a query, this one: the descriptor's command becomes its ticket.
-func (f *Front) GetFlightInfo(_ context.Context, d *flight.FlightDescriptor) (*flight.FlightInfo, error) {
-	if d.GetType() != flight.DescriptorCMD || len(d.GetCmd()) == 0 || len(d.GetCmd()) > maxTicket {
+// GetFlightInfo returns the only endpoint of a query, this broker: the descriptor's command becomes its ticket. It
+// implements the Flight service.
+func (f *Front) GetFlightInfo(_ context.Context, descriptor *flight.FlightDescriptor) (*flight.FlightInfo, error) {
+	command := descriptor.GetCmd()
+	if descriptor.GetType() != flight.DescriptorCMD || len(command) == 0 || len(command) > maxTicketBytes {
 		return nil, status.Error(codes.InvalidArgument, "the descriptor is not a command of 64 KiB at most")
 	}
-	return &flight.FlightInfo{Schema: flight.SerializeSchema(arrow.NewSchema(answerSchema, nil),
-		memory.DefaultAllocator), FlightDescriptor: d, TotalRecords: -1, TotalBytes: -1,
-		Endpoint: []*flight.FlightEndpoint{{Ticket: &flight.Ticket{Ticket: d.GetCmd()}}}}, nil
+	return &flight.FlightInfo{
+		Schema:           serializedAnswerSchema(),
+		FlightDescriptor: descriptor,
+		TotalRecords:     -1,
+		TotalBytes:       -1,
+		Endpoint:         []*flight.FlightEndpoint{{Ticket: &flight.Ticket{Ticket: command}}},
+	}, nil
 }
 
-// GetSchema is the schema of every answer.
+// GetSchema returns the schema of answers, without the columns that they have while shards move. It implements the
+// Flight service.
 func (f *Front) GetSchema(context.Context, *flight.FlightDescriptor) (*flight.SchemaResult, error) {
-	return &flight.SchemaResult{Schema: flight.SerializeSchema(arrow.NewSchema(answerSchema, nil),
-		memory.DefaultAllocator)}, nil
+	return &flight.SchemaResult{Schema: serializedAnswerSchema()}, nil
 }
 
-// connLog leaves one line for each client connection that ends. It implements stats.Handler.
-type connLog struct{ log *logs.Log }
-
-type connKey struct{}
-
-type connState struct {
-	peer   string
-	served atomic.Int64
+func serializedAnswerSchema() []byte {
+	return flight.SerializeSchema(arrow.NewSchema(answerFields, nil), memory.DefaultAllocator)
 }
 
-// TagConn implements stats.Handler; so do the methods below.
-func (*connLog) TagConn(ctx context.Context, i *stats.ConnTagInfo) context.Context {
-	return context.WithValue(ctx, connKey{}, &connState{peer: i.RemoteAddr.String()})
-}
+// toMs converts a duration to the loop's unit.
+func toMs(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// HandleConn notes the end.
-func (h *connLog) HandleConn(ctx context.Context, s stats.ConnStats) {
-	if c, ok := ctx.Value(connKey{}).(*connState); ok {
-		if _, end := s.(*stats.ConnEnd); end {
-			h.log.ConnectionEnded(logs.FlightClientClosed, c.peer, int(c.served.Load()), nil)
-		}
-	}
-}
-
-// TagRPC adds nothing.
-func (*connLog) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context { return ctx }
-
-// HandleRPC counts calls.
-func (*connLog) HandleRPC(ctx context.Context, s stats.RPCStats) {
-	if c, ok := ctx.Value(connKey{}).(*connState); ok {
-		if _, end := s.(*stats.End); end {
-			c.served.Add(1)
-		}
-	}
-}
+// fromMs converts from the loop's unit.
+func fromMs(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- /dev/null
+++ b/internal/flight/outcome.go
@@ -0,0 +1,61 @@
+package flight
+
+import (
+	"errors"
+	"strconv"
+
+	"google.golang.org/genproto/googleapis/rpc/errdetails"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+
+	"ternstage/internal/decision/scheduler"
+)
+
+// callOutcome returns the outcome of the attempt by the error of its call, and sets backendEpoch with NotHolder. It
+// runs on the attempt's goroutine.
+func (a *attempt) callOutcome(err error) scheduler.Outcome {
+	if a.Epoch > 0 {
+		if epoch, ok := epochOfNotHolder(err); ok {
+			a.backendEpoch = epoch
+			return scheduler.NotHolder
+		}
+	}
+	return outcomeOfError(err)
+}
+
+// epochOfNotHolder returns the epoch of the backend's shard map if the error says that it is not the holder.
+func epochOfNotHolder(err error) (uint64, bool) {
+	callStatus, ok := status.FromError(err)
+	if !ok || callStatus.Code() != codes.FailedPrecondition {
+		return 0, false
+	}
+	for _, detail := range callStatus.Details() {
+		info, ok := detail.(*errdetails.ErrorInfo)
+		if !ok || info.Reason != reasonNotHolder {
+			continue
+		}
+		epoch, err := strconv.ParseUint(info.Metadata[notHolderEpoch], 10, 63)
+		if err == nil && epoch > 0 {
+			return epoch, true
+		}
+	}
+	return 0, false
+}
+
+// outcomeOfError returns the outcome of a call that had begun by its error. Only a rejection by the backend proves that
+// the part did not run. Without a status the stream ended early or is malformed.
+func outcomeOfError(err error) scheduler.Outcome {
+	var withStatus interface{ GRPCStatus() *status.Status }
+	if !errors.As(err, &withStatus) {
+		return scheduler.ConnectionReset
+	}
+	switch withStatus.GRPCStatus().Code() {
+	case codes.ResourceExhausted:
+		return scheduler.Rejected
+	case codes.DeadlineExceeded:
+		return scheduler.TimedOut
+	case codes.Unavailable, codes.Canceled:
+		return scheduler.ConnectionReset
+	}
+	return scheduler.Failed
+}
