--- /dev/null
+++ b/internal/clients/close.go
@@ -0,0 +1,77 @@
+package clients
+
+import (
+	"cmp"
+
+	"golang.org/x/sys/unix"
+
+	"ternstage/internal/logs"
+)
+
+const (
+	crowdRest  = 1000.0 // ms after which who found no memory may come again
+	lingerRead = 1 << 20
+)
+
+// reject answers what cannot be read on from, and closes.
+func (c *conn) reject(status int, err error) {
+	c.s.In, c.reading, c.malformed = nil, 0, err
+	r := response{status: status, body: errorBody(err), close: true}
+	if status == 503 {
+		r.retryAfter = crowdRest
+	}
+	c.reply(r)
+}
+
+// gone ends a connection that its client has left.
+func (c *conn) gone(err error) {
+	code := logs.ClientLeftIdle
+	if r := c.open; r != nil {
+		c.open, code = nil, logs.ClientLeftRequest
+		c.server.core.ClientDisconnected(r)
+	}
+	c.close(code, err)
+}
+
+// linger ends our side, and the connection once the client has ended its own. What the client still sends
+// would turn our close into a reset that destroys the answer unread (RFC 9112, 9.6); it is thrown away, up to
+// a bound, and none of it is served: an answer could not go out any more.
+func (c *conn) linger(why logs.Code) {
+	if c.ended {
+		c.close(why, nil)
+		return
+	}
+	_ = unix.Shutdown(c.s.FD, unix.SHUT_WR)
+	c.ends, c.since, c.s.In = why, c.server.loop.Now(), nil
+	c.count()
+	c.s.SetEvents(unix.EPOLLIN | unix.EPOLLRDHUP)
+	c.discard()
+}
+
+// discard throws away what has come. What goes beyond a bound stays unread, so that its sender waits: the
+// answer has its time to arrive all the same.
+func (c *conn) discard() {
+	n, eof, err := c.s.DiscardInput()
+	if c.thrown += n; eof || err != nil {
+		c.close(c.ends, nil)
+	} else if c.thrown > lingerRead {
+		c.s.SetEvents(unix.EPOLLRDHUP)
+	}
+}
+
+func (c *conn) close(code logs.Code, err error) {
+	if c.closed {
+		return
+	}
+	c.closed = true
+	delete(c.server.conns, c)
+	c.s.Close()
+	c.count()
+	code = cmp.Or(c.ends, code)
+	if c.late {
+		code, err = logs.ClientRequestTimeout, c.malformed
+	} else if c.malformed != nil {
+		code, err = logs.ClientMalformed, c.malformed
+	}
+	c.server.log.ConnectionEnded(code, c.peer, c.served, err)
+}
--- /dev/null
+++ b/internal/clients/eviction.go
@@ -0,0 +1,44 @@
+package clients
+
+import (
+	"cmp"
+	"slices"
+
+	"ternstage/internal/logs"
+)
+
+const (
+	answerWay = 100.0 // ms in which a last answer has come to its client
+)
+
+// FreeDescriptor closes the connection that can best be spared, for a descriptor: one that we ended a while ago,
+// then the one that has stood idle longest and on which nothing has come, then one whose last answer is still
+// on its way. A client opens a new one when it needs one. It hands nothing in, so that it may be called from
+// within a decision. False if there is none.
+func (s *Server) FreeDescriptor() bool {
+	var spare []*conn
+	for c := range s.conns {
+		if c.ends != "" || c.quiet() {
+			spare = append(spare, c)
+		}
+	}
+	rank := func(c *conn) int {
+		switch {
+		case c.ends == "":
+			return 1
+		case s.loop.Now()-c.since < answerWay:
+			return 2
+		}
+		return 0
+	}
+	slices.SortFunc(spare, func(a, b *conn) int {
+		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.since, b.since))
+	})
+	for _, c := range spare {
+		if c.ends != "" || !c.s.HasUnread() {
+			c.close(logs.ClientEvicted, nil)
+			return true
+		}
+	}
+	return false
+}
--- a/internal/clients/serve.go
+++ b/internal/clients/query.go
@@ -4,49 +4,14 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"net/netip"
+	"math"
 	"strconv"
 	"strings"
 
-	"golang.org/x/sys/unix"
-
 	"ternstage/internal/contract"
 	"ternstage/internal/core"
 )
 
-// Paths beside those of the classes.
-const (
-	pathHealth    = "/_health"
-	pathContracts = "/_contracts"
-)
-
-// serve answers a request, or hands it to core and waits.
-func (c *conn) serve(m *message) {
-	c.last = m.close
-	page := c.server.pages[m.path]
-	switch {
-	case page != nil && (m.method == "GET" || m.method == "HEAD"):
-		c.reply(response{status: 200, body: page()})
-	case m.path == pathHealth || m.path == pathContracts:
-		if m.method != "GET" && m.method != "HEAD" {
-			c.reply(response{status: 405, body: errorBody(fmt.Errorf("GET only"))})
-			return
-		}
-		r := response{status: 200, body: c.server.contracts()}
-		if m.path == pathHealth {
-			r = response{status: 200, body: []byte(`{"status":"serving"}`)}
-			if !c.server.Healthy() {
-				r = response{status: 503, body: []byte(`{"status":"not serving"}`)}
-			}
-		}
-		c.reply(r)
-	case m.method != "POST":
-		c.reply(response{status: 405, body: errorBody(fmt.Errorf("a query is a POST"))})
-	default:
-		c.query(m)
-	}
-}
-
 // query hands a query to core.
 func (c *conn) query(m *message) {
 	class, _, _ := strings.Cut(m.path[1:], "/")
@@ -115,36 +80,5 @@
 	}
 }
 
-type contractsBody struct {
-	Classes []contract.Class  `json:"classes"`
-	Tenants []contract.Tenant `json:"tenants"`
-	Taken   map[string]uint64 `json:"taken"`
-}
-
-// contracts shows the teams what was agreed and what has been taken under it.
-func (s *Server) contracts() []byte {
-	b := contractsBody{Classes: s.book.Classes, Tenants: s.book.Tenants, Taken: map[string]uint64{}}
-	for i, t := range s.book.Tenants {
-		b.Taken[t.Name] = s.book.AcceptedByTenant[i]
-	}
-	text, err := json.Marshal(b)
-	if err != nil {
-		return errorBody(err)
-	}
-	return text
-}
-
-func errorBody(err error) []byte {
-	text, _ := json.Marshal(map[string]string{"error": err.Error()})
-	return text
-}
-
-func addressOf(sa unix.Sockaddr) string {
-	switch a := sa.(type) {
-	case *unix.SockaddrInet4:
-		return netip.AddrPortFrom(netip.AddrFrom4(a.Addr), uint16(a.Port)).String()
-	case *unix.SockaddrInet6:
-		return netip.AddrPortFrom(netip.AddrFrom16(a.Addr), uint16(a.Port)).String()
-	}
-	return ""
-}
+// retryAfterOf is the advice of a refusal; at least a millisecond, the header's finest step.
+func retryAfterOf(a core.Answer) float64 { return max(math.Ceil(a.RetryAfter), 1) }
--- /dev/null
+++ b/internal/clients/timeouts.go
@@ -0,0 +1,44 @@
+package clients
+
+import (
+	"ternstage/internal/logs"
+)
+
+const (
+	wholeMost  = 2000.0 // ms for a request to come whole, from its first byte, the first from the connect on
+	idleMost   = 5000.0 // ms between requests; the client opens a new connection when it needs one
+	takeMost   = 2000.0 // ms that a client may leave its answer unread
+	lingerMost = 500.0  // ms in which what a client still sends is thrown away behind our end
+	tendEvery  = 200.0
+)
+
+// tend ends what takes too long: guards descriptors and memory against clients that say nothing, send half a
+// request or leave their answer unread. An error or a close is owed to those within 3 s.
+func (s *Server) tend() {
+	now := s.loop.Now()
+	for c := range s.conns {
+		age := now - c.since
+		switch {
+		case c.ends != "":
+			if age > lingerMost {
+				c.close(c.ends, nil)
+			}
+		case c.open != nil:
+		case len(c.s.Out) > 0:
+			if age > takeMost {
+				c.close(logs.ClientRequestTimeout, nil)
+			}
+		case len(c.s.In) > 0:
+			if now-c.began > wholeMost {
+				c.late = true
+				c.reject(408, errSlow)
+				c.write()
+			}
+		case c.served == 0 && age > wholeMost:
+			c.linger(logs.ClientNoRequest)
+		case age > idleMost:
+			c.linger(logs.ClientEvicted)
+		}
+	}
+	s.timer.Set(now + tendEvery)
+}
