--- /dev/null
+++ b/internal/clients/parser_test.go
@@ -0,0 +1,127 @@
+package clients
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+const (
+	post    = "POST /search/q HTTP/1.1\r\nHost: a\r\n"
+	chunked = post + "Transfer-Encoding: chunked\r\n\r\n"
+	sized   = post + "Content-Length: 3\r\n\r\n"
+)
+
+// parseGrowing parses text as it arrives, in pieces of step bytes.
+func parseGrowing(t *testing.T, text string, step int) (*message, int, error) {
+	t.Helper()
+	in := []byte(text)
+	p := &parser{}
+	for end := step; ; end += step {
+		m, size, err := p.next(in[:min(end, len(in))])
+		if size > 0 || err != nil || end >= len(in) {
+			return m, size, err
+		}
+	}
+}
+
+func TestParserAcceptsRequests(t *testing.T) {
+	for _, c := range []struct {
+		name, in, method, path, body string
+		last, expect                 bool
+	}{
+		{"no body", "GET /_health HTTP/1.1\r\n\r\n", "GET", "/_health", "", false, false},
+		{"empty lines before", "\r\n\r\nGET /x HTTP/1.1\r\n\r\n", "GET", "/x", "", false, false},
+		{"HTTP/1.0", "GET /x HTTP/1.0\r\n\r\n", "GET", "/x", "", true, false},
+		{"a query", "GET /x?y=/z HTTP/1.1\r\n\r\n", "GET", "/x", "", false, false},
+		{"to be closed", "GET /x HTTP/1.1\r\nConnection: te, Close\r\n\r\n", "GET", "/x", "", true, false},
+		{"a sized body", sized + "abc", "POST", "/search/q", "abc", false, false},
+		{"a size said twice", post + "Content-Length: 1\r\nContent-Length: 1\r\n\r\na", "POST", "/search/q", "a", false, false},
+		{"an expectation", post + "Expect: 100-Continue\r\nContent-Length: 1\r\n\r\na", "POST", "/search/q", "a", false, true},
+		{"no chunk", chunked + "0\r\n\r\n", "POST", "/search/q", "", false, false},
+		{"chunks", chunked + "1\r\na\r\n 2 ;e=1\r\nbc\r\n0\r\n\r\n", "POST", "/search/q", "abc", false, false},
+		{"a trailer", chunked + "1\r\na\r\n0\r\nX: y\r\n\r\n", "POST", "/search/q", "a", false, false},
+		{"the largest body", post + "Content-Length: 65536\r\n\r\n" + strings.Repeat("x", maxBody), "POST", "/search/q",
+			strings.Repeat("x", maxBody), false, false},
+	} {
+		for _, step := range []int{1, 7, len(c.in)} {
+			t.Run(fmt.Sprintf("%s in steps of %d", c.name, step), func(t *testing.T) {
+				m, size, err := parseGrowing(t, c.in, step)
+				require.NoError(t, err)
+				require.Equal(t, len(c.in), size)
+				assert.Equal(t, []string{c.method, c.path, c.body}, []string{m.method, m.path, string(m.body)})
+				assert.Equal(t, []bool{c.last, c.expect}, []bool{m.close, m.expect})
+			})
+		}
+	}
+}
+
+func TestParserRejectsRequests(t *testing.T) {
+	for _, c := range []struct {
+		name, in string
+		target   error
+	}{
+		{"another protocol", "GET / HTTP/2\r\n\r\n", errMalformed},
+		{"a request line of two words", "GET /\r\n\r\n", errMalformed},
+		{"no path", "GET x HTTP/1.1\r\n\r\n", errMalformed},
+		{"a method that is no token", "G(T / HTTP/1.1\r\n\r\n", errMalformed},
+		{"a field without a colon", post + "X\r\n\r\n", errMalformed},
+		{"a space before the colon", post + "X : y\r\n\r\n", errMalformed},
+		{"a folded field", post + "X: y\r\n z: a\r\n\r\n", errMalformed},
+		{"a bare line feed", post + "X: y\nZ: a\r\n\r\n", errMalformed},
+		{"a NUL", post + "X: \x00\r\n\r\n", errMalformed},
+		{"two sizes", post + "Content-Length: 1\r\nContent-Length: 2\r\n\r\nab", errMalformed},
+		{"a size and chunks", post + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\na", errMalformed},
+		{"another coding", post + "Transfer-Encoding: gzip, chunked\r\n\r\n", errMalformed},
+		{"two codings", post + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n", errMalformed},
+		{"a field of ours twice", post + "X-Tenant: a\r\nX-Tenant: a\r\n\r\n", errMalformed},
+		{"a negative size", post + "Content-Length: -1\r\n\r\n", errMalformed},
+		{"many fields", post + strings.Repeat("a: b\r\n", maxFields) + "\r\n", errMalformed},
+		{"a large header", post + "X: " + strings.Repeat("x", maxHead) + "\r\n\r\n", errHead},
+		{"a large header without an end", strings.Repeat("x", maxHead+1), errHead},
+		{"a large body", post + "Content-Length: 65537\r\n\r\n", errTooLarge},
+		{"a large chunk", chunked + "10001\r\n", errTooLarge},
+		{"large chunks", chunked + "1\r\na\r\n10000\r\n", errTooLarge},
+		{"a chunk size that is none", chunked + "-1\r\n", errMalformed},
+		{"a chunk longer than its size", chunked + "1\r\nabc\r\n", errMalformed},
+		{"a large chunk line", chunked + "1;" + strings.Repeat("x", maxChunkLine), errMalformed},
+		{"a large trailer", chunked + "0\r\nX: " + strings.Repeat("x", maxHead), errHead},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			for _, step := range []int{1, 7, len(c.in)} {
+				_, size, err := parseGrowing(t, c.in, step)
+				assert.Zero(t, size)
+				assert.ErrorIs(t, err, c.target)
+			}
+		})
+	}
+}
+
+// TestParserWaitsForTheRest checks that no prefix of a request is taken for a request.
+func TestParserWaitsForTheRest(t *testing.T) {
+	for _, text := range []string{sized + "abc", chunked + "3\r\nabc\r\n0\r\nX: y\r\n\r\n"} {
+		for end := range len(text) {
+			p := &parser{}
+			m, size, err := p.next([]byte(text[:end]))
+			require.NoError(t, err)
+			require.Nil(t, m)
+			require.Zero(t, size)
+		}
+	}
+}
+
+func TestParserSplitsPipelinedRequests(t *testing.T) {
+	in := []byte(sized + "abc" + chunked + "1\r\nd\r\n0\r\n\r\n" + "GET /last HTTP/1.1\r\n\r\n")
+	p := &parser{}
+	var got []string
+	for len(in) > 0 {
+		m, size, err := p.next(in)
+		require.NoError(t, err)
+		got = append(got, m.path+" "+string(m.body))
+		in = in[size:]
+	}
+	assert.Equal(t, []string{"/search/q abc", "/search/q d", "/last "}, got)
+}
--- /dev/null
+++ b/internal/clients/response_test.go
@@ -0,0 +1,34 @@
+package clients
+
+import (
+	"bufio"
+	"bytes"
+	"io"
+	"net/http"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+func TestResponseEncoding(t *testing.T) {
+	const plain = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 2\r\n\r\n{}"
+	assert.Equal(t, "before"+plain, string(response{status: 200, body: []byte("{}")}.append([]byte("before"))))
+	assert.Equal(t, "HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\nContent-Length: 0\r\n"+
+		"Retry-After: 0.025\r\nConnection: close\r\n\r\n", string(response{status: 503, retryAfter: 25, close: true}.append(nil)))
+}
+
+// TestResponsesAreHTTP checks that an HTTP client reads each status that the front sends.
+func TestResponsesAreHTTP(t *testing.T) {
+	for status, phrase := range reasons {
+		out := response{status: status, body: []byte(`{"error":"x"}`)}.append(nil)
+		got, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(out)), nil)
+		require.NoError(t, err)
+		body, err := io.ReadAll(got.Body)
+		require.NoError(t, err)
+		require.NoError(t, got.Body.Close())
+		assert.Equal(t, status, got.StatusCode)
+		assert.Contains(t, got.Status, " "+phrase)
+		assert.Equal(t, `{"error":"x"}`, string(body))
+	}
+}
