--- /dev/null
+++ b/internal/clients/fixture_test.go
@@ -0,0 +1,165 @@
+package clients
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"golang.org/x/sys/unix"
+
+	"ternstage/internal/contract"
+	"ternstage/internal/core"
+	"ternstage/internal/logs"
+	"ternstage/internal/loop"
+)
+
+const (
+	patience = 10 * time.Second
+
+	queryBody = `{"shards":[{"shard":3,"weight":1}],"q":"text"}`
+	query     = "POST /search HTTP/1.1\r\nX-Request-Id: id-1\r\nX-Tenant: a\r\nX-Deadline: 1.5\r\nContent-Length: 46\r\n\r\n" +
+		queryBody
+)
+
+// fakeCore takes requests as core does. It answers none of its own accord.
+type fakeCore struct {
+	submitted    chan *core.Request
+	disconnected chan *core.Request
+	submitErr    error
+}
+
+func (c *fakeCore) Submit(r *core.Request) error {
+	if c.submitErr != nil {
+		return c.submitErr
+	}
+	c.submitted <- r
+	return nil
+}
+
+func (c *fakeCore) ClientDisconnected(r *core.Request) { c.disconnected <- r }
+
+// front is a server on an event loop of its own.
+type front struct {
+	*fakeCore
+	server  *Server
+	loop    *loop.Loop
+	address string
+	logPath string
+	ready   bool
+}
+
+func start(t *testing.T, options Options) *front {
+	t.Helper()
+	eventLoop, err := loop.New()
+	require.NoError(t, err)
+	f := &front{loop: eventLoop, ready: true, logPath: filepath.Join(t.TempDir(), "log"),
+		fakeCore: &fakeCore{submitted: make(chan *core.Request, 100), disconnected: make(chan *core.Request, 100)}}
+	file, err := os.Create(f.logPath)
+	require.NoError(t, err)
+	log := logs.New(file, "n0")
+	contracts := contract.New([]contract.Class{{Name: "search", DeadlineMs: 1000}}, []contract.Tenant{{Name: "a"}}, true)
+	f.server, err = NewServer(eventLoop, f, contracts, log, "127.0.0.1:0", options, func() bool { return f.ready })
+	require.NoError(t, err)
+	address, err := unix.Getsockname(f.server.fd)
+	require.NoError(t, err)
+	f.address = addressOf(address)
+	eventLoop.OnRoundEnd(func() {})
+	ended := make(chan error)
+	go func() { ended <- eventLoop.Run() }()
+	t.Cleanup(func() {
+		eventLoop.Post(func() {
+			f.server.StopListening()
+			f.server.Close()
+			eventLoop.Stop()
+		})
+		assert.NoError(t, <-ended)
+		log.Close()
+		_ = file.Close()
+	})
+	return f
+}
+
+// onLoop runs work on the event loop and waits for its end.
+func (f *front) onLoop(work func()) {
+	done := make(chan struct{})
+	f.loop.Post(func() {
+		work()
+		close(done)
+	})
+	<-done
+}
+
+func (f *front) dial(t *testing.T) net.Conn {
+	t.Helper()
+	all := f.count()
+	connection, err := net.Dial("tcp", f.address)
+	require.NoError(t, err)
+	t.Cleanup(func() { _ = connection.Close() })
+	require.NoError(t, connection.SetDeadline(time.Now().Add(patience)))
+	require.Eventually(t, func() bool { return f.count() > all }, patience, time.Millisecond)
+	return connection
+}
+
+// count is the number of connections.
+func (f *front) count() (all int) {
+	f.onLoop(func() { all, _ = f.server.ConnectionCounts() })
+	return all
+}
+
+// exchange sends text on a connection of its own and returns all that is answered until the server ends it.
+func (f *front) exchange(t *testing.T, text string) string {
+	t.Helper()
+	connection := f.dial(t)
+	send(t, connection, text)
+	return readAll(t, connection)
+}
+
+func (f *front) waitLog(t *testing.T, text string) {
+	t.Helper()
+	require.Eventually(t, func() bool {
+		logged, err := os.ReadFile(f.logPath)
+		return err == nil && strings.Contains(string(logged), text)
+	}, patience, 5*time.Millisecond, "%s is not logged", text)
+}
+
+func (f *front) waitRequest(t *testing.T, requests chan *core.Request) *core.Request {
+	t.Helper()
+	select {
+	case r := <-requests:
+		return r
+	case <-time.After(patience):
+		require.Fail(t, "no request came")
+	}
+	return nil
+}
+
+func send(t *testing.T, connection net.Conn, text string) {
+	t.Helper()
+	_, err := io.WriteString(connection, text)
+	require.NoError(t, err)
+}
+
+func readAll(t *testing.T, connection net.Conn) string {
+	t.Helper()
+	answer, err := io.ReadAll(connection)
+	require.NoError(t, err)
+	return string(answer)
+}
+
+// readStatus reads one response and returns its status.
+func readStatus(t *testing.T, reader *bufio.Reader) int {
+	t.Helper()
+	answer, err := http.ReadResponse(reader, nil)
+	require.NoError(t, err)
+	_, err = io.Copy(io.Discard, answer.Body)
+	require.NoError(t, err)
+	return answer.StatusCode
+}
--- /dev/null
+++ b/internal/clients/shutdown_test.go
@@ -0,0 +1,55 @@
+package clients
+
+import (
+	"bufio"
+	"net"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+
+	"ternstage/internal/core"
+)
+
+func TestShutdown(t *testing.T) {
+	f := start(t, Options{MaxConnections: 10, MaxBufferedBytes: 1 << 20})
+	idle, busy, half, used := f.dial(t), f.dial(t), f.dial(t), f.dial(t)
+	send(t, busy, query+query)
+	first := f.waitRequest(t, f.submitted)
+	send(t, half, "GET /_health HT")
+	f.onLoop(f.server.StopListening)
+	_, err := net.Dial("tcp", f.address)
+	assert.Error(t, err, "the listener is closed")
+
+	// An answer is the last of its connection, unless requests were read behind it.
+	send(t, used, "GET /_health HTTP/1.1\r\n\r\n")
+	assert.Contains(t, readAll(t, used), "\r\nConnection: close\r\n")
+	f.onLoop(func() { first.Client.Finish(core.Answer{Kind: core.Failed}) })
+	second := f.waitRequest(t, f.submitted)
+	f.onLoop(func() { second.Client.Finish(core.Answer{Kind: core.Rejected}) })
+	reader := bufio.NewReader(busy)
+	assert.Equal(t, []int{502, 503}, []int{readStatus(t, reader), readStatus(t, reader)})
+
+	f.onLoop(f.server.CloseIdle)
+	assert.Empty(t, readAll(t, idle))
+	f.onLoop(func() {
+		_, serving := f.server.ConnectionCounts()
+		assert.Equal(t, 1, serving, "the half request has time for its rest")
+	})
+	time.Sleep((restMost + 100) * time.Millisecond)
+	f.onLoop(f.server.CloseIdle)
+	assert.Contains(t, readAll(t, half), `{"error":"the program ends, and the request did not come whole"}`)
+}
+
+// TestCloseIdleReadsFirst checks that a request that arrived unread is served, not lost.
+func TestCloseIdleReadsFirst(t *testing.T) {
+	f := start(t, Options{MaxConnections: 10, MaxBufferedBytes: 1 << 20})
+	connection := f.dial(t)
+	f.onLoop(func() {
+		f.server.CloseAfterResponse(true)
+		send(t, connection, "GET /_health HTTP/1.1\r\n\r\n")
+		time.Sleep(20 * time.Millisecond)
+		f.server.CloseIdle()
+	})
+	assert.Contains(t, readAll(t, connection), "\r\nConnection: close\r\n")
+}
--- /dev/null
+++ b/internal/clients/timeouts_test.go
@@ -0,0 +1,32 @@
+package clients
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+)
+
+func TestTimeouts(t *testing.T) {
+	f := start(t, Options{MaxConnections: 10, MaxBufferedBytes: 1 << 20})
+	for _, c := range []struct {
+		name, in, answer, code string
+		afterMs                time.Duration
+	}{
+		{"half a request", "GET /_health HT", `{"error":"the request did not come whole in time"}`, "C06", wholeMost},
+		{"no request", "", "", "C07", wholeMost},
+		{"idle", "GET /_health HTTP/1.1\r\n\r\n", `{"status":"serving"}`, "C05", idleMost},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			t.Parallel()
+			began := time.Now()
+			answer := f.exchange(t, c.in)
+			assert.True(t, strings.HasSuffix(answer, c.answer), answer)
+			elapsed := time.Since(began)
+			assert.GreaterOrEqual(t, elapsed, c.afterMs*time.Millisecond)
+			assert.Less(t, elapsed, c.afterMs*time.Millisecond+time.Second)
+			f.waitLog(t, `"code":"`+c.code+`"`)
+		})
+	}
+}
