--- a/internal/clients/accept.go
+++ b/internal/clients/accept.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	acceptRest = 50.0 // ms without accepting after EMFILE: guards against a spin
-	acceptMost = 256  // connections taken in one wake-up
+	acceptPauseMs = 50.0 // ms without accepting after EMFILE: guards against a spin
+	maxAcceptsPerWakeUp = 256  // connections taken in one wake-up
 )
 
 // Ready implements loop.Handler: connections wait to be taken.
@@ -27,7 +27,7 @@
 		// accept on a queue that another process emptied would hold the loop: it is set again each time.
 		_ = unix.SetNonblock(s.fd, true)
 	}
-	for range acceptMost {
+	for range maxAcceptsPerWakeUp {
 		if len(s.conns) >= s.most && !s.FreeDescriptor() {
 			s.rest()
 			return
@@ -53,11 +53,11 @@
 // rest stops accepting for a while; waiting connections stay in the kernel's queue.
 func (s *Server) rest() {
 	s.loop.SetEvents(s.fd, 0)
-	s.again.Set(s.loop.Now() + acceptRest)
+	s.again.Set(s.loop.Now() + acceptPauseMs)
 }
 
 func (s *Server) take(fd int) {
-	c := &conn{server: s, peer: peerOf(fd), since: s.loop.Now(), began: s.loop.Now()}
+	c := &connection{server: s, peer: peerAddress(fd), since: s.loop.Now(), began: s.loop.Now()}
 	stream, err := loop.NewStream(s.loop, fd, unix.EPOLLIN|unix.EPOLLRDHUP, c)
 	if err != nil {
 		s.log.ConnectionEnded(logs.ClientNoDescriptor, c.peer, 0, err)
@@ -67,15 +67,15 @@
 	s.conns[c] = struct{}{}
 }
 
-func peerOf(fd int) string {
+func peerAddress(fd int) string {
 	sa, err := unix.Getpeername(fd)
 	if err != nil {
 		return ""
 	}
-	return addressOf(sa)
+	return formatAddress(sa)
 }
 
-func addressOf(sa unix.Sockaddr) string {
+func formatAddress(sa unix.Sockaddr) string {
 	switch a := sa.(type) {
 	case *unix.SockaddrInet4:
 		return netip.AddrPortFrom(netip.AddrFrom4(a.Addr), uint16(a.Port)).String()
--- a/internal/clients/chunked.go
+++ b/internal/clients/chunked.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	maxChunkLine = 1024
+	maxChunkLineBytes = 1024
 )
 
 // unchunk reads a chunked body on; size is 0 while it is not whole.
-func (p *parser) unchunk(in []byte) (size int, err error) {
+func (p *requestParser) unchunk(in []byte) (size int, err error) {
 	for p.tail == 0 {
 		end := bytes.Index(in[p.at:], []byte("\r\n"))
 		if end < 0 {
-			if len(in)-p.at > maxChunkLine {
+			if len(in)-p.at > maxChunkLineBytes {
 				return 0, errMalformed
 			}
 			return 0, nil
@@ -30,8 +30,8 @@
 			p.at, p.tail = at, at
 			break
 		}
-		if len(p.m.body)+int(n) > maxBody {
-			return 0, errTooLarge
+		if len(p.m.body)+int(n) > maxBodyBytes {
+			return 0, errBodyTooLarge
 		}
 		if len(in) < at+int(n)+2 {
 			return 0, nil
@@ -46,8 +46,8 @@
 	for {
 		end := bytes.Index(in[p.at:], []byte("\r\n"))
 		if end < 0 {
-			if len(in)-p.tail > maxHead {
-				return 0, errHead
+			if len(in)-p.tail > maxHeaderBytes {
+				return 0, errHeaderTooLarge
 			}
 			return 0, nil
 		}
--- a/internal/clients/close.go
+++ b/internal/clients/close.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	crowdRest  = 1000.0 // ms after which who found no memory may come again
-	lingerRead = 1 << 20
+	overloadRetryAfterMs  = 1000.0 // ms after which who found no memory may come again
+	maxLingerBytes = 1 << 20
 )
 
 // reject answers what cannot be read on from, and closes.
-func (c *conn) reject(status int, err error) {
+func (c *connection) reject(status int, err error) {
 	c.s.In, c.reading, c.malformed = nil, 0, err
 	r := response{status: status, body: errorBody(err), close: true}
 	if status == 503 {
-		r.retryAfter = crowdRest
+		r.retryAfter = overloadRetryAfterMs
 	}
 	c.reply(r)
 }
 
 // gone ends a connection that its client has left.
-func (c *conn) gone(err error) {
+func (c *connection) gone(err error) {
 	code := logs.ClientLeftIdle
 	if r := c.open; r != nil {
 		c.open, code = nil, logs.ClientLeftRequest
@@ -36,7 +36,7 @@
 // linger ends our side, and the connection once the client has ended its own. What the client still sends
 // would turn our close into a reset that destroys the answer unread (RFC 9112, 9.6); it is thrown away, up to
 // a bound, and none of it is served: an answer could not go out any more.
-func (c *conn) linger(why logs.Code) {
+func (c *connection) linger(why logs.Code) {
 	if c.ended {
 		c.close(why, nil)
 		return
@@ -50,16 +50,16 @@
 
 // discard throws away what has come. What goes beyond a bound stays unread, so that its sender waits: the
 // answer has its time to arrive all the same.
-func (c *conn) discard() {
+func (c *connection) discard() {
 	n, eof, err := c.s.DiscardInput()
 	if c.thrown += n; eof || err != nil {
 		c.close(c.ends, nil)
-	} else if c.thrown > lingerRead {
+	} else if c.thrown > maxLingerBytes {
 		c.s.SetEvents(unix.EPOLLRDHUP)
 	}
 }
 
-func (c *conn) close(code logs.Code, err error) {
+func (c *connection) close(code logs.Code, err error) {
 	if c.closed {
 		return
 	}
--- a/internal/clients/connection.go
+++ b/internal/clients/connection.go
@@ -8,8 +8,8 @@
 	"ternstage/internal/loop"
 )
 
-// conn is a client's connection.
-type conn struct {
+// connection is a client's connection.
+type connection struct {
 	server    *Server
 	s         *loop.Stream
 	peer      string
@@ -23,7 +23,7 @@
 	malformed error     // why it was rejected
 	late      bool      // its request did not come whole in time
 	ends      logs.Code // why we have ended our side; empty before. What still comes is thrown away
-	parser    parser
+	parser    requestParser
 	served    int
 	thrown    int     // bytes thrown away
 	held      int     // bytes that the server counts for it
@@ -32,17 +32,17 @@
 }
 
 // quiet tells that nothing is under way on the connection.
-func (c *conn) quiet() bool {
+func (c *connection) quiet() bool {
 	return c.open == nil && len(c.s.In) == 0 && len(c.s.Out) == 0 && c.ends == "" && !c.closed
 }
 
 // halfRead tells that nothing is under way but a request that has not come whole.
-func (c *conn) halfRead() bool {
+func (c *connection) halfRead() bool {
 	return c.open == nil && len(c.s.In) > 0 && len(c.s.Out) == 0 && c.ends == "" && !c.more
 }
 
 // Ready implements loop.Handler.
-func (c *conn) Ready(events uint32) {
+func (c *connection) Ready(events uint32) {
 	if c.ends != "" {
 		c.discard()
 		return
@@ -72,7 +72,7 @@
 }
 
 // count brings the server's count of bytes held up to date.
-func (c *conn) count() {
+func (c *connection) count() {
 	n := 0
 	if !c.closed {
 		n = cap(c.s.In) + cap(c.s.Out)
--- a/internal/clients/eviction.go
+++ b/internal/clients/eviction.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	answerWay = 100.0 // ms in which a last answer has come to its client
+	answerDeliveryMs = 100.0 // ms in which a last answer has come to its client
 )
 
 // FreeDescriptor closes the connection that can best be spared, for a descriptor: one that we ended a while ago,
@@ -16,22 +16,22 @@
 // on its way. A client opens a new one when it needs one. It hands nothing in, so that it may be called from
 // within a decision. False if there is none.
 func (s *Server) FreeDescriptor() bool {
-	var spare []*conn
+	var spare []*connection
 	for c := range s.conns {
 		if c.ends != "" || c.quiet() {
 			spare = append(spare, c)
 		}
 	}
-	rank := func(c *conn) int {
+	rank := func(c *connection) int {
 		switch {
 		case c.ends == "":
 			return 1
-		case s.loop.Now()-c.since < answerWay:
+		case s.loop.Now()-c.since < answerDeliveryMs:
 			return 2
 		}
 		return 0
 	}
-	slices.SortFunc(spare, func(a, b *conn) int {
+	slices.SortFunc(spare, func(a, b *connection) int {
 		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.since, b.since))
 	})
 	for _, c := range spare {
--- a/internal/clients/eviction_test.go
+++ b/internal/clients/eviction_test.go
@@ -22,7 +22,7 @@
 	send(t, busy, query)
 	f.waitRequest(t, f.submitted)
 	ask(endedLongAgo)
-	time.Sleep(2 * answerWay * time.Millisecond)
+	time.Sleep(2 * answerDeliveryMs * time.Millisecond)
 	ask(endedLately)
 	for i, c := range []net.Conn{endedLongAgo, idle, idleLater, endedLately} {
 		f.onLoop(func() { assert.True(t, f.server.FreeDescriptor(), i) })
--- a/internal/clients/fixture_test.go
+++ b/internal/clients/fixture_test.go
@@ -70,7 +70,7 @@
 	require.NoError(t, err)
 	address, err := unix.Getsockname(f.server.fd)
 	require.NoError(t, err)
-	f.address = addressOf(address)
+	f.address = formatAddress(address)
 	eventLoop.OnRoundEnd(func() {})
 	ended := make(chan error)
 	go func() { ended <- eventLoop.Run() }()
--- a/internal/clients/parser.go
+++ b/internal/clients/parser.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	maxHead = 16 << 10
-	maxBody = 64 << 10
+	maxHeaderBytes = 16 << 10
+	maxBodyBytes = 64 << 10
 )
 
-// parser takes requests off a connection's input. It keeps what it has understood of the one that is
+// requestParser takes requests off a connection's input. It keeps what it has understood of the one that is
 // coming, so that each byte is dealt with once: guards the loop against clients that send theirs one by
 // one.
-type parser struct {
-	m    *message // set once its head is whole
+type requestParser struct {
+	m    *request // set once its head is whole
 	at   int      // bytes of the input dealt with
 	body int      // length of a sized body; -1 for chunks
 	tail int      // where the trailer of a chunked body begins; 0 before the last chunk
@@ -23,7 +23,7 @@
 
 // next takes one request off in, which must be what the last call saw and more. size is 0 while it is not
 // whole.
-func (p *parser) next(in []byte) (m *message, size int, err error) {
+func (p *requestParser) next(in []byte) (m *request, size int, err error) {
 	if p.m == nil {
 		if err := p.head(in); p.m == nil || err != nil {
 			return nil, 0, err
@@ -38,12 +38,12 @@
 	} else if size, err = p.unchunk(in); size == 0 || err != nil {
 		return nil, 0, err
 	}
-	*p = parser{}
+	*p = requestParser{}
 	return m, size, nil
 }
 
 // head reads the head once it is whole.
-func (p *parser) head(in []byte) error {
+func (p *requestParser) head(in []byte) error {
 	start := 0
 	for start < len(in) && (in[start] == '\r' || in[start] == '\n') && start < 4 {
 		start++ // an empty line before a request is passed over
@@ -51,18 +51,18 @@
 	from := max(start, p.at-3)
 	end := bytes.Index(in[from:], []byte("\r\n\r\n"))
 	if p.at = len(in); end < 0 {
-		if len(in) > maxHead {
-			return errHead
+		if len(in) > maxHeaderBytes {
+			return errHeaderTooLarge
 		}
 		return nil
 	}
-	if end += from; end-start > maxHead {
-		return errHead
+	if end += from; end-start > maxHeaderBytes {
+		return errHeaderTooLarge
 	}
-	m := &message{header: map[string]string{}}
+	m := &request{header: map[string]string{}}
 	line, fields, _ := strings.Cut(string(in[start:end]), "\r\n")
 	f := strings.Split(line, " ")
-	if len(f) != 3 || !token(f[0]) || !strings.HasPrefix(f[1], "/") ||
+	if len(f) != 3 || !isToken(f[0]) || !strings.HasPrefix(f[1], "/") ||
 		f[2] != "HTTP/1.1" && f[2] != "HTTP/1.0" {
 		return errMalformed
 	}
@@ -88,8 +88,8 @@
 		if err != nil {
 			return errMalformed
 		}
-		if n > maxBody {
-			return errTooLarge
+		if n > maxBodyBytes {
+			return errBodyTooLarge
 		}
 		p.body = int(n)
 	}
--- a/internal/clients/parser_test.go
+++ b/internal/clients/parser_test.go
@@ -16,10 +16,10 @@
 )
 
 // parseGrowing parses text as it arrives, in pieces of step bytes.
-func parseGrowing(t *testing.T, text string, step int) (*message, int, error) {
+func parseGrowing(t *testing.T, text string, step int) (*request, int, error) {
 	t.Helper()
 	in := []byte(text)
-	p := &parser{}
+	p := &requestParser{}
 	for end := step; ; end += step {
 		m, size, err := p.next(in[:min(end, len(in))])
 		if size > 0 || err != nil || end >= len(in) {
@@ -44,8 +44,8 @@
 		{"no chunk", chunked + "0\r\n\r\n", "POST", "/search/q", "", false, false},
 		{"chunks", chunked + "1\r\na\r\n 2 ;e=1\r\nbc\r\n0\r\n\r\n", "POST", "/search/q", "abc", false, false},
 		{"a trailer", chunked + "1\r\na\r\n0\r\nX: y\r\n\r\n", "POST", "/search/q", "a", false, false},
-		{"the largest body", post + "Content-Length: 65536\r\n\r\n" + strings.Repeat("x", maxBody), "POST", "/search/q",
-			strings.Repeat("x", maxBody), false, false},
+		{"the largest body", post + "Content-Length: 65536\r\n\r\n" + strings.Repeat("x", maxBodyBytes), "POST", "/search/q",
+			strings.Repeat("x", maxBodyBytes), false, false},
 	} {
 		for _, step := range []int{1, 7, len(c.in)} {
 			t.Run(fmt.Sprintf("%s in steps of %d", c.name, step), func(t *testing.T) {
@@ -79,16 +79,16 @@
 		{"two codings", post + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n", errMalformed},
 		{"a field of ours twice", post + "X-Tenant: a\r\nX-Tenant: a\r\n\r\n", errMalformed},
 		{"a negative size", post + "Content-Length: -1\r\n\r\n", errMalformed},
-		{"many fields", post + strings.Repeat("a: b\r\n", maxFields) + "\r\n", errMalformed},
-		{"a large header", post + "X: " + strings.Repeat("x", maxHead) + "\r\n\r\n", errHead},
-		{"a large header without an end", strings.Repeat("x", maxHead+1), errHead},
-		{"a large body", post + "Content-Length: 65537\r\n\r\n", errTooLarge},
-		{"a large chunk", chunked + "10001\r\n", errTooLarge},
-		{"large chunks", chunked + "1\r\na\r\n10000\r\n", errTooLarge},
+		{"many fields", post + strings.Repeat("a: b\r\n", maxHeaderFields) + "\r\n", errMalformed},
+		{"a large header", post + "X: " + strings.Repeat("x", maxHeaderBytes) + "\r\n\r\n", errHeaderTooLarge},
+		{"a large header without an end", strings.Repeat("x", maxHeaderBytes+1), errHeaderTooLarge},
+		{"a large body", post + "Content-Length: 65537\r\n\r\n", errBodyTooLarge},
+		{"a large chunk", chunked + "10001\r\n", errBodyTooLarge},
+		{"large chunks", chunked + "1\r\na\r\n10000\r\n", errBodyTooLarge},
 		{"a chunk size that is none", chunked + "-1\r\n", errMalformed},
 		{"a chunk longer than its size", chunked + "1\r\nabc\r\n", errMalformed},
-		{"a large chunk line", chunked + "1;" + strings.Repeat("x", maxChunkLine), errMalformed},
-		{"a large trailer", chunked + "0\r\nX: " + strings.Repeat("x", maxHead), errHead},
+		{"a large chunk line", chunked + "1;" + strings.Repeat("x", maxChunkLineBytes), errMalformed},
+		{"a large trailer", chunked + "0\r\nX: " + strings.Repeat("x", maxHeaderBytes), errHeaderTooLarge},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for _, step := range []int{1, 7, len(c.in)} {
@@ -104,7 +104,7 @@
 func TestParserWaitsForTheRest(t *testing.T) {
 	for _, text := range []string{sized + "abc", chunked + "3\r\nabc\r\n0\r\nX: y\r\n\r\n"} {
 		for end := range len(text) {
-			p := &parser{}
+			p := &requestParser{}
 			m, size, err := p.next([]byte(text[:end]))
 			require.NoError(t, err)
 			require.Nil(t, m)
@@ -115,7 +115,7 @@
 
 func TestParserSplitsPipelinedRequests(t *testing.T) {
 	in := []byte(sized + "abc" + chunked + "1\r\nd\r\n0\r\n\r\n" + "GET /last HTTP/1.1\r\n\r\n")
-	p := &parser{}
+	p := &requestParser{}
 	var got []string
 	for len(in) > 0 {
 		m, size, err := p.next(in)
--- a/internal/clients/query.go
+++ b/internal/clients/query.go
@@ -13,7 +13,7 @@
 )
 
 // query hands a query to core.
-func (c *conn) query(m *message) {
+func (c *connection) query(m *request) {
 	class, _, _ := strings.Cut(m.path[1:], "/")
 	if named, ok := m.header["x-class"]; ok && named != class {
 		c.reject(400, fmt.Errorf("%w: the path and X-Class name two classes", errMalformed))
@@ -38,7 +38,7 @@
 	switch {
 	case err == nil:
 	case errors.As(err, &stale):
-		c.reply(response{status: 400, body: staleBody(stale)})
+		c.reply(response{status: 400, body: staleEpochBody(stale)})
 	case errors.Is(err, contract.ErrUnknownClass):
 		c.reply(response{status: 404, body: errorBody(err)})
 	case errors.Is(err, contract.ErrUnknownTenant):
@@ -48,21 +48,21 @@
 	}
 }
 
-// staleBody tells a client whose idea of the slices is too old which epoch is in use.
-func staleBody(err *core.StaleEpochError) []byte {
+// staleEpochBody tells a client whose idea of the slices is too old which epoch is in use.
+func staleEpochBody(err *core.StaleEpochError) []byte {
 	text, _ := json.Marshal(map[string]any{"error": err.Error(), "epoch": err.Epoch})
 	return text
 }
 
 // Finish implements core.Client. The rest of the buffer is parsed from the loop, not from here, as core may
 // be in the middle of a turn.
-func (c *conn) Finish(a core.Answer) {
+func (c *connection) Finish(a core.Answer) {
 	c.open = nil
 	switch {
 	case a.Kind == core.Answered:
 		c.reply(response{status: 200, body: contract.EncodeAnswer(a)})
 	case a.Kind == core.Rejected:
-		c.reply(response{status: 503, body: []byte(`{"error":"refused"}`), retryAfter: retryAfterOf(a)})
+		c.reply(response{status: 503, body: []byte(`{"error":"refused"}`), retryAfter: retryAfterMs(a)})
 	case a.TimedOut:
 		c.reply(response{status: 504, body: []byte(`{"error":"timed out"}`)})
 	default:
@@ -80,5 +80,5 @@
 	}
 }
 
-// retryAfterOf is the advice of a refusal; at least a millisecond, the header's finest step.
-func retryAfterOf(a core.Answer) float64 { return max(math.Ceil(a.RetryAfter), 1) }
+// retryAfterMs is the advice of a refusal; at least a millisecond, the header's finest step.
+func retryAfterMs(a core.Answer) float64 { return max(math.Ceil(a.RetryAfter), 1) }
--- a/internal/clients/request.go
+++ b/internal/clients/request.go
@@ -5,11 +5,11 @@
 )
 
 const (
-	maxFields = 100
+	maxHeaderFields = 100
 )
 
-// message is one HTTP request.
-type message struct {
+// request is one HTTP request.
+type request struct {
 	method, path string
 	header       map[string]string // by lower-case name; of repeated fields the first
 	body         []byte
@@ -17,13 +17,13 @@
 	expect       bool // it waits for 100 Continue
 }
 
-func (m *message) fields(text string) error {
+func (m *request) fields(text string) error {
 	n := 0
 	for text != "" {
 		var line string
 		line, text, _ = strings.Cut(text, "\r\n")
 		name, value, ok := strings.Cut(line, ":")
-		if n++; !ok || !token(name) || n > maxFields ||
+		if n++; !ok || !isToken(name) || n > maxHeaderFields ||
 			strings.ContainsAny(value, "\r\n\x00") {
 			return errMalformed
 		}
@@ -40,9 +40,9 @@
 	return nil
 }
 
-// token tells that s is a word as HTTP has them: guards against names that another parser would read
+// isToken tells that s is a word as HTTP has them: guards against names that another parser would read
 // otherwise.
-func token(s string) bool {
+func isToken(s string) bool {
 	for i := range len(s) {
 		if c := s[i]; c <= ' ' || c > '~' || strings.IndexByte("\"(),/:;<=>?@[\\]{}", c) >= 0 {
 			return false
--- a/internal/clients/response.go
+++ b/internal/clients/response.go
@@ -4,7 +4,7 @@
 	"strconv"
 )
 
-var reasons = map[int]string{200: "OK", 400: "Bad Request", 403: "Forbidden", 404: "Not Found",
+var reasonPhrases = map[int]string{200: "OK", 400: "Bad Request", 403: "Forbidden", 404: "Not Found",
 	405: "Method Not Allowed", 408: "Request Timeout", 413: "Content Too Large",
 	431: "Request Header Fields Too Large",
 	502: "Bad Gateway", 503: "Service Unavailable", 504: "Gateway Timeout"}
@@ -20,7 +20,7 @@
 func (r response) append(out []byte) []byte {
 	out = append(out, "HTTP/1.1 "...)
 	out = strconv.AppendInt(out, int64(r.status), 10)
-	out = append(append(out, ' '), reasons[r.status]...)
+	out = append(append(out, ' '), reasonPhrases[r.status]...)
 	out = append(out, "\r\nContent-Type: application/json\r\nContent-Length: "...)
 	out = strconv.AppendInt(out, int64(len(r.body)), 10)
 	if r.retryAfter > 0 {
--- a/internal/clients/response_test.go
+++ b/internal/clients/response_test.go
@@ -20,7 +20,7 @@
 
 // TestResponsesAreHTTP checks that an HTTP client reads each status that the front sends.
 func TestResponsesAreHTTP(t *testing.T) {
-	for status, phrase := range reasons {
+	for status, phrase := range reasonPhrases {
 		out := response{status: status, body: []byte(`{"error":"x"}`)}.append(nil)
 		got, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(out)), nil)
 		require.NoError(t, err)
--- a/internal/clients/routes.go
+++ b/internal/clients/routes.go
@@ -10,7 +10,7 @@
 )
 
 // serve answers a request, or hands it to core and waits.
-func (c *conn) serve(m *message) {
+func (c *connection) serve(m *request) {
 	c.last = m.close
 	page := c.server.pages[m.path]
 	switch {
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -39,7 +39,7 @@
 	held     int // bytes that they do
 	fd       int
 	kept     bool // the listener is the platform's, which keeps it across processes
-	conns    map[*conn]struct{}
+	conns    map[*connection]struct{}
 	timer    *loop.Timer // looks after slow clients
 	again    *loop.Timer // accepts again
 	draining bool        // health says no: the program ends
@@ -67,12 +67,12 @@
 		return nil, err
 	}
 	s := &Server{loop: l, core: c, book: b, log: log, ready: ready, most: max(o.MaxConnections, 1), budget: o.MaxBufferedBytes,
-		fd: fd, kept: o.InheritedFD > 0, conns: map[*conn]struct{}{}, pages: o.Pages}
+		fd: fd, kept: o.InheritedFD > 0, conns: map[*connection]struct{}{}, pages: o.Pages}
 	s.timer, s.again = l.NewTimer(s.tend), l.NewTimer(s.accept)
 	if err := l.Add(fd, unix.EPOLLIN, s); err != nil {
 		return nil, err
 	}
-	s.timer.Set(l.Now() + tendEvery)
+	s.timer.Set(l.Now() + timeoutCheckIntervalMs)
 	return s, nil
 }
 
--- a/internal/clients/shutdown.go
+++ b/internal/clients/shutdown.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	restMost = 300.0 // ms for the rest of a request that has begun to come when the program ends
+	shutdownRequestTimeoutMs = 300.0 // ms for the rest of a request that has begun to come when the program ends
 )
 
 // BeginShutdown tells who asks that the program no longer serves; those who have connections are served on.
@@ -49,8 +49,8 @@
 		case c.closed:
 		case c.quiet():
 			c.linger(logs.Shutdown)
-		case c.halfRead() && s.endingAt > 0 && now > max(c.began, s.endingAt)+restMost:
-			c.reject(503, errEnding)
+		case c.halfRead() && s.endingAt > 0 && now > max(c.began, s.endingAt)+shutdownRequestTimeoutMs:
+			c.reject(503, errShutdown)
 			c.write()
 		}
 	}
--- a/internal/clients/shutdown_test.go
+++ b/internal/clients/shutdown_test.go
@@ -36,7 +36,7 @@
 		_, serving := f.server.ConnectionCounts()
 		assert.Equal(t, 1, serving, "the half request has time for its rest")
 	})
-	time.Sleep((restMost + 100) * time.Millisecond)
+	time.Sleep((shutdownRequestTimeoutMs + 100) * time.Millisecond)
 	f.onLoop(f.server.CloseIdle)
 	assert.Contains(t, readAll(t, half), `{"error":"the program ends, and the request did not come whole"}`)
 }
--- a/internal/clients/timeouts.go
+++ b/internal/clients/timeouts.go
@@ -5,11 +5,11 @@
 )
 
 const (
-	wholeMost  = 2000.0 // ms for a request to come whole, from its first byte, the first from the connect on
-	idleMost   = 5000.0 // ms between requests; the client opens a new connection when it needs one
-	takeMost   = 2000.0 // ms that a client may leave its answer unread
-	lingerMost = 500.0  // ms in which what a client still sends is thrown away behind our end
-	tendEvery  = 200.0
+	requestTimeoutMs  = 2000.0 // ms for a request to come whole, from its first byte, the first from the connect on
+	idleTimeoutMs   = 5000.0 // ms between requests; the client opens a new connection when it needs one
+	writeTimeoutMs   = 2000.0 // ms that a client may leave its answer unread
+	lingerTimeoutMs = 500.0  // ms in which what a client still sends is thrown away behind our end
+	timeoutCheckIntervalMs  = 200.0
 )
 
 // tend ends what takes too long: guards descriptors and memory against clients that say nothing, send half a
@@ -20,25 +20,25 @@
 		age := now - c.since
 		switch {
 		case c.ends != "":
-			if age > lingerMost {
+			if age > lingerTimeoutMs {
 				c.close(c.ends, nil)
 			}
 		case c.open != nil:
 		case len(c.s.Out) > 0:
-			if age > takeMost {
+			if age > writeTimeoutMs {
 				c.close(logs.ClientRequestTimeout, nil)
 			}
 		case len(c.s.In) > 0:
-			if now-c.began > wholeMost {
+			if now-c.began > requestTimeoutMs {
 				c.late = true
-				c.reject(408, errSlow)
+				c.reject(408, errRequestTimeout)
 				c.write()
 			}
-		case c.served == 0 && age > wholeMost:
+		case c.served == 0 && age > requestTimeoutMs:
 			c.linger(logs.ClientNoRequest)
-		case age > idleMost:
+		case age > idleTimeoutMs:
 			c.linger(logs.ClientEvicted)
 		}
 	}
-	s.timer.Set(now + tendEvery)
+	s.timer.Set(now + timeoutCheckIntervalMs)
 }
--- a/internal/clients/timeouts_test.go
+++ b/internal/clients/timeouts_test.go
@@ -14,9 +14,9 @@
 		name, in, answer, code string
 		afterMs                time.Duration
 	}{
-		{"half a request", "GET /_health HT", `{"error":"the request did not come whole in time"}`, "C06", wholeMost},
-		{"no request", "", "", "C07", wholeMost},
-		{"idle", "GET /_health HTTP/1.1\r\n\r\n", `{"status":"serving"}`, "C05", idleMost},
+		{"half a request", "GET /_health HT", `{"error":"the request did not come whole in time"}`, "C06", requestTimeoutMs},
+		{"no request", "", "", "C07", requestTimeoutMs},
+		{"idle", "GET /_health HTTP/1.1\r\n\r\n", `{"status":"serving"}`, "C05", idleTimeoutMs},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/clients/write.go
+++ b/internal/clients/write.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	maxOut = 64 << 10 // bytes of answers that wait for the client, over which no more requests are read
+	maxOutputBytes = 64 << 10 // bytes of answers that wait for the client, over which no more requests are read
 )
 
-func (c *conn) write() {
+func (c *connection) write() {
 	if c.closed || c.ends != "" {
 		return
 	}
@@ -36,7 +36,7 @@
 	// Only so much is read ahead: guards memory against endless pipelining. With an open request there is
 	// always more to read, as its client may go.
 	want := uint32(0)
-	if (len(c.s.In) < maxIn && len(c.s.Out) < maxOut || c.last) && !c.ended {
+	if (len(c.s.In) < maxInputBytes && len(c.s.Out) < maxOutputBytes || c.last) && !c.ended {
 		want = unix.EPOLLIN | unix.EPOLLRDHUP
 	}
 	if len(c.s.Out) > 0 {
@@ -46,7 +46,7 @@
 }
 
 // reply writes the answer to the request that was read last.
-func (c *conn) reply(r response) {
+func (c *connection) reply(r response) {
 	c.served++
 	c.since = c.server.loop.Now()
 	// Requests that were read behind this one are answered too before the program ends the connection.
