--- a/internal/clients/accept.go
+++ b/internal/clients/accept.go
@@ -11,60 +11,60 @@
 )
 
 const (
-	acceptPauseMs = 50.0 // ms without accepting after EMFILE: guards against a spin
+	acceptPauseMs       = 50.0 // ms without accepting after EMFILE: guards against a spin
 	maxAcceptsPerWakeUp = 256  // connections taken in one wake-up
 )
 
 // Ready implements loop.Handler: connections wait to be taken.
-func (s *Server) Ready(uint32) { s.accept() }
+func (s *Server) Ready(uint32) { s.acceptPending() }
 
-func (s *Server) accept() {
-	if s.fd < 0 {
+func (s *Server) acceptPending() {
+	if s.listenerFD < 0 {
 		return
 	}
-	if s.kept {
+	if s.listenerInherited {
 		// Whether a shared socket blocks is a flag that every process holding it may set back, and a blocking
 		// accept on a queue that another process emptied would hold the loop: it is set again each time.
-		_ = unix.SetNonblock(s.fd, true)
+		_ = unix.SetNonblock(s.listenerFD, true)
 	}
 	for range maxAcceptsPerWakeUp {
-		if len(s.conns) >= s.most && !s.FreeDescriptor() {
-			s.rest()
+		if len(s.connections) >= s.maxConnections && !s.FreeDescriptor() {
+			s.pauseAccept()
 			return
 		}
-		fd, err := loop.Accept(s.fd)
+		fd, err := loop.Accept(s.listenerFD)
 		switch {
 		case err == nil:
-			s.take(fd)
+			s.addConnection(fd)
 		case errors.Is(err, unix.EAGAIN):
-			s.loop.SetEvents(s.fd, unix.EPOLLIN)
+			s.loop.SetEvents(s.listenerFD, unix.EPOLLIN)
 			return
 		case errors.Is(err, unix.EINTR), errors.Is(err, unix.ECONNABORTED):
 		default: // EMFILE and its like
 			if !s.FreeDescriptor() {
-				s.rest()
+				s.pauseAccept()
 				return
 			}
 		}
 	}
-	s.loop.SetEvents(s.fd, unix.EPOLLIN)
+	s.loop.SetEvents(s.listenerFD, unix.EPOLLIN)
 }
 
-// rest stops accepting for a while; waiting connections stay in the kernel's queue.
-func (s *Server) rest() {
-	s.loop.SetEvents(s.fd, 0)
-	s.again.Set(s.loop.Now() + acceptPauseMs)
+// pauseAccept stops accepting for a while; waiting connections stay in the kernel's queue.
+func (s *Server) pauseAccept() {
+	s.loop.SetEvents(s.listenerFD, 0)
+	s.acceptTimer.Set(s.loop.Now() + acceptPauseMs)
 }
 
-func (s *Server) take(fd int) {
-	c := &connection{server: s, peer: peerAddress(fd), since: s.loop.Now(), began: s.loop.Now()}
+func (s *Server) addConnection(fd int) {
+	c := &connection{server: s, peer: peerAddress(fd), activeAtMs: s.loop.Now(), requestBeganAtMs: s.loop.Now()}
 	stream, err := loop.NewStream(s.loop, fd, unix.EPOLLIN|unix.EPOLLRDHUP, c)
 	if err != nil {
 		s.log.ConnectionEnded(logs.ClientNoDescriptor, c.peer, 0, err)
 		return
 	}
-	c.s = stream
-	s.conns[c] = struct{}{}
+	c.stream = stream
+	s.connections[c] = struct{}{}
 }
 
 func peerAddress(fd int) string {
--- a/internal/clients/close.go
+++ b/internal/clients/close.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	overloadRetryAfterMs  = 1000.0 // ms after which who found no memory may come again
-	maxLingerBytes = 1 << 20
+	overloadRetryAfterMs = 1000.0 // ms after which who found no memory may come again
+	maxLingerBytes       = 1 << 20
 )
 
 // reject answers what cannot be read on from, and closes.
 func (c *connection) reject(status int, err error) {
-	c.s.In, c.reading, c.malformed = nil, 0, err
+	c.stream.In, c.parsedBytes, c.rejectErr = nil, 0, err
 	r := response{status: status, body: errorBody(err), close: true}
 	if status == 503 {
-		r.retryAfter = overloadRetryAfterMs
+		r.retryAfterMs = overloadRetryAfterMs
 	}
-	c.reply(r)
+	c.respond(r)
 }
 
-// gone ends a connection that its client has left.
-func (c *connection) gone(err error) {
+// disconnected ends a connection that its client has left.
+func (c *connection) disconnected(err error) {
 	code := logs.ClientLeftIdle
 	if r := c.open; r != nil {
 		c.open, code = nil, logs.ClientLeftRequest
@@ -37,25 +37,25 @@
 // would turn our close into a reset that destroys the answer unread (RFC 9112, 9.6); it is thrown away, up to
 // a bound, and none of it is served: an answer could not go out any more.
 func (c *connection) linger(why logs.Code) {
-	if c.ended {
+	if c.clientEnded {
 		c.close(why, nil)
 		return
 	}
-	_ = unix.Shutdown(c.s.FD, unix.SHUT_WR)
-	c.ends, c.since, c.s.In = why, c.server.loop.Now(), nil
-	c.count()
-	c.s.SetEvents(unix.EPOLLIN | unix.EPOLLRDHUP)
-	c.discard()
+	_ = unix.Shutdown(c.stream.FD, unix.SHUT_WR)
+	c.lingerCode, c.activeAtMs, c.stream.In = why, c.server.loop.Now(), nil
+	c.updateBufferedBytes()
+	c.stream.SetEvents(unix.EPOLLIN | unix.EPOLLRDHUP)
+	c.discardInput()
 }
 
-// discard throws away what has come. What goes beyond a bound stays unread, so that its sender waits: the
+// discardInput throws away what has come. What goes beyond a bound stays unread, so that its sender waits: the
 // answer has its time to arrive all the same.
-func (c *connection) discard() {
-	n, eof, err := c.s.DiscardInput()
-	if c.thrown += n; eof || err != nil {
-		c.close(c.ends, nil)
-	} else if c.thrown > maxLingerBytes {
-		c.s.SetEvents(unix.EPOLLRDHUP)
+func (c *connection) discardInput() {
+	n, eof, err := c.stream.DiscardInput()
+	if c.discardedBytes += n; eof || err != nil {
+		c.close(c.lingerCode, nil)
+	} else if c.discardedBytes > maxLingerBytes {
+		c.stream.SetEvents(unix.EPOLLRDHUP)
 	}
 }
 
@@ -64,14 +64,14 @@
 		return
 	}
 	c.closed = true
-	delete(c.server.conns, c)
-	c.s.Close()
-	c.count()
-	code = cmp.Or(c.ends, code)
-	if c.late {
-		code, err = logs.ClientRequestTimeout, c.malformed
-	} else if c.malformed != nil {
-		code, err = logs.ClientMalformed, c.malformed
+	delete(c.server.connections, c)
+	c.stream.Close()
+	c.updateBufferedBytes()
+	code = cmp.Or(c.lingerCode, code)
+	if c.timedOut {
+		code, err = logs.ClientRequestTimeout, c.rejectErr
+	} else if c.rejectErr != nil {
+		code, err = logs.ClientMalformed, c.rejectErr
 	}
-	c.server.log.ConnectionEnded(code, c.peer, c.served, err)
+	c.server.log.ConnectionEnded(code, c.peer, c.answered, err)
 }
--- a/internal/clients/eviction.go
+++ b/internal/clients/eviction.go
@@ -17,25 +17,25 @@
 // within a decision. False if there is none.
 func (s *Server) FreeDescriptor() bool {
 	var spare []*connection
-	for c := range s.conns {
-		if c.ends != "" || c.quiet() {
+	for c := range s.connections {
+		if c.lingerCode != "" || c.idle() {
 			spare = append(spare, c)
 		}
 	}
 	rank := func(c *connection) int {
 		switch {
-		case c.ends == "":
+		case c.lingerCode == "":
 			return 1
-		case s.loop.Now()-c.since < answerDeliveryMs:
+		case s.loop.Now()-c.activeAtMs < answerDeliveryMs:
 			return 2
 		}
 		return 0
 	}
 	slices.SortFunc(spare, func(a, b *connection) int {
-		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.since, b.since))
+		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.activeAtMs, b.activeAtMs))
 	})
 	for _, c := range spare {
-		if c.ends != "" || !c.s.HasUnread() {
+		if c.lingerCode != "" || !c.stream.HasUnread() {
 			c.close(logs.ClientEvicted, nil)
 			return true
 		}
--- a/internal/clients/fixture_test.go
+++ b/internal/clients/fixture_test.go
@@ -68,7 +68,7 @@
 	contracts := contract.New([]contract.Class{{Name: "search", DeadlineMs: 1000}}, []contract.Tenant{{Name: "a"}}, true)
 	f.server, err = NewServer(eventLoop, f, contracts, log, "127.0.0.1:0", options, func() bool { return f.ready })
 	require.NoError(t, err)
-	address, err := unix.Getsockname(f.server.fd)
+	address, err := unix.Getsockname(f.server.listenerFD)
 	require.NoError(t, err)
 	f.address = formatAddress(address)
 	eventLoop.OnRoundEnd(func() {})
--- a/internal/clients/pages.go
+++ b/internal/clients/pages.go
@@ -7,16 +7,16 @@
 )
 
 type contractsBody struct {
-	Classes []contract.Class  `json:"classes"`
-	Tenants []contract.Tenant `json:"tenants"`
-	Taken   map[string]uint64 `json:"taken"`
+	Classes          []contract.Class  `json:"classes"`
+	Tenants          []contract.Tenant `json:"tenants"`
+	AcceptedByTenant map[string]uint64 `json:"taken"`
 }
 
-// contracts shows the teams what was agreed and what has been taken under it.
-func (s *Server) contracts() []byte {
-	b := contractsBody{Classes: s.book.Classes, Tenants: s.book.Tenants, Taken: map[string]uint64{}}
-	for i, t := range s.book.Tenants {
-		b.Taken[t.Name] = s.book.AcceptedByTenant[i]
+// contractsPage shows the teams what was agreed and what has been taken under it.
+func (s *Server) contractsPage() []byte {
+	b := contractsBody{Classes: s.contracts.Classes, Tenants: s.contracts.Tenants, AcceptedByTenant: map[string]uint64{}}
+	for i, t := range s.contracts.Tenants {
+		b.AcceptedByTenant[t.Name] = s.contracts.AcceptedByTenant[i]
 	}
 	text, err := json.Marshal(b)
 	if err != nil {
--- a/internal/clients/parser_test.go
+++ b/internal/clients/parser_test.go
@@ -53,7 +53,7 @@
 				require.NoError(t, err)
 				require.Equal(t, len(c.in), size)
 				assert.Equal(t, []string{c.method, c.path, c.body}, []string{m.method, m.path, string(m.body)})
-				assert.Equal(t, []bool{c.last, c.expect}, []bool{m.close, m.expect})
+				assert.Equal(t, []bool{c.last, c.expect}, []bool{m.closeAfter, m.expectContinue})
 			})
 		}
 	}
--- a/internal/clients/query.go
+++ b/internal/clients/query.go
@@ -12,8 +12,8 @@
 	"ternstage/internal/core"
 )
 
-// query hands a query to core.
-func (c *connection) query(m *request) {
+// submit hands a query to core.
+func (c *connection) submit(m *request) {
 	class, _, _ := strings.Cut(m.path[1:], "/")
 	if named, ok := m.header["x-class"]; ok && named != class {
 		c.reject(400, fmt.Errorf("%w: the path and X-Class name two classes", errMalformed))
@@ -24,7 +24,7 @@
 		wait, _ = strconv.ParseFloat(text, 64)
 	}
 	now := c.server.loop.Now()
-	r, err := c.server.book.ParseQuery(contract.Envelope{ID: m.header["x-request-id"], Class: class,
+	r, err := c.server.contracts.ParseQuery(contract.Envelope{ID: m.header["x-request-id"], Class: class,
 		Tenant: m.header["x-tenant"], ClientTimeout: wait * 1000, ClientRetry: m.header["x-retry"] == "1",
 		IdempotencyKey: m.header["idempotency-key"]}, m.body, now)
 	if err == nil {
@@ -38,11 +38,11 @@
 	switch {
 	case err == nil:
 	case errors.As(err, &stale):
-		c.reply(response{status: 400, body: staleEpochBody(stale)})
+		c.respond(response{status: 400, body: staleEpochBody(stale)})
 	case errors.Is(err, contract.ErrUnknownClass):
-		c.reply(response{status: 404, body: errorBody(err)})
+		c.respond(response{status: 404, body: errorBody(err)})
 	case errors.Is(err, contract.ErrUnknownTenant):
-		c.reply(response{status: 403, body: errorBody(err)})
+		c.respond(response{status: 403, body: errorBody(err)})
 	default:
 		c.reject(400, err)
 	}
@@ -60,21 +60,21 @@
 	c.open = nil
 	switch {
 	case a.Kind == core.Answered:
-		c.reply(response{status: 200, body: contract.EncodeAnswer(a)})
+		c.respond(response{status: 200, body: contract.EncodeAnswer(a)})
 	case a.Kind == core.Rejected:
-		c.reply(response{status: 503, body: []byte(`{"error":"refused"}`), retryAfter: retryAfterMs(a)})
+		c.respond(response{status: 503, body: []byte(`{"error":"refused"}`), retryAfterMs: retryAfterMs(a)})
 	case a.TimedOut:
-		c.reply(response{status: 504, body: []byte(`{"error":"timed out"}`)})
+		c.respond(response{status: 504, body: []byte(`{"error":"timed out"}`)})
 	default:
-		c.reply(response{status: 502, body: []byte(`{"error":"failed"}`)})
+		c.respond(response{status: 502, body: []byte(`{"error":"failed"}`)})
 	}
-	c.more = len(c.s.In) > 0 && !c.last
-	c.write()
-	if !c.closed && c.more {
+	c.servePosted = len(c.stream.In) > 0 && !c.closeAfterOutput
+	c.flush()
+	if !c.closed && c.servePosted {
 		c.server.loop.Post(func() {
-			if c.more = false; !c.closed {
-				c.parse()
-				c.write()
+			if c.servePosted = false; !c.closed {
+				c.serveBuffered()
+				c.flush()
 			}
 		})
 	}
--- a/internal/clients/request.go
+++ b/internal/clients/request.go
@@ -10,14 +10,14 @@
 
 // request is one HTTP request.
 type request struct {
-	method, path string
-	header       map[string]string // by lower-case name; of repeated fields the first
-	body         []byte
-	close        bool
-	expect       bool // it waits for 100 Continue
+	method, path   string
+	header         map[string]string // by lower-case name; of repeated fields the first
+	body           []byte
+	closeAfter     bool
+	expectContinue bool // it waits for 100 Continue
 }
 
-func (m *request) fields(text string) error {
+func (m *request) parseFields(text string) error {
 	n := 0
 	for text != "" {
 		var line string
--- a/internal/clients/response_test.go
+++ b/internal/clients/response_test.go
@@ -13,15 +13,15 @@
 
 func TestResponseEncoding(t *testing.T) {
 	const plain = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 2\r\n\r\n{}"
-	assert.Equal(t, "before"+plain, string(response{status: 200, body: []byte("{}")}.append([]byte("before"))))
+	assert.Equal(t, "before"+plain, string(response{status: 200, body: []byte("{}")}.appendTo([]byte("before"))))
 	assert.Equal(t, "HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\nContent-Length: 0\r\n"+
-		"Retry-After: 0.025\r\nConnection: close\r\n\r\n", string(response{status: 503, retryAfter: 25, close: true}.append(nil)))
+		"Retry-After: 0.025\r\nConnection: close\r\n\r\n", string(response{status: 503, retryAfterMs: 25, close: true}.appendTo(nil)))
 }
 
 // TestResponsesAreHTTP checks that an HTTP client reads each status that the front sends.
 func TestResponsesAreHTTP(t *testing.T) {
 	for status, phrase := range reasonPhrases {
-		out := response{status: status, body: []byte(`{"error":"x"}`)}.append(nil)
+		out := response{status: status, body: []byte(`{"error":"x"}`)}.appendTo(nil)
 		got, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(out)), nil)
 		require.NoError(t, err)
 		body, err := io.ReadAll(got.Body)
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -29,25 +29,25 @@
 
 // Server is the HTTP front.
 type Server struct {
-	loop     *loop.Loop
-	core     Core
-	book     *contract.Contracts
-	log      *logs.Log
-	ready    func() bool
-	most     int
-	budget   int // bytes that all connections may hold
-	held     int // bytes that they do
-	fd       int
-	kept     bool // the listener is the platform's, which keeps it across processes
-	conns    map[*connection]struct{}
-	timer    *loop.Timer // looks after slow clients
-	again    *loop.Timer // accepts again
-	draining bool        // health says no: the program ends
-	away     bool        // health says no: the operators have the clients sent away
-	endingAt float64     // since when every answer is the last of its connection as the program ends; 0 before
-	closing  bool        // so, while clients are sent away
-	onIdle   func()
-	pages    map[string]func() []byte
+	loop               *loop.Loop
+	core               Core
+	contracts          *contract.Contracts
+	log                *logs.Log
+	ready              func() bool
+	maxConnections     int
+	maxBufferedBytes   int // bytes that all connections may hold
+	bufferedBytes      int // bytes that they do
+	listenerFD         int
+	listenerInherited  bool // the listener is the platform's, which keeps it across processes
+	connections        map[*connection]struct{}
+	timeoutTimer       *loop.Timer // looks after slow clients
+	acceptTimer        *loop.Timer // accepts again
+	shuttingDown       bool        // health says no: the program ends
+	draining           bool        // health says no: the operators have the clients sent away
+	listenerClosedAtMs float64     // since when every answer is the last of its connection as the program ends; 0 before
+	closeAfterResponse bool        // so, while clients are sent away
+	onIdle             func()
+	pages              map[string]func() []byte
 }
 
 // NewServer listens. ready tells whether the program serves.
@@ -66,35 +66,35 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{loop: l, core: c, book: b, log: log, ready: ready, most: max(o.MaxConnections, 1), budget: o.MaxBufferedBytes,
-		fd: fd, kept: o.InheritedFD > 0, conns: map[*connection]struct{}{}, pages: o.Pages}
-	s.timer, s.again = l.NewTimer(s.tend), l.NewTimer(s.accept)
+	s := &Server{loop: l, core: c, contracts: b, log: log, ready: ready, maxConnections: max(o.MaxConnections, 1), maxBufferedBytes: o.MaxBufferedBytes,
+		listenerFD: fd, listenerInherited: o.InheritedFD > 0, connections: map[*connection]struct{}{}, pages: o.Pages}
+	s.timeoutTimer, s.acceptTimer = l.NewTimer(s.enforceTimeouts), l.NewTimer(s.acceptPending)
 	if err := l.Add(fd, unix.EPOLLIN, s); err != nil {
 		return nil, err
 	}
-	s.timer.Set(l.Now() + timeoutCheckIntervalMs)
+	s.timeoutTimer.Set(l.Now() + timeoutCheckIntervalMs)
 	return s, nil
 }
 
 // CanServe tells whether the program could serve: it knows what it has to, and does not end.
-func (s *Server) CanServe() bool { return s.ready() && !s.draining }
+func (s *Server) CanServe() bool { return s.ready() && !s.shuttingDown }
 
 // Healthy is what health says.
-func (s *Server) Healthy() bool { return s.CanServe() && !s.away }
+func (s *Server) Healthy() bool { return s.CanServe() && !s.draining }
 
 // ConnectionCounts is how many connections there are, and how many of them we have not ended.
 func (s *Server) ConnectionCounts() (all, serving int) {
-	for c := range s.conns {
-		if c.ends == "" {
+	for c := range s.connections {
+		if c.lingerCode == "" {
 			serving++
 		}
 	}
-	return len(s.conns), serving
+	return len(s.connections), serving
 }
 
 // Close closes what is open, at the end of the program.
 func (s *Server) Close() {
-	for c := range s.conns {
+	for c := range s.connections {
 		c.close(logs.Shutdown, nil)
 	}
 }
--- a/internal/clients/shutdown.go
+++ b/internal/clients/shutdown.go
@@ -11,28 +11,28 @@
 )
 
 // BeginShutdown tells who asks that the program no longer serves; those who have connections are served on.
-func (s *Server) BeginShutdown() { s.draining = true }
+func (s *Server) BeginShutdown() { s.shuttingDown = true }
 
 // SetDraining has health say no, or yes again, while the program serves on: the front stops sending new
 // connections, and those that clients have are served.
-func (s *Server) SetDraining(on bool) { s.away = on }
+func (s *Server) SetDraining(on bool) { s.draining = on }
 
 // CloseAfterResponse makes every answer from now on the last of its connection, or ends that; the listener stays.
-func (s *Server) CloseAfterResponse(on bool) { s.closing = on }
+func (s *Server) CloseAfterResponse(on bool) { s.closeAfterResponse = on }
 
 // StopListening takes what the kernel has accepted for us, closes the listener, and makes every answer from
 // now on the last of its connection. A listener that the platform keeps is left with what waits in it, for
 // the process that takes over.
 func (s *Server) StopListening() {
-	if s.fd < 0 {
+	if s.listenerFD < 0 {
 		return
 	}
-	if !s.kept {
-		s.accept()
+	if !s.listenerInherited {
+		s.acceptPending()
 	}
-	s.loop.Close(s.fd)
-	s.fd, s.endingAt = -1, s.loop.Now()
-	s.again.Stop()
+	s.loop.Close(s.listenerFD)
+	s.listenerFD, s.listenerClosedAtMs = -1, s.loop.Now()
+	s.acceptTimer.Stop()
 }
 
 // CloseIdle ends connections between requests, after a last look at what has come on them. A request that a
@@ -41,17 +41,17 @@
 // ends, a request of which the rest does not come is refused.
 func (s *Server) CloseIdle() {
 	now := s.loop.Now()
-	for c := range s.conns {
-		if c.quiet() {
+	for c := range s.connections {
+		if c.idle() {
 			c.Ready(unix.EPOLLIN)
 		}
 		switch {
 		case c.closed:
-		case c.quiet():
+		case c.idle():
 			c.linger(logs.Shutdown)
-		case c.halfRead() && s.endingAt > 0 && now > max(c.began, s.endingAt)+shutdownRequestTimeoutMs:
+		case c.hasPartialRequest() && s.listenerClosedAtMs > 0 && now > max(c.requestBeganAtMs, s.listenerClosedAtMs)+shutdownRequestTimeoutMs:
 			c.reject(503, errShutdown)
-			c.write()
+			c.flush()
 		}
 	}
 }
--- a/internal/clients/timeouts.go
+++ b/internal/clients/timeouts.go
@@ -5,40 +5,40 @@
 )
 
 const (
-	requestTimeoutMs  = 2000.0 // ms for a request to come whole, from its first byte, the first from the connect on
-	idleTimeoutMs   = 5000.0 // ms between requests; the client opens a new connection when it needs one
-	writeTimeoutMs   = 2000.0 // ms that a client may leave its answer unread
-	lingerTimeoutMs = 500.0  // ms in which what a client still sends is thrown away behind our end
-	timeoutCheckIntervalMs  = 200.0
+	requestTimeoutMs       = 2000.0 // ms for a request to come whole, from its first byte, the first from the connect on
+	idleTimeoutMs          = 5000.0 // ms between requests; the client opens a new connection when it needs one
+	writeTimeoutMs         = 2000.0 // ms that a client may leave its answer unread
+	lingerTimeoutMs        = 500.0  // ms in which what a client still sends is thrown away behind our end
+	timeoutCheckIntervalMs = 200.0
 )
 
-// tend ends what takes too long: guards descriptors and memory against clients that say nothing, send half a
+// enforceTimeouts ends what takes too long: guards descriptors and memory against clients that say nothing, send half a
 // request or leave their answer unread. An error or a close is owed to those within 3 s.
-func (s *Server) tend() {
+func (s *Server) enforceTimeouts() {
 	now := s.loop.Now()
-	for c := range s.conns {
-		age := now - c.since
+	for c := range s.connections {
+		age := now - c.activeAtMs
 		switch {
-		case c.ends != "":
+		case c.lingerCode != "":
 			if age > lingerTimeoutMs {
-				c.close(c.ends, nil)
+				c.close(c.lingerCode, nil)
 			}
 		case c.open != nil:
-		case len(c.s.Out) > 0:
+		case len(c.stream.Out) > 0:
 			if age > writeTimeoutMs {
 				c.close(logs.ClientRequestTimeout, nil)
 			}
-		case len(c.s.In) > 0:
-			if now-c.began > requestTimeoutMs {
-				c.late = true
+		case len(c.stream.In) > 0:
+			if now-c.requestBeganAtMs > requestTimeoutMs {
+				c.timedOut = true
 				c.reject(408, errRequestTimeout)
-				c.write()
+				c.flush()
 			}
-		case c.served == 0 && age > requestTimeoutMs:
+		case c.answered == 0 && age > requestTimeoutMs:
 			c.linger(logs.ClientNoRequest)
 		case age > idleTimeoutMs:
 			c.linger(logs.ClientEvicted)
 		}
 	}
-	s.timer.Set(now + timeoutCheckIntervalMs)
+	s.timeoutTimer.Set(now + timeoutCheckIntervalMs)
 }
