--- a/internal/clients/accept.go
+++ b/internal/clients/accept.go
@@ -57,7 +57,7 @@
 }
 
 func (s *Server) addConnection(fd int) {
-	c := &connection{server: s, peer: peerAddress(fd), activeAtMs: s.loop.Now(), requestBeganAtMs: s.loop.Now()}
+	c := &connection{server: s, peer: peerAddress(fd), activeAtMs: s.loop.Now(), incoming: incomingRequest{beganAtMs: s.loop.Now()}}
 	stream, err := loop.NewStream(s.loop, fd, unix.EPOLLIN|unix.EPOLLRDHUP, c)
 	if err != nil {
 		s.log.ConnectionEnded(logs.ClientNoDescriptor, c.peer, 0, err)
--- a/internal/clients/close.go
+++ b/internal/clients/close.go
@@ -15,7 +15,7 @@
 
 // reject answers what cannot be read on from, and closes.
 func (c *connection) reject(status int, err error) {
-	c.stream.In, c.parsedBytes, c.rejectErr = nil, 0, err
+	c.stream.In, c.incoming.servingBytes, c.ending.rejectErr = nil, 0, err
 	r := response{status: status, body: errorBody(err), close: true}
 	if status == 503 {
 		r.retryAfterMs = overloadRetryAfterMs
@@ -37,12 +37,12 @@
 // would turn our close into a reset that destroys the answer unread (RFC 9112, 9.6); it is thrown away, up to
 // a bound, and none of it is served: an answer could not go out any more.
 func (c *connection) linger(why logs.Code) {
-	if c.clientEnded {
+	if c.ending.byClient {
 		c.close(why, nil)
 		return
 	}
 	_ = unix.Shutdown(c.stream.FD, unix.SHUT_WR)
-	c.lingerCode, c.activeAtMs, c.stream.In = why, c.server.loop.Now(), nil
+	c.ending.lingerCode, c.activeAtMs, c.stream.In = why, c.server.loop.Now(), nil
 	c.updateBufferedBytes()
 	c.stream.SetEvents(unix.EPOLLIN | unix.EPOLLRDHUP)
 	c.discardInput()
@@ -52,26 +52,26 @@
 // answer has its time to arrive all the same.
 func (c *connection) discardInput() {
 	n, eof, err := c.stream.DiscardInput()
-	if c.discardedBytes += n; eof || err != nil {
-		c.close(c.lingerCode, nil)
-	} else if c.discardedBytes > maxLingerBytes {
+	if c.ending.discardedBytes += n; eof || err != nil {
+		c.close(c.ending.lingerCode, nil)
+	} else if c.ending.discardedBytes > maxLingerBytes {
 		c.stream.SetEvents(unix.EPOLLRDHUP)
 	}
 }
 
 func (c *connection) close(code logs.Code, err error) {
-	if c.closed {
+	if c.ending.closed {
 		return
 	}
-	c.closed = true
+	c.ending.closed = true
 	delete(c.server.connections, c)
 	c.stream.Close()
 	c.updateBufferedBytes()
-	code = cmp.Or(c.lingerCode, code)
-	if c.timedOut {
-		code, err = logs.ClientRequestTimeout, c.rejectErr
-	} else if c.rejectErr != nil {
-		code, err = logs.ClientMalformed, c.rejectErr
+	code = cmp.Or(c.ending.lingerCode, code)
+	if c.ending.timedOut {
+		code, err = logs.ClientRequestTimeout, c.ending.rejectErr
+	} else if c.ending.rejectErr != nil {
+		code, err = logs.ClientMalformed, c.ending.rejectErr
 	}
 	c.server.log.ConnectionEnded(code, c.peer, c.answered, err)
 }
--- a/internal/clients/connection.go
+++ b/internal/clients/connection.go
@@ -10,40 +10,61 @@
 
 // connection is a client's connection.
 type connection struct {
-	server           *Server
-	stream           *loop.Stream
-	peer             string
-	open             *core.Request // the request being answered; the next ones wait in the buffer
-	parsedBytes      int           // bytes in the buffer of the request that is just being taken
-	closeAfterOutput bool          // the connection ends once all is written; what still comes is thrown away
-	clientEnded      bool          // the client has ended its side
-	closed           bool
-	servePosted      bool      // read-ahead requests are about to be parsed
-	continueSent     bool      // 100 Continue has been sent for the request that is coming
-	rejectErr        error     // why it was rejected
-	timedOut         bool      // its request did not come whole in time
-	lingerCode       logs.Code // why we have ended our side; empty before. What still comes is thrown away
-	parser           requestParser
-	answered         int
-	discardedBytes   int     // bytes thrown away
-	bufferedBytes    int     // bytes that the server counts for it
-	requestBeganAtMs float64 // when the request that is coming began; at first the connect
-	activeAtMs       float64 // of the last answer, or of the connect
+	server *Server
+	stream *loop.Stream // holds input that is not parsed and output that is not sent
+	peer   string       // address, for the log
+
+	incoming incomingRequest
+	open     *core.Request // submitted and not answered: requests behind it wait in the input
+	// servePosted: serving the input that is left was posted to the loop.
+	servePosted bool
+
+	answered      int     // requests
+	activeAtMs    float64 // the last answer or the shutdown of our side; before both, the accept
+	bufferedBytes int     // counted in Server.bufferedBytes
+
+	ending connectionEnding
+}
+
+// incomingRequest is the request that arrives.
+type incomingRequest struct {
+	parser       requestParser
+	beganAtMs    float64 // its first byte; of the first request, the accept
+	continueSent bool    // 100 Continue was sent for it
+	servingBytes int     // its size while it is being served and is still in the input; 0 at other times
+}
+
+// connectionEnding is how and why a connection ends.
+type connectionEnding struct {
+	// afterOutput: the connection ends once its output is sent, and further input is discarded.
+	afterOutput bool
+	// byClient: the client has ended its side.
+	byClient bool
+	// lingerCode is set once we have shut down our side: why. Further input is discarded. Empty before.
+	lingerCode     logs.Code
+	discardedBytes int // while lingering
+	// rejectErr is why a request was rejected such that none can be read behind it; nil without such a one.
+	rejectErr error
+	timedOut  bool // that request did not arrive in time
+	closed    bool
 }
 
+// lingering tells that our side is shut down, and the connection waits for the client to end its own.
+func (e *connectionEnding) lingering() bool { return e.lingerCode != "" }
+
 // idle tells that nothing is under way on the connection.
 func (c *connection) idle() bool {
-	return c.open == nil && len(c.stream.In) == 0 && len(c.stream.Out) == 0 && c.lingerCode == "" && !c.closed
+	return c.open == nil && len(c.stream.In) == 0 && len(c.stream.Out) == 0 && !c.ending.lingering() && !c.ending.closed
 }
 
 // hasPartialRequest tells that nothing is under way but a request that has not come whole.
 func (c *connection) hasPartialRequest() bool {
-	return c.open == nil && len(c.stream.In) > 0 && len(c.stream.Out) == 0 && c.lingerCode == "" && !c.servePosted
+	return c.open == nil && len(c.stream.In) > 0 && len(c.stream.Out) == 0 && !c.ending.lingering() && !c.servePosted
 }
 
 // Ready implements loop.Handler.
 func (c *connection) Ready(events uint32) {
-	if c.lingerCode != "" {
+	if c.ending.lingering() {
 		c.discardInput()
 		return
 	}
@@ -51,17 +72,17 @@
 		c.disconnected(loop.SocketError(c.stream.FD))
 		return
 	}
-	if events&(unix.EPOLLIN|unix.EPOLLRDHUP) != 0 && !c.clientEnded {
+	if events&(unix.EPOLLIN|unix.EPOLLRDHUP) != 0 && !c.ending.byClient {
 		if len(c.stream.In) == 0 && c.answered > 0 {
-			c.requestBeganAtMs = c.server.loop.Now()
+			c.incoming.beganAtMs = c.server.loop.Now()
 		}
 		eof, err := c.readInput()
 		if err != nil {
 			c.disconnected(err)
 			return
 		}
-		c.clientEnded = eof
-		if c.serveBuffered(); c.closed {
+		c.ending.byClient = eof
+		if c.serveBuffered(); c.ending.closed {
 			return
 		}
 		if eof && c.inputEnded() {
@@ -74,7 +95,7 @@
 // updateBufferedBytes brings the server's count of bytes held up to date.
 func (c *connection) updateBufferedBytes() {
 	n := 0
-	if !c.closed {
+	if !c.ending.closed {
 		n = cap(c.stream.In) + cap(c.stream.Out)
 	}
 	c.server.bufferedBytes += n - c.bufferedBytes
--- a/internal/clients/eviction.go
+++ b/internal/clients/eviction.go
@@ -18,13 +18,13 @@
 func (s *Server) FreeDescriptor() bool {
 	var spare []*connection
 	for c := range s.connections {
-		if c.lingerCode != "" || c.idle() {
+		if c.ending.lingering() || c.idle() {
 			spare = append(spare, c)
 		}
 	}
 	rank := func(c *connection) int {
 		switch {
-		case c.lingerCode == "":
+		case !c.ending.lingering():
 			return 1
 		case s.loop.Now()-c.activeAtMs < answerDeliveryMs:
 			return 2
@@ -35,7 +35,7 @@
 		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.activeAtMs, b.activeAtMs))
 	})
 	for _, c := range spare {
-		if c.lingerCode != "" || !c.stream.HasUnread() {
+		if c.ending.lingering() || !c.stream.HasUnread() {
 			c.close(logs.ClientEvicted, nil)
 			return true
 		}
--- a/internal/clients/query.go
+++ b/internal/clients/query.go
@@ -68,11 +68,11 @@
 	default:
 		c.respond(response{status: 502, body: []byte(`{"error":"failed"}`)})
 	}
-	c.servePosted = len(c.stream.In) > 0 && !c.closeAfterOutput
+	c.servePosted = len(c.stream.In) > 0 && !c.ending.afterOutput
 	c.flush()
-	if !c.closed && c.servePosted {
+	if !c.ending.closed && c.servePosted {
 		c.server.loop.Post(func() {
-			if c.servePosted = false; !c.closed {
+			if c.servePosted = false; !c.ending.closed {
 				c.serveBuffered()
 				c.flush()
 			}
--- a/internal/clients/read.go
+++ b/internal/clients/read.go
@@ -14,12 +14,12 @@
 // is held up to a bound: beyond it that request is the connection's last, and the rest is thrown away. Guards
 // memory against floods, and the nodes against work for a client whose end stands unread behind one.
 func (c *connection) readInput() (eof bool, err error) {
-	if !c.closeAfterOutput {
+	if !c.ending.afterOutput {
 		eof, err = c.stream.Read(maxInputBytes)
 		if eof || err != nil || c.open == nil || len(c.stream.In) < maxInputBytes {
 			return eof, err
 		}
-		c.closeAfterOutput, c.stream.In = true, nil
+		c.ending.afterOutput, c.stream.In = true, nil
 	}
 	_, eof, err = c.stream.DiscardInput()
 	return eof, err
@@ -34,7 +34,7 @@
 	case len(c.stream.Out) == 0:
 		c.close(logs.ClientLeftIdle, nil)
 	default:
-		c.closeAfterOutput = true
+		c.ending.afterOutput = true
 		return false
 	}
 	return true
@@ -42,8 +42,8 @@
 
 // serveBuffered takes the next request, if none is being answered and the client reads what it is answered.
 func (c *connection) serveBuffered() {
-	for c.open == nil && !c.closeAfterOutput && !c.closed && len(c.stream.In) > 0 && len(c.stream.Out) < maxOutputBytes {
-		m, size, err := c.parser.next(c.stream.In)
+	for c.open == nil && !c.ending.afterOutput && !c.ending.closed && len(c.stream.In) > 0 && len(c.stream.Out) < maxOutputBytes {
+		m, size, err := c.incoming.parser.next(c.stream.In)
 		switch {
 		case err != nil:
 			status := 400
@@ -59,18 +59,18 @@
 				c.reject(413, errBodyTooLarge)
 			} else if c.server.bufferedBytes > c.server.maxBufferedBytes {
 				c.reject(503, errBufferLimit)
-			} else if m := c.parser.request; m != nil && m.expectContinue && !c.continueSent {
-				c.continueSent = true
+			} else if m := c.incoming.parser.request; m != nil && m.expectContinue && !c.incoming.continueSent {
+				c.incoming.continueSent = true
 				c.stream.Out = append(c.stream.Out, "HTTP/1.1 100 Continue\r\n\r\n"...)
 			}
 			return
 		}
-		c.continueSent, c.parsedBytes = false, size
+		c.incoming.continueSent, c.incoming.servingBytes = false, size
 		c.route(m)
-		if c.parsedBytes = 0; c.closed || c.rejectErr != nil {
+		if c.incoming.servingBytes = 0; c.ending.closed || c.ending.rejectErr != nil {
 			return // a rejected request has emptied the buffer: guards against consuming it twice
 		}
 		c.stream.Consume(size)
-		c.requestBeganAtMs = c.server.loop.Now()
+		c.incoming.beganAtMs = c.server.loop.Now()
 	}
 }
--- a/internal/clients/routes.go
+++ b/internal/clients/routes.go
@@ -11,7 +11,7 @@
 
 // route answers a request, or hands it to core and waits.
 func (c *connection) route(m *request) {
-	c.closeAfterOutput = m.closeAfter
+	c.ending.afterOutput = m.closeAfter
 	page := c.server.pages[m.path]
 	switch {
 	case page != nil && (m.method == "GET" || m.method == "HEAD"):
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -85,7 +85,7 @@
 // ConnectionCounts is how many connections there are, and how many of them we have not ended.
 func (s *Server) ConnectionCounts() (all, serving int) {
 	for c := range s.connections {
-		if c.lingerCode == "" {
+		if !c.ending.lingering() {
 			serving++
 		}
 	}
--- a/internal/clients/shutdown.go
+++ b/internal/clients/shutdown.go
@@ -46,10 +46,10 @@
 			c.Ready(unix.EPOLLIN)
 		}
 		switch {
-		case c.closed:
+		case c.ending.closed:
 		case c.idle():
 			c.linger(logs.Shutdown)
-		case c.hasPartialRequest() && s.listenerClosedAtMs > 0 && now > max(c.requestBeganAtMs, s.listenerClosedAtMs)+shutdownRequestTimeoutMs:
+		case c.hasPartialRequest() && s.listenerClosedAtMs > 0 && now > max(c.incoming.beganAtMs, s.listenerClosedAtMs)+shutdownRequestTimeoutMs:
 			c.reject(503, errShutdown)
 			c.flush()
 		}
--- a/internal/clients/timeouts.go
+++ b/internal/clients/timeouts.go
@@ -19,9 +19,9 @@
 	for c := range s.connections {
 		age := now - c.activeAtMs
 		switch {
-		case c.lingerCode != "":
+		case c.ending.lingering():
 			if age > lingerTimeoutMs {
-				c.close(c.lingerCode, nil)
+				c.close(c.ending.lingerCode, nil)
 			}
 		case c.open != nil:
 		case len(c.stream.Out) > 0:
@@ -29,8 +29,8 @@
 				c.close(logs.ClientRequestTimeout, nil)
 			}
 		case len(c.stream.In) > 0:
-			if now-c.requestBeganAtMs > requestTimeoutMs {
-				c.timedOut = true
+			if now-c.incoming.beganAtMs > requestTimeoutMs {
+				c.ending.timedOut = true
 				c.reject(408, errRequestTimeout)
 				c.flush()
 			}
--- a/internal/clients/write.go
+++ b/internal/clients/write.go
@@ -11,7 +11,7 @@
 )
 
 func (c *connection) flush() {
-	if c.closed || c.lingerCode != "" {
+	if c.ending.closed || c.ending.lingering() {
 		return
 	}
 	for again := true; again; {
@@ -20,23 +20,23 @@
 			return
 		}
 		// What was read ahead may have waited for the client to take its answers.
-		if again = len(c.stream.Out) == 0 && len(c.stream.In) > 0 && c.open == nil && !c.servePosted && !c.closeAfterOutput; again {
+		if again = len(c.stream.Out) == 0 && len(c.stream.In) > 0 && c.open == nil && !c.servePosted && !c.ending.afterOutput; again {
 			held := len(c.stream.In)
-			if c.serveBuffered(); c.closed {
+			if c.serveBuffered(); c.ending.closed {
 				return
 			}
 			again = len(c.stream.In) < held || len(c.stream.Out) > 0
 		}
 	}
 	c.updateBufferedBytes()
-	if len(c.stream.Out) == 0 && c.open == nil && !c.servePosted && (c.closeAfterOutput || c.clientEnded) {
+	if len(c.stream.Out) == 0 && c.open == nil && !c.servePosted && (c.ending.afterOutput || c.ending.byClient) {
 		c.linger(logs.ClientClosed)
 		return
 	}
 	// Only so much is read ahead: guards memory against endless pipelining. With an open request there is
 	// always more to read, as its client may go.
 	want := uint32(0)
-	if (len(c.stream.In) < maxInputBytes && len(c.stream.Out) < maxOutputBytes || c.closeAfterOutput) && !c.clientEnded {
+	if (len(c.stream.In) < maxInputBytes && len(c.stream.Out) < maxOutputBytes || c.ending.afterOutput) && !c.ending.byClient {
 		want = unix.EPOLLIN | unix.EPOLLRDHUP
 	}
 	if len(c.stream.Out) > 0 {
@@ -50,8 +50,8 @@
 	c.answered++
 	c.activeAtMs = c.server.loop.Now()
 	// Requests that were read behind this one are answered too before the program ends the connection.
-	ending := (c.server.listenerClosedAtMs > 0 || c.server.closeAfterResponse) && len(c.stream.In) == c.parsedBytes
-	c.closeAfterOutput = c.closeAfterOutput || r.close || ending
-	r.close = c.closeAfterOutput
+	ending := (c.server.listenerClosedAtMs > 0 || c.server.closeAfterResponse) && len(c.stream.In) == c.incoming.servingBytes
+	c.ending.afterOutput = c.ending.afterOutput || r.close || ending
+	r.close = c.ending.afterOutput
 	c.stream.Out = r.appendTo(c.stream.Out)
 }
