--- a/internal/clients/fixture_test.go
+++ b/internal/clients/fixture_test.go
@@ -29,17 +29,22 @@
 		queryBody
 )
 
-// fakeCore takes requests as core does. It answers none of its own accord.
+// fakeCore takes requests as core does. Of its own accord it answers none, or, with answerAtOnce, rejects all.
 type fakeCore struct {
 	submitted    chan *core.Request
 	disconnected chan *core.Request
 	submitErr    error
+	answerAtOnce bool
 }
 
 func (c *fakeCore) Submit(r *core.Request) error {
 	if c.submitErr != nil {
 		return c.submitErr
 	}
+	if c.answerAtOnce {
+		r.Client.Finish(core.Answer{Kind: core.Rejected})
+		return nil
+	}
 	c.submitted <- r
 	return nil
 }
--- a/internal/clients/query_test.go
+++ b/internal/clients/query_test.go
@@ -100,3 +100,17 @@
 	assert.Same(t, submitted, f.waitRequest(t, f.disconnected))
 	f.waitLog(t, `"code":"C03"`)
 }
+
+// TestRejectedWithinSubmit checks that core may answer a request from within Submit, which is the last of its connection.
+func TestRejectedWithinSubmit(t *testing.T) {
+	f := start(t, Options{MaxConnections: 10, MaxBufferedBytes: 1 << 20})
+	f.onLoop(func() { f.answerAtOnce = true })
+	for _, more := range []string{"", query, "GET /_health HT"} {
+		answer := f.exchange(t, strings.Replace(query, "X-Tenant", "Connection: close\r\nX-Tenant", 1)+more)
+		assert.True(t, strings.HasPrefix(answer, "HTTP/1.1 503 Service Unavailable\r\n"))
+		assert.True(t, strings.HasSuffix(answer, `{"error":"refused"}`))
+	}
+	answer := f.exchange(t, query+query+"GET /_health HTTP/1.0\r\n\r\n")
+	assert.Equal(t, 2, strings.Count(answer, `{"error":"refused"}`))
+	assert.True(t, strings.HasSuffix(answer, `{"status":"serving"}`))
+}
--- a/internal/clients/read.go
+++ b/internal/clients/read.go
@@ -67,8 +67,8 @@
 		}
 		c.incoming.continueSent, c.incoming.servingBytes = false, size
 		c.route(m)
-		if c.incoming.servingBytes = 0; c.ending.closed || c.ending.rejectErr != nil {
-			return // a rejected request has emptied the buffer: guards against consuming it twice
+		if c.incoming.servingBytes = 0; c.ending.closed || c.ending.rejectErr != nil || c.ending.lingering() {
+			return // a request that was rejected or answered as the last has emptied the buffer
 		}
 		c.stream.Consume(size)
 		c.incoming.beganAtMs = c.server.loop.Now()
