--- a/internal/clients/close.go
+++ b/internal/clients/close.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"net/http"
 
 	"golang.org/x/sys/unix"
 
@@ -14,10 +15,11 @@
 )
 
 // reject answers what cannot be read on from, and closes.
-func (c *connection) reject(status int, err error) {
+func (c *connection) reject(err error) {
 	c.stream.In, c.incoming.servingBytes, c.ending.rejectErr = nil, 0, err
-	r := response{status: status, body: errorBody(err), close: true}
-	if status == 503 {
+	r := errorResponse(err)
+	r.close = true
+	if r.status == http.StatusServiceUnavailable {
 		r.retryAfterMs = overloadRetryAfterMs
 	}
 	c.respond(r)
--- a/internal/clients/pages.go
+++ b/internal/clients/pages.go
@@ -20,12 +20,7 @@
 	}
 	text, err := json.Marshal(b)
 	if err != nil {
-		return errorBody(err)
+		return errorResponse(err).body
 	}
 	return text
 }
-
-func errorBody(err error) []byte {
-	text, _ := json.Marshal(map[string]string{"error": err.Error()})
-	return text
-}
--- a/internal/clients/query.go
+++ b/internal/clients/query.go
@@ -1,7 +1,6 @@
 package clients
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
 	"math"
@@ -16,7 +15,7 @@
 func (c *connection) submit(m *request) {
 	class, _, _ := strings.Cut(m.path[1:], "/")
 	if named, ok := m.header["x-class"]; ok && named != class {
-		c.reject(400, fmt.Errorf("%w: the path and X-Class name two classes", errMalformed))
+		c.reject(fmt.Errorf("%w: the path and X-Class name two classes", errMalformed))
 		return
 	}
 	wait := 0.0 // refused below as missing
@@ -37,23 +36,13 @@
 	var stale *core.StaleEpochError
 	switch {
 	case err == nil:
-	case errors.As(err, &stale):
-		c.respond(response{status: 400, body: staleEpochBody(stale)})
-	case errors.Is(err, contract.ErrUnknownClass):
-		c.respond(response{status: 404, body: errorBody(err)})
-	case errors.Is(err, contract.ErrUnknownTenant):
-		c.respond(response{status: 403, body: errorBody(err)})
+	case errors.As(err, &stale), errors.Is(err, contract.ErrUnknownClass), errors.Is(err, contract.ErrUnknownTenant):
+		c.respond(errorResponse(err))
 	default:
-		c.reject(400, err)
+		c.reject(err)
 	}
 }
 
-// staleEpochBody tells a client whose idea of the slices is too old which epoch is in use.
-func staleEpochBody(err *core.StaleEpochError) []byte {
-	text, _ := json.Marshal(map[string]any{"error": err.Error(), "epoch": err.Epoch})
-	return text
-}
-
 // Finish implements core.Client. The rest of the buffer is parsed from the loop, not from here, as core may
 // be in the middle of a turn.
 func (c *connection) Finish(a core.Answer) {
@@ -62,11 +51,13 @@
 	case a.Kind == core.Answered:
 		c.respond(response{status: 200, body: contract.EncodeAnswer(a)})
 	case a.Kind == core.Rejected:
-		c.respond(response{status: 503, body: []byte(`{"error":"refused"}`), retryAfterMs: retryAfterMs(a)})
+		r := errorResponse(errRejected)
+		r.retryAfterMs = retryAfterMs(a)
+		c.respond(r)
 	case a.TimedOut:
-		c.respond(response{status: 504, body: []byte(`{"error":"timed out"}`)})
+		c.respond(errorResponse(errTimedOut))
 	default:
-		c.respond(response{status: 502, body: []byte(`{"error":"failed"}`)})
+		c.respond(errorResponse(errFailed))
 	}
 	c.servePosted = len(c.stream.In) > 0 && !c.ending.afterOutput
 	c.flush()
--- a/internal/clients/read.go
+++ b/internal/clients/read.go
@@ -1,10 +1,6 @@
 package clients
 
-import (
-	"errors"
-
-	"ternstage/internal/logs"
-)
+import "ternstage/internal/logs"
 
 const (
 	maxInputBytes = maxHeaderBytes + maxBodyBytes + 8<<10 // bytes a connection holds unparsed; 8 KiB for the sizes of chunks
@@ -46,19 +42,13 @@
 		m, size, err := c.incoming.parser.next(c.stream.In)
 		switch {
 		case err != nil:
-			status := 400
-			if errors.Is(err, errBodyTooLarge) {
-				status = 413
-			} else if errors.Is(err, errHeaderTooLarge) {
-				status = 431
-			}
-			c.reject(status, err)
+			c.reject(err)
 			return
 		case size == 0:
 			if len(c.stream.In) >= maxInputBytes {
-				c.reject(413, errBodyTooLarge)
+				c.reject(errBodyTooLarge)
 			} else if c.server.bufferedBytes > c.server.maxBufferedBytes {
-				c.reject(503, errBufferLimit)
+				c.reject(errBufferLimit)
 			} else if m := c.incoming.parser.request; m != nil && m.expectContinue && !c.incoming.continueSent {
 				c.incoming.continueSent = true
 				c.stream.Out = append(c.stream.Out, "HTTP/1.1 100 Continue\r\n\r\n"...)
--- a/internal/clients/routes.go
+++ b/internal/clients/routes.go
@@ -1,9 +1,5 @@
 package clients
 
-import (
-	"fmt"
-)
-
 const (
 	pathHealth    = "/_health"
 	pathContracts = "/_contracts"
@@ -18,7 +14,7 @@
 		c.respond(response{status: 200, body: page()})
 	case m.path == pathHealth || m.path == pathContracts:
 		if m.method != "GET" && m.method != "HEAD" {
-			c.respond(response{status: 405, body: errorBody(fmt.Errorf("GET only"))})
+			c.respond(errorResponse(errPageIsReadOnly))
 			return
 		}
 		r := response{status: 200, body: c.server.contractsPage()}
@@ -30,7 +26,7 @@
 		}
 		c.respond(r)
 	case m.method != "POST":
-		c.respond(response{status: 405, body: errorBody(fmt.Errorf("a query is a POST"))})
+		c.respond(errorResponse(errQueryIsNoPost))
 	default:
 		c.submit(m)
 	}
--- a/internal/clients/shutdown.go
+++ b/internal/clients/shutdown.go
@@ -50,7 +50,7 @@
 		case c.idle():
 			c.linger(logs.Shutdown)
 		case c.hasPartialRequest() && s.listenerClosedAtMs > 0 && now > max(c.incoming.beganAtMs, s.listenerClosedAtMs)+shutdownRequestTimeoutMs:
-			c.reject(503, errShutdown)
+			c.reject(errShutdown)
 			c.flush()
 		}
 	}
--- a/internal/clients/timeouts.go
+++ b/internal/clients/timeouts.go
@@ -31,7 +31,7 @@
 		case len(c.stream.In) > 0:
 			if now-c.incoming.beganAtMs > requestTimeoutMs {
 				c.ending.timedOut = true
-				c.reject(408, errRequestTimeout)
+				c.reject(errRequestTimeout)
 				c.flush()
 			}
 		case c.answered == 0 && age > requestTimeoutMs:
