--- a/internal/clients/chunked.go
+++ b/internal/clients/chunked.go
@@ -6,52 +6,75 @@
 	"strings"
 )
 
-const (
-	maxChunkLineBytes = 1024
-)
+// maxChunkLineBytes is the maximum size in bytes of the line before a chunk while its end has not arrived. More is
+// malformed.
+const maxChunkLineBytes = 1024
 
-// parseChunks reads a chunked body on; size is 0 while it is not whole.
-func (p *requestParser) parseChunks(in []byte) (size int, err error) {
+// parseChunks parses a chunked body (RFC 9112, 7.1) as far as it has arrived. It returns the size in bytes of the
+// request, 0 while it has not arrived. Chunk extensions and the trailer are discarded.
+func (p *requestParser) parseChunks(in []byte) (int, error) {
 	for p.trailerStart == 0 {
-		end := bytes.Index(in[p.parsedBytes:], []byte("\r\n"))
-		if end < 0 {
-			if len(in)-p.parsedBytes > maxChunkLineBytes {
-				return 0, errMalformed
-			}
-			return 0, nil
-		}
-		text, _, _ := strings.Cut(string(in[p.parsedBytes:p.parsedBytes+end]), ";")
-		n, err := strconv.ParseUint(strings.TrimSpace(text), 16, 31)
-		if err != nil {
-			return 0, errMalformed
-		}
-		at := p.parsedBytes + end + 2
-		if n == 0 {
-			p.parsedBytes, p.trailerStart = at, at
-			break
+		parsedBytes := p.parsedBytes
+		err := p.parseChunk(in)
+		if err != nil || p.parsedBytes == parsedBytes {
+			return 0, err
 		}
-		if len(p.request.body)+int(n) > maxBodyBytes {
-			return 0, errBodyTooLarge
-		}
-		if len(in) < at+int(n)+2 {
-			return 0, nil
-		}
-		p.request.body = append(p.request.body, in[at:at+int(n)]...)
-		if at += int(n); in[at] != '\r' || in[at+1] != '\n' {
-			return 0, errMalformed
+	}
+	return p.parseTrailer(in)
+}
+
+// parseChunk appends one chunk to the body, or sets p.trailerStart if it is the last one. It changes nothing while the
+// chunk has not arrived.
+func (p *requestParser) parseChunk(in []byte) error {
+	rest := in[p.parsedBytes:]
+	lineBytes := bytes.Index(rest, []byte(lineEnd))
+	if lineBytes < 0 {
+		if len(rest) > maxChunkLineBytes {
+			return errMalformed
 		}
-		p.parsedBytes = at + 2
+		return nil
+	}
+	size, _, _ := strings.Cut(string(rest[:lineBytes]), ";")
+	parsedSize, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
+	if err != nil {
+		return errMalformed
+	}
+	chunkBytes := int(parsedSize)
+	chunkStart := p.parsedBytes + lineBytes + len(lineEnd)
+	if chunkBytes == 0 {
+		p.parsedBytes = chunkStart
+		p.trailerStart = chunkStart
+		return nil
+	}
+	if len(p.request.body)+chunkBytes > maxBodyBytes {
+		return errBodyTooLarge
 	}
-	// The trailer is passed over.
+	chunkEnd := chunkStart + chunkBytes
+	next := chunkEnd + len(lineEnd)
+	if len(in) < next {
+		return nil
+	}
+	if string(in[chunkEnd:next]) != lineEnd {
+		return errMalformed
+	}
+	p.request.body = append(p.request.body, in[chunkStart:chunkEnd]...)
+	p.parsedBytes = next
+	return nil
+}
+
+// parseTrailer discards the lines behind the last chunk, up to an empty one. It returns the size in bytes of the
+// request, 0 while it has not arrived.
+func (p *requestParser) parseTrailer(in []byte) (int, error) {
 	for {
-		end := bytes.Index(in[p.parsedBytes:], []byte("\r\n"))
-		if end < 0 {
+		lineBytes := bytes.Index(in[p.parsedBytes:], []byte(lineEnd))
+		if lineBytes < 0 {
 			if len(in)-p.trailerStart > maxHeaderBytes {
 				return 0, errHeaderTooLarge
 			}
 			return 0, nil
 		}
-		if p.parsedBytes += end + 2; end == 0 {
+		p.parsedBytes += lineBytes + len(lineEnd)
+		if lineBytes == 0 {
 			return p.parsedBytes, nil
 		}
 	}
--- a/internal/clients/parser.go
+++ b/internal/clients/parser.go
@@ -2,97 +2,98 @@
 
 import (
 	"bytes"
-	"strconv"
 	"strings"
 )
 
 const (
+	// maxHeaderBytes is the maximum size in bytes of the request line and the fields, and that of a trailer. More is
+	// answered 431.
 	maxHeaderBytes = 16 << 10
-	maxBodyBytes   = 64 << 10
+	// maxBodyBytes is the maximum size in bytes of a body, without the framing of chunks. More is answered 413.
+	maxBodyBytes = 64 << 10
+	// maxLeadingBytes is how much of the line ends before a request is skipped (RFC 9112, 2.2).
+	maxLeadingBytes = 4
+
+	lineEnd   = "\r\n"
+	headerEnd = "\r\n\r\n"
 )
 
-// requestParser takes requests off a connection's input. It keeps what it has understood of the one that is
-// coming, so that each byte is dealt with once: guards the loop against clients that send theirs one by
-// one.
+// requestParser parses the requests at the beginning of a connection's input. Between calls it keeps how far it is, so
+// that it parses each byte once: guards the loop against clients that send their bytes one by one.
+//
+// The zero value waits for a request.
 type requestParser struct {
-	request      *request // set once its head is whole
-	parsedBytes  int      // bytes of the input dealt with
-	bodyBytes    int      // length of a sized body; -1 for chunks
-	trailerStart int      // where the trailer of a chunked body begins; 0 before the last chunk
+	request      *request // nil until its header has arrived
+	parsedBytes  int      // of the input; while the header has not arrived, those searched for its end
+	bodyBytes    int      // size of the body, or bodyIsChunked
+	trailerStart int      // where the trailer of a chunked body begins in the input; 0 before the last chunk
 }
 
-// next takes one request off in, which must be what the last call saw and more. size is 0 while it is not
-// whole.
-func (p *requestParser) next(in []byte) (m *request, size int, err error) {
+// next parses one request. in must begin as in the last call unless that returned a request; then it must be what
+// follows it. sizeBytes is the size of the request in the input, 0 while it has not arrived. A body may alias in.
+// Errors wrap errMalformed, errHeaderTooLarge or errBodyTooLarge; after one the parser must not be used.
+func (p *requestParser) next(in []byte) (parsed *request, sizeBytes int, err error) {
 	if p.request == nil {
-		if err := p.parseHeader(in); p.request == nil || err != nil {
+		err := p.parseHeader(in)
+		if p.request == nil || err != nil {
 			return nil, 0, err
 		}
 	}
-	m = p.request
-	if p.bodyBytes >= 0 {
-		if size = p.parsedBytes + p.bodyBytes; len(in) < size {
-			return nil, 0, nil
-		}
-		m.body = in[p.parsedBytes:size]
-	} else if size, err = p.parseChunks(in); size == 0 || err != nil {
+	sizeBytes, err = p.parseBody(in)
+	if sizeBytes == 0 || err != nil {
 		return nil, 0, err
 	}
+	parsed = p.request
 	*p = requestParser{}
-	return m, size, nil
+	return parsed, sizeBytes, nil
 }
 
-// parseHeader reads the head once it is whole.
+// parseHeader sets p.request and p.bodyBytes once the header has arrived.
 func (p *requestParser) parseHeader(in []byte) error {
 	start := 0
-	for start < len(in) && (in[start] == '\r' || in[start] == '\n') && start < 4 {
-		start++ // an empty line before a request is passed over
+	for start < len(in) && start < maxLeadingBytes && (in[start] == '\r' || in[start] == '\n') {
+		start++
 	}
-	from := max(start, p.parsedBytes-3)
-	end := bytes.Index(in[from:], []byte("\r\n\r\n"))
-	if p.parsedBytes = len(in); end < 0 {
+	searchStart := max(start, p.parsedBytes-(len(headerEnd)-1))
+	end := bytes.Index(in[searchStart:], []byte(headerEnd))
+	p.parsedBytes = len(in)
+	if end < 0 {
 		if len(in) > maxHeaderBytes {
 			return errHeaderTooLarge
 		}
 		return nil
 	}
-	if end += from; end-start > maxHeaderBytes {
+	end += searchStart
+	if end-start > maxHeaderBytes {
 		return errHeaderTooLarge
 	}
-	m := &request{header: map[string]string{}}
-	line, fields, _ := strings.Cut(string(in[start:end]), "\r\n")
-	f := strings.Split(line, " ")
-	if len(f) != 3 || !isToken(f[0]) || !strings.HasPrefix(f[1], "/") ||
-		f[2] != "HTTP/1.1" && f[2] != "HTTP/1.0" {
-		return errMalformed
+	line, fields, _ := strings.Cut(string(in[start:end]), lineEnd)
+	parsed, err := parseRequestLine(line)
+	if err != nil {
+		return err
 	}
-	m.method, m.closeAfter = f[0], f[2] == "HTTP/1.0"
-	m.path, _, _ = strings.Cut(f[1], "?")
-	if err := m.parseFields(fields); err != nil {
+	if err := parsed.parseFields(fields); err != nil {
 		return err
 	}
-	for _, t := range strings.Split(m.header["connection"], ",") {
-		m.closeAfter = m.closeAfter || strings.EqualFold(strings.TrimSpace(t), "close")
+	bodyBytes, err := parsed.announcedBodyBytes()
+	if err != nil {
+		return err
 	}
-	m.expectContinue = strings.EqualFold(m.header["expect"], "100-continue")
-	coding, chunked := m.header["transfer-encoding"]
-	length, sized := m.header["content-length"]
-	if chunked && (sized || !strings.EqualFold(coding, "chunked")) {
-		return errMalformed // two lengths: guards against smuggled requests
+	p.request = parsed
+	p.bodyBytes = bodyBytes
+	p.parsedBytes = end + len(headerEnd)
+	return nil
+}
+
+// parseBody sets the body of p.request. It returns the size in bytes of the request, 0 while it has not arrived.
+func (p *requestParser) parseBody(in []byte) (int, error) {
+	if p.bodyBytes == bodyIsChunked {
+		return p.parseChunks(in)
 	}
-	p.bodyBytes = 0
-	if chunked {
-		p.bodyBytes = -1
-	} else if sized {
-		n, err := strconv.ParseUint(length, 10, 63)
-		if err != nil {
-			return errMalformed
-		}
-		if n > maxBodyBytes {
-			return errBodyTooLarge
-		}
-		p.bodyBytes = int(n)
+	sizeBytes := p.parsedBytes + p.bodyBytes
+	if len(in) < sizeBytes {
+		return 0, nil
 	}
-	p.request, p.parsedBytes = m, end+4
-	return nil
+	p.request.body = in[p.parsedBytes:sizeBytes]
+	return sizeBytes, nil
 }
