--- a/internal/clients/pages.go
+++ b/internal/clients/pages.go
@@ -2,25 +2,39 @@
 
 import (
 	"encoding/json"
+	"net/http"
 
 	"ternstage/internal/contract"
 )
 
+// healthResponse answers a health check.
+func (s *Server) healthResponse() response {
+	if !s.Healthy() {
+		return response{status: http.StatusServiceUnavailable, body: []byte(bodyNotServing)}
+	}
+	return response{status: http.StatusOK, body: []byte(bodyServing)}
+}
+
+// contractsBody is the page of contracts.
 type contractsBody struct {
 	Classes          []contract.Class  `json:"classes"`
 	Tenants          []contract.Tenant `json:"tenants"`
 	AcceptedByTenant map[string]uint64 `json:"taken"`
 }
 
-// contractsPage shows the teams what was agreed and what has been taken under it.
+// contractsPage shows what was agreed with clients, and how many queries of each tenant were accepted.
 func (s *Server) contractsPage() []byte {
-	b := contractsBody{Classes: s.contracts.Classes, Tenants: s.contracts.Tenants, AcceptedByTenant: map[string]uint64{}}
-	for i, t := range s.contracts.Tenants {
-		b.AcceptedByTenant[t.Name] = s.contracts.AcceptedByTenant[i]
+	accepted := make(map[string]uint64, len(s.contracts.Tenants))
+	for i, tenant := range s.contracts.Tenants {
+		accepted[tenant.Name] = s.contracts.AcceptedByTenant[i]
 	}
-	text, err := json.Marshal(b)
+	body, err := json.Marshal(contractsBody{
+		Classes:          s.contracts.Classes,
+		Tenants:          s.contracts.Tenants,
+		AcceptedByTenant: accepted,
+	})
 	if err != nil {
 		return errorResponse(err).body
 	}
-	return text
+	return body
 }
--- a/internal/clients/query.go
+++ b/internal/clients/query.go
@@ -4,6 +4,7 @@
 	"errors"
 	"fmt"
 	"math"
+	"net/http"
 	"strconv"
 	"strings"
 
@@ -11,28 +12,12 @@
 	"ternstage/internal/core"
 )
 
-// submit hands a query to core.
-func (c *connection) submit(m *request) {
-	class, _, _ := strings.Cut(m.path[1:], "/")
-	if named, ok := m.header["x-class"]; ok && named != class {
-		c.reject(fmt.Errorf("%w: the path and X-Class name two classes", errMalformed))
-		return
-	}
-	wait := 0.0 // refused below as missing
-	if text := m.header["x-deadline"]; strings.Trim(text, "0123456789.") == "" {
-		wait, _ = strconv.ParseFloat(text, 64)
-	}
-	now := c.server.loop.Now()
-	r, err := c.server.contracts.ParseQuery(contract.Envelope{ID: m.header["x-request-id"], Class: class,
-		Tenant: m.header["x-tenant"], ClientTimeout: wait * 1000, ClientRetry: m.header["x-retry"] == "1",
-		IdempotencyKey: m.header["idempotency-key"]}, m.body, now)
-	if err == nil {
-		r.Client = c
-		c.open = r
-		if err = c.server.core.Submit(r); err != nil {
-			c.open = nil
-		}
-	}
+// submit submits a query to core, or answers what is wrong with it.
+//
+// A class, a tenant or an epoch that is not known may be known to the next request: the connection is kept. After any
+// other error it ends.
+func (c *connection) submit(r *request) {
+	err := c.trySubmit(r)
 	var stale *core.StaleEpochError
 	switch {
 	case err == nil:
@@ -43,33 +28,83 @@
 	}
 }
 
-// Finish implements core.Client. The rest of the buffer is parsed from the loop, not from here, as core may
-// be in the middle of a turn.
-func (c *connection) Finish(a core.Answer) {
-	c.open = nil
-	switch {
-	case a.Kind == core.Answered:
-		c.respond(response{status: 200, body: contract.EncodeAnswer(a)})
-	case a.Kind == core.Rejected:
-		r := errorResponse(errRejected)
-		r.retryAfterMs = retryAfterMs(a)
-		c.respond(r)
-	case a.TimedOut:
-		c.respond(errorResponse(errTimedOut))
-	default:
-		c.respond(errorResponse(errFailed))
+// trySubmit submits a query to core. On an error nothing was submitted. Core may call Finish from within it.
+func (c *connection) trySubmit(r *request) error {
+	envelope, err := parseEnvelope(r)
+	if err != nil {
+		return err
+	}
+	query, err := c.server.contracts.ParseQuery(envelope, r.body, c.server.loop.Now())
+	if err != nil {
+		return err
+	}
+	query.Client = c
+	c.open = query // before Submit: Finish clears it
+	err = c.server.core.Submit(query)
+	if err != nil {
+		c.open = nil
+	}
+	return err
+}
+
+// parseEnvelope reads what the path and the header say of a query. Fields that are missing or malformed are left zero,
+// for contract.Contracts.ParseQuery to refuse. The error wraps errMalformed.
+func parseEnvelope(r *request) (contract.Envelope, error) {
+	class, _, _ := strings.Cut(r.path[len("/"):], "/")
+	named, ok := r.header[fieldClass]
+	if ok && named != class {
+		return contract.Envelope{}, fmt.Errorf("%w: the path and X-Class name two classes", errMalformed)
+	}
+	return contract.Envelope{
+		ID:             r.header[fieldRequestID],
+		Class:          class,
+		Tenant:         r.header[fieldTenant],
+		ClientTimeout:  parseSeconds(r.header[fieldDeadline]) * msPerSecond,
+		ClientRetry:    r.header[fieldClientRetry] == clientRetryValue,
+		IdempotencyKey: r.header[fieldIdempotencyKey],
+	}, nil
+}
+
+// parseSeconds parses a decimal fraction without sign or exponent. It is 0 for anything else.
+func parseSeconds(text string) float64 {
+	if strings.Trim(text, "0123456789.") != "" {
+		return 0
 	}
+	seconds, _ := strconv.ParseFloat(text, 64)
+	return seconds
+}
+
+// Finish implements core.Client. Requests behind the answered one are served from the loop, not from here: core is in
+// the middle of a scheduling round, or of Submit.
+func (c *connection) Finish(answer core.Answer) {
+	c.open = nil
+	c.respond(answerResponse(answer))
 	c.servePosted = len(c.stream.In) > 0 && !c.ending.afterOutput
 	c.flush()
-	if !c.ending.closed && c.servePosted {
-		c.server.loop.Post(func() {
-			if c.servePosted = false; !c.ending.closed {
-				c.serveBuffered()
-				c.flush()
-			}
-		})
+	if c.ending.closed || !c.servePosted {
+		return
 	}
+	c.server.loop.Post(func() {
+		c.servePosted = false
+		if c.ending.closed {
+			return
+		}
+		c.serveBuffered()
+		c.flush()
+	})
 }
 
-// retryAfterMs is the advice of a refusal; at least a millisecond, the header's finest step.
-func retryAfterMs(a core.Answer) float64 { return max(math.Ceil(a.RetryAfter), 1) }
+// answerResponse makes the response of a final answer.
+func answerResponse(answer core.Answer) response {
+	switch {
+	case answer.Kind == core.Answered:
+		return response{status: http.StatusOK, body: contract.EncodeAnswer(answer)}
+	case answer.Kind == core.Rejected:
+		r := errorResponse(errRejected)
+		r.retryAfterMs = max(math.Ceil(answer.RetryAfter), 1) // 1 ms is the header's finest step
+		return r
+	case answer.TimedOut:
+		return errorResponse(errTimedOut)
+	}
+	return errorResponse(errFailed)
+}
--- a/internal/clients/routes.go
+++ b/internal/clients/routes.go
@@ -1,33 +1,47 @@
 package clients
 
+import "net/http"
+
+// Paths and header fields are the wire's and keep its words (docs/GLOSSARY.md). The first segment of any other path
+// names the class of a query; Options.Pages adds pages. Names of fields are in lower case, as in request.header.
 const (
 	pathHealth    = "/_health"
 	pathContracts = "/_contracts"
+
+	fieldRequestID      = "x-request-id"
+	fieldClass          = "x-class" // optional: the same class as the path
+	fieldTenant         = "x-tenant"
+	fieldDeadline       = "x-deadline" // seconds for which the client waits, as a decimal fraction
+	fieldClientRetry    = "x-retry"    // clientRetryValue: the client asked before
+	fieldIdempotencyKey = "idempotency-key"
+
+	clientRetryValue = "1"
+
+	bodyServing    = `{"status":"serving"}`
+	bodyNotServing = `{"status":"not serving"}`
 )
 
-// route answers a request, or hands it to core and waits.
-func (c *connection) route(m *request) {
-	c.ending.afterOutput = m.closeAfter
-	page := c.server.pages[m.path]
+// route answers a request, or submits it to core as a query.
+func (c *connection) route(r *request) {
+	c.ending.afterOutput = r.closeAfter
+	readOnly := r.method == http.MethodGet || r.method == http.MethodHead
+	page := c.server.pages[r.path]
 	switch {
-	case page != nil && (m.method == "GET" || m.method == "HEAD"):
-		c.respond(response{status: 200, body: page()})
-	case m.path == pathHealth || m.path == pathContracts:
-		if m.method != "GET" && m.method != "HEAD" {
+	case page != nil && readOnly:
+		c.respond(response{status: http.StatusOK, body: page()})
+	case r.path == pathHealth || r.path == pathContracts:
+		if !readOnly {
 			c.respond(errorResponse(errPageIsReadOnly))
 			return
 		}
-		r := response{status: 200, body: c.server.contractsPage()}
-		if m.path == pathHealth {
-			r = response{status: 200, body: []byte(`{"status":"serving"}`)}
-			if !c.server.Healthy() {
-				r = response{status: 503, body: []byte(`{"status":"not serving"}`)}
-			}
+		if r.path == pathHealth {
+			c.respond(c.server.healthResponse())
+			return
 		}
-		c.respond(r)
-	case m.method != "POST":
+		c.respond(response{status: http.StatusOK, body: c.server.contractsPage()})
+	case r.method != http.MethodPost:
 		c.respond(errorResponse(errQueryIsNoPost))
 	default:
-		c.submit(m)
+		c.submit(r)
 	}
 }
