--- a/internal/clients/eviction.go
+++ b/internal/clients/eviction.go
@@ -7,34 +7,37 @@
 	"ternstage/internal/logs"
 )
 
+// answerDeliveryMs is the time in milliseconds after which a last answer is taken to have arrived. A close before may
+// destroy it (RFC 9112, 9.6).
+const answerDeliveryMs = 100.0
+
+// evictionRank orders the connections that may be evicted: lower ones go first.
+type evictionRank int
+
 const (
-	answerDeliveryMs = 100.0 // ms in which a last answer has come to its client
+	evictLingering  evictionRank = iota // its last answer has arrived: nothing is lost
+	evictIdle                           // its client opens a new one for its next request
+	evictDelivering                     // its last answer may be on its way
 )
 
-// FreeDescriptor closes the connection that can best be spared, for a descriptor: one that we ended a while ago,
-// then the one that has stood idle longest and on which nothing has come, then one whose last answer is still
-// on its way. A client opens a new one when it needs one. It hands nothing in, so that it may be called from
-// within a decision. False if there is none.
+// FreeDescriptor closes the connection that is missed least, so that its descriptor can be used, and tells whether
+// there was one. It calls neither core nor the scheduler, and may be called from within a scheduling round.
+//
+// A connection with a request under way is never closed, nor an idle one on which something has arrived unread: a close
+// would lose the request.
 func (s *Server) FreeDescriptor() bool {
-	var spare []*connection
+	nowMs := s.loop.Now()
+	var candidates []*connection
 	for c := range s.connections {
 		if c.ending.lingering() || c.idle() {
-			spare = append(spare, c)
-		}
-	}
-	rank := func(c *connection) int {
-		switch {
-		case !c.ending.lingering():
-			return 1
-		case s.loop.Now()-c.activeAtMs < answerDeliveryMs:
-			return 2
+			candidates = append(candidates, c)
 		}
-		return 0
 	}
-	slices.SortFunc(spare, func(a, b *connection) int {
-		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.activeAtMs, b.activeAtMs))
+	slices.SortFunc(candidates, func(a, b *connection) int {
+		byRank := cmp.Compare(a.evictionRank(nowMs), b.evictionRank(nowMs))
+		return cmp.Or(byRank, cmp.Compare(a.activeAtMs, b.activeAtMs))
 	})
-	for _, c := range spare {
+	for _, c := range candidates {
 		if c.ending.lingering() || !c.stream.HasUnread() {
 			c.close(logs.ClientEvicted, nil)
 			return true
@@ -42,3 +45,14 @@
 	}
 	return false
 }
+
+// evictionRank ranks a connection that is idle or lingers.
+func (c *connection) evictionRank(nowMs float64) evictionRank {
+	switch {
+	case !c.ending.lingering():
+		return evictIdle
+	case nowMs-c.activeAtMs < answerDeliveryMs:
+		return evictDelivering
+	}
+	return evictLingering
+}
