--- a/internal/clients/close.go
+++ b/internal/clients/close.go
@@ -1,66 +1,58 @@
 package clients
 
 import (
-	"cmp"
-	"net/http"
-
 	"golang.org/x/sys/unix"
 
 	"ternstage/internal/logs"
 )
 
-const (
-	overloadRetryAfterMs = 1000.0 // ms after which who found no memory may come again
-	maxLingerBytes       = 1 << 20
-)
+// maxLingerBytes is the size in bytes of discarded input from which on a lingering connection is not read, so that its
+// sender waits until lingerTimeoutMs is over.
+const maxLingerBytes = 1 << 20
 
-// reject answers what cannot be read on from, and closes.
-func (c *connection) reject(err error) {
-	c.stream.In, c.incoming.servingBytes, c.ending.rejectErr = nil, 0, err
-	r := errorResponse(err)
-	r.close = true
-	if r.status == http.StatusServiceUnavailable {
-		r.retryAfterMs = overloadRetryAfterMs
-	}
-	c.respond(r)
-}
-
-// disconnected ends a connection that its client has left.
+// disconnected closes a connection that its client has closed or reset, and tells core if a request is open.
 func (c *connection) disconnected(err error) {
 	code := logs.ClientLeftIdle
-	if r := c.open; r != nil {
-		c.open, code = nil, logs.ClientLeftRequest
-		c.server.core.ClientDisconnected(r)
+	if request := c.open; request != nil {
+		code = logs.ClientLeftRequest
+		c.open = nil
+		c.server.core.ClientDisconnected(request)
 	}
 	c.close(code, err)
 }
 
-// linger ends our side, and the connection once the client has ended its own. What the client still sends
-// would turn our close into a reset that destroys the answer unread (RFC 9112, 9.6); it is thrown away, up to
-// a bound, and none of it is served: an answer could not go out any more.
-func (c *connection) linger(why logs.Code) {
+// linger ends our side of the connection for the reason code, and the connection once the client has ended its side.
+// Closing over unread input would reset the connection, and the client could lose the answer (RFC 9112, 9.6): until
+// then input is discarded. None of it is served, as no answer could be sent.
+func (c *connection) linger(code logs.Code) {
 	if c.ending.byClient {
-		c.close(why, nil)
+		c.close(code, nil)
 		return
 	}
 	_ = unix.Shutdown(c.stream.FD, unix.SHUT_WR)
-	c.ending.lingerCode, c.activeAtMs, c.stream.In = why, c.server.loop.Now(), nil
+	c.ending.lingerCode = code
+	c.activeAtMs = c.server.loop.Now()
+	c.stream.In = nil
 	c.updateBufferedBytes()
 	c.stream.SetEvents(unix.EPOLLIN | unix.EPOLLRDHUP)
 	c.discardInput()
 }
 
-// discardInput throws away what has come. What goes beyond a bound stays unread, so that its sender waits: the
-// answer has its time to arrive all the same.
+// discardInput discards what has arrived on a lingering connection, and closes it if the client has ended its side.
 func (c *connection) discardInput() {
-	n, eof, err := c.stream.DiscardInput()
-	if c.ending.discardedBytes += n; eof || err != nil {
+	discardedBytes, eof, err := c.stream.DiscardInput()
+	c.ending.discardedBytes += discardedBytes
+	if eof || err != nil {
 		c.close(c.ending.lingerCode, nil)
-	} else if c.ending.discardedBytes > maxLingerBytes {
+		return
+	}
+	if c.ending.discardedBytes > maxLingerBytes {
 		c.stream.SetEvents(unix.EPOLLRDHUP)
 	}
 }
 
+// close closes the connection and logs why: that a request was rejected, else that our side was shut down before, else
+// code and err. A repeated call does nothing.
 func (c *connection) close(code logs.Code, err error) {
 	if c.ending.closed {
 		return
@@ -69,11 +61,15 @@
 	delete(c.server.connections, c)
 	c.stream.Close()
 	c.updateBufferedBytes()
-	code = cmp.Or(c.ending.lingerCode, code)
-	if c.ending.timedOut {
-		code, err = logs.ClientRequestTimeout, c.ending.rejectErr
-	} else if c.ending.rejectErr != nil {
-		code, err = logs.ClientMalformed, c.ending.rejectErr
+	switch {
+	case c.ending.timedOut:
+		code = logs.ClientRequestTimeout
+		err = c.ending.rejectErr
+	case c.ending.rejectErr != nil:
+		code = logs.ClientMalformed
+		err = c.ending.rejectErr
+	case c.ending.lingering():
+		code = c.ending.lingerCode
 	}
 	c.server.log.ConnectionEnded(code, c.peer, c.answered, err)
 }
--- a/internal/clients/connection.go
+++ b/internal/clients/connection.go
@@ -8,7 +8,10 @@
 	"ternstage/internal/loop"
 )
 
-// connection is a client's connection.
+// connection is a client's connection. It serves one request at a time, in the order of arrival.
+//
+// It leaves Server.connections when it is closed. Until then its life is: serving, then, after a last answer or a time
+// limit, lingering.
 type connection struct {
 	server *Server
 	stream *loop.Stream // holds input that is not parsed and output that is not sent
@@ -16,7 +19,7 @@
 
 	incoming incomingRequest
 	open     *core.Request // submitted and not answered: requests behind it wait in the input
-	// servePosted: serving the input that is left was posted to the loop.
+	// servePosted: the rest of the input is served by a function that was posted to the loop, and by nothing else.
 	servePosted bool
 
 	answered      int     // requests
@@ -26,7 +29,7 @@
 	ending connectionEnding
 }
 
-// incomingRequest is the request that arrives.
+// incomingRequest is the request at the beginning of the input.
 type incomingRequest struct {
 	parser       requestParser
 	beganAtMs    float64 // its first byte; of the first request, the accept
@@ -40,7 +43,7 @@
 	afterOutput bool
 	// byClient: the client has ended its side.
 	byClient bool
-	// lingerCode is set once we have shut down our side: why. Further input is discarded. Empty before.
+	// lingerCode is why we have shut down our side; empty before. Further input is discarded.
 	lingerCode     logs.Code
 	discardedBytes int // while lingering
 	// rejectErr is why a request was rejected such that none can be read behind it; nil without such a one.
@@ -57,7 +60,7 @@
 	return c.open == nil && len(c.stream.In) == 0 && len(c.stream.Out) == 0 && !c.ending.lingering() && !c.ending.closed
 }
 
-// hasPartialRequest tells that nothing is under way but a request that has not come whole.
+// hasPartialRequest tells that nothing is under way but a request that has not arrived.
 func (c *connection) hasPartialRequest() bool {
 	return c.open == nil && len(c.stream.In) > 0 && len(c.stream.Out) == 0 && !c.ending.lingering() && !c.servePosted
 }
@@ -68,36 +71,27 @@
 		c.discardInput()
 		return
 	}
+	// With input left the error shows when that is read.
 	if events&(unix.EPOLLERR|unix.EPOLLHUP) != 0 && events&unix.EPOLLIN == 0 {
 		c.disconnected(loop.SocketError(c.stream.FD))
 		return
 	}
 	if events&(unix.EPOLLIN|unix.EPOLLRDHUP) != 0 && !c.ending.byClient {
-		if len(c.stream.In) == 0 && c.answered > 0 {
-			c.incoming.beganAtMs = c.server.loop.Now()
-		}
-		eof, err := c.readInput()
-		if err != nil {
-			c.disconnected(err)
-			return
-		}
-		c.ending.byClient = eof
-		if c.serveBuffered(); c.ending.closed {
-			return
-		}
-		if eof && c.inputEnded() {
+		c.receive()
+		if c.ending.closed {
 			return
 		}
 	}
 	c.flush()
 }
 
-// updateBufferedBytes brings the server's count of bytes held up to date.
+// updateBufferedBytes updates the sum that Server.maxBufferedBytes bounds. It counts capacities, which are what the
+// process holds.
 func (c *connection) updateBufferedBytes() {
-	n := 0
+	bufferedBytes := 0
 	if !c.ending.closed {
-		n = cap(c.stream.In) + cap(c.stream.Out)
+		bufferedBytes = cap(c.stream.In) + cap(c.stream.Out)
 	}
-	c.server.bufferedBytes += n - c.bufferedBytes
-	c.bufferedBytes = n
+	c.server.bufferedBytes += bufferedBytes - c.bufferedBytes
+	c.bufferedBytes = bufferedBytes
 }
--- a/internal/clients/read.go
+++ b/internal/clients/read.go
@@ -3,27 +3,54 @@
 import "ternstage/internal/logs"
 
 const (
-	maxInputBytes = maxHeaderBytes + maxBodyBytes + 8<<10 // bytes a connection holds unparsed; 8 KiB for the sizes of chunks
+	// maxInputBytes is the maximum size in bytes of the input that a connection buffers: one request of the maximum
+	// size, and the framing of its chunks.
+	maxInputBytes = maxHeaderBytes + maxBodyBytes + maxFramingBytes
+
+	// maxFramingBytes is the maximum size in bytes of what frames the chunks of a body. More is answered 413.
+	maxFramingBytes = 8 << 10
+
+	continueResponse = "HTTP/1.1 100 Continue\r\n\r\n"
 )
 
-// readInput takes what has come; eof tells that the client has ended its side. What comes behind an open request
-// is held up to a bound: beyond it that request is the connection's last, and the rest is thrown away. Guards
-// memory against floods, and the nodes against work for a client whose end stands unread behind one.
+// receive reads what has arrived and serves it. Afterwards the connection may be closed.
+func (c *connection) receive() {
+	if len(c.stream.In) == 0 && c.answered > 0 {
+		c.incoming.beganAtMs = c.server.loop.Now()
+	}
+	eof, err := c.readInput()
+	if err != nil {
+		c.disconnected(err)
+		return
+	}
+	c.ending.byClient = eof
+	c.serveBuffered()
+	if eof && !c.ending.closed {
+		c.inputEnded()
+	}
+}
+
+// readInput reads what has arrived, up to maxInputBytes. eof tells that the client has ended its side.
+//
+// If the input fills up behind an open request, that is made the last of the connection, and the rest is discarded:
+// only a client that is read can be seen to disconnect. Guards memory against floods, and backends against work for a
+// client that has left.
 func (c *connection) readInput() (eof bool, err error) {
 	if !c.ending.afterOutput {
 		eof, err = c.stream.Read(maxInputBytes)
 		if eof || err != nil || c.open == nil || len(c.stream.In) < maxInputBytes {
 			return eof, err
 		}
-		c.ending.afterOutput, c.stream.In = true, nil
+		c.ending.afterOutput = true
+		c.stream.In = nil
 	}
 	_, eof, err = c.stream.DiscardInput()
 	return eof, err
 }
 
-// inputEnded deals with the end of the client's side; true if the connection has ended. A client that ends its
-// side while a request is open has gone: that it closed cannot be told from an end of its sending alone.
-func (c *connection) inputEnded() bool {
+// inputEnded handles the end of the client's side. While a request is open the client is taken to have disconnected: a
+// close cannot be told from a shutdown of its sending side alone.
+func (c *connection) inputEnded() {
 	switch {
 	case c.open != nil:
 		c.disconnected(nil)
@@ -31,36 +58,51 @@
 		c.close(logs.ClientLeftIdle, nil)
 	default:
 		c.ending.afterOutput = true
-		return false
 	}
-	return true
 }
 
-// serveBuffered takes the next request, if none is being answered and the client reads what it is answered.
+// serveBuffered serves the requests in the input, up to one that core has to answer or that has not arrived. Afterwards
+// the connection may be closed.
 func (c *connection) serveBuffered() {
-	for c.open == nil && !c.ending.afterOutput && !c.ending.closed && len(c.stream.In) > 0 && len(c.stream.Out) < maxOutputBytes {
-		m, size, err := c.incoming.parser.next(c.stream.In)
-		switch {
-		case err != nil:
+	for c.canServe() {
+		r, sizeBytes, err := c.incoming.parser.next(c.stream.In)
+		if err != nil {
 			c.reject(err)
 			return
-		case size == 0:
-			if len(c.stream.In) >= maxInputBytes {
-				c.reject(errBodyTooLarge)
-			} else if c.server.bufferedBytes > c.server.maxBufferedBytes {
-				c.reject(errBufferLimit)
-			} else if m := c.incoming.parser.request; m != nil && m.expectContinue && !c.incoming.continueSent {
-				c.incoming.continueSent = true
-				c.stream.Out = append(c.stream.Out, "HTTP/1.1 100 Continue\r\n\r\n"...)
-			}
+		}
+		if sizeBytes == 0 {
+			c.awaitRest()
 			return
 		}
-		c.incoming.continueSent, c.incoming.servingBytes = false, size
-		c.route(m)
-		if c.incoming.servingBytes = 0; c.ending.closed || c.ending.rejectErr != nil || c.ending.lingering() {
-			return // a request that was rejected or answered as the last has emptied the buffer
+		c.incoming.continueSent = false
+		c.incoming.servingBytes = sizeBytes
+		c.route(r)
+		c.incoming.servingBytes = 0
+		if c.ending.closed || c.ending.lingering() || c.ending.rejectErr != nil {
+			return // the input was emptied, and there is nothing to consume
 		}
-		c.stream.Consume(size)
+		c.stream.Consume(sizeBytes)
 		c.incoming.beganAtMs = c.server.loop.Now()
 	}
 }
+
+// canServe tells whether the next request may be served: none is open, and the client takes its answers.
+func (c *connection) canServe() bool {
+	return c.open == nil && !c.ending.afterOutput && !c.ending.closed &&
+		len(c.stream.In) > 0 && len(c.stream.Out) < maxOutputBytes
+}
+
+// awaitRest handles a request that has not arrived: it is rejected for want of space, or asked for if its client waits
+// for 100 Continue (RFC 9110, 10.1.1).
+func (c *connection) awaitRest() {
+	header := c.incoming.parser.request
+	switch {
+	case len(c.stream.In) >= maxInputBytes:
+		c.reject(errBodyTooLarge)
+	case c.server.bufferedBytes > c.server.maxBufferedBytes:
+		c.reject(errBufferLimit)
+	case header != nil && header.expectContinue && !c.incoming.continueSent:
+		c.incoming.continueSent = true
+		c.stream.Out = append(c.stream.Out, continueResponse...)
+	}
+}
--- a/internal/clients/write.go
+++ b/internal/clients/write.go
@@ -1,57 +1,92 @@
 package clients
 
 import (
+	"net/http"
+
 	"golang.org/x/sys/unix"
 
 	"ternstage/internal/logs"
 )
 
 const (
-	maxOutputBytes = 64 << 10 // bytes of answers that wait for the client, over which no more requests are read
+	// maxOutputBytes is the size in bytes of unsent answers from which on no request is served: guards memory against
+	// clients that send requests and do not take answers.
+	maxOutputBytes = 64 << 10
+
+	// overloadRetryAfterMs is the Retry-After in milliseconds of a rejection with 503.
+	overloadRetryAfterMs = 1000.0
 )
 
+// respond appends the answer to the request that was served last to the output.
+func (c *connection) respond(r response) {
+	c.answered++
+	c.activeAtMs = c.server.loop.Now()
+	// Requests that were read behind this one are answered before the connection ends.
+	isLastRead := len(c.stream.In) == c.incoming.servingBytes
+	closing := c.server.listenerClosedAtMs > 0 || c.server.closeAfterResponse
+	c.ending.afterOutput = c.ending.afterOutput || r.close || closing && isLastRead
+	r.close = c.ending.afterOutput
+	c.stream.Out = r.appendTo(c.stream.Out)
+}
+
+// reject answers a request behind which none can be read, as its end is unknown or the client broke its contract, and
+// makes the answer the last of the connection.
+func (c *connection) reject(err error) {
+	c.stream.In = nil
+	c.incoming.servingBytes = 0
+	c.ending.rejectErr = err
+	r := errorResponse(err)
+	r.close = true
+	if r.status == http.StatusServiceUnavailable {
+		r.retryAfterMs = overloadRetryAfterMs
+	}
+	c.respond(r)
+}
+
+// flush sends the output, and serves requests that waited for the client to take it. Then it ends the connection if
+// nothing is left to do on it, or sets the events to wait for. Afterwards the connection may be closed.
 func (c *connection) flush() {
 	if c.ending.closed || c.ending.lingering() {
 		return
 	}
-	for again := true; again; {
+	for {
 		if err := c.stream.Flush(); err != nil {
 			c.disconnected(err)
 			return
 		}
-		// What was read ahead may have waited for the client to take its answers.
-		if again = len(c.stream.Out) == 0 && len(c.stream.In) > 0 && c.open == nil && !c.servePosted && !c.ending.afterOutput; again {
-			held := len(c.stream.In)
-			if c.serveBuffered(); c.ending.closed {
-				return
-			}
-			again = len(c.stream.In) < held || len(c.stream.Out) > 0
+		if len(c.stream.Out) > 0 || c.servePosted || !c.canServe() {
+			break
+		}
+		inputBytes := len(c.stream.In)
+		c.serveBuffered()
+		if c.ending.closed {
+			return
+		}
+		served := len(c.stream.In) < inputBytes || len(c.stream.Out) > 0
+		if !served {
+			break
 		}
 	}
 	c.updateBufferedBytes()
-	if len(c.stream.Out) == 0 && c.open == nil && !c.servePosted && (c.ending.afterOutput || c.ending.byClient) {
+	noneLeft := len(c.stream.Out) == 0 && c.open == nil && !c.servePosted
+	if noneLeft && (c.ending.afterOutput || c.ending.byClient) {
 		c.linger(logs.ClientClosed)
 		return
 	}
-	// Only so much is read ahead: guards memory against endless pipelining. With an open request there is
-	// always more to read, as its client may go.
-	want := uint32(0)
-	if (len(c.stream.In) < maxInputBytes && len(c.stream.Out) < maxOutputBytes || c.ending.afterOutput) && !c.ending.byClient {
-		want = unix.EPOLLIN | unix.EPOLLRDHUP
+	c.stream.SetEvents(c.wantedEvents())
+}
+
+// wantedEvents returns the epoll events that the connection waits for. Input is wanted while there is space for it:
+// guards memory against endless pipelining. With an open request there always is (see readInput), so that a client that
+// disconnects is seen.
+func (c *connection) wantedEvents() uint32 {
+	events := uint32(0)
+	hasSpace := len(c.stream.In) < maxInputBytes && len(c.stream.Out) < maxOutputBytes
+	if (hasSpace || c.ending.afterOutput) && !c.ending.byClient {
+		events = unix.EPOLLIN | unix.EPOLLRDHUP
 	}
 	if len(c.stream.Out) > 0 {
-		want |= unix.EPOLLOUT
+		events |= unix.EPOLLOUT
 	}
-	c.stream.SetEvents(want)
-}
-
-// respond writes the answer to the request that was read last.
-func (c *connection) respond(r response) {
-	c.answered++
-	c.activeAtMs = c.server.loop.Now()
-	// Requests that were read behind this one are answered too before the program ends the connection.
-	ending := (c.server.listenerClosedAtMs > 0 || c.server.closeAfterResponse) && len(c.stream.In) == c.incoming.servingBytes
-	c.ending.afterOutput = c.ending.afterOutput || r.close || ending
-	r.close = c.ending.afterOutput
-	c.stream.Out = r.appendTo(c.stream.Out)
+	return events
 }
