--- a/internal/clients/write.go
+++ b/internal/clients/write.go
@@ -59,7 +59,7 @@
 		}
 		inputBytes := len(c.stream.In)
 		c.serveBuffered()
-		if c.ending.closed {
+		if c.ending.closed || c.ending.lingering() {
 			return
 		}
 		served := len(c.stream.In) < inputBytes || len(c.stream.Out) > 0
