--- a/internal/clients/accept.go
+++ b/internal/clients/accept.go
@@ -21,8 +21,8 @@
 // Ready implements loop.Handler: connections wait to be accepted.
 func (s *Server) Ready(uint32) { s.acceptPending() }
 
-// acceptPending accepts the connections that wait in the kernel. At the maximum of connections, and without descriptors,
-// it evicts others; if none can be evicted it pauses.
+// acceptPending accepts the connections that wait in the kernel. At the maximum of connections, and without
+// descriptors, it evicts others; if none can be evicted it pauses.
 func (s *Server) acceptPending() {
 	if s.listenerFD < 0 {
 		return
--- a/internal/clients/query.go
+++ b/internal/clients/query.go
@@ -48,7 +48,7 @@
 }
 
 // parseEnvelope reads what the path and the header say of a query. Fields that are missing or malformed are left zero,
-// for contract.Contracts.ParseQuery to refuse. The error wraps errMalformed.
+// for contract.Contracts.ParseQuery to reject. The error wraps errMalformed.
 func parseEnvelope(r *request) (contract.Envelope, error) {
 	class, _, _ := strings.Cut(r.path[len("/"):], "/")
 	named, ok := r.header[fieldClass]
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -60,9 +60,9 @@
 	listenerClosedAtMs float64 // set by StopListening; 0 before
 }
 
-// NewServer serves clients at address, "HOST:PORT" with a numeric host, or on an inherited listener. ready tells whether
-// the program knows what it needs for serving; until then health checks fail. Errors are those of
-// opening the listener or of registering it with the loop.
+// NewServer serves clients at address, "HOST:PORT" with a numeric host, or on an inherited listener. ready tells
+// whether the program knows what it needs for serving; until then health checks fail. Errors are those of opening the
+// listener or of registering it with the loop.
 func NewServer(eventLoop *loop.Loop, queries Core, contracts *contract.Contracts, log *logs.Log, address string,
 	options Options, ready func() bool) (*Server, error) {
 	fd, err := listen(log, address, options.InheritedFD)
--- a/internal/clients/shutdown.go
+++ b/internal/clients/shutdown.go
@@ -6,8 +6,8 @@
 	"ternstage/internal/logs"
 )
 
-// shutdownRequestTimeoutMs is the time in milliseconds for the rest of a request to arrive after the listener was closed
-// or, if that is later, after its first byte. After it the client is answered 503.
+// shutdownRequestTimeoutMs is the time in milliseconds for the rest of a request to arrive after the listener was
+// closed or, if that is later, after its first byte. After it the client is answered 503.
 const shutdownRequestTimeoutMs = 300.0
 
 // BeginShutdown makes health checks fail: the program ends. Requests on open and on new connections are served on.
--- a/internal/clients/timeouts_test.go
+++ b/internal/clients/timeouts_test.go
@@ -12,7 +12,7 @@
 	f := start(t, Options{MaxConnections: 10, MaxBufferedBytes: 1 << 20})
 	for _, c := range []struct {
 		name, in, answer, code string
-		afterMs                time.Duration
+		afterMs                float64
 	}{
 		{"half a request", "GET /_health HT", `{"error":"the request did not come whole in time"}`, "C06", requestTimeoutMs},
 		{"no request", "", "", "C07", requestTimeoutMs},
@@ -24,8 +24,9 @@
 			answer := f.exchange(t, c.in)
 			assert.True(t, strings.HasSuffix(answer, c.answer), answer)
 			elapsed := time.Since(began)
-			assert.GreaterOrEqual(t, elapsed, c.afterMs*time.Millisecond)
-			assert.Less(t, elapsed, c.afterMs*time.Millisecond+time.Second)
+			after := time.Duration(c.afterMs) * time.Millisecond
+			assert.GreaterOrEqual(t, elapsed, after)
+			assert.Less(t, elapsed, after+time.Second)
 			f.waitLog(t, `"code":"`+c.code+`"`)
 		})
 	}
