--- a/internal/clients/errors.go
+++ b/internal/clients/errors.go
@@ -58,12 +58,12 @@
 
 // errorResponse answers with an error: its status and a JSON object with its text as "error". A client whose shard map
 // is stale is told the epoch in use, as "epoch".
-func errorResponse(err error) response {
+func errorResponse(err error) httpResponse {
 	fields := map[string]any{"error": err.Error()}
 	var stale *core.StaleEpochError
 	if errors.As(err, &stale) {
 		fields["epoch"] = stale.Epoch
 	}
 	body, _ := json.Marshal(fields) // strings and ints always marshal
-	return response{status: statusOf(err), body: body}
+	return httpResponse{status: statusOf(err), body: body}
 }
--- a/internal/clients/pages.go
+++ b/internal/clients/pages.go
@@ -8,11 +8,11 @@
 )
 
 // healthResponse answers a health check.
-func (s *Server) healthResponse() response {
+func (s *Server) healthResponse() httpResponse {
 	if !s.Healthy() {
-		return response{status: http.StatusServiceUnavailable, body: []byte(bodyNotServing)}
+		return httpResponse{status: http.StatusServiceUnavailable, body: []byte(bodyNotServing)}
 	}
-	return response{status: http.StatusOK, body: []byte(bodyServing)}
+	return httpResponse{status: http.StatusOK, body: []byte(bodyServing)}
 }
 
 // contractsBody is the page of contracts.
--- a/internal/clients/parser.go
+++ b/internal/clients/parser.go
@@ -23,16 +23,16 @@
 //
 // The zero value waits for a request.
 type requestParser struct {
-	request      *request // nil until its header has arrived
-	parsedBytes  int      // of the input; while the header has not arrived, those searched for its end
-	bodyBytes    int      // size of the body, or bodyIsChunked
-	trailerStart int      // where the trailer of a chunked body begins in the input; 0 before the last chunk
+	request      *httpRequest // nil until its header has arrived
+	parsedBytes  int          // of the input; while the header has not arrived, those searched for its end
+	bodyBytes    int          // size of the body, or bodyIsChunked
+	trailerStart int          // where the trailer of a chunked body begins in the input; 0 before the last chunk
 }
 
 // next parses one request. in must begin as in the last call unless that returned a request; then it must be what
 // follows it. sizeBytes is the size of the request in the input, 0 while it has not arrived. A body may alias in.
 // Errors wrap errMalformed, errHeaderTooLarge or errBodyTooLarge; after one the parser must not be used.
-func (p *requestParser) next(in []byte) (parsed *request, sizeBytes int, err error) {
+func (p *requestParser) next(in []byte) (parsed *httpRequest, sizeBytes int, err error) {
 	if p.request == nil {
 		err := p.parseHeader(in)
 		if p.request == nil || err != nil {
--- a/internal/clients/parser_test.go
+++ b/internal/clients/parser_test.go
@@ -16,7 +16,7 @@
 )
 
 // parseGrowing parses text as it arrives, in pieces of step bytes.
-func parseGrowing(t *testing.T, text string, step int) (*request, int, error) {
+func parseGrowing(t *testing.T, text string, step int) (*httpRequest, int, error) {
 	t.Helper()
 	in := []byte(text)
 	p := &requestParser{}
--- a/internal/clients/query.go
+++ b/internal/clients/query.go
@@ -16,8 +16,8 @@
 //
 // A class, a tenant or an epoch that is not known may be known to the next request: the connection is kept. After any
 // other error it ends.
-func (c *connection) submit(r *request) {
-	err := c.trySubmit(r)
+func (c *connection) submit(request *httpRequest) {
+	err := c.trySubmit(request)
 	var stale *core.StaleEpochError
 	switch {
 	case err == nil:
@@ -29,12 +29,12 @@
 }
 
 // trySubmit submits a query to core. On an error nothing was submitted. Core may call Finish from within it.
-func (c *connection) trySubmit(r *request) error {
-	envelope, err := parseEnvelope(r)
+func (c *connection) trySubmit(request *httpRequest) error {
+	envelope, err := parseEnvelope(request)
 	if err != nil {
 		return err
 	}
-	query, err := c.server.contracts.ParseQuery(envelope, r.body, c.server.loop.Now())
+	query, err := c.server.contracts.ParseQuery(envelope, request.body, c.server.loop.Now())
 	if err != nil {
 		return err
 	}
@@ -49,19 +49,19 @@
 
 // parseEnvelope reads what the path and the header say of a query. Fields that are missing or malformed are left zero,
 // for contract.Contracts.ParseQuery to reject. The error wraps errMalformed.
-func parseEnvelope(r *request) (contract.Envelope, error) {
-	class, _, _ := strings.Cut(r.path[len("/"):], "/")
-	named, ok := r.header[fieldClass]
+func parseEnvelope(request *httpRequest) (contract.Envelope, error) {
+	class, _, _ := strings.Cut(request.path[len("/"):], "/")
+	named, ok := request.header[fieldClass]
 	if ok && named != class {
 		return contract.Envelope{}, fmt.Errorf("%w: the path and X-Class name two classes", errMalformed)
 	}
 	return contract.Envelope{
-		ID:             r.header[fieldRequestID],
+		ID:             request.header[fieldRequestID],
 		Class:          class,
-		Tenant:         r.header[fieldTenant],
-		ClientTimeout:  parseSeconds(r.header[fieldDeadline]) * msPerSecond,
-		ClientRetry:    r.header[fieldClientRetry] == clientRetryValue,
-		IdempotencyKey: r.header[fieldIdempotencyKey],
+		Tenant:         request.header[fieldTenant],
+		ClientTimeout:  parseSeconds(request.header[fieldDeadline]) * msPerSecond,
+		ClientRetry:    request.header[fieldClientRetry] == clientRetryValue,
+		IdempotencyKey: request.header[fieldIdempotencyKey],
 	}, nil
 }
 
@@ -95,14 +95,14 @@
 }
 
 // answerResponse makes the response of a final answer.
-func answerResponse(answer core.Answer) response {
+func answerResponse(answer core.Answer) httpResponse {
 	switch {
 	case answer.Kind == core.Answered:
-		return response{status: http.StatusOK, body: contract.EncodeAnswer(answer)}
+		return httpResponse{status: http.StatusOK, body: contract.EncodeAnswer(answer)}
 	case answer.Kind == core.Rejected:
-		r := errorResponse(errRejected)
-		r.retryAfterMs = max(math.Ceil(answer.RetryAfter), 1) // 1 ms is the header's finest step
-		return r
+		response := errorResponse(errRejected)
+		response.retryAfterMs = max(math.Ceil(answer.RetryAfter), 1) // 1 ms is the header's finest step
+		return response
 	case answer.TimedOut:
 		return errorResponse(errTimedOut)
 	}
--- a/internal/clients/read.go
+++ b/internal/clients/read.go
@@ -65,7 +65,7 @@
 // the connection may be closed.
 func (c *connection) serveBuffered() {
 	for c.canServe() {
-		r, sizeBytes, err := c.incoming.parser.next(c.stream.In)
+		request, sizeBytes, err := c.incoming.parser.next(c.stream.In)
 		if err != nil {
 			c.reject(err)
 			return
@@ -76,7 +76,7 @@
 		}
 		c.incoming.continueSent = false
 		c.incoming.servingBytes = sizeBytes
-		c.route(r)
+		c.route(request)
 		c.incoming.servingBytes = 0
 		if c.ending.closed || c.ending.lingering() || c.ending.rejectErr != nil {
 			return // the input was emptied, and there is nothing to consume
--- a/internal/clients/request.go
+++ b/internal/clients/request.go
@@ -16,8 +16,8 @@
 	protocol11 = "HTTP/1.1"
 )
 
-// request is one HTTP request.
-type request struct {
+// httpRequest is one HTTP request.
+type httpRequest struct {
 	method         string
 	path           string            // begins with "/"; without the query
 	header         map[string]string // by lower-case name; of repeated fields the first
@@ -27,7 +27,7 @@
 }
 
 // parseRequestLine parses a line without its end (RFC 9112, 3).
-func parseRequestLine(line string) (*request, error) {
+func parseRequestLine(line string) (*httpRequest, error) {
 	words := strings.Split(line, " ")
 	if len(words) != 3 {
 		return nil, errMalformed
@@ -39,7 +39,7 @@
 		return nil, errMalformed
 	}
 	path, _, _ := strings.Cut(target, "?")
-	return &request{
+	return &httpRequest{
 		method:     method,
 		path:       path,
 		header:     map[string]string{},
@@ -60,7 +60,7 @@
 }
 
 // parseFields parses the header fields, without the end of the last line, and what they say of the connection.
-func (r *request) parseFields(text string) error {
+func (r *httpRequest) parseFields(text string) error {
 	count := 0
 	for text != "" {
 		var line string
@@ -81,7 +81,7 @@
 }
 
 // addField parses one field line (RFC 9112, 5). A line folded over two is malformed, as its second has no name.
-func (r *request) addField(line string) error {
+func (r *httpRequest) addField(line string) error {
 	name, value, ok := strings.Cut(line, ":")
 	if !ok || !isToken(name) || strings.ContainsAny(value, "\r\n\x00") {
 		return errMalformed
@@ -102,7 +102,7 @@
 
 // announcedBodyBytes returns the size in bytes of the body that the header announces: 0 without one, and bodyIsChunked
 // for one in chunks (RFC 9112, 6.3).
-func (r *request) announcedBodyBytes() (int, error) {
+func (r *httpRequest) announcedBodyBytes() (int, error) {
 	coding, coded := r.header["transfer-encoding"]
 	length, sized := r.header["content-length"]
 	if coded {
--- a/internal/clients/response.go
+++ b/internal/clients/response.go
@@ -7,8 +7,8 @@
 
 const msPerSecond = 1000
 
-// response answers a request with a JSON document.
-type response struct {
+// httpResponse answers a request with a JSON document.
+type httpResponse struct {
 	status       int
 	body         []byte
 	retryAfterMs float64 // 0 for none; sent in seconds with three decimals
@@ -16,7 +16,7 @@
 }
 
 // appendTo appends the encoded response to out.
-func (r response) appendTo(out []byte) []byte {
+func (r httpResponse) appendTo(out []byte) []byte {
 	out = append(out, "HTTP/1.1 "...)
 	out = strconv.AppendInt(out, int64(r.status), 10)
 	out = append(out, ' ')
--- a/internal/clients/routes.go
+++ b/internal/clients/routes.go
@@ -3,7 +3,7 @@
 import "net/http"
 
 // Paths and header fields are the wire's and keep its words (docs/GLOSSARY.md). The first segment of any other path
-// names the class of a query; Options.Pages adds pages. Names of fields are in lower case, as in request.header.
+// names the class of a query; Options.Pages adds pages. Names of fields are in lower case, as in httpRequest.header.
 const (
 	pathHealth    = "/_health"
 	pathContracts = "/_contracts"
@@ -22,26 +22,26 @@
 )
 
 // route answers a request, or submits it to core as a query.
-func (c *connection) route(r *request) {
-	c.ending.afterOutput = r.closeAfter
-	readOnly := r.method == http.MethodGet || r.method == http.MethodHead
-	page := c.server.pages[r.path]
+func (c *connection) route(request *httpRequest) {
+	c.ending.afterOutput = request.closeAfter
+	readOnly := request.method == http.MethodGet || request.method == http.MethodHead
+	page := c.server.pages[request.path]
 	switch {
 	case page != nil && readOnly:
-		c.respond(response{status: http.StatusOK, body: page()})
-	case r.path == pathHealth || r.path == pathContracts:
+		c.respond(httpResponse{status: http.StatusOK, body: page()})
+	case request.path == pathHealth || request.path == pathContracts:
 		if !readOnly {
 			c.respond(errorResponse(errPageIsReadOnly))
 			return
 		}
-		if r.path == pathHealth {
+		if request.path == pathHealth {
 			c.respond(c.server.healthResponse())
 			return
 		}
-		c.respond(response{status: http.StatusOK, body: c.server.contractsPage()})
-	case r.method != http.MethodPost:
+		c.respond(httpResponse{status: http.StatusOK, body: c.server.contractsPage()})
+	case request.method != http.MethodPost:
 		c.respond(errorResponse(errQueryIsNoPost))
 	default:
-		c.submit(r)
+		c.submit(request)
 	}
 }
--- a/internal/clients/write.go
+++ b/internal/clients/write.go
@@ -18,15 +18,15 @@
 )
 
 // respond appends the answer to the request that was served last to the output.
-func (c *connection) respond(r response) {
+func (c *connection) respond(response httpResponse) {
 	c.answered++
 	c.activeAtMs = c.server.loop.Now()
 	// Requests that were read behind this one are answered before the connection ends.
 	isLastRead := len(c.stream.In) == c.incoming.servingBytes
 	closing := c.server.listenerClosedAtMs > 0 || c.server.closeAfterResponse
-	c.ending.afterOutput = c.ending.afterOutput || r.close || closing && isLastRead
-	r.close = c.ending.afterOutput
-	c.stream.Out = r.appendTo(c.stream.Out)
+	c.ending.afterOutput = c.ending.afterOutput || response.close || closing && isLastRead
+	response.close = c.ending.afterOutput
+	c.stream.Out = response.appendTo(c.stream.Out)
 }
 
 // reject answers a request behind which none can be read, as its end is unknown or the client broke its contract, and
@@ -35,12 +35,12 @@
 	c.stream.In = nil
 	c.incoming.servingBytes = 0
 	c.ending.rejectErr = err
-	r := errorResponse(err)
-	r.close = true
-	if r.status == http.StatusServiceUnavailable {
-		r.retryAfterMs = overloadRetryAfterMs
+	response := errorResponse(err)
+	response.close = true
+	if response.status == http.StatusServiceUnavailable {
+		response.retryAfterMs = overloadRetryAfterMs
 	}
-	c.respond(r)
+	c.respond(response)
 }
 
 // flush sends the output, and serves requests that waited for the client to take it. Then it ends the connection if
