--- a/cmd/simadapter/fixture_test.go
+++ b/cmd/simadapter/fixture_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 
 	"ternstage/internal/decision/scheduler"
-	"ternstage/internal/wire"
+	"ternstage/internal/transport/simwire"
 )
 
 const settingsText = `{"balancers": 2, "categories": [{"aim_ms": 500, "deadline_ms": 1000, "effect": "read_like",
@@ -24,8 +24,8 @@
 }
 
 // add adds a record, whose fields set writes; nil for a record without fields.
-func (f *frame) add(code wire.EventCode, set func(record []byte)) {
-	record := make([]byte, wire.EventSize)
+func (f *frame) add(code simwire.EventCode, set func(record []byte)) {
+	record := make([]byte, simwire.EventSize)
 	record[0] = byte(code)
 	if set != nil {
 		set(record)
@@ -43,7 +43,7 @@
 
 // bytes returns the frame.
 func (f *frame) bytes(number uint32, nowMs float64) []byte {
-	header := make([]byte, wire.HeaderSize)
+	header := make([]byte, simwire.HeaderSize)
 	binary.LittleEndian.PutUint32(header, number)
 	binary.LittleEndian.PutUint32(header[4:], f.count)
 	binary.LittleEndian.PutUint32(header[8:], uint32(len(f.records)+len(f.tail)))
@@ -53,35 +53,35 @@
 
 // selectInstance names the instance of the records that follow.
 func (f *frame) selectInstance(id uint32) {
-	f.add(wire.EventInstance, func(record []byte) { binary.LittleEndian.PutUint32(record[1:], id) })
+	f.add(simwire.EventInstance, func(record []byte) { binary.LittleEndian.PutUint32(record[1:], id) })
 }
 
 // create starts an instance with two replicas, 10 in cell 0 and 11 in cell 1.
 func (f *frame) create(id uint32) {
 	f.selectInstance(id)
-	f.add(wire.EventCreate, func(record []byte) {
+	f.add(simwire.EventCreate, func(record []byte) {
 		record[1] = 7 // the seed
 		f.refer(record[9:], []byte(settingsText), len(settingsText))
 	})
-	f.add(wire.EventEndpointTable, func(record []byte) {
-		endpoints := make([]byte, 2*wire.EndpointSize)
-		first := endpoints[:wire.EndpointSize]
+	f.add(simwire.EventEndpointTable, func(record []byte) {
+		endpoints := make([]byte, 2*simwire.EndpointSize)
+		first := endpoints[:simwire.EndpointSize]
 		first[4] = 10
 		first[21] = byte(scheduler.Ready)
-		second := endpoints[wire.EndpointSize:]
+		second := endpoints[simwire.EndpointSize:]
 		second[0] = 1
 		second[4] = 11
 		second[21] = byte(scheduler.Ready)
 		f.refer(record[2:], endpoints, 2)
 	})
-	f.add(wire.EventEndpoints, func(record []byte) { record[1] = byte(scheduler.UpdateCached) })
+	f.add(simwire.EventEndpoints, func(record []byte) { record[1] = byte(scheduler.UpdateCached) })
 }
 
 // query adds a query with an id and its two parts, whose ids follow it.
 func (f *frame) query(instance uint32, id uint64, deadlineMs float64) {
 	f.selectInstance(instance)
 	for i, shard := range []float32{-1, 0, 1} {
-		f.add(wire.EventRequest, func(record []byte) {
+		f.add(simwire.EventRequest, func(record []byte) {
 			binary.LittleEndian.PutUint64(record[1:], id+uint64(i))
 			binary.LittleEndian.PutUint64(record[23:], math.Float64bits(deadlineMs))
 			binary.LittleEndian.PutUint32(record[39:], math.Float32bits(float32(id)))
@@ -93,7 +93,7 @@
 
 // succeed ends the first attempt of a part.
 func (f *frame) succeed(part uint64) {
-	f.add(wire.EventAttemptEnded, func(record []byte) {
+	f.add(simwire.EventAttemptEnded, func(record []byte) {
 		binary.LittleEndian.PutUint64(record[1:], part)
 		binary.LittleEndian.PutUint16(record[15:], 200)
 	})
@@ -114,7 +114,7 @@
 				f.query(id, uint64(id)*1000+uint64(number)*3, nowMs+1000)
 			}
 			f.selectInstance(id)
-			f.add(wire.EventTimer, nil)
+			f.add(simwire.EventTimer, nil)
 		}
 		input = append(input, f.bytes(number, nowMs)...)
 	}
@@ -133,23 +133,23 @@
 		size := binary.LittleEndian.Uint32(replies[8:])
 		instance := uint32(0)
 		for i := range count {
-			record := replies[wire.ReplyHeaderSize+i*wire.ActionSize:][:wire.ActionSize]
-			if wire.ActionCode(record[0]) == wire.ActionInstance {
+			record := replies[simwire.ReplyHeaderSize+i*simwire.ActionSize:][:simwire.ActionSize]
+			if simwire.ActionCode(record[0]) == simwire.ActionInstance {
 				instance = binary.LittleEndian.Uint32(record[1:])
 			} else {
 				actions[instance] = append(actions[instance], string(record))
 			}
 		}
-		replies = replies[wire.ReplyHeaderSize+size:]
+		replies = replies[simwire.ReplyHeaderSize+size:]
 	}
 	return actions
 }
 
 // countActions counts the records with a code.
-func countActions(records []string, code wire.ActionCode) int {
+func countActions(records []string, code simwire.ActionCode) int {
 	count := 0
 	for _, record := range records {
-		if wire.ActionCode(record[0]) == code {
+		if simwire.ActionCode(record[0]) == code {
 			count++
 		}
 	}
--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -4,14 +4,14 @@
 	"fmt"
 
 	"ternstage/internal/decision/scheduler"
-	"ternstage/internal/wire"
+	"ternstage/internal/transport/simwire"
 )
 
 // host holds the instances of this process. They share the tables of endpoints, which they only read, and the reply.
 type host struct {
 	instances map[uint32]*instance
 	endpoints map[uint8][]scheduler.Endpoint // by the number of their table
-	reply     wire.Reply
+	reply     simwire.Reply
 	active    []*instance // with events in this batch, in the order of their first
 }
 
@@ -20,16 +20,16 @@
 }
 
 // play passes the events of a batch to the schedulers and adds their actions to the reply.
-func (h *host) play(batch *wire.Batch) error {
+func (h *host) play(batch *simwire.Batch) error {
 	h.active = h.active[:0]
 	var current *instance
 	for i := range batch.Len() {
 		record := batch.Record(i)
 		switch record.Code() {
-		case wire.EventInstance:
+		case simwire.EventInstance:
 			current = h.instance(record.Instance())
 			continue
-		case wire.EventEndpointTable:
+		case simwire.EventEndpointTable:
 			table, endpoints, err := record.EndpointTable()
 			if err != nil {
 				return err
@@ -57,17 +57,18 @@
 }
 
 // playEvent starts, ends or informs an instance. Events for one without a scheduler are ignored.
-func (h *host) playEvent(target *instance, batch *wire.Batch, record wire.Record) error {
+func (h *host) playEvent(target *instance, batch *simwire.Batch, record simwire.Record) error {
 	switch record.Code() {
-	case wire.EventCreate:
+	case simwire.EventCreate:
 		if err := target.create(record); err != nil {
 			return err
 		}
-	case wire.EventTeardown:
+	case simwire.EventTeardown:
 		target.tearDown()
 		return nil
-	case wire.EventAnswerBegun, wire.EventProbeEnded, wire.EventMessage, wire.EventTimer, wire.EventAttemptEnded,
-		wire.EventEndpoints, wire.EventRequest, wire.EventClientDisconnected:
+	case simwire.EventAnswerBegun, simwire.EventProbeEnded, simwire.EventMessage, simwire.EventTimer,
+		simwire.EventAttemptEnded,
+		simwire.EventEndpoints, simwire.EventRequest, simwire.EventClientDisconnected:
 	default:
 		return frameError(batch, "event code %d is unknown", record.Code())
 	}
@@ -83,10 +84,10 @@
 
 // inform passes an event to an instance's scheduler. It has no use for the beginning of an answer, for probes and for
 // messages, as it asks for none of them.
-func (h *host) inform(target *instance, nowMs float64, record wire.Record) error {
+func (h *host) inform(target *instance, nowMs float64, record simwire.Record) error {
 	decider := target.scheduler
 	switch record.Code() {
-	case wire.EventEndpoints:
+	case simwire.EventEndpoints:
 		update, err := record.EndpointUpdate()
 		if err != nil {
 			return err
@@ -96,22 +97,22 @@
 			endpoints = h.endpoints[update.Table]
 		}
 		target.guard(func() { decider.EndpointsChanged(nowMs, update.Kind, endpoints) })
-	case wire.EventRequest:
+	case simwire.EventRequest:
 		request := record.Request()
 		if request.IsQuery() {
 			target.guard(func() { decider.QueryArrived(nowMs, request.Query()) })
 		} else {
 			target.guard(func() { decider.PartArrived(nowMs, request.Part()) })
 		}
-	case wire.EventAttemptEnded:
+	case simwire.EventAttemptEnded:
 		result, err := record.AttemptResult()
 		if err != nil {
 			return err
 		}
 		target.guard(func() { decider.AttemptEnded(nowMs, result) })
-	case wire.EventClientDisconnected:
+	case simwire.EventClientDisconnected:
 		target.guard(func() { decider.ClientDisconnected(nowMs, record.DisconnectedQuery()) })
-	case wire.EventTimer:
+	case simwire.EventTimer:
 		target.guard(func() { decider.TimerFired(nowMs) })
 	}
 	return nil
@@ -128,6 +129,6 @@
 	}
 }
 
-func frameError(batch *wire.Batch, format string, values ...any) error {
-	return &wire.FrameError{Number: batch.Number, Err: fmt.Errorf(format, values...)}
+func frameError(batch *simwire.Batch, format string, values ...any) error {
+	return &simwire.FrameError{Number: batch.Number, Err: fmt.Errorf(format, values...)}
 }
--- a/cmd/simadapter/host_test.go
+++ b/cmd/simadapter/host_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"ternstage/internal/wire"
+	"ternstage/internal/transport/simwire"
 )
 
 func TestInstancesDecideIndependently(t *testing.T) {
@@ -21,8 +21,8 @@
 func TestEventsWithoutASchedulerAreIgnored(t *testing.T) {
 	var f frame
 	f.selectInstance(1)
-	f.add(wire.EventTimer, nil)
-	f.add(wire.EventEndpoints, func(record []byte) { record[1] = 9 }) // a form that is unknown
+	f.add(simwire.EventTimer, nil)
+	f.add(simwire.EventEndpoints, func(record []byte) { record[1] = 9 }) // a form that is unknown
 	assert.Empty(t, play(t, f.bytes(1, 1000)))
 }
 
@@ -34,9 +34,9 @@
 	second.succeed(11) // both parts are answered: the query would be, too
 	second.succeed(12)
 	with := play(t, append(first.bytes(1, 1000), second.bytes(2, 1010)...))[1]
-	second.add(wire.EventTeardown, nil)
+	second.add(simwire.EventTeardown, nil)
 	second.create(1)
 	without := play(t, append(first.bytes(1, 1000), second.bytes(2, 1010)...))[1]
-	assert.Equal(t, 1, countActions(with, wire.ActionAnswer), "without a teardown")
-	assert.Zero(t, countActions(without, wire.ActionAnswer), "with a teardown")
+	assert.Equal(t, 1, countActions(with, simwire.ActionAnswer), "without a teardown")
+	assert.Zero(t, countActions(without, simwire.ActionAnswer), "with a teardown")
 }
--- a/cmd/simadapter/instance.go
+++ b/cmd/simadapter/instance.go
@@ -4,7 +4,7 @@
 	"fmt"
 
 	"ternstage/internal/decision/scheduler"
-	"ternstage/internal/wire"
+	"ternstage/internal/transport/simwire"
 )
 
 // instance is one broker of the simulation. It implements scheduler.Actions.
@@ -13,12 +13,12 @@
 type instance struct {
 	id        uint32
 	scheduler *scheduler.Scheduler // nil before EventCreate, and after EventTeardown or a panic
-	actions   []func(*wire.Reply)
+	actions   []func(*simwire.Reply)
 	active    bool // in host.active
 }
 
 // create starts the instance anew.
-func (in *instance) create(record wire.Record) error {
+func (in *instance) create(record simwire.Record) error {
 	in.actions = in.actions[:0]
 	seed, settings, err := record.Creation()
 	if err != nil {
@@ -41,7 +41,7 @@
 func (in *instance) guard(call func()) {
 	defer func() {
 		if failure := recover(); failure != nil {
-			in.add(func(reply *wire.Reply) { reply.Fault(fmt.Sprint(failure)) })
+			in.add(func(reply *simwire.Reply) { reply.Fault(fmt.Sprint(failure)) })
 			in.scheduler = nil
 		}
 	}()
@@ -50,10 +50,10 @@
 	}
 }
 
-func (in *instance) add(action func(*wire.Reply)) { in.actions = append(in.actions, action) }
+func (in *instance) add(action func(*simwire.Reply)) { in.actions = append(in.actions, action) }
 
 // flush moves the actions of the batch to the reply.
-func (in *instance) flush(reply *wire.Reply) {
+func (in *instance) flush(reply *simwire.Reply) {
 	if len(in.actions) > 0 {
 		reply.SelectInstance(in.id)
 	}
@@ -65,44 +65,44 @@
 
 // Send implements scheduler.Actions.
 func (in *instance) Send(part uint64, replica uint32, timeoutMs float64) {
-	in.add(func(reply *wire.Reply) { reply.Send(part, timeoutMs, replica) })
+	in.add(func(reply *simwire.Reply) { reply.Send(part, timeoutMs, replica) })
 }
 
 // Cancel implements scheduler.Actions.
 func (in *instance) Cancel(part uint64, attempt int) {
-	in.add(func(reply *wire.Reply) { reply.Cancel(part, uint16(attempt)) })
+	in.add(func(reply *simwire.Reply) { reply.Cancel(part, uint16(attempt)) })
 }
 
 // CloseIdleConnections implements scheduler.Actions.
 func (in *instance) CloseIdleConnections(replica uint32) {
-	in.add(func(reply *wire.Reply) { reply.CloseIdleConnections(replica) })
+	in.add(func(reply *simwire.Reply) { reply.CloseIdleConnections(replica) })
 }
 
 // Answer implements scheduler.Actions.
 func (in *instance) Answer(query uint64, complete bool) {
-	in.add(func(reply *wire.Reply) { reply.Answer(query, complete) })
+	in.add(func(reply *simwire.Reply) { reply.Answer(query, complete) })
 }
 
 // Reject implements scheduler.Actions.
 func (in *instance) Reject(query uint64, retryAfterMs float64) {
-	in.add(func(reply *wire.Reply) { reply.Reject(query, retryAfterMs) })
+	in.add(func(reply *simwire.Reply) { reply.Reject(query, retryAfterMs) })
 }
 
 // Fail implements scheduler.Actions.
 func (in *instance) Fail(query uint64) {
-	in.add(func(reply *wire.Reply) { reply.Fail(query) })
+	in.add(func(reply *simwire.Reply) { reply.Fail(query) })
 }
 
 // SetTimer implements scheduler.Actions. The timer's reference is not used: the scheduler tells by the time whether the
 // timer that it waits for has fired.
 func (in *instance) SetTimer(afterMs float64) {
-	in.add(func(reply *wire.Reply) { reply.SetTimer(afterMs, 0) })
+	in.add(func(reply *simwire.Reply) { reply.SetTimer(afterMs, 0) })
 }
 
 // WatchEndpoints implements scheduler.Actions.
-func (in *instance) WatchEndpoints() { in.add((*wire.Reply).WatchEndpoints) }
+func (in *instance) WatchEndpoints() { in.add((*simwire.Reply).WatchEndpoints) }
 
 // Log implements scheduler.Actions.
 func (in *instance) Log(text string) {
-	in.add(func(reply *wire.Reply) { reply.Log(text) })
+	in.add(func(reply *simwire.Reply) { reply.Log(text) })
 }
--- a/cmd/simadapter/instance_test.go
+++ b/cmd/simadapter/instance_test.go
@@ -8,13 +8,13 @@
 	"github.com/stretchr/testify/require"
 
 	"ternstage/internal/decision/scheduler"
-	"ternstage/internal/wire"
+	"ternstage/internal/transport/simwire"
 )
 
 // newInstance returns an instance with a scheduler.
 func newInstance(t *testing.T) *instance {
 	t.Helper()
-	settings, err := wire.ParseSettings([]byte(settingsText))
+	settings, err := simwire.ParseSettings([]byte(settingsText))
 	require.NoError(t, err)
 	in := &instance{id: 4}
 	in.scheduler, err = scheduler.New(settings, 1, in)
@@ -28,7 +28,7 @@
 	assert.Nil(t, in.scheduler)
 	in.guard(func() { t.Error("a call after the panic") })
 
-	var reply wire.Reply
+	var reply simwire.Reply
 	reply.Reset(1)
 	for _, action := range in.actions {
 		action(&reply)
@@ -36,7 +36,7 @@
 	var out bytes.Buffer
 	_, err := reply.WriteTo(&out)
 	require.NoError(t, err)
-	assert.Equal(t, byte(wire.ActionFault), out.Bytes()[wire.ReplyHeaderSize])
+	assert.Equal(t, byte(simwire.ActionFault), out.Bytes()[simwire.ReplyHeaderSize])
 	assert.True(t, bytes.HasSuffix(out.Bytes(), []byte("index out of range")), "%q", out.String())
 }
 
@@ -52,7 +52,7 @@
 	in.SetTimer(9)
 	in.WatchEndpoints()
 	in.Log("text")
-	var got, want wire.Reply
+	var got, want simwire.Reply
 	in.flush(&got)
 	assert.Empty(t, in.actions)
 	want.SelectInstance(4)
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -7,7 +7,7 @@
 	"io"
 	"os"
 
-	"ternstage/internal/wire"
+	"ternstage/internal/transport/simwire"
 )
 
 // bufferSize is the size in bytes of the buffers of the input and the output.
@@ -26,7 +26,7 @@
 	writer := bufio.NewWriterSize(out, bufferSize)
 	h := newHost()
 	for {
-		batch, err := wire.ReadBatch(reader)
+		batch, err := simwire.ReadBatch(reader)
 		if batch == nil && errors.Is(err, io.EOF) {
 			return nil
 		}
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -6,16 +6,16 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"ternstage/internal/wire"
+	"ternstage/internal/transport/simwire"
 )
 
 func TestMalformedInputEndsWithOneLine(t *testing.T) {
 	var unnamed, unknown, settings frame
-	unnamed.add(wire.EventTimer, nil)
+	unnamed.add(simwire.EventTimer, nil)
 	unknown.selectInstance(1)
 	unknown.add(99, nil)
 	settings.selectInstance(1)
-	settings.add(wire.EventCreate, func(record []byte) { settings.refer(record[9:], []byte("{]"), 2) })
+	settings.add(simwire.EventCreate, func(record []byte) { settings.refer(record[9:], []byte("{]"), 2) })
 	for _, c := range []struct {
 		name  string
 		input []byte
--- a/cmd/ternstage/admin.go
+++ b/cmd/ternstage/admin.go
@@ -12,8 +12,8 @@
 
 	"github.com/spf13/cobra"
 
-	"ternstage/internal/ops/adminclient"
-	"ternstage/internal/ops/maintenance"
+	"ternstage/internal/control/adminclient"
+	"ternstage/internal/decision/maintenance"
 )
 
 // Exit codes of the admin commands. Several calls exit with the highest of theirs.
--- a/cmd/ternstage/admin_suspended.go
+++ b/cmd/ternstage/admin_suspended.go
@@ -10,8 +10,8 @@
 
 	"github.com/spf13/cobra"
 
-	"ternstage/internal/ops/control"
-	"ternstage/internal/ops/maintenance"
+	"ternstage/internal/control/adminops"
+	"ternstage/internal/decision/maintenance"
 )
 
 // storedState is what the processes of a broker have stored. Its JSON is what the command prints.
@@ -56,7 +56,7 @@
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return storedState{}, fmt.Errorf("%s: %w", path, err)
 	}
-	path = control.DrainPath(path)
+	path = adminops.DrainPath(path)
 	text, err = os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return state, nil
--- a/cmd/ternstage/admin_suspended_test.go
+++ b/cmd/ternstage/admin_suspended_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"ternstage/internal/ops/control"
-	"ternstage/internal/ops/maintenance"
+	"ternstage/internal/control/adminops"
+	"ternstage/internal/decision/maintenance"
 )
 
 // storedDir returns a directory with the files of a broker; nil stands for no file.
@@ -17,7 +17,7 @@
 	t.Helper()
 	dir := t.TempDir()
 	path := filepath.Join(dir, suspensionsFile)
-	for name, text := range map[string][]byte{path: suspensions, control.DrainPath(path): drain} {
+	for name, text := range map[string][]byte{path: suspensions, adminops.DrainPath(path): drain} {
 		if text != nil {
 			require.NoError(t, os.WriteFile(name, text, 0o600))
 		}
--- a/cmd/ternstage/broker.go
+++ b/cmd/ternstage/broker.go
@@ -5,18 +5,18 @@
 	"path/filepath"
 	"time"
 
-	"ternstage/internal/backends"
-	"ternstage/internal/clients"
 	"ternstage/internal/config"
+	"ternstage/internal/control/adminapi"
+	"ternstage/internal/control/adminops"
 	"ternstage/internal/core"
-	"ternstage/internal/discovery"
-	"ternstage/internal/flight"
+	"ternstage/internal/decision/endpointpoll"
+	"ternstage/internal/decision/shardmap"
 	"ternstage/internal/logs"
-	"ternstage/internal/loop"
-	"ternstage/internal/membership"
-	"ternstage/internal/ops/adminapi"
-	"ternstage/internal/ops/control"
-	"ternstage/internal/slicemap"
+	"ternstage/internal/transport/backendpool"
+	"ternstage/internal/transport/discovery"
+	"ternstage/internal/transport/flight"
+	"ternstage/internal/transport/httpfront"
+	"ternstage/internal/transport/loop"
 )
 
 // Files in $TMPDIR, which the processes of one broker share. Earlier versions use the same names.
@@ -36,14 +36,14 @@
 
 	loop        *loop.Loop
 	endpoints   *discovery.Registry
-	shardMap    *slicemap.Map // nil where placement is fixed
+	shardMap    *shardmap.Map // nil where placement is fixed
 	core        *core.Core
 	limits      connectionLimits
-	front       *clients.Server
+	front       *httpfront.Server
 	flightFront *flight.Front // nil where it is switched off
 	backend     backend
 	watcher     *discovery.Watcher
-	control     *control.Control // nil where there is no admin API
+	control     *adminops.Control // nil where there is no admin API
 
 	closers []func() // see onClose
 }
@@ -134,7 +134,7 @@
 
 // listenClients opens the HTTP front.
 func (b *broker) listenClients() error {
-	front, err := clients.NewServer(b.loop, b.core, b.config.Contracts, b.log, b.config.Listen, clients.Options{
+	front, err := httpfront.NewServer(b.loop, b.core, b.config.Contracts, b.log, b.config.Listen, httpfront.Options{
 		MaxConnections:   b.limits.clients,
 		MaxBufferedBytes: maxClientBytes(b.config),
 		Pages:            b.pages(),
@@ -163,7 +163,7 @@
 		}, b.endpoints.Address)
 		return
 	}
-	b.backend = backends.NewPool(b.loop, b.core, b.log, backends.Options{
+	b.backend = backendpool.NewPool(b.loop, b.core, b.log, backendpool.Options{
 		MaxPartsPerCall:      b.config.Scheduler.MaxPartsPerCall,
 		StreamsPerConnection: b.config.StreamsPerConnection,
 		DialTimeout:          b.config.DialTimeoutMs,
@@ -177,7 +177,7 @@
 // newEndpointList makes the watch of the endpoint list, which followEndpointList starts, and completes the core.
 func (b *broker) newEndpointList() {
 	settings := b.config.Scheduler
-	poller := membership.NewPoller(membership.Options{
+	poller := endpointpoll.NewPoller(endpointpoll.Options{
 		Pushed:      !settings.PollEndpoints,
 		DrainGrace:  settings.DrainGrace,
 		BrokerIndex: settings.BrokerIndex,
@@ -195,7 +195,7 @@
 		return nil
 	}
 	path := filepath.Join(os.TempDir(), suspensionsFile)
-	b.control = control.New(b.loop, b.log, path, b.endpoints, b.core, b.front)
+	b.control = adminops.New(b.loop, b.log, path, b.endpoints, b.core, b.front)
 	b.endpoints.SetSuspender(b.control.Suspensions())
 	if b.inheritsListener() {
 		b.control.EnableHandover(b.handoverConfig())
@@ -212,8 +212,8 @@
 // inheritsListener tells whether the platform keeps the clients' listener: another process then takes over.
 func (b *broker) inheritsListener() bool { return b.config.InheritedFD > 0 }
 
-func (b *broker) handoverConfig() control.HandoverConfig {
-	return control.HandoverConfig{
+func (b *broker) handoverConfig() adminops.HandoverConfig {
+	return adminops.HandoverConfig{
 		Path:          filepath.Join(os.TempDir(), handoverFile),
 		WindowMs:      b.config.Scheduler.SlowStart.Window,
 		StartedUnixMs: unixMs(b.startedAt),
--- a/cmd/ternstage/features.go
+++ b/cmd/ternstage/features.go
@@ -3,8 +3,8 @@
 import (
 	"os"
 
-	"ternstage/internal/flight"
 	"ternstage/internal/operator"
+	"ternstage/internal/transport/flight"
 )
 
 // envOperator names the operator's file where the flag --operator does not.
--- a/cmd/ternstage/features_test.go
+++ b/cmd/ternstage/features_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"ternstage/internal/flight"
+	"ternstage/internal/transport/flight"
 )
 
 // writeFile writes a file of the test and returns its path.
--- a/cmd/ternstage/flight.go
+++ b/cmd/ternstage/flight.go
@@ -5,8 +5,8 @@
 	"io/fs"
 	"os"
 
-	"ternstage/internal/flight"
 	"ternstage/internal/operator"
+	"ternstage/internal/transport/flight"
 )
 
 const (
--- a/cmd/ternstage/flight_test.go
+++ b/cmd/ternstage/flight_test.go
@@ -5,8 +5,8 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"ternstage/internal/flight"
 	"ternstage/internal/operator"
+	"ternstage/internal/transport/flight"
 )
 
 func TestFlightConfig(t *testing.T) {
--- a/cmd/ternstage/limits.go
+++ b/cmd/ternstage/limits.go
@@ -9,8 +9,8 @@
 	"golang.org/x/sys/unix"
 
 	"ternstage/internal/config"
+	"ternstage/internal/control/adminapi"
 	"ternstage/internal/logs"
-	"ternstage/internal/ops/adminapi"
 )
 
 const (
--- a/cmd/ternstage/serve.go
+++ b/cmd/ternstage/serve.go
@@ -10,8 +10,8 @@
 	"golang.org/x/sys/unix"
 
 	"ternstage/internal/config"
+	"ternstage/internal/control/reload"
 	"ternstage/internal/logs"
-	"ternstage/internal/reload"
 )
 
 // serve runs the broker until SIGTERM or SIGINT has ended it.
--- a/cmd/ternstage/sharding.go
+++ b/cmd/ternstage/sharding.go
@@ -3,11 +3,11 @@
 import (
 	"encoding/json"
 
-	"ternstage/internal/catalog"
 	"ternstage/internal/core"
+	"ternstage/internal/decision/shardmap"
 	"ternstage/internal/logs"
 	"ternstage/internal/operator"
-	"ternstage/internal/slicemap"
+	"ternstage/internal/transport/shardcatalog"
 )
 
 const (
@@ -26,7 +26,7 @@
 	if sharding == nil {
 		return
 	}
-	b.shardMap = slicemap.New(slicemap.Options{
+	b.shardMap = shardmap.New(shardmap.Options{
 		MaxShards:     sharding.MaxShards,
 		MaxVersions:   sharding.MaxVersions,
 		MaxRetired:    sharding.MaxRetired,
@@ -42,7 +42,7 @@
 		return
 	}
 	sharding := b.features.file.Sharding
-	var source slicemap.Source = catalog.NewSource(b.loop, b.core, b.log, catalog.Options{
+	var source shardmap.Source = shardcatalog.NewSource(b.loop, b.core, b.log, shardcatalog.Options{
 		Address:        sharding.Catalogue,
 		MaxAnswerBytes: sharding.MaxAnswerBytes(),
 		Poller:         sharding.PollerOptions(),
@@ -59,7 +59,7 @@
 // cacheShardMap applies the map that the last run stored and stores those that follow, until the returned function is
 // called. A file that cannot be used is logged; the catalogue then gives the first map.
 func (b *broker) cacheShardMap(sharding *operator.Sharding) (end func()) {
-	cache := catalog.NewCache(sharding.CachePath, func(err error) {
+	cache := shardcatalog.NewCache(sharding.CachePath, func(err error) {
 		b.log.Rejected(logs.ShardMapCacheFailed, "shard map not cached", err)
 	})
 	snapshot, err := cache.Load()
@@ -69,7 +69,7 @@
 	if err != nil {
 		b.log.Rejected(logs.ShardMapCacheFailed, "cached shard map not used", err)
 	}
-	b.core.OnMapChanged(func(version *slicemap.Version) {
+	b.core.OnMapChanged(func(version *shardmap.Version) {
 		cache.Save(version, b.shardMap.Retired(maxCachedRetired))
 	})
 	return cache.Close
@@ -77,9 +77,9 @@
 
 // reshardingStatus is the page about resharding, whose JSON keeps the platform's words.
 type reshardingStatus struct {
-	slicemap.Stats
+	shardmap.Stats
 	core.ReshardingStats
-	InMotion []catalog.Shard `json:"moves"` // the first maxShardsInMotion
+	InMotion []shardcatalog.Shard `json:"moves"` // the first maxShardsInMotion
 }
 
 // pages returns the paths that the clients' front serves about optional features, and what writes their JSON.
@@ -94,7 +94,7 @@
 	text, err := json.Marshal(reshardingStatus{
 		Stats:           b.shardMap.Stats(),
 		ReshardingStats: b.core.ReshardingStats(),
-		InMotion:        catalog.ShardsInMotion(b.shardMap, maxShardsInMotion),
+		InMotion:        shardcatalog.ShardsInMotion(b.shardMap, maxShardsInMotion),
 	})
 	if err != nil {
 		return []byte(`{}`)
--- a/cmd/ternstage/sharding_test.go
+++ b/cmd/ternstage/sharding_test.go
@@ -10,8 +10,8 @@
 
 	"ternstage/internal/config"
 	"ternstage/internal/core"
-	"ternstage/internal/discovery"
 	"ternstage/internal/operator"
+	"ternstage/internal/transport/discovery"
 )
 
 // shardedBroker returns a broker with a shard map, and a core that has not been attached.
--- a/cmd/ternstage/shutdown.go
+++ b/cmd/ternstage/shutdown.go
@@ -1,11 +1,11 @@
 package main
 
 import (
-	"ternstage/internal/clients"
+	"ternstage/internal/control/adminops"
 	"ternstage/internal/core"
-	"ternstage/internal/flight"
-	"ternstage/internal/loop"
-	"ternstage/internal/ops/control"
+	"ternstage/internal/transport/flight"
+	"ternstage/internal/transport/httpfront"
+	"ternstage/internal/transport/loop"
 )
 
 // Times of the graceful shutdown, in milliseconds. The platform sends SIGKILL, at the earliest, killAfterDeadlineMs
@@ -38,9 +38,9 @@
 type gracefulShutdown struct {
 	loop        *loop.Loop
 	core        *core.Core
-	front       *clients.Server
-	flightFront *flight.Front    // nil where it is switched off, and once it has stopped
-	control     *control.Control // nil where there is no admin API
+	front       *httpfront.Server
+	flightFront *flight.Front     // nil where it is switched off, and once it has stopped
+	control     *adminops.Control // nil where there is no admin API
 	pollTimer   *loop.Timer
 
 	// killDelayMs is the longest deadline of a class, as far as it puts off SIGKILL.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -7,7 +7,7 @@
 
 	"ternstage/internal/contract"
 	"ternstage/internal/decision/scheduler"
-	"ternstage/internal/discovery"
+	"ternstage/internal/transport/discovery"
 )
 
 // Defaults of what the platform may leave out.
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -7,8 +7,8 @@
 	"strconv"
 
 	"ternstage/internal/contract"
-	"ternstage/internal/discovery"
-	"ternstage/internal/wire"
+	"ternstage/internal/transport/discovery"
+	"ternstage/internal/transport/simwire"
 )
 
 // file mirrors the configuration's JSON. nil stands for a limit that is left out.
@@ -87,7 +87,7 @@
 		return settingError("settings", ErrMissing)
 	}
 	var err error
-	c.Scheduler, err = wire.ParseSettings(text)
+	c.Scheduler, err = simwire.ParseSettings(text)
 	if err != nil {
 		return err
 	}
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 
 	"ternstage/internal/contract"
-	"ternstage/internal/discovery"
+	"ternstage/internal/transport/discovery"
 )
 
 // TestEachSettingIsMapped sets one setting after the other to a value that is not its default.
--- a/internal/contract/answer_test.go
+++ b/internal/contract/answer_test.go
@@ -6,11 +6,11 @@
 	"github.com/stretchr/testify/assert"
 
 	"ternstage/internal/core"
-	"ternstage/internal/slicemap"
+	"ternstage/internal/decision/shardmap"
 )
 
 func TestEncodeAnswer(t *testing.T) {
-	buckets := slicemap.Range{Start: 4, End: 10}
+	buckets := shardmap.Range{Start: 4, End: 10}
 	for name, test := range map[string]struct {
 		answer core.Answer
 		body   string
--- a/internal/ops/adminapi/connection.go
+++ b/internal/control/adminapi/connection.go
@@ -6,9 +6,9 @@
 	"go.uber.org/zap"
 	"golang.org/x/sys/unix"
 
+	"ternstage/internal/decision/maintenance"
 	"ternstage/internal/logs"
-	"ternstage/internal/loop"
-	"ternstage/internal/ops/maintenance"
+	"ternstage/internal/transport/loop"
 )
 
 // connection is one caller. It carries one call, and leaves one line in the log: that of the call or, without a call
--- a/internal/ops/adminapi/route.go
+++ b/internal/control/adminapi/route.go
@@ -5,7 +5,7 @@
 	"strconv"
 	"strings"
 
-	"ternstage/internal/ops/maintenance"
+	"ternstage/internal/decision/maintenance"
 )
 
 // Operations carries out operators' calls. The methods are called on the event loop and must not block; each is
--- a/internal/ops/adminapi/route_test.go
+++ b/internal/control/adminapi/route_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"ternstage/internal/ops/maintenance"
+	"ternstage/internal/decision/maintenance"
 )
 
 // recorder notes the operations that are called and answers each with its name.
--- a/internal/ops/adminapi/server.go
+++ b/internal/control/adminapi/server.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 
 	"ternstage/internal/logs"
-	"ternstage/internal/loop"
+	"ternstage/internal/transport/loop"
 )
 
 const (
--- a/internal/ops/adminapi/server_test.go
+++ b/internal/control/adminapi/server_test.go
@@ -15,7 +15,7 @@
 	"golang.org/x/sys/unix"
 
 	"ternstage/internal/logs"
-	"ternstage/internal/loop"
+	"ternstage/internal/transport/loop"
 )
 
 const readyCall = "GET /v1/readyz HTTP/1.1\r\nHost: a\r\n\r\n"
--- a/internal/ops/control/control.go
+++ b/internal/control/adminops/control.go
@@ -1,12 +1,12 @@
-package control
+package adminops
 
 import (
 	"time"
 
+	"ternstage/internal/decision/maintenance"
 	"ternstage/internal/decision/scheduler"
 	"ternstage/internal/logs"
-	"ternstage/internal/loop"
-	"ternstage/internal/ops/maintenance"
+	"ternstage/internal/transport/loop"
 )
 
 // PollIntervalMs is how often the shared files are checked for changes by other processes, in milliseconds. It is
--- a/internal/ops/control/control_test.go
+++ b/internal/control/adminops/control_test.go
@@ -1,4 +1,4 @@
-package control
+package adminops
 
 import (
 	"os"
@@ -10,7 +10,7 @@
 
 	"ternstage/internal/decision/scheduler"
 	"ternstage/internal/logs"
-	"ternstage/internal/loop"
+	"ternstage/internal/transport/loop"
 )
 
 // process is one process of a broker: its control, and all that the control acts on.
--- a/internal/ops/control/doc.go
+++ b/internal/control/adminops/doc.go
@@ -1,4 +1,4 @@
-// Package control carries out the calls of the admin API on the broker's event loop.
+// Package adminops carries out the calls of the admin API on the broker's event loop.
 //
 // What a call changes is decided by package maintenance. Control stores it in files that every process of the broker
 // shares, applies what other processes have stored, and has the rest of the broker follow:
@@ -13,4 +13,4 @@
 // draining if the file is that of a drain.
 //
 // Everything here runs on the event loop; nothing is safe for concurrent use.
-package control
+package adminops
--- a/internal/ops/control/drain.go
+++ b/internal/control/adminops/drain.go
@@ -1,4 +1,4 @@
-package control
+package adminops
 
 import (
 	"errors"
@@ -8,10 +8,10 @@
 
 	"go.uber.org/zap"
 
+	"ternstage/internal/decision/maintenance"
 	"ternstage/internal/logs"
-	"ternstage/internal/loop"
-	"ternstage/internal/ops/maintenance"
 	"ternstage/internal/store/statefile"
+	"ternstage/internal/transport/loop"
 )
 
 // DrainPath returns the path of the file of a drain, beside that of the suspended backends at path.
--- a/internal/ops/control/drain_test.go
+++ b/internal/control/adminops/drain_test.go
@@ -1,4 +1,4 @@
-package control
+package adminops
 
 import (
 	"os"
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"ternstage/internal/ops/maintenance"
+	"ternstage/internal/decision/maintenance"
 )
 
 // TestDrainPhases checks that the front is put into each phase of a drain once, and that idle connections are closed
--- a/internal/ops/control/handover.go
+++ b/internal/control/adminops/handover.go
@@ -1,13 +1,13 @@
-package control
+package adminops
 
 import (
 	"os"
 
 	"go.uber.org/zap"
 
+	"ternstage/internal/decision/handover"
 	"ternstage/internal/decision/scheduler"
 	"ternstage/internal/logs"
-	"ternstage/internal/ops/handover"
 	"ternstage/internal/store/statefile"
 )
 
--- a/internal/ops/control/handover_test.go
+++ b/internal/control/adminops/handover_test.go
@@ -1,4 +1,4 @@
-package control
+package adminops
 
 import (
 	"os"
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"ternstage/internal/decision/handover"
 	"ternstage/internal/decision/scheduler"
-	"ternstage/internal/ops/handover"
 )
 
 // slowStartSender counts the calls of the scheduler.
--- a/internal/ops/control/otherprocess.go
+++ b/internal/control/adminops/otherprocess.go
@@ -1,4 +1,4 @@
-package control
+package adminops
 
 import (
 	"go.uber.org/zap"
--- a/internal/ops/control/suspensions.go
+++ b/internal/control/adminops/suspensions.go
@@ -1,4 +1,4 @@
-package control
+package adminops
 
 import (
 	"errors"
@@ -9,9 +9,9 @@
 
 	"go.uber.org/zap"
 
+	"ternstage/internal/decision/maintenance"
 	"ternstage/internal/decision/scheduler"
 	"ternstage/internal/logs"
-	"ternstage/internal/ops/maintenance"
 	"ternstage/internal/store/statefile"
 )
 
--- a/internal/ops/control/suspensions_test.go
+++ b/internal/control/adminops/suspensions_test.go
@@ -1,4 +1,4 @@
-package control
+package adminops
 
 import (
 	"fmt"
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"ternstage/internal/decision/maintenance"
 	"ternstage/internal/decision/scheduler"
-	"ternstage/internal/ops/maintenance"
 	"ternstage/internal/store/statefile"
 )
 
--- a/internal/core/answer.go
+++ b/internal/core/answer.go
@@ -3,7 +3,7 @@
 import (
 	"unicode/utf8"
 
-	"ternstage/internal/slicemap"
+	"ternstage/internal/decision/shardmap"
 )
 
 // AnswerKind is how a request ended for its client.
@@ -22,7 +22,7 @@
 // Value is what a backend gave for a part, or for some of its buckets under resharding.
 type Value struct {
 	Shard   int            // as the client named it
-	Buckets slicemap.Range // empty where placement is fixed
+	Buckets shardmap.Range // empty where placement is fixed
 	Doc     []byte         // as it came; ValidValue holds
 }
 
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -2,7 +2,7 @@
 
 import (
 	"ternstage/internal/decision/scheduler"
-	"ternstage/internal/slicemap"
+	"ternstage/internal/decision/shardmap"
 )
 
 // Attempt is one dispatch of a part to a backend. The back end reads the exported fields and may set Handle,
@@ -19,7 +19,7 @@
 	Handle         any     // the back end's own; core does not look at it
 	ConnectionOnly bool    // set before the attempt's end is reported: the fault is the connection's, not the backend's
 
-	Buckets      slicemap.Range // that are asked for; empty where placement is fixed
+	Buckets      shardmap.Range // that are asked for; empty where placement is fixed
 	Epoch        uint64         // of the shard map by which they were routed; 0 where placement is fixed
 	BackendEpoch uint64         // set before the outcome NotHolder is reported: of the backend's map; 0 if unknown
 
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -6,7 +6,7 @@
 
 	"ternstage/internal/core"
 	"ternstage/internal/decision/scheduler"
-	"ternstage/internal/wire"
+	"ternstage/internal/transport/simwire"
 )
 
 // benchFixture is a broker with fixed placement whose back end and clock are the benchmark's.
@@ -33,7 +33,7 @@
 
 func newBenchFixture(b *testing.B, shards int) *benchFixture {
 	b.Helper()
-	settings, err := wire.ParseSettings(fmt.Appendf(nil, `{"balancers":2,"me":0,"resolution_ms":5,"categories":[{
+	settings, err := simwire.ParseSettings(fmt.Appendf(nil, `{"balancers":2,"me":0,"resolution_ms":5,"categories":[{
 		"aim_ms":300,"deadline_ms":3000,"effect":"read_like","worth":1,"late_worth":0.3}],
 		"domain":{"complete_from":[1],"min_share":[1],"incomplete_worth":[0],"fetch_parts":[0],"per_call":1,"sets":12,"slices":%d,"width":3},
 		"invariants":{"drain_grace_ms":1000},"limits":{"cancel":true,"try_limit":4}}`, shards))
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -5,7 +5,7 @@
 	"math"
 
 	"ternstage/internal/decision/scheduler"
-	"ternstage/internal/slicemap"
+	"ternstage/internal/decision/shardmap"
 )
 
 // Core is the state of one broker process.
@@ -39,11 +39,11 @@
 	wakeAt       float64                 // when the scheduler's timer fires; +Inf for never
 
 	// Under resharding.
-	shardMap        *slicemap.Map // nil where placement is fixed
-	partsByShard    map[slicemap.ShardID][]*partState
+	shardMap        *shardmap.Map // nil where placement is fixed
+	partsByShard    map[shardmap.ShardID][]*partState
 	paused          []*partState // that wait for an epoch
 	onNewerMap      func(epoch uint64)
-	onMapChanged    func(*slicemap.Version)
+	onMapChanged    func(*shardmap.Version)
 	resharding      ReshardingStats
 	droppedVersions uint64 // as last logged
 	notifiedEpoch   uint64 // of the map that the scheduler knows
@@ -57,7 +57,7 @@
 
 	// ShardMap is the map of shards under resharding. It must also be the Placement of the scheduler's settings. nil,
 	// the default, where placement is fixed.
-	ShardMap *slicemap.Map
+	ShardMap *shardmap.Map
 }
 
 // New makes a core and its scheduler, with the seed of its random choices. An error tells which setting is out of its
@@ -83,7 +83,7 @@
 		wakeAt:   math.Inf(1),
 
 		shardMap:     options.ShardMap,
-		partsByShard: map[slicemap.ShardID][]*partState{},
+		partsByShard: map[shardmap.ShardID][]*partState{},
 		onNewerMap:   func(uint64) {},
 	}
 	var err error
--- a/internal/core/fixture_test.go
+++ b/internal/core/fixture_test.go
@@ -9,14 +9,14 @@
 	"github.com/stretchr/testify/require"
 
 	"ternstage/internal/decision/scheduler"
-	"ternstage/internal/slicemap"
+	"ternstage/internal/decision/shardmap"
 )
 
 // fixture is a broker under resharding whose back end, endpoint list, clock and log are the test's. Its backends are a
 // to d.
 type fixture struct {
 	t           *testing.T
-	shardMap    *slicemap.Map
+	shardMap    *shardmap.Map
 	core        *Core
 	now         float64
 	wake        float64
@@ -79,7 +79,7 @@
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	f := &fixture{t: t, now: 1e6, wake: 1e12}
-	f.shardMap = slicemap.New(slicemap.Options{
+	f.shardMap = shardmap.New(shardmap.Options{
 		MaxVersions:   8,
 		ReplicaNumber: func(backend string) (uint32, bool) { return replicaNumber(backend), true },
 	})
@@ -103,11 +103,11 @@
 		endpoints = append(endpoints, scheduler.Endpoint{Replica: replicaNumber(name), Cell: i, State: scheduler.Ready})
 	}
 	f.core.EndpointsChanged(scheduler.UpdateFull, endpoints)
-	snapshot := slicemap.Snapshot{Epoch: 1, Buckets: 80}
+	snapshot := shardmap.Snapshot{Epoch: 1, Buckets: 80}
 	for i := range 8 {
-		snapshot.Shards = append(snapshot.Shards, &slicemap.Shard{
+		snapshot.Shards = append(snapshot.Shards, &shardmap.Shard{
 			ID:       i,
-			Range:    slicemap.Range{Start: 10 * i, End: 10*i + 10},
+			Range:    shardmap.Range{Start: 10 * i, End: 10*i + 10},
 			Replicas: []string{backendNames[i%4], backendNames[(i+1)%4]},
 		})
 	}
@@ -146,26 +146,26 @@
 }
 
 // applyChange takes the next change of the map into use and runs a round.
-func (f *fixture) applyChange(change slicemap.Change) {
+func (f *fixture) applyChange(change shardmap.Change) {
 	f.t.Helper()
 	change.Base = f.core.Epoch()
 	change.Epoch = f.core.Epoch() + 1
-	require.NoError(f.t, f.core.ApplyChanges([]slicemap.Change{change}, nil))
+	require.NoError(f.t, f.core.ApplyChanges([]shardmap.Change{change}, nil))
 	f.runFor(1)
 }
 
 // splitFirstShard splits shard 0 into 8, of buckets 0 to 3, and 9.
 func (f *fixture) splitFirstShard() {
 	f.t.Helper()
-	f.applyChange(slicemap.Change{Kind: slicemap.Split, Shard: 0, At: 4, Into: []int{8, 9}})
+	f.applyChange(shardmap.Change{Kind: shardmap.Split, Shard: 0, At: 4, Into: []int{8, 9}})
 }
 
 // moveShard moves a shard to another backend, with all steps of a move.
 func (f *fixture) moveShard(id int, from, to string) {
 	f.t.Helper()
-	f.applyChange(slicemap.Change{Kind: slicemap.Move, Shard: id, From: from, To: to})
-	f.applyChange(slicemap.Change{Kind: slicemap.Handover, Shard: id})
-	f.applyChange(slicemap.Change{Kind: slicemap.Done, Shard: id})
+	f.applyChange(shardmap.Change{Kind: shardmap.Move, Shard: id, From: from, To: to})
+	f.applyChange(shardmap.Change{Kind: shardmap.Handover, Shard: id})
+	f.applyChange(shardmap.Change{Kind: shardmap.Done, Shard: id})
 }
 
 // endAttempt reports how an attempt ended and runs a round. Its value is its buckets.
@@ -215,7 +215,7 @@
 	class.CompletenessTarget = 1
 	settings := scheduler.Settings{
 		BrokerCount: 1, TimerResolution: 5, Shards: 1, Cells: 1, CellsPerShard: 1,
-		Placement: slicemap.NewRingPlacement(1, 1, 1), MaxPartsPerCall: 1, CanCancel: canCancel, MaxAttempts: 4,
+		Placement: shardmap.NewRingPlacement(1, 1, 1), MaxPartsPerCall: 1, CanCancel: canCancel, MaxAttempts: 4,
 		MaxRetryAfter: 1000, DrainGrace: drainGrace, Classes: []scheduler.Class{class},
 	}
 	var err error
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"ternstage/internal/slicemap"
+	"ternstage/internal/decision/shardmap"
 )
 
 // Part is the share of a request that one shard answers.
@@ -31,7 +31,7 @@
 	queryID       uint64 // the scheduler's id; 0 until Submit has accepted the request
 	parts         []*partState
 	clientParts   []*clientPart     // under resharding: Parts with the buckets that they mean
-	version       *slicemap.Version // under resharding: of the map by which it began, held until it ends
+	version       *shardmap.Version // under resharding: of the map by which it began, held until it ends
 	nonIdempotent bool              // by its class
 	disconnected  bool
 }
--- a/internal/core/resharding.go
+++ b/internal/core/resharding.go
@@ -4,20 +4,20 @@
 	"slices"
 
 	"ternstage/internal/decision/scheduler"
-	"ternstage/internal/slicemap"
+	"ternstage/internal/decision/shardmap"
 )
 
 // clientPart is a part as its client named it, under resharding. Its segments are the parts that are dispatched.
 type clientPart struct {
 	Part
-	coverage *slicemap.Coverage // the buckets that it asks for, and which of them have arrived
+	coverage *shardmap.Coverage // the buckets that it asks for, and which of them have arrived
 	number   int                // in the order of Request.Parts, from 1; the scheduler's atomic group
 }
 
 // segmentState is what a dispatched part is under resharding: buckets of a client's part that one shard holds. Where
 // they may go, and what of them has arrived, the shard map decides.
 type segmentState struct {
-	slicemap.Segment
+	shardmap.Segment
 	asked           *clientPart // the client's part that it belongs to
 	notHolderStreak int         // consecutive attempts that ended as NotHolder
 	resumeEpoch     uint64      // the epoch that ends its pause; 0 if it does not wait for one
@@ -26,7 +26,7 @@
 // admitSegments binds a request to the map in use and hands its segments to the scheduler.
 func (c *Core) admitSegments(now float64, request *Request) {
 	request.version = c.shardMap.Acquire()
-	var buffer [routeBuffer]slicemap.Segment
+	var buffer [routeBuffer]shardmap.Segment
 	for _, asked := range request.clientParts {
 		for _, segment := range c.shardMap.Route(buffer[:0], asked.Shard, asked.coverage.Range) {
 			part := c.addSegment(request, asked, segment)
@@ -36,7 +36,7 @@
 }
 
 // addSegment adds a segment of a client's part to a request. Weight and cost are shared out by number of buckets.
-func (c *Core) addSegment(request *Request, asked *clientPart, segment slicemap.Segment) *partState {
+func (c *Core) addSegment(request *Request, asked *clientPart, segment shardmap.Segment) *partState {
 	c.nextID++
 	ratio := float64(segment.Size()) / float64(asked.coverage.Size())
 	part := &partState{
@@ -117,17 +117,17 @@
 	if part.segment == nil || part.arrived || c.parts[part.id] != part || part.inFlight() {
 		return
 	}
-	var buffer [routeBuffer]slicemap.Segment
+	var buffer [routeBuffer]shardmap.Segment
 	segments, decision := c.shardMap.Reroute(buffer[:0], part.segment.Segment, part.request.nonIdempotent,
 		part.mayHaveRun())
-	if decision == slicemap.ReplaceSegments {
+	if decision == shardmap.ReplaceSegments {
 		c.replacePart(now, part, segments)
 	}
 }
 
 // replacePart puts parts for these segments, which are the same buckets, in the place of a part. What was attempted of
 // it counts for each of them. The part stays if the scheduler does not replace it.
-func (c *Core) replacePart(now float64, part *partState, segments []slicemap.Segment) {
+func (c *Core) replacePart(now float64, part *partState, segments []shardmap.Segment) {
 	asked := part.segment.asked
 	replacements := make([]*partState, 0, len(segments))
 	schedulerParts := make([]scheduler.Part, 0, len(segments))
--- a/internal/core/resharding_test.go
+++ b/internal/core/resharding_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 
 	"ternstage/internal/decision/scheduler"
-	"ternstage/internal/slicemap"
+	"ternstage/internal/decision/shardmap"
 )
 
 // A non-idempotent part is in flight when its shard moves: the answer of its former replica counts, nothing else is
@@ -80,8 +80,8 @@
 	broker.runFor(50)
 	require.Len(t, broker.attempts, 6)
 	halves := broker.attempts[4:]
-	require.Equal(t, []slicemap.Range{{Start: 0, End: 4}, {Start: 4, End: 10}},
-		[]slicemap.Range{halves[0].Buckets, halves[1].Buckets})
+	require.Equal(t, []shardmap.Range{{Start: 0, End: 4}, {Start: 4, End: 10}},
+		[]shardmap.Range{halves[0].Buckets, halves[1].Buckets})
 	require.EqualValues(t, 1, broker.core.ReshardingStats().Split)
 	for _, attempt := range slices.Clone(broker.inFlight) {
 		if attempt != halves[1] {
@@ -111,9 +111,9 @@
 	require.True(t, answer.Complete)
 	require.EqualValues(t, 1, answer.Epoch, "of the map by which the request began")
 	require.Equal(t, []Value{
-		{Shard: 0, Buckets: slicemap.Range{Start: 0, End: 4}, Doc: []byte("0-4")},
-		{Shard: 0, Buckets: slicemap.Range{Start: 4, End: 10}, Doc: []byte("4-10")},
-		{Shard: 1, Buckets: slicemap.Range{Start: 10, End: 20}, Doc: []byte("10-20")},
+		{Shard: 0, Buckets: shardmap.Range{Start: 0, End: 4}, Doc: []byte("0-4")},
+		{Shard: 0, Buckets: shardmap.Range{Start: 4, End: 10}, Doc: []byte("4-10")},
+		{Shard: 1, Buckets: shardmap.Range{Start: 10, End: 20}, Doc: []byte("10-20")},
 	}, answer.Values)
 	require.Equal(t, 1, broker.shardMap.Stats().RetainedVersions, "its version of the map is released")
 	require.Empty(t, broker.core.partsByShard)
@@ -126,13 +126,13 @@
 	broker.splitFirstShard()
 	client := broker.submit(idempotentClass, 2, 8, 9)
 	require.Len(t, broker.inFlight, 2)
-	broker.applyChange(slicemap.Change{Kind: slicemap.Merge, Shard: 8, Other: 9, Into: []int{10}})
+	broker.applyChange(shardmap.Change{Kind: shardmap.Merge, Shard: 8, Other: 9, Into: []int{10}})
 	former := slices.Clone(broker.inFlight)
 	broker.endAttempt(former[0], scheduler.Failed)
 	broker.runFor(50)
 	retry := broker.attempts[2]
 	require.Equal(t, 10, retry.Shard)
-	require.Equal(t, slicemap.Range{Start: 0, End: 4}, retry.Buckets)
+	require.Equal(t, shardmap.Range{Start: 0, End: 4}, retry.Buckets)
 	broker.endAttempt(former[1], scheduler.Succeeded) // a replica of the retired shard answers after the merge
 	broker.endAttempt(retry, scheduler.Succeeded)
 	answer := broker.finalAnswer(client)
--- a/internal/core/resolve.go
+++ b/internal/core/resolve.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"slices"
 
-	"ternstage/internal/slicemap"
+	"ternstage/internal/decision/shardmap"
 )
 
 // behindRetryAfterMs is when a client may retry whose shard map is newer than this broker's, or that came before the
@@ -18,7 +18,7 @@
 // StaleEpochError is returned by Core.Submit if a shard that the client named is unknown, as its map is too old.
 type StaleEpochError struct {
 	Epoch uint64 // of the map in use
-	Err   error  // of slicemap.Map.Resolve
+	Err   error  // of shardmap.Map.Resolve
 }
 
 // Error goes to clients in bodies.
@@ -40,7 +40,7 @@
 		return 0, nil
 	}
 	request.clientParts = make([]*clientPart, 0, len(request.Parts))
-	var buffer [routeBuffer]slicemap.Segment
+	var buffer [routeBuffer]shardmap.Segment
 	for i, p := range request.Parts {
 		buckets, err := c.shardMap.Resolve(p.Shard)
 		if err != nil && behind {
@@ -54,7 +54,7 @@
 		segments := c.shardMap.Route(buffer[:0], p.Shard, buckets)
 		segmentCount += len(segments)
 		request.clientParts = append(request.clientParts,
-			&clientPart{Part: p, coverage: slicemap.NewCoverage(buckets, segments), number: i + 1})
+			&clientPart{Part: p, coverage: shardmap.NewCoverage(buckets, segments), number: i + 1})
 	}
 	return segmentCount, checkDisjoint(request.clientParts)
 }
@@ -62,11 +62,11 @@
 // checkDisjoint refuses parts that share buckets, as names of shards from different epochs may: those would count
 // twice.
 func checkDisjoint(parts []*clientPart) error {
-	ranges := make([]slicemap.Range, 0, len(parts))
+	ranges := make([]shardmap.Range, 0, len(parts))
 	for _, p := range parts {
 		ranges = append(ranges, p.coverage.Range)
 	}
-	slices.SortFunc(ranges, func(x, y slicemap.Range) int { return cmp.Compare(x.Start, y.Start) })
+	slices.SortFunc(ranges, func(x, y shardmap.Range) int { return cmp.Compare(x.Start, y.Start) })
 	for i := 1; i < len(ranges); i++ {
 		if ranges[i].Start < ranges[i-1].End {
 			return fmt.Errorf("%w: districts %v and %v are asked twice", ErrInvalidRequest, ranges[i-1], ranges[i])
--- a/internal/core/resolve_test.go
+++ b/internal/core/resolve_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 
 	"ternstage/internal/decision/scheduler"
-	"ternstage/internal/slicemap"
+	"ternstage/internal/decision/shardmap"
 )
 
 // Shards that the client named at an older epoch are translated; those that cannot be are refused with the epoch in
@@ -40,7 +40,7 @@
 
 func TestRejectsBeforeTheFirstMap(t *testing.T) {
 	broker := newFixture(t)
-	shardMap := slicemap.New(slicemap.Options{})
+	shardMap := shardmap.New(shardmap.Options{})
 	settings := scheduler.Settings{
 		BrokerCount: 1, TimerResolution: 5, Shards: 8, Cells: 4, CellsPerShard: 2, Placement: shardMap,
 		MaxRetryAfter: 1000,
--- a/internal/core/shardmap.go
+++ b/internal/core/shardmap.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"slices"
 
-	"ternstage/internal/slicemap"
+	"ternstage/internal/decision/shardmap"
 )
 
 // ReshardingStats counts what became of parts that a change of the shard map affected, since the start.
@@ -26,24 +26,24 @@
 func (c *Core) OnNewerMap(notify func(epoch uint64)) { c.onNewerMap = notify }
 
 // OnMapChanged sets the function that is called after a map has been taken into use. The default is none.
-func (c *Core) OnMapChanged(notify func(*slicemap.Version)) { c.onMapChanged = notify }
+func (c *Core) OnMapChanged(notify func(*shardmap.Version)) { c.onMapChanged = notify }
 
 // ApplySnapshot takes a whole map into use. On an error the one in use stays.
-func (c *Core) ApplySnapshot(snapshot slicemap.Snapshot) error {
+func (c *Core) ApplySnapshot(snapshot shardmap.Snapshot) error {
 	retired, err := c.shardMap.Reset(snapshot)
 	return c.mapApplied(retired, err)
 }
 
 // ApplyChanges takes changes of the map into use, all or, on an error, none. backends are the names of those that may
 // hold shards; none for any.
-func (c *Core) ApplyChanges(changes []slicemap.Change, backends []string) error {
+func (c *Core) ApplyChanges(changes []shardmap.Change, backends []string) error {
 	retired, err := c.shardMap.Apply(changes, backends)
 	return c.mapApplied(retired, err)
 }
 
 // mapApplied ends ApplySnapshot and ApplyChanges: it carries out the change if the epoch in use has changed, and
 // returns the map's error.
-func (c *Core) mapApplied(retired []slicemap.ShardID, err error) error {
+func (c *Core) mapApplied(retired []shardmap.ShardID, err error) error {
 	if err != nil {
 		return err
 	}
@@ -61,7 +61,7 @@
 
 // applyMapChange reroutes the parts of retired shards, resumes the parts that wait for the epoch in use, and asks for a
 // round that decides on them.
-func (c *Core) applyMapChange(retired []slicemap.ShardID) {
+func (c *Core) applyMapChange(retired []shardmap.ShardID) {
 	now := c.clock.Now()
 	c.scheduler.PlacementChanged()
 	for _, id := range retired {
--- a/internal/core/shardmap_test.go
+++ b/internal/core/shardmap_test.go
@@ -6,24 +6,24 @@
 	"github.com/stretchr/testify/require"
 
 	"ternstage/internal/decision/scheduler"
-	"ternstage/internal/slicemap"
+	"ternstage/internal/decision/shardmap"
 )
 
 // manyChanges are 200 changes in a row from the map in use: the shard of bucket 0 is split and merged over and over,
 // and moves begin and are aborted. lastShard is the shard that holds bucket 0 at the end.
-func (f *fixture) manyChanges() (changes []slicemap.Change, lastShard int) {
+func (f *fixture) manyChanges() (changes []shardmap.Change, lastShard int) {
 	epoch := f.core.Epoch()
 	first := 0 // the shard of bucket 0
 	for next := 8; next < 8+3*25; next += 3 {
-		for _, change := range []slicemap.Change{
-			{Kind: slicemap.Split, Shard: first, At: 3, Into: []int{next, next + 1}},
-			{Kind: slicemap.Move, Shard: next, From: "a", To: "d"},
-			{Kind: slicemap.Handover, Shard: next},
-			{Kind: slicemap.Abort, Shard: next},
-			{Kind: slicemap.Merge, Shard: next, Other: next + 1, Into: []int{next + 2}},
-			{Kind: slicemap.Move, Shard: 1, From: "b", To: "d"},
-			{Kind: slicemap.Handover, Shard: 1},
-			{Kind: slicemap.Abort, Shard: 1},
+		for _, change := range []shardmap.Change{
+			{Kind: shardmap.Split, Shard: first, At: 3, Into: []int{next, next + 1}},
+			{Kind: shardmap.Move, Shard: next, From: "a", To: "d"},
+			{Kind: shardmap.Handover, Shard: next},
+			{Kind: shardmap.Abort, Shard: next},
+			{Kind: shardmap.Merge, Shard: next, Other: next + 1, Into: []int{next + 2}},
+			{Kind: shardmap.Move, Shard: 1, From: "b", To: "d"},
+			{Kind: shardmap.Handover, Shard: 1},
+			{Kind: shardmap.Abort, Shard: 1},
 		} {
 			change.Base = epoch
 			change.Epoch = epoch + 1
@@ -42,8 +42,8 @@
 	changes, lastShard := broker.manyChanges()
 	require.Len(t, changes, 200)
 	require.NoError(t, broker.core.ApplyChanges(changes, nil))
-	gap := slicemap.Change{Base: 7, Epoch: changes[199].Epoch + 9, Kind: slicemap.Handover}
-	require.Error(t, broker.core.ApplyChanges([]slicemap.Change{gap}, nil))
+	gap := shardmap.Change{Base: 7, Epoch: changes[199].Epoch + 9, Kind: shardmap.Handover}
+	require.Error(t, broker.core.ApplyChanges([]shardmap.Change{gap}, nil))
 	broker.endAttempt(broker.inFlight[0], scheduler.Failed)
 	broker.runFor(50)
 	broker.succeedAll()
@@ -60,7 +60,7 @@
 	var clients []*recorder
 	for i := range 12 {
 		clients = append(clients, broker.submit(idempotentClass, 0, i%8))
-		broker.applyChange(slicemap.Change{Kind: slicemap.Assign, Shard: 7, Replicas: []string{backendNames[i%4]}})
+		broker.applyChange(shardmap.Change{Kind: shardmap.Assign, Shard: 7, Replicas: []string{backendNames[i%4]}})
 	}
 	require.Equal(t, 8, broker.shardMap.Stats().RetainedVersions)
 	require.Contains(t, broker.lines, "shard map: 1 versions dropped at the limit, 5 since the start")
--- a/internal/membership/doc.go
+++ b/internal/decision/endpointpoll/doc.go
@@ -1,4 +1,4 @@
-// Package membership decides when a broker polls its endpoint list and what a response, or its absence, means.
+// Package endpointpoll decides when a broker polls its endpoint list and what a response, or its absence, means.
 //
 // It is a state machine without I/O and without a clock. Every time is a float64 in ms on one monotonic clock that
 // the caller passes in, and no method blocks. A Poller is not safe for concurrent use.
@@ -15,7 +15,7 @@
 //
 // # Usage
 //
-//	poller := membership.NewPoller(options)
+//	poller := endpointpoll.NewPoller(options)
 //	poller.SetCached(revision, endpointCount) // the list from the configuration
 //	for {
 //		call := poller.BeginCall(now)
@@ -26,4 +26,4 @@
 //	}
 //
 // AddressChanged precedes BeginCall after the caller has abandoned a call to connect elsewhere.
-package membership
+package endpointpoll
--- a/internal/membership/poller.go
+++ b/internal/decision/endpointpoll/poller.go
@@ -1,4 +1,4 @@
-package membership
+package endpointpoll
 
 // Poller tracks one broker's calls for its endpoint list.
 //
--- a/internal/membership/poller_test.go
+++ b/internal/decision/endpointpoll/poller_test.go
@@ -1,4 +1,4 @@
-package membership
+package endpointpoll
 
 import (
 	"testing"
--- a/internal/membership/timing.go
+++ b/internal/decision/endpointpoll/timing.go
@@ -1,4 +1,4 @@
-package membership
+package endpointpoll
 
 // The scheduler stops sending to a draining backend half a drain grace after it was notified. The other half covers
 // reading a pushed list: one period, one timeout of an unresponsive call, and the time that the response takes.
--- a/internal/ops/handover/golden_test.go
+++ b/internal/decision/handover/golden_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"ternstage/internal/decision/handover"
 	"ternstage/internal/decision/scheduler"
-	"ternstage/internal/ops/handover"
 )
 
 // The files of testdata/golden were written by the code of commit aa8ad37 and stand in $TMPDIR of programs that
--- a/internal/ops/maintenance/golden_test.go
+++ b/internal/decision/maintenance/golden_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"ternstage/internal/ops/maintenance"
+	"ternstage/internal/decision/maintenance"
 )
 
 // The files of testdata/golden were written by the code of commit aa8ad37 and stand in $TMPDIR of programs that
--- a/internal/decision/scheduler/example_test.go
+++ b/internal/decision/scheduler/example_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 
 	"ternstage/internal/decision/scheduler"
-	"ternstage/internal/slicemap"
+	"ternstage/internal/decision/shardmap"
 )
 
 // printActions carries out actions by printing them, and notes which replicas parts were sent to.
@@ -42,7 +42,7 @@
 		Shards:          2,
 		Cells:           2,
 		CellsPerShard:   2,
-		Placement:       slicemap.NewRingPlacement(2, 2, 2),
+		Placement:       shardmap.NewRingPlacement(2, 2, 2),
 		AllowHedging:    true,
 		MaxAttempts:     3,
 		MaxRetryAfter:   1000,
--- a/internal/decision/scheduler/fleet_model_test.go
+++ b/internal/decision/scheduler/fleet_model_test.go
@@ -6,7 +6,7 @@
 	"slices"
 	"testing"
 
-	"ternstage/internal/slicemap"
+	"ternstage/internal/decision/shardmap"
 )
 
 // The models of this file step many brokers together on virtual time. They show what is harmless in one broker and
@@ -62,7 +62,7 @@
 		settings.BrokerIndex = i % assumedBrokers
 		settings.PollEndpoints = true
 		settings.MaxStaleness = 10000
-		settings.Placement = slicemap.NewRingPlacement(settings.Shards, settings.Cells, settings.CellsPerShard)
+		settings.Placement = shardmap.NewRingPlacement(settings.Shards, settings.Cells, settings.CellsPerShard)
 		actions := &discardActions{}
 		broker, err := New(settings, uint64(i)*7919+11, actions)
 		if err != nil {
@@ -195,7 +195,7 @@
 		DrainGrace:      1000,
 		SlowStart:       SlowStartSettings{InitialCapacity: 0.21, Duration: 18000, WorkMultiple: 2.5, Window: 1500},
 	}}
-	f.settings.Placement = slicemap.NewRingPlacement(f.settings.Shards, f.settings.Cells, f.settings.CellsPerShard)
+	f.settings.Placement = shardmap.NewRingPlacement(f.settings.Shards, f.settings.Cells, f.settings.CellsPerShard)
 	for range f.settings.Cells {
 		f.replicas = append(f.replicas, &modelReplica{})
 	}
--- a/internal/decision/scheduler/harness_test.go
+++ b/internal/decision/scheduler/harness_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"ternstage/internal/slicemap"
+	"ternstage/internal/decision/shardmap"
 )
 
 // The final answers of queries, as testQuery.end records them.
@@ -140,7 +140,7 @@
 		rejected:          map[uint64]float64{},
 	}
 	if settings.Placement == nil {
-		settings.Placement = slicemap.NewRingPlacement(settings.Shards, settings.Cells, settings.CellsPerShard)
+		settings.Placement = shardmap.NewRingPlacement(settings.Shards, settings.Cells, settings.CellsPerShard)
 	}
 	scheduler, err := New(settings, 7, h)
 	if err != nil {
--- a/internal/decision/scheduler/scheduler_bench_test.go
+++ b/internal/decision/scheduler/scheduler_bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"ternstage/internal/decision/scheduler"
-	"ternstage/internal/slicemap"
+	"ternstage/internal/decision/shardmap"
 )
 
 const (
@@ -62,7 +62,7 @@
 		Shards:          benchShards,
 		Cells:           benchCells,
 		CellsPerShard:   benchCellsPerShard,
-		Placement:       slicemap.NewRingPlacement(benchShards, benchCells, benchCellsPerShard),
+		Placement:       shardmap.NewRingPlacement(benchShards, benchCells, benchCellsPerShard),
 		MaxPartsPerCall: 4,
 		CanCancel:       true,
 		AllowHedging:    true,
--- a/internal/decision/scheduler/settings_test.go
+++ b/internal/decision/scheduler/settings_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"ternstage/internal/slicemap"
+	"ternstage/internal/decision/shardmap"
 )
 
 // TestSettingsOutOfRangeAreNamedInError guarantees that New rejects contradictory settings and says which they are.
@@ -21,7 +21,7 @@
 	} {
 		settings := testSettings()
 		change(&settings)
-		settings.Placement = slicemap.NewRingPlacement(settings.Shards, settings.Cells, settings.CellsPerShard)
+		settings.Placement = shardmap.NewRingPlacement(settings.Shards, settings.Cells, settings.CellsPerShard)
 		_, err := New(settings, 1, &harness{})
 		if err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: error %v", name, err)
@@ -43,7 +43,7 @@
 	} {
 		settings := testSettings()
 		change(&settings)
-		settings.Placement = slicemap.NewRingPlacement(settings.Shards, settings.Cells, settings.CellsPerShard)
+		settings.Placement = shardmap.NewRingPlacement(settings.Shards, settings.Cells, settings.CellsPerShard)
 		_, err := New(settings, 1, newHarness(t, testSettings()))
 		if err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: error %v", name, err)
@@ -55,7 +55,7 @@
 // an error of their own.
 func TestSettingErrorNamesSetting(t *testing.T) {
 	settings := testSettings()
-	settings.Placement = slicemap.NewRingPlacement(settings.Shards, settings.Cells, settings.CellsPerShard)
+	settings.Placement = shardmap.NewRingPlacement(settings.Shards, settings.Cells, settings.CellsPerShard)
 	settings.TenantRates = []float64{1, -1}
 	_, err := New(settings, 1, nil)
 	assert.ErrorIs(t, err, ErrNoActions)
--- a/internal/slicemap/change.go
+++ b/internal/decision/shardmap/change.go
@@ -1,4 +1,4 @@
-package slicemap
+package shardmap
 
 // Kind is what a change does.
 type Kind uint8
--- a/internal/slicemap/doc.go
+++ b/internal/decision/shardmap/doc.go
@@ -1,4 +1,4 @@
-// Package slicemap is the shard map: which replicas hold which buckets, while shards are split, merged and moved. It
+// Package shardmap is the shard map: which replicas hold which buckets, while shards are split, merged and moved. It
 // takes every decision about the map and is a state machine without I/O or a clock; times are ms that callers pass.
 //
 // # Model
@@ -13,7 +13,7 @@
 // Make a Map with New and feed it what the source of the map delivers: Map.Reset takes a Snapshot, Map.Apply a batch of
 // changes. Both validate, and reject an invalid update as a whole with a *ValidationError.
 //
-//	m := slicemap.New(slicemap.Options{ReplicaNumber: registry.ReplicaNumber})
+//	m := shardmap.New(shardmap.Options{ReplicaNumber: registry.ReplicaNumber})
 //	retired, err := m.Reset(snapshot)
 //	retired, err = m.Apply(changes, backends)
 //
@@ -32,4 +32,4 @@
 // goroutine at a time.
 //
 // docs/design/moving-shards.md has the alternatives that were considered, and measurements.
-package slicemap
+package shardmap
--- a/internal/slicemap/errors_test.go
+++ b/internal/decision/shardmap/errors_test.go
@@ -1,4 +1,4 @@
-package slicemap
+package shardmap
 
 import (
 	"testing"
--- a/internal/slicemap/handover_pacer.go
+++ b/internal/decision/shardmap/handover_pacer.go
@@ -1,4 +1,4 @@
-package slicemap
+package shardmap
 
 // HandoverPacer decides when a shard may be handed over to a backend, so that a backend that is warming up is not
 // given more than it can serve. It has no clock; times are ms.
--- a/internal/slicemap/lineage.go
+++ b/internal/decision/shardmap/lineage.go
@@ -1,4 +1,4 @@
-package slicemap
+package shardmap
 
 // RetiredShard is a shard that was split or merged.
 type RetiredShard struct {
--- a/internal/slicemap/not_holder.go
+++ b/internal/decision/shardmap/not_holder.go
@@ -1,4 +1,4 @@
-package slicemap
+package shardmap
 
 // The delays before a segment is sent again, once every replica of its shard has replied not-holder.
 const (
--- a/internal/slicemap/options.go
+++ b/internal/decision/shardmap/options.go
@@ -1,4 +1,4 @@
-package slicemap
+package shardmap
 
 // The bounds of a Map where its Options give none.
 const (
--- a/internal/slicemap/poll_request.go
+++ b/internal/decision/shardmap/poll_request.go
@@ -1,4 +1,4 @@
-package slicemap
+package shardmap
 
 // PollRequest is a call that is to be made to the source of the shard map.
 type PollRequest struct {
--- a/internal/slicemap/poller_options.go
+++ b/internal/decision/shardmap/poller_options.go
@@ -1,4 +1,4 @@
-package slicemap
+package shardmap
 
 // PollerOptions configure a Poller. There are no defaults for single fields: start from DefaultPollerOptions.
 type PollerOptions struct {
--- a/internal/slicemap/reroute.go
+++ b/internal/decision/shardmap/reroute.go
@@ -1,4 +1,4 @@
-package slicemap
+package shardmap
 
 // RerouteDecision is what may be done with a segment that has not been answered and of which no attempt is in flight.
 type RerouteDecision uint8
--- a/internal/slicemap/ring_placement.go
+++ b/internal/decision/shardmap/ring_placement.go
@@ -1,4 +1,4 @@
-package slicemap
+package shardmap
 
 // RingPlacement is the placement of a deployment whose shards never move: with reach r, shard s is held by the cells
 // (s+j) mod cells for 0 <= j < r. Shards that begin at the same cell form a group, numbered as that cell.
--- a/internal/slicemap/routing.go
+++ b/internal/decision/shardmap/routing.go
@@ -1,4 +1,4 @@
-package slicemap
+package shardmap
 
 // Segment is the buckets of a part that one shard holds; one call asks for one segment.
 type Segment struct {
--- a/internal/slicemap/snapshot.go
+++ b/internal/decision/shardmap/snapshot.go
@@ -1,4 +1,4 @@
-package slicemap
+package shardmap
 
 // Snapshot is a complete shard map at one epoch, as a Source delivers it.
 type Snapshot struct {
--- a/internal/slicemap/source.go
+++ b/internal/decision/shardmap/source.go
@@ -1,4 +1,4 @@
-package slicemap
+package shardmap
 
 // Source delivers snapshots and changes of the shard map from somewhere outside. All its methods are called on the
 // event loop, and it delivers there.
--- a/internal/slicemap/split_mix.go
+++ b/internal/decision/shardmap/split_mix.go
@@ -1,4 +1,4 @@
-package slicemap
+package shardmap
 
 // splitMix64 is the SplitMix64 generator of Steele, Lea and Flood: the same seed gives the same numbers.
 type splitMix64 struct{ state uint64 }
--- a/internal/slicemap/stats.go
+++ b/internal/decision/shardmap/stats.go
@@ -1,4 +1,4 @@
-package slicemap
+package shardmap
 
 // Stats describe a Map and count what has happened to it since it was made. The JSON names are those of the status
 // page.
--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -8,8 +8,8 @@
 	"sort"
 	"strings"
 
+	"ternstage/internal/decision/shardmap"
 	"ternstage/internal/lab/model"
-	"ternstage/internal/slicemap"
 )
 
 // Counts are the rules, and what happened to those who asked.
@@ -59,13 +59,13 @@
 type Part struct {
 	Shard     int
 	Weight    float64
-	Districts slicemap.Range // that the name stands for, for ever
+	Districts shardmap.Range // that the name stands for, for ever
 }
 
 // Hit is a value of an answer.
 type Hit struct {
 	Shard     int
-	Districts slicemap.Range
+	Districts shardmap.Range
 	Doc       string
 }
 
@@ -83,8 +83,8 @@
 	Notes []string // the first breaches, in words
 
 	asks map[string]*Ask
-	ran  map[string][]slicemap.Range  // of queries that must not run twice
-	out  map[string][]*slicemap.Range // at nodes: of attempts that are out
+	ran  map[string][]shardmap.Range  // of queries that must not run twice
+	out  map[string][]*shardmap.Range // at nodes: of attempts that are out
 
 	// Later, if set, is asked to look once more in a moment at what seems to be out twice: live, the word
 	// that one attempt is given up and the next attempt come over two connections, and threads read them.
@@ -99,8 +99,8 @@
 
 // New makes a checker.
 func New() *Checker {
-	return &Checker{asks: map[string]*Ask{}, ran: map[string][]slicemap.Range{},
-		out:  map[string][]*slicemap.Range{},
+	return &Checker{asks: map[string]*Ask{}, ran: map[string][]shardmap.Range{},
+		out:  map[string][]*shardmap.Range{},
 		told: map[[2]string]float64{}}
 }
 
@@ -211,7 +211,7 @@
 func (c *Checker) Forget(id string) { delete(c.ran, id) }
 
 // Came notes that an attempt has reached a node: another of the same districts must not be out.
-func (c *Checker) Came(id string, r slicemap.Range) {
+func (c *Checker) Came(id string, r shardmap.Range) {
 	twice := 0
 	for _, o := range c.out[id] {
 		if !o.Overlaps(r) {
@@ -242,7 +242,7 @@
 }
 
 // Gone notes that an attempt is out no more: answered, given up, or its connection has ended.
-func (c *Checker) Gone(id string, r slicemap.Range) {
+func (c *Checker) Gone(id string, r shardmap.Range) {
 	list := c.out[id]
 	for i, o := range list {
 		if *o == r {
@@ -259,7 +259,7 @@
 
 // Ran notes that a node has begun a part. holds tells whether it held the districts at its epoch, by the
 // truth.
-func (c *Checker) Ran(node, id string, r slicemap.Range, once, holds bool) {
+func (c *Checker) Ran(node, id string, r shardmap.Range, once, holds bool) {
 	if !holds {
 		c.breach(&c.Overlaps, "%s executed %s %v, which another held", node, id, r)
 	}
--- a/internal/lab/exp/exp.go
+++ b/internal/lab/exp/exp.go
@@ -9,9 +9,9 @@
 
 	"ternstage/api"
 	"ternstage/internal/decision/scheduler"
+	"ternstage/internal/decision/shardmap"
 	"ternstage/internal/jsonnetfile"
 	"ternstage/internal/lab/model"
-	"ternstage/internal/slicemap"
 )
 
 // Span is a range from which figures are drawn evenly.
@@ -266,10 +266,10 @@
 func NodeID(i int) string { return fmt.Sprintf("node-%d", i) }
 
 // Map is the map at the start: slices in a row, each on Reach nodes of a ring.
-func (e *Experiment) Map() slicemap.Snapshot {
-	w := slicemap.Snapshot{Epoch: 1, Buckets: e.Slices * e.Districts}
+func (e *Experiment) Map() shardmap.Snapshot {
+	w := shardmap.Snapshot{Epoch: 1, Buckets: e.Slices * e.Districts}
 	for i := range e.Slices {
-		s := &slicemap.Shard{ID: i, Range: slicemap.Range{Start: i * e.Districts, End: (i + 1) * e.Districts}}
+		s := &shardmap.Shard{ID: i, Range: shardmap.Range{Start: i * e.Districts, End: (i + 1) * e.Districts}}
 		for j := range e.Reach {
 			s.Replicas = append(s.Replicas, NodeID((i+j)%e.Nodes))
 		}
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -8,7 +8,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"ternstage/internal/slicemap"
+	"ternstage/internal/decision/shardmap"
 )
 
 // Options are a node's figures. Times are ms.
@@ -57,7 +57,7 @@
 	Query     string
 	Class     int
 	Once      bool // it must not run twice
-	Districts slicemap.Range
+	Districts shardmap.Range
 	Epoch     uint64 // by which it was routed; 0: the sender knows of no epochs, and nothing is fenced
 	Work      float64
 	Unfenced  bool // for tests of the checkers: it is executed by whoever gets it
@@ -69,7 +69,7 @@
 }
 
 // Value is what a node answers for districts of a query: a checker can tell whose it is, and of what.
-func Value(query string, r slicemap.Range) string { return fmt.Sprintf("%s@%v", query, r) }
+func Value(query string, r shardmap.Range) string { return fmt.Sprintf("%s@%v", query, r) }
 
 // Node is one process of a rate node.
 type Node struct {
@@ -80,7 +80,7 @@
 
 	o       Options
 	rnd     *rand.Rand
-	view    *slicemap.Version
+	view    *shardmap.Version
 	queue   []*Job
 	running []*Job
 	sent    []load // in the window of falling over
@@ -91,12 +91,12 @@
 type load struct{ at, work float64 }
 
 // New makes a node that knows the map in this version.
-func New(id string, o Options, view *slicemap.Version, seed uint64) *Node {
+func New(id string, o Options, view *shardmap.Version, seed uint64) *Node {
 	return &Node{ID: id, o: o, view: view, rnd: rand.New(rand.NewPCG(seed, 0))}
 }
 
 // Learn gives the node news of the map. What is older than what it knows says nothing.
-func (n *Node) Learn(v *slicemap.Version) {
+func (n *Node) Learn(v *shardmap.Version) {
 	if n.view == nil || v.Epoch > n.view.Epoch {
 		n.view = v
 	}
@@ -111,7 +111,7 @@
 }
 
 // holds tells whether it may execute districts by the map it knows.
-func (n *Node) holds(r slicemap.Range) bool {
+func (n *Node) holds(r shardmap.Range) bool {
 	for at := r.Start; at < r.End; {
 		s := n.view.ShardAt(at)
 		if s == nil || !s.Executes(n.ID) {
@@ -234,6 +234,6 @@
 }
 
 // Restart starts the process anew, cold.
-func (n *Node) Restart(now float64, view *slicemap.Version) {
+func (n *Node) Restart(now float64, view *shardmap.Version) {
 	n.Started, n.Trouble, n.Fallen, n.view, n.sent, n.sum = now, Sound, false, view, nil, 0
 }
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"ternstage/internal/slicemap"
+	"ternstage/internal/decision/shardmap"
 )
 
 // CI must say the same every time; -rapid.seed=0 on the command line draws new histories.
@@ -16,11 +16,11 @@
 
 var options = Options{Cores: 2, Room: 4, ColdFrom: 0.2, Warm: 10_000, FallMultiple: 2.5, FallFor: 1500}
 
-func first(t require.TestingT) *slicemap.Map {
-	m := slicemap.New(slicemap.Options{})
-	w := slicemap.Snapshot{Epoch: 1, Buckets: 40}
+func first(t require.TestingT) *shardmap.Map {
+	m := shardmap.New(shardmap.Options{})
+	w := shardmap.Snapshot{Epoch: 1, Buckets: 40}
 	for i := range 4 {
-		w.Shards = append(w.Shards, &slicemap.Shard{ID: i, Range: slicemap.Range{Start: 10 * i, End: 10*i + 10},
+		w.Shards = append(w.Shards, &shardmap.Shard{ID: i, Range: shardmap.Range{Start: 10 * i, End: 10*i + 10},
 			Replicas: []string{"a", "b"}})
 	}
 	_, err := m.Reset(w)
@@ -28,25 +28,25 @@
 	return m
 }
 
-func change(t require.TestingT, m *slicemap.Map, c slicemap.Change) {
+func change(t require.TestingT, m *shardmap.Map, c shardmap.Change) {
 	c.Base, c.Epoch = m.Current().Epoch, m.Current().Epoch+1
-	_, err := m.Apply([]slicemap.Change{c}, nil)
+	_, err := m.Apply([]shardmap.Change{c}, nil)
 	require.NoError(t, err)
 }
 
 // At each step of a handover exactly one of its two sides executes, whatever each of them has heard by then.
 func TestOneSideExecutesAtEachEpoch(t *testing.T) {
 	m := first(t)
-	views := []*slicemap.Version{m.Current()}
-	for _, k := range []slicemap.Kind{slicemap.Move, slicemap.Handover, slicemap.Done} {
-		change(t, m, slicemap.Change{Kind: k, Shard: 1, From: "a", To: "c"})
+	views := []*shardmap.Version{m.Current()}
+	for _, k := range []shardmap.Kind{shardmap.Move, shardmap.Handover, shardmap.Done} {
+		change(t, m, shardmap.Change{Kind: k, Shard: 1, From: "a", To: "c"})
 		views = append(views, m.Current())
 	}
 	for _, v := range views {
 		ran := 0
 		for _, id := range []string{"a", "c"} {
 			n := New(id, options, v, 1)
-			j := &Job{Query: "q", Districts: slicemap.Range{Start: 10, End: 20}, Epoch: v.Epoch, Work: 10}
+			j := &Job{Query: "q", Districts: shardmap.Range{Start: 10, End: 20}, Epoch: v.Epoch, Work: 10}
 			if end, done := n.Arrive(5, j); end == None && done > 0 {
 				ran++
 			} else {
@@ -57,7 +57,7 @@
 	}
 	// A part routed by news that the node has not heard is not its to run, whoever it thinks it is.
 	n := New("a", options, views[0], 1)
-	end, _ := n.Arrive(5, &Job{Districts: slicemap.Range{Start: 10, End: 20}, Epoch: 3, Work: 10})
+	end, _ := n.Arrive(5, &Job{Districts: shardmap.Range{Start: 10, End: 20}, Epoch: 3, Work: 10})
 	require.Equal(t, Moved, end)
 }
 
@@ -67,12 +67,12 @@
 	n := New("a", options, m.Current(), 1)
 	var jobs []*Job
 	for i := range 4 {
-		j := &Job{Query: fmt.Sprint(i), Districts: slicemap.Range{Start: 0, End: 10}, Epoch: 1, Work: 10}
+		j := &Job{Query: fmt.Sprint(i), Districts: shardmap.Range{Start: 0, End: 10}, Epoch: 1, Work: 10}
 		_, _ = n.Arrive(float64(i), j)
 		jobs = append(jobs, j)
 	}
-	change(t, m, slicemap.Change{Kind: slicemap.Move, Shard: 0, From: "a", To: "c"})
-	change(t, m, slicemap.Change{Kind: slicemap.Handover, Shard: 0})
+	change(t, m, shardmap.Change{Kind: shardmap.Move, Shard: 0, From: "a", To: "c"})
+	change(t, m, shardmap.Change{Kind: shardmap.Handover, Shard: 0})
 	n.Learn(m.Current())
 	end, moved, next, _ := n.Finish(10, jobs[0])
 	require.Equal(t, OK, end, "what had begun is finished")
@@ -87,7 +87,7 @@
 		n := New("a", options, m.Current(), 1)
 		n.Started = started
 		for i := range 60 {
-			_, _ = n.Arrive(100_000+float64(i)*20, &Job{Districts: slicemap.Range{Start: 0, End: 10}, Epoch: 1, Work: 70})
+			_, _ = n.Arrive(100_000+float64(i)*20, &Job{Districts: shardmap.Range{Start: 0, End: 10}, Epoch: 1, Work: 70})
 		}
 		return n.Fallen
 	}
@@ -101,7 +101,7 @@
 // After each step the part must not have run twice. With fences off, rapid finds the history in which it does.
 func handover(t *rapid.T, fenced bool) {
 	m := first(t)
-	views := []*slicemap.Version{m.Current()}
+	views := []*shardmap.Version{m.Current()}
 	nodes := map[string]*Node{}
 	for _, id := range []string{"a", "b", "c"} {
 		nodes[id] = New(id, options, m.Current(), 1)
@@ -111,21 +111,21 @@
 	t.Repeat(map[string]func(*rapid.T){
 		"change": func(t *rapid.T) {
 			s := m.Current().ShardAt(5)
-			c := slicemap.Change{Shard: s.ID, Base: m.Current().Epoch, Epoch: m.Current().Epoch + 1}
+			c := shardmap.Change{Shard: s.ID, Base: m.Current().Epoch, Epoch: m.Current().Epoch + 1}
 			switch s.State {
-			case slicemap.Serving:
-				c.Kind, c.From = slicemap.Move, rapid.SampledFrom(s.Replicas).Draw(t, "from")
+			case shardmap.Serving:
+				c.Kind, c.From = shardmap.Move, rapid.SampledFrom(s.Replicas).Draw(t, "from")
 				for _, id := range []string{"a", "b", "c"} {
 					if !s.Executes(id) {
 						c.To = id
 					}
 				}
-			case slicemap.Preparing:
-				c.Kind = rapid.SampledFrom([]slicemap.Kind{slicemap.Handover, slicemap.Abort}).Draw(t, "kind")
+			case shardmap.Preparing:
+				c.Kind = rapid.SampledFrom([]shardmap.Kind{shardmap.Handover, shardmap.Abort}).Draw(t, "kind")
 			default:
-				c.Kind = rapid.SampledFrom([]slicemap.Kind{slicemap.Done, slicemap.Abort}).Draw(t, "kind")
+				c.Kind = rapid.SampledFrom([]shardmap.Kind{shardmap.Done, shardmap.Abort}).Draw(t, "kind")
 			}
-			_, err := m.Apply([]slicemap.Change{c}, nil)
+			_, err := m.Apply([]shardmap.Change{c}, nil)
 			require.NoError(t, err)
 			views = append(views, m.Current())
 		},
@@ -145,7 +145,7 @@
 			}
 			s := views[broker].ShardAt(5)
 			to := rapid.SampledFrom(s.Executors()).Draw(t, "to")
-			j := &Job{Districts: slicemap.Range{Start: 0, End: 10}, Epoch: s.Since, Work: 1}
+			j := &Job{Districts: shardmap.Range{Start: 0, End: 10}, Epoch: s.Since, Work: 1}
 			if !fenced {
 				j.Epoch = 0 // the node says err where it does not hold the districts, and the broker sends again
 			}
--- a/internal/lab/result/result.go
+++ b/internal/lab/result/result.go
@@ -11,9 +11,9 @@
 	"strings"
 
 	"ternstage/internal/core"
+	"ternstage/internal/decision/shardmap"
 	"ternstage/internal/lab/check"
 	"ternstage/internal/lab/exp"
-	"ternstage/internal/slicemap"
 )
 
 // Summary is one run, or the sums over several.
@@ -52,7 +52,7 @@
 }
 
 // Add adds what a broker counted.
-func (s *Summary) Add(m core.ReshardingStats, t slicemap.Stats) {
+func (s *Summary) Add(m core.ReshardingStats, t shardmap.Stats) {
 	s.Caught += int(m.InFlight)
 	s.Replaced += int(m.Replaced)
 	s.SplitParts += int(m.Split)
--- a/internal/lab/world/clients.go
+++ b/internal/lab/world/clients.go
@@ -19,7 +19,7 @@
 	"google.golang.org/grpc/status"
 
 	"ternstage/internal/core"
-	"ternstage/internal/slicemap"
+	"ternstage/internal/decision/shardmap"
 )
 
 // ending is how a call of a client ended, beside its answer.
@@ -115,7 +115,7 @@
 	out := core.Answer{Complete: b.Complete}
 	for _, x := range b.Hits {
 		out.Values = append(out.Values, core.Value{Shard: x.Shard, Doc: []byte(x.Doc),
-			Buckets: slicemap.Range{Start: x.Districts[0], End: x.Districts[1]}})
+			Buckets: shardmap.Range{Start: x.Districts[0], End: x.Districts[1]}})
 	}
 	return out, endAnswer
 }
@@ -162,7 +162,7 @@
 		for i := range int(rec.NumRows()) {
 			out.Values = append(out.Values, core.Value{Shard: int(rec.Column(0).(*array.Int32).Value(i)),
 				Doc: append([]byte(nil), rec.Column(1).(*array.Binary).Value(i)...),
-				Buckets: slicemap.Range{Start: int(rec.Column(2).(*array.Int32).Value(i)),
+				Buckets: shardmap.Range{Start: int(rec.Column(2).(*array.Int32).Value(i)),
 					End: int(rec.Column(3).(*array.Int32).Value(i))}})
 		}
 	}
--- a/internal/lab/world/fleet.go
+++ b/internal/lab/world/fleet.go
@@ -6,9 +6,9 @@
 	"slices"
 
 	"ternstage/internal/decision/scheduler"
+	"ternstage/internal/decision/shardmap"
 	"ternstage/internal/lab/exp"
 	"ternstage/internal/lab/model"
-	"ternstage/internal/slicemap"
 )
 
 const (
@@ -51,7 +51,7 @@
 // stamped is a version of the truth and when it began.
 type stamped struct {
 	at float64
-	v  *slicemap.Version
+	v  *shardmap.Version
 }
 
 // fleet is the nodes, the list of them, and the catalogue with the true map.
@@ -60,13 +60,13 @@
 	nodes   []*node
 	byName  map[string]uint32
 	news    []listNews
-	truth   *slicemap.Map
+	truth   *shardmap.Map
 	past    []stamped
-	log     []slicemap.Change
+	log     []shardmap.Change
 	waiting []func() // watches that wait for news
-	next    slicemap.ShardID
+	next    shardmap.ShardID
 	changes int
-	pace    slicemap.HandoverPacer
+	pace    shardmap.HandoverPacer
 	cut     int        // the zone that is cut off from the others, -1 for none
 	silent  []float64  // by broker: until when its agent is silent
 	heard   []float64  // by broker: when its agent last got news
@@ -77,11 +77,11 @@
 
 func newFleet(s *World, seed uint64) *fleet {
 	f := &fleet{sim: s, byName: map[string]uint32{},
-		truth: slicemap.New(slicemap.Options{MaxRetired: s.e.History}), next: s.e.Slices,
+		truth: shardmap.New(shardmap.Options{MaxRetired: s.e.History}), next: s.e.Slices,
 		rnd: rand.New(rand.NewPCG(seed, 4)), loads: rand.New(rand.NewPCG(seed, 5)),
 		cut: -1, silent: make([]float64, s.e.Brokers),
 		apart: make([]float64, s.e.Brokers), heard: make([]float64, s.e.Brokers),
-		pace: slicemap.HandoverPacer{MaxConcurrent: 2, InitialCapacity: s.e.Node.ColdFrom, WarmupMs: s.e.Node.Warm}}
+		pace: shardmap.HandoverPacer{MaxConcurrent: 2, InitialCapacity: s.e.Node.ColdFrom, WarmupMs: s.e.Node.Warm}}
 	if _, err := f.truth.Reset(s.e.Map()); err != nil {
 		panic(err) // the experiment's own first map
 	}
@@ -121,7 +121,7 @@
 }
 
 // seen is the map as it could be read from the catalogue at a time: while that is down, as it was before.
-func (f *fleet) seen(at float64) *slicemap.Version {
+func (f *fleet) seen(at float64) *shardmap.Version {
 	for _, o := range f.sim.e.News.Outages {
 		if past := at - origin; past >= o.At && past < o.At+o.For {
 			at = origin + o.At
@@ -135,11 +135,11 @@
 }
 
 // apply makes a change of the truth and tells those who are to know. It tells whether the change can be.
-func (f *fleet) apply(c slicemap.Change) bool {
+func (f *fleet) apply(c shardmap.Change) bool {
 	s := f.sim
 	cur := f.truth.Current()
 	c.Base, c.Epoch = cur.Epoch, cur.Epoch+1
-	if _, err := f.truth.Apply([]slicemap.Change{c}, nil); err != nil {
+	if _, err := f.truth.Apply([]shardmap.Change{c}, nil); err != nil {
 		return false
 	}
 	f.changes++
@@ -168,16 +168,16 @@
 
 // told is what the catalogue answers: a whole map, or changes.
 type told struct {
-	v       *slicemap.Version // nil for changes
-	retired []slicemap.RetiredShard
-	changes []slicemap.Change
+	v       *shardmap.Version // nil for changes
+	retired []shardmap.RetiredShard
+	changes []shardmap.Change
 	epoch   uint64
 	spoilt  bool // the broker must refuse it
 }
 
 // asked is a call to the catalogue. deliver may come twice, or never; fail tells that the call came to
 // nothing.
-func (f *fleet) asked(c slicemap.PollRequest, fail func(), deliver func(told)) {
+func (f *fleet) asked(c shardmap.PollRequest, fail func(), deliver func(told)) {
 	s := f.sim
 	if s.net.Float64() < s.e.News.Lost { // nothing ever comes
 		s.at(s.now+c.TimeoutMs, fail)
@@ -225,11 +225,11 @@
 }
 
 // answer is what the catalogue says at this moment. Now and then it is spoilt: the broker must refuse it.
-func (f *fleet) answer(c slicemap.PollRequest) told {
+func (f *fleet) answer(c shardmap.PollRequest) told {
 	s := f.sim
 	cur := f.truth.Current()
 	t := told{epoch: cur.Epoch, spoilt: s.net.Float64() < s.e.News.Spoilt}
-	i := slices.IndexFunc(f.log, func(x slicemap.Change) bool { return x.Base == c.SinceEpoch })
+	i := slices.IndexFunc(f.log, func(x shardmap.Change) bool { return x.Base == c.SinceEpoch })
 	if c.FullSnapshot || i < 0 && cur.Epoch != c.SinceEpoch {
 		t.v, t.retired = cur, f.truth.Retired(keptRetired)
 		return t
@@ -247,7 +247,7 @@
 }
 
 // whole is a whole map as it is told.
-func (t told) whole() slicemap.Snapshot {
+func (t told) whole() shardmap.Snapshot {
 	w := wholeOf(t.v, t.retired)
 	if t.spoilt {
 		w.Shards = w.Shards[1:] // a hole
@@ -256,9 +256,9 @@
 }
 
 // retiredBefore is what was retired when a version was in use, as who kept that knows it.
-func (f *fleet) retiredBefore(v *slicemap.Version) (out []slicemap.RetiredShard) {
+func (f *fleet) retiredBefore(v *shardmap.Version) (out []shardmap.RetiredShard) {
 	highest := 0
-	v.All(func(x *slicemap.Shard) bool { highest = max(highest, x.ID); return true })
+	v.All(func(x *shardmap.Shard) bool { highest = max(highest, x.ID); return true })
 	for _, r := range f.truth.Retired(keptRetired) {
 		if r.ID < highest && v.Shard(r.ID) == nil {
 			out = append(out, r)
@@ -268,10 +268,10 @@
 }
 
 // wholeOf is a version as it is told whole. Slices are copied: a map takes over what it is given.
-func wholeOf(v *slicemap.Version, retired []slicemap.RetiredShard) slicemap.Snapshot {
-	w := slicemap.Snapshot{Epoch: v.Epoch, Buckets: v.Buckets, Retired: retired,
-		Shards: make([]*slicemap.Shard, 0, v.Len())}
-	v.All(func(s *slicemap.Shard) bool {
+func wholeOf(v *shardmap.Version, retired []shardmap.RetiredShard) shardmap.Snapshot {
+	w := shardmap.Snapshot{Epoch: v.Epoch, Buckets: v.Buckets, Retired: retired,
+		Shards: make([]*shardmap.Shard, 0, v.Len())}
+	v.All(func(s *shardmap.Shard) bool {
 		x := *s
 		w.Shards = append(w.Shards, &x)
 		return true
@@ -292,15 +292,15 @@
 		at := v.ShardAt(f.rnd.IntN(v.Buckets))
 		switch x := f.rnd.Float64() * (c.Split + c.Merge + c.Move); {
 		case x < c.Split:
-			if at.Size() >= 2 && f.apply(slicemap.Change{Kind: slicemap.Split, Shard: at.ID,
-				At: at.Start + 1 + f.rnd.IntN(at.Size()-1), Into: []slicemap.ShardID{f.next, f.next + 1}}) {
+			if at.Size() >= 2 && f.apply(shardmap.Change{Kind: shardmap.Split, Shard: at.ID,
+				At: at.Start + 1 + f.rnd.IntN(at.Size()-1), Into: []shardmap.ShardID{f.next, f.next + 1}}) {
 				f.next += 2
 				return
 			}
 		case x < c.Split+c.Merge:
 			for range 50 { // neighbours with the same holders are rare
-				if o := v.ShardAt(at.End); o != nil && f.apply(slicemap.Change{Kind: slicemap.Merge, Shard: at.ID, Other: o.ID,
-					Into: []slicemap.ShardID{f.next}}) {
+				if o := v.ShardAt(at.End); o != nil && f.apply(shardmap.Change{Kind: shardmap.Merge, Shard: at.ID, Other: o.ID,
+					Into: []shardmap.ShardID{f.next}}) {
 					f.next++
 					return
 				}
@@ -315,13 +315,13 @@
 }
 
 // move begins to move a slice onto another node, at the pace that this can bear.
-func (f *fleet) move(at *slicemap.Shard) bool {
+func (f *fleet) move(at *shardmap.Shard) bool {
 	s := f.sim
 	to := f.nodes[f.rnd.IntN(len(f.nodes))]
 	from := at.Replicas[f.rnd.IntN(len(at.Replicas))]
 	holds, usual := 0, f.truth.Current().Buckets*s.e.Reach/len(f.nodes)
 	if to.Cold(s.now) {
-		f.truth.Current().All(func(x *slicemap.Shard) bool {
+		f.truth.Current().All(func(x *shardmap.Shard) bool {
 			if x.Executes(to.ID) {
 				holds += x.Size()
 			}
@@ -329,7 +329,7 @@
 		})
 	}
 	if to.state != scheduler.Ready || !f.pace.MayHandOver(s.now,
-		slicemap.HandoverTarget{StartedAtMs: to.Started, Buckets: holds, HandoversInProgress: to.taking}, at.Size(), usual) {
+		shardmap.HandoverTarget{StartedAtMs: to.Started, Buckets: holds, HandoversInProgress: to.taking}, at.Size(), usual) {
 		return false
 	}
 	abort := f.rnd.Float64() < s.e.Changes.Abort
@@ -340,25 +340,25 @@
 // moveTo moves a slice: it is copied for so many ms, then handed over, and after so many more the move is
 // done, or is aborted, early before the handover. If the destination dies before the end, it goes back to the
 // source.
-func (f *fleet) moveTo(at *slicemap.Shard, from string, to *node, copying, handing float64,
+func (f *fleet) moveTo(at *shardmap.Shard, from string, to *node, copying, handing float64,
 	abort, early bool) bool {
 	s := f.sim
-	if !f.apply(slicemap.Change{Kind: slicemap.Move, Shard: at.ID, From: from, To: to.ID}) {
+	if !f.apply(shardmap.Change{Kind: shardmap.Move, Shard: at.ID, From: from, To: to.ID}) {
 		return false
 	}
 	to.taking++
 	r, gen := at.Range, to.gen // a process that has started anew has no copy
 	s.at(s.now+copying, func() {
 		if early || to.gen != gen || to.state == scheduler.Removed {
-			f.each(r, from, to.ID, slicemap.Abort)
+			f.each(r, from, to.ID, shardmap.Abort)
 			to.taking--
 			return
 		}
-		f.each(r, from, to.ID, slicemap.Handover)
+		f.each(r, from, to.ID, shardmap.Handover)
 		s.at(s.now+handing, func() {
-			kind := slicemap.Done
+			kind := shardmap.Done
 			if abort || to.gen != gen || to.state == scheduler.Removed {
-				kind = slicemap.Abort
+				kind = shardmap.Abort
 			}
 			f.each(r, from, to.ID, kind)
 			to.taking--
@@ -369,12 +369,12 @@
 
 // each makes a change of the slices that hold districts and are being moved so: a split may have come
 // between.
-func (f *fleet) each(r slicemap.Range, from, to string, kind slicemap.Kind) {
+func (f *fleet) each(r shardmap.Range, from, to string, kind shardmap.Kind) {
 	v := f.truth.Current()
 	for at := r.Start; at < r.End; {
 		x := v.ShardAt(at)
 		if x.From == from && x.To == to {
-			f.apply(slicemap.Change{Kind: kind, Shard: x.ID})
+			f.apply(shardmap.Change{Kind: kind, Shard: x.ID})
 		}
 		at = x.End
 	}
--- a/internal/lab/world/live.go
+++ b/internal/lab/world/live.go
@@ -15,12 +15,12 @@
 	"time"
 
 	"ternstage/internal/core"
-	"ternstage/internal/discovery"
+	"ternstage/internal/decision/shardmap"
 	"ternstage/internal/lab/exp"
 	"ternstage/internal/lab/loopback"
 	"ternstage/internal/lab/relay"
 	"ternstage/internal/lab/result"
-	"ternstage/internal/slicemap"
+	"ternstage/internal/transport/discovery"
 )
 
 const (
@@ -271,7 +271,7 @@
 func (b *process) sum(*result.Summary) {}
 
 // start starts the program, as the platform would; and has the map that it kept in its file.
-func (b *process) start(*slicemap.Version) {
+func (b *process) start(*shardmap.Version) {
 	s := b.world
 	if s.stopped {
 		return
@@ -369,7 +369,7 @@
 	defer func() { _ = a.Body.Close() }()
 	text, _ := io.ReadAll(a.Body)
 	var m core.ReshardingStats
-	var t slicemap.Stats
+	var t shardmap.Stats
 	if errors.Join(json.Unmarshal(text, &m), json.Unmarshal(text, &t)) == nil {
 		r.Add(m, t)
 		r.KeptMax = max(r.KeptMax, t.MaxRetainedVersions)
--- a/internal/lab/world/servers.go
+++ b/internal/lab/world/servers.go
@@ -7,11 +7,11 @@
 	"net/http"
 	"strconv"
 
-	"ternstage/internal/catalog"
 	"ternstage/internal/decision/scheduler"
-	"ternstage/internal/discovery"
+	"ternstage/internal/decision/shardmap"
 	"ternstage/internal/lab/loopback"
-	"ternstage/internal/slicemap"
+	"ternstage/internal/transport/discovery"
+	"ternstage/internal/transport/shardcatalog"
 )
 
 const firstRevision = 41 // of the list at the start: what is news is counted on from it
@@ -159,7 +159,7 @@
 	s := c.world
 	index, err := strconv.ParseUint(r.URL.Query().Get("index"), 10, 63)
 	wait, _ := strconv.ParseFloat(r.URL.Query().Get("wait"), 64)
-	call := slicemap.PollRequest{FullSnapshot: err != nil, SinceEpoch: index, WaitMs: wait, TimeoutMs: wait + 10_000}
+	call := shardmap.PollRequest{FullSnapshot: err != nil, SinceEpoch: index, WaitMs: wait, TimeoutMs: wait + 10_000}
 	answer := make(chan *told, 4)
 	put := func(t *told) {
 		select {
@@ -183,17 +183,17 @@
 }
 
 // doc is what is told, in the catalogue's form.
-func (t told) doc() catalog.Document {
+func (t told) doc() shardcatalog.Document {
 	if t.v != nil {
-		d := catalog.FormatSnapshot(t.v, nil, t.retired)
+		d := shardcatalog.FormatSnapshot(t.v, nil, t.retired)
 		if t.spoilt {
 			d.Shards = d.Shards[1:]
 		}
 		return d
 	}
-	d := catalog.Document{Epoch: t.epoch}
+	d := shardcatalog.Document{Epoch: t.epoch}
 	for _, c := range t.changes {
-		d.Changes = append(d.Changes, catalog.FormatChange(c))
+		d.Changes = append(d.Changes, shardcatalog.FormatChange(c))
 	}
 	return d
 }
--- a/internal/lab/world/sockets.go
+++ b/internal/lab/world/sockets.go
@@ -26,9 +26,9 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
+	"ternstage/internal/decision/shardmap"
 	"ternstage/internal/lab/loopback"
 	"ternstage/internal/lab/model"
-	"ternstage/internal/slicemap"
 )
 
 var errListen = errors.New("a node cannot listen")
@@ -168,7 +168,7 @@
 }
 
 // land takes a part from a wire, on the world's goroutine.
-func (k *socket) land(id, query string, r slicemap.Range, epoch uint64,
+func (k *socket) land(id, query string, r shardmap.Range, epoch uint64,
 	reply func(model.End, uint64)) *landing {
 	n, s := k.node, k.node.sim
 	q := s.queries[query]
@@ -291,7 +291,7 @@
 }
 
 // fence reads the list of a part's line: d=240,e=17,r=120-135.
-func fence(list string) (epoch uint64, r slicemap.Range, err error) {
+func fence(list string) (epoch uint64, r shardmap.Range, err error) {
 	for _, f := range strings.Split(list, ",") {
 		name, value, _ := strings.Cut(f, "=")
 		switch name {
@@ -343,7 +343,7 @@
 		end   model.End
 		epoch uint64
 	}
-	s, n, r := f.k.node.sim, f.k.node, slicemap.Range{Start: q.Lo, End: q.Hi}
+	s, n, r := f.k.node.sim, f.k.node, shardmap.Range{Start: q.Lo, End: q.Hi}
 	query, _, _ := strings.Cut(q.ID, ".")
 	answer := make(chan ended, 1)
 	var l *landing // the world's goroutine's
--- a/internal/lab/world/virtual.go
+++ b/internal/lab/world/virtual.go
@@ -6,12 +6,12 @@
 	"slices"
 
 	"ternstage/internal/core"
+	"ternstage/internal/decision/endpointpoll"
 	"ternstage/internal/decision/scheduler"
+	"ternstage/internal/decision/shardmap"
 	"ternstage/internal/lab/exp"
 	"ternstage/internal/lab/model"
 	"ternstage/internal/lab/result"
-	"ternstage/internal/membership"
-	"ternstage/internal/slicemap"
 )
 
 // virtual is a broker in virtual time: the real core and module, and this world in place of its wires. It
@@ -23,8 +23,8 @@
 	seed   uint64
 	gen    int // of its process
 	core   *core.Core
-	m      *slicemap.Map
-	follow *slicemap.Poller
+	m      *shardmap.Map
+	follow *shardmap.Poller
 	dirty  bool
 	wake   float64
 	turn   []*sending
@@ -36,11 +36,11 @@
 	listed map[uint32]bool
 	zone   int
 
-	reader *membership.Poller // of the list, where it is pushed to an agent
-	agent  int                // news that the agent has
+	reader *endpointpoll.Poller // of the list, where it is pushed to an agent
+	agent  int                  // news that the agent has
 
 	moves core.ReshardingStats // of processes that are gone
-	stats slicemap.Stats
+	stats shardmap.Stats
 	kept  int
 }
 
@@ -65,11 +65,11 @@
 func (b *virtual) cut(bool) {}
 
 // start starts its process, with a map that it kept if there is one.
-func (b *virtual) start(cached *slicemap.Version) {
+func (b *virtual) start(cached *shardmap.Version) {
 	s := b.sim
 	s.check.Restarted(s.now, b.name)
 	b.listed = map[uint32]bool{}
-	b.m = slicemap.New(slicemap.Options{MaxRetired: s.e.History, ReplicaNumber: func(name string) (uint32, bool) {
+	b.m = shardmap.New(shardmap.Options{MaxRetired: s.e.History, ReplicaNumber: func(name string) (uint32, bool) {
 		n := s.fleet.byName[name]
 		return n, n > 0 && b.listed[n]
 	}})
@@ -81,9 +81,9 @@
 	}
 	b.core.Attach(b, b)
 	b.wake, b.seen, b.due = math.Inf(1), 0, math.Inf(1)
-	b.follow = slicemap.NewPoller(slicemap.DefaultPollerOptions, b.seed+uint64(b.gen))
+	b.follow = shardmap.NewPoller(shardmap.DefaultPollerOptions, b.seed+uint64(b.gen))
 	if s.e.Pushed {
-		b.reader = membership.NewPoller(membership.Options{Pushed: true, DrainGrace: drainGrace})
+		b.reader = endpointpoll.NewPoller(endpointpoll.Options{Pushed: true, DrainGrace: drainGrace})
 		b.read(b.gen)
 	} else {
 		b.Watch()
@@ -272,7 +272,7 @@
 		if b.core == nil || gen != b.gen {
 			return
 		}
-		n := b.reader.HandleResponse(s.now, membership.Response{Complete: c.FullList,
+		n := b.reader.HandleResponse(s.now, endpointpoll.Response{Complete: c.FullList,
 			Revision: uint64(firstRevision + b.agent), EndpointCount: len(s.fleet.nodes)})
 		if n.Apply {
 			b.bring(c.FullList)
@@ -521,8 +521,8 @@
 		Behind: a.Behind + b.Behind}
 }
 
-func addStats(a, b slicemap.Stats) slicemap.Stats {
-	return slicemap.Stats{NotHolder: a.NotHolder + b.NotHolder, SameEpoch: a.SameEpoch + b.SameEpoch,
+func addStats(a, b shardmap.Stats) shardmap.Stats {
+	return shardmap.Stats{NotHolder: a.NotHolder + b.NotHolder, SameEpoch: a.SameEpoch + b.SameEpoch,
 		Rejected: a.Rejected + b.Rejected}
 }
 
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -14,12 +14,12 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"ternstage/internal/core"
+	"ternstage/internal/decision/shardmap"
 	"ternstage/internal/lab/check"
 	"ternstage/internal/lab/exp"
 	"ternstage/internal/lab/ledger"
 	"ternstage/internal/lab/model"
 	"ternstage/internal/lab/result"
-	"ternstage/internal/slicemap"
 )
 
 const (
@@ -37,7 +37,7 @@
 	number() int
 	process() int // counts its starts
 	up() bool     // it runs and serves
-	start(cached *slicemap.Version)
+	start(cached *shardmap.Version)
 	kill()
 	take(q *query, r *core.Request) error // an error tells that it was not taken
 	told(upTo int)                        // it may know the news of the list up to there
@@ -400,7 +400,7 @@
 }
 
 // workOf is the work of districts of a query.
-func (q *query) workOf(r slicemap.Range) float64 {
+func (q *query) workOf(r shardmap.Range) float64 {
 	for i, p := range q.ask.Parts {
 		if p.Districts.Contains(r) {
 			return q.work[i] * float64(r.Size()) / float64(p.Districts.Size())
--- a/internal/lab/world/world_test.go
+++ b/internal/lab/world/world_test.go
@@ -9,10 +9,10 @@
 
 	"github.com/stretchr/testify/require"
 
+	"ternstage/internal/decision/shardmap"
 	"ternstage/internal/lab/exp"
 	"ternstage/internal/lab/model"
 	"ternstage/internal/lab/result"
-	"ternstage/internal/slicemap"
 )
 
 const reshard = "../../../experiments/reshard.jsonnet"
@@ -148,7 +148,7 @@
 			}
 			for at := 6000.0; at < 12_000; at += 10 {
 				s.at(origin+at, func() {
-					f.truth.Current().All(func(x *slicemap.Shard) bool {
+					f.truth.Current().All(func(x *shardmap.Shard) bool {
 						up := 0
 						for _, id := range x.Executors() {
 							if f.nodes[f.byName[id]-1].Trouble != model.Down {
@@ -164,7 +164,7 @@
 			require.Zero(t, r.Broken(), r.Notes)
 			require.Greater(t, r.Worth, 0.97)
 			end := f.truth.Current().Shard(3)
-			require.Equal(t, slicemap.Serving, end.State)
+			require.Equal(t, shardmap.Serving, end.State)
 			if c.moved {
 				require.Equal(t, append([]string{to.ID}, holders[1:]...), end.Replicas)
 			} else {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -2,8 +2,8 @@
 
 import (
 	"ternstage/api"
+	"ternstage/internal/decision/shardmap"
 	"ternstage/internal/jsonnetfile"
-	"ternstage/internal/slicemap"
 )
 
 const (
@@ -36,7 +36,7 @@
 }
 
 // Sharding is the section for resharding: how the shard catalogue is followed. nil stands for the default in
-// slicemap.DefaultPollerOptions.
+// shardmap.DefaultPollerOptions.
 type Sharding struct {
 	// Catalogue is the address of the shard catalogue, "HOST:PORT" with a numeric host. Required.
 	Catalogue string `json:"catalogue"`
@@ -48,13 +48,13 @@
 	MinIntervalMs *float64 `json:"rest_ms"`
 	// MaxAnswerMB bounds one answer of the catalogue, in units of 2^20 bytes; 0, the default, stands for 32.
 	MaxAnswerMB int `json:"answer_mb"`
-	// MaxShards bounds the shards of one map; 0, the default, stands for slicemap.DefaultMaxShards.
+	// MaxShards bounds the shards of one map; 0, the default, stands for shardmap.DefaultMaxShards.
 	MaxShards int `json:"most"`
 	// MaxVersions bounds the versions of the map that are retained for queries; 0, the default, stands for
-	// slicemap.DefaultMaxVersions.
+	// shardmap.DefaultMaxVersions.
 	MaxVersions int `json:"versions"`
 	// MaxRetired bounds the retired shards whose ids can be resolved; 0, the default, stands for
-	// slicemap.DefaultMaxRetired.
+	// shardmap.DefaultMaxRetired.
 	MaxRetired int `json:"history"`
 	// CachePath is a file that outlives the process and stores the last map; "", the default, for none.
 	CachePath string `json:"cache"`
@@ -74,8 +74,8 @@
 }
 
 // PollerOptions returns how the shard catalogue is polled.
-func (s *Sharding) PollerOptions() slicemap.PollerOptions {
-	options := slicemap.DefaultPollerOptions
+func (s *Sharding) PollerOptions() shardmap.PollerOptions {
+	options := shardmap.DefaultPollerOptions
 	override(&options.WatchTimeoutMs, s.WatchTimeoutMs)
 	override(&options.JitterMs, s.JitterMs)
 	override(&options.MinIntervalMs, s.MinIntervalMs)
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"ternstage/internal/slicemap"
+	"ternstage/internal/decision/shardmap"
 )
 
 // load loads an operator's file with this text.
@@ -49,7 +49,7 @@
 	sharding := file.Sharding
 	require.NotNil(t, sharding)
 	assert.Equal(t, "127.0.0.1:2", sharding.Catalogue)
-	options := slicemap.DefaultPollerOptions
+	options := shardmap.DefaultPollerOptions
 	options.WatchTimeoutMs = 100
 	options.JitterMs = 0
 	options.MinIntervalMs = 10
@@ -65,7 +65,7 @@
 	file, err := load(t, `{ slices: { catalogue: '127.0.0.1:2' } }`)
 	require.NoError(t, err)
 	assert.Nil(t, file.Flight)
-	assert.Equal(t, slicemap.DefaultPollerOptions, file.Sharding.PollerOptions())
+	assert.Equal(t, shardmap.DefaultPollerOptions, file.Sharding.PollerOptions())
 	assert.Equal(t, 32<<20, file.Sharding.MaxAnswerBytes())
 	assert.Empty(t, file.Sharding.CachePath)
 }
--- a/internal/results/complete/complete.go
+++ b/internal/results/complete/complete.go
@@ -8,8 +8,8 @@
 	"math"
 	"slices"
 
+	"ternstage/internal/decision/shardmap"
 	"ternstage/internal/results/merge"
-	"ternstage/internal/slicemap"
 )
 
 // Why tells why districts are missing.
@@ -32,7 +32,7 @@
 
 // Part is districts of a query that are in or missing together, with their share of its weight as it began.
 type Part struct {
-	Districts slicemap.Range
+	Districts shardmap.Range
 	Weight    float64
 	In        bool
 	Version   uint64 // of the data that was read; of a missing part the newest that is known of, 0 for none
@@ -43,7 +43,7 @@
 
 // Summary is what a node stated of districts at one data version, some time ago.
 type Summary struct {
-	Districts slicemap.Range
+	Districts shardmap.Range
 	Version   uint64
 	Since     uint64        // epoch of the last change of the slice that it was of
 	Count     uint64        // of rows
@@ -67,7 +67,7 @@
 	In      []Part
 	Missing []Part
 	parts   []Part
-	notes   map[slicemap.Range]*Summary
+	notes   map[shardmap.Range]*Summary
 }
 
 // slack is what sums of weights may fall short by, as the platform's rules allow.
@@ -75,7 +75,7 @@
 
 // State makes the statement of a query's parts. need is the share that makes a whole answer.
 func State(parts []Part, summaries []*Summary, need float64) *Statement {
-	s := &Statement{parts: parts, notes: map[slicemap.Range]*Summary{}}
+	s := &Statement{parts: parts, notes: map[shardmap.Range]*Summary{}}
 	for _, x := range summaries {
 		if old := s.notes[x.Districts]; old == nil || old.Version < x.Version {
 			s.notes[x.Districts] = x
--- a/internal/results/complete/complete_test.go
+++ b/internal/results/complete/complete_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
+	"ternstage/internal/decision/shardmap"
 	"ternstage/internal/results/merge"
-	"ternstage/internal/slicemap"
 )
 
 func init() { _ = flag.Set("rapid.seed", "20261201") }
@@ -52,7 +52,7 @@
 		o := order(t)
 		var all []slice
 		for i := range rapid.IntRange(1, 8).Draw(t, "slices") {
-			s := slice{part: Part{Districts: slicemap.Range{Start: i, End: i + 1}, Weight: 1, Version: 5, Since: 3,
+			s := slice{part: Part{Districts: shardmap.Range{Start: i, End: i + 1}, Weight: 1, Version: 5, Since: 3,
 				In: rapid.IntRange(0, 3).Draw(t, "missing") > 0}}
 			for range rapid.IntRange(0, 5).Draw(t, "rows") {
 				s.rows = append(s.rows, int64(rapid.IntRange(0, 9).Draw(t, "premium")))
@@ -128,8 +128,8 @@
 // The missing slice might hold the cheapest policy.
 func TestNoFalseFirstPlace(t *testing.T) {
 	o := order(t)
-	parts := []Part{{Districts: slicemap.Range{Start: 0, End: 5}, Weight: 0.7, In: true, Version: 1, Since: 1},
-		{Districts: slicemap.Range{Start: 5, End: 9}, Weight: 0.3, Version: 8, Since: 2, Why: TimedOut}}
+	parts := []Part{{Districts: shardmap.Range{Start: 0, End: 5}, Weight: 0.7, In: true, Version: 1, Since: 1},
+		{Districts: shardmap.Range{Start: 5, End: 9}, Weight: 0.3, Version: 8, Since: 2, Why: TimedOut}}
 	first := []merge.Place{{Rank: []merge.Value{merge.IntOf(10)}, District: 2, Key: "k"}}
 	note := func(f func(*Summary)) []*Summary {
 		x := &Summary{Districts: parts[1].Districts, Version: 8, Since: 2, Count: 3, Least: []merge.Value{merge.IntOf(11)}}
@@ -160,7 +160,7 @@
 	for in, want := range map[int]bool{69: false, 70: true, 71: true} {
 		var parts []Part
 		for i := range 100 {
-			parts = append(parts, Part{Districts: slicemap.Range{Start: i, End: i + 1}, Weight: 0.01, In: i < in})
+			parts = append(parts, Part{Districts: shardmap.Range{Start: i, End: i + 1}, Weight: 0.01, In: i < in})
 		}
 		require.Equal(t, want, State(parts, nil, 1).Enough(0.7, 0), in)
 		require.False(t, State(parts, nil, 1).Enough(0.7, 0.72))
@@ -174,7 +174,7 @@
 	var sums []*Summary
 	var places []merge.Place
 	for i := range 1000 {
-		r := slicemap.Range{Start: i, End: i + 1}
+		r := shardmap.Range{Start: i, End: i + 1}
 		parts = append(parts, Part{Districts: r, Weight: 0.001, In: i%10 > 0, Version: 1, Since: 1})
 		sums = append(sums, &Summary{Districts: r, Version: 1, Since: 1, Count: 1, Least: []merge.Value{merge.IntOf(900)}})
 	}
--- a/internal/results/fetch/plan.go
+++ b/internal/results/fetch/plan.go
@@ -8,7 +8,7 @@
 	"math"
 	"slices"
 
-	"ternstage/internal/slicemap"
+	"ternstage/internal/decision/shardmap"
 )
 
 // Options are what a plan goes by.
@@ -43,7 +43,7 @@
 )
 
 type part struct {
-	districts slicemap.Range
+	districts shardmap.Range
 	weight    float64
 	state     State
 	rows      int // asked for in all, from the place of the page
@@ -56,7 +56,7 @@
 // Ask is what a slice is to be asked for: so many rows in all from the page's place, of which so many are
 // here.
 type Ask struct {
-	Districts  slicemap.Range
+	Districts  shardmap.Range
 	Rows, Have int
 }
 
@@ -70,7 +70,7 @@
 }
 
 // New plans a page over these parts and gives the first asks.
-func New(now float64, o Options, districts []slicemap.Range, weights []float64) (*Plan, []Ask) {
+func New(now float64, o Options, districts []shardmap.Range, weights []float64) (*Plan, []Ask) {
 	p := &Plan{o: o}
 	first := p.first(len(districts))
 	asks := make([]Ask, 0, len(districts))
@@ -99,7 +99,7 @@
 	return max(rows, 1)
 }
 
-func (p *Plan) find(d slicemap.Range) *part {
+func (p *Plan) find(d shardmap.Range) *part {
 	if i := slices.IndexFunc(p.parts, func(x *part) bool { return x.districts == d }); i >= 0 {
 		return p.parts[i]
 	}
@@ -109,7 +109,7 @@
 // Got takes the rows of a slice, which has so many in all from the page's place by now, and perhaps more. It
 // tells whether they are wanted: what comes from a slice that was dropped is not, or it would count and not
 // be waited for.
-func (p *Plan) Got(now float64, d slicemap.Range, rows int, more bool) bool {
+func (p *Plan) Got(now float64, d shardmap.Range, rows int, more bool) bool {
 	x := p.find(d)
 	if x == nil || x.state != Out {
 		return false
@@ -123,7 +123,7 @@
 
 // Lost tells that a slice cannot be had. If it was read before, what it gave must not stand either: the rows
 // that follow are not there, and a page that went past them would skip them.
-func (p *Plan) Lost(d slicemap.Range) {
+func (p *Plan) Lost(d shardmap.Range) {
 	if x := p.find(d); x != nil && x.state != Dropped {
 		x.state = Missing
 	}
@@ -131,7 +131,7 @@
 
 // Replace puts parts in the place of one whose slice was split or merged meanwhile: none of its rows stand,
 // and all of its districts are asked for anew.
-func (p *Plan) Replace(now float64, d slicemap.Range, by []slicemap.Range) []Ask {
+func (p *Plan) Replace(now float64, d shardmap.Range, by []shardmap.Range) []Ask {
 	i := slices.IndexFunc(p.parts, func(x *part) bool { return x.districts == d })
 	if i < 0 || p.parts[i].state == Dropped {
 		return nil
@@ -151,7 +151,7 @@
 
 // More asks those that the merge named for more rows: twice as many as before. Only they can still reach the
 // page.
-func (p *Plan) More(now float64, need []slicemap.Range) (asks []Ask) {
+func (p *Plan) More(now float64, need []shardmap.Range) (asks []Ask) {
 	for _, d := range need {
 		x := p.find(d)
 		if x == nil || x.state != In || !x.more {
@@ -188,7 +188,7 @@
 type Verdict struct {
 	Done     bool             // merge what is in: nothing is waited for any more
 	Hopeless bool             // the floor cannot be reached: end it
-	Drop     []slicemap.Range // these are waited for no longer
+	Drop     []shardmap.Range // these are waited for no longer
 	At       float64          // else ask again at this time at the latest
 }
 
@@ -251,7 +251,7 @@
 	return max(lateAfter*p.took[len(p.took)/2], lateLeast)
 }
 
-func (p *Plan) drop(out []*part) (d []slicemap.Range) {
+func (p *Plan) drop(out []*part) (d []shardmap.Range) {
 	for _, x := range out {
 		x.state = Dropped
 		d = append(d, x.districts)
@@ -260,7 +260,7 @@
 }
 
 // Stands tells whether what a slice gave is part of the answer.
-func (p *Plan) Stands(d slicemap.Range) bool {
+func (p *Plan) Stands(d shardmap.Range) bool {
 	x := p.find(d)
 	return x != nil && x.state == In
 }
--- a/internal/results/fetch/plan_test.go
+++ b/internal/results/fetch/plan_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
+	"ternstage/internal/decision/shardmap"
 	"ternstage/internal/results/merge"
-	"ternstage/internal/slicemap"
 )
 
 func init() { _ = flag.Set("rapid.seed", "20261201") }
@@ -21,17 +21,17 @@
 // world is slices with rows in order, and a reading of one page from them.
 type world struct {
 	o    *merge.Order
-	rows map[slicemap.Range][]merge.Row
+	rows map[shardmap.Range][]merge.Row
 }
 
-func newWorld(t require.TestingT, n, each int, draw func() int64) (*world, []slicemap.Range, []float64) {
+func newWorld(t require.TestingT, n, each int, draw func() int64) (*world, []shardmap.Range, []float64) {
 	o, err := merge.NewOrder(table, []merge.By{{Column: "premium"}})
 	require.NoError(t, err)
-	w := &world{o: o, rows: map[slicemap.Range][]merge.Row{}}
-	var districts []slicemap.Range
+	w := &world{o: o, rows: map[shardmap.Range][]merge.Row{}}
+	var districts []shardmap.Range
 	var weights []float64
 	for i := range n {
-		d := slicemap.Range{Start: i, End: i + 1}
+		d := shardmap.Range{Start: i, End: i + 1}
 		districts, weights = append(districts, d), append(weights, 1/float64(n))
 		for j := range each {
 			w.rows[d] = append(w.rows[d], merge.Row{District: i, Key: fmt.Sprintf("%06d", j),
@@ -43,8 +43,8 @@
 }
 
 // read reads a page to its end; asks are answered at once but for slices that never are.
-func (w *world) read(t require.TestingT, p *Plan, asks []Ask, limit int, never func(slicemap.Range) bool) merge.Page {
-	batches, now := map[slicemap.Range]*merge.Batch{}, 0.0
+func (w *world) read(t require.TestingT, p *Plan, asks []Ask, limit int, never func(shardmap.Range) bool) merge.Page {
+	batches, now := map[shardmap.Range]*merge.Batch{}, 0.0
 	for round := 0; round < 200; round++ {
 		for _, a := range asks {
 			if now++; never(a.Districts) {
@@ -87,12 +87,12 @@
 			func() int64 { return int64(rapid.IntRange(0, 20).Draw(t, "premium")) })
 		o := options(limit)
 		o.Floor, o.MostRows = 0.1, rapid.IntRange(0, 5).Draw(t, "most")
-		silent := map[slicemap.Range]bool{}
+		silent := map[shardmap.Range]bool{}
 		for _, d := range districts[1:] {
 			silent[d] = rapid.IntRange(0, 4).Draw(t, "silent") == 0
 		}
 		p, asks := New(0, o, districts, weights)
-		page := w.read(t, p, asks, limit, func(d slicemap.Range) bool { return silent[d] })
+		page := w.read(t, p, asks, limit, func(d shardmap.Range) bool { return silent[d] })
 		var all []merge.Row
 		for _, d := range districts {
 			require.Equal(t, !silent[d], p.Stands(d))
@@ -124,7 +124,7 @@
 		}
 	}
 	p, asks := New(0, options(limit), districts, weights)
-	page := w.read(t, p, asks, limit, func(slicemap.Range) bool { return false })
+	page := w.read(t, p, asks, limit, func(shardmap.Range) bool { return false })
 	require.Len(t, page.Rows, limit)
 	require.Less(t, p.Moved(), 300, "of 10,000 if each were asked for a page")
 	t.Logf("%d rows moved for a page of %d over %d slices, in %d further rounds", p.Moved(), limit, n, p.Rounds())
@@ -132,11 +132,11 @@
 
 // Nothing is dropped below the floor, however late it is; above it a late slice is, once it is as late again.
 func TestLateSlicesAreDroppedButNeverBelowTheFloor(t *testing.T) {
-	ten := func(floor float64, in int) (*Plan, []slicemap.Range) {
-		var d []slicemap.Range
+	ten := func(floor float64, in int) (*Plan, []shardmap.Range) {
+		var d []shardmap.Range
 		var w []float64
 		for i := range 10 {
-			d, w = append(d, slicemap.Range{Start: i, End: i + 1}), append(w, 0.1)
+			d, w = append(d, shardmap.Range{Start: i, End: i + 1}), append(w, 0.1)
 		}
 		o := options(10)
 		o.Floor = floor
@@ -176,12 +176,12 @@
 
 // A slice that is split between two fetches of a page is read anew as its halves; its old rows do not stand.
 func TestSplitBetweenTwoFetches(t *testing.T) {
-	d := []slicemap.Range{{Start: 0, End: 10}, {Start: 10, End: 20}}
+	d := []shardmap.Range{{Start: 0, End: 10}, {Start: 10, End: 20}}
 	p, _ := New(0, options(10), d, []float64{0.5, 0.5})
 	require.True(t, p.Got(5, d[0], 8, true))
 	require.True(t, p.Got(5, d[1], 8, true))
 	require.Len(t, p.More(6, d[:1]), 1)
-	asks := p.Replace(7, d[0], []slicemap.Range{{Start: 0, End: 4}, {Start: 4, End: 10}})
+	asks := p.Replace(7, d[0], []shardmap.Range{{Start: 0, End: 4}, {Start: 4, End: 10}})
 	require.Len(t, asks, 2)
 	require.Zero(t, asks[0].Have)
 	require.False(t, p.Stands(d[0]))
--- a/internal/results/merge/merge_test.go
+++ b/internal/results/merge/merge_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"ternstage/internal/slicemap"
+	"ternstage/internal/decision/shardmap"
 )
 
 // CI must say the same every time; -rapid.seed=0 on the command line draws new tables.
@@ -31,7 +31,7 @@
 }
 
 // node answers as a slice's node does: its rows in order, after a place, so many at most.
-func node(o *Order, all []Row, r slicemap.Range, after *Place, most int) *Batch {
+func node(o *Order, all []Row, r shardmap.Range, after *Place, most int) *Batch {
 	b := &Batch{Districts: r, Version: 1, Schema: table}
 	for _, x := range all {
 		if x.District >= r.Start && x.District < r.End && (after == nil || o.Compare(o.PlaceOf(x), *after) > 0) {
@@ -57,10 +57,10 @@
 				int64(rapid.IntRange(1, 4).Draw(t, "premium")), float64(rapid.IntRange(0, 1).Draw(t, "risk"))))
 		}
 		slices.SortFunc(all, func(a, b Row) int { return o.rows(&a, &b) })
-		cut := func() (out []slicemap.Range) {
+		cut := func() (out []shardmap.Range) {
 			for at := 0; at < 20; {
 				n := rapid.IntRange(1, 20-at).Draw(t, "cut")
-				out = append(out, slicemap.Range{Start: at, End: at + n})
+				out = append(out, shardmap.Range{Start: at, End: at + n})
 				at += n
 			}
 			return out
@@ -108,10 +108,10 @@
 	o := order(t, By{"premium", false})
 	p := o.Merge(nil, 5)
 	require.True(t, len(p.Rows) == 0 && !p.More && len(p.Need) == 0)
-	empty := &Batch{Districts: slicemap.Range{Start: 0, End: 5}, Schema: table}
+	empty := &Batch{Districts: shardmap.Range{Start: 0, End: 5}, Schema: table}
 	p = o.Merge([]*Batch{empty, empty}, 5)
 	require.True(t, len(p.Rows) == 0 && !p.More && len(p.Need) == 0, "all slices are empty")
-	one := &Batch{Districts: slicemap.Range{Start: 5, End: 9}, Schema: table, Rows: []Row{row(5, "a", 1, 0)}}
+	one := &Batch{Districts: shardmap.Range{Start: 5, End: 9}, Schema: table, Rows: []Row{row(5, "a", 1, 0)}}
 	p = o.Merge([]*Batch{empty, one}, 0)
 	require.True(t, len(p.Rows) == 0 && p.More, "limit 0 tells that there is something")
 	p = o.Merge([]*Batch{empty, one}, 99)
@@ -122,7 +122,7 @@
 func TestFaultsOfABatch(t *testing.T) {
 	o := order(t, By{"premium", false}, By{"risk", true})
 	good := func() *Batch {
-		return &Batch{Districts: slicemap.Range{Start: 0, End: 9}, Schema: slices.Clone(table),
+		return &Batch{Districts: shardmap.Range{Start: 0, End: 9}, Schema: slices.Clone(table),
 			Rows: []Row{row(1, "a", 1, 5), row(2, "b", 1, 4), row(2, "c", 3, 9)}}
 	}
 	require.NoError(t, o.Check(good(), nil, 3))
@@ -294,7 +294,7 @@
 	o := order(b, By{"premium", false})
 	var batches []*Batch
 	for i := range 200 {
-		x := &Batch{Districts: slicemap.Range{Start: i, End: i + 1}, Schema: table}
+		x := &Batch{Districts: shardmap.Range{Start: i, End: i + 1}, Schema: table}
 		for j := range 100 {
 			x.Rows = append(x.Rows, row(i, fmt.Sprint(j), int64(j*200+i*7%200), 1))
 		}
--- a/internal/results/merge/rank.go
+++ b/internal/results/merge/rank.go
@@ -6,7 +6,7 @@
 	"math"
 	"slices"
 
-	"ternstage/internal/slicemap"
+	"ternstage/internal/decision/shardmap"
 )
 
 // By is one column of an order.
@@ -92,7 +92,7 @@
 
 // Batch is what one slice gave: its next rows in order.
 type Batch struct {
-	Districts slicemap.Range
+	Districts shardmap.Range
 	Version   uint64 // of its data
 	Schema    Schema
 	Rows      []Row
@@ -145,10 +145,10 @@
 // Page is rows in order.
 type Page struct {
 	Rows []Row
-	From []slicemap.Range // of each row, the districts that its slice was asked for
+	From []shardmap.Range // of each row, the districts that its slice was asked for
 	// Need are those who must be asked for more before the page is final: what they have next may belong into
 	// it.
-	Need []slicemap.Range
+	Need []shardmap.Range
 	More bool // there are rows after the page
 }
 
@@ -207,6 +207,6 @@
 			p.Need = append(p.Need, b.Districts)
 		}
 	}
-	slices.SortFunc(p.Need, func(a, b slicemap.Range) int { return cmp.Compare(a.Start, b.Start) })
+	slices.SortFunc(p.Need, func(a, b shardmap.Range) int { return cmp.Compare(a.Start, b.Start) })
 	return p
 }
--- a/internal/results/reading/reading.go
+++ b/internal/results/reading/reading.go
@@ -10,17 +10,17 @@
 	"fmt"
 	"slices"
 
+	"ternstage/internal/decision/shardmap"
 	"ternstage/internal/results/complete"
 	"ternstage/internal/results/cursor"
 	"ternstage/internal/results/fetch"
 	"ternstage/internal/results/merge"
 	"ternstage/internal/results/rows"
-	"ternstage/internal/slicemap"
 )
 
 // Part is districts that one slice holds.
 type Part struct {
-	Districts slicemap.Range
+	Districts shardmap.Range
 	Weight    float64
 	Since     uint64 // epoch of the slice's last change
 	Version   uint64 // the newest data version that anybody has told of; 0 if nobody has
@@ -38,7 +38,7 @@
 // Ask is what a node is to be asked for: so many rows after a place, all that were asked for before included,
 // so that one answer stands for itself, whatever data version it is of.
 type Ask struct {
-	Districts slicemap.Range
+	Districts shardmap.Range
 	Rows      int
 	After     *merge.Place
 }
@@ -50,7 +50,7 @@
 // Result is a page.
 type Result struct {
 	Rows      []merge.Row
-	From      []slicemap.Range
+	From      []shardmap.Range
 	First     int    // rank of the first row, from 1
 	Certain   []bool // of each rank
 	Statement *complete.Statement
@@ -101,7 +101,7 @@
 	if p := q.Clause.Page; p != nil {
 		r.q.Fetch.Limit = p.Size
 	}
-	var districts []slicemap.Range
+	var districts []shardmap.Range
 	var weights []float64
 	for _, p := range parts {
 		districts, weights = append(districts, p.Districts), append(weights, p.Weight)
@@ -127,7 +127,7 @@
 	return r.before.After
 }
 
-func (r *Reading) find(d slicemap.Range) *slice {
+func (r *Reading) find(d shardmap.Range) *slice {
 	if i := slices.IndexFunc(r.slices, func(s *slice) bool { return s.Districts == d }); i >= 0 {
 		return r.slices[i]
 	}
@@ -135,12 +135,12 @@
 }
 
 // least is the newest data version of any of these districts that the page before read.
-func (r *Reading) least(d slicemap.Range) (v uint64) {
+func (r *Reading) least(d shardmap.Range) (v uint64) {
 	if r.before == nil {
 		return 0
 	}
 	for _, s := range r.before.Spans {
-		if (slicemap.Range{Start: s.Lo, End: s.Hi}).Overlaps(d) {
+		if (shardmap.Range{Start: s.Lo, End: s.Hi}).Overlaps(d) {
 			v = max(v, s.Version)
 		}
 	}
@@ -187,7 +187,7 @@
 
 // Lost tells that a slice cannot be had, and why. A slice of which only an older version came stays missing
 // for that.
-func (r *Reading) Lost(d slicemap.Range, why complete.Why) {
+func (r *Reading) Lost(d shardmap.Range, why complete.Why) {
 	if s := r.find(d); s != nil {
 		if s.batch = nil; s.why != complete.Older {
 			s.why = why
@@ -198,12 +198,12 @@
 
 // Replace follows a split, a merge or a move: what a slice gave does not stand, and its districts are asked
 // for anew.
-func (r *Reading) Replace(now float64, d slicemap.Range, by []Part) []Ask {
+func (r *Reading) Replace(now float64, d shardmap.Range, by []Part) []Ask {
 	s := r.find(d)
 	if s == nil {
 		return nil
 	}
-	ranges := make([]slicemap.Range, 0, len(by))
+	ranges := make([]shardmap.Range, 0, len(by))
 	for _, p := range by {
 		ranges = append(ranges, p.Districts)
 	}
@@ -222,7 +222,7 @@
 // Step is what to do now.
 type Step struct {
 	Asks     []Ask
-	Drop     []slicemap.Range // waited for no longer
+	Drop     []shardmap.Range // waited for no longer
 	Result   *Result          // the page, once it is there
 	Hopeless bool             // there can be no answer
 	At       float64          // else step again at this time at the latest
--- a/internal/results/reading/reading_test.go
+++ b/internal/results/reading/reading_test.go
@@ -9,12 +9,12 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
+	"ternstage/internal/decision/shardmap"
 	"ternstage/internal/results/complete"
 	"ternstage/internal/results/cursor"
 	"ternstage/internal/results/fetch"
 	"ternstage/internal/results/merge"
 	"ternstage/internal/results/rows"
-	"ternstage/internal/slicemap"
 )
 
 func init() { _ = flag.Set("rapid.seed", "20261201") }
@@ -26,10 +26,10 @@
 	t       require.TestingT
 	o       *merge.Order
 	all     []merge.Row // in order
-	cut     []slicemap.Range
-	since   map[slicemap.Range]uint64
-	version map[slicemap.Range]uint64
-	silent  map[slicemap.Range]bool
+	cut     []shardmap.Range
+	since   map[shardmap.Range]uint64
+	version map[shardmap.Range]uint64
+	silent  map[shardmap.Range]bool
 	spoil   func(a *rows.Answer)
 	taken   []error
 	notes   []*complete.Summary
@@ -38,19 +38,19 @@
 func newSite(t require.TestingT, premiums ...int64) *site {
 	o, err := merge.NewOrder(table, []merge.By{{Column: "premium"}})
 	require.NoError(t, err)
-	s := &site{t: t, o: o, since: map[slicemap.Range]uint64{}, version: map[slicemap.Range]uint64{},
-		silent: map[slicemap.Range]bool{}}
+	s := &site{t: t, o: o, since: map[shardmap.Range]uint64{}, version: map[shardmap.Range]uint64{},
+		silent: map[shardmap.Range]bool{}}
 	for i, p := range premiums { // district i%10
 		s.all = append(s.all, merge.Row{District: i % 10, Key: fmt.Sprintf("%03d", i), Values: []merge.Value{merge.IntOf(p)}})
 	}
 	slices.SortFunc(s.all, func(a, b merge.Row) int { return o.Compare(o.PlaceOf(a), o.PlaceOf(b)) })
 	for i := range 5 {
-		s.cut = append(s.cut, slicemap.Range{Start: 2 * i, End: 2*i + 2})
+		s.cut = append(s.cut, shardmap.Range{Start: 2 * i, End: 2*i + 2})
 	}
 	return s
 }
 
-func (s *site) of(d slicemap.Range, after *merge.Place) (out []merge.Row) {
+func (s *site) of(d shardmap.Range, after *merge.Place) (out []merge.Row) {
 	for _, r := range s.all {
 		if d.Start <= r.District && r.District < d.End && (after == nil || s.o.Compare(s.o.PlaceOf(r), *after) > 0) {
 			out = append(out, r)
@@ -113,7 +113,7 @@
 	return out
 }
 
-var cheap = slicemap.Range{Start: 4, End: 6} // districts 4 and 5
+var cheap = shardmap.Range{Start: 4, End: 6} // districts 4 and 5
 
 // premiums has the cheapest policy in district 4.
 func premiums() (out []int64) {
@@ -234,9 +234,9 @@
 		var before *cursor.Cursor
 		var got []merge.Row
 		for pages := 0; pages < 60; pages++ {
-			s.cut, s.silent = nil, map[slicemap.Range]bool{}
+			s.cut, s.silent = nil, map[shardmap.Range]bool{}
 			for at := 0; at < 10; {
-				d := slicemap.Range{Start: at, End: at + rapid.IntRange(1, 10-at).Draw(t, "cut")}
+				d := shardmap.Range{Start: at, End: at + rapid.IntRange(1, 10-at).Draw(t, "cut")}
 				s.cut, at = append(s.cut, d), d.End
 				s.silent[d] = d.Start > 0 && rapid.IntRange(0, 9).Draw(t, "silent") == 0
 			}
@@ -274,7 +274,7 @@
 		q.Fetch.Floor = floor
 		var parts []Part
 		for i := range 5 {
-			parts = append(parts, Part{Districts: slicemap.Range{Start: i, End: i + 1}, Weight: 0.2})
+			parts = append(parts, Part{Districts: shardmap.Range{Start: i, End: i + 1}, Weight: 0.2})
 		}
 		r, asks := New(0, q, parts, nil)
 		for i, a := range asks {
@@ -306,7 +306,7 @@
 		q.Clause, q.Summaries = c, notes
 		var parts []Part
 		for i := range 3 {
-			parts = append(parts, Part{Districts: slicemap.Range{Start: i, End: i + 1}, Weight: 1.0 / 3, Version: 1, Since: 1})
+			parts = append(parts, Part{Districts: shardmap.Range{Start: i, End: i + 1}, Weight: 1.0 / 3, Version: 1, Since: 1})
 		}
 		r, _ := New(0, q, parts, nil)
 		for i, p := range parts {
@@ -348,7 +348,7 @@
 	f = figures(read(map[int][]int64{0: {5, 7}, 2: {3}}))
 	require.Equal(t, Figure{"total", merge.IntOf(15), complete.Bound{}}, f["total"], "nothing is known of what is missing")
 	require.False(t, f["least"].Bound.Known)
-	note := &complete.Summary{Districts: slicemap.Range{Start: 1, End: 2}, Version: 1, Since: 1, Count: 2, Min: 1, Max: 4, Sum: 5,
+	note := &complete.Summary{Districts: shardmap.Range{Start: 1, End: 2}, Version: 1, Since: 1, Count: 2, Min: 1, Max: 4, Sum: 5,
 		Least: []merge.Value{}}
 	f = figures(read(map[int][]int64{0: {5, 7}, 2: {3}}, note))
 	require.Equal(t, exact(20), f["total"].Bound)
--- a/internal/results/rows/rows.go
+++ b/internal/results/rows/rows.go
@@ -12,9 +12,9 @@
 	"slices"
 	"unicode/utf8"
 
+	"ternstage/internal/decision/shardmap"
 	"ternstage/internal/results/complete"
 	"ternstage/internal/results/merge"
-	"ternstage/internal/slicemap"
 )
 
 // The bounds of what a node may send.
@@ -39,7 +39,7 @@
 
 // Want is what a node was asked for, by which its answer is read.
 type Want struct {
-	Districts slicemap.Range
+	Districts shardmap.Range
 	Since     uint64   // epoch of the slice's last change
 	Most      int      // rows
 	Rank      []string // columns, by which a summary's least values are read
--- a/internal/results/rows/rows_test.go
+++ b/internal/results/rows/rows_test.go
@@ -10,13 +10,13 @@
 	"github.com/apache/arrow-go/v18/arrow/memory"
 	"github.com/stretchr/testify/require"
 
+	"ternstage/internal/decision/shardmap"
 	"ternstage/internal/results/complete"
 	"ternstage/internal/results/merge"
-	"ternstage/internal/slicemap"
 )
 
 var (
-	districts = slicemap.Range{Start: 10, End: 20}
+	districts = shardmap.Range{Start: 10, End: 20}
 	rank      = []string{"premium", "risk"}
 )
 
--- a/internal/backends/answers_test.go
+++ b/internal/transport/backendpool/answers_test.go
@@ -1,4 +1,4 @@
-package backends
+package backendpool
 
 import (
 	"encoding/binary"
@@ -15,7 +15,7 @@
 
 	"ternstage/internal/core"
 	"ternstage/internal/decision/scheduler"
-	"ternstage/internal/loop"
+	"ternstage/internal/transport/loop"
 )
 
 // limitedBackend is a backend that accepts a limited number of connections: on one more it rejects the first part and
--- a/internal/backends/call_test.go
+++ b/internal/transport/backendpool/call_test.go
@@ -1,4 +1,4 @@
-package backends
+package backendpool
 
 import (
 	"testing"
@@ -7,14 +7,14 @@
 
 	"ternstage/internal/core"
 	"ternstage/internal/decision/scheduler"
-	"ternstage/internal/slicemap"
+	"ternstage/internal/decision/shardmap"
 )
 
 func TestPartID(t *testing.T) {
 	attempt := core.Attempt{Request: "9b1f", Shard: 3}
 	assert.Equal(t, "9b1f.3", partID(&attempt))
 	attempt.Epoch = 17
-	attempt.Buckets = slicemap.Range{Start: 120, End: 135}
+	attempt.Buckets = shardmap.Range{Start: 120, End: 135}
 	assert.Equal(t, "9b1f.3.120", partID(&attempt))
 }
 
--- a/internal/backends/connection.go
+++ b/internal/transport/backendpool/connection.go
@@ -1,4 +1,4 @@
-package backends
+package backendpool
 
 import (
 	"math"
@@ -7,7 +7,7 @@
 	"golang.org/x/sys/unix"
 
 	"ternstage/internal/logs"
-	"ternstage/internal/loop"
+	"ternstage/internal/transport/loop"
 )
 
 // maxUnparsedBytes bounds what is read and not yet parsed: one frame and the beginning of the next.
--- a/internal/backends/connection_end_test.go
+++ b/internal/transport/backendpool/connection_end_test.go
@@ -1,4 +1,4 @@
-package backends
+package backendpool
 
 import (
 	"testing"
@@ -7,7 +7,7 @@
 
 	"ternstage/internal/decision/scheduler"
 	"ternstage/internal/logs"
-	"ternstage/internal/loop"
+	"ternstage/internal/transport/loop"
 )
 
 func TestLossOutcome(t *testing.T) {
--- a/internal/backends/connection_limit_test.go
+++ b/internal/transport/backendpool/connection_limit_test.go
@@ -1,4 +1,4 @@
-package backends
+package backendpool
 
 import (
 	"math/rand/v2"
--- a/internal/backends/connection_selection.go
+++ b/internal/transport/backendpool/connection_selection.go
@@ -1,4 +1,4 @@
-package backends
+package backendpool
 
 import (
 	"math"
@@ -6,7 +6,7 @@
 	"golang.org/x/sys/unix"
 
 	"ternstage/internal/logs"
-	"ternstage/internal/loop"
+	"ternstage/internal/transport/loop"
 )
 
 // selectConnection returns the connection for a call, nil if there is none. Calls share a connection only when the
--- a/internal/backends/doc.go
+++ b/internal/transport/backendpool/doc.go
@@ -1,4 +1,4 @@
-// Package backends sends attempts to the backends and reports their outcomes: a pool of connections for every
+// Package backendpool sends attempts to the backends and reports their outcomes: a pool of connections for every
 // backend, calls that share a connection, and what is proved of a part whose connection breaks.
 //
 // [Pool] implements core.Backend on the event loop. Core hands over the attempts of a scheduling round with Send and
@@ -29,4 +29,4 @@
 //     written, or the backend rejected the part.
 //   - A malformed frame ends its connection, as the frames after it cannot be trusted.
 //   - A non-idempotent part is not placed on a connection that may have been lost unseen while it was idle.
-package backends
+package backendpool
--- a/internal/backends/fixture_test.go
+++ b/internal/transport/backendpool/fixture_test.go
@@ -1,4 +1,4 @@
-package backends
+package backendpool
 
 import (
 	"net"
@@ -11,7 +11,7 @@
 	"ternstage/internal/decision/scheduler"
 	"ternstage/internal/lab/loopback"
 	"ternstage/internal/logs"
-	"ternstage/internal/loop"
+	"ternstage/internal/transport/loop"
 )
 
 // outcomeRecorder is a Core that records the outcomes of attempts and stops the loop with each.
--- a/internal/backends/frame_test.go
+++ b/internal/transport/backendpool/frame_test.go
@@ -1,4 +1,4 @@
-package backends
+package backendpool
 
 import (
 	"encoding/binary"
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 
 	"ternstage/internal/core"
-	"ternstage/internal/slicemap"
+	"ternstage/internal/decision/shardmap"
 )
 
 // frameBytes returns a frame as a backend sends it.
@@ -27,9 +27,9 @@
 	}{
 		{"plain", core.Attempt{Shard: 3, Query: []byte("text")}, "id 3 d=240 4\ntext"},
 		{"idempotency key", core.Attempt{Shard: 3, IdempotencyKey: "7f3a"}, "id 3 d=240,k=7f3a 0\n"},
-		{"resharding", core.Attempt{Shard: 3, Epoch: 17, Buckets: slicemap.Range{Start: 120, End: 135}, Query: []byte("q")},
+		{"resharding", core.Attempt{Shard: 3, Epoch: 17, Buckets: shardmap.Range{Start: 120, End: 135}, Query: []byte("q")},
 			"id 3 d=240,e=17,r=120-135 1\nq"},
-		{"all", core.Attempt{IdempotencyKey: "k", Epoch: 1, Buckets: slicemap.Range{Start: 0, End: 1}},
+		{"all", core.Attempt{IdempotencyKey: "k", Epoch: 1, Buckets: shardmap.Range{Start: 0, End: 1}},
 			"id 0 d=240,k=k,e=1,r=0-1 0\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/backends/pool.go
+++ b/internal/transport/backendpool/pool.go
@@ -1,4 +1,4 @@
-package backends
+package backendpool
 
 import (
 	"slices"
@@ -6,7 +6,7 @@
 	"ternstage/internal/core"
 	"ternstage/internal/decision/scheduler"
 	"ternstage/internal/logs"
-	"ternstage/internal/loop"
+	"ternstage/internal/transport/loop"
 )
 
 // Options are the limits of a Pool. They have no defaults: they come from the platform's settings.
--- a/internal/backends/timeouts_test.go
+++ b/internal/transport/backendpool/timeouts_test.go
@@ -1,4 +1,4 @@
-package backends
+package backendpool
 
 import (
 	"io"
--- a/internal/discovery/connection.go
+++ b/internal/transport/discovery/connection.go
@@ -5,9 +5,9 @@
 
 	"golang.org/x/sys/unix"
 
+	"ternstage/internal/decision/endpointpoll"
 	"ternstage/internal/logs"
-	"ternstage/internal/loop"
-	"ternstage/internal/membership"
+	"ternstage/internal/transport/loop"
 )
 
 const (
@@ -42,7 +42,7 @@
 }
 
 // requestTarget returns the path and query of a call.
-func requestTarget(call membership.Call) string {
+func requestTarget(call endpointpoll.Call) string {
 	if call.FullList {
 		return endpointListPath
 	}
--- a/internal/discovery/connection_test.go
+++ b/internal/transport/discovery/connection_test.go
@@ -12,15 +12,15 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"ternstage/internal/decision/endpointpoll"
 	"ternstage/internal/decision/scheduler"
 	"ternstage/internal/lab/loopback"
-	"ternstage/internal/membership"
 )
 
 func TestRequestTarget(t *testing.T) {
-	assert.Equal(t, "/catalog/members", requestTarget(membership.Call{FullList: true, SinceRevision: 41, Wait: 100}))
-	assert.Equal(t, "/catalog/members?index=41&wait=100", requestTarget(membership.Call{SinceRevision: 41, Wait: 100}))
-	assert.Equal(t, "/catalog/members?index=0&wait=62", requestTarget(membership.Call{Wait: 62.4}), "whole ms")
+	assert.Equal(t, "/catalog/members", requestTarget(endpointpoll.Call{FullList: true, SinceRevision: 41, Wait: 100}))
+	assert.Equal(t, "/catalog/members?index=41&wait=100", requestTarget(endpointpoll.Call{SinceRevision: 41, Wait: 100}))
+	assert.Equal(t, "/catalog/members?index=0&wait=62", requestTarget(endpointpoll.Call{Wait: 62.4}), "whole ms")
 }
 
 // newRawDiscovery reads one call on each connection, writes the text and closes. It returns its address.
@@ -64,7 +64,7 @@
 		"a header beyond the limit":     {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", maxResponseBytes), scheduler.UpdateFailed},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := newHarness(t, newRawDiscovery(t, c.text), membership.Options{})
+			h := newHarness(t, newRawDiscovery(t, c.text), endpointpoll.Options{})
 			h.watcher.Watch()
 			h.runUntil(t, func() bool { return len(h.core.kinds) > 0 })
 			assert.Equal(t, c.want, h.core.kinds[0])
--- a/internal/discovery/watcher.go
+++ b/internal/transport/discovery/watcher.go
@@ -8,11 +8,11 @@
 
 	"go.uber.org/zap"
 
+	"ternstage/internal/decision/endpointpoll"
 	"ternstage/internal/decision/scheduler"
-	"ternstage/internal/httpanswer"
 	"ternstage/internal/logs"
-	"ternstage/internal/loop"
-	"ternstage/internal/membership"
+	"ternstage/internal/transport/httpresponse"
+	"ternstage/internal/transport/loop"
 )
 
 // Core receives the updates of the endpoint list.
@@ -31,7 +31,7 @@
 	core           Core
 	log            *logs.Log
 	registry       *Registry
-	poller         *membership.Poller
+	poller         *endpointpoll.Poller
 	address        string
 	freeDescriptor func() bool
 
@@ -49,7 +49,7 @@
 // NewWatcher returns a Watcher that makes no call until Watch, or until Start in the pushed mode. address is the IP
 // address and port of the service or agent. Where the process is out of descriptors, freeDescriptor closes a connection
 // that can be spared and reports whether it did; nil stands for none.
-func NewWatcher(l *loop.Loop, core Core, log *logs.Log, registry *Registry, poller *membership.Poller, address string,
+func NewWatcher(l *loop.Loop, core Core, log *logs.Log, registry *Registry, poller *endpointpoll.Poller, address string,
 	freeDescriptor func() bool) *Watcher {
 	w := &Watcher{
 		loop:           l,
@@ -124,7 +124,7 @@
 // readResponse handles the response to the call in flight once it is complete. peerClosed says that no more input
 // follows.
 func (w *Watcher) readResponse(peerClosed bool) {
-	response, err := httpanswer.Parse(w.stream.In, maxResponseBytes, peerClosed)
+	response, err := httpresponse.Parse(w.stream.In, maxResponseBytes, peerClosed)
 	if err == nil && !response.Complete() {
 		if len(w.stream.In) >= maxResponseBytes {
 			w.failCall(logs.DiscoveryMalformed, fmt.Errorf("response over %d bytes", maxResponseBytes))
@@ -157,7 +157,7 @@
 }
 
 // decode returns the list of a complete response, or why it has none.
-func (w *Watcher) decode(response httpanswer.Response) (EndpointList, error) {
+func (w *Watcher) decode(response httpresponse.Response) (EndpointList, error) {
 	if !w.inFlight {
 		return EndpointList{}, errors.New("response without a call in flight")
 	}
@@ -169,7 +169,7 @@
 
 // applyList passes a list on unless the Poller rejects it, and returns when the next call is due.
 func (w *Watcher) applyList(list EndpointList) (nextCallAt float64) {
-	next := w.poller.HandleResponse(w.loop.Now(), membership.Response{
+	next := w.poller.HandleResponse(w.loop.Now(), endpointpoll.Response{
 		Complete:      list.Complete,
 		Revision:      list.Revision,
 		EndpointCount: len(list.Endpoints),
--- a/internal/discovery/watcher_test.go
+++ b/internal/transport/discovery/watcher_test.go
@@ -12,11 +12,11 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"ternstage/internal/decision/endpointpoll"
 	"ternstage/internal/decision/scheduler"
 	"ternstage/internal/lab/loopback"
 	"ternstage/internal/logs"
-	"ternstage/internal/loop"
-	"ternstage/internal/membership"
+	"ternstage/internal/transport/loop"
 )
 
 const testTimeout = 10 * time.Second
@@ -89,7 +89,7 @@
 	watcher *Watcher
 }
 
-func newHarness(t *testing.T, address string, options membership.Options) *harness {
+func newHarness(t *testing.T, address string, options endpointpoll.Options) *harness {
 	t.Helper()
 	eventLoop, err := loop.New()
 	require.NoError(t, err)
@@ -97,7 +97,7 @@
 	require.NoError(t, err)
 	log := logs.New(devNull, "n0")
 	core := &fakeCore{}
-	watcher := NewWatcher(eventLoop, core, log, NewRegistry(nil), membership.NewPoller(options), address, nil)
+	watcher := NewWatcher(eventLoop, core, log, NewRegistry(nil), endpointpoll.NewPoller(options), address, nil)
 	t.Cleanup(func() {
 		watcher.Close()
 		log.Close()
@@ -145,7 +145,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			fake := newFakeDiscovery(t, respondWith(first), respondWith(second), holdOpen)
-			h := newHarness(t, fake.address, membership.Options{})
+			h := newHarness(t, fake.address, endpointpoll.Options{})
 			h.watcher.Watch()
 			h.watcher.Watch() // has no effect while the list is followed
 			h.runUntil(t, func() bool { return len(fake.calls()) == 3 })
@@ -161,7 +161,7 @@
 // TestWatcherStartsFromCachedList: a list from the configuration is passed on as cached, and changes are requested.
 func TestWatcherStartsFromCachedList(t *testing.T) {
 	fake := newFakeDiscovery(t, holdOpen)
-	h := newHarness(t, fake.address, membership.Options{})
+	h := newHarness(t, fake.address, endpointpoll.Options{})
 	h.watcher.LoadCached(fullList(41, ready("s-1", "10.1.0.18:8080")))
 	h.watcher.Start() // has no effect on a polled list
 	h.watcher.Watch()
@@ -182,7 +182,7 @@
 		"malformed list": malformed.address,
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := newHarness(t, address, membership.Options{})
+			h := newHarness(t, address, endpointpoll.Options{})
 			h.watcher.Watch()
 			h.runUntil(t, func() bool { return len(h.core.kinds) > 0 })
 			assert.Equal(t, []scheduler.UpdateKind{scheduler.UpdateFailed}, h.core.kinds)
@@ -196,7 +196,7 @@
 func TestWatcherKeepsCallingAgent(t *testing.T) {
 	fake := newFakeDiscovery(t, respondUnavailable, respondUnavailable,
 		respond(fullList(41, ready("s-1", "10.1.0.18:8080"))))
-	h := newHarness(t, fake.address, membership.Options{Pushed: true, DrainGrace: 200})
+	h := newHarness(t, fake.address, endpointpoll.Options{Pushed: true, DrainGrace: 200})
 	h.watcher.Start()
 	h.runUntil(t, func() bool { return len(h.core.kinds) > 0 })
 	assert.Equal(t, []scheduler.UpdateKind{scheduler.UpdateFull}, h.core.kinds)
@@ -207,7 +207,7 @@
 // TestWatcherRejectsOlderChange: a change of a lower revision is not passed on, and the full list is requested.
 func TestWatcherRejectsOlderChange(t *testing.T) {
 	fake := newFakeDiscovery(t, respond(change(40, ready("s-2", "10.1.0.19:8080"))), holdOpen)
-	h := newHarness(t, fake.address, membership.Options{})
+	h := newHarness(t, fake.address, endpointpoll.Options{})
 	h.watcher.LoadCached(fullList(41, ready("s-1", "10.1.0.18:8080")))
 	h.watcher.Watch()
 	h.runUntil(t, func() bool { return len(fake.calls()) == 2 })
@@ -220,7 +220,7 @@
 func TestWatcherMoves(t *testing.T) {
 	first := newFakeDiscovery(t, holdOpen)
 	second := newFakeDiscovery(t, respond(fullList(7, ready("s-1", "10.1.0.18:8080"))), holdOpen)
-	h := newHarness(t, first.address, membership.Options{})
+	h := newHarness(t, first.address, endpointpoll.Options{})
 	h.watcher.LoadCached(fullList(41, ready("s-1", "10.1.0.18:8080")))
 	h.watcher.Watch()
 	moved := false
--- a/internal/flight/backend_wire.go
+++ b/internal/transport/flight/backend_wire.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"ternstage/internal/core"
-	"ternstage/internal/slicemap"
+	"ternstage/internal/decision/shardmap"
 )
 
 // A backend that is not the holder answers FAILED_PRECONDITION with an ErrorInfo of this reason and its epoch under
@@ -25,7 +25,7 @@
 
 	// While shards move: the epoch by which the part was routed, and its range of buckets as lo and hi.
 	Epoch uint64 `json:"e,omitempty"`
-	*slicemap.Range
+	*shardmap.Range
 }
 
 // newBackendTicket returns the ticket of an attempt that has this time left.
--- a/internal/flight/backend_wire_test.go
+++ b/internal/transport/flight/backend_wire_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 
 	"ternstage/internal/core"
-	"ternstage/internal/slicemap"
+	"ternstage/internal/decision/shardmap"
 )
 
 func TestBackendTicket(t *testing.T) {
@@ -24,7 +24,7 @@
 		{"idempotency key", core.Attempt{Request: "9b1f", IdempotencyKey: "7f3a"}, 1500 * time.Microsecond,
 			`{"id":"9b1f.0","shard":0,"d":1,"q":"","k":"7f3a"}`},
 		{"out of time", core.Attempt{Request: "9b1f"}, -time.Second, `{"id":"9b1f.0","shard":0,"d":1,"q":""}`},
-		{"resharding", core.Attempt{Request: "9b1f", Shard: 3, Epoch: 17, Buckets: slicemap.Range{Start: 120, End: 135}},
+		{"resharding", core.Attempt{Request: "9b1f", Shard: 3, Epoch: 17, Buckets: shardmap.Range{Start: 120, End: 135}},
 			240 * time.Millisecond, `{"id":"9b1f.3.120","shard":3,"d":240,"q":"","e":17,"lo":120,"hi":135}`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/clients/accept.go
+++ b/internal/transport/httpfront/accept.go
@@ -1,4 +1,4 @@
-package clients
+package httpfront
 
 import (
 	"errors"
@@ -7,7 +7,7 @@
 	"golang.org/x/sys/unix"
 
 	"ternstage/internal/logs"
-	"ternstage/internal/loop"
+	"ternstage/internal/transport/loop"
 )
 
 const (
--- a/internal/clients/connection.go
+++ b/internal/transport/httpfront/connection.go
@@ -1,11 +1,11 @@
-package clients
+package httpfront
 
 import (
 	"golang.org/x/sys/unix"
 
 	"ternstage/internal/core"
 	"ternstage/internal/logs"
-	"ternstage/internal/loop"
+	"ternstage/internal/transport/loop"
 )
 
 // connection is a client's connection. It serves one request at a time, in the order of arrival.
--- a/internal/clients/doc.go
+++ b/internal/transport/httpfront/doc.go
@@ -1,4 +1,4 @@
-// Package clients serves clients over HTTP/1.1 on the broker's event loop. It hands queries to core and writes their
+// Package httpfront serves clients over HTTP/1.1 on the broker's event loop. It hands queries to core and writes their
 // final answers, and serves health checks and pages.
 //
 // # Usage
@@ -35,4 +35,4 @@
 //
 // Times are milliseconds of the loop's monotonic clock, and durations are milliseconds, unless a name says otherwise.
 // Nothing here is safe for concurrent use: all calls come from the event loop.
-package clients
+package httpfront
--- a/internal/clients/fixture_test.go
+++ b/internal/transport/httpfront/fixture_test.go
@@ -1,4 +1,4 @@
-package clients
+package httpfront
 
 import (
 	"io"
@@ -17,7 +17,7 @@
 	"ternstage/internal/contract"
 	"ternstage/internal/core"
 	"ternstage/internal/logs"
-	"ternstage/internal/loop"
+	"ternstage/internal/transport/loop"
 )
 
 const (
--- a/internal/clients/server.go
+++ b/internal/transport/httpfront/server.go
@@ -1,4 +1,4 @@
-package clients
+package httpfront
 
 import (
 	"go.uber.org/zap"
@@ -7,7 +7,7 @@
 	"ternstage/internal/contract"
 	"ternstage/internal/core"
 	"ternstage/internal/logs"
-	"ternstage/internal/loop"
+	"ternstage/internal/transport/loop"
 )
 
 // Core answers queries. *core.Core implements it.
--- a/internal/clients/write.go
+++ b/internal/transport/httpfront/write.go
@@ -1,4 +1,4 @@
-package clients
+package httpfront
 
 import (
 	"net/http"
--- a/internal/httpanswer/header.go
+++ b/internal/transport/httpresponse/header.go
@@ -1,4 +1,4 @@
-package httpanswer
+package httpresponse
 
 import (
 	"strconv"
--- a/internal/catalog/answer.go
+++ b/internal/transport/shardcatalog/answer.go
@@ -1,4 +1,4 @@
-package catalog
+package shardcatalog
 
 import (
 	"errors"
@@ -7,8 +7,8 @@
 	"net/http"
 	"slices"
 
-	"ternstage/internal/httpanswer"
 	"ternstage/internal/logs"
+	"ternstage/internal/transport/httpresponse"
 )
 
 // maxInlineBytes is the largest body that is parsed on the event loop. A larger one is parsed in another goroutine, so
@@ -17,7 +17,7 @@
 
 // handleInput takes the answer off the input, if it is complete. eof says that the catalogue has closed its side.
 func (s *Source) handleInput(eof bool) {
-	response, err := httpanswer.Parse(s.stream.In, s.options.MaxAnswerBytes, eof)
+	response, err := httpresponse.Parse(s.stream.In, s.options.MaxAnswerBytes, eof)
 	if err == nil && !response.Complete() {
 		if len(s.stream.In) >= s.options.MaxAnswerBytes+maxHeaderBytes {
 			s.fail(logs.ShardMapMalformed, fmt.Errorf("answer over %d bytes", s.options.MaxAnswerBytes))
@@ -46,7 +46,7 @@
 }
 
 // finishCall ends the call that has been answered, and the connection if no other answer follows on it.
-func (s *Source) finishCall(response httpanswer.Response) {
+func (s *Source) finishCall(response httpresponse.Response) {
 	s.stream.Consume(response.Size)
 	s.inFlight = false
 	s.deadlineMs = math.Inf(1)
--- a/internal/catalog/cache.go
+++ b/internal/transport/shardcatalog/cache.go
@@ -1,4 +1,4 @@
-package catalog
+package shardcatalog
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"ternstage/internal/slicemap"
+	"ternstage/internal/decision/shardmap"
 )
 
 // cacheWriteInterval is the least time between two writes of the file. A map that is a little old does no harm: after
@@ -32,8 +32,8 @@
 }
 
 type cachedMap struct {
-	version *slicemap.Version
-	retired []slicemap.RetiredShard
+	version *shardmap.Version
+	retired []shardmap.RetiredShard
 }
 
 // NewCache makes a cache in the file at path, whose directory must exist. onError is called for each write that
@@ -52,7 +52,7 @@
 
 // Load reads the map of the file; nil without an error if there is no file. A file that cannot be used is an error and
 // is not modified; the error matches ErrMalformedDocument if the file could be read.
-func (c *Cache) Load() (*slicemap.Snapshot, error) {
+func (c *Cache) Load() (*shardmap.Snapshot, error) {
 	text, err := os.ReadFile(c.path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -72,7 +72,7 @@
 
 // Save has a version written soon, with the shards that were retired before it. It does not block; of versions saved
 // in quick succession only the last is written.
-func (c *Cache) Save(version *slicemap.Version, retired []slicemap.RetiredShard) {
+func (c *Cache) Save(version *shardmap.Version, retired []shardmap.RetiredShard) {
 	c.mutex.Lock()
 	c.pending = &cachedMap{version: version, retired: retired}
 	c.mutex.Unlock()
--- a/internal/catalog/cache_test.go
+++ b/internal/transport/shardcatalog/cache_test.go
@@ -1,4 +1,4 @@
-package catalog
+package shardcatalog
 
 import (
 	"encoding/json"
@@ -9,17 +9,17 @@
 
 	"github.com/stretchr/testify/require"
 
-	"ternstage/internal/slicemap"
+	"ternstage/internal/decision/shardmap"
 )
 
 // newMap is a map with the shards of largeDocument.
-func newMap(t testing.TB, shards int) *slicemap.Map {
+func newMap(t testing.TB, shards int) *shardmap.Map {
 	t.Helper()
 	text, err := json.Marshal(largeDocument(shards))
 	require.NoError(t, err)
 	update, err := Parse(text)
 	require.NoError(t, err)
-	m := slicemap.New(slicemap.Options{})
+	m := shardmap.New(shardmap.Options{})
 	_, err = m.Reset(*update.Snapshot)
 	require.NoError(t, err)
 	return m
@@ -41,8 +41,8 @@
 	require.Eventually(t, written, 10*time.Second, time.Millisecond)
 	for i := range 5 { // within the interval between two writes
 		base := uint64(5 + i)
-		_, err = m.Apply([]slicemap.Change{
-			{Base: base, Epoch: base + 1, Kind: slicemap.Assign, Replicas: []string{"z"}},
+		_, err = m.Apply([]shardmap.Change{
+			{Base: base, Epoch: base + 1, Kind: shardmap.Assign, Replicas: []string{"z"}},
 		}, nil)
 		require.NoError(t, err)
 		cache.Save(m.Current(), m.Retired(9))
@@ -68,7 +68,7 @@
 	}
 }
 
-func loadCache(t *testing.T, path string) (*slicemap.Snapshot, error) {
+func loadCache(t *testing.T, path string) (*shardmap.Snapshot, error) {
 	t.Helper()
 	cache := NewCache(path, func(err error) { t.Error(err) })
 	t.Cleanup(cache.Close)
--- a/internal/catalog/connection.go
+++ b/internal/transport/shardcatalog/connection.go
@@ -1,13 +1,13 @@
-package catalog
+package shardcatalog
 
 import (
 	"fmt"
 
 	"golang.org/x/sys/unix"
 
+	"ternstage/internal/decision/shardmap"
 	"ternstage/internal/logs"
-	"ternstage/internal/loop"
-	"ternstage/internal/slicemap"
+	"ternstage/internal/transport/loop"
 )
 
 // path is the resource of the catalogue.
@@ -25,7 +25,7 @@
 )
 
 // call sends a request, over a new connection if there is none.
-func (s *Source) call(request slicemap.PollRequest) {
+func (s *Source) call(request shardmap.PollRequest) {
 	now := s.loop.Now()
 	s.callTimeoutMs = request.TimeoutMs
 	s.deadlineMs = now + request.TimeoutMs
--- a/internal/catalog/document.go
+++ b/internal/transport/shardcatalog/document.go
@@ -1,4 +1,4 @@
-package catalog
+package shardcatalog
 
 import (
 	"encoding/json"
@@ -6,7 +6,7 @@
 	"fmt"
 	"slices"
 
-	"ternstage/internal/slicemap"
+	"ternstage/internal/decision/shardmap"
 )
 
 // ErrMalformedDocument is matched by the errors of Parse and of Cache.Load for a text that is not a valid document.
@@ -43,7 +43,7 @@
 	Parents  []int    `json:"parents,omitempty"`
 }
 
-// Change is one change of the map; see slicemap.Change.
+// Change is one change of the map; see shardmap.Change.
 type Change struct {
 	Base     uint64   `json:"base"`
 	Epoch    uint64   `json:"epoch"`
@@ -59,27 +59,27 @@
 
 // stateNames are the states of a shard on the wire.
 var stateNames = [...]string{
-	slicemap.Serving:     "serving",
-	slicemap.Preparing:   "preparing",
-	slicemap.HandingOver: "handing-over",
-	slicemap.Retired:     "retired",
+	shardmap.Serving:     "serving",
+	shardmap.Preparing:   "preparing",
+	shardmap.HandingOver: "handing-over",
+	shardmap.Retired:     "retired",
 }
 
 // kindNames are the kinds of change on the wire.
 var kindNames = [...]string{
-	slicemap.Split:    "split",
-	slicemap.Merge:    "merge",
-	slicemap.Move:     "move",
-	slicemap.Handover: "handover",
-	slicemap.Done:     "done",
-	slicemap.Abort:    "abort",
-	slicemap.Assign:   "assign",
+	shardmap.Split:    "split",
+	shardmap.Merge:    "merge",
+	shardmap.Move:     "move",
+	shardmap.Handover: "handover",
+	shardmap.Done:     "done",
+	shardmap.Abort:    "abort",
+	shardmap.Assign:   "assign",
 }
 
 // Update is what a document says about the map: a snapshot, or changes.
 type Update struct {
-	Snapshot *slicemap.Snapshot // nil if the update is changes
-	Changes  []slicemap.Change  // in order; may be empty, as a watch may end without a change
+	Snapshot *shardmap.Snapshot // nil if the update is changes
+	Changes  []shardmap.Change  // in order; may be empty, as a watch may end without a change
 	Backends []string           // all that may hold shards; none allows any
 }
 
@@ -107,17 +107,17 @@
 }
 
 // changes translates the changes, the last of which must lead to the epoch of the document.
-func (d *Document) changes() ([]slicemap.Change, error) {
-	var changes []slicemap.Change
+func (d *Document) changes() ([]shardmap.Change, error) {
+	var changes []shardmap.Change
 	for i, change := range d.Changes {
 		kind := slices.Index(kindNames[:], change.Kind)
 		if kind < 0 {
 			return nil, fmt.Errorf("changes[%d]: unknown kind %q", i, change.Kind)
 		}
-		changes = append(changes, slicemap.Change{
+		changes = append(changes, shardmap.Change{
 			Base:     change.Base,
 			Epoch:    change.Epoch,
-			Kind:     slicemap.Kind(kind),
+			Kind:     shardmap.Kind(kind),
 			Shard:    change.Shard,
 			Other:    change.Other,
 			At:       change.At,
@@ -133,16 +133,16 @@
 	return changes, nil
 }
 
-func (d *Document) snapshot() (*slicemap.Snapshot, error) {
-	snapshot := &slicemap.Snapshot{Epoch: d.Epoch, Buckets: d.Buckets, Backends: d.Backends}
+func (d *Document) snapshot() (*shardmap.Snapshot, error) {
+	snapshot := &shardmap.Snapshot{Epoch: d.Epoch, Buckets: d.Buckets, Backends: d.Backends}
 	for i, shard := range d.Shards {
 		state, err := parseState(shard.State)
 		if err != nil {
 			return nil, fmt.Errorf("slices[%d]: %w", i, err)
 		}
-		snapshot.Shards = append(snapshot.Shards, &slicemap.Shard{
+		snapshot.Shards = append(snapshot.Shards, &shardmap.Shard{
 			ID:       shard.ID,
-			Range:    slicemap.Range{Start: shard.Lo, End: shard.Hi},
+			Range:    shardmap.Range{Start: shard.Lo, End: shard.Hi},
 			Replicas: shard.Replicas,
 			State:    state,
 			From:     shard.From,
@@ -152,27 +152,27 @@
 		})
 	}
 	for _, retired := range d.Retired {
-		buckets := slicemap.Range{Start: retired.Lo, End: retired.Hi}
-		snapshot.Retired = append(snapshot.Retired, slicemap.RetiredShard{ID: retired.ID, Range: buckets})
+		buckets := shardmap.Range{Start: retired.Lo, End: retired.Hi}
+		snapshot.Retired = append(snapshot.Retired, shardmap.RetiredShard{ID: retired.ID, Range: buckets})
 	}
 	return snapshot, nil
 }
 
 // parseState translates a state; an absent one is Serving.
-func parseState(name string) (slicemap.State, error) {
+func parseState(name string) (shardmap.State, error) {
 	if name == "" {
-		return slicemap.Serving, nil
+		return shardmap.Serving, nil
 	}
 	state := slices.Index(stateNames[:], name)
 	if state < 0 {
 		return 0, fmt.Errorf("unknown state %q", name)
 	}
-	return slicemap.State(state), nil
+	return shardmap.State(state), nil
 }
 
 // FormatSnapshot is the document of a version. backends are all that may hold shards, none allows any; retired are the
 // shards that were retired before the version, the latest last.
-func FormatSnapshot(version *slicemap.Version, backends []string, retired []slicemap.RetiredShard) Document {
+func FormatSnapshot(version *shardmap.Version, backends []string, retired []shardmap.RetiredShard) Document {
 	document := Document{Epoch: version.Epoch, Complete: true, Buckets: version.Buckets, Backends: backends}
 	for shard := range version.All {
 		document.Shards = append(document.Shards, formatShard(shard))
@@ -184,7 +184,7 @@
 }
 
 // FormatChange is a change as documents have it.
-func FormatChange(change slicemap.Change) Change {
+func FormatChange(change shardmap.Change) Change {
 	return Change{
 		Base:     change.Base,
 		Epoch:    change.Epoch,
@@ -201,7 +201,7 @@
 
 // ShardsInMotion are the first limit shards with a move in progress, in the order of their ids, as documents have them.
 // It is never nil.
-func ShardsInMotion(m *slicemap.Map, limit int) []Shard {
+func ShardsInMotion(m *shardmap.Map, limit int) []Shard {
 	shards := []Shard{}
 	for _, shard := range m.ShardsInMotion() {
 		if len(shards) >= limit {
@@ -212,7 +212,7 @@
 	return shards
 }
 
-func formatShard(shard *slicemap.Shard) Shard {
+func formatShard(shard *shardmap.Shard) Shard {
 	return Shard{
 		ID:       shard.ID,
 		Lo:       shard.Start,
--- a/internal/catalog/document_test.go
+++ b/internal/transport/shardcatalog/document_test.go
@@ -1,4 +1,4 @@
-package catalog
+package shardcatalog
 
 import (
 	"encoding/json"
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"ternstage/internal/slicemap"
+	"ternstage/internal/decision/shardmap"
 )
 
 // largeDocument is a snapshot at epoch 5 with shards of 8 buckets each.
@@ -55,7 +55,7 @@
 		}
 		return document
 	}
-	m := slicemap.New(slicemap.Options{})
+	m := shardmap.New(shardmap.Options{})
 	_, err := m.Reset(*update.Snapshot)
 	require.NoError(t, err)
 	return FormatSnapshot(m.Current(), update.Backends, m.Retired(9))
@@ -79,8 +79,8 @@
 	require.Equal(t, []Shard{}, ShardsInMotion(m, 2), "an empty list, not null")
 	for id := range 3 {
 		epoch := m.Current().Epoch
-		move := slicemap.Change{Base: epoch, Epoch: epoch + 1, Kind: slicemap.Move, Shard: id, From: "a", To: "d"}
-		_, err := m.Apply([]slicemap.Change{move}, nil)
+		move := shardmap.Change{Base: epoch, Epoch: epoch + 1, Kind: shardmap.Move, Shard: id, From: "a", To: "d"}
+		_, err := m.Apply([]shardmap.Change{move}, nil)
 		require.NoError(t, err)
 	}
 	inMotion := ShardsInMotion(m, 2)
@@ -108,7 +108,7 @@
 		b.StopTimer()
 		update, err := Parse(text)
 		require.NoError(b, err)
-		m := slicemap.New(slicemap.Options{})
+		m := shardmap.New(shardmap.Options{})
 		b.StartTimer()
 		if _, err := m.Reset(*update.Snapshot); err != nil {
 			b.Fatal(err)
--- a/internal/catalog/golden_test.go
+++ b/internal/transport/shardcatalog/golden_test.go
@@ -1,4 +1,4 @@
-package catalog_test
+package shardcatalog_test
 
 import (
 	"os"
@@ -8,17 +8,17 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"ternstage/internal/catalog"
-	"ternstage/internal/slicemap"
+	"ternstage/internal/decision/shardmap"
+	"ternstage/internal/transport/shardcatalog"
 )
 
 // The file of testdata/golden was written by the cache of commit aa8ad37, and programs start by such files: it is
 // never written anew. Those of testdata/golden/refused are copies of it, spoilt by hand.
 
 // load reads a kept map as a program does at its start.
-func load(t *testing.T, name string) (*slicemap.Snapshot, error) {
+func load(t *testing.T, name string) (*shardmap.Snapshot, error) {
 	t.Helper()
-	c := catalog.NewCache(filepath.Join("testdata", "golden", name), func(err error) { t.Error(err) })
+	c := shardcatalog.NewCache(filepath.Join("testdata", "golden", name), func(err error) { t.Error(err) })
 	defer c.Close()
 	return c.Load()
 }
@@ -27,28 +27,28 @@
 func TestGoldenMap(t *testing.T) {
 	w, err := load(t, "map.json")
 	require.NoError(t, err)
-	between := func(lo, hi int) slicemap.Range { return slicemap.Range{Start: lo, End: hi} }
-	require.Equal(t, &slicemap.Snapshot{Epoch: 1047, Buckets: 64,
-		Shards: []*slicemap.Shard{
-			{ID: 5, Range: between(0, 6), Replicas: []string{"s-0", "s-1", "s-2"}, State: slicemap.Serving, Since: 1042,
+	between := func(lo, hi int) shardmap.Range { return shardmap.Range{Start: lo, End: hi} }
+	require.Equal(t, &shardmap.Snapshot{Epoch: 1047, Buckets: 64,
+		Shards: []*shardmap.Shard{
+			{ID: 5, Range: between(0, 6), Replicas: []string{"s-0", "s-1", "s-2"}, State: shardmap.Serving, Since: 1042,
 				Parents: []int{0}},
-			{ID: 6, Range: between(6, 16), Replicas: []string{"s-0", "s-1", "s-2"}, State: slicemap.HandingOver,
+			{ID: 6, Range: between(6, 16), Replicas: []string{"s-0", "s-1", "s-2"}, State: shardmap.HandingOver,
 				From: "s-1", To: "s-3", Since: 1046, Parents: []int{0}},
-			{ID: 1, Range: between(16, 32), Replicas: []string{"s-1", "s-2", "s-3"}, State: slicemap.Preparing,
+			{ID: 1, Range: between(16, 32), Replicas: []string{"s-1", "s-2", "s-3"}, State: shardmap.Preparing,
 				From: "s-2", To: "s-0", Since: 1044},
-			{ID: 7, Range: between(32, 48), Replicas: []string{"s-2", "s-3"}, State: slicemap.Serving, Since: 1043,
+			{ID: 7, Range: between(32, 48), Replicas: []string{"s-2", "s-3"}, State: shardmap.Serving, Since: 1043,
 				Parents: []int{2, 3}},
-			{ID: 4, Range: between(48, 64), Replicas: []string{"s-0", "s-11"}, State: slicemap.Serving, Since: 1047},
+			{ID: 4, Range: between(48, 64), Replicas: []string{"s-0", "s-11"}, State: shardmap.Serving, Since: 1047},
 		},
-		Retired: []slicemap.RetiredShard{{ID: 0, Range: between(0, 16)}, {ID: 2, Range: between(32, 40)},
+		Retired: []shardmap.RetiredShard{{ID: 0, Range: between(0, 16)}, {ID: 2, Range: between(32, 40)},
 			{ID: 3, Range: between(40, 48)}}}, w)
 
-	m := slicemap.New(slicemap.Options{})
+	m := shardmap.New(shardmap.Options{})
 	gone, err := m.Reset(*w)
 	require.NoError(t, err)
 	assert.Empty(t, gone)
 	assert.EqualValues(t, 1047, m.Current().Epoch)
-	for id, want := range map[int]slicemap.Range{0: between(0, 16), 2: between(32, 40), 3: between(40, 48),
+	for id, want := range map[int]shardmap.Range{0: between(0, 16), 2: between(32, 40), 3: between(40, 48),
 		1: between(16, 32), 4: between(48, 64), 5: between(0, 6), 6: between(6, 16), 7: between(32, 48)} {
 		got, err := m.Resolve(id)
 		require.NoError(t, err, "slice %d", id)
@@ -62,7 +62,7 @@
 
 	// Kept again, it is the same to the byte.
 	path := filepath.Join(t.TempDir(), "map.json")
-	c := catalog.NewCache(path, func(err error) { t.Error(err) })
+	c := shardcatalog.NewCache(path, func(err error) { t.Error(err) })
 	c.Save(m.Current(), m.Retired(1<<12))
 	c.Close()
 	got, err := os.ReadFile(path)
@@ -72,7 +72,7 @@
 	assert.Equal(t, string(want), string(got))
 
 	// The change that comes next is understood.
-	_, err = m.Apply([]slicemap.Change{{Base: 1047, Epoch: 1048, Kind: slicemap.Done, Shard: 6}}, nil)
+	_, err = m.Apply([]shardmap.Change{{Base: 1047, Epoch: 1048, Kind: shardmap.Done, Shard: 6}}, nil)
 	require.NoError(t, err)
 	assert.Equal(t, []string{"s-0", "s-3", "s-2"}, m.Shard(6).Replicas)
 }
@@ -92,7 +92,7 @@
 		before, err := os.ReadFile(file)
 		require.NoError(t, err)
 		w, err := load(t, "refused/"+name)
-		require.ErrorIs(t, err, catalog.ErrMalformedDocument, name)
+		require.ErrorIs(t, err, shardcatalog.ErrMalformedDocument, name)
 		assert.ErrorContains(t, err, says, name)
 		assert.ErrorContains(t, err, file, "it names the file")
 		assert.Nil(t, w, name)
@@ -101,14 +101,14 @@
 		assert.Equal(t, before, after, name)
 	}
 	for name, want := range map[string]error{
-		"map-hole.json":              slicemap.ErrGap,
-		"map-overlap.json":           slicemap.ErrOverlap,
-		"map-moved-to-a-holder.json": slicemap.ErrReplica,
-		"map-retired-in-use.json":    slicemap.ErrRange,
+		"map-hole.json":              shardmap.ErrGap,
+		"map-overlap.json":           shardmap.ErrOverlap,
+		"map-moved-to-a-holder.json": shardmap.ErrReplica,
+		"map-retired-in-use.json":    shardmap.ErrRange,
 	} {
 		w, err := load(t, "refused/"+name)
 		require.NoError(t, err, name)
-		m := slicemap.New(slicemap.Options{})
+		m := shardmap.New(shardmap.Options{})
 		_, err = m.Reset(*w)
 		require.ErrorIs(t, err, want, name)
 		assert.Zero(t, m.Current().Epoch, "%s: nothing of it is in use", name)
--- a/internal/catalog/source.go
+++ b/internal/transport/shardcatalog/source.go
@@ -1,20 +1,20 @@
-package catalog
+package shardcatalog
 
 import (
 	"errors"
 	"math"
 
+	"ternstage/internal/decision/shardmap"
 	"ternstage/internal/logs"
-	"ternstage/internal/loop"
-	"ternstage/internal/slicemap"
+	"ternstage/internal/transport/loop"
 )
 
 // Sink applies the updates of the catalogue. An error means that the update was rejected as a whole.
 type Sink interface {
 	// ApplySnapshot replaces the map.
-	ApplySnapshot(slicemap.Snapshot) error
+	ApplySnapshot(shardmap.Snapshot) error
 	// ApplyChanges applies changes in order, all or none. backends are all that may hold shards; none allows any.
-	ApplyChanges(changes []slicemap.Change, backends []string) error
+	ApplyChanges(changes []shardmap.Change, backends []string) error
 	// Epoch is that of the map in use; 0 before the first snapshot.
 	Epoch() uint64
 }
@@ -23,7 +23,7 @@
 type Options struct {
 	Address        string                 // host:port of the catalogue; also sent as the Host header
 	MaxAnswerBytes int                    // largest body of an answer, in bytes; a longer one is malformed
-	Poller         slicemap.PollerOptions // when the catalogue is called
+	Poller         shardmap.PollerOptions // when the catalogue is called
 	Seed           uint64                 // of the random delays
 }
 
@@ -34,7 +34,7 @@
 	sink    Sink
 	log     *logs.Log
 	options Options
-	poller  *slicemap.Poller
+	poller  *shardmap.Poller
 	timer   *loop.Timer
 	closed  bool
 
@@ -50,7 +50,7 @@
 	sequence int
 }
 
-var _ slicemap.Source = (*Source)(nil)
+var _ shardmap.Source = (*Source)(nil)
 
 // NewSource makes a source that makes no call before Start.
 func NewSource(eventLoop *loop.Loop, sink Sink, log *logs.Log, options Options) *Source {
@@ -59,7 +59,7 @@
 		sink:       sink,
 		log:        log,
 		options:    options,
-		poller:     slicemap.NewPoller(options.Poller, options.Seed),
+		poller:     shardmap.NewPoller(options.Poller, options.Seed),
 		deadlineMs: math.Inf(1),
 	}
 	source.timer = eventLoop.NewTimer(source.step)
@@ -69,7 +69,7 @@
 // Start begins to poll.
 func (s *Source) Start() { s.step() }
 
-// NewerEpochSeen reports that a backend or client has a map of this epoch; see slicemap.Poller.NewerEpochSeen.
+// NewerEpochSeen reports that a backend or client has a map of this epoch; see shardmap.Poller.NewerEpochSeen.
 func (s *Source) NewerEpochSeen(epoch uint64) {
 	s.poller.NewerEpochSeen(s.loop.Now(), epoch)
 	s.schedule()
--- a/internal/catalog/source_test.go
+++ b/internal/transport/shardcatalog/source_test.go
@@ -1,4 +1,4 @@
-package catalog
+package shardcatalog
 
 import (
 	"bufio"
@@ -15,10 +15,10 @@
 
 	"github.com/stretchr/testify/require"
 
+	"ternstage/internal/decision/shardmap"
 	"ternstage/internal/lab/loopback"
 	"ternstage/internal/logs"
-	"ternstage/internal/loop"
-	"ternstage/internal/slicemap"
+	"ternstage/internal/transport/loop"
 )
 
 const testPatience = 10 * time.Second
@@ -78,16 +78,16 @@
 
 // recordingSink is a map, and says when an update has been applied.
 type recordingSink struct {
-	m       *slicemap.Map
+	m       *shardmap.Map
 	applied chan uint64
 }
 
-func (s *recordingSink) ApplySnapshot(snapshot slicemap.Snapshot) error {
+func (s *recordingSink) ApplySnapshot(snapshot shardmap.Snapshot) error {
 	_, err := s.m.Reset(snapshot)
 	return s.record(err)
 }
 
-func (s *recordingSink) ApplyChanges(changes []slicemap.Change, backends []string) error {
+func (s *recordingSink) ApplyChanges(changes []shardmap.Change, backends []string) error {
 	_, err := s.m.Apply(changes, backends)
 	return s.record(err)
 }
@@ -118,7 +118,7 @@
 	fixture := &sourceFixture{
 		t:         t,
 		catalogue: newFakeCatalogue(t),
-		sink:      &recordingSink{m: slicemap.New(slicemap.Options{}), applied: make(chan uint64, 100)},
+		sink:      &recordingSink{m: shardmap.New(shardmap.Options{}), applied: make(chan uint64, 100)},
 		logPath:   filepath.Join(t.TempDir(), "log"),
 		ended:     make(chan error, 1),
 	}
@@ -131,7 +131,7 @@
 	fixture.source = NewSource(fixture.loop, fixture.sink, fixture.log, Options{
 		Address:        fixture.catalogue.listener.Addr().String(),
 		MaxAnswerBytes: 1 << 20,
-		Poller: slicemap.PollerOptions{
+		Poller: shardmap.PollerOptions{
 			WatchTimeoutMs: watchTimeoutMs,
 			JitterMs:       1,
 			MinIntervalMs:  5,
--- a/internal/wire/fixture_test.go
+++ b/internal/transport/simwire/fixture_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"bytes"
--- a/internal/wire/settings.go
+++ b/internal/transport/simwire/settings.go
@@ -1,11 +1,11 @@
-package wire
+package simwire
 
 import (
 	"encoding/json"
 	"fmt"
 
 	"ternstage/internal/decision/scheduler"
-	"ternstage/internal/slicemap"
+	"ternstage/internal/decision/shardmap"
 )
 
 // platformSettings mirrors the JSON of the settings that the scheduler uses. Times are in milliseconds.
@@ -113,7 +113,7 @@
 		Shards:          s.Domain.Slices,
 		Cells:           s.Domain.Sets,
 		CellsPerShard:   s.Domain.Width,
-		Placement:       slicemap.NewRingPlacement(s.Domain.Slices, s.Domain.Sets, s.Domain.Width),
+		Placement:       shardmap.NewRingPlacement(s.Domain.Slices, s.Domain.Sets, s.Domain.Width),
 		MaxPartsPerCall: s.Domain.PerCall,
 		CallOverhead:    s.Domain.CallCostMs,
 		PollEndpoints:   s.Discovery == pollDiscovery,
--- a/internal/wire/settings_test.go
+++ b/internal/transport/simwire/settings_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"testing"
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 
 	"ternstage/internal/decision/scheduler"
-	"ternstage/internal/slicemap"
+	"ternstage/internal/decision/shardmap"
 )
 
 func TestParseSettingsNamesTheProblem(t *testing.T) {
@@ -70,7 +70,7 @@
 		Shards:          24,
 		Cells:           23,
 		CellsPerShard:   25,
-		Placement:       slicemap.NewRingPlacement(24, 23, 25),
+		Placement:       shardmap.NewRingPlacement(24, 23, 25),
 		MaxPartsPerCall: 22,
 		CallOverhead:    13,
 		MaxStaleness:    26,
@@ -90,5 +90,5 @@
 	settings, err := ParseSettings([]byte(`{"limits": {"max_retry_after_ms": 37}}`))
 	require.NoError(t, err)
 	assert.Zero(t, settings.MaxRetryAfter)
-	assert.Equal(t, scheduler.Settings{Placement: slicemap.NewRingPlacement(0, 0, 0)}, settings)
+	assert.Equal(t, scheduler.Settings{Placement: shardmap.NewRingPlacement(0, 0, 0)}, settings)
 }
--- a/test/slices_test.go
+++ b/test/slices_test.go
@@ -18,10 +18,10 @@
 	"github.com/santhosh-tekuri/jsonschema/v6"
 	"github.com/stretchr/testify/require"
 
-	"ternstage/internal/catalog"
 	"ternstage/internal/lab/exp"
 	"ternstage/internal/lab/loopback"
 	"ternstage/internal/lab/world"
+	"ternstage/internal/transport/shardcatalog"
 )
 
 // The built program follows splits, merges and moves under load, over both wires, while nodes fail and a broker dies.
@@ -93,10 +93,10 @@
 	c.next = make(chan struct{})
 }
 
-func ring(epoch uint64) catalog.Document {
-	d := catalog.Document{Epoch: epoch, Complete: true, Buckets: 80}
+func ring(epoch uint64) shardcatalog.Document {
+	d := shardcatalog.Document{Epoch: epoch, Complete: true, Buckets: 80}
 	for i := range 8 {
-		d.Shards = append(d.Shards, catalog.Shard{ID: i, Lo: 10 * i, Hi: 10*i + 10,
+		d.Shards = append(d.Shards, shardcatalog.Shard{ID: i, Lo: 10 * i, Hi: 10*i + 10,
 			Replicas: []string{nodeName(i), nodeName(i + 1), nodeName(i + 2)}})
 	}
 	return d
@@ -137,13 +137,13 @@
 	p.waitLog("shard 3: buckets without a shard: 30-31 before it")
 	p.waitLog(`"code":"M10"`)
 	require.EqualValues(t, 5, p.slices().Epoch)
-	c.say(catalog.Document{Epoch: 9, Changes: []catalog.Change{{Base: 7, Epoch: 9, Kind: "handover"}}})
+	c.say(shardcatalog.Document{Epoch: 9, Changes: []shardcatalog.Change{{Base: 7, Epoch: 9, Kind: "handover"}}})
 	p.waitLog("change is based on another epoch: onto 7, at 5")
 	c.say("{")
 	p.waitLog("malformed document of the shard catalogue")
 	c.say(ring(7))
 	require.Eventually(t, func() bool { return p.slices().Epoch == 7 }, patience, 5*time.Millisecond)
-	c.say(catalog.Document{Epoch: 8, Changes: []catalog.Change{{Base: 7, Epoch: 8, Kind: "split", Shard: 0, At: 4, Into: []int{8, 9}}}})
+	c.say(shardcatalog.Document{Epoch: 8, Changes: []shardcatalog.Change{{Base: 7, Epoch: 8, Kind: "split", Shard: 0, At: 4, Into: []int{8, 9}}}})
 	require.Eventually(t, func() bool { return p.slices().Epoch == 8 && p.slices().Slices == 9 }, patience, 5*time.Millisecond)
 	// One so large that it is read beside the loop, and one right behind it.
 	wide := ring(9)
@@ -151,10 +151,10 @@
 	c.say(wide)
 	p.waitLog("they are never divided")
 	big := ring(10)
-	big.Shards = append(big.Shards[1:], catalog.Shard{ID: 8, Lo: 0, Hi: 4, Replicas: []string{"s-0"}},
-		catalog.Shard{ID: 9, Lo: 4, Hi: 10, Replicas: []string{"s-0"}})
+	big.Shards = append(big.Shards[1:], shardcatalog.Shard{ID: 8, Lo: 0, Hi: 4, Replicas: []string{"s-0"}},
+		shardcatalog.Shard{ID: 9, Lo: 4, Hi: 10, Replicas: []string{"s-0"}})
 	for i := range 5000 {
-		big.Retired = append(big.Retired, catalog.RetiredShard{ID: 1000 + i, Lo: 0, Hi: 10})
+		big.Retired = append(big.Retired, shardcatalog.RetiredShard{ID: 1000 + i, Lo: 0, Hi: 10})
 	}
 	c.say(big)
 	require.Eventually(t, func() bool { return p.slices().Epoch == 10 }, patience, 5*time.Millisecond)
@@ -174,7 +174,7 @@
 func TestDescriptionsOfMovingSlices(t *testing.T) {
 	is := asyncSchemas(t)
 	first := ring(5)
-	first.Retired = []catalog.RetiredShard{{ID: 40, Lo: 0, Hi: 20}}
+	first.Retired = []shardcatalog.RetiredShard{{ID: 40, Lo: 0, Hi: 20}}
 	first.Shards[1].State, first.Shards[1].From, first.Shards[1].To = "preparing", "s-1", "s-0"
 	c := newCatalogue(t, first)
 	operator := filepath.Join(t.TempDir(), "operator.jsonnet")
