--- a/internal/core/answer.go
+++ b/internal/core/answer.go
@@ -17,7 +17,7 @@
 )
 
 // String is the kind's name in the log.
-func (k AnswerKind) String() string { return [...]string{"answered", "refused", "failed"}[k] }
+func (k AnswerKind) String() string { return [...]string{"answered", "rejected", "failed"}[k] }
 
 // Value is what a backend gave for a part, or for some of its buckets under resharding.
 type Value struct {
--- a/internal/core/answer_test.go
+++ b/internal/core/answer_test.go
@@ -14,6 +14,6 @@
 
 func TestAnswerKindsInTheLog(t *testing.T) {
 	assert.Equal(t, "answered", Answered.String())
-	assert.Equal(t, "refused", Rejected.String())
+	assert.Equal(t, "rejected", Rejected.String())
 	assert.Equal(t, "failed", Failed.String())
 }
