--- a/cmd/ternstage/broker.go
+++ b/cmd/ternstage/broker.go
@@ -157,8 +157,8 @@
 	if b.features.flight.Backends {
 		b.backend = flight.NewBackendClient(b.loop, b.core, b.log, flight.BackendOptions{
 			StreamsPerConnection: b.config.StreamsPerConnection,
-			DialTimeout:          b.config.DialTimeoutMs,
-			KeepAlive:            b.config.IdleTimeoutMs,
+			DialTimeoutMs:        b.config.DialTimeoutMs,
+			IdleTimeoutMs:        b.config.IdleTimeoutMs,
 			MaxConnections:       b.limits.backends,
 		}, b.endpoints.Address)
 		return
@@ -166,8 +166,8 @@
 	b.backend = backendpool.NewPool(b.loop, b.core, b.log, backendpool.Options{
 		MaxPartsPerCall:      b.config.Scheduler.MaxPartsPerCall,
 		StreamsPerConnection: b.config.StreamsPerConnection,
-		DialTimeout:          b.config.DialTimeoutMs,
-		KeepAlive:            b.config.IdleTimeoutMs,
+		DialTimeoutMs:        b.config.DialTimeoutMs,
+		IdleTimeoutMs:        b.config.IdleTimeoutMs,
 		MaxConnections:       b.limits.backends,
 		Resharding:           b.shardMap != nil,
 		FreeDescriptor:       b.front.FreeDescriptor,
--- a/internal/contract/query.go
+++ b/internal/contract/query.go
@@ -73,7 +73,7 @@
 		Tenant:         tenant,
 		Deadline:       now + min(envelope.ClientTimeout, c.Classes[class].DeadlineMs),
 		ClientRetry:    envelope.ClientRetry && c.ClientsMarkRetries,
-		Query:          []byte(*query.Q),
+		Payload:        []byte(*query.Q),
 		IdempotencyKey: envelope.IdempotencyKey,
 		Parts:          make([]core.Part, 0, len(query.Shards)),
 	}
--- a/internal/contract/query_test.go
+++ b/internal/contract/query_test.go
@@ -33,7 +33,7 @@
 		{"shard":3,"weight":0.75,"cost":1500,"key":"00000000000000ff"},{"shard":4,"weight":0.25}]}`), 500)
 	require.NoError(t, err)
 	assert.Equal(t, &core.Request{
-		ID: "id-1", Class: 1, Tenant: 1, Deadline: 2500, ClientRetry: true, Epoch: 7, Query: []byte(`é "x"`),
+		ID: "id-1", Class: 1, Tenant: 1, Deadline: 2500, ClientRetry: true, Epoch: 7, Payload: []byte(`é "x"`),
 		IdempotencyKey: "key-1",
 		Parts: []core.Part{
 			{Shard: 3, Key: 255, Weight: 0.75, CostHint: 1.5, HasCostHint: true},
--- a/internal/control/adminops/drain.go
+++ b/internal/control/adminops/drain.go
@@ -30,7 +30,7 @@
 	log   *logs.Log
 	path  string
 	front Front
-	state maintenance.Drain
+	state maintenance.BrokerDrain
 	phase maintenance.Phase // that the front was last put into
 
 	readFailed bool // the file could not be read last time, which is logged once
--- a/internal/control/adminops/drain_test.go
+++ b/internal/control/adminops/drain_test.go
@@ -20,7 +20,7 @@
 	assert.True(t, p.draining)
 	assert.False(t, p.Ready())
 
-	p.drain.state = maintenance.Drain{}
+	p.drain.state = maintenance.BrokerDrain{}
 	p.drain.state.Begin(p.loop.Now() - maintenance.CloseIdleAfterMs)
 	p.drain.applyPhase()
 	p.drain.applyPhase()
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -10,7 +10,7 @@
 type Attempt struct {
 	Request        string  // the request's ID
 	Shard          int     // the shard that is asked, by its id of the placement in use
-	Query          []byte  // what the backend is asked; shared by all attempts of the request and read-only
+	Payload        []byte  // what the backend is asked; shared by all attempts of the request and read-only
 	IdempotencyKey string  // by which the backend drops repeats; "" for none
 	Backend        uint32  // replica number of the backend
 	Deadline       float64 // when the wait for it ends, in ms of the loop's clock
@@ -73,7 +73,7 @@
 	attempt := &Attempt{
 		Request:        part.request.ID,
 		Shard:          part.Shard,
-		Query:          part.request.Query,
+		Payload:        part.request.Payload,
 		IdempotencyKey: part.request.IdempotencyKey,
 		Backend:        replica,
 		Deadline:       deadline,
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -57,7 +57,7 @@
 
 // submit submits the i-th request, of so many parts.
 func (f *benchFixture) submit(i, parts int) {
-	request := &core.Request{ID: fmt.Sprint(i), Deadline: f.now + 3000, Client: f, Query: []byte("x")}
+	request := &core.Request{ID: fmt.Sprint(i), Deadline: f.now + 3000, Client: f, Payload: []byte("x")}
 	for j := range parts {
 		request.Parts = append(request.Parts, core.Part{Shard: (i*7 + j) % f.shards, Weight: 1 / float64(parts),
 			CostHint: 10, HasCostHint: true})
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -24,7 +24,7 @@
 	ClientRetry    bool    // the client says that it asked before
 	Epoch          uint64  // of the shard map by which the client named its parts; 0 if it does not say
 	Parts          []Part  // at least one, of different shards
-	Query          []byte  // what every part carries
+	Payload        []byte  // what every part carries
 	IdempotencyKey string  // by which backends drop repeats, of a class that is idempotent with a key; "" for none
 	Client         Client  // who gets the final answer
 
--- a/internal/decision/endpointpoll/timing.go
+++ b/internal/decision/endpointpoll/timing.go
@@ -3,8 +3,8 @@
 // The scheduler stops sending to a draining backend half a drain grace after it was notified. The other half covers
 // reading a pushed list: one period, one timeout of an unresponsive call, and the time that the response takes.
 const (
-	periodOfGrace  = 0.1
-	timeoutOfGrace = 0.25
+	pollPeriodGraceRatio  = 0.1
+	callTimeoutGraceRatio = 0.25
 )
 
 const (
@@ -46,13 +46,13 @@
 	if o.DrainGrace <= 0 {
 		return maxPeriodMs
 	}
-	return min(max(o.DrainGrace*periodOfGrace, minPeriodMs), maxPeriodMs)
+	return min(max(o.DrainGrace*pollPeriodGraceRatio, minPeriodMs), maxPeriodMs)
 }
 
 // timeout returns the ms after which a call without a response has failed.
 func (o Options) timeout() float64 {
 	if o.Pushed {
-		return max(o.period()*timeoutOfGrace/periodOfGrace, 2*minPeriodMs)
+		return max(o.period()*callTimeoutGraceRatio/pollPeriodGraceRatio, 2*minPeriodMs)
 	}
 	return watchWaitMs + responseAllowanceMs
 }
--- a/internal/decision/maintenance/drain.go
+++ b/internal/decision/maintenance/drain.go
@@ -32,15 +32,15 @@
 	DrainedByMs = 4000.0
 )
 
-// Drain is the state of the broker between an operator's call to drain and the call to activate. The zero value is a
+// BrokerDrain is the state of the broker between an operator's call to drain and the call to activate. The zero value is a
 // broker that serves.
-type Drain struct {
+type BrokerDrain struct {
 	active  bool
 	sinceMs float64
 }
 
 // Begin starts a drain at nowMs. A drain in progress keeps its beginning.
-func (d *Drain) Begin(nowMs float64) CallResult {
+func (d *BrokerDrain) Begin(nowMs float64) CallResult {
 	if d.active {
 		return resultAlready
 	}
@@ -50,7 +50,7 @@
 }
 
 // End stops the drain, and the broker serves again.
-func (d *Drain) End() CallResult {
+func (d *BrokerDrain) End() CallResult {
 	if !d.active {
 		return resultAlready
 	}
@@ -59,7 +59,7 @@
 }
 
 // Phase returns the phase at nowMs.
-func (d *Drain) Phase(nowMs float64) Phase {
+func (d *BrokerDrain) Phase(nowMs float64) Phase {
 	if !d.active {
 		return Serving
 	}
@@ -74,10 +74,10 @@
 }
 
 // Healthy tells whether the health check succeeds in a process that could serve if ready.
-func (d *Drain) Healthy(ready bool) bool { return ready && !d.active }
+func (d *BrokerDrain) Healthy(ready bool) bool { return ready && !d.active }
 
 // SinceMs returns when the drain began, in milliseconds of the caller's clock, and 0 without one.
-func (d *Drain) SinceMs() float64 {
+func (d *BrokerDrain) SinceMs() float64 {
 	if !d.active {
 		return 0
 	}
--- a/internal/decision/maintenance/drain_test.go
+++ b/internal/decision/maintenance/drain_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestDrainPhases(t *testing.T) {
-	var d Drain
+	var d BrokerDrain
 	d.Begin(1000)
 	for _, c := range []struct {
 		atMs  float64
@@ -26,7 +26,7 @@
 }
 
 func TestDrainBeginEnd(t *testing.T) {
-	var d Drain
+	var d BrokerDrain
 	assert.True(t, d.Healthy(true))
 	assert.False(t, d.Healthy(false), "not ready is not healthy")
 	assert.True(t, d.End().OK())
--- a/internal/decision/scheduler/admission.go
+++ b/internal/decision/scheduler/admission.go
@@ -19,8 +19,8 @@
 	// replicas before the shard counts as congested: for queries of no priority, and so much more at full priority.
 	queueingAtLeast     = 0.06
 	queueingPerPriority = 0.20
-	// congestedWeightFactor is how much a part of a congested shard weighs among what may be missing.
-	congestedWeightFactor = 1.5
+	// queuedWeightFactor is how much a part of a congested shard weighs among what may be missing.
+	queuedWeightFactor = 1.5
 	// unavailableObjectiveShare is the share of the objective for which a part waits for a replica to become
 	// available.
 	unavailableObjectiveShare = 0.5
@@ -153,8 +153,8 @@
 	if q.step == 0 {
 		rejected = s.checkAdmission(now, q, load)
 	}
-	if rejected != notRejected && (s.fleet.inFlight > load.limit || load.queuedWeight > 0) {
-		s.congestedAt = now
+	if rejected != notRejected && (s.fleetLimit.inFlight > load.limit || load.queuedWeight > 0) {
+		s.lastOverloadAt = now
 	}
 	if rejected != notRejected || len(q.parts) == 0 || now >= q.Deadline-s.answerMarginMs {
 		s.finish(now, q)
@@ -170,15 +170,15 @@
 	load := admissionLoad{priority: q.priority / s.maxPriority}
 	objective := q.class.LatencyObjective
 	for _, p := range q.parts {
-		wait := s.queueingMs(now, p) / (objective * (queueingAtLeast + queueingPerPriority*load.priority))
+		wait := s.queueWaitMs(now, p) / (objective * (queueingAtLeast + queueingPerPriority*load.priority))
 		load.cost += p.cost
-		load.queuedWeight += p.Weight * congestedWeightFactor * min(1, wait)
+		load.queuedWeight += p.Weight * queuedWeightFactor * min(1, wait)
 		p.abandoned = p.abandoned || q.step == 0 && wait > 1
 		if p.abandoned || !s.isAvailableBy(now, p, now+unavailableObjectiveShare*objective) {
 			load.missingWeight += p.Weight
 		}
 	}
-	load.limit = s.fleet.cost * (limitAtNoPriority + load.priority)
+	load.limit = s.fleetLimit.maxCost * (limitAtNoPriority + load.priority)
 	return load
 }
 
@@ -194,7 +194,7 @@
 	if load.missingWeight > 0 && max(load.missingWeight, load.queuedWeight) > mayMiss {
 		return rejectedMissingParts
 	}
-	if s.fleet.inFlight > load.limit {
+	if s.fleetLimit.inFlight > load.limit {
 		return rejectedOverLimit
 	}
 	if now < s.lastAdmittedAt+(load.cost/load.limit-1)*s.latency.overloadMedian*s.latency.partMs {
--- a/internal/decision/scheduler/admission_test.go
+++ b/internal/decision/scheduler/admission_test.go
@@ -75,16 +75,16 @@
 	for i := range shards {
 		shards[i] = i
 	}
-	h.scheduler.fleet.cost = 8
+	h.scheduler.fleetLimit.maxCost = 8
 	h.decided(h.submit(classDefault, shards...))
 	h.advance(200, h.replyAfter(5))
-	h.scheduler.fleet.cost = 8
+	h.scheduler.fleetLimit.maxCost = 8
 	early := h.decided(h.submit(classDefault, shards...))
 	if early.end != endReject {
 		t.Fatalf("a second query of 40 parts was not rejected after 200 ms: %q", early.end)
 	}
 	h.advance(400, h.replyAfter(5))
-	h.scheduler.fleet.cost = 8
+	h.scheduler.fleetLimit.maxCost = 8
 	later := h.decided(h.submit(classDefault, shards...))
 	if later.end != "" {
 		t.Fatalf("a query of 40 parts was still not admitted after 600 ms: %q", later.end)
@@ -325,7 +325,7 @@
 		s := h.scheduler
 		s.latency.partMs = 100
 		s.lastAdmittedAt = h.now
-		s.fleet.inFlight = test.inFlight
+		s.fleetLimit.inFlight = test.inFlight
 		s.throttle.RecordResult(test.failedWork, false)
 		deadline := h.now + test.remainingMs
 		q := &query{Query: Query{Deadline: deadline}, class: &settings.Classes[test.class], expectedLastPartMs: 100}
--- a/internal/decision/scheduler/completion.go
+++ b/internal/decision/scheduler/completion.go
@@ -26,7 +26,7 @@
 	reachable := 0.0
 	for _, p := range q.parts {
 		reachable += p.weightIf(func(p *part) bool {
-			return p.arrived || p.attemptsInFlight > 0 || s.mayRetry(now, p)
+			return p.arrived || p.attemptsInFlight > 0 || s.mayAttempt(now, p)
 		})
 	}
 	isFinal := reachable < q.class.MinCompleteness-weightTolerance || q.arrivedWeight >= reachable-weightTolerance
--- a/internal/decision/scheduler/concurrency_limit.go
+++ b/internal/decision/scheduler/concurrency_limit.go
@@ -7,12 +7,12 @@
 	// replica's queue is. With more, each sees too little of it.
 	smallFleetBrokers = 4
 
-	initialReplicaLimit = 4.0 // cost: a few slots of the smallest backend
-	minReplicaLimit     = 1.0 // cost
-	replicaLimitStep    = 0.5 // cost by which a normal answer raises a replica's limit, over the limit itself
-	replicaLimitInUse   = 0.5 // share of its limit that must be in flight for the limit to grow
+	initialReplicaMaxCost = 4.0 // cost: a few slots of the smallest backend
+	minReplicaMaxCost     = 1.0 // cost
+	replicaLimitStep      = 0.5 // cost by which a normal answer raises a replica's limit, over the limit itself
+	replicaLimitInUse     = 0.5 // share of its limit that must be in flight for the limit to grow
 
-	minFleetLimit       = 4.0  // cost
+	minFleetMaxCost     = 4.0  // cost
 	fleetLimitCut       = 0.85 // factor on what is in flight when the fleet is slow, once per round trip
 	fleetLimitStep      = 0.3  // cost by which the limit grows for each cost answered while the fleet is quick
 	fleetObjectiveShare = 0.5  // share of the shortest objective; a fleet whose median part takes longer is slow
@@ -22,14 +22,14 @@
 // additively with normal answers and shrinks to what was in flight with slow ones, once per round trip.
 type replicaLimit struct {
 	inFlight float64 // cost of this broker's attempts at the replica
-	cost     float64
+	maxCost  float64
 	cutAt    float64 // attempts sent before do not cut it again
 }
 
 // cut lowers the limit to what is in flight, unless that was done after the attempt had been sent.
 func (l *replicaLimit) cut(now, sentAt float64) {
 	if l.cutAt < sentAt {
-		l.cost = max(minReplicaLimit, min(l.cost, l.inFlight))
+		l.maxCost = max(minReplicaMaxCost, min(l.maxCost, l.inFlight))
 		l.cutAt = now
 	}
 }
@@ -38,7 +38,7 @@
 // its bad latency has faded.
 func (l *replicaLimit) collapse(now, sentAt float64) {
 	if l.cutAt < sentAt {
-		l.cost = minReplicaLimit
+		l.maxCost = minReplicaMaxCost
 		l.cutAt = now
 	}
 }
@@ -49,8 +49,8 @@
 		l.cut(now, a.sentAt)
 		return
 	}
-	if l.inFlight >= l.cost*replicaLimitInUse {
-		l.cost += replicaLimitStep * a.part.cost / l.cost
+	if l.inFlight >= l.maxCost*replicaLimitInUse {
+		l.maxCost += replicaLimitStep * a.part.cost / l.maxCost
 	}
 }
 
@@ -58,20 +58,20 @@
 // of large fleets have one; others go by what is queued at each shard.
 type fleetLimit struct {
 	inFlight float64 // cost of all attempts in flight
-	cost     float64 // +Inf until it is cut for the first time
+	maxCost  float64 // +Inf until it is cut for the first time
 	cutAt    float64
 }
 
-func newFleetLimit() fleetLimit { return fleetLimit{cost: math.Inf(1)} }
+func newFleetLimit() fleetLimit { return fleetLimit{maxCost: math.Inf(1)} }
 
 // isLargeFleet reports whether there are too many brokers for one to see the queues of the replicas by itself.
 func (s *Scheduler) isLargeFleet() bool { return s.settings.BrokerCount > smallFleetBrokers }
 
 // cutFleetLimit lowers the limit of the fleet once for what was sent since the last time.
 func (s *Scheduler) cutFleetLimit(now, sentAt float64) {
-	limit := &s.fleet
+	limit := &s.fleetLimit
 	if s.isLargeFleet() && limit.cutAt < sentAt {
-		limit.cost = max(minFleetLimit, fleetLimitCut*min(limit.cost, limit.inFlight))
+		limit.maxCost = max(minFleetMaxCost, fleetLimitCut*min(limit.maxCost, limit.inFlight))
 		limit.cutAt = now
 	}
 }
@@ -80,7 +80,7 @@
 func (s *Scheduler) adaptFleetLimit(now float64, a *attempt) {
 	isQuick := s.latency.medianPartMs() <= fleetObjectiveShare*s.latency.minObjectiveMs
 	if !s.isLargeFleet() || isQuick {
-		s.fleet.cost += fleetLimitStep * a.part.cost
+		s.fleetLimit.maxCost += fleetLimitStep * a.part.cost
 		return
 	}
 	s.cutFleetLimit(now, a.sentAt)
--- a/internal/decision/scheduler/concurrency_limit_test.go
+++ b/internal/decision/scheduler/concurrency_limit_test.go
@@ -163,20 +163,20 @@
 		isQueueing bool
 		want       float64
 	}{
-		"normal, in use":        {replicaLimit{inFlight: 5, cost: 10}, false, 10.1},
-		"normal, not in use":    {replicaLimit{inFlight: 4, cost: 10}, false, 10},
-		"queueing":              {replicaLimit{inFlight: 5, cost: 10}, true, 5},
-		"queueing, minimum":     {replicaLimit{inFlight: 0.5, cost: 10}, true, minReplicaLimit},
-		"queueing, over limit":  {replicaLimit{inFlight: 20, cost: 10}, true, 10},
-		"queueing, already cut": {replicaLimit{inFlight: 5, cost: 10, cutAt: 160}, true, 10},
+		"normal, in use":        {replicaLimit{inFlight: 5, maxCost: 10}, false, 10.1},
+		"normal, not in use":    {replicaLimit{inFlight: 4, maxCost: 10}, false, 10},
+		"queueing":              {replicaLimit{inFlight: 5, maxCost: 10}, true, 5},
+		"queueing, minimum":     {replicaLimit{inFlight: 0.5, maxCost: 10}, true, minReplicaMaxCost},
+		"queueing, over limit":  {replicaLimit{inFlight: 20, maxCost: 10}, true, 10},
+		"queueing, already cut": {replicaLimit{inFlight: 5, maxCost: 10, cutAt: 160}, true, 10},
 	} {
 		limit := test.limit
 		limit.observe(200, &attempt{part: &part{cost: 2}, sentAt: 150}, test.isQueueing)
-		assert.InDelta(t, test.want, limit.cost, 1e-9, name)
+		assert.InDelta(t, test.want, limit.maxCost, 1e-9, name)
 	}
-	stalled := replicaLimit{inFlight: 5, cost: 10}
+	stalled := replicaLimit{inFlight: 5, maxCost: 10}
 	stalled.collapse(200, 150)
-	assert.Equal(t, minReplicaLimit, stalled.cost)
+	assert.Equal(t, minReplicaMaxCost, stalled.maxCost)
 }
 
 // TestFleetLimitIsForLargeFleets guarantees that only brokers of large fleets cut the fleet's limit: by a factor of
@@ -184,13 +184,13 @@
 func TestFleetLimitIsForLargeFleets(t *testing.T) {
 	for brokers, wants := range map[int][]float64{
 		smallFleetBrokers:     {math.Inf(1), math.Inf(1), math.Inf(1)},
-		smallFleetBrokers + 1: {85, 85, minFleetLimit},
+		smallFleetBrokers + 1: {85, 85, minFleetMaxCost},
 	} {
-		s := &Scheduler{settings: Settings{BrokerCount: brokers}, fleet: newFleetLimit()}
+		s := &Scheduler{settings: Settings{BrokerCount: brokers}, fleetLimit: newFleetLimit()}
 		for i, cut := range []struct{ inFlight, now, sentAt float64 }{{100, 200, 150}, {50, 210, 150}, {1, 300, 250}} {
-			s.fleet.inFlight = cut.inFlight
+			s.fleetLimit.inFlight = cut.inFlight
 			s.cutFleetLimit(cut.now, cut.sentAt)
-			assert.Equal(t, wants[i], s.fleet.cost, "%d brokers, cut %d", brokers, i)
+			assert.Equal(t, wants[i], s.fleetLimit.maxCost, "%d brokers, cut %d", brokers, i)
 		}
 	}
 }
--- a/internal/decision/scheduler/dispatch.go
+++ b/internal/decision/scheduler/dispatch.go
@@ -18,7 +18,7 @@
 		return false
 	}
 	if len(p.attempts) > 0 {
-		if !s.mayRetry(now, p) || !s.retryBudget.allows(now, s.arrivals) {
+		if !s.mayAttempt(now, p) || !s.retryBudget.allows(now, s.arrivals) {
 			return false
 		}
 		s.retryBudget.spend(now)
@@ -60,7 +60,7 @@
 	}
 	r.limit.inFlight = a.replicaCost
 	r.inFlight = append(r.inFlight, a)
-	s.fleet.inFlight += p.cost
+	s.fleetLimit.inFlight += p.cost
 	p.queued = false
 	p.attempts = append(p.attempts, a)
 	p.attemptsInFlight++
--- a/internal/decision/scheduler/endpoint_list.go
+++ b/internal/decision/scheduler/endpoint_list.go
@@ -32,8 +32,8 @@
 	dueAt     float64 // when to poll; +Inf while a watch runs or nothing is to be polled
 }
 
-// crowdMs is how long the discovery service needs for one poll of each broker, in ms; 0 in a small fleet.
-func (s *Scheduler) crowdMs() float64 {
+// fleetPollMs is how long the discovery service needs for one poll of each broker, in ms; 0 in a small fleet.
+func (s *Scheduler) fleetPollMs() float64 {
 	return pollServiceMs * float64(max(0, s.settings.BrokerCount-smallFleetBrokers))
 }
 
@@ -41,7 +41,7 @@
 // service from recovering. It stays short in a small fleet, as changes must arrive within seconds of its return, and
 // while no list is known, as nothing can be served without one.
 func (s *Scheduler) backOff(now float64) {
-	crowd := s.crowdMs() * float64(min(len(s.replicas.ordered), 1))
+	crowd := s.fleetPollMs() * float64(min(len(s.replicas.ordered), 1))
 	last := s.poll.backoffMs
 	staleness := s.settings.MaxStaleness
 	firstSteps := min(max(2*last, crowd), pollBackoffMaxMs)
@@ -61,7 +61,7 @@
 		return
 	}
 	s.poll.dueAt = now
-	if crowd := s.crowdMs(); crowd > 0 && entries > 0 {
+	if crowd := s.fleetPollMs(); crowd > 0 && entries > 0 {
 		s.poll.dueAt += min(crowd, s.settings.MaxStaleness) / 2 * s.random.next()
 	}
 }
--- a/internal/decision/scheduler/hedging.go
+++ b/internal/decision/scheduler/hedging.go
@@ -14,8 +14,8 @@
 	hedgeBudgetSpare = 4.0
 	hedgeBudgetRatio = 0.05
 
-	// congestionMs is for how long after a rejection a slow fleet gets no hedged requests.
-	congestionMs = 1000
+	// overloadMemoryMs is for how long after a rejection a slow fleet gets no hedged requests.
+	overloadMemoryMs = 1000
 	// slowFleetLevel is the overload median from which a fleet is slow for hedged requests, slowFleetReassignLevel
 	// that for reassignments, which throw away what was about to come.
 	slowFleetLevel         = 2.0
@@ -53,10 +53,10 @@
 // hedge sends a hedged request of a late part to a healthy replica that it was not sent to before, and reports
 // whether it did. It sends none while something is queued at the part's replicas or the fleet is congested.
 func (s *Scheduler) hedge(now float64, p *part) bool {
-	if !s.mayRetryNow(now, p) || s.isCongested(now, p, slowFleetLevel) || !s.hedgeBudgetAllows(now) {
+	if !s.mayAttemptNow(now, p) || s.isOverloaded(now, p, slowFleetLevel) || !s.hedgeBudgetAllows(now) {
 		return false
 	}
-	r := s.selectForRetry(now, p)
+	r := s.selectForExtraAttempt(now, p)
 	if r == nil || !s.isHealthy(now, r) || p.attemptedAt(r) {
 		return false
 	}
@@ -78,12 +78,12 @@
 	if settings.MaxAttempts > 0 && len(p.attempts) >= settings.MaxAttempts {
 		return false
 	}
-	if s.isCongested(now, p, slowFleetReassignLevel) || !s.hedgeBudgetAllows(now) {
+	if s.isOverloaded(now, p, slowFleetReassignLevel) || !s.hedgeBudgetAllows(now) {
 		return false
 	}
 	selected := s.selectReplica(now, p, p.Shard, p.cost, p)
 	r := selected.replica
-	if r == nil || !selected.takesMore || !s.isHealthy(now, r) || p.attemptedAt(r) {
+	if r == nil || !selected.tierTakesMore || !s.isHealthy(now, r) || p.attemptedAt(r) {
 		return false
 	}
 	if reassignLatencyFactor*s.normalizedLatency(now, r) > s.normalizedLatency(now, a.replica) {
@@ -96,13 +96,13 @@
 	return true
 }
 
-// isCongested reports whether calls wait at a part's replicas, or the fleet is slower than a level shortly after a
+// isOverloaded reports whether calls wait at a part's replicas, or the fleet is slower than a level shortly after a
 // rejection.
-func (s *Scheduler) isCongested(now float64, p *part, level float64) bool {
+func (s *Scheduler) isOverloaded(now float64, p *part, level float64) bool {
 	if s.queuedSince(p.Shard, now) < now {
 		return true
 	}
-	return s.latency.overloadMedian > level && now < s.congestedAt+congestionMs
+	return s.latency.overloadMedian > level && now < s.lastOverloadAt+overloadMemoryMs
 }
 
 // hedgeBudgetAllows reports whether one more hedged request or reassignment stays within the budget.
--- a/internal/decision/scheduler/hedging_test.go
+++ b/internal/decision/scheduler/hedging_test.go
@@ -96,7 +96,7 @@
 			s := h.scheduler
 			group := s.settings.Placement.Group(0)
 			for i := 0; i < roundsLimit && len(h.inFlight) < 2; i++ {
-				s.congestedAt = h.now
+				s.lastOverloadAt = h.now
 				switch congestion {
 				case otherShard:
 					s.queues.activate(3, h.now).oldestQueuedAt = h.now - 100
--- a/internal/decision/scheduler/learning.go
+++ b/internal/decision/scheduler/learning.go
@@ -10,7 +10,7 @@
 	delete(s.attempts, key)
 	s.endAttempt(now, a, result)
 	a.replica.limit.inFlight -= a.limitCost
-	s.fleet.inFlight -= a.part.cost
+	s.fleetLimit.inFlight -= a.part.cost
 }
 
 // endAttempt learns from the outcome and decides what becomes of the attempt's part and query. The cost of the
@@ -106,7 +106,7 @@
 	normalized := perCost / s.latency.baseline
 	s.observeReplicaLatency(now, r, normalized)
 	s.zones.observe(now, r, normalized)
-	s.observeTrial(now, a, normalized)
+	s.observeSlowness(now, a, normalized)
 	s.latency.observeFleet(perCost, len(a.part.query.parts))
 	r.markOvertaken(a.sentAt)
 	if r.outliers.isLost {
@@ -140,9 +140,9 @@
 func (s *Scheduler) learnRejection(now float64, r *replica) {
 	level := max(rejectionLevelFactor*s.latency.queueingLevel, s.normalizedLatency(now, r))
 	s.observeReplicaLatency(now, r, level)
-	s.congestedAt = now
+	s.lastOverloadAt = now
 	s.openCircuit(now, r, rejectionCircuitParts)
-	r.limit.cost = max(minReplicaLimit, min(r.limit.cost, r.limit.inFlight))
+	r.limit.maxCost = max(minReplicaMaxCost, min(r.limit.maxCost, r.limit.inFlight))
 }
 
 // learnTimeout takes an attempt that was given up: its age is a lower bound of its latency.
@@ -151,7 +151,7 @@
 	normalized := (now - a.sentAt) / s.expectedLatencyMs(a)
 	s.observeReplicaLatency(now, r, max(normalized, s.normalizedLatency(now, r)))
 	if normalized >= ejectionLatency*s.latency.fleetLevel {
-		s.observeTrial(now, a, normalized)
+		s.observeSlowness(now, a, normalized)
 	}
 	if normalized > s.latency.queueingLevel {
 		r.limit.collapse(now, a.sentAt)
--- a/internal/decision/scheduler/outlier_detection.go
+++ b/internal/decision/scheduler/outlier_detection.go
@@ -84,11 +84,11 @@
 	return avoids, failureRate
 }
 
-// observeTrial learns from an attempt that ended at a normalized latency whether its replica is stalled or slow.
+// observeSlowness learns from an attempt that ended at a normalized latency whether its replica is stalled or slow.
 // Attempts that a stalled replica held back come late all at once, or are cancelled; one that was sent after that is
 // a trial request. A trial at normal latency ends the ejection at once. After each slow one the next waits twice as
 // long, so that a short pause does not eject a replica for long and a slow one gets little.
-func (s *Scheduler) observeTrial(now float64, a *attempt, normalized float64) {
+func (s *Scheduler) observeSlowness(now float64, a *attempt, normalized float64) {
 	r := a.replica
 	outliers := &r.outliers
 	if normalized < ejectionLatency*s.latency.fleetLevel {
--- a/internal/decision/scheduler/outlier_detection_test.go
+++ b/internal/decision/scheduler/outlier_detection_test.go
@@ -173,7 +173,7 @@
 	s := h.scheduler
 	r := s.replicas.byID[3]
 	endSlowly := func(sentAt, normalized float64) {
-		s.observeTrial(h.now, &attempt{replica: r, sentAt: sentAt}, normalized)
+		s.observeSlowness(h.now, &attempt{replica: r, sentAt: sentAt}, normalized)
 		r.excessLatency = decayingAverage{h.now, max(r.excessLatency.value, normalized-1)}
 	}
 	endSlowly(h.now-900, 30)
@@ -199,7 +199,7 @@
 	if !s.isHealthy(h.now, r) {
 		t.Fatal("no trial after the rest")
 	}
-	s.observeTrial(h.now+1, &attempt{replica: r, sentAt: h.now}, 1.2)
+	s.observeSlowness(h.now+1, &attempt{replica: r, sentAt: h.now}, 1.2)
 	level := s.normalizedLatency(h.now, r)
 	if r.outliers.slowTrials != 0 || level > 1.3 {
 		t.Fatalf("after a normal trial: normalized latency %v, %d slow trials", level, r.outliers.slowTrials)
@@ -235,9 +235,9 @@
 		}
 	}
 	trialAt := r.outliers.trialAllowedAt
-	s.observeTrial(trialAt+1, &attempt{replica: r, sentAt: trialAt}, 1.2)
+	s.observeSlowness(trialAt+1, &attempt{replica: r, sentAt: trialAt}, 1.2)
 	r.outliers.lastSlowAt = h.now
-	s.observeTrial(h.now, &attempt{replica: r, sentAt: h.now - 500}, 20)
+	s.observeSlowness(h.now, &attempt{replica: r, sentAt: h.now - 500}, 20)
 	r.excessLatency.value = 19
 	if !s.isHealthy(h.now, r) {
 		t.Fatal("an attempt that came late out of a past stall delays the next trial")
--- a/internal/decision/scheduler/placement.go
+++ b/internal/decision/scheduler/placement.go
@@ -68,9 +68,9 @@
 	return cmp.Or(s.queuedSinceByGroup[s.settings.Placement.Group(shard)], now)
 }
 
-// queueingMs is for how long the oldest call waits at the replicas of a part's shard, or of a part that counts with
+// queueWaitMs is for how long the oldest call waits at the replicas of a part's shard, or of a part that counts with
 // it, in ms.
-func (s *Scheduler) queueingMs(now float64, p *part) float64 {
+func (s *Scheduler) queueWaitMs(now float64, p *part) float64 {
 	longest := 0.0
 	for _, companion := range p.companions() {
 		longest = max(longest, now-s.queuedSince(companion.Shard, now))
--- a/internal/decision/scheduler/queues.go
+++ b/internal/decision/scheduler/queues.go
@@ -34,10 +34,10 @@
 // shardQueues are the queues of one shard. Rein assigns a call to a queue by the cost of its query's bottleneck;
 // deficit round robin drains them in proportion to their rates.
 type shardQueues struct {
-	shard     int
-	fifo      [queueCount][]*queuedCall
-	deficit   [queueCount]float64
-	nextQueue int
+	shard        int
+	fifo         [queueCount][]*queuedCall
+	deficit      [queueCount]float64
+	currentQueue int
 	// oldestQueuedAt is since when its oldest call has been waiting, as of the beginning of the round.
 	oldestQueuedAt float64
 	isActive       bool // it is among the active ones
@@ -168,13 +168,13 @@
 		}
 	}
 	for waiting > 0 {
-		current := q.nextQueue
+		current := q.currentQueue
 		if calls := q.fifo[current]; len(calls) > 0 && q.deficit[current] >= calls[0].cost {
 			return current
 		}
-		q.nextQueue = (current + 1) % queueCount
-		if len(q.fifo[q.nextQueue]) > 0 {
-			q.deficit[q.nextQueue] += queueRates[q.nextQueue]
+		q.currentQueue = (current + 1) % queueCount
+		if len(q.fifo[q.currentQueue]) > 0 {
+			q.deficit[q.currentQueue] += queueRates[q.currentQueue]
 		}
 	}
 	return -1
@@ -283,7 +283,7 @@
 	for queue := queues.next(); queue >= 0; queue = queues.next() {
 		call := queues.fifo[queue][0]
 		selected := s.selectReplica(now, call.parts[0], queues.shard, call.cost, nil)
-		if selected.replica == nil || !selected.takesMore {
+		if selected.replica == nil || !selected.tierTakesMore {
 			return
 		}
 		for _, p := range call.parts {
--- a/internal/decision/scheduler/replica.go
+++ b/internal/decision/scheduler/replica.go
@@ -36,7 +36,7 @@
 		Endpoint: e,
 		drain:    drainState{informedAt: math.Inf(-1)},
 		warmup:   warmupState{startedAt: e.StartedAt},
-		limit:    replicaLimit{cost: initialReplicaLimit},
+		limit:    replicaLimit{maxCost: initialReplicaMaxCost},
 	}
 }
 
--- a/internal/decision/scheduler/replica_selection.go
+++ b/internal/decision/scheduler/replica_selection.go
@@ -9,8 +9,8 @@
 	otherZonePenalty = 0.5
 	// tieNoise is the random part of a tie, so that brokers do not move in step.
 	tieNoise = 0.15
-	// congestedLevel is how many times the fleet's level makes a replica that holds parts back get them at a pace.
-	congestedLevel = 1.8
+	// pacedReplicaLevel is how many times the fleet's level makes a replica that holds parts back get them at a pace.
+	pacedReplicaLevel = 1.8
 	// assumedConcurrency is how many parts a replica is taken to serve side by side for that pace.
 	assumedConcurrency = 2.0
 )
@@ -25,8 +25,8 @@
 
 // selection is the replica chosen for a part and whether it takes more work now.
 type selection struct {
-	replica   *replica
-	takesMore bool
+	replica       *replica
+	tierTakesMore bool
 }
 
 // rank orders the candidates for a part; the least is chosen.
@@ -64,10 +64,10 @@
 		}
 		isBetterTier := best.replica == nil || candidate.tier < bestRank.tier
 		if isBetterTier {
-			best.takesMore = false
+			best.tierTakesMore = false
 		}
 		if isBetterTier || candidate.tier == bestRank.tier {
-			best.takesMore = best.takesMore || s.takesMore(now, r, level)
+			best.tierTakesMore = best.tierTakesMore || s.takesMore(now, r, level)
 		}
 		if best.replica == nil || candidate.compare(bestRank) < 0 {
 			best.replica = r
@@ -125,14 +125,14 @@
 	if hasNothingInFlight && s.isPaced(now, r, level) {
 		return true
 	}
-	return level <= s.latency.queueingLevel && (hasNothingInFlight || r.limit.inFlight < r.limit.cost)
+	return level <= s.latency.queueingLevel && (hasNothingInFlight || r.limit.inFlight < r.limit.maxCost)
 }
 
 // isPaced reports whether an attempt may go to a replica that has nothing of this broker in flight. In a large fleet
 // one attempt of each broker would keep a congested replica's queue full, so each sends one in the time in which the
 // replica serves one of every broker's. That may hold back the broker with the most traffic.
 func (s *Scheduler) isPaced(now float64, r *replica, level float64) bool {
-	if !s.isLargeFleet() || level <= congestedLevel*s.latency.fleetLevel {
+	if !s.isLargeFleet() || level <= pacedReplicaLevel*s.latency.fleetLevel {
 		return true
 	}
 	return now >= r.lastUsedAt+s.latency.baseline*float64(s.settings.BrokerCount)/assumedConcurrency
--- a/internal/decision/scheduler/retry.go
+++ b/internal/decision/scheduler/retry.go
@@ -14,8 +14,8 @@
 	outlierRetryObjectiveShare = 0.1
 )
 
-// mayRetry is the rule of idempotency and of the number of attempts: what a further attempt at a part needs.
-func (s *Scheduler) mayRetry(now float64, p *part) bool {
+// mayAttempt is the rule of idempotency and of the number of attempts: what a further attempt at a part needs.
+func (s *Scheduler) mayAttempt(now float64, p *part) bool {
 	if p.abandoned || p.attemptsInFlight >= maxParallelAttempts {
 		return false
 	}
@@ -40,10 +40,10 @@
 // retry makes a further attempt at a failed part and reports whether it did. Retries skip the queues but go only to
 // a replica that takes more work, so they cannot feed congestion.
 func (s *Scheduler) retry(now float64, p *part) bool {
-	if !s.mayRetryNow(now, p) {
+	if !s.mayAttemptNow(now, p) {
 		return false
 	}
-	r := s.selectForRetry(now, p)
+	r := s.selectForExtraAttempt(now, p)
 	if r == nil {
 		return false
 	}
@@ -55,9 +55,9 @@
 	return s.dispatch(now, p, r)
 }
 
-// mayRetryNow reports whether a retry or hedged request of a part is allowed and due.
-func (s *Scheduler) mayRetryNow(now float64, p *part) bool {
-	if now < p.retryNotBefore || !s.mayRetry(now, p) {
+// mayAttemptNow reports whether a retry or hedged request of a part is allowed and due.
+func (s *Scheduler) mayAttemptNow(now float64, p *part) bool {
+	if now < p.retryNotBefore || !s.mayAttempt(now, p) {
 		return false
 	}
 	attempts := len(p.attempts)
@@ -72,11 +72,11 @@
 	return last.outcome != Cancelled || now >= last.endedAt+cancelSettleMs
 }
 
-// selectForRetry is the replica for a retry or hedged request, or nil if none takes more work.
-func (s *Scheduler) selectForRetry(now float64, p *part) *replica {
+// selectForExtraAttempt is the replica for a retry or hedged request, or nil if none takes more work.
+func (s *Scheduler) selectForExtraAttempt(now float64, p *part) *replica {
 	selected := s.selectReplica(now, p, p.Shard, p.cost, p)
 	r := selected.replica
-	if r == nil || !selected.takesMore || now < r.circuitOpenUntil {
+	if r == nil || !selected.tierTakesMore || now < r.circuitOpenUntil {
 		return nil
 	}
 	if len(r.inFlight) > 0 && s.normalizedLatency(now, r) > s.latency.queueingLevel {
@@ -87,7 +87,7 @@
 
 // askSubstitute asks a reserve part of a query in place of a late or failed one and reports whether it did.
 func (s *Scheduler) askSubstitute(now float64, q *query) bool {
-	isSubstitute := func(p *part) bool { return p.reserve && s.mayRetry(now, p) }
+	isSubstitute := func(p *part) bool { return p.reserve && s.mayAttempt(now, p) }
 	i := slices.IndexFunc(q.parts, isSubstitute)
 	if i < 0 {
 		return false
--- a/internal/decision/scheduler/scheduler.go
+++ b/internal/decision/scheduler/scheduler.go
@@ -38,7 +38,7 @@
 	latency     latencyEstimator
 	zones       zoneLatencies
 	idle        idleConnections
-	fleet       fleetLimit
+	fleetLimit  fleetLimit
 	slowStart   slowStart
 	throttle    fleetshare.ClientThrottle
 	deadlines   fleetshare.DeadlineAdmission
@@ -47,7 +47,7 @@
 	hedges      eventWindow // hedged requests and reassignments
 	arrivals    eventWindow // queries and parts taken
 
-	congestedAt    float64   // time of the last rejection by a replica, or by admission for load
+	lastOverloadAt float64   // time of the last rejection by a replica, or by admission for load
 	lastAdmittedAt float64   // time of the last admission
 	firstTryMs     []float64 // by class: mean time that first tries of clients are given
 	maxPriority    float64   // of all classes
@@ -81,13 +81,13 @@
 		poll:               endpointPoll{dueAt: math.Inf(1)},
 		latency:            newLatencyEstimator(minObjectiveMs),
 		zones:              newZoneLatencies(),
-		fleet:              newFleetLimit(),
+		fleetLimit:         newFleetLimit(),
 		slowStart:          newSlowStart(settings.SlowStart, settings.BrokerCount),
 		throttle:           fleetshare.NewClientThrottle(settings.BrokerCount),
 		deadlines:          fleetshare.NewDeadlineAdmission(settings.BrokerCount),
 		tenants:            newTenantQuotas(settings.TenantRates, settings.BrokerCount),
 		retryBudget:        retryBudget{settings: settings.RetryBudget},
-		congestedAt:        math.Inf(-1),
+		lastOverloadAt:     math.Inf(-1),
 		firstTryMs:         make([]float64, len(settings.Classes)),
 		maxPriority:        maxPriority,
 		answerMarginMs:     finalAnswerMarginMs + settings.TimerResolution,
--- a/internal/lab/world/clients.go
+++ b/internal/lab/world/clients.go
@@ -49,7 +49,7 @@
 		Shards []shardBody `json:"shards"`
 		Q      string      `json:"q"`
 		Epoch  uint64      `json:"epoch,omitempty"`
-	}{Q: string(r.Query), Epoch: r.Epoch}
+	}{Q: string(r.Payload), Epoch: r.Epoch}
 	for _, p := range r.Parts {
 		b.Shards = append(b.Shards, shardBody{p.Shard, p.Weight, p.CostHint * 1000})
 	}
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -284,8 +284,8 @@
 	q.epoch = epoch
 	q.ask.ID = fmt.Sprintf("q%08d", s.byID)
 	r := &core.Request{ID: q.ask.ID, Class: q.ask.Class, Deadline: q.ask.Deadline, ClientRetry: !q.first,
-		Epoch: epoch,
-		Query: []byte("x"), Client: q}
+		Epoch:   epoch,
+		Payload: []byte("x"), Client: q}
 	for i, p := range q.ask.Parts {
 		r.Parts = append(r.Parts, core.Part{Shard: p.Shard, Weight: p.Weight, HasCostHint: true,
 			CostHint: q.work[i] * (0.8 + 0.4*s.load.Float64())})
--- a/internal/transport/backendpool/connection_selection.go
+++ b/internal/transport/backendpool/connection_selection.go
@@ -117,7 +117,7 @@
 		partsByID:      map[string]*part{},
 		abandoned:      map[string]bool{},
 		openedAt:       now,
-		dialDeadline:   now + p.options.DialTimeout,
+		dialDeadline:   now + p.options.DialTimeoutMs,
 		lastReceivedAt: now,
 		idleCloseAt:    math.Inf(1),
 		frameDeadline:  math.Inf(1),
--- a/internal/transport/backendpool/fixture_test.go
+++ b/internal/transport/backendpool/fixture_test.go
@@ -42,7 +42,7 @@
 
 // newPool returns a Pool all of whose backends have one address.
 func newPool(eventLoop *loop.Loop, outcomes Core, dialTimeoutMs float64, address string) *Pool {
-	options := Options{StreamsPerConnection: 8, DialTimeout: dialTimeoutMs, KeepAlive: 30000, MaxConnections: 8}
+	options := Options{StreamsPerConnection: 8, DialTimeoutMs: dialTimeoutMs, IdleTimeoutMs: 30000, MaxConnections: 8}
 	return NewPool(eventLoop, outcomes, logs.New(os.Stderr, "test"), options, func(uint32) string { return address })
 }
 
--- a/internal/transport/backendpool/frame.go
+++ b/internal/transport/backendpool/frame.go
@@ -86,9 +86,9 @@
 		out = append(out, attempt.Buckets.String()...)
 	}
 	out = append(out, ' ')
-	out = strconv.AppendInt(out, int64(len(attempt.Query)), 10)
+	out = strconv.AppendInt(out, int64(len(attempt.Payload)), 10)
 	out = append(out, '\n')
-	return append(out, attempt.Query...)
+	return append(out, attempt.Payload...)
 }
 
 // nextFrame returns the first frame of the input. Its size is 0 while the frame is incomplete; its length and letter
--- a/internal/transport/backendpool/frame_test.go
+++ b/internal/transport/backendpool/frame_test.go
@@ -25,9 +25,9 @@
 		attempt core.Attempt
 		want    string
 	}{
-		{"plain", core.Attempt{Shard: 3, Query: []byte("text")}, "id 3 d=240 4\ntext"},
+		{"plain", core.Attempt{Shard: 3, Payload: []byte("text")}, "id 3 d=240 4\ntext"},
 		{"idempotency key", core.Attempt{Shard: 3, IdempotencyKey: "7f3a"}, "id 3 d=240,k=7f3a 0\n"},
-		{"resharding", core.Attempt{Shard: 3, Epoch: 17, Buckets: shardmap.Range{Start: 120, End: 135}, Query: []byte("q")},
+		{"resharding", core.Attempt{Shard: 3, Epoch: 17, Buckets: shardmap.Range{Start: 120, End: 135}, Payload: []byte("q")},
 			"id 3 d=240,e=17,r=120-135 1\nq"},
 		{"all", core.Attempt{IdempotencyKey: "k", Epoch: 1, Buckets: shardmap.Range{Start: 0, End: 1}},
 			"id 0 d=240,k=k,e=1,r=0-1 0\n"},
--- a/internal/transport/backendpool/pool.go
+++ b/internal/transport/backendpool/pool.go
@@ -15,10 +15,10 @@
 	MaxPartsPerCall int
 	// StreamsPerConnection is the maximum number of calls in flight on one connection. Less than 1 counts as 1.
 	StreamsPerConnection int
-	// DialTimeout is the time in ms within which a connection is established.
-	DialTimeout float64
-	// KeepAlive is the time in ms after which a backend closes an idle connection.
-	KeepAlive float64
+	// DialTimeoutMs is the time in ms within which a connection is established.
+	DialTimeoutMs float64
+	// IdleTimeoutMs is the time in ms after which a backend closes an idle connection.
+	IdleTimeoutMs float64
 	// MaxConnections is the maximum number of connections to all backends together. Less than 1 counts as 1.
 	MaxConnections int
 	// Resharding tells that shards move between backends, so that a backend may answer that it is not the holder.
--- a/internal/transport/backendpool/timeouts.go
+++ b/internal/transport/backendpool/timeouts.go
@@ -90,7 +90,7 @@
 	if c.backend.usableConnections() > c.pool.connectionLimit.current(now) {
 		c.retire(logs.BackendConnectionLimit)
 	}
-	keepAlive := c.pool.options.KeepAlive
+	keepAlive := c.pool.options.IdleTimeoutMs
 	c.idleCloseAt = now + max(min(keepAlive*idleCloseRatio, keepAlive-idleCloseMarginMs), 0)
 }
 
--- a/internal/transport/backendpool/timeouts_test.go
+++ b/internal/transport/backendpool/timeouts_test.go
@@ -60,7 +60,7 @@
 	pool, recorder := newRecordingPool(t, listener.Addr().String())
 	now := pool.loop.ReadClock()
 	pool.Send(&core.Attempt{Request: "a", Backend: 1, Deadline: now + 5000, StartBy: now + 100,
-		Query: make([]byte, queryBytes)})
+		Payload: make([]byte, queryBytes)})
 	pool.Flush()
 	connection, err := listener.Accept()
 	require.NoError(t, err)
--- a/internal/transport/flight/backend_client.go
+++ b/internal/transport/flight/backend_client.go
@@ -20,10 +20,10 @@
 type BackendOptions struct {
 	// StreamsPerConnection is the maximum number of calls in flight on one connection.
 	StreamsPerConnection int
-	// DialTimeout is the time in ms for which an attempt waits for its connection.
-	DialTimeout float64
-	// KeepAlive is the time in ms after which a backend closes an idle connection.
-	KeepAlive float64
+	// DialTimeoutMs is the time in ms for which an attempt waits for its connection.
+	DialTimeoutMs float64
+	// IdleTimeoutMs is the time in ms after which a backend closes an idle connection.
+	IdleTimeoutMs float64
 	// MaxConnections is the maximum number of connections to all backends together.
 	MaxConnections int
 }
@@ -85,7 +85,7 @@
 	attempt.connection.inFlight++
 	now := c.loop.Now()
 	attempt.remaining = fromMs(max(attempt.Deadline-now, minRemainingMs))
-	attempt.startWindow = fromMs(max(min(attempt.StartBy-now, c.options.DialTimeout), 0))
+	attempt.startWindow = fromMs(max(min(attempt.StartBy-now, c.options.DialTimeoutMs), 0))
 	ctx, cancel := context.WithTimeout(context.Background(), attempt.remaining)
 	attempt.cancel = cancel
 	go c.runAttempt(ctx, attempt)
--- a/internal/transport/flight/backend_client_test.go
+++ b/internal/transport/flight/backend_client_test.go
@@ -102,7 +102,7 @@
 func newClientFixture(t *testing.T, address string) *clientFixture {
 	t.Helper()
 	f := &clientFixture{loop: newTestLoop(t), results: make(resultRecorder, 8)}
-	options := BackendOptions{StreamsPerConnection: 2, DialTimeout: 1000, KeepAlive: 30000, MaxConnections: 2}
+	options := BackendOptions{StreamsPerConnection: 2, DialTimeoutMs: 1000, IdleTimeoutMs: 30000, MaxConnections: 2}
 	f.BackendClient = NewBackendClient(f.loop, f.results, newLog(), options, func(uint32) string { return address })
 	t.Cleanup(func() { f.loop.do(t, f.Close) })
 	return f
@@ -112,7 +112,7 @@
 func (f *clientFixture) send(t *testing.T) *core.Attempt {
 	t.Helper()
 	endAt := f.loop.Now() + 2000
-	attempt := &core.Attempt{Request: "a", Shard: 3, Backend: 1, Query: []byte("text"), Deadline: endAt, StartBy: endAt}
+	attempt := &core.Attempt{Request: "a", Shard: 3, Backend: 1, Payload: []byte("text"), Deadline: endAt, StartBy: endAt}
 	f.loop.do(t, func() {
 		f.Send(attempt)
 		f.Flush()
--- a/internal/transport/flight/backend_connection.go
+++ b/internal/transport/flight/backend_connection.go
@@ -59,7 +59,7 @@
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithDisableRetry(), // whether a part is sent again is the scheduler's decision
 		grpc.WithDisableServiceConfig(),
-		grpc.WithIdleTimeout(fromMs(c.options.KeepAlive*idleCloseRatio)),
+		grpc.WithIdleTimeout(fromMs(c.options.IdleTimeoutMs*idleCloseRatio)),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxAnswerBytes)),
 		grpc.WithNoProxy(),
 	)
--- a/internal/transport/flight/backend_wire.go
+++ b/internal/transport/flight/backend_wire.go
@@ -34,7 +34,7 @@
 		ID:             fmt.Sprintf("%s.%d", attempt.Request, attempt.Shard),
 		Shard:          attempt.Shard,
 		RemainingMs:    max(int(remaining.Milliseconds()), 1),
-		Query:          string(attempt.Query),
+		Query:          string(attempt.Payload),
 		IdempotencyKey: attempt.IdempotencyKey,
 	}
 	if attempt.Epoch > 0 {
--- a/internal/transport/flight/backend_wire_test.go
+++ b/internal/transport/flight/backend_wire_test.go
@@ -19,7 +19,7 @@
 		remaining time.Duration
 		want      string
 	}{
-		{"plain", core.Attempt{Request: "9b1f", Shard: 3, Query: []byte("c41e")}, 240 * time.Millisecond,
+		{"plain", core.Attempt{Request: "9b1f", Shard: 3, Payload: []byte("c41e")}, 240 * time.Millisecond,
 			`{"id":"9b1f.3","shard":3,"d":240,"q":"c41e"}`},
 		{"idempotency key", core.Attempt{Request: "9b1f", IdempotencyKey: "7f3a"}, 1500 * time.Microsecond,
 			`{"id":"9b1f.0","shard":0,"d":1,"q":"","k":"7f3a"}`},
--- a/internal/transport/flight/front_test.go
+++ b/internal/transport/flight/front_test.go
@@ -100,7 +100,7 @@
 	assert.Equal(t, "id-1", request.ID)
 	assert.Equal(t, "key-1", request.IdempotencyKey)
 	assert.True(t, request.ClientRetry)
-	assert.Equal(t, []byte("text"), request.Query)
+	assert.Equal(t, []byte("text"), request.Payload)
 	assert.Empty(t, queries.disconnected)
 }
 
