--- a/internal/decision/fleetshare/deadline_admission.go
+++ b/internal/decision/fleetshare/deadline_admission.go
@@ -35,7 +35,7 @@
 // NewDeadlineAdmission makes the admission of one of so many brokers.
 func NewDeadlineAdmission(brokers int) DeadlineAdmission {
 	minFactor := minFactorOfLargeFleet * largeFleetWeight(brokers)
-	factorRange := factorRangeOfSmallFleet * smallFleetBrokers / math.Max(1, float64(brokers))
+	factorRange := factorRangeOfSmallFleet * SmallFleetBrokers / math.Max(1, float64(brokers))
 	return DeadlineAdmission{factor: minFactor, minFactor: minFactor, maxFactor: minFactor + factorRange}
 }
 
--- a/internal/decision/scheduler/admission.go
+++ b/internal/decision/scheduler/admission.go
@@ -11,12 +11,12 @@
 	// clientRetryFactor is the fraction of its priority that a query keeps which was asked before: part of its time
 	// is gone, and what rejected it may last.
 	clientRetryFactor = 0.25
-	// shortRetryRatio is the share of the time that first tries are given below which the time left to a repeat
-	// shows that it is cut by its class's deadline.
+	// shortRetryRatio is a share of the mean time that first tries are given. A client's repeat with less time left
+	// than that was cut short by its class's deadline, which spans all tries of the client.
 	shortRetryRatio = 0.97
 
-	// queueingAtLeast and queueingPerPriority are the share of the objective that parts may be queued at a part's
-	// replicas before the shard counts as congested: for queries of no priority, and so much more at full priority.
+	// A shard counts as congested when calls have waited there for more than a share of the objective:
+	// queueingAtLeast for queries of no priority, and queueingPerPriority more at full priority.
 	queueingAtLeast     = 0.06
 	queueingPerPriority = 0.20
 	// queuedWeightFactor is how much a part of a congested shard weighs among what may be missing.
@@ -100,7 +100,7 @@
 
 // noteArrival counts a query or part for the retry and hedge budgets.
 func (s *Scheduler) noteArrival(now float64) {
-	s.arrivals.add(now, max(s.settings.RetryBudget.Window, hedgeWindowMs))
+	s.arrivals.add(now, max(s.retryBudget.settings.Window, hedgeWindowMs))
 }
 
 // addPart makes a part of a query.
@@ -147,6 +147,9 @@
 
 // admit rejects a query that would not be answered in time, or queues its parts.
 func (s *Scheduler) admit(now float64, q *query) {
+	if q.step == 0 {
+		s.abandonCongestedParts(now, q)
+	}
 	load := s.measureLoad(now, q)
 	q.expectedLastPartMs = fleetshare.ExpectedLastPartMs(s.latency.medianPartMs(), len(q.parts))
 	rejected := notRejected
@@ -156,7 +159,8 @@
 	if rejected != notRejected && (s.fleetLimit.inFlight > load.limit || load.queuedWeight > 0) {
 		s.lastOverloadAt = now
 	}
-	if rejected != notRejected || len(q.parts) == 0 || now >= q.Deadline-s.answerMarginMs {
+	hasNoTimeLeft := now >= q.Deadline-s.answerMarginMs
+	if rejected != notRejected || len(q.parts) == 0 || hasNoTimeLeft {
 		s.finish(now, q)
 		return
 	}
@@ -164,17 +168,34 @@
 	s.enqueue(now, s.chooseAskedParts(q))
 }
 
-// measureLoad weighs what the replicas of a query's parts are doing. Parts of a first step whose shard is congested
-// are given up at once.
+// abandonCongestedParts gives up the parts whose shard is congested: the query does not wait for them.
+func (s *Scheduler) abandonCongestedParts(now float64, q *query) {
+	for _, p := range q.parts {
+		if s.relativeQueueWait(now, p) > 1 {
+			p.abandoned = true
+		}
+	}
+}
+
+// relativeQueueWait is for how long calls have waited at a part's replicas, relative to what its query's priority and
+// objective allow; above 1 the shard is congested.
+func (s *Scheduler) relativeQueueWait(now float64, p *part) float64 {
+	q := p.query
+	allowedShare := queueingAtLeast + queueingPerPriority*s.relativePriority(q)
+	return s.queueWaitMs(now, p) / (q.class.LatencyObjective * allowedShare)
+}
+
+// relativePriority is a query's priority by that of the highest class.
+func (s *Scheduler) relativePriority(q *query) float64 { return q.priority / s.maxPriority }
+
+// measureLoad weighs what the replicas of a query's parts are doing.
 func (s *Scheduler) measureLoad(now float64, q *query) admissionLoad {
-	load := admissionLoad{priority: q.priority / s.maxPriority}
-	objective := q.class.LatencyObjective
+	load := admissionLoad{priority: s.relativePriority(q)}
+	availableBy := now + unavailableObjectiveShare*q.class.LatencyObjective
 	for _, p := range q.parts {
-		wait := s.queueWaitMs(now, p) / (objective * (queueingAtLeast + queueingPerPriority*load.priority))
 		load.cost += p.cost
-		load.queuedWeight += p.Weight * queuedWeightFactor * min(1, wait)
-		p.abandoned = p.abandoned || q.step == 0 && wait > 1
-		if p.abandoned || !s.isAvailableBy(now, p, now+unavailableObjectiveShare*objective) {
+		load.queuedWeight += p.Weight * queuedWeightFactor * min(1, s.relativeQueueWait(now, p))
+		if p.abandoned || !s.isAvailableBy(now, p, availableBy) {
 			load.missingWeight += p.Weight
 		}
 	}
@@ -197,7 +218,9 @@
 	if s.fleetLimit.inFlight > load.limit {
 		return rejectedOverLimit
 	}
-	if now < s.lastAdmittedAt+(load.cost/load.limit-1)*s.latency.overloadMedian*s.latency.partMs {
+	// A query of n times the limit holds the next one back for n-1 times the median latency of a part.
+	pacingMs := (load.cost/load.limit - 1) * s.latency.overloadMedian * s.latency.partMs
+	if now < s.lastAdmittedAt+pacingMs {
 		return rejectedPacing
 	}
 	if s.throttle.ShouldReject(load.priority, s.random.next) {
--- a/internal/decision/scheduler/completion.go
+++ b/internal/decision/scheduler/completion.go
@@ -8,12 +8,21 @@
 	finalAnswerMarginMs = 10.0
 	// superviseIntervalMs is the time between looks at open queries; it is finer than any latency judged.
 	superviseIntervalMs = 10.0
+	// wastedWorkObjectiveShare is the share of the shortest objective that a median part must take for a query that
+	// ends unanswered to show overload.
+	wastedWorkObjectiveShare = 0.25
+	// retryAfterObjectiveShare is the share of the objective after which a rejected client may come back.
+	retryAfterObjectiveShare = 0.5
 )
 
 // superviseQueries ends queries that are out of time and looks after the parts of the others.
 func (s *Scheduler) superviseQueries(now float64) {
 	for _, q := range s.openQueries {
-		if !q.ended && !s.expire(now, q) {
+		if q.ended {
+			continue
+		}
+		hasEnded := s.expire(now, q)
+		if !hasEnded {
 			s.superviseParts(now, q)
 		}
 	}
@@ -30,7 +39,7 @@
 		})
 	}
 	isFinal := reachable < q.class.MinCompleteness-weightTolerance || q.arrivedWeight >= reachable-weightTolerance
-	if q.isCompleteWith(q.arrivedWeight) || !q.isCompleteWith(reachable) && isFinal {
+	if q.isCompleteWith(q.arrivedWeight) || (!q.isCompleteWith(reachable) && isFinal) {
 		s.finish(now, q)
 	}
 }
@@ -70,7 +79,8 @@
 	if len(q.parts) == 0 {
 		return false
 	}
-	return weight >= 1-weightTolerance || q.step == 0 && weight >= q.class.CompletenessTarget-weightTolerance
+	isTargetReached := weight >= q.class.CompletenessTarget-weightTolerance
+	return weight >= 1-weightTolerance || (q.step == 0 && isTargetReached)
 }
 
 // mayAnswerPartially reports whether the class allows a partial answer with what has arrived.
@@ -94,8 +104,9 @@
 			s.beginSecondStep(q, isComplete)
 			return
 		}
-	case class.Idempotency == Idempotent || q.step == 0 && !q.mayHaveRun():
-		s.actions.Reject(q.ID, min(class.LatencyObjective/2, s.settings.MaxRetryAfter))
+	case class.Idempotency == Idempotent || (q.step == 0 && !q.mayHaveRun()):
+		retryAfterMs := class.LatencyObjective * retryAfterObjectiveShare
+		s.actions.Reject(q.ID, min(retryAfterMs, s.settings.MaxRetryAfter))
 	default:
 		s.actions.Fail(q.ID)
 	}
@@ -108,7 +119,7 @@
 func (s *Scheduler) learnQueryEnd(now float64, q *query, isAnswered, isComplete bool) {
 	lastPartMs := q.expectedLastPartMs * float64(1-q.step) // the second step tells nothing about admission
 	s.deadlines.QueryEnded(now-q.arrivedAt, lastPartMs, isComplete)
-	isSlow := s.latency.medianPartMs() > fleetObjectiveShare/2*s.latency.minObjectiveMs
+	isSlow := s.latency.medianPartMs() > wastedWorkObjectiveShare*s.latency.minObjectiveMs
 	if now >= q.objectiveAt && !isAnswered && isSlow {
 		s.cutFleetLimit(now, q.arrivedAt)
 	}
--- a/internal/decision/scheduler/concurrency_limit.go
+++ b/internal/decision/scheduler/concurrency_limit.go
@@ -1,12 +1,12 @@
 package scheduler
 
-import "math"
+import (
+	"math"
 
-const (
-	// smallFleetBrokers is the number of brokers up to which one broker's own attempts in flight tell how long a
-	// replica's queue is. With more, each sees too little of it.
-	smallFleetBrokers = 4
+	"ternstage/internal/decision/fleetshare"
+)
 
+const (
 	initialReplicaMaxCost = 4.0 // cost: a few slots of the smallest backend
 	minReplicaMaxCost     = 1.0 // cost
 	replicaLimitStep      = 0.5 // cost by which a normal answer raises a replica's limit, over the limit itself
@@ -29,11 +29,16 @@
 // cut lowers the limit to what is in flight, unless that was done after the attempt had been sent.
 func (l *replicaLimit) cut(now, sentAt float64) {
 	if l.cutAt < sentAt {
-		l.maxCost = max(minReplicaMaxCost, min(l.maxCost, l.inFlight))
+		l.lowerToInFlight()
 		l.cutAt = now
 	}
 }
 
+// lowerToInFlight lowers the limit to what is in flight.
+func (l *replicaLimit) lowerToInFlight() {
+	l.maxCost = max(minReplicaMaxCost, min(l.maxCost, l.inFlight))
+}
+
 // collapse lowers the limit to the minimum, so that a stalled replica does not draw a crowd of attempts each time
 // its bad latency has faded.
 func (l *replicaLimit) collapse(now, sentAt float64) {
@@ -64,8 +69,9 @@
 
 func newFleetLimit() fleetLimit { return fleetLimit{maxCost: math.Inf(1)} }
 
-// isLargeFleet reports whether there are too many brokers for one to see the queues of the replicas by itself.
-func (s *Scheduler) isLargeFleet() bool { return s.settings.BrokerCount > smallFleetBrokers }
+// isLargeFleet reports whether there are too many brokers for one to see, by its own attempts in flight, how long the
+// queues of the replicas are.
+func (s *Scheduler) isLargeFleet() bool { return s.settings.BrokerCount > fleetshare.SmallFleetBrokers }
 
 // cutFleetLimit lowers the limit of the fleet once for what was sent since the last time.
 func (s *Scheduler) cutFleetLimit(now, sentAt float64) {
--- a/internal/decision/scheduler/concurrency_limit_test.go
+++ b/internal/decision/scheduler/concurrency_limit_test.go
@@ -5,6 +5,8 @@
 	"testing"
 
 	"github.com/stretchr/testify/assert"
+
+	"ternstage/internal/decision/fleetshare"
 )
 
 // TestStalledPartDoesNotBlockItsReplica guarantees that parts stalled by themselves, which may not be hedged, do not
@@ -183,8 +185,8 @@
 // what is in flight, once for what was sent before, and not below the minimum.
 func TestFleetLimitIsForLargeFleets(t *testing.T) {
 	for brokers, wants := range map[int][]float64{
-		smallFleetBrokers:     {math.Inf(1), math.Inf(1), math.Inf(1)},
-		smallFleetBrokers + 1: {85, 85, minFleetMaxCost},
+		fleetshare.SmallFleetBrokers:     {math.Inf(1), math.Inf(1), math.Inf(1)},
+		fleetshare.SmallFleetBrokers + 1: {85, 85, minFleetMaxCost},
 	} {
 		s := &Scheduler{settings: Settings{BrokerCount: brokers}, fleetLimit: newFleetLimit()}
 		for i, cut := range []struct{ inFlight, now, sentAt float64 }{{100, 200, 150}, {50, 210, 150}, {1, 300, 250}} {
--- a/internal/decision/scheduler/cost.go
+++ b/internal/decision/scheduler/cost.go
@@ -9,11 +9,12 @@
 	hintGain          = 0.002 // weight of the newest hint in the mean hint
 	unknownPartWorkMs = 100.0 // ms of work of a part while nothing has been measured
 
-	// neighborCostShare is the share of the cost of the other parts of its call that a part waits for.
+	// neighborCostShare is the share of the other parts' cost in a call that is added to a part's own when its
+	// latency is judged.
 	neighborCostShare = 0.3
 	// expensiveCallRatio is the overhead of a call, in parts' work, from which parts had better share calls.
 	expensiveCallRatio = 0.5
-	// floorDistrust is how many times the mean hint the baseline floor must be for hints to be taken as untrue.
+	// floorDistrust is the ratio of the baseline floor to the mean hint above which hints are taken to be too low.
 	floorDistrust = 3
 )
 
--- a/internal/decision/scheduler/cost_test.go
+++ b/internal/decision/scheduler/cost_test.go
@@ -42,7 +42,7 @@
 	h.learnBaseline()
 	r := h.scheduler.replicas.byID[1]
 	r.warmup.startedAt = h.now
-	h.scheduler.settings.SlowStart.InitialCapacity = 0.5
+	h.scheduler.slowStart.settings.InitialCapacity = 0.5
 	quota, needed := h.scheduler.warmupQuotaMs(h.now, r, 10)
 	if needed != h.scheduler.warmupWorkMs(10) || quota <= 0 {
 		t.Fatalf("an expensive part needs %v of a quota of %v, want %v", needed, quota, h.scheduler.warmupWorkMs(10))
--- a/internal/decision/scheduler/dispatch.go
+++ b/internal/decision/scheduler/dispatch.go
@@ -25,7 +25,7 @@
 	}
 	idleMs := s.prepareConnection(now, r)
 	r.lastUsedAt = now
-	r.warmup.record(now, s.settings.SlowStart.Window, s.warmupWorkMs(p.cost))
+	r.warmup.record(now, s.slowStart.settings.Window, s.warmupWorkMs(p.cost))
 	s.startAttempt(now, p, r, idleMs)
 	s.actions.Send(p.ID, r.Replica, s.attemptTimeoutMs(now, q, remaining))
 	return true
@@ -67,8 +67,8 @@
 	s.attempts[attemptKey{part: p.ID, number: a.number}] = a
 }
 
-// callOfRound is the call to a replica that an attempt of this round joins: the one begun in this round while it has
-// room, else a new one.
+// callOfRound is the call to a replica that an attempt of this round joins: the one begun in this round while it
+// takes more parts, else a new one.
 func (s *Scheduler) callOfRound(r *replica) *callInFlight {
 	call := r.currentCall
 	isFull := call == nil || call.parts >= s.settings.MaxPartsPerCall || call.partsInFlight == 0
--- a/internal/decision/scheduler/endpoint_list.go
+++ b/internal/decision/scheduler/endpoint_list.go
@@ -4,6 +4,8 @@
 	"cmp"
 	"math"
 	"slices"
+
+	"ternstage/internal/decision/fleetshare"
 )
 
 const (
@@ -32,26 +34,44 @@
 	dueAt     float64 // when to poll; +Inf while a watch runs or nothing is to be polled
 }
 
-// fleetPollMs is how long the discovery service needs for one poll of each broker, in ms; 0 in a small fleet.
+// fleetPollMs is how long the discovery service needs for one poll of every broker, in ms; 0 in a small fleet.
 func (s *Scheduler) fleetPollMs() float64 {
-	return pollServiceMs * float64(max(0, s.settings.BrokerCount-smallFleetBrokers))
+	return pollServiceMs * float64(max(0, s.settings.BrokerCount-fleetshare.SmallFleetBrokers))
 }
 
 // backOff puts the next poll off after a failure. The delay grows and is jittered, so that a fleet does not keep the
 // service from recovering. It stays short in a small fleet, as changes must arrive within seconds of its return, and
 // while no list is known, as nothing can be served without one.
 func (s *Scheduler) backOff(now float64) {
-	crowd := s.fleetPollMs() * float64(min(len(s.replicas.ordered), 1))
-	last := s.poll.backoffMs
-	staleness := s.settings.MaxStaleness
-	firstSteps := min(max(2*last, crowd), pollBackoffMaxMs)
-	grown := pollBackoffGrowth*last - (pollBackoffGrowth-pollBackoffFirstGrowth)*pollBackoffMaxMs
-	crowdBound := max(pollBackoffMaxMs, 2*crowd-pollBackoffMaxMs)
-	staleBound := max(staleness/3, 2*min(crowd, staleness), s.settings.TimerResolution)
-	s.poll.backoffMs = min(max(grown, firstSteps, pollBackoffMaxMs/3), crowdBound, staleBound)
+	fleetMs := s.fleetPollMs()
+	if len(s.replicas.ordered) == 0 {
+		fleetMs = 0
+	}
+	grown := nextPollBackoffMs(s.poll.backoffMs, fleetMs)
+	s.poll.backoffMs = min(grown, fleetBackoffBoundMs(fleetMs), s.stalenessBackoffBoundMs(fleetMs))
 	s.poll.dueAt = now + s.poll.backoffMs*(0.5+0.5*s.random.next())
 }
 
+// nextPollBackoffMs is the delay that follows one of lastMs: it starts at a third of the maximum for small fleets or
+// at the time of a poll of every broker, doubles up to the maximum, and grows faster beyond it.
+func nextPollBackoffMs(lastMs, fleetMs float64) float64 {
+	doubled := min(max(2*lastMs, fleetMs), pollBackoffMaxMs)
+	beyondMax := pollBackoffGrowth*lastMs - (pollBackoffGrowth-pollBackoffFirstGrowth)*pollBackoffMaxMs
+	return max(beyondMax, doubled, pollBackoffMaxMs/3)
+}
+
+// fleetBackoffBoundMs is the longest delay: the maximum for small fleets, or twice the time that the service needs
+// for a poll of every broker, less that maximum.
+func fleetBackoffBoundMs(fleetMs float64) float64 {
+	return max(pollBackoffMaxMs, 2*fleetMs-pollBackoffMaxMs)
+}
+
+// stalenessBackoffBoundMs keeps the delay within the time after which this broker counts as notified of changes.
+func (s *Scheduler) stalenessBackoffBoundMs(fleetMs float64) float64 {
+	staleness := s.settings.MaxStaleness
+	return max(staleness/3, 2*min(fleetMs, staleness), s.settings.TimerResolution)
+}
+
 // updateReceived notes that a poll or watch brought an update. A cached list may be old, and the same at every
 // broker, so that the polls that follow it are spread.
 func (s *Scheduler) updateReceived(now float64, kind UpdateKind, entries int) {
@@ -61,8 +81,8 @@
 		return
 	}
 	s.poll.dueAt = now
-	if crowd := s.fleetPollMs(); crowd > 0 && entries > 0 {
-		s.poll.dueAt += min(crowd, s.settings.MaxStaleness) / 2 * s.random.next()
+	if fleetMs := s.fleetPollMs(); fleetMs > 0 && entries > 0 {
+		s.poll.dueAt += min(fleetMs, s.settings.MaxStaleness) / 2 * s.random.next()
 	}
 }
 
@@ -143,11 +163,3 @@
 	clear(t.ordered[len(remaining):])
 	t.ordered = remaining
 }
-
-// update notes the time of the first report that a replica leaves; one that is ready again has not left.
-func (d *drainState) update(now float64, state ReplicaState) {
-	d.informedAt = min(d.informedAt, now)
-	if state == Ready {
-		d.informedAt = math.Inf(1)
-	}
-}
--- a/internal/decision/scheduler/events.go
+++ b/internal/decision/scheduler/events.go
@@ -12,7 +12,7 @@
 	Tenant int
 	// Deadline is the time when the client leaves.
 	Deadline float64
-	// Key is what the query is about; 0 if that is not known.
+	// Key is what the query is about; 0 if that is not known. The scheduler does not use it.
 	Key uint64
 	// ClientRetry says that the client has asked this before.
 	ClientRetry bool
@@ -26,14 +26,15 @@
 	QueryGroup int
 	// Shard is the shard that holds the part.
 	Shard int
-	// Key is what the part is about; 0 if that is not known.
+	// Key is what the part is about; 0 if that is not known. The scheduler does not use it.
 	Key uint64
 	// Weight is the part's share of the query's answer; the weights of a step add up to 1.
 	Weight float64
 	// AtomicGroup ties parts of a query together: those with the same number above 0 count only when all of them
 	// have arrived.
 	AtomicGroup int
-	// CostHint is the expected work, in any unit; it counts only with HasCostHint.
+	// CostHint is the expected work in ms; it counts only with HasCostHint. Queues only compare hints with each
+	// other; slow start, circuits and call overhead take them for ms, unless measured latencies contradict.
 	CostHint float64
 	// HasCostHint says that CostHint is given.
 	HasCostHint bool
--- a/internal/decision/scheduler/handover.go
+++ b/internal/decision/scheduler/handover.go
@@ -17,7 +17,7 @@
 // process that takes over the same broker. Attempts in flight stay; warm replicas are used as before.
 func (s *Scheduler) HandOver(now float64) []WarmupSend {
 	s.slowStart.handedOver = true
-	oldest := now - s.settings.SlowStart.Window
+	oldest := now - s.slowStart.settings.Window
 	var sends []WarmupSend
 	for id, r := range s.replicas.byID {
 		for _, sample := range r.warmup.sent {
@@ -40,7 +40,7 @@
 func (s *Scheduler) TakeOver(now float64, sends []WarmupSend) {
 	for _, send := range sends {
 		r := s.replicas.byID[send.Replica]
-		isValid := send.AgeMs >= 0 && send.AgeMs <= s.settings.SlowStart.Window && send.WorkMs >= 0
+		isValid := send.AgeMs >= 0 && send.AgeMs <= s.slowStart.settings.Window && send.WorkMs >= 0
 		if r != nil && isValid {
 			r.warmup.sent = append(r.warmup.sent, workSample{at: now - send.AgeMs, workMs: send.WorkMs})
 		}
--- a/internal/decision/scheduler/hedging.go
+++ b/internal/decision/scheduler/hedging.go
@@ -14,10 +14,10 @@
 	hedgeBudgetSpare = 4.0
 	hedgeBudgetRatio = 0.05
 
-	// overloadMemoryMs is for how long after a rejection a slow fleet gets no hedged requests.
+	// overloadMemoryMs is for how long after an overload a slow fleet gets neither.
 	overloadMemoryMs = 1000
-	// slowFleetLevel is the overload median from which a fleet is slow for hedged requests, slowFleetReassignLevel
-	// that for reassignments, which throw away what was about to come.
+	// After a rejection, a fleet whose median latency is above slowFleetLevel gets no hedged requests, and one above
+	// slowFleetReassignLevel no reassignments, which throw away what was about to come.
 	slowFleetLevel         = 2.0
 	slowFleetReassignLevel = 1.4
 
@@ -47,7 +47,18 @@
 	if now-q.arrivedAt <= hedgeObjectiveShare*q.class.LatencyObjective {
 		return
 	}
-	a.covered = s.askSubstitute(now, q) || s.hedge(now, p) || s.reassign(now, p, a)
+	a.covered = s.cover(now, p, a)
+}
+
+// cover finds something that stands in for a late attempt and reports whether it did.
+func (s *Scheduler) cover(now float64, p *part, a *attempt) bool {
+	if s.askSubstitute(now, p.query) {
+		return true
+	}
+	if s.hedge(now, p) {
+		return true
+	}
+	return s.reassign(now, p, a)
 }
 
 // hedge sends a hedged request of a late part to a healthy replica that it was not sent to before, and reports
@@ -81,7 +92,7 @@
 	if s.isOverloaded(now, p, slowFleetReassignLevel) || !s.hedgeBudgetAllows(now) {
 		return false
 	}
-	selected := s.selectReplica(now, p, p.Shard, p.cost, p)
+	selected := s.selectReplica(now, p, p.cost, true)
 	r := selected.replica
 	if r == nil || !selected.tierTakesMore || !s.isHealthy(now, r) || p.attemptedAt(r) {
 		return false
@@ -97,7 +108,7 @@
 }
 
 // isOverloaded reports whether calls wait at a part's replicas, or the fleet is slower than a level shortly after a
-// rejection.
+// rejection or shed load.
 func (s *Scheduler) isOverloaded(now float64, p *part, level float64) bool {
 	if s.queuedSince(p.Shard, now) < now {
 		return true
--- a/internal/decision/scheduler/idle_connections.go
+++ b/internal/decision/scheduler/idle_connections.go
@@ -19,8 +19,10 @@
 	slowDialFactor = 0.5
 )
 
-// idleConnections learns whether idle connections are dropped unseen on the way to the replicas. If they are, they
-// are closed before a send, which costs a dial but spares healthy replicas the blame and non-idempotent parts a loss.
+// idleConnections learns whether idle connections to any replica are dropped unseen on the way. If they are, they are
+// closed before a send. The pool of connections learns the same by idle time for its own connections (idle_risk.go in
+// package backendpool); this estimate also keeps replicas from being blamed. Closing one costs a
+// dial, and spares non-idempotent parts a loss.
 type idleConnections struct {
 	lossRate decayingAverage
 }
@@ -30,6 +32,9 @@
 	return c.lossRate.valueAt(now, idleLossHalfLifeMs) > idleLossThreshold
 }
 
+// dialWasSlow notes that a new connection was slow to come up: closing idle ones is expensive now.
+func (c *idleConnections) dialWasSlow() { c.lossRate.value *= slowDialFactor }
+
 // lossWeight is what one loss weighs among so many replicas.
 func lossWeight(replicas int) float64 {
 	return min(1, math.Pow(idleLossReplicas/float64(replicas+1), 2))
@@ -43,14 +48,14 @@
 	rate := c.lossRate.valueAt(now, idleLossHalfLifeMs)
 	isIdle := a.idleMs >= idleConnectionMinMs
 	// A success on an idle connection clears them, and a stall on one in use has another cause.
-	if isIdle && outcome == Succeeded || !isIdle && hasStalled {
+	if (isIdle && outcome == Succeeded) || (!isIdle && hasStalled) {
 		c.lossRate = decayingAverage{at: now, value: rate * (1 - idleLossGain)}
 	}
 	outliers := &a.replica.outliers
 	if outcome == Succeeded {
 		outliers.stalledOnIdle = false
 	}
-	if !isIdle || !hasReset && !hasStalled {
+	if !isIdle || (!hasReset && !hasStalled) {
 		return false
 	}
 	weight := lossWeight(replicas)
--- a/internal/decision/scheduler/latency.go
+++ b/internal/decision/scheduler/latency.go
@@ -49,8 +49,8 @@
 	overloadMedian float64 // the same, moved less by long queries: it tells overload
 	queueingLevel  float64 // from which a replica counts as queueing
 
-	partMs float64 // baseline latency of a part in its call
-	callMs float64 // baseline latency of a mean call
+	partMs float64 // mean baseline latency of a part in its call, free of the present load
+	callMs float64 // mean baseline latency of a call
 
 	lastResultAt     float64
 	resultIntervalMs float64 // mean time between results
@@ -113,7 +113,7 @@
 	l.overloadMedian = stepToward(l.overloadMedian, perCost-l.overloadMedian*l.baseline, step)
 }
 
-// medianPartMs is the median latency of a part in the fleet now.
+// medianPartMs is the median latency of a part under the present load, in ms.
 func (l *latencyEstimator) medianPartMs() float64 { return l.overloadMedian * l.partMs }
 
 // badness is what is left of an observed badness of a replica. Without news it halves in the time in which as many
--- a/internal/decision/scheduler/learning.go
+++ b/internal/decision/scheduler/learning.go
@@ -43,9 +43,10 @@
 	if p.attemptsInFlight > 0 {
 		return
 	}
-	// A failed part that another stands in for becomes a reserve part itself; others wait for their retry.
-	p.reserve = s.askSubstitute(now, p.query)
-	if !p.reserve {
+	// A failed part that has a substitute becomes a reserve part itself; others wait for their retry.
+	hasSubstitute := s.askSubstitute(now, p.query)
+	p.reserve = hasSubstitute
+	if !hasSubstitute {
 		s.settle(now, p.query)
 	}
 }
@@ -135,14 +136,14 @@
 	}
 }
 
-// learnRejection takes a rejection: congestion, not a fault. The replica gets nothing for a while, or its quick
+// learnRejection takes a rejection: overload, not a fault. Its circuit opens for a while, or its quick
 // rejections would draw all parts.
 func (s *Scheduler) learnRejection(now float64, r *replica) {
 	level := max(rejectionLevelFactor*s.latency.queueingLevel, s.normalizedLatency(now, r))
 	s.observeReplicaLatency(now, r, level)
 	s.lastOverloadAt = now
 	s.openCircuit(now, r, rejectionCircuitParts)
-	r.limit.maxCost = max(minReplicaMaxCost, min(r.limit.maxCost, r.limit.inFlight))
+	r.limit.lowerToInFlight()
 }
 
 // learnTimeout takes an attempt that was given up: its age is a lower bound of its latency.
@@ -171,7 +172,7 @@
 		r.outliers.failureRate = decayingAverage{at: now, value: 1}
 		s.openCircuit(now, r, openCircuitParts)
 	} else {
-		s.idle.lossRate.value *= slowDialFactor
+		s.idle.dialWasSlow()
 	}
 	s.observeOutcome(now, r, a.part.query.class, 1)
 }
--- a/internal/decision/scheduler/outlier_detection.go
+++ b/internal/decision/scheduler/outlier_detection.go
@@ -12,7 +12,8 @@
 	nonIdempotentLatency  = 2.0  // times the fleet's level
 	failureRateWeight     = 30.0 // normalized latency that a failure rate of 1 weighs between avoided replicas
 
-	// trialRestParts is the mean parts' work after a slow trial request until the next one; it doubles with each.
+	// trialRestParts sets how long a slow replica waits for its next trial request: after n slow ones in a row
+	// trialRestParts*(2^(n-1)-1) mean parts' work, so nothing after the first.
 	trialRestParts = 10.0
 	// resetWithoutWorkParts is the mean parts' work before which a reset or refused connection shows that no work
 	// had been done.
@@ -56,8 +57,9 @@
 	o.countedAsSlow = false
 }
 
-// isHealthy reports whether a replica is used as usual, by how its peers do. It keeps parts away from slow, stalled,
-// failing and unreachable replicas; an unlucky one may be avoided until its badness has faded.
+// isHealthy reports whether a replica is ready and no outlier among its peers: it keeps parts away from draining,
+// slow, stalled, failing and unreachable replicas. A sound replica that failed by chance is avoided until its failure
+// rate has faded.
 func (s *Scheduler) isHealthy(now float64, r *replica) bool {
 	if r.State != Ready || s.badness(r.outliers.failureRate, now) >= ejectionFailures {
 		return false
--- a/internal/decision/scheduler/placement.go
+++ b/internal/decision/scheduler/placement.go
@@ -41,13 +41,6 @@
 	return replicas
 }
 
-// isAvailableBy reports whether some replica of a part's shard may be sent the part by a time.
-func (s *Scheduler) isAvailableBy(now float64, p *part, by float64) bool {
-	return slices.ContainsFunc(s.replicasOf(p.Shard), func(r *replica) bool {
-		return s.availableAt(now, r, p.cost) <= by
-	})
-}
-
 // noteQueueing notes since when calls wait at each placement group: what waits at one of its shards says how long a
 // part of another one would.
 func (s *Scheduler) noteQueueing(now float64) {
--- a/internal/decision/scheduler/query.go
+++ b/internal/decision/scheduler/query.go
@@ -52,7 +52,7 @@
 	// overtaken says that a later attempt at the replica has ended well: this one is stuck by itself.
 	overtaken bool
 	late      bool // it was late once
-	covered   bool // a hedged request, a retry or a substitute part stands in for it
+	covered   bool // a hedged request, a reassignment or a substitute part takes its place
 	ended     bool
 	endedAt   float64
 	outcome   Outcome
--- a/internal/decision/scheduler/queues.go
+++ b/internal/decision/scheduler/queues.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// queueThresholdRatio is Rein's R: the threshold of queue i is R to the power of i, in cost. With R = 1 all
-	// queues would collapse into one.
+	// queueThresholdRatio is R of Rein (Reda et al., "Rein: Taming Tail Latency in Key-Value Stores via Multiget
+	// Scheduling", EuroSys 2017): the threshold of queue i is R to the power of i, in cost.
 	queueThresholdRatio = 1.5
 	// promotionObjectiveShare is the share of its class's objective after which a queued call jumps to the fastest
 	// queue.
@@ -282,7 +282,7 @@
 func (s *Scheduler) release(now float64, queues *shardQueues) {
 	for queue := queues.next(); queue >= 0; queue = queues.next() {
 		call := queues.fifo[queue][0]
-		selected := s.selectReplica(now, call.parts[0], queues.shard, call.cost, nil)
+		selected := s.selectReplica(now, call.parts[0], call.cost, false)
 		if selected.replica == nil || !selected.tierTakesMore {
 			return
 		}
--- a/internal/decision/scheduler/replica.go
+++ b/internal/decision/scheduler/replica.go
@@ -23,12 +23,6 @@
 	circuitOpenUntil float64
 }
 
-// drainState is since when a replica is known to leave.
-type drainState struct {
-	// informedAt is when the endpoint list first called it draining or removed; +Inf while it is ready.
-	informedAt float64
-}
-
 // newReplica makes the state of a replica that was not known. Unless it is ready it may be one that was reported
 // removed and has been forgotten, so the grace of its drain counts as over.
 func newReplica(e Endpoint) *replica {
--- a/internal/decision/scheduler/replica_selection.go
+++ b/internal/decision/scheduler/replica_selection.go
@@ -23,7 +23,7 @@
 	tierAlreadyUsed = 2 // added to the others
 )
 
-// selection is the replica chosen for a part and whether it takes more work now.
+// selection is the replica chosen for a part, and whether some replica of its tier takes more work now.
 type selection struct {
 	replica       *replica
 	tierTakesMore bool
@@ -47,19 +47,19 @@
 }
 
 // selectReplica chooses the replica of a shard with the fewest calls of this broker in flight; ties go by latency,
-// failures and zone. Outliers are chosen only if nothing else is allowed, and replicas that triedBy was sent to come
-// last. takesMore says that some replica of the best tier takes more work.
-func (s *Scheduler) selectReplica(now float64, p *part, shard int, cost float64, triedBy *part) selection {
+// failures and zone. Outliers are chosen only if nothing else is allowed and, with avoidTried, replicas that the part
+// was sent to before come last. cost is that of the part or of the call that it shares.
+func (s *Scheduler) selectReplica(now float64, p *part, cost float64, avoidTried bool) selection {
 	var best selection
 	var bestRank rank
 	isExpensive := s.callsAreExpensive()
-	for _, r := range s.replicasOf(shard) {
+	for _, r := range s.replicasOf(p.Shard) {
 		if s.availableAt(now, r, cost) > now {
 			continue
 		}
 		level := s.normalizedLatency(now, r)
 		candidate := s.rankReplica(now, r, p, level, isExpensive)
-		if triedBy != nil && triedBy.attemptedAt(r) {
+		if avoidTried && p.attemptedAt(r) {
 			candidate.tier += tierAlreadyUsed
 		}
 		isBetterTier := best.replica == nil || candidate.tier < bestRank.tier
--- a/internal/decision/scheduler/retry.go
+++ b/internal/decision/scheduler/retry.go
@@ -14,7 +14,8 @@
 	outlierRetryObjectiveShare = 0.1
 )
 
-// mayAttempt is the rule of idempotency and of the number of attempts: what a further attempt at a part needs.
+// mayAttempt is the rule of idempotency and of the number of attempts: what an attempt at a part needs, the first or a
+// further one. The retry budget is checked by dispatch.
 func (s *Scheduler) mayAttempt(now float64, p *part) bool {
 	if p.abandoned || p.attemptsInFlight >= maxParallelAttempts {
 		return false
@@ -27,7 +28,7 @@
 		if !a.mayHaveRun() {
 			continue
 		}
-		if !a.ended && !s.settings.AllowHedging || class.Idempotency == NonIdempotent {
+		if (!a.ended && !s.settings.AllowHedging) || class.Idempotency == NonIdempotent {
 			return false
 		}
 		if class.Idempotency == IdempotentWithKey && now > a.sentAt+class.DedupWindow {
@@ -74,7 +75,7 @@
 
 // selectForExtraAttempt is the replica for a retry or hedged request, or nil if none takes more work.
 func (s *Scheduler) selectForExtraAttempt(now float64, p *part) *replica {
-	selected := s.selectReplica(now, p, p.Shard, p.cost, p)
+	selected := s.selectReplica(now, p, p.cost, true)
 	r := selected.replica
 	if r == nil || !selected.tierTakesMore || now < r.circuitOpenUntil {
 		return nil
--- a/internal/decision/scheduler/settings.go
+++ b/internal/decision/scheduler/settings.go
@@ -19,7 +19,7 @@
 type Class struct {
 	// LatencyObjective is the time in ms within which an answer has its full worth.
 	LatencyObjective float64
-	// Deadline is the client's whole patience in ms, over all of its retries.
+	// Deadline is the time in ms that a client waits for an answer at most, over all of its retries.
 	Deadline float64
 	// PriorityWeight is the worth of a complete answer in time, relative to other classes.
 	PriorityWeight float64
@@ -95,7 +95,7 @@
 
 	// PollEndpoints says that the endpoint list comes only when it is polled or watched.
 	PollEndpoints bool
-	// MaxStaleness is the time in ms after a poll from which this broker counts as notified of changes.
+	// MaxStaleness is the time in ms after its last poll at which this broker is held to know of every change.
 	MaxStaleness float64
 
 	// CanCancel says that an attempt in flight can be cancelled.
@@ -113,7 +113,8 @@
 	SlowStart SlowStartSettings
 	// RetryBudget limits attempts beyond the first.
 	RetryBudget RetryBudgetSettings
-	// AnswerGrace is the time in ms after its deadline in which a final answer still counts.
+	// AnswerGrace is the time in ms after its deadline in which a final answer still counts. The scheduler does not
+	// use it: its answers leave before the deadline.
 	AnswerGrace float64
 }
 
--- a/internal/decision/scheduler/slow_start.go
+++ b/internal/decision/scheduler/slow_start.go
@@ -20,8 +20,9 @@
 
 // warmupState is what a replica's slow start is judged by.
 type warmupState struct {
-	startedAt float64      // start of its process; 0 for long ago
-	sent      []workSample // work sent to it within the window of the allowance
+	startedAt float64 // start of its process; 0 for long ago
+	// sent is the work sent to it within the window of the allowance, oldest first but for what TakeOver adds.
+	sent []workSample
 }
 
 // workSample is work in ms and the time when it was sent.
@@ -42,8 +43,8 @@
 	quota    fleetshare.SlowStartQuota
 	// replicaSpeed is the ms of work per ms that a warm replica was seen to do, 1 at least.
 	replicaSpeed float64
-	// startedAt is when the first endpoint list came, or when another process last shared the quota: what was sent
-	// in the window before is not known here and still counts.
+	// startedAt is when discovery first answered or failed, or when another process last shared the quota; -Inf after
+	// TakeOver. What was sent in the window before is not known here and still counts.
 	startedAt float64
 	// handedOver says that another process has taken over: warming replicas get nothing more from this one.
 	handedOver bool
@@ -66,7 +67,8 @@
 }
 
 // allowanceMs is the work, in ms, that all brokers may send a warming replica within a window if it does one ms of
-// work per ms when warm. The replica is taken for as cold as it was half a window ago.
+// work per ms when warm. The replica is taken to be as far in its warm-up as half
+// a window ago.
 func (s *slowStart) allowanceMs(now float64, r *replica) float64 {
 	age := max(0, now-r.warmup.startedAt-s.settings.Window/2)
 	initial := s.settings.InitialCapacity
@@ -90,31 +92,11 @@
 	return count
 }
 
-// availableAt is when the rules of drains and slow start let a part of a cost go to a replica, by what is known
-// now; +Inf if they never do.
-func (s *Scheduler) availableAt(now float64, r *replica, cost float64) float64 {
-	if r.State == Removed || now > r.drain.informedAt+s.settings.DrainGrace/2 {
-		return math.Inf(1)
-	}
-	isWarm := s.slowStart.isWarm(now, r)
-	if isWarm {
-		return now
-	}
-	if s.slowStart.handedOver {
-		return math.Inf(1)
-	}
-	firstWindowEnd := s.slowStart.startedAt + s.settings.SlowStart.Window
-	if now < firstWindowEnd {
-		return firstWindowEnd
-	}
-	return s.warmingReplicaAvailableAt(now, r, cost)
-}
-
 // warmingReplicaAvailableAt is when enough of the work sent to a warming replica has left the window for a part to
 // fit into this broker's quota; +Inf if the part needs more than the quota.
 func (s *Scheduler) warmingReplicaAvailableAt(now float64, r *replica, cost float64) float64 {
 	remaining, needed := s.warmupQuotaMs(now, r, cost)
-	window := s.settings.SlowStart.Window
+	window := s.slowStart.settings.Window
 	sent := r.warmup.sent
 	for i := len(sent) - 1; remaining >= needed; i-- {
 		if i < 0 || sent[i].at < now-window {
