--- a/cmd/ternstage/shutdown.go
+++ b/cmd/ternstage/shutdown.go
@@ -34,7 +34,11 @@
 // gracefulShutdown ends the program after SIGTERM. Clients use the connections that they have for as long as these stay
 // open, and the process that takes over may not be up yet: the broker serves for as long as what it accepts can be
 // answered before SIGKILL, then closes what is idle, answers all that is open and exits. Its methods are called on the
-// event loop.
+// event loop. A second SIGTERM is ignored.
+//
+// In order: health says no; the admin API says not ready and the slow-start sends are handed over; the deadline of
+// open requests is capped; after acceptMs the listener closes and idle connections end; the Flight front stops; once
+// nothing is open, or after exitMs, the loop ends, and serve closes connections, the closers in reverse, and the log.
 type gracefulShutdown struct {
 	loop        *loop.Loop
 	core        *core.Core
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -52,7 +52,7 @@
 }
 
 // platformSettings mirrors the JSON of those settings that the scheduler has no use for. The scheduler's are in
-// package wire; the class settings here are those that clients can see.
+// package simwire; the class settings here are those that clients can see.
 type platformSettings struct {
 	Areas      []string          `json:"areas"`
 	Categories []category        `json:"categories"`
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// validate checks what package wire and the scheduler do not check.
+// validate checks what package simwire and the scheduler do not check.
 func (s *platformSettings) validate() error {
 	limits := s.Limits
 	if limits.MaxOpen < 0 || limits.Multiplex < 0 || limits.DialTimeoutMs < 0 || limits.KeepaliveMs < 0 {
--- a/internal/control/adminapi/doc.go
+++ b/internal/control/adminapi/doc.go
@@ -2,7 +2,7 @@
 //
 // It speaks HTTP/1.1 with one call per connection. Every call is answered within a second, whatever other callers do:
 // a call that does not arrive in time, is too large or malformed is answered 4xx, and the number of connections is
-// bounded. Package control carries the calls out (see [Operations]).
+// bounded. Package adminops carries the calls out (see [Operations]).
 //
 //   - server.go: the listener, the bound on connections and their time limits.
 //   - connection.go: one caller, from its call to the close.
--- a/internal/control/adminops/suspensions.go
+++ b/internal/control/adminops/suspensions.go
@@ -149,8 +149,8 @@
 	return nil
 }
 
-// notify tells the scheduler of backends that were suspended or resumed, as the endpoint list would. It does so
-// before the call is answered, so that nothing is sent to a suspended backend after the answer.
+// notify reports backends that were suspended or resumed to the scheduler, as the endpoint list would. It does so
+// before the call is answered, so that the drain grace of a suspended backend has begun by then.
 func (s *suspensionStore) notify(ids ...string) {
 	endpoints := make([]scheduler.Endpoint, 0, len(ids))
 	for _, id := range ids {
--- a/internal/core/outcomes.go
+++ b/internal/core/outcomes.go
@@ -48,6 +48,7 @@
 	request := part.request
 	delete(c.inFlight, attemptKey{part.id, attempt.number})
 	_, open := c.requests[request.queryID]
+	retryDelayMs := c.handleNotHolder(attempt, end.outcome)
 	c.scheduler.AttemptEnded(now, scheduler.AttemptResult{
 		Part:           part.id,
 		Attempt:        attempt.number,
@@ -56,7 +57,7 @@
 		Latency:        now - attempt.sentAt,
 		ConnectionOnly: attempt.ConnectionOnly,
 		PartDone:       end.outcome == scheduler.Succeeded || !open,
-		RetryDelay:     c.retryDelay(attempt, end.outcome),
+		RetryDelay:     retryDelayMs,
 	})
 	if end.outcome != scheduler.Succeeded {
 		c.reroute(now, part)
--- a/internal/core/resharding.go
+++ b/internal/core/resharding.go
@@ -83,9 +83,10 @@
 	}
 }
 
-// retryDelay is the time in ms for which a part is not retried after an attempt with this outcome: 0 unless the backend
-// did not hold its shard.
-func (c *Core) retryDelay(attempt *Attempt, outcome scheduler.Outcome) float64 {
+// handleNotHolder counts how often in a row a part's backends did not hold its shard. After such an outcome it has the
+// shard map read if the backend knows a newer one, and pauses the part until then. It returns the time in ms for which
+// the part is not retried, 0 after any other outcome.
+func (c *Core) handleNotHolder(attempt *Attempt, outcome scheduler.Outcome) float64 {
 	part := attempt.part
 	segment := part.segment
 	if segment == nil {
--- a/internal/decision/endpointpoll/timing.go
+++ b/internal/decision/endpointpoll/timing.go
@@ -3,7 +3,9 @@
 // The scheduler stops sending to a draining backend half a drain grace after it was notified. The other half covers
 // reading a pushed list: one period, one timeout of an unresponsive call, and the time that the response takes.
 const (
-	pollPeriodGraceRatio  = 0.1
+	// pollPeriodGraceRatio is the period of reading a pushed list, as a share of the drain grace.
+	pollPeriodGraceRatio = 0.1
+	// callTimeoutGraceRatio is the timeout of one reading, as a share of the drain grace.
 	callTimeoutGraceRatio = 0.25
 )
 
--- a/internal/decision/maintenance/doc.go
+++ b/internal/decision/maintenance/doc.go
@@ -4,8 +4,8 @@
 // It is a state machine with no I/O and no clock: callers pass times in milliseconds and carry out what is decided.
 // Nothing in it is safe for concurrent use; the broker calls it on its event loop.
 //
-// [Suspensions] is the set of suspended backends. A suspended backend gets no new work, whatever the endpoint list
-// says, until it is resumed:
+// [Suspensions] is the set of suspended backends. A suspended backend counts as draining, whatever the
+// endpoint list says, until it is resumed: it gets nothing new once the scheduler's share of the drain grace is over.
 //
 //	suspensions := maintenance.NewSuspensions()
 //	suspensions.EndpointListed("s-1") // for each backend that the endpoint list names
--- a/internal/decision/scheduler/admission.go
+++ b/internal/decision/scheduler/admission.go
@@ -223,7 +223,7 @@
 	if now < s.lastAdmittedAt+pacingMs {
 		return rejectedPacing
 	}
-	if s.throttle.ShouldReject(load.priority, s.random.next) {
+	if s.throttle.ShouldReject(load.priority, s.random.Float64) {
 		return rejectedThrottled
 	}
 	return notRejected
--- a/internal/decision/scheduler/endpoint_list.go
+++ b/internal/decision/scheduler/endpoint_list.go
@@ -49,7 +49,7 @@
 	}
 	grown := nextPollBackoffMs(s.poll.backoffMs, fleetMs)
 	s.poll.backoffMs = min(grown, fleetBackoffBoundMs(fleetMs), s.stalenessBackoffBoundMs(fleetMs))
-	s.poll.dueAt = now + s.poll.backoffMs*(0.5+0.5*s.random.next())
+	s.poll.dueAt = now + s.poll.backoffMs*(0.5+0.5*s.random.Float64())
 }
 
 // nextPollBackoffMs is the delay that follows one of lastMs: it starts at a third of the maximum for small fleets or
@@ -82,7 +82,7 @@
 	}
 	s.poll.dueAt = now
 	if fleetMs := s.fleetPollMs(); fleetMs > 0 && entries > 0 {
-		s.poll.dueAt += min(fleetMs, s.settings.MaxStaleness) / 2 * s.random.next()
+		s.poll.dueAt += min(fleetMs, s.settings.MaxStaleness) / 2 * s.random.Float64()
 	}
 }
 
--- a/internal/decision/scheduler/replica_selection.go
+++ b/internal/decision/scheduler/replica_selection.go
@@ -82,7 +82,7 @@
 	result := rank{
 		tier:     tierHealthy,
 		calls:    float64(r.callsInFlight),
-		tieBreak: level + failureTieWeight*s.badness(r.outliers.failureRate, now) + tieNoise*s.random.next(),
+		tieBreak: level + failureTieWeight*s.badness(r.outliers.failureRate, now) + tieNoise*s.random.Float64(),
 	}
 	if isExpensive && s.canJoinCall(r) {
 		result.calls-- // joining a call of this round adds none
--- a/internal/decision/scheduler/scheduler.go
+++ b/internal/decision/scheduler/scheduler.go
@@ -6,6 +6,7 @@
 	"slices"
 
 	"ternstage/internal/decision/fleetshare"
+	"ternstage/internal/decision/splitmix"
 )
 
 // ErrNoActions is returned by New without Actions.
@@ -15,8 +16,8 @@
 type Scheduler struct {
 	settings Settings
 	actions  Actions
-	random   randomSource
-	round    int // number of the present round, from 1
+	random   splitmix.Source // draws happen in a fixed order, so that a run can be replayed
+	round    int             // number of the present round, from 1
 
 	// Open work.
 	queries        map[uint64]*query // by id
@@ -70,7 +71,7 @@
 	return &Scheduler{
 		settings:           settings,
 		actions:            actions,
-		random:             randomSource{state: seed},
+		random:             splitmix.New(seed),
 		queries:            map[uint64]*query{},
 		queriesByGroup:     map[int]*query{},
 		parts:              map[uint64]*part{},
--- a/internal/decision/shardmap/poller.go
+++ b/internal/decision/shardmap/poller.go
@@ -1,6 +1,10 @@
 package shardmap
 
-import "math"
+import (
+	"math"
+
+	"ternstage/internal/decision/splitmix"
+)
 
 const (
 	snapshotTimeoutMs = 5000.0 // for a snapshot
@@ -18,7 +22,7 @@
 // calls that Next returns and reports how each ended with Succeeded, Rejected or Failed. At most one call is in flight.
 type Poller struct {
 	options PollerOptions
-	random  splitMix64
+	random  splitmix.Source
 
 	epoch         uint64 // in use
 	needsSnapshot bool   // the next call asks for a snapshot
@@ -38,7 +42,7 @@
 func NewPoller(options PollerOptions, seed uint64) *Poller {
 	return &Poller{
 		options:       options,
-		random:        splitMix64{state: seed},
+		random:        splitmix.New(seed),
 		needsSnapshot: true,
 		hintedAt:      math.Inf(1),
 		lastHinted:    math.Inf(-1),
@@ -102,7 +106,7 @@
 	p.hintedEpoch = max(p.hintedEpoch, epoch)
 	answerIsNear := p.inFlight && !p.callWaits
 	if !pollPlanned && !answerIsNear {
-		p.hintedAt = max(now+p.options.JitterMs*p.random.uniform(), p.lastHinted+p.hintedIntervalMs())
+		p.hintedAt = max(now+p.options.JitterMs*p.random.Float64(), p.lastHinted+p.hintedIntervalMs())
 	}
 }
 
@@ -164,4 +168,4 @@
 }
 
 // jitter is a random factor from 0.5 up to 1.
-func (p *Poller) jitter() float64 { return 0.5 + 0.5*p.random.uniform() }
+func (p *Poller) jitter() float64 { return 0.5 + 0.5*p.random.Float64() }
--- a/internal/decision/shardmap/split_mix_test.go
+++ b/internal/decision/splitmix/splitmix_test.go
@@ -1,4 +1,4 @@
-package shardmap
+package splitmix
 
 import (
 	"testing"
@@ -7,9 +7,9 @@
 )
 
 // The first outputs of SplitMix64 for the seed 0 are published with the generator.
-func TestSplitMixIsTheReferenceGenerator(t *testing.T) {
-	generator := splitMix64{}
+func TestSourceIsTheReferenceGenerator(t *testing.T) {
+	generator := New(0)
 	for _, bits := range []uint64{0xe220a8397b1dcdaf, 0x6e789e6aa1b965f4, 0x06c45d188009454f} {
-		require.Equal(t, float64(bits>>11)/(1<<53), generator.uniform())
+		require.Equal(t, float64(bits>>11)/(1<<53), generator.Float64())
 	}
 }
