--- a/cmd/ternstage/broker.go
+++ b/cmd/ternstage/broker.go
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// ready tells whether the broker knows backends and, under resharding, where the shards are.
+// ready reports whether the broker knows backends and, under resharding, where the shards are.
 func (b *broker) ready() bool {
 	return b.endpoints.Len() > 0 && (b.shardMap == nil || b.core.Epoch() > 0)
 }
@@ -209,7 +209,7 @@
 	return nil
 }
 
-// inheritsListener tells whether the platform keeps the clients' listener: another process then takes over.
+// inheritsListener reports whether the platform keeps the clients' listener: another process then takes over.
 func (b *broker) inheritsListener() bool { return b.config.InheritedFD > 0 }
 
 func (b *broker) handoverConfig() adminops.HandoverConfig {
--- a/cmd/ternstage/features.go
+++ b/cmd/ternstage/features.go
@@ -14,7 +14,7 @@
 type features struct {
 	file   *operator.File // never nil; empty without an operator's file
 	flight flight.Config
-	// flightFromTOML tells that Flight's section came from its earlier place, flight.toml.
+	// flightFromTOML reports whether Flight's section came from its earlier place, flight.toml.
 	flightFromTOML bool
 }
 
--- a/cmd/ternstage/flight.go
+++ b/cmd/ternstage/flight.go
@@ -29,7 +29,7 @@
 	return config
 }
 
-// loadFlightTOML reads Flight's own file and tells whether there is one. Without one Flight is off.
+// loadFlightTOML reads Flight's own file and reports whether there is one. Without one Flight is off.
 func loadFlightTOML() (config flight.Config, found bool, err error) {
 	path := os.Getenv(envFlight)
 	if path == "" {
--- a/cmd/ternstage/shutdown.go
+++ b/cmd/ternstage/shutdown.go
@@ -51,7 +51,7 @@
 	killDelayMs float64
 	// acceptMs is the time after SIGTERM in which connections are accepted.
 	acceptMs float64
-	// handsOver tells that another process takes over the listener: connections are left to end by the answers that
+	// handsOver reports whether another process takes over the listener: connections are left to end by the answers that
 	// say so.
 	handsOver bool
 
@@ -110,7 +110,7 @@
 	s.pollTimer.Set(s.loop.Now() + shutdownPollMs)
 }
 
-// acceptEnded tells whether nothing more is accepted: what came now might not be answered before SIGKILL, or no client
+// acceptEnded reports whether nothing more is accepted: what came now might not be answered before SIGKILL, or no client
 // is left, or the successor accepts.
 func (s *gracefulShutdown) acceptEnded(elapsedMs float64, open int) bool {
 	if elapsedMs >= max(s.killDelayMs, s.acceptMs) {
@@ -130,7 +130,7 @@
 	}
 }
 
-// done tells whether all requests are answered and all connections of clients closed.
+// done reports whether all requests are answered and all connections of clients closed.
 func (s *gracefulShutdown) done(open int) bool {
 	return s.core.OpenRequests() == 0 && s.flightFront == nil && open == 0
 }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -15,20 +15,20 @@
 )
 
 var (
-	// ErrNotConfigured tells that BALANCER_CONFIG names no file.
+	// ErrNotConfigured reports whether BALANCER_CONFIG names no file.
 	ErrNotConfigured = errors.New(envConfig + ": missing")
-	// ErrMissing tells that a required setting is missing or empty.
+	// ErrMissing reports whether a required setting is missing or empty.
 	ErrMissing = errors.New("missing")
 
 	errNegativeLimit = errors.New("a negative max_open, multiplex, dial_timeout_ms or keepalive_ms")
 )
 
-// SettingError tells which setting cannot be used.
+// SettingError says which setting cannot be used.
 type SettingError struct {
 	// Setting is the platform's name of the setting or of the variable of the environment. A setting within another
 	// is a SettingError in Err.
 	Setting string
-	// Err tells what is wrong with its value.
+	// Err says what is wrong with its value.
 	Err error
 }
 
--- a/internal/contract/query.go
+++ b/internal/contract/query.go
@@ -153,7 +153,7 @@
 	return part, nil
 }
 
-// validID tells whether a text may be a request id. Frames hold it in a line whose fields are split at spaces.
+// validID reports whether a text may be a request id. Frames hold it in a line whose fields are split at spaces.
 func validID(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] > '~' {
--- a/internal/contract/unambiguous.go
+++ b/internal/contract/unambiguous.go
@@ -14,7 +14,7 @@
 var queryNames = []string{"shards", "shard", "weight", "cost", "key", "q"}
 
 // checkUnambiguous refuses a text that readers of JSON may understand differently: one that is not UTF-8, that has a
-// name twice in one object, or that writes a name of a query in other case. Guards against a query that backends
+// name twice in one object, or that writes a name of a query in other case. It keeps out a query that backends
 // understand otherwise than its client meant. Errors of syntax are left to the reader of the whole text.
 func (c *Contracts) checkUnambiguous(text []byte) error {
 	if !utf8.Valid(text) {
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// advance tells whether the next token, which ends no container, is a name. Names and values of an object alternate.
+// advance reports whether the next token, which ends no container, is a name. Names and values of an object alternate.
 func (n *nameChecker) advance() (isName bool) {
 	if len(n.open) == 0 {
 		return false
--- a/internal/control/adminapi/request.go
+++ b/internal/control/adminapi/request.go
@@ -41,7 +41,7 @@
 	sizeBytes int
 }
 
-// arrived tells whether the whole request is among the first received bytes.
+// arrived reports whether the whole request is among the first received bytes.
 func (r request) arrived(received int) bool { return r.sizeBytes > 0 && received >= r.sizeBytes }
 
 // parseRequest parses the request at the beginning of in. As long as its size is unknown it returns a request without
--- a/internal/control/adminapi/route.go
+++ b/internal/control/adminapi/route.go
@@ -11,7 +11,7 @@
 // Operations carries out operators' calls. The methods are called on the event loop and must not block; each is
 // idempotent.
 type Operations interface {
-	// Ready tells whether the process is ready to serve.
+	// Ready reports whether the process is ready to serve.
 	Ready() bool
 	// Suspend takes the backend id out of service until it is resumed.
 	Suspend(id string) maintenance.CallResult
--- a/internal/control/adminclient/client.go
+++ b/internal/control/adminclient/client.go
@@ -27,7 +27,7 @@
 	// Call and ID are those of the call.
 	Call string `json:"call"`
 	ID   string `json:"id,omitempty"`
-	// OK tells that the call was successful, which is a 2xx status.
+	// OK reports whether the call was successful, which is a 2xx status.
 	OK bool `json:"ok"`
 	// Status is the HTTP status; 0 without an answer.
 	Status int `json:"status"`
--- a/internal/control/adminops/control.go
+++ b/internal/control/adminops/control.go
@@ -26,9 +26,9 @@
 
 // Front is the clients' front, as far as drains need it.
 type Front interface {
-	// Healthy tells whether the health check succeeds.
+	// Healthy reports whether the health check succeeds.
 	Healthy() bool
-	// CanServe tells whether the process could serve: it has an endpoint list and does not shut down.
+	// CanServe reports whether the process could serve: it has an endpoint list and does not shut down.
 	CanServe() bool
 	// SetDraining has the health check fail while on.
 	SetDraining(on bool)
--- a/internal/control/adminops/handover.go
+++ b/internal/control/adminops/handover.go
@@ -34,7 +34,7 @@
 	BrokerCount int
 	// Core gives its sends to a successor, and takes over a predecessor's.
 	Core SlowStartSender
-	// Known tells whether the backend with this replica number is listed here.
+	// Known reports whether the backend with this replica number is listed here.
 	Known func(replica uint32) bool
 }
 
--- a/internal/control/adminops/otherprocess.go
+++ b/internal/control/adminops/otherprocess.go
@@ -25,7 +25,7 @@
 	return &processDetector{log: log, path: path}
 }
 
-// detect tells whether another process serves. It takes the lock if none does, and others then detect this process.
+// detect reports whether another process serves. It takes the lock if none does, and others then detect this process.
 func (d *processDetector) detect() bool {
 	if d.alone {
 		return false
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -58,7 +58,7 @@
 	c.finish(queryID, Answer{Kind: Answered, Complete: complete})
 }
 
-// Reject ends a request and tells its client to retry after so many ms.
+// Reject ends a request and has its client retry after so many ms.
 func (c *Core) Reject(queryID uint64, retryAfter float64) {
 	c.finish(queryID, Answer{Kind: Rejected, RetryAfter: retryAfter})
 }
--- a/internal/core/answer.go
+++ b/internal/core/answer.go
@@ -26,7 +26,7 @@
 	Doc     []byte         // as it came; ValidValue holds
 }
 
-// ValidValue tells whether what a backend gave can be a value: UTF-8 and not empty. Values go to clients as JSON
+// ValidValue reports whether what a backend gave can be a value: UTF-8 and not empty. Values go to clients as JSON
 // strings, where other bytes would be changed. A back end fails an attempt that brought anything else.
 func ValidValue(value []byte) bool { return len(value) > 0 && utf8.Valid(value) }
 
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -37,7 +37,7 @@
 	number int
 }
 
-// mayHaveRun tells that the attempt is not proved never to have run.
+// mayHaveRun reports whether the attempt is not proved never to have run.
 func (a *Attempt) mayHaveRun() bool { return !a.ended || mayHaveRun(a.outcome) }
 
 const (
@@ -59,7 +59,7 @@
 	return maxStartWindowMs
 }
 
-// mayHaveRun tells that an attempt with this outcome is not proved never to have run.
+// mayHaveRun reports whether an attempt with this outcome is not proved never to have run.
 func mayHaveRun(outcome scheduler.Outcome) bool {
 	switch outcome {
 	case scheduler.Rejected, scheduler.ConnectFailed, scheduler.NotSent, scheduler.NotHolder:
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -32,7 +32,7 @@
 	finalAnswerBy float64 // the latest deadline of requests submitted from now on
 	counts        Counts
 
-	inFlight     map[attemptKey]*Attempt // whose end the scheduler has not been told
+	inFlight     map[attemptKey]*Attempt // whose end has not been reported to the scheduler
 	deadlines    deadlineHeap            // of attempts that have not ended
 	ended        []endedAttempt          // to be reported to the scheduler in the next round
 	disconnected []*Request              // to be reported to the scheduler in the next round
@@ -60,7 +60,7 @@
 	ShardMap *shardmap.Map
 }
 
-// New makes a core and its scheduler, with the seed of its random choices. An error tells which setting is out of its
+// New makes a core and its scheduler, with the seed of its random choices. An error says which setting is out of its
 // range.
 func New(settings scheduler.Settings, seed uint64, options Options) (*Core, error) {
 	c := &Core{
@@ -115,7 +115,7 @@
 // Counts gives the totals since the start.
 func (c *Core) Counts() Counts { return c.counts }
 
-// RunRound runs the scheduling round that ends a wake-up: the scheduler is told what happened, decides once, and the
+// RunRound runs the scheduling round that ends a wake-up: what happened is reported to the scheduler, it decides once, and the
 // back end sends what it was given.
 func (c *Core) RunRound() {
 	now := c.clock.Now()
@@ -140,7 +140,7 @@
 	c.scheduleWake()
 }
 
-// fireTimer tells the scheduler that its timer has fired, if it has.
+// fireTimer reports to the scheduler that its timer has fired, if it has.
 func (c *Core) fireTimer(now float64) {
 	if now >= c.wakeAt {
 		c.wakeAt = math.Inf(1)
--- a/internal/core/disconnects.go
+++ b/internal/core/disconnects.go
@@ -11,8 +11,8 @@
 }
 
 // endDisconnected ends a request whose client has disconnected. A non-idempotent one of which something is in flight
-// stays open until that has ended, so that its outcome is learnt and logged. Guards against a cancel that crosses an
-// answer on its way.
+// stays open until that has ended, so that its outcome is learnt and logged: a cancel could
+// cross an answer on its way.
 func (c *Core) endDisconnected(now float64, request *Request) {
 	c.scheduler.ClientDisconnected(now, request.queryID)
 	c.withdrawParts(request)
--- a/internal/core/interfaces.go
+++ b/internal/core/interfaces.go
@@ -17,7 +17,7 @@
 	// Withdraw takes back an attempt that has not begun, so that nothing of it is sent. It is false if the attempt
 	// has begun.
 	Withdraw(*Attempt) bool
-	// Abandon withdraws an attempt, or, if it has begun, ends the wait for it and tells its backend so. It tells
+	// Abandon withdraws an attempt, or, if it has begun, ends the wait for it and notifies its backend. It reports
 	// whether the attempt provably neither ran nor will run.
 	Abandon(*Attempt) (neverRan bool)
 	// CloseIdleConnections closes the idle connections to a backend, by its replica number.
--- a/internal/core/outcomes.go
+++ b/internal/core/outcomes.go
@@ -8,14 +8,14 @@
 	"ternstage/internal/decision/scheduler"
 )
 
-// endedAttempt is an attempt with its outcome, until the scheduler is told.
+// endedAttempt is an attempt with its outcome, until it is reported to the scheduler.
 type endedAttempt struct {
 	attempt *Attempt
 	outcome scheduler.Outcome
 }
 
 // AttemptEnded reports how an attempt ended. The first report of an attempt counts, later ones are ignored. value is
-// what the backend gave if the outcome is Succeeded, and must not change afterwards. The scheduler is told in the next
+// what the backend gave if the outcome is Succeeded, and must not change afterwards. It is reported to the scheduler in the next
 // round.
 func (c *Core) AttemptEnded(attempt *Attempt, outcome scheduler.Outcome, value []byte) {
 	if attempt.ended {
@@ -35,13 +35,13 @@
 }
 
 // AttemptEndedLater reports an outcome that the back end learns while Core is calling it, and asks for a round in
-// which the scheduler is told.
+// which it is reported to the scheduler.
 func (c *Core) AttemptEndedLater(attempt *Attempt, outcome scheduler.Outcome) {
 	c.AttemptEnded(attempt, outcome, nil)
 	c.clock.WakeAt(0)
 }
 
-// reportEnd tells the scheduler how an attempt ended, and does what follows from it for the part and the request.
+// reportEnd reports to the scheduler how an attempt ended, and does what follows from it for the part and the request.
 func (c *Core) reportEnd(now float64, end endedAttempt) {
 	attempt := end.attempt
 	part := attempt.part
--- a/internal/core/part.go
+++ b/internal/core/part.go
@@ -36,22 +36,22 @@
 	return out
 }
 
-// inFlight tells that an attempt of the part has not ended.
+// inFlight reports whether an attempt of the part has not ended.
 func (p *partState) inFlight() bool {
 	return slices.ContainsFunc(p.attempts, func(a *Attempt) bool { return !a.ended })
 }
 
-// lastInFlight tells that the last attempt of the part has not ended.
+// lastInFlight reports whether the last attempt of the part has not ended.
 func (p *partState) lastInFlight() bool {
 	count := len(p.attempts)
 	return count > 0 && !p.attempts[count-1].ended
 }
 
-// outOfTime tells that the last attempt of the part timed out or is still in flight.
+// outOfTime reports whether the last attempt of the part timed out or is still in flight.
 func (p *partState) outOfTime() bool {
 	count := len(p.attempts)
 	return count > 0 && (!p.attempts[count-1].ended || p.attempts[count-1].outcome == scheduler.TimedOut)
 }
 
-// mayHaveRun tells that an attempt of the part is not proved never to have run.
+// mayHaveRun reports whether an attempt of the part is not proved never to have run.
 func (p *partState) mayHaveRun() bool { return slices.ContainsFunc(p.attempts, (*Attempt).mayHaveRun) }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -36,16 +36,16 @@
 	disconnected  bool
 }
 
-// ClientDisconnected tells that the client disconnected before the final answer, which reaches nobody.
+// ClientDisconnected reports whether the client disconnected before the final answer, which reaches nobody.
 func (r *Request) ClientDisconnected() bool { return r.disconnected }
 
-// inFlight tells that an attempt of the request has not ended.
+// inFlight reports whether an attempt of the request has not ended.
 func (r *Request) inFlight() bool { return slices.ContainsFunc(r.parts, (*partState).inFlight) }
 
-// outOfTime tells that a part of the request did not arrive for want of time.
+// outOfTime reports whether a part of the request did not arrive for want of time.
 func (r *Request) outOfTime() bool { return slices.ContainsFunc(r.parts, (*partState).outOfTime) }
 
-// arrived tells that all parts of the request have arrived.
+// arrived reports whether all parts of the request have arrived.
 func (r *Request) arrived() bool {
 	return !slices.ContainsFunc(r.parts, func(p *partState) bool { return !p.arrived })
 }
--- a/internal/core/shardmap.go
+++ b/internal/core/shardmap.go
@@ -28,7 +28,7 @@
 // OnMapChanged sets the function that is called after a map has been taken into use. The default is none.
 func (c *Core) OnMapChanged(notify func(*shardmap.Version)) { c.onMapChanged = notify }
 
-// ApplySnapshot takes a whole map into use. On an error the one in use stays.
+// ApplySnapshot takes a snapshot of the shard map into use. On an error the map in use stays.
 func (c *Core) ApplySnapshot(snapshot shardmap.Snapshot) error {
 	retired, err := c.shardMap.Reset(snapshot)
 	return c.mapApplied(retired, err)
--- a/internal/core/submission.go
+++ b/internal/core/submission.go
@@ -13,7 +13,7 @@
 var ErrInvalidRequest = errors.New("the request breaks its contract")
 
 const (
-	// maxPartWeight and weightSumTolerance leave room for weights that clients have rounded.
+	// maxPartWeight and weightSumTolerance allow for weights that clients have rounded.
 	maxPartWeight      = 1.001
 	weightSumTolerance = 0.01
 )
@@ -25,8 +25,8 @@
 	if err := c.checkParts(request.Parts); err != nil {
 		return err
 	}
-	// Backends know the parts by the request's id. Guards against one client's answer going to another, and a
-	// non-idempotent part against a client that retries while it is in flight.
+	// Backends know the parts by the request's id. A second use of the id while the first is open could give one
+	// client's answer to another, and run a non-idempotent part twice for a client that retries.
 	if c.requestIDs[request.ID] {
 		return fmt.Errorf("%w: request id %q is in use", ErrInvalidRequest, request.ID)
 	}
--- a/internal/decision/handover/takeover.go
+++ b/internal/decision/handover/takeover.go
@@ -25,7 +25,7 @@
 	WindowMs float64
 	// BrokerCount is the number of brokers in the settings; 0 is unknown and matches any.
 	BrokerCount int
-	// Known tells whether the process knows the backend with this replica number.
+	// Known reports whether the process knows the backend with this replica number.
 	Known func(replica uint32) bool
 }
 
--- a/internal/decision/maintenance/backend_id.go
+++ b/internal/decision/maintenance/backend_id.go
@@ -3,7 +3,7 @@
 // MaxIDBytes is the maximum length of a backend's id in bytes.
 const MaxIDBytes = 256
 
-// ValidID tells whether id can be a backend's: 1 to MaxIDBytes bytes that need no escapes in a path segment of a URL.
+// ValidID reports whether id can be a backend's: 1 to MaxIDBytes bytes that need no escapes in a path segment of a URL.
 func ValidID(id string) bool {
 	if id == "" || len(id) > MaxIDBytes {
 		return false
--- a/internal/decision/maintenance/call.go
+++ b/internal/decision/maintenance/call.go
@@ -12,11 +12,11 @@
 	Status int
 	// Reason is shown to the operator. It is part of the admin API: callers compare it.
 	Reason string
-	// Changed tells that this call changed the state.
+	// Changed reports whether this call changed the state.
 	Changed bool
 }
 
-// OK tells whether the call was successful, which is a 2xx status.
+// OK reports whether the call was successful, which is a 2xx status.
 func (r CallResult) OK() bool { return r.Status >= 200 && r.Status < 300 }
 
 // The reasons are part of the admin API and keep the platform's words.
--- a/internal/decision/maintenance/drain.go
+++ b/internal/decision/maintenance/drain.go
@@ -73,7 +73,7 @@
 	return ClosingIdle
 }
 
-// Healthy tells whether the health check succeeds in a process that could serve if ready.
+// Healthy reports whether the health check succeeds in a process that could serve if ready.
 func (d *BrokerDrain) Healthy(ready bool) bool { return ready && !d.active }
 
 // SinceMs returns when the drain began, in milliseconds of the caller's clock, and 0 without one.
--- a/internal/decision/maintenance/suspensions.go
+++ b/internal/decision/maintenance/suspensions.go
@@ -48,7 +48,7 @@
 	return ok
 }
 
-// Suspended tells whether the backend id is suspended.
+// Suspended reports whether the backend id is suspended.
 func (s *Suspensions) Suspended(id string) bool {
 	_, ok := s.suspended[id]
 	return ok
--- a/internal/decision/scheduler/events.go
+++ b/internal/decision/scheduler/events.go
@@ -114,7 +114,7 @@
 	RetryDelay float64
 }
 
-// reflectsLoad reports whether the result tells whether the fleet accepts what it is sent. No answer tells nothing,
+// reflectsLoad reports whether the result shows if the fleet accepts what it is sent. No answer shows nothing,
 // as stalled replicas and broken networks look like that too; nor do a part sent to the wrong replica and a
 // connection that was refused, which says nothing of the replica's queue.
 func (r AttemptResult) reflectsLoad() bool {
--- a/internal/decision/scheduler/hedging.go
+++ b/internal/decision/scheduler/hedging.go
@@ -50,7 +50,8 @@
 	a.covered = s.cover(now, p, a)
 }
 
-// cover finds something that stands in for a late attempt and reports whether it did.
+// cover asks for a substitute, a hedged request or a reassignment of a late attempt, in this order, and reports
+// whether one was possible.
 func (s *Scheduler) cover(now float64, p *part, a *attempt) bool {
 	if s.askSubstitute(now, p.query) {
 		return true
--- a/internal/decision/scheduler/latency.go
+++ b/internal/decision/scheduler/latency.go
@@ -18,7 +18,7 @@
 	baselineFloorGain = 5e-4
 
 	meanGain       = 0.03 // weight of the newest sample in slow means
-	normalizedGain = 0.35 // weight of the newest latency of a replica: two or three samples tell
+	normalizedGain = 0.35 // weight of the newest latency of a replica: two or three samples suffice
 	medianStep     = 0.05 // fraction by which one latency moves a median; it doubles in 15 samples
 	// medianParts is how many parts of one query may move the overload median, as those of a long query come back
 	// sorted.
@@ -46,7 +46,7 @@
 	firstSamples  []float64
 
 	fleetLevel     float64 // median over all results
-	overloadMedian float64 // the same, moved less by long queries: it tells overload
+	overloadMedian float64 // the same, moved less by long queries: it shows overload
 	queueingLevel  float64 // from which a replica counts as queueing
 
 	partMs float64 // mean baseline latency of a part in its call, free of the present load
--- a/internal/decision/scheduler/settings.go
+++ b/internal/decision/scheduler/settings.go
@@ -104,7 +104,7 @@
 	AllowHedging bool
 	// MaxAttempts is the number of attempts for one part; 0 for no limit.
 	MaxAttempts int
-	// MaxRetryAfter is the longest time in ms after which a rejected client is told to come back.
+	// MaxRetryAfter is the longest time in ms after which a rejected client is asked to come back.
 	MaxRetryAfter float64
 
 	// DrainGrace is the time in ms after a drain was reported in which a replica may still be sent parts.
--- a/internal/jsonnetfile/jsonnetfile.go
+++ b/internal/jsonnetfile/jsonnetfile.go
@@ -12,7 +12,7 @@
 // maxStackFrames bounds the depth of calls in a file, so that one that calls itself without end is an error.
 const maxStackFrames = 500
 
-// EvaluationError tells that a file is not valid Jsonnet or that its evaluation failed.
+// EvaluationError reports whether a file is not valid Jsonnet or that its evaluation failed.
 type EvaluationError struct {
 	// Err is Jsonnet's error, whose text has several lines.
 	Err error
--- a/internal/jsonnetfile/schema.go
+++ b/internal/jsonnetfile/schema.go
@@ -11,7 +11,7 @@
 	"golang.org/x/text/message"
 )
 
-// FieldError tells that a field breaks the schema. If several do, it is about one of them.
+// FieldError reports whether a field breaks the schema. If several do, it is about one of them.
 type FieldError struct {
 	// Name is the name of the file.
 	Name string
--- a/internal/store/statefile/lock.go
+++ b/internal/store/statefile/lock.go
@@ -18,7 +18,7 @@
 	lockRetryInterval = 100 * time.Microsecond
 )
 
-// LockedError tells that a lock is held by another process.
+// LockedError reports whether a lock is held by another process.
 type LockedError struct {
 	// Path is that of the file that carries the lock.
 	Path string
--- a/internal/transport/backendpool/call.go
+++ b/internal/transport/backendpool/call.go
@@ -16,7 +16,7 @@
 	partsInFlight int
 	sentAt        float64
 	// endOffset is the position of the frame's last byte among all bytes written on the connection; 0 until the call is
-	// encoded. It tells whether the frame is completely written.
+	// encoded. It reports whether the frame is completely written.
 	endOffset uint64
 	// idleBeforeMs is how long the connection had been idle when the call was placed; 0 if it was in use or new.
 	idleBeforeMs float64
@@ -30,10 +30,10 @@
 	ended   bool // its outcome is reported, or no longer wanted
 }
 
-// encoded tells that the call's frame is in the connection's output: from then on nothing can be left out of it.
+// encoded reports whether the call's frame is in the connection's output: from then on nothing can be left out of it.
 func (c *call) encoded() bool { return c.endOffset > 0 }
 
-// equals tells that other is the same call.
+// equals reports whether other is the same call.
 func (c *call) equals(other *call) bool { return c == other }
 
 // placeCall makes a call of these attempts and places it on a connection. Without a connection they end as
--- a/internal/transport/backendpool/connection.go
+++ b/internal/transport/backendpool/connection.go
@@ -170,7 +170,7 @@
 	c.queuedBytes += uint64(len(c.stream.Out) - start)
 }
 
-// written tells that the kernel has taken the call's frame completely: from then on its parts may run.
+// written reports whether the kernel has taken the call's frame completely: from then on its parts may run.
 func (c *connection) written(call *call) bool {
 	return call.encoded() && call.endOffset <= c.stream.BytesWritten
 }
--- a/internal/transport/backendpool/connection_end.go
+++ b/internal/transport/backendpool/connection_end.go
@@ -60,7 +60,7 @@
 	c.pool.core.AttemptEndedLater(part.attempt, outcome)
 }
 
-// attributeLoss tells that only this connection broke while the backend is up: either it broke as soon as it was used
+// attributeLoss reports whether only this connection broke while the backend is up: either it broke as soon as it was used
 // after being idle, where the end of a process would have shown before, or another connection to the backend is
 // open. The former is recorded for idleRisk. Without this a backend would count as lost, and as warming up once it
 // serves again.
@@ -83,7 +83,7 @@
 
 // closeMalformed closes a connection on which a malformed frame came: what follows it cannot be trusted. The part that
 // the frame was for, or else the oldest in flight, has failed and may have run. So may the others have, of which
-// nothing is held against the backend.
+// the backend is not blamed.
 func (c *connection) closeMalformed(part *part, err error) {
 	if part == nil {
 		part = c.oldestPart()
--- a/internal/transport/backendpool/connection_selection.go
+++ b/internal/transport/backendpool/connection_selection.go
@@ -57,16 +57,16 @@
 	return usable
 }
 
-// usable tells that the connection takes calls, if it has the capacity.
+// usable reports whether the connection takes calls, if it has the capacity.
 func (c *connection) usable() bool { return c.retiredFor == "" && c.pendingRejection == nil }
 
-// hasCapacity tells that the connection takes one more call. Abandoned parts count, as the backend may still work on
+// hasCapacity reports whether the connection takes one more call. Abandoned parts count, as the backend may still work on
 // them.
 func (c *connection) hasCapacity() bool {
 	return c.usable() && len(c.calls)+len(c.abandoned) < c.pool.options.StreamsPerConnection
 }
 
-// preferredTo tells that a call is better placed on c than on other.
+// preferredTo reports whether a call is better placed on c than on other.
 func (c *connection) preferredTo(other *connection) bool {
 	if len(c.calls) != len(other.calls) {
 		return len(c.calls) < len(other.calls)
@@ -129,7 +129,7 @@
 	return c, nil
 }
 
-// freeDescriptor closes something that can be spared when the process is out of file descriptors, and tells whether
+// freeDescriptor closes something that can be spared when the process is out of file descriptors, and reports whether
 // it did.
 func (p *Pool) freeDescriptor() bool {
 	if p.options.FreeDescriptor != nil && p.options.FreeDescriptor() {
--- a/internal/transport/backendpool/idle_risk.go
+++ b/internal/transport/backendpool/idle_risk.go
@@ -53,7 +53,7 @@
 	return r.lossRates[slot] * math.Exp2((r.updatedAt[slot]-now)/lossHalfLifeMs)
 }
 
-// allows tells that the loss rate of connections that have been idle so long is not above maxRate. What is lost after
+// allows reports whether the loss rate of connections that have been idle so long is not above maxRate. What is lost after
 // a shorter idle time counts too, as it would be lost after a longer one.
 func (r *idleRisk) allows(now, idleMs, maxRate float64) bool {
 	for slot := firstIdleSlot; slot <= idleTimeSlot(idleMs); slot++ {
@@ -64,7 +64,7 @@
 	return true
 }
 
-// allowsNonIdempotent tells that a connection that has been idle so long may carry a non-idempotent part.
+// allowsNonIdempotent reports whether a connection that has been idle so long may carry a non-idempotent part.
 func (r *idleRisk) allowsNonIdempotent(now, idleMs float64) bool {
 	return idleMs <= maxNonIdempotentIdleMs && r.allows(now, idleMs, maxNonIdempotentLossRate)
 }
--- a/internal/transport/backendpool/pool.go
+++ b/internal/transport/backendpool/pool.go
@@ -21,7 +21,7 @@
 	IdleTimeoutMs float64
 	// MaxConnections is the maximum number of connections to all backends together. Less than 1 counts as 1.
 	MaxConnections int
-	// Resharding tells that shards move between backends, so that a backend may answer that it is not the holder.
+	// Resharding reports whether shards move between backends, so that a backend may answer that it is not the holder.
 	Resharding bool
 	// FreeDescriptor closes something that can be spared when the process is out of file descriptors, and tells
 	// whether it did. It may be nil: then only idle connections to backends are closed.
--- a/internal/transport/flight/backend_connection.go
+++ b/internal/transport/flight/backend_connection.go
@@ -95,7 +95,7 @@
 	c.log.ConnectionEnded(logs.FlightBackendClosed, connection.address, connection.callsServed, nil)
 }
 
-// waitReady waits until a connection is established, for the timeout at most, and tells whether it is. A refused
+// waitReady waits until a connection is established, for the timeout at most, and reports whether it is. A refused
 // connection ends the wait at once. It runs on an attempt's goroutine.
 func waitReady(ctx context.Context, grpcConn *grpc.ClientConn, timeout time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
--- a/internal/transport/flight/config.go
+++ b/internal/transport/flight/config.go
@@ -16,11 +16,11 @@
 
 // Config is the content of deploy/flight.toml or of the operator's file.
 type Config struct {
-	// Enabled tells that the front listens. The default is false.
+	// Enabled reports whether the front listens. The default is false.
 	Enabled bool `toml:"enabled"`
 	// Listen is the IP address and port at which the front listens. It is required if Enabled is set.
 	Listen string `toml:"listen"`
-	// Backends tells that backends are asked over Flight instead of frames. The default is false.
+	// Backends reports whether backends are asked over Flight instead of frames. The default is false.
 	Backends bool `toml:"nodes"`
 	// StreamsPerConnection is the maximum number of calls in flight on one client connection. The default is 128.
 	StreamsPerConnection int `toml:"streams"`
--- a/internal/transport/httpfront/connection.go
+++ b/internal/transport/httpfront/connection.go
@@ -52,15 +52,15 @@
 	closed    bool
 }
 
-// lingering tells that our side is shut down, and the connection waits for the client to end its own.
+// lingering reports whether our side is shut down, and the connection waits for the client to end its own.
 func (e *connectionEnding) lingering() bool { return e.lingerCode != "" }
 
-// idle tells that nothing is under way on the connection.
+// idle reports whether nothing is under way on the connection.
 func (c *connection) idle() bool {
 	return c.open == nil && len(c.stream.In) == 0 && len(c.stream.Out) == 0 && !c.ending.lingering() && !c.ending.closed
 }
 
-// hasPartialRequest tells that nothing is under way but a request that has not arrived.
+// hasPartialRequest reports whether nothing is under way but a request that has not arrived.
 func (c *connection) hasPartialRequest() bool {
 	return c.open == nil && len(c.stream.In) > 0 && len(c.stream.Out) == 0 && !c.ending.lingering() && !c.servePosted
 }
--- a/internal/transport/httpfront/errors.go
+++ b/internal/transport/httpfront/errors.go
@@ -57,7 +57,7 @@
 }
 
 // errorResponse answers with an error: its status and a JSON object with its text as "error". A client whose shard map
-// is stale is told the epoch in use, as "epoch".
+// is stale gets the epoch in use, as "epoch".
 func errorResponse(err error) httpResponse {
 	fields := map[string]any{"error": err.Error()}
 	var stale *core.StaleEpochError
--- a/internal/transport/httpfront/eviction.go
+++ b/internal/transport/httpfront/eviction.go
@@ -20,7 +20,7 @@
 	evictDelivering                     // its last answer may be on its way
 )
 
-// FreeDescriptor closes the connection that is missed least, so that its descriptor can be used, and tells whether
+// FreeDescriptor closes the connection that is missed least, so that its descriptor can be used, and reports whether
 // there was one. It calls neither core nor the scheduler, and may be called from within a scheduling round.
 //
 // A connection with a request under way is never closed, nor an idle one on which something has arrived unread: a close
--- a/internal/transport/httpfront/read.go
+++ b/internal/transport/httpfront/read.go
@@ -33,7 +33,7 @@
 // readInput reads what has arrived, up to maxInputBytes. eof tells that the client has ended its side.
 //
 // If the input fills up behind an open request, that is made the last of the connection, and the rest is discarded:
-// only a client that is read can be seen to disconnect. Guards memory against floods, and backends against work for a
+// only a client that is read can be seen to disconnect. That protects memory from floods, and backends from work for a
 // client that has left.
 func (c *connection) readInput() (eof bool, err error) {
 	if !c.ending.afterOutput {
@@ -86,7 +86,7 @@
 	}
 }
 
-// canServe tells whether the next request may be served: none is open, and the client takes its answers.
+// canServe reports whether the next request may be served: none is open, and the client takes its answers.
 func (c *connection) canServe() bool {
 	return c.open == nil && !c.ending.afterOutput && !c.ending.closed &&
 		len(c.stream.In) > 0 && len(c.stream.Out) < maxOutputBytes
--- a/internal/transport/httpfront/request.go
+++ b/internal/transport/httpfront/request.go
@@ -47,8 +47,8 @@
 	}, nil
 }
 
-// isToken tells whether text is a token (RFC 9110, 5.6.2). Guards against names that another parser would read
-// otherwise.
+// isToken reports whether text is a token (RFC 9110, 5.6.2). Another parser
+// could read any other text differently.
 func isToken(text string) bool {
 	for i := range len(text) {
 		character := text[i]
@@ -93,7 +93,7 @@
 		r.header[name] = value
 		return nil
 	}
-	// Guards against smuggled requests, and against two readings of one query: of these no value may win.
+	// Two values would allow smuggled requests and two readings of one query, so neither may win.
 	if name == "content-length" && earlier != value || name == "transfer-encoding" || strings.HasPrefix(name, "x-") {
 		return errMalformed
 	}
--- a/internal/transport/httpfront/server.go
+++ b/internal/transport/httpfront/server.go
@@ -15,7 +15,7 @@
 	// Submit takes a request, and calls its Client.Finish with the final answer, from within Submit or later. On an
 	// error it has not taken it.
 	Submit(*core.Request) error
-	// ClientDisconnected tells that the client of a request that Submit took has disconnected. Client.Finish is not
+	// ClientDisconnected reports whether the client of a request that Submit took has disconnected. Client.Finish is not
 	// called for it any more.
 	ClientDisconnected(*core.Request)
 }
@@ -108,10 +108,10 @@
 	return inheritedFD, nil
 }
 
-// CanServe tells whether the program knows what it needs for serving and has not begun its shutdown.
+// CanServe reports whether the program knows what it needs for serving and has not begun its shutdown.
 func (s *Server) CanServe() bool { return s.ready() && !s.shuttingDown }
 
-// Healthy tells whether health checks succeed: the program can serve, and operators do not drain it.
+// Healthy reports whether health checks succeed: the program can serve, and operators do not drain it.
 func (s *Server) Healthy() bool { return s.CanServe() && !s.draining }
 
 // ConnectionCounts returns the number of connections, and of those whose side of ours is not shut down.
--- a/internal/transport/simwire/codes.go
+++ b/internal/transport/simwire/codes.go
@@ -17,7 +17,7 @@
 // maxEndpointTable is the highest number of an endpoint table.
 const maxEndpointTable = 15
 
-// EventCode tells what an event's record holds.
+// EventCode says what an event's record holds.
 type EventCode uint8
 
 // The events, with their names on the wire.
@@ -36,7 +36,7 @@
 	EventClientDisconnected EventCode = 12 // CLIENT_GONE
 )
 
-// ActionCode tells what an action's record holds.
+// ActionCode says what an action's record holds.
 type ActionCode uint8
 
 // The actions, with their names on the wire.
--- a/internal/transport/simwire/decode.go
+++ b/internal/transport/simwire/decode.go
@@ -10,7 +10,7 @@
 	"ternstage/internal/decision/scheduler"
 )
 
-// FrameError tells that a frame is malformed.
+// FrameError reports whether a frame is malformed.
 type FrameError struct {
 	// Number is the number of the frame.
 	Number uint32
@@ -97,7 +97,7 @@
 	data  []byte
 }
 
-// Code tells what the record holds. It may be unknown.
+// Code says what the record holds. It may be unknown.
 func (r Record) Code() EventCode { return EventCode(r.data[0]) }
 
 // fields reads the fields after the code.
--- a/internal/transport/simwire/encode.go
+++ b/internal/transport/simwire/encode.go
@@ -104,7 +104,7 @@
 // Log writes a line to the simulator's report.
 func (r *Reply) Log(text string) { r.text(ActionLog, text) }
 
-// Fault tells that the scheduler has failed, which ends the simulation with the text.
+// Fault reports whether the scheduler has failed, which ends the simulation with the text.
 func (r *Reply) Fault(text string) { r.text(ActionFault, text) }
 
 func (r *Reply) text(code ActionCode, text string) {
