--- a/internal/results/complete/complete.go
+++ b/internal/results/complete/complete.go
@@ -112,10 +112,10 @@
 
 // Certain tells of each place, in order, whether its rank is certain: no missing part could hold a row that
 // comes before it. Once one is not, none after it is.
-func (s *Statement) Certain(o *merge.Order, places []merge.Place) []bool {
+func (s *Statement) Certain(o *merge.Order, places []merge.Position) []bool {
 	out := make([]bool, len(places))
 	// The first place that a missing row could take bounds them all.
-	var first *merge.Place
+	var first *merge.Position
 	for _, p := range s.Missing {
 		x := s.note(p)
 		if x == nil {
@@ -125,7 +125,7 @@
 			continue
 		}
 		// The key of its first row is not known: any key of its first district may be.
-		least := merge.Place{Rank: x.Least, District: p.Districts.Start}
+		least := merge.Position{Rank: x.Least, Bucket: p.Districts.Start}
 		if first == nil || o.Compare(least, *first) < 0 {
 			first = &least
 		}
--- a/internal/results/complete/complete_test.go
+++ b/internal/results/complete/complete_test.go
@@ -19,7 +19,7 @@
 var table = merge.Schema{{Name: "premium", Kind: merge.Int}}
 
 func order(t require.TestingT) *merge.Order {
-	o, err := merge.NewOrder(table, []merge.By{{Column: "premium"}})
+	o, err := merge.NewOrder(table, []merge.SortColumn{{Column: "premium"}})
 	require.NoError(t, err)
 	return o
 }
@@ -74,7 +74,7 @@
 		n := float64(len(all))
 		var parts []Part
 		var summaries []*Summary
-		var places, truth []merge.Place
+		var places, truth []merge.Position
 		sum, sumIn, count, countIn := 0.0, 0.0, 0, 0
 		least, leastIn := math.Inf(1), math.Inf(1)
 		for _, s := range all {
@@ -84,7 +84,7 @@
 				summaries = append(summaries, s.summary)
 			}
 			for i, v := range s.rows {
-				at := merge.Place{Rank: []merge.Value{merge.IntOf(v)}, District: s.part.Districts.Start, Key: fmt.Sprint(i)}
+				at := merge.Position{Rank: []merge.Value{merge.IntOf(v)}, Bucket: s.part.Districts.Start, Key: fmt.Sprint(i)}
 				truth = append(truth, at)
 				sum, count, least = sum+float64(v), count+1, min(least, float64(v))
 				if s.part.In {
@@ -130,7 +130,7 @@
 	o := order(t)
 	parts := []Part{{Districts: shardmap.Range{Start: 0, End: 5}, Weight: 0.7, In: true, Version: 1, Since: 1},
 		{Districts: shardmap.Range{Start: 5, End: 9}, Weight: 0.3, Version: 8, Since: 2, Why: TimedOut}}
-	first := []merge.Place{{Rank: []merge.Value{merge.IntOf(10)}, District: 2, Key: "k"}}
+	first := []merge.Position{{Rank: []merge.Value{merge.IntOf(10)}, Bucket: 2, Key: "k"}}
 	note := func(f func(*Summary)) []*Summary {
 		x := &Summary{Districts: parts[1].Districts, Version: 8, Since: 2, Count: 3, Least: []merge.Value{merge.IntOf(11)}}
 		f(x)
@@ -172,14 +172,14 @@
 	o := order(b)
 	var parts []Part
 	var sums []*Summary
-	var places []merge.Place
+	var places []merge.Position
 	for i := range 1000 {
 		r := shardmap.Range{Start: i, End: i + 1}
 		parts = append(parts, Part{Districts: r, Weight: 0.001, In: i%10 > 0, Version: 1, Since: 1})
 		sums = append(sums, &Summary{Districts: r, Version: 1, Since: 1, Count: 1, Least: []merge.Value{merge.IntOf(900)}})
 	}
 	for i := range 50 {
-		places = append(places, merge.Place{Rank: []merge.Value{merge.IntOf(int64(i))}})
+		places = append(places, merge.Position{Rank: []merge.Value{merge.IntOf(int64(i))}})
 	}
 	b.ReportAllocs()
 	for range b.N {
--- a/internal/results/cursor/cursor.go
+++ b/internal/results/cursor/cursor.go
@@ -42,12 +42,12 @@
 
 // Cursor is what a page leaves to the next.
 type Cursor struct {
-	Epoch   uint64       // by which the first page began
-	Next    int          // rank of the next row, from 1
-	After   *merge.Place // the last row; nil where there was none
-	Spans   []Span       // in order of districts: those that were in, and those that were missing
-	Query   [32]byte     // Digest of the query
-	Certain bool         // every rank so far was certain
+	Epoch   uint64          // by which the first page began
+	Next    int             // rank of the next row, from 1
+	After   *merge.Position // the last row; nil where there was none
+	Spans   []Span          // in order of districts: those that were in, and those that were missing
+	Query   [32]byte        // Digest of the query
+	Certain bool            // every rank so far was certain
 	Tenant  string
 	Expires int64
 }
@@ -147,7 +147,7 @@
 	b := body{Epoch: c.Epoch, Next: c.Next, Spans: join(c.Spans), Query: c.Query[:], Tenant: []byte(c.Tenant),
 		Expires: c.Expires, Certain: c.Certain}
 	if c.After != nil {
-		b.Placed, b.District, b.Key = true, c.After.District, c.After.Key
+		b.Placed, b.District, b.Key = true, c.After.Bucket, c.After.Key
 		for _, v := range c.After.Rank {
 			b.Rank = append(b.Rank, value(v))
 		}
@@ -221,7 +221,7 @@
 	c := &Cursor{Epoch: b.Epoch, Next: b.Next, Spans: b.Spans, Query: query, Tenant: tenant, Expires: b.Expires,
 		Certain: b.Certain}
 	if b.Placed {
-		c.After = &merge.Place{District: b.District, Key: b.Key}
+		c.After = &merge.Position{Bucket: b.District, Key: b.Key}
 		for _, v := range b.Rank {
 			c.After.Rank = append(c.After.Rank, merge.Value(v))
 		}
--- a/internal/results/cursor/cursor_test.go
+++ b/internal/results/cursor/cursor_test.go
@@ -20,8 +20,8 @@
 }
 
 func sample() *Cursor {
-	return &Cursor{Epoch: 41, Next: 51, After: &merge.Place{Rank: []merge.Value{merge.IntOf(700), merge.FloatOf(0.5),
-		merge.TextOf("x")}, District: 17, Key: "p-9"}, Spans: []Span{{0, 10, 3, 1}, {10, 20, 0, 0}, {20, 30, 4, 2}},
+	return &Cursor{Epoch: 41, Next: 51, After: &merge.Position{Rank: []merge.Value{merge.IntOf(700), merge.FloatOf(0.5),
+		merge.TextOf("x")}, Bucket: 17, Key: "p-9"}, Spans: []Span{{0, 10, 3, 1}, {10, 20, 0, 0}, {20, 30, 4, 2}},
 		Query: Digest("compare", []byte("{}")), Tenant: "gangasagar-life", Expires: 5000}
 }
 
--- a/internal/results/fetch/plan_test.go
+++ b/internal/results/fetch/plan_test.go
@@ -25,7 +25,7 @@
 }
 
 func newWorld(t require.TestingT, n, each int, draw func() int64) (*world, []shardmap.Range, []float64) {
-	o, err := merge.NewOrder(table, []merge.By{{Column: "premium"}})
+	o, err := merge.NewOrder(table, []merge.SortColumn{{Column: "premium"}})
 	require.NoError(t, err)
 	w := &world{o: o, rows: map[shardmap.Range][]merge.Row{}}
 	var districts []shardmap.Range
@@ -34,10 +34,10 @@
 		d := shardmap.Range{Start: i, End: i + 1}
 		districts, weights = append(districts, d), append(weights, 1/float64(n))
 		for j := range each {
-			w.rows[d] = append(w.rows[d], merge.Row{District: i, Key: fmt.Sprintf("%06d", j),
+			w.rows[d] = append(w.rows[d], merge.Row{Bucket: i, Key: fmt.Sprintf("%06d", j),
 				Values: []merge.Value{merge.IntOf(draw())}})
 		}
-		slices.SortFunc(w.rows[d], func(a, b merge.Row) int { return o.Compare(o.PlaceOf(a), o.PlaceOf(b)) })
+		slices.SortFunc(w.rows[d], func(a, b merge.Row) int { return o.Compare(o.PositionOf(a), o.PositionOf(b)) })
 	}
 	return w, districts, weights
 }
@@ -53,7 +53,7 @@
 			rows := w.rows[a.Districts]
 			n := min(a.Rows, len(rows))
 			if p.Got(now, a.Districts, n, n < len(rows)) {
-				batches[a.Districts] = &merge.Batch{Districts: a.Districts, Schema: table, Rows: rows[:n], More: n < len(rows)}
+				batches[a.Districts] = &merge.Batch{Buckets: a.Districts, Schema: table, Rows: rows[:n], HasMore: n < len(rows)}
 			}
 		}
 		for v := p.Decide(now); !v.Done; v = p.Decide(now) {
@@ -67,7 +67,7 @@
 			}
 		}
 		page := w.o.Merge(list, limit)
-		if asks = p.More(now, page.Need); len(page.Need) == 0 {
+		if asks = p.More(now, page.NeedMore); len(page.NeedMore) == 0 {
 			return page
 		}
 	}
@@ -100,13 +100,13 @@
 				all = append(all, w.rows[d]...)
 			}
 		}
-		slices.SortFunc(all, func(a, b merge.Row) int { return w.o.Compare(w.o.PlaceOf(a), w.o.PlaceOf(b)) })
+		slices.SortFunc(all, func(a, b merge.Row) int { return w.o.Compare(w.o.PositionOf(a), w.o.PositionOf(b)) })
 		want := all[:min(limit, len(all))]
 		require.Equal(t, len(want), len(page.Rows))
 		for i := range want {
 			require.Equal(t, want[i], page.Rows[i])
 		}
-		require.Equal(t, len(all) > limit, page.More)
+		require.Equal(t, len(all) > limit, page.HasMore)
 	})
 }
 
@@ -119,7 +119,7 @@
 		at := int64(0)
 		for j := range 200 {
 			at += int64(r.ExpFloat64() * 1e6 / each)
-			w.rows[d] = append(w.rows[d], merge.Row{District: d.Start, Key: fmt.Sprintf("%06d", j),
+			w.rows[d] = append(w.rows[d], merge.Row{Bucket: d.Start, Key: fmt.Sprintf("%06d", j),
 				Values: []merge.Value{merge.IntOf(at)}})
 		}
 	}
--- a/internal/results/merge/clause.go
+++ b/internal/results/merge/clause.go
@@ -11,16 +11,16 @@
 
 // Clause is what a client asks of a merge, as it stands in the query under "merge".
 type Clause struct {
-	Rank      []RankBy    `json:"rank,omitempty"`
-	Page      *PageClause `json:"page,omitempty"`
-	Aggregate []Figure    `json:"aggregate,omitempty"`
-	Group     []string    `json:"group,omitempty"`
-	Filter    []Term      `json:"filter,omitempty"`
-	Least     float64     `json:"least,omitempty"` // share of weight, if stricter than the class's
+	Rank      []RankColumn      `json:"rank,omitempty"`
+	Page      *PageClause       `json:"page,omitempty"`
+	Aggregate []AggregateClause `json:"aggregate,omitempty"`
+	Group     []string          `json:"group,omitempty"`
+	Filter    []Condition       `json:"filter,omitempty"`
+	MinWeight float64           `json:"least,omitempty"` // share of weight, if stricter than the class's
 }
 
-// RankBy is one column of the rank.
-type RankBy struct {
+// RankColumn is one column of the rank.
+type RankColumn struct {
 	Column string `json:"column"`
 	Order  string `json:"order,omitempty"` // asc, if absent, or desc
 }
@@ -31,40 +31,40 @@
 	Cursor string `json:"cursor,omitempty"`
 }
 
-// Figure is one aggregate.
-type Figure struct {
-	Name string   `json:"name"`
-	Do   string   `json:"do"`           // count, sum, min, max, mean, quantile or distinct
-	Of   string   `json:"of,omitempty"` // column; count may do without
-	Q    *float64 `json:"q,omitempty"`  // of a quantile, 0 to 1
+// AggregateClause is one aggregate.
+type AggregateClause struct {
+	Name     string   `json:"name"`
+	Function string   `json:"do"`           // count, sum, min, max, mean, quantile or distinct
+	Column   string   `json:"of,omitempty"` // column; count may do without
+	Quantile *float64 `json:"q,omitempty"`  // of a quantile, 0 to 1
 }
 
-// Term is one term of the filter: all must hold.
-type Term struct {
-	Column string          `json:"column"`
-	Op     string          `json:"op"` // eq, ne, lt, le, gt or ge
-	Value  json.RawMessage `json:"value"`
+// Condition is one term of the filter: all must hold.
+type Condition struct {
+	Column   string          `json:"column"`
+	Operator string          `json:"op"` // eq, ne, lt, le, gt or ge
+	Value    json.RawMessage `json:"value"`
 }
 
-// Parse reads a clause and names the first field that cannot be.
-func Parse(text []byte) (*Clause, error) {
+// ParseClause reads a clause and names the first field that cannot be.
+func ParseClause(text []byte) (*Clause, error) {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	c := &Clause{}
 	if err := d.Decode(c); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrClause, err)
+		return nil, fmt.Errorf("%w: %w", ErrInvalidClause, err)
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
-		return nil, bad("merge", "more than one object")
+		return nil, invalidField("merge", "more than one object")
 	}
-	return c, c.check()
+	return c, c.validate()
 }
 
-// By is the rank as an order takes it.
-func (c *Clause) By() []By {
-	out := make([]By, len(c.Rank))
+// SortColumns is the rank as an order takes it.
+func (c *Clause) SortColumns() []SortColumn {
+	out := make([]SortColumn, len(c.Rank))
 	for i, r := range c.Rank {
-		out[i] = By{r.Column, r.Order == "desc"}
+		out[i] = SortColumn{r.Column, r.Order == "desc"}
 	}
 	return out
 }
--- a/internal/results/merge/clause_test.go
+++ b/internal/results/merge/clause_test.go
@@ -6,21 +6,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-const full = `{"rank":[{"column":"premium"},{"column":"risk","order":"desc"}],"page":{"size":20},
+const fullClause = `{"rank":[{"column":"premium"},{"column":"risk","order":"desc"}],"page":{"size":20},
 	"aggregate":[{"name":"n","do":"count"},{"name":"p99","do":"quantile","of":"risk","q":0.99}],"group":["insurer"],
 	"filter":[{"column":"premium","op":"le","value":700},{"column":"insurer","op":"ne","value":"x"}],"least":0.9}`
 
-func TestClause(t *testing.T) {
-	c, err := Parse([]byte(full))
+func TestParseClause(t *testing.T) {
+	c, err := ParseClause([]byte(fullClause))
 	require.NoError(t, err)
-	require.Equal(t, []By{{"premium", false}, {"risk", true}}, c.By())
-	next, err := Parse([]byte(`{"least":0.9,"rank":[{"column":"premium","order":"asc"},{"order":"desc","column":"risk"}],
+	require.Equal(t, []SortColumn{{"premium", false}, {"risk", true}}, c.SortColumns())
+	next, err := ParseClause([]byte(`{"least":0.9,"rank":[{"column":"premium","order":"asc"},{"order":"desc","column":"risk"}],
 		"page":{"size":50,"cursor":"abc"},"aggregate":[{"do":"count","name":"n"},{"name":"p99","do":"quantile","of":"risk",
 		"q":0.99}],"group":["insurer"],"filter":[{"column":"premium","op":"le","value":7e2},{"column":"insurer","op":"ne",
 		"value":"x"}]}`))
 	require.NoError(t, err)
-	again, err := Parse(next.Canonical())
-	require.ErrorIs(t, err, ErrClause, "a rank without its page is no clause")
+	again, err := ParseClause(next.Canonical())
+	require.ErrorIs(t, err, ErrInvalidClause, "a rank without its page is no clause")
 	require.Equal(t, c.Aggregate, again.Aggregate)
 	for text, field := range map[string]string{
 		`{}`:                          "neither rank nor aggregate",
@@ -44,8 +44,8 @@
 		`{"aggregate":[{"name":"n","do":"count"}],"filter":[{"column":"a","op":"eq"}]}`:             "filter[0].value",
 		`{"aggregate":[{"name":"n","do":"count"}],"order":1}`:                                       `unknown field "order"`,
 	} {
-		_, err := Parse([]byte(text))
-		require.ErrorIs(t, err, ErrClause, text)
+		_, err := ParseClause([]byte(text))
+		require.ErrorIs(t, err, ErrInvalidClause, text)
 		require.Contains(t, err.Error(), field, text)
 	}
 }
@@ -53,9 +53,9 @@
 // A cursor is bound to what is asked, however it is written, and not to the size of a page.
 func TestCanonical(t *testing.T) {
 	same := func(a, b string) bool {
-		x, err := Parse([]byte(a))
+		x, err := ParseClause([]byte(a))
 		require.NoError(t, err)
-		y, err := Parse([]byte(b))
+		y, err := ParseClause([]byte(b))
 		require.NoError(t, err)
 		return string(x.Canonical()) == string(y.Canonical())
 	}
@@ -67,17 +67,17 @@
 
 // FuzzParse: a clause is an error or can be written alike, again and again.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(full))
+	f.Add([]byte(fullClause))
 	f.Add([]byte(`{"aggregate":[{"name":"n","do":"count"}],"filter":[{"column":"a","op":"eq","value":1e400}]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		c, err := Parse(text)
+		c, err := ParseClause(text)
 		if err != nil {
 			return
 		}
 		once := c.Canonical()
 		var again []byte
 		if c.Page == nil {
-			d, err := Parse(once)
+			d, err := ParseClause(once)
 			if err != nil {
 				t.Fatalf("%s: %v", once, err)
 			}
@@ -87,7 +87,7 @@
 			}
 		}
 		for _, x := range c.Filter {
-			x.Holds(IntOf(1))
+			x.Matches(IntOf(1))
 		}
 	})
 }
--- a/internal/results/merge/errors.go
+++ b/internal/results/merge/errors.go
@@ -7,37 +7,37 @@
 
 // What a slice can bring that cannot be combined. A *Fault wraps one of them.
 var (
-	ErrSchema   = errors.New("other columns")
-	ErrCurrency = errors.New("another currency")
-	ErrNull     = errors.New("no value in a rank column")
-	ErrNaN      = errors.New("no number in a rank column")
-	ErrOrder    = errors.New("rows out of order")
-	ErrTooMany  = errors.New("more rows than were asked for")
-	ErrTwice    = errors.New("a row twice")
-	ErrBefore   = errors.New("a row from before the place that was asked for")
-	ErrDistrict = errors.New("a row of districts that were not asked for")
-	ErrOverflow = errors.New("the sum overflows")
-	ErrSketch   = errors.New("a sketch that cannot be used")
+	ErrSchemaMismatch   = errors.New("other columns")
+	ErrCurrencyMismatch = errors.New("another currency")
+	ErrNullRank         = errors.New("no value in a rank column")
+	ErrInvalidNumber    = errors.New("no number in a rank column")
+	ErrOutOfOrder       = errors.New("rows out of order")
+	ErrTooMany          = errors.New("more rows than were asked for")
+	ErrDuplicate        = errors.New("a row twice")
+	ErrBeforePosition   = errors.New("a row from before the place that was asked for")
+	ErrForeignBucket    = errors.New("a row of districts that were not asked for")
+	ErrOverflow         = errors.New("the sum overflows")
+	ErrInvalidSketch    = errors.New("a sketch that cannot be used")
 )
 
-// Fault is the first thing that is wrong with what a slice brought.
-type Fault struct {
-	Row  int // -1 if it is not one row's
-	What string
-	Err  error
+// ValidationError is the first thing that is wrong with what a slice brought.
+type ValidationError struct {
+	Row    int // -1 if it is not one row's
+	Detail string
+	Err    error
 }
 
 // Error names the row and the fault.
-func (f *Fault) Error() string {
+func (f *ValidationError) Error() string {
 	if f.Row < 0 {
-		return fmt.Sprintf("%v: %s", f.Err, f.What)
+		return fmt.Sprintf("%v: %s", f.Err, f.Detail)
 	}
-	return fmt.Sprintf("row %d: %v: %s", f.Row, f.Err, f.What)
+	return fmt.Sprintf("row %d: %v: %s", f.Row, f.Err, f.Detail)
 }
 
 // Unwrap gives the kind of fault.
-func (f *Fault) Unwrap() error { return f.Err }
+func (f *ValidationError) Unwrap() error { return f.Err }
 
-func fault(row int, err error, format string, args ...any) error {
-	return &Fault{row, fmt.Sprintf(format, args...), err}
+func invalid(row int, err error, format string, args ...any) error {
+	return &ValidationError{row, fmt.Sprintf(format, args...), err}
 }
--- a/internal/results/merge/filter.go
+++ b/internal/results/merge/filter.go
@@ -7,7 +7,7 @@
 )
 
 // Operand is a term's value: an integer, a number or a text.
-func (t Term) Operand() (Value, error) {
+func (t Condition) Operand() (Value, error) {
 	var s string
 	if json.Unmarshal(t.Value, &s) == nil && len(t.Value) > 0 && t.Value[0] == '"' {
 		return TextOf(s), nil
@@ -26,9 +26,9 @@
 	return FloatOf(x), nil
 }
 
-// Holds tells whether a row passes a term. Nothing is like null, and a text and a number are never alike; an
+// Matches tells whether a row passes a term. Nothing is like null, and a text and a number are never alike; an
 // integer and a float are compared as floats.
-func (t Term) Holds(v Value) bool {
+func (t Condition) Matches(v Value) bool {
 	want, err := t.Operand()
 	if err != nil || v.Kind == Null || (v.Kind == Text) != (want.Kind == Text) {
 		return false
@@ -42,8 +42,8 @@
 		c = Compare(FloatOf(a), FloatOf(b))
 	}
 	if v.Kind == Float && math.IsNaN(v.Float) {
-		return t.Op == "ne"
+		return t.Operator == "ne"
 	}
 	return map[string]bool{"eq": c == 0, "ne": c != 0, "lt": c < 0, "le": c <= 0, "gt": c > 0,
-		"ge": c >= 0}[t.Op]
+		"ge": c >= 0}[t.Operator]
 }
--- a/internal/results/merge/filter_test.go
+++ b/internal/results/merge/filter_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestTerms(t *testing.T) {
-	term := func(op, value string) Term { return Term{"a", op, []byte(value)} }
+func TestConditionMatches(t *testing.T) {
+	term := func(op, value string) Condition { return Condition{"a", op, []byte(value)} }
 	for _, c := range []struct {
-		t    Term
+		t    Condition
 		v    Value
 		want bool
 	}{
@@ -21,6 +21,6 @@
 		{term("eq", "9007199254740993"), IntOf(9007199254740993), true},
 		{term("eq", "9007199254740993"), IntOf(9007199254740992), false},
 	} {
-		require.Equal(t, c.want, c.t.Holds(c.v), "%s %s %v", c.t.Op, c.t.Value, c.v)
+		require.Equal(t, c.want, c.t.Matches(c.v), "%s %s %v", c.t.Operator, c.t.Value, c.v)
 	}
 }
--- a/internal/results/merge/groups_test.go
+++ b/internal/results/merge/groups_test.go
@@ -11,7 +11,7 @@
 	make := func(names ...string) *Groups {
 		g := NewGroups(column, 3)
 		for _, n := range names {
-			x, err := g.Of([]Value{TextOf(n)})
+			x, err := g.GetOrCreate([]Value{TextOf(n)})
 			require.NoError(t, err)
 			require.NoError(t, x.Partials[0].Add(IntOf(2)))
 		}
@@ -19,8 +19,8 @@
 	}
 	a := make("x", "y")
 	require.NoError(t, a.Combine(make("y", "z")))
-	require.Len(t, a.All(), 3)
-	require.EqualValues(t, 2, a.All()[1].Partials[0].Count)
+	require.Len(t, a.Sorted(), 3)
+	require.EqualValues(t, 2, a.Sorted()[1].Partials[0].Count)
 	require.ErrorIs(t, a.Combine(make("x", "w")), ErrTooMany)
-	require.EqualValues(t, 1, a.All()[0].Partials[0].Count, "none of it is in")
+	require.EqualValues(t, 1, a.Sorted()[0].Partials[0].Count, "none of it is in")
 }
--- a/internal/results/merge/partial.go
+++ b/internal/results/merge/partial.go
@@ -9,55 +9,55 @@
 	"github.com/axiomhq/hyperloglog"
 )
 
-// exactBits hold any sum of float64 exactly: exponents from -1074 to 1023, and 2^64 of them.
-const exactBits = 2200
+// exactSumBits hold any sum of float64 exactly: exponents from -1074 to 1023, and 2^64 of them.
+const exactSumBits = 2200
 
-// Partial is the aggregates of one column over some rows of a group. Those of several slices combine in any
+// PartialAggregate is the aggregates of one column over some rows of a group. Those of several slices combine in any
 // order.
-type Partial struct {
+type PartialAggregate struct {
 	Column   Column
 	Count    uint64 // of rows with a value
 	Min, Max Value  // Null where there is none
 
-	ints     int64
-	floats   *big.Float
-	quantile *ddsketch.DDSketch
-	distinct *hyperloglog.Sketch
+	intSum    int64
+	floatSum  *big.Float
+	quantiles *ddsketch.DDSketch
+	distinct  *hyperloglog.Sketch
 }
 
-// NewPartial makes aggregates of nothing.
-func NewPartial(c Column) (*Partial, error) {
-	s, err := ddsketch.NewDefaultDDSketch(Accuracy)
+// NewPartialAggregate makes aggregates of nothing.
+func NewPartialAggregate(c Column) (*PartialAggregate, error) {
+	s, err := ddsketch.NewDefaultDDSketch(QuantileAccuracy)
 	if err != nil {
 		return nil, err
 	}
-	return &Partial{Column: c, floats: new(big.Float).SetPrec(exactBits), quantile: s,
+	return &PartialAggregate{Column: c, floatSum: new(big.Float).SetPrec(exactSumBits), quantiles: s,
 		distinct: hyperloglog.New()}, nil
 }
 
 // Add takes one value. Null counts for nothing. One that cannot be added changes nothing.
-func (p *Partial) Add(v Value) error {
+func (p *PartialAggregate) Add(v Value) error {
 	if v.Kind == Null {
 		return nil
 	}
 	if v.Kind != p.Column.Kind {
-		return fault(-1, ErrSchema, "%s is %v, not %v", p.Column.Name, v.Kind, p.Column.Kind)
+		return invalid(-1, ErrSchemaMismatch, "%s is %v, not %v", p.Column.Name, v.Kind, p.Column.Kind)
 	}
 	x, number := v.number()
 	if v.Kind == Float && (!number || math.IsInf(x, 0)) {
-		return fault(-1, ErrNaN, "%s", p.Column.Name)
+		return invalid(-1, ErrInvalidNumber, "%s", p.Column.Name)
 	}
-	sum, over := addInts(p.ints, v.Int) // of others than ints nothing is added
+	sum, over := addInts(p.intSum, v.Int) // of others than ints nothing is added
 	if over {
-		return fault(-1, ErrOverflow, "%s", p.Column.Name)
+		return invalid(-1, ErrOverflow, "%s", p.Column.Name)
 	}
 	if number {
-		if err := p.quantile.Add(x); err != nil { // of the greatest floats there are; it changes nothing then
-			return fault(-1, ErrSketch, "%s: %v", p.Column.Name, err)
+		if err := p.quantiles.Add(x); err != nil { // of the greatest floats there are; it changes nothing then
+			return invalid(-1, ErrInvalidSketch, "%s: %v", p.Column.Name, err)
 		}
 	}
-	if p.ints = sum; v.Kind == Float {
-		p.floats.Add(p.floats, new(big.Float).SetPrec(exactBits).SetFloat64(x))
+	if p.intSum = sum; v.Kind == Float {
+		p.floatSum.Add(p.floatSum, new(big.Float).SetPrec(exactSumBits).SetFloat64(x))
 	}
 	p.distinct.Insert([]byte(v.String()))
 	if p.Count++; p.Count == 1 || Compare(v, p.Min) < 0 {
@@ -77,26 +77,26 @@
 
 // Combine takes another slice's aggregates in. What cannot be combined is an error that names it, and changes
 // nothing.
-func (p *Partial) Combine(o *Partial) error {
-	if err := (Schema{p.Column}).Same(Schema{o.Column}); err != nil {
+func (p *PartialAggregate) Combine(o *PartialAggregate) error {
+	if err := (Schema{p.Column}).CheckCompatible(Schema{o.Column}); err != nil {
 		return err
 	}
-	sum, over := addInts(p.ints, o.ints)
+	sum, over := addInts(p.intSum, o.intSum)
 	if over {
-		return fault(-1, ErrOverflow, "%s", p.Column.Name)
+		return invalid(-1, ErrOverflow, "%s", p.Column.Name)
 	}
 	if _, carry := bits.Add64(p.Count, o.Count, 0); carry != 0 {
-		return fault(-1, ErrOverflow, "count of %s", p.Column.Name)
+		return invalid(-1, ErrOverflow, "count of %s", p.Column.Name)
 	}
-	quantile, distinct := p.quantile.Copy(), p.distinct.Clone()
-	if err := quantile.MergeWith(o.quantile); err != nil {
-		return fault(-1, ErrSketch, "%s: %v", p.Column.Name, err)
+	quantile, distinct := p.quantiles.Copy(), p.distinct.Clone()
+	if err := quantile.MergeWith(o.quantiles); err != nil {
+		return invalid(-1, ErrInvalidSketch, "%s: %v", p.Column.Name, err)
 	}
 	if err := distinct.Merge(o.distinct); err != nil {
-		return fault(-1, ErrSketch, "%s: %v", p.Column.Name, err)
+		return invalid(-1, ErrInvalidSketch, "%s: %v", p.Column.Name, err)
 	}
-	p.quantile, p.distinct, p.ints = quantile, distinct, sum
-	p.floats.Add(p.floats, o.floats)
+	p.quantiles, p.distinct, p.intSum = quantile, distinct, sum
+	p.floatSum.Add(p.floatSum, o.floatSum)
 	if o.Count > 0 {
 		if p.Count == 0 || Compare(o.Min, p.Min) < 0 {
 			p.Min = o.Min
@@ -110,44 +110,44 @@
 }
 
 // Sum is the sum of what was added; an error if it is no float64.
-func (p *Partial) Sum() (Value, error) {
+func (p *PartialAggregate) Sum() (Value, error) {
 	if p.Column.Kind == Int {
-		return IntOf(p.ints), nil
+		return IntOf(p.intSum), nil
 	}
-	x, _ := p.floats.Float64()
+	x, _ := p.floatSum.Float64()
 	if math.IsInf(x, 0) {
-		return Value{}, fault(-1, ErrOverflow, "%s", p.Column.Name)
+		return Value{}, invalid(-1, ErrOverflow, "%s", p.Column.Name)
 	}
 	return FloatOf(x), nil
 }
 
 // Mean is the mean; Null of nothing.
-func (p *Partial) Mean() (Value, error) {
+func (p *PartialAggregate) Mean() (Value, error) {
 	if p.Count == 0 {
 		return Value{}, nil
 	}
-	sum := new(big.Float).SetPrec(exactBits).Set(p.floats)
+	sum := new(big.Float).SetPrec(exactSumBits).Set(p.floatSum)
 	if p.Column.Kind == Int {
-		sum.SetInt64(p.ints)
+		sum.SetInt64(p.intSum)
 	}
-	x, _ := sum.Quo(sum, new(big.Float).SetPrec(exactBits).SetUint64(p.Count)).Float64()
+	x, _ := sum.Quo(sum, new(big.Float).SetPrec(exactSumBits).SetUint64(p.Count)).Float64()
 	if math.IsInf(x, 0) {
-		return Value{}, fault(-1, ErrOverflow, "%s", p.Column.Name)
+		return Value{}, invalid(-1, ErrOverflow, "%s", p.Column.Name)
 	}
 	return FloatOf(x), nil
 }
 
 // Quantile is the value below which a share q of the values lie, within Accuracy; Null of nothing.
-func (p *Partial) Quantile(q float64) (Value, error) {
+func (p *PartialAggregate) Quantile(q float64) (Value, error) {
 	if p.Count == 0 {
 		return Value{}, nil
 	}
-	x, err := p.quantile.GetValueAtQuantile(q)
+	x, err := p.quantiles.GetValueAtQuantile(q)
 	if err != nil {
-		return Value{}, fault(-1, ErrSketch, "%s: %v", p.Column.Name, err)
+		return Value{}, invalid(-1, ErrInvalidSketch, "%s: %v", p.Column.Name, err)
 	}
 	return FloatOf(x), nil
 }
 
 // Distinct is about how many different values there are.
-func (p *Partial) Distinct() uint64 { return p.distinct.Estimate() }
+func (p *PartialAggregate) Distinct() uint64 { return p.distinct.Estimate() }
--- a/internal/results/merge/partial_test.go
+++ b/internal/results/merge/partial_test.go
@@ -16,16 +16,16 @@
 	rapid.Check(t, func(t *rapid.T) {
 		column := Column{Name: "risk", Kind: Float}
 		values := rapid.SliceOfN(rapid.Float64Range(-1e300, 1e300), 1, 40).Draw(t, "values")
-		whole, err := NewPartial(column)
+		whole, err := NewPartialAggregate(column)
 		require.NoError(t, err)
 		exact := new(big.Rat)
 		for _, x := range values {
 			require.NoError(t, whole.Add(FloatOf(x)))
 			exact.Add(exact, new(big.Rat).SetFloat64(x))
 		}
-		parts := make([]*Partial, rapid.IntRange(1, 6).Draw(t, "slices"))
+		parts := make([]*PartialAggregate, rapid.IntRange(1, 6).Draw(t, "slices"))
 		for i := range parts {
-			parts[i], _ = NewPartial(column)
+			parts[i], _ = NewPartialAggregate(column)
 		}
 		for _, x := range values {
 			require.NoError(t, parts[rapid.IntRange(0, len(parts)-1).Draw(t, "slice")].Add(FloatOf(x)))
@@ -60,25 +60,25 @@
 		// And so after a way over the wire.
 		quantile, distinct, err := got.Sketches()
 		require.NoError(t, err)
-		back, err := Restore(column, got.Count, b, got.Min, got.Max, quantile, distinct)
+		back, err := RestorePartialAggregate(column, got.Count, b, got.Min, got.Max, quantile, distinct)
 		require.NoError(t, err)
 		require.Equal(t, got.Distinct(), back.Distinct())
 	})
 }
 
-func TestWhatCannotBeAddedChangesNothing(t *testing.T) {
-	p, err := NewPartial(Column{Name: "premium", Kind: Int, Currency: "INR"})
+func TestRejectedIntegersChangeNothing(t *testing.T) {
+	p, err := NewPartialAggregate(Column{Name: "premium", Kind: Int, Currency: "INR"})
 	require.NoError(t, err)
 	require.NoError(t, p.Add(IntOf(math.MaxInt64-5)))
 	require.NoError(t, p.Add(Value{}), "null counts for nothing")
 	require.ErrorIs(t, p.Add(IntOf(6)), ErrOverflow)
-	require.ErrorIs(t, p.Add(FloatOf(6)), ErrSchema)
-	o, err := NewPartial(Column{Name: "premium", Kind: Int, Currency: "INR"})
+	require.ErrorIs(t, p.Add(FloatOf(6)), ErrSchemaMismatch)
+	o, err := NewPartialAggregate(Column{Name: "premium", Kind: Int, Currency: "INR"})
 	require.NoError(t, err)
 	require.NoError(t, o.Add(IntOf(7)))
 	require.ErrorIs(t, p.Combine(o), ErrOverflow)
 	o.Column.Currency = "USD"
-	require.ErrorIs(t, p.Combine(o), ErrCurrency)
+	require.ErrorIs(t, p.Combine(o), ErrCurrencyMismatch)
 	sum, err := p.Sum()
 	require.NoError(t, err)
 	require.Equal(t, IntOf(math.MaxInt64-5), sum)
@@ -86,11 +86,11 @@
 	mean, err := p.Mean()
 	require.NoError(t, err)
 	require.InEpsilon(t, float64(math.MaxInt64), mean.Float, 1e-9)
-	f, err := NewPartial(Column{Name: "risk", Kind: Float})
+	f, err := NewPartialAggregate(Column{Name: "risk", Kind: Float})
 	require.NoError(t, err)
-	require.ErrorIs(t, f.Add(FloatOf(math.NaN())), ErrNaN)
-	require.ErrorIs(t, f.Add(FloatOf(math.Inf(1))), ErrNaN)
-	require.ErrorIs(t, f.Add(FloatOf(math.MaxFloat64)), ErrSketch, "more than quantiles can hold")
+	require.ErrorIs(t, f.Add(FloatOf(math.NaN())), ErrInvalidNumber)
+	require.ErrorIs(t, f.Add(FloatOf(math.Inf(1))), ErrInvalidNumber)
+	require.ErrorIs(t, f.Add(FloatOf(math.MaxFloat64)), ErrInvalidSketch, "more than quantiles can hold")
 	sum, err = f.Sum()
 	require.NoError(t, err)
 	require.Zero(t, sum.Float)
--- a/internal/results/merge/schema.go
+++ b/internal/results/merge/schema.go
@@ -20,17 +20,17 @@
 	return -1
 }
 
-// Same tells whether two schemas can be merged, and names the first difference.
-func (s Schema) Same(o Schema) error {
+// CheckCompatible tells whether two schemas can be merged, and names the first difference.
+func (s Schema) CheckCompatible(o Schema) error {
 	if len(s) != len(o) {
-		return fault(-1, ErrSchema, "%d columns, not %d", len(o), len(s))
+		return invalid(-1, ErrSchemaMismatch, "%d columns, not %d", len(o), len(s))
 	}
 	for i, c := range s {
 		switch d := o[i]; {
 		case c.Name != d.Name || c.Kind != d.Kind:
-			return fault(-1, ErrSchema, "%s %v, not %s %v", d.Name, d.Kind, c.Name, c.Kind)
+			return invalid(-1, ErrSchemaMismatch, "%s %v, not %s %v", d.Name, d.Kind, c.Name, c.Kind)
 		case c.Currency != d.Currency:
-			return fault(-1, ErrCurrency, "%s in %q, not %q", c.Name, d.Currency, c.Currency)
+			return invalid(-1, ErrCurrencyMismatch, "%s in %q, not %q", c.Name, d.Currency, c.Currency)
 		}
 	}
 	return nil
--- a/internal/results/merge/sketch.go
+++ b/internal/results/merge/sketch.go
@@ -10,31 +10,31 @@
 	"github.com/DataDog/sketches-go/ddsketch/store"
 )
 
-// Accuracy is the relative error of quantiles.
-const Accuracy = 0.01
+// QuantileAccuracy is the relative error of quantiles.
+const QuantileAccuracy = 0.01
 
-const sketchMost = 64 << 10 // bytes of a sketch that a node may send
+const maxSketchBytes = 64 << 10 // bytes of a sketch that a node may send
 
 // Sketches are the two sketches as nodes send them.
-func (p *Partial) Sketches() (quantile, distinct []byte, err error) {
-	p.quantile.Encode(&quantile, false)
+func (p *PartialAggregate) Sketches() (quantile, distinct []byte, err error) {
+	p.quantiles.Encode(&quantile, false)
 	distinct, err = p.distinct.MarshalBinary()
 	return quantile, distinct, err
 }
 
-// Restore makes aggregates of what a node sent. A sketch that cannot be read is an error, also where the
+// RestorePartialAggregate makes aggregates of what a node sent. A sketch that cannot be read is an error, also where the
 // library would not survive it.
-func Restore(c Column, count uint64, sum, least, most Value, quantile, distinct []byte) (
-	p *Partial, err error) {
+func RestorePartialAggregate(c Column, count uint64, sum, least, most Value, quantile, distinct []byte) (
+	p *PartialAggregate, err error) {
 	defer func() {
 		if e := recover(); e != nil {
-			p, err = nil, fault(-1, ErrSketch, "%s: %v", c.Name, e)
+			p, err = nil, invalid(-1, ErrInvalidSketch, "%s: %v", c.Name, e)
 		}
 	}()
-	if len(quantile) > sketchMost || len(distinct) > sketchMost {
-		return nil, fault(-1, ErrSketch, "%s: %d and %d bytes", c.Name, len(quantile), len(distinct))
+	if len(quantile) > maxSketchBytes || len(distinct) > maxSketchBytes {
+		return nil, invalid(-1, ErrInvalidSketch, "%s: %d and %d bytes", c.Name, len(quantile), len(distinct))
 	}
-	if p, err = NewPartial(c); err != nil {
+	if p, err = NewPartialAggregate(c); err != nil {
 		return nil, err
 	}
 	if count == 0 {
@@ -42,25 +42,25 @@
 	}
 	for _, v := range []Value{least, most} {
 		if v.Kind != c.Kind {
-			return nil, fault(-1, ErrSchema, "%s is %v, not %v", c.Name, v.Kind, c.Kind)
+			return nil, invalid(-1, ErrSchemaMismatch, "%s is %v, not %v", c.Name, v.Kind, c.Kind)
 		}
 	}
 	x, number := sum.number()
 	if c.Kind != Text && (sum.Kind != c.Kind || !number || math.IsInf(x, 0)) || Compare(least, most) > 0 {
-		return nil, fault(-1, ErrNaN, "%s: sum %v from %v to %v", c.Name, sum, least, most)
+		return nil, invalid(-1, ErrInvalidNumber, "%s: sum %v from %v to %v", c.Name, sum, least, most)
 	}
-	p.Count, p.Min, p.Max, p.ints = count, least, most, sum.Int
+	p.Count, p.Min, p.Max, p.intSum = count, least, most, sum.Int
 	if c.Kind == Float {
-		p.floats.SetFloat64(x)
+		p.floatSum.SetFloat64(x)
 	}
 	if len(quantile) > 0 {
 		if err := p.restoreQuantiles(quantile, count); err != nil {
-			return nil, fault(-1, ErrSketch, "%s: %v", c.Name, err)
+			return nil, invalid(-1, ErrInvalidSketch, "%s: %v", c.Name, err)
 		}
 	}
 	if len(distinct) > 0 {
 		if err := p.distinct.UnmarshalBinary(distinct); err != nil {
-			return nil, fault(-1, ErrSketch, "%s: %v", c.Name, err)
+			return nil, invalid(-1, ErrInvalidSketch, "%s: %v", c.Name, err)
 		}
 	}
 	return p, nil
@@ -69,12 +69,12 @@
 // restoreQuantiles takes the sketch of a node. It is read into a store that grows with its bins and not with
 // how far these lie apart, and only bins that values can have come to the sketch that is merged. Guards the
 // broker against 85 bytes that made the usual store ask for 1.2 TB: the fuzzer's find, kept under testdata.
-func (p *Partial) restoreQuantiles(text []byte, count uint64) error {
-	s, err := ddsketch.DecodeDDSketch(bytes.Clone(text), store.SparseStoreConstructor, p.quantile.IndexMapping)
+func (p *PartialAggregate) restoreQuantiles(text []byte, count uint64) error {
+	s, err := ddsketch.DecodeDDSketch(bytes.Clone(text), store.SparseStoreConstructor, p.quantiles.IndexMapping)
 	if err != nil {
 		return err
 	}
-	m := p.quantile.IndexMapping
+	m := p.quantiles.IndexMapping
 	if !s.IndexMapping.Equals(m) {
 		return errors.New("quantiles of another accuracy")
 	}
@@ -95,7 +95,7 @@
 	if !(s.GetZeroCount() >= 0) || total != float64(count) {
 		return fmt.Errorf("quantiles of %v values, not %d", total, count)
 	}
-	if err := p.quantile.MergeWith(s); err != nil {
+	if err := p.quantiles.MergeWith(s); err != nil {
 		return err
 	}
 	return nil
--- a/internal/results/merge/sketch_test.go
+++ b/internal/results/merge/sketch_test.go
@@ -7,7 +7,7 @@
 
 // FuzzRestore: whatever a node sends as its aggregates is usable or an error.
 func FuzzRestore(f *testing.F) {
-	p, _ := NewPartial(Column{Name: "risk", Kind: Float})
+	p, _ := NewPartialAggregate(Column{Name: "risk", Kind: Float})
 	for i := range 50 {
 		_ = p.Add(FloatOf(float64(i)))
 	}
@@ -15,11 +15,11 @@
 	f.Add(uint64(50), 1225.0, 0.0, 49.0, quantile, distinct)
 	f.Add(uint64(1), math.NaN(), 2.0, 1.0, []byte{1, 2, 3}, []byte{2, 14, 0, 1, 0, 0, 0, 9})
 	f.Fuzz(func(t *testing.T, n uint64, sum, least, most float64, quantile, distinct []byte) {
-		p, err := Restore(Column{Name: "risk", Kind: Float}, n, FloatOf(sum), FloatOf(least), FloatOf(most), quantile, distinct)
+		p, err := RestorePartialAggregate(Column{Name: "risk", Kind: Float}, n, FloatOf(sum), FloatOf(least), FloatOf(most), quantile, distinct)
 		if err != nil {
 			return
 		}
-		q, err := NewPartial(Column{Name: "risk", Kind: Float})
+		q, err := NewPartialAggregate(Column{Name: "risk", Kind: Float})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/results/merge/validate.go
+++ b/internal/results/merge/validate.go
@@ -8,111 +8,111 @@
 
 // The bounds of a clause.
 const (
-	MostRank       = 8    // columns
-	MostAggregates = 32   // figures
-	MostGroup      = 4    // columns
-	MostFilter     = 16   // terms
-	MostPage       = 1000 // rows
-	MostName       = 64   // bytes of a column's or a figure's name
+	MaxRankColumns  = 8    // columns
+	MaxAggregates   = 32   // figures
+	MaxGroupColumns = 4    // columns
+	MaxConditions   = 16   // terms
+	MaxPageSize     = 1000 // rows
+	MaxNameBytes    = 64   // bytes of a column's or a figure's name
 )
 
 var (
-	does = []string{"count", "sum", "min", "max", "mean", "quantile", "distinct"}
-	ops  = []string{"eq", "ne", "lt", "le", "gt", "ge"}
+	functions = []string{"count", "sum", "min", "max", "mean", "quantile", "distinct"}
+	operators = []string{"eq", "ne", "lt", "le", "gt", "ge"}
 )
 
-// ErrClause is wrapped by what Parse says; the message names the field.
-var ErrClause = errors.New("the merge cannot be used")
+// ErrInvalidClause is wrapped by what Parse says; the message names the field.
+var ErrInvalidClause = errors.New("the merge cannot be used")
 
-func bad(field, format string, args ...any) error {
-	return fmt.Errorf("%w: %s: %s", ErrClause, field, fmt.Sprintf(format, args...))
+func invalidField(field, format string, args ...any) error {
+	return fmt.Errorf("%w: %s: %s", ErrInvalidClause, field, fmt.Sprintf(format, args...))
 }
 
-func name(field, s string) error {
-	if s == "" || len(s) > MostName {
-		return bad(field, "a name of 1 to %d bytes, not %.70q", MostName, s)
+func validateName(field, s string) error {
+	if s == "" || len(s) > MaxNameBytes {
+		return invalidField(field, "a name of 1 to %d bytes, not %.70q", MaxNameBytes, s)
 	}
 	return nil
 }
 
-func count(field string, n, most int) error {
+func validateCount(field string, n, most int) error {
 	if n > most {
-		return bad(field, "%d, %d at most", n, most)
+		return invalidField(field, "%d, %d at most", n, most)
 	}
 	return nil
 }
 
-func (c *Clause) check() error {
+func (c *Clause) validate() error {
 	if len(c.Rank) == 0 && len(c.Aggregate) == 0 {
-		return bad("merge", "neither rank nor aggregate")
+		return invalidField("merge", "neither rank nor aggregate")
 	}
-	if err := errors.Join(count("rank", len(c.Rank), MostRank),
-		count("aggregate", len(c.Aggregate), MostAggregates),
-		count("group", len(c.Group), MostGroup), count("filter", len(c.Filter), MostFilter)); err != nil {
+	if err := errors.Join(validateCount("rank", len(c.Rank), MaxRankColumns),
+		validateCount("aggregate", len(c.Aggregate), MaxAggregates),
+		validateCount("group", len(c.Group), MaxGroupColumns), validateCount("filter", len(c.Filter), MaxConditions)); err != nil {
 		return err
 	}
 	var seen []string
 	for i, r := range c.Rank {
 		field := fmt.Sprintf("rank[%d]", i)
-		if err := name(field+".column", r.Column); err != nil {
+		if err := validateName(field+".column", r.Column); err != nil {
 			return err
 		}
 		if r.Order != "" && r.Order != "asc" && r.Order != "desc" {
-			return bad(field+".order", "%q, not asc or desc", r.Order)
+			return invalidField(field+".order", "%q, not asc or desc", r.Order)
 		}
 		if slices.Contains(seen, r.Column) {
-			return bad(field+".column", "%q stands twice", r.Column)
+			return invalidField(field+".column", "%q stands twice", r.Column)
 		}
 		seen = append(seen, r.Column)
 	}
 	switch {
 	case (c.Page == nil) != (len(c.Rank) == 0):
-		return bad("page", "a rank has a page, and only a rank")
-	case c.Page != nil && (c.Page.Size < 0 || c.Page.Size > MostPage):
-		return bad("page.size", "%d, 0 to %d", c.Page.Size, MostPage)
+		return invalidField("page", "a rank has a page, and only a rank")
+	case c.Page != nil && (c.Page.Size < 0 || c.Page.Size > MaxPageSize):
+		return invalidField("page.size", "%d, 0 to %d", c.Page.Size, MaxPageSize)
 	case len(c.Group) > 0 && len(c.Aggregate) == 0:
-		return bad("group", "no aggregate")
-	case !(c.Least >= 0 && c.Least <= 1):
-		return bad("least", "%v, 0 to 1", c.Least)
+		return invalidField("group", "no aggregate")
+	case !(c.MinWeight >= 0 && c.MinWeight <= 1):
+		return invalidField("least", "%v, 0 to 1", c.MinWeight)
 	}
 	for i, g := range c.Group {
-		if err := name(fmt.Sprintf("group[%d]", i), g); err != nil {
+		if err := validateName(fmt.Sprintf("group[%d]", i), g); err != nil {
 			return err
 		}
 		if slices.Contains(c.Group[:i], g) {
-			return bad(fmt.Sprintf("group[%d]", i), "%q stands twice", g)
+			return invalidField(fmt.Sprintf("group[%d]", i), "%q stands twice", g)
 		}
 	}
 	seen = nil
 	for i, f := range c.Aggregate {
 		field := fmt.Sprintf("aggregate[%d]", i)
-		if err := name(field+".name", f.Name); err != nil {
+		if err := validateName(field+".name", f.Name); err != nil {
 			return err
 		}
 		if slices.Contains(seen, f.Name) {
-			return bad(field+".name", "%q stands twice", f.Name)
+			return invalidField(field+".name", "%q stands twice", f.Name)
 		}
 		seen = append(seen, f.Name)
-		if !slices.Contains(does, f.Do) {
-			return bad(field+".do", "%q, not one of %v", f.Do, does)
+		if !slices.Contains(functions, f.Function) {
+			return invalidField(field+".do", "%q, not one of %v", f.Function, functions)
 		}
-		if f.Of == "" && f.Do != "count" || len(f.Of) > MostName {
-			return bad(field+".of", "a column's name, not %.70q", f.Of)
+		if f.Column == "" && f.Function != "count" || len(f.Column) > MaxNameBytes {
+			return invalidField(field+".of", "a column's name, not %.70q", f.Column)
 		}
-		if (f.Do == "quantile") != (f.Q != nil) || f.Q != nil && !(*f.Q >= 0 && *f.Q <= 1) {
-			return bad(field+".q", "0 to 1, of a quantile and of nothing else")
+		if (f.Function == "quantile") != (f.Quantile != nil) || f.Quantile != nil && !(*f.Quantile >= 0 && *f.Quantile <= 1) {
+			return invalidField(field+".q", "0 to 1, of a quantile and of nothing else")
 		}
 	}
 	for i, t := range c.Filter {
 		field := fmt.Sprintf("filter[%d]", i)
-		if err := name(field+".column", t.Column); err != nil {
+		if err := validateName(field+".column", t.Column); err != nil {
 			return err
 		}
-		if !slices.Contains(ops, t.Op) {
-			return bad(field+".op", "%q, not one of %v", t.Op, ops)
+		if !slices.Contains(operators, t.Operator) {
+			return invalidField(field+".op", "%q, not one of %v", t.Operator, operators)
 		}
 		if _, err := t.Operand(); err != nil {
-			return bad(field+".value", "%v", err)
+			return invalidField(field+".value", "%v", err)
 		}
 	}
 	return nil
--- a/internal/results/reading/reading.go
+++ b/internal/results/reading/reading.go
@@ -40,7 +40,7 @@
 type Ask struct {
 	Districts shardmap.Range
 	Rows      int
-	After     *merge.Place
+	After     *merge.Position
 }
 
 // ErrOlder tells that a node answered from an older data version than the page before read: another replica
@@ -120,7 +120,7 @@
 	return out
 }
 
-func (r *Reading) after() *merge.Place {
+func (r *Reading) after() *merge.Position {
 	if r.before == nil {
 		return nil
 	}
@@ -150,7 +150,7 @@
 // Take takes a node's answer to an ask of so many rows. ErrOlder tells that another replica may do better,
 // and that the slice is still out; a *merge.Fault that the slice's part has failed and its rows are nowhere.
 func (r *Reading) Take(now float64, a *rows.Answer, asked int) error {
-	s := r.find(a.Batch.Districts)
+	s := r.find(a.Batch.Buckets)
 	if s == nil {
 		return nil // its slice was split or merged meanwhile
 	}
@@ -158,18 +158,18 @@
 		s.why = complete.Older
 		return fmt.Errorf("%w: %d, not %d", ErrOlder, a.Batch.Version, v)
 	}
-	order, err := merge.NewOrder(a.Batch.Schema, r.q.Clause.By())
+	order, err := merge.NewOrder(a.Batch.Schema, r.q.Clause.SortColumns())
 	if err == nil {
-		err = order.Check(&a.Batch, r.after(), asked)
+		err = order.Validate(&a.Batch, r.after(), asked)
 	}
 	if err == nil && len(r.q.Clause.Aggregate) > 0 && a.Groups == nil {
-		err = &merge.Fault{Row: -1, What: "no aggregates", Err: merge.ErrSchema}
+		err = &merge.ValidationError{Row: -1, Detail: "no aggregates", Err: merge.ErrSchemaMismatch}
 	}
 	if err != nil {
 		r.spoil(s, err)
 		return err
 	}
-	if !r.plan.Got(now, s.Districts, len(a.Batch.Rows), a.Batch.More) {
+	if !r.plan.Got(now, s.Districts, len(a.Batch.Rows), a.Batch.HasMore) {
 		return nil // it was dropped, or this is an answer twice
 	}
 	b := a.Batch
@@ -247,7 +247,7 @@
 		return Step{Hopeless: true, Drop: v.Drop}
 	}
 	page := order.Merge(batches, r.q.Fetch.Limit)
-	if asks := r.plan.More(now, page.Need); len(asks) > 0 {
+	if asks := r.plan.More(now, page.NeedMore); len(asks) > 0 {
 		return Step{Asks: r.asks(asks), Drop: v.Drop}
 	}
 	out := r.result(order, page)
@@ -272,7 +272,7 @@
 	slices.SortFunc(in, func(a, b *slice) int { return cmp.Compare(a.Districts.Start, b.Districts.Start) })
 	in = slices.DeleteFunc(in, func(s *slice) bool { return s.batch == nil || !r.plan.Stands(s.Districts) })
 	for _, s := range in {
-		i := slices.IndexFunc(votes, func(v *vote) bool { return v.schema.Same(s.batch.Schema) == nil })
+		i := slices.IndexFunc(votes, func(v *vote) bool { return v.schema.CheckCompatible(s.batch.Schema) == nil })
 		if i < 0 {
 			i = len(votes)
 			votes = append(votes, &vote{schema: s.batch.Schema})
@@ -291,7 +291,7 @@
 	var out []*merge.Batch
 	var total *merge.Groups
 	for _, s := range in {
-		if err := best.schema.Same(s.batch.Schema); err != nil {
+		if err := best.schema.CheckCompatible(s.batch.Schema); err != nil {
 			r.spoil(s, err)
 			continue
 		}
@@ -306,7 +306,7 @@
 		}
 		out = append(out, s.batch)
 	}
-	order, err := merge.NewOrder(best.schema, r.q.Clause.By())
+	order, err := merge.NewOrder(best.schema, r.q.Clause.SortColumns())
 	if err != nil {
 		return nil, nil, nil
 	}
@@ -317,8 +317,8 @@
 // counts rows.
 func Of(c *merge.Clause) (out []string) {
 	for _, f := range c.Aggregate {
-		if !slices.Contains(out, f.Of) {
-			out = append(out, f.Of)
+		if !slices.Contains(out, f.Column) {
+			out = append(out, f.Column)
 		}
 	}
 	return out
@@ -335,9 +335,9 @@
 		}
 	}
 	bounded := len(st.Missing) == 0 || len(c.Filter) == 0 && len(c.Group) == 0 && columns <= 1
-	list := total.All()
+	list := total.Sorted()
 	if len(list) == 0 && len(c.Group) == 0 { // of no rows at all there is one group of nothing
-		g, err := total.Of(nil)
+		g, err := total.GetOrCreate(nil)
 		if err != nil {
 			return nil, err
 		}
@@ -347,7 +347,7 @@
 	for _, g := range list {
 		x := Group{Values: g.Values}
 		for _, f := range c.Aggregate {
-			p := g.Partials[slices.Index(of, f.Of)]
+			p := g.Partials[slices.Index(of, f.Column)]
 			v, b, err := figure(f, p, st)
 			if err != nil {
 				return nil, err
@@ -363,7 +363,7 @@
 }
 
 // figure is one aggregate and its bound. Quantiles and distinct counts have none while something is missing.
-func figure(f merge.Figure, p *merge.Partial, st *complete.Statement) (
+func figure(f merge.AggregateClause, p *merge.PartialAggregate, st *complete.Statement) (
 	v merge.Value, b complete.Bound, err error) {
 	sum := 0.0
 	if v, err = p.Sum(); err != nil {
@@ -378,7 +378,7 @@
 		}
 		return x.Float
 	}
-	switch f.Do {
+	switch f.Function {
 	case "count":
 		return merge.IntOf(int64(p.Count)), st.Count(p.Count), nil
 	case "sum":
@@ -391,7 +391,7 @@
 		v, err = p.Mean()
 		b = st.Mean(sum, p.Count)
 	case "quantile":
-		v, err = p.Quantile(*f.Q)
+		v, err = p.Quantile(*f.Quantile)
 	case "distinct":
 		v = merge.IntOf(int64(p.Distinct()))
 	}
@@ -424,11 +424,11 @@
 		}
 		parts, spans = append(parts, p), append(spans, span)
 	}
-	out := &Result{Rows: page.Rows, From: page.From, First: 1,
+	out := &Result{Rows: page.Rows, From: page.Sources, First: 1,
 		Statement: complete.State(parts, r.notes, r.q.Need)}
-	places := make([]merge.Place, len(page.Rows))
+	places := make([]merge.Position, len(page.Rows))
 	for i, x := range page.Rows {
-		places[i] = order.PlaceOf(x)
+		places[i] = order.PositionOf(x)
 	}
 	out.Certain, out.Whole = out.Statement.Certain(order, places), out.Statement.Whole
 	sure := true
@@ -443,7 +443,7 @@
 			clear(out.Certain)
 		}
 	}
-	if page.More && len(places) > 0 {
+	if page.HasMore && len(places) > 0 {
 		last := places[len(places)-1]
 		out.Next = &cursor.Cursor{Epoch: r.q.Epoch, Next: out.First + len(places), After: &last, Spans: spans,
 			Certain: sure && !slices.Contains(out.Certain, false)}
--- a/internal/results/reading/reading_test.go
+++ b/internal/results/reading/reading_test.go
@@ -36,23 +36,23 @@
 }
 
 func newSite(t require.TestingT, premiums ...int64) *site {
-	o, err := merge.NewOrder(table, []merge.By{{Column: "premium"}})
+	o, err := merge.NewOrder(table, []merge.SortColumn{{Column: "premium"}})
 	require.NoError(t, err)
 	s := &site{t: t, o: o, since: map[shardmap.Range]uint64{}, version: map[shardmap.Range]uint64{},
 		silent: map[shardmap.Range]bool{}}
 	for i, p := range premiums { // district i%10
-		s.all = append(s.all, merge.Row{District: i % 10, Key: fmt.Sprintf("%03d", i), Values: []merge.Value{merge.IntOf(p)}})
+		s.all = append(s.all, merge.Row{Bucket: i % 10, Key: fmt.Sprintf("%03d", i), Values: []merge.Value{merge.IntOf(p)}})
 	}
-	slices.SortFunc(s.all, func(a, b merge.Row) int { return o.Compare(o.PlaceOf(a), o.PlaceOf(b)) })
+	slices.SortFunc(s.all, func(a, b merge.Row) int { return o.Compare(o.PositionOf(a), o.PositionOf(b)) })
 	for i := range 5 {
 		s.cut = append(s.cut, shardmap.Range{Start: 2 * i, End: 2*i + 2})
 	}
 	return s
 }
 
-func (s *site) of(d shardmap.Range, after *merge.Place) (out []merge.Row) {
+func (s *site) of(d shardmap.Range, after *merge.Position) (out []merge.Row) {
 	for _, r := range s.all {
-		if d.Start <= r.District && r.District < d.End && (after == nil || s.o.Compare(s.o.PlaceOf(r), *after) > 0) {
+		if d.Start <= r.Bucket && r.Bucket < d.End && (after == nil || s.o.Compare(s.o.PositionOf(r), *after) > 0) {
 			out = append(out, r)
 		}
 	}
@@ -60,7 +60,7 @@
 }
 
 func (s *site) query(size int) Query {
-	return Query{Clause: &merge.Clause{Rank: []merge.RankBy{{Column: "premium"}}, Page: &merge.PageClause{Size: size}},
+	return Query{Clause: &merge.Clause{Rank: []merge.RankColumn{{Column: "premium"}}, Page: &merge.PageClause{Size: size}},
 		Epoch: 41, Need: 1, Summaries: s.notes,
 		Fetch: fetch.Options{Floor: 0.1, Aim: 1000, Deadline: 2000, Partial: 0.9, Late: 0.3, Spare: 20}}
 }
@@ -81,8 +81,8 @@
 			}
 			list := s.of(a.Districts, a.After)
 			n := min(a.Rows, len(list))
-			x := &rows.Answer{Batch: merge.Batch{Districts: a.Districts, Version: max(s.version[a.Districts], 1), Schema: table,
-				Rows: slices.Clone(list[:n]), More: n < len(list)}}
+			x := &rows.Answer{Batch: merge.Batch{Buckets: a.Districts, Version: max(s.version[a.Districts], 1), Schema: table,
+				Rows: slices.Clone(list[:n]), HasMore: n < len(list)}}
 			if s.spoil != nil {
 				s.spoil(x)
 			}
@@ -144,10 +144,10 @@
 	seen := append(keys(one.Rows), keys(two.Rows)...)
 	require.Len(t, slices.Compact(slices.Sorted(slices.Values(seen))), 12, "no row twice")
 	require.NotContains(t, seen, "004", "what would have come before page two is on no page, and that is said")
-	last := s.o.PlaceOf(one.Rows[5])
+	last := s.o.PositionOf(one.Rows[5])
 	var rest []merge.Row
 	for _, r := range s.all {
-		if s.o.Compare(s.o.PlaceOf(r), last) > 0 {
+		if s.o.Compare(s.o.PositionOf(r), last) > 0 {
 			rest = append(rest, r)
 		}
 	}
@@ -176,7 +176,7 @@
 	require.Equal(t, []cursor.Span{{Lo: 4, Hi: 6}}, two.Gone)
 	require.False(t, two.Whole)
 	require.NotContains(t, two.Certain, true)
-	require.True(t, s.o.Compare(s.o.PlaceOf(one.Rows[5]), s.o.PlaceOf(two.Rows[0])) < 0, "it stays in order")
+	require.True(t, s.o.Compare(s.o.PositionOf(one.Rows[5]), s.o.PositionOf(two.Rows[0])) < 0, "it stays in order")
 }
 
 // A replica answers from an older data version than page one's.
@@ -185,7 +185,7 @@
 	s.version[cheap] = 5
 	one := s.page(6, nil)
 	s.spoil = func(a *rows.Answer) {
-		if a.Batch.Districts == cheap {
+		if a.Batch.Buckets == cheap {
 			a.Batch.Version = 4
 		}
 	}
@@ -207,7 +207,7 @@
 	} {
 		s := newSite(t, premiums()...)
 		s.spoil = func(a *rows.Answer) {
-			if a.Batch.Districts == cheap {
+			if a.Batch.Buckets == cheap {
 				f(&a.Batch)
 			}
 		}
@@ -216,7 +216,7 @@
 		require.Equal(t, complete.Spoilt, one.Statement.Missing[0].Why, name)
 		require.NotEmpty(t, one.Statement.Missing[0].Fault, name)
 		for _, r := range one.Rows {
-			require.False(t, r.District == 4 || r.District == 5, "%s: none of its rows", name)
+			require.False(t, r.Bucket == 4 || r.Bucket == 5, "%s: none of its rows", name)
 		}
 	}
 }
@@ -252,7 +252,7 @@
 			require.False(t, r.Whole && missing > 0)
 			for i, x := range r.Rows {
 				if len(got) > 0 {
-					require.Negative(t, s.o.Compare(s.o.PlaceOf(got[len(got)-1]), s.o.PlaceOf(x)))
+					require.Negative(t, s.o.Compare(s.o.PositionOf(got[len(got)-1]), s.o.PositionOf(x)))
 				}
 				if got = append(got, x); r.Certain[i] {
 					certain++
@@ -282,7 +282,7 @@
 			if i < 2 { // those that come first are not right for that
 				schema = merge.Schema{{Name: "premium", Kind: merge.Int, Currency: "USD"}}
 			}
-			require.NoError(t, r.Take(1, &rows.Answer{Batch: merge.Batch{Districts: a.Districts, Version: 1, Schema: schema}}, a.Rows))
+			require.NoError(t, r.Take(1, &rows.Answer{Batch: merge.Batch{Buckets: a.Districts, Version: 1, Schema: schema}}, a.Rows))
 		}
 		st := r.Step(2)
 		require.Equal(t, hopeless, st.Hopeless)
@@ -296,7 +296,7 @@
 // Aggregates are over what is in, with a bound where a summary gives one, and a sum that would overflow fails the slice
 // that makes it do so and not the figure.
 func TestFigures(t *testing.T) {
-	c, err := merge.Parse([]byte(`{"aggregate":[{"name":"n","do":"count"},{"name":"total","do":"sum","of":"premium"},
+	c, err := merge.ParseClause([]byte(`{"aggregate":[{"name":"n","do":"count"},{"name":"total","do":"sum","of":"premium"},
 		{"name":"least","do":"min","of":"premium"},{"name":"mean","do":"mean","of":"premium"},
 		{"name":"median","do":"quantile","of":"premium","q":0.5},{"name":"kinds","do":"distinct","of":"premium"}]}`))
 	require.NoError(t, err)
@@ -316,13 +316,13 @@
 				continue
 			}
 			g := merge.NewGroups(columns, 1)
-			x, err := g.Of(nil)
+			x, err := g.GetOrCreate(nil)
 			require.NoError(t, err)
 			for _, v := range list {
 				require.NoError(t, x.Partials[0].Add(merge.IntOf(0)))
 				require.NoError(t, x.Partials[1].Add(merge.IntOf(v)))
 			}
-			require.NoError(t, r.Take(1, &rows.Answer{Batch: merge.Batch{Districts: p.Districts, Version: 1, Schema: table},
+			require.NoError(t, r.Take(1, &rows.Answer{Batch: merge.Batch{Buckets: p.Districts, Version: 1, Schema: table},
 				Groups: g}, 0))
 		}
 		return r.Step(2)
@@ -342,7 +342,7 @@
 	require.Equal(t, Figure{"total", merge.IntOf(20), exact(20)}, f["total"])
 	require.Equal(t, Figure{"least", merge.IntOf(2), exact(2)}, f["least"])
 	require.Equal(t, Figure{"mean", merge.FloatOf(4), exact(4)}, f["mean"])
-	require.InEpsilon(t, 3, f["median"].Value.Float, 2*merge.Accuracy)
+	require.InEpsilon(t, 3, f["median"].Value.Float, 2*merge.QuantileAccuracy)
 	require.Equal(t, merge.IntOf(4), f["kinds"].Value)
 
 	f = figures(read(map[int][]int64{0: {5, 7}, 2: {3}}))
--- a/internal/results/rows/arrow.go
+++ b/internal/results/rows/arrow.go
@@ -43,7 +43,7 @@
 	if !ok || key.NullN() > 0 {
 		return nil, bad("key: %v, not utf8 without nulls", rec.Column(1).DataType())
 	}
-	a := &Answer{Batch: merge.Batch{Districts: w.Districts, Rows: make([]merge.Row, rec.NumRows())}}
+	a := &Answer{Batch: merge.Batch{Buckets: w.Districts, Rows: make([]merge.Row, rec.NumRows())}}
 	var err error
 	meta := s.Metadata()
 	get := func(name string) string {
@@ -53,7 +53,7 @@
 	if a.Batch.Version, err = strconv.ParseUint(get(metaVersion), 10, 64); err != nil || a.Batch.Version == 0 {
 		return nil, bad("version %.20q", get(metaVersion))
 	}
-	if a.Batch.More, err = strconv.ParseBool(get(metaMore)); err != nil {
+	if a.Batch.HasMore, err = strconv.ParseBool(get(metaMore)); err != nil {
 		return nil, bad("more %.20q", get(metaMore))
 	}
 	columns := s.NumFields() - 2
@@ -61,7 +61,7 @@
 		if len(key.Value(i)) > MostText {
 			return nil, bad("row %d: a key of %d bytes", i, len(key.Value(i)))
 		}
-		a.Batch.Rows[i] = merge.Row{District: int(district.Value(i)), Key: key.Value(i),
+		a.Batch.Rows[i] = merge.Row{Bucket: int(district.Value(i)), Key: key.Value(i),
 			Values: make([]merge.Value, columns)}
 	}
 	for j := range columns {
@@ -122,7 +122,7 @@
 // Arrow is an answer as FromArrow reads it. Whoever gets it releases it.
 func (a *Answer) Arrow() (arrow.RecordBatch, error) {
 	names, values := []string{metaVersion, metaMore}, []string{strconv.FormatUint(a.Batch.Version, 10),
-		strconv.FormatBool(a.Batch.More)}
+		strconv.FormatBool(a.Batch.HasMore)}
 	if s := a.Summary; s != nil {
 		n := note{Count: s.Count, Min: number(s.Min), Max: number(s.Max), Sum: number(s.Sum)}
 		for _, v := range s.Least {
@@ -161,10 +161,10 @@
 	b := array.NewRecordBuilder(memory.DefaultAllocator, arrow.NewSchema(fields, &meta))
 	defer b.Release()
 	for i, r := range a.Batch.Rows {
-		if len(r.Values) != len(a.Batch.Schema) || r.District < 0 || r.District > math.MaxInt32 {
-			return nil, bad("row %d: %d values, district %d", i, len(r.Values), r.District)
+		if len(r.Values) != len(a.Batch.Schema) || r.Bucket < 0 || r.Bucket > math.MaxInt32 {
+			return nil, bad("row %d: %d values, district %d", i, len(r.Values), r.Bucket)
 		}
-		b.Field(0).(*array.Int32Builder).Append(int32(r.District))
+		b.Field(0).(*array.Int32Builder).Append(int32(r.Bucket))
 		b.Field(1).(*array.StringBuilder).Append(r.Key)
 		for j, v := range r.Values {
 			switch f := b.Field(j + 2).(type) {
--- a/internal/results/rows/rows.go
+++ b/internal/results/rows/rows.go
@@ -114,7 +114,7 @@
 	if !utf8.Valid(text) {
 		return nil, bad("not UTF-8")
 	}
-	a := &Answer{Batch: merge.Batch{Districts: w.Districts}}
+	a := &Answer{Batch: merge.Batch{Buckets: w.Districts}}
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.UseNumber()
 	if t, err := d.Token(); err != nil || t != json.Delim('{') {
@@ -169,7 +169,7 @@
 	if !seen["schema"] || !seen["rows"] || h.Version == 0 {
 		return nil, bad("version, schema or rows missing")
 	}
-	a.Batch.Version, a.Batch.More = h.Version, h.More
+	a.Batch.Version, a.Batch.HasMore = h.Version, h.More
 	return a, a.rest(h.Summary, h.Groups, w)
 }
 
@@ -210,13 +210,13 @@
 				return bad("groups[%d].by[%d]: %v", i, j, err)
 			}
 		}
-		partials := make([]*merge.Partial, len(columns))
+		partials := make([]*merge.PartialAggregate, len(columns))
 		for j, p := range g.Of {
 			if partials[j], err = p.read(columns[j]); err != nil {
 				return bad("groups[%d].of[%d]: %v", i, j, err)
 			}
 		}
-		if err := a.Groups.Put(values, partials); err != nil {
+		if err := a.Groups.Insert(values, partials); err != nil {
 			return bad("groups[%d]: %v", i, err)
 		}
 	}
@@ -224,7 +224,7 @@
 }
 
 // read makes aggregates of what a node sent.
-func (p *partial) read(c merge.Column) (*merge.Partial, error) {
+func (p *partial) read(c merge.Column) (*merge.PartialAggregate, error) {
 	var v [3]merge.Value
 	for i, raw := range []json.RawMessage{p.Sum, p.Min, p.Max} {
 		kind := c.Kind
@@ -245,7 +245,7 @@
 			return nil, err
 		}
 	}
-	return merge.Restore(c, p.Count, v[0], v[1], v[2], p.Quantile, p.Distinct)
+	return merge.RestorePartialAggregate(c, p.Count, v[0], v[1], v[2], p.Quantile, p.Distinct)
 }
 
 // formGroups is groups in the JSON form.
@@ -254,7 +254,7 @@
 		return nil, nil
 	}
 	out := []group{}
-	for _, x := range g.All() {
+	for _, x := range g.Sorted() {
 		f := group{}
 		for _, v := range x.Values {
 			f.By = append(f.By, raw(v))
@@ -303,7 +303,7 @@
 			return nil, bad("rows[%d]: %d values, not district, key and %d columns", len(out), len(raw), len(s))
 		}
 		var r merge.Row
-		if json.Unmarshal(raw[0], &r.District) != nil || json.Unmarshal(raw[1], &r.Key) != nil ||
+		if json.Unmarshal(raw[0], &r.Bucket) != nil || json.Unmarshal(raw[1], &r.Key) != nil ||
 			len(r.Key) > MostText {
 			return nil, bad("rows[%d]: district %.20s, key %.40s", len(out), raw[0], raw[1])
 		}
@@ -357,7 +357,7 @@
 	if n == nil {
 		return nil, nil
 	}
-	s := &complete.Summary{Districts: b.Districts, Version: b.Version, Since: since, Count: n.Count,
+	s := &complete.Summary{Districts: b.Buckets, Version: b.Version, Since: since, Count: n.Count,
 		Min: math.NaN(),
 		Max: math.NaN(), Sum: math.NaN()}
 	for _, v := range []struct {
@@ -409,7 +409,7 @@
 
 // JSON is an answer as ParseJSON reads it.
 func (a *Answer) JSON() ([]byte, error) {
-	h := head{Version: a.Batch.Version, More: a.Batch.More, Schema: []column{}}
+	h := head{Version: a.Batch.Version, More: a.Batch.HasMore, Schema: []column{}}
 	for _, c := range a.Batch.Schema {
 		h.Schema = append(h.Schema, column{c.Name, c.Kind.String(), c.Currency})
 	}
@@ -429,7 +429,7 @@
 		if err != nil {
 			return nil, err
 		}
-		line := []json.RawMessage{json.RawMessage(fmt.Sprint(r.District)), key}
+		line := []json.RawMessage{json.RawMessage(fmt.Sprint(r.Bucket)), key}
 		for _, v := range r.Values {
 			line = append(line, raw(v))
 		}
--- a/internal/results/rows/rows_test.go
+++ b/internal/results/rows/rows_test.go
@@ -27,9 +27,9 @@
 func sample() *Answer {
 	s := merge.Schema{{Name: "premium", Kind: merge.Int, Currency: "INR"}, {Name: "risk", Kind: merge.Float},
 		{Name: "insurer", Kind: merge.Text}}
-	return &Answer{Batch: merge.Batch{Districts: districts, Version: 7, Schema: s, More: true, Rows: []merge.Row{
-		{District: 12, Key: "k-1", Values: []merge.Value{merge.IntOf(math.MaxInt64), merge.FloatOf(0.1), merge.TextOf("ä\"\n")}},
-		{District: 19, Key: "k 2", Values: []merge.Value{{}, {}, {}}}}},
+	return &Answer{Batch: merge.Batch{Buckets: districts, Version: 7, Schema: s, HasMore: true, Rows: []merge.Row{
+		{Bucket: 12, Key: "k-1", Values: []merge.Value{merge.IntOf(math.MaxInt64), merge.FloatOf(0.1), merge.TextOf("ä\"\n")}},
+		{Bucket: 19, Key: "k 2", Values: []merge.Value{{}, {}, {}}}}},
 		Summary: &complete.Summary{Districts: districts, Version: 7, Since: 3, Count: 99,
 			Least: []merge.Value{merge.IntOf(5), merge.FloatOf(0.25)}, Min: 5, Max: 900, Sum: 12_000}}
 }
@@ -47,7 +47,7 @@
 	got, err = FromArrow(rec, want(2, rank))
 	require.NoError(t, err)
 	require.Equal(t, a, got)
-	a.Batch.Rows, a.Summary, a.Batch.More = []merge.Row{}, nil, false
+	a.Batch.Rows, a.Summary, a.Batch.HasMore = []merge.Row{}, nil, false
 	text, err = a.JSON()
 	require.NoError(t, err)
 	got, err = ParseJSON(text, want(0, rank))
@@ -69,7 +69,7 @@
 	s := a.Batch.Schema
 	a.Groups = merge.NewGroups([]merge.Column{{Kind: merge.Int}, s[1], s[2]}, 3)
 	for i, name := range []string{"x", "x", "y"} {
-		g, err := a.Groups.Of([]merge.Value{merge.TextOf(name)})
+		g, err := a.Groups.GetOrCreate([]merge.Value{merge.TextOf(name)})
 		require.NoError(t, err)
 		for j, v := range []merge.Value{merge.IntOf(0), merge.FloatOf(float64(i) + 0.5), merge.TextOf(name)} {
 			require.NoError(t, g.Partials[j].Add(v))
@@ -78,7 +78,7 @@
 	check := func(got *Answer, err error) {
 		t.Helper()
 		require.NoError(t, err)
-		all := got.Groups.All()
+		all := got.Groups.Sorted()
 		require.Len(t, all, 2)
 		require.EqualValues(t, 2, all[0].Partials[0].Count)
 		sum, err := all[0].Partials[1].Sum()
