--- a/internal/results/merge/batch.go
+++ b/internal/results/merge/batch.go
@@ -6,17 +6,18 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-// Batch is what one slice gave: its next rows in order.
+// Batch is what one shard returned: its next rows, in order.
 type Batch struct {
 	Buckets shardmap.Range
-	Version uint64 // of its data
+	Version uint64 // of the shard's data
 	Schema  Schema
 	Rows    []Row
-	HasMore bool // it has rows after these
+	HasMore bool // the shard has rows after these
 }
 
-// Validate names the first thing that is wrong with a batch, of which most rows were asked for, after a place
-// or, if that is nil, from the first. It is checked whole before any row of it is merged.
+// Validate returns the first thing that is wrong with a batch for which at most maxRows rows after a position were
+// requested; a nil position requests rows from the first. A batch is validated as a whole before it is merged, so that
+// an answer holds all rows of a batch or none.
 func (o *Order) Validate(b *Batch, after *Position, most int) error {
 	if err := o.schema.CheckCompatible(b.Schema); err != nil {
 		return err
--- a/internal/results/merge/clause.go
+++ b/internal/results/merge/clause.go
@@ -9,23 +9,23 @@
 	"slices"
 )
 
-// Clause is what a client asks of a merge, as it stands in the query under "merge".
+// Clause is what a client asks of a merge: the object "merge" of a query.
 type Clause struct {
 	Rank      []RankColumn      `json:"rank,omitempty"`
 	Page      *PageClause       `json:"page,omitempty"`
 	Aggregate []AggregateClause `json:"aggregate,omitempty"`
-	Group     []string          `json:"group,omitempty"`
+	Group     []string          `json:"group,omitempty"` // columns
 	Filter    []Condition       `json:"filter,omitempty"`
-	MinWeight float64           `json:"least,omitempty"` // share of weight, if stricter than the class's
+	MinWeight float64           `json:"least,omitempty"` // share of the query's weight, if stricter than the class's
 }
 
 // RankColumn is one column of the rank.
 type RankColumn struct {
 	Column string `json:"column"`
-	Order  string `json:"order,omitempty"` // asc, if absent, or desc
+	Order  string `json:"order,omitempty"` // "" is OrderAscending
 }
 
-// PageClause is a page: its size, and the cursor of the page before.
+// PageClause is the size of a page, in rows, and the cursor of the page before; "" for the first page.
 type PageClause struct {
 	Size   int    `json:"size,omitempty"`
 	Cursor string `json:"cursor,omitempty"`
@@ -33,20 +33,20 @@
 
 // AggregateClause is one aggregate.
 type AggregateClause struct {
-	Name     string   `json:"name"`
-	Function string   `json:"do"`           // count, sum, min, max, mean, quantile or distinct
-	Column   string   `json:"of,omitempty"` // column; count may do without
-	Quantile *float64 `json:"q,omitempty"`  // of a quantile, 0 to 1
+	Name     string   `json:"name"` // by which the answer names it
+	Function string   `json:"do"`
+	Column   string   `json:"of,omitempty"` // may be "" for FunctionCount: it then counts rows
+	Quantile *float64 `json:"q,omitempty"`  // 0 to 1; of FunctionQuantile alone
 }
 
-// Condition is one term of the filter: all must hold.
+// Condition is one condition of the filter. Rows pass that meet all conditions.
 type Condition struct {
 	Column   string          `json:"column"`
-	Operator string          `json:"op"` // eq, ne, lt, le, gt or ge
-	Value    json.RawMessage `json:"value"`
+	Operator string          `json:"op"`
+	Value    json.RawMessage `json:"value"` // see Operand
 }
 
-// ParseClause reads a clause and names the first field that cannot be.
+// ParseClause reads a clause. The error wraps ErrInvalidClause and names the first field that is wrong.
 func ParseClause(text []byte) (*Clause, error) {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
@@ -60,7 +60,7 @@
 	return c, c.validate()
 }
 
-// SortColumns is the rank as an order takes it.
+// SortColumns is the rank as NewOrder takes it.
 func (c *Clause) SortColumns() []SortColumn {
 	out := make([]SortColumn, len(c.Rank))
 	for i, r := range c.Rank {
@@ -69,8 +69,9 @@
 	return out
 }
 
-// Canonical is the clause without its page, always written alike: what a cursor is bound to. A page may be
-// larger or smaller than the one before.
+// Canonical encodes the clause without its page. Spacing, the order of names, the form of numbers and an omitted order
+// do not change the result. A cursor is bound to it, so that a client may change the size of pages from one page to the
+// next. The clause must be valid.
 func (c *Clause) Canonical() []byte {
 	x := *c
 	x.Page, x.Rank = nil, slices.Clone(c.Rank)
--- a/internal/results/merge/clause_test.go
+++ b/internal/results/merge/clause_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// A cursor is bound to what is asked, however it is written, and not to the size of a page.
+// The canonical form depends on what is asked, not on how the JSON is written or on the size of the page.
 func TestCanonical(t *testing.T) {
 	same := func(a, b string) bool {
 		x, err := ParseClause([]byte(a))
@@ -65,7 +65,7 @@
 	require.False(t, same(a, `{"rank":[{"column":"a","order":"desc"}],"page":{"size":5},"filter":[{"column":"b","op":"lt","value":1.5}]}`))
 }
 
-// FuzzParse: a clause is an error or can be written alike, again and again.
+// FuzzParse: a clause is an error, or its canonical form is a clause with the same canonical form.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(fullClause))
 	f.Add([]byte(`{"aggregate":[{"name":"n","do":"count"}],"filter":[{"column":"a","op":"eq","value":1e400}]}`))
--- a/internal/results/merge/clause_validation.go
+++ b/internal/results/merge/clause_validation.go
@@ -6,14 +6,14 @@
 	"slices"
 )
 
-// The bounds of a clause.
+// Bounds of a clause.
 const (
-	MaxRankColumns  = 8    // columns
-	MaxAggregates   = 32   // figures
-	MaxGroupColumns = 4    // columns
-	MaxConditions   = 16   // terms
+	MaxRankColumns  = 8
+	MaxAggregates   = 32
+	MaxGroupColumns = 4
+	MaxConditions   = 16
 	MaxPageSize     = 1000 // rows
-	MaxNameBytes    = 64   // bytes of a column's or a figure's name
+	MaxNameBytes    = 64   // of the name of a column or aggregate
 )
 
 var (
@@ -21,9 +21,10 @@
 	operators = []string{"eq", "ne", "lt", "le", "gt", "ge"}
 )
 
-// ErrInvalidClause is wrapped by what Parse says; the message names the field.
+// ErrInvalidClause is wrapped by the errors of ParseClause. Their texts go to clients.
 var ErrInvalidClause = errors.New("the merge cannot be used")
 
+// invalidField makes an ErrInvalidClause for a field, which has its JSON name.
 func invalidField(field, format string, args ...any) error {
 	return fmt.Errorf("%w: %s: %s", ErrInvalidClause, field, fmt.Sprintf(format, args...))
 }
@@ -42,6 +43,7 @@
 	return nil
 }
 
+// validate returns an error for the first field that is wrong.
 func (c *Clause) validate() error {
 	if len(c.Rank) == 0 && len(c.Aggregate) == 0 {
 		return invalidField("merge", "neither rank nor aggregate")
--- a/internal/results/merge/errors.go
+++ b/internal/results/merge/errors.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// What a slice can bring that cannot be combined. A *Fault wraps one of them.
+// Why rows, aggregates or sketches of a shard cannot be combined. A *ValidationError wraps one of them.
 var (
 	ErrSchemaMismatch   = errors.New("other columns")
 	ErrCurrencyMismatch = errors.New("another currency")
@@ -20,14 +20,14 @@
 	ErrInvalidSketch    = errors.New("a sketch that cannot be used")
 )
 
-// ValidationError is the first thing that is wrong with what a slice brought.
+// ValidationError is the first thing that is wrong with what a shard returned.
 type ValidationError struct {
-	Row    int // -1 if it is not one row's
+	Row    int // index in the batch, or NoRow
 	Detail string
-	Err    error
+	Err    error // one of the package's error values
 }
 
-// Error names the row and the fault.
+// Error contains the row, if there is one, the cause and the detail.
 func (f *ValidationError) Error() string {
 	if f.Row < 0 {
 		return fmt.Sprintf("%v: %s", f.Err, f.Detail)
@@ -35,9 +35,10 @@
 	return fmt.Sprintf("row %d: %v: %s", f.Row, f.Err, f.Detail)
 }
 
-// Unwrap gives the kind of fault.
+// Unwrap returns the cause.
 func (f *ValidationError) Unwrap() error { return f.Err }
 
+// invalid makes a ValidationError.
 func invalid(row int, err error, format string, args ...any) error {
 	return &ValidationError{row, fmt.Sprintf(format, args...), err}
 }
--- a/internal/results/merge/filter.go
+++ b/internal/results/merge/filter.go
@@ -6,7 +6,7 @@
 	"math"
 )
 
-// Operand is a term's value: an integer, a number or a text.
+// Operand is the value of a condition: a text, or a number, which is an integer if an int64 holds it.
 func (t Condition) Operand() (Value, error) {
 	var s string
 	if json.Unmarshal(t.Value, &s) == nil && len(t.Value) > 0 && t.Value[0] == '"' {
@@ -26,8 +26,8 @@
 	return FloatOf(x), nil
 }
 
-// Matches tells whether a row passes a term. Nothing is like null, and a text and a number are never alike; an
-// integer and a float are compared as floats.
+// Matches reports whether a value meets the condition. Null meets none, and a text and a number are not comparable and
+// meet none either. An integer and a float are compared as floats. NaN is unequal to every number.
 func (t Condition) Matches(v Value) bool {
 	want, err := t.Operand()
 	if err != nil || v.Kind == Null || (v.Kind == Text) != (want.Kind == Text) {
--- a/internal/results/merge/fixture_test.go
+++ b/internal/results/merge/fixture_test.go
@@ -8,11 +8,12 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-// CI must say the same every time; -rapid.seed=0 on the command line draws new tables.
+// A fixed seed makes every run draw the same cases; -rapid.seed=0 on the command line draws new ones.
 func init() { _ = flag.Set("rapid.seed", "20261201") }
 
 var testSchema = Schema{{Name: "premium", Kind: Int, Currency: "INR"}, {Name: "risk", Kind: Float}, {Name: "insurer", Kind: Text}}
 
+// testRow makes a row of testSchema.
 func testRow(district int, key string, premium int64, risk float64) Row {
 	return Row{Bucket: district, Key: key, Values: []Value{IntOf(premium), FloatOf(risk), TextOf("a")}}
 }
@@ -23,7 +24,7 @@
 	return o
 }
 
-// readBatch answers as a slice's node does: its rows in order, after a place, so many at most.
+// readBatch answers like a backend: of sorted rows at most maxRows of the buckets that come after a position.
 func readBatch(o *Order, all []Row, r shardmap.Range, after *Position, most int) *Batch {
 	b := &Batch{Buckets: r, Version: 1, Schema: testSchema}
 	for _, x := range all {
--- a/internal/results/merge/groups.go
+++ b/internal/results/merge/groups.go
@@ -2,25 +2,25 @@
 
 import "slices"
 
-// Groups are aggregates by group: the values of the group's columns, and a partial for each aggregated
-// column.
+// Groups is aggregates by group. The number of groups is bounded.
 type Groups struct {
-	columns   []Column
+	columns   []Column // that are aggregated
 	maxGroups int
-	byKey     map[string]*Group
+	byKey     map[string]*Group // by groupKey of the values
 }
 
-// Group is one group.
+// Group is the aggregates of one group.
 type Group struct {
-	Values   []Value
-	Partials []*PartialAggregate
+	Values   []Value             // of the columns by which rows are grouped
+	Partials []*PartialAggregate // one for each aggregated column
 }
 
-// NewGroups makes an empty set of at most so many groups.
+// NewGroups makes an empty set of at most maxGroups groups.
 func NewGroups(columns []Column, most int) *Groups {
 	return &Groups{columns: columns, maxGroups: most, byKey: map[string]*Group{}}
 }
 
+// groupKey encodes the values of a group. It is unambiguous, as formatted values contain no zero byte.
 func groupKey(values []Value) string {
 	var b []byte
 	for _, v := range values {
@@ -31,7 +31,7 @@
 	return string(b)
 }
 
-// GetOrCreate is the group of these values; an error beyond the bound.
+// GetOrCreate returns the group of the values. It makes one of no rows if there is none, or returns ErrTooMany.
 func (g *Groups) GetOrCreate(values []Value) (*Group, error) {
 	key := groupKey(values)
 	if x := g.byKey[key]; x != nil {
@@ -52,7 +52,7 @@
 	return x, nil
 }
 
-// Insert adds a group that is not there yet.
+// Insert adds a group. One that exists, or with another number of aggregates than columns, is an ErrDuplicate.
 func (g *Groups) Insert(values []Value, partials []*PartialAggregate) error {
 	n := len(g.byKey)
 	x, err := g.GetOrCreate(values)
@@ -66,10 +66,10 @@
 	return nil
 }
 
-// Columns are those that are aggregated.
+// Columns are the aggregated columns.
 func (g *Groups) Columns() []Column { return g.columns }
 
-// Combine takes another slice's groups in, or none of them.
+// Combine adds all groups of another shard, or, if it returns an error, none of them.
 func (g *Groups) Combine(o *Groups) error {
 	next := NewGroups(g.columns, g.maxGroups)
 	for _, from := range []*Groups{g, o} {
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// Sorted are the groups in order of their values.
+// Sorted returns the groups in the order of their values.
 func (g *Groups) Sorted() []*Group {
 	out := make([]*Group, 0, len(g.byKey))
 	for _, x := range g.byKey {
--- a/internal/results/merge/heap.go
+++ b/internal/results/merge/heap.go
@@ -1,11 +1,12 @@
 package merge
 
-// input is a batch and how far it has been merged.
+// input is a batch that is being merged.
 type input struct {
 	batch *Batch
-	next  int
+	next  int // index of the first row that is not on the page yet; below len(batch.Rows)
 }
 
+// inputHeap is a heap of inputs for container/heap; the one with the first row is at the root.
 type inputHeap struct {
 	order *Order
 	list  []input
--- a/internal/results/merge/order.go
+++ b/internal/results/merge/order.go
@@ -2,28 +2,28 @@
 
 import "cmp"
 
-// SortColumn is one column of an order.
+// SortColumn is one column of a rank.
 type SortColumn struct {
 	Column     string
-	Descending bool // the greatest first
+	Descending bool // the greatest value first
 }
 
-// Row is a row as a slice gave it. District and key are its own: together they are a row's name.
+// Row is a row of a shard. Bucket and key together identify it.
 type Row struct {
 	Bucket int
 	Key    string
-	Values []Value
+	Values []Value // one for each column of the schema
 }
 
-// Order is the total order of rows: the rank columns, then the district, then the key. The last two are the
-// row's own and not the slice's, so that the order is the same however districts are sliced.
+// Order is a total order of rows: the rank columns, then the bucket, then the key. Bucket and key belong to the row and
+// not to the shard that holds it, so the order does not depend on how buckets are split into shards.
 type Order struct {
 	schema      Schema
-	rankColumns []int
-	descending  []bool
+	rankColumns []int  // indices in the schema
+	descending  []bool // for each rank column
 }
 
-// NewOrder makes an order of a table's rows.
+// NewOrder makes an order of the rows of a schema. A rank column that the schema lacks is an ErrSchemaMismatch.
 func NewOrder(s Schema, by []SortColumn) (*Order, error) {
 	o := &Order{schema: s}
 	for _, b := range by {
@@ -36,14 +36,14 @@
 	return o, nil
 }
 
-// Position is a row's place in an order: the next page is what comes after it.
+// Position is a row's position in an order. The next page starts after the position of the last row.
 type Position struct {
-	Rank   []Value
+	Rank   []Value // values of the rank columns
 	Bucket int
 	Key    string
 }
 
-// PositionOf is where a row stands.
+// PositionOf is the position of a row.
 func (o *Order) PositionOf(r Row) Position {
 	p := Position{Rank: make([]Value, len(o.rankColumns)), Bucket: r.Bucket, Key: r.Key}
 	for i, at := range o.rankColumns {
@@ -52,7 +52,7 @@
 	return p
 }
 
-// CompareRanks compares the rank columns of two places alone.
+// CompareRanks compares the rank columns of two positions alone.
 func (o *Order) CompareRanks(a, b []Value) int {
 	for i := range min(len(a), len(b)) {
 		if c := Compare(a[i], b[i]); c != 0 {
@@ -65,12 +65,12 @@
 	return 0
 }
 
-// Compare orders two places.
+// Compare orders two positions.
 func (o *Order) Compare(a, b Position) int {
 	return cmp.Or(o.CompareRanks(a.Rank, b.Rank), cmp.Compare(a.Bucket, b.Bucket), cmp.Compare(a.Key, b.Key))
 }
 
-// compareRows compares two rows without making their places.
+// compareRows orders two rows like Compare orders their positions, without allocating these.
 func (o *Order) compareRows(a, b *Row) int {
 	for i, at := range o.rankColumns {
 		if c := Compare(a.Values[at], b.Values[at]); c != 0 {
--- a/internal/results/merge/page.go
+++ b/internal/results/merge/page.go
@@ -10,19 +10,18 @@
 
 // Page is rows in order.
 type Page struct {
-	Rows    []Row
-	Sources []shardmap.Range // of each row, the districts that its slice was asked for
-	// NeedMore are those who must be asked for more before the page is final: what they have next may belong into
-	// it.
-	NeedMore []shardmap.Range
-	HasMore  bool // there are rows after the page
+	Rows     []Row
+	Sources  []shardmap.Range // for each row, the buckets of its batch
+	NeedMore []shardmap.Range // batches whose next rows may belong to the page, by buckets; none once it is final
+	HasMore  bool             // there are rows after the page
 }
 
-// Merge puts batches that passed Check into one page of limit rows at most. Where a batch has more to give
-// and all that it gave comes before the page's last row, or the page is not full, its next rows may belong
-// into the page: it is named under Need, and the rows are those of now. Nobody else can reach the page.
-// Memory is that of the page. The result is the same in whatever order the batches stand and however the
-// districts are cut.
+// Merge puts batches that passed Validate into one page of at most limit rows. A batch whose shard has more rows is
+// listed in NeedMore if the page is not full or all rows of the batch come before the page's last row; no other shard
+// can add to the page.
+//
+// The result depends neither on the order of the batches nor on how buckets are split into shards. Merge allocates the
+// page and one heap entry for each batch.
 func (o *Order) Merge(batches []*Batch, limit int) Page {
 	h := &inputHeap{order: o}
 	p := Page{}
--- a/internal/results/merge/page_test.go
+++ b/internal/results/merge/page_test.go
@@ -12,8 +12,8 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-// Pages of any size, over any cut of the districts that may change between pages and between two fetches of one page,
-// give every row once and in order, with as many rounds as it takes.
+// Pages of any size return every row once and in order, in a bounded number of rounds, however the buckets are split
+// into shards, also if that changes from one page to the next.
 func TestPagesAgreeHoweverBucketsAreSplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := newOrder(t, SortColumn{"premium", rapid.Bool().Draw(t, "down")}, SortColumn{"risk", false})
--- a/internal/results/merge/partial.go
+++ b/internal/results/merge/partial.go
@@ -9,23 +9,23 @@
 	"github.com/axiomhq/hyperloglog"
 )
 
-// exactSumBits hold any sum of float64 exactly: exponents from -1074 to 1023, and 2^64 of them.
+// exactSumBits is the precision at which sums of up to 2^64 float64 are exact: their exponents are -1074 to 1023.
 const exactSumBits = 2200
 
-// PartialAggregate is the aggregates of one column over some rows of a group. Those of several slices combine in any
-// order.
+// PartialAggregate is the aggregates of one column over some rows of a group. Those of several shards combine in any
+// order with the same result.
 type PartialAggregate struct {
 	Column   Column
 	Count    uint64 // of rows with a value
-	Min, Max Value  // Null where there is none
+	Min, Max Value  // null if Count is 0
 
-	intSum    int64
-	floatSum  *big.Float
+	intSum    int64      // of an Int column
+	floatSum  *big.Float // of a Float column, with exactSumBits
 	quantiles *ddsketch.DDSketch
 	distinct  *hyperloglog.Sketch
 }
 
-// NewPartialAggregate makes aggregates of nothing.
+// NewPartialAggregate makes the aggregates of no rows.
 func NewPartialAggregate(c Column) (*PartialAggregate, error) {
 	s, err := ddsketch.NewDefaultDDSketch(QuantileAccuracy)
 	if err != nil {
@@ -35,7 +35,7 @@
 		distinct: hyperloglog.New()}, nil
 }
 
-// Add takes one value. Null counts for nothing. One that cannot be added changes nothing.
+// Add adds one value; null counts for nothing. A value that cannot be added is an error and changes nothing.
 func (p *PartialAggregate) Add(v Value) error {
 	if v.Kind == Null {
 		return nil
@@ -69,14 +69,13 @@
 	return nil
 }
 
-// addInts adds two integers and tells whether that overflows.
+// addInts adds two integers and reports whether the sum overflows.
 func addInts(a, b int64) (sum int64, over bool) {
 	sum = a + b
 	return sum, (a > 0 && b > 0 && sum < 0) || (a < 0 && b < 0 && sum >= 0)
 }
 
-// Combine takes another slice's aggregates in. What cannot be combined is an error that names it, and changes
-// nothing.
+// Combine adds the aggregates of another shard. If they cannot be combined, it returns an error and changes nothing.
 func (p *PartialAggregate) Combine(o *PartialAggregate) error {
 	if err := (Schema{p.Column}).CheckCompatible(Schema{o.Column}); err != nil {
 		return err
@@ -109,7 +108,7 @@
 	return nil
 }
 
-// Sum is the sum of what was added; an error if it is no float64.
+// Sum is the sum of the values, rounded once; ErrOverflow if no float64 holds it.
 func (p *PartialAggregate) Sum() (Value, error) {
 	if p.Column.Kind == Int {
 		return IntOf(p.intSum), nil
@@ -121,7 +120,7 @@
 	return FloatOf(x), nil
 }
 
-// Mean is the mean; Null of nothing.
+// Mean is the mean of the values; null if there are none.
 func (p *PartialAggregate) Mean() (Value, error) {
 	if p.Count == 0 {
 		return Value{}, nil
@@ -137,7 +136,8 @@
 	return FloatOf(x), nil
 }
 
-// Quantile is the value below which a share q of the values lie, within Accuracy; Null of nothing.
+// Quantile is the value below which a share of the values lies, from 0 to 1, within QuantileAccuracy; null if there are
+// no values.
 func (p *PartialAggregate) Quantile(q float64) (Value, error) {
 	if p.Count == 0 {
 		return Value{}, nil
@@ -149,5 +149,5 @@
 	return FloatOf(x), nil
 }
 
-// Distinct is about how many different values there are.
+// Distinct estimates the number of distinct values.
 func (p *PartialAggregate) Distinct() uint64 { return p.distinct.Estimate() }
--- a/internal/results/merge/partial_test.go
+++ b/internal/results/merge/partial_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// Aggregates are the same over any cut of the values into slices and any order in which these arrive, and so are exact
-// sums of floats that no order of float additions gives.
+// Aggregates are the same however the values are split into shards and in whatever order these arrive. Sums of floats
+// are the exact ones, rounded once, which no order of float additions yields.
 func TestAggregatesDoNotDependOnTheOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		column := Column{Name: "risk", Kind: Float}
--- a/internal/results/merge/schema.go
+++ b/internal/results/merge/schema.go
@@ -4,13 +4,13 @@
 type Column struct {
 	Name     string
 	Kind     Kind
-	Currency string // of money; empty if it is none
+	Currency string // of a column of money; "" for any other
 }
 
-// Schema is a table's columns.
+// Schema is the columns of a table, in the order of a row's values.
 type Schema []Column
 
-// Index is a column's place; -1 if there is none.
+// Index is the index of the column with a name; -1 if there is none.
 func (s Schema) Index(name string) int {
 	for i, c := range s {
 		if c.Name == name {
@@ -20,7 +20,7 @@
 	return -1
 }
 
-// CheckCompatible tells whether two schemas can be merged, and names the first difference.
+// CheckCompatible returns nil if rows of both schemas can be merged, else an error with the first difference.
 func (s Schema) CheckCompatible(o Schema) error {
 	if len(s) != len(o) {
 		return invalid(-1, ErrSchemaMismatch, "%d columns, not %d", len(o), len(s))
--- a/internal/results/merge/sketch.go
+++ b/internal/results/merge/sketch.go
@@ -10,20 +10,19 @@
 	"github.com/DataDog/sketches-go/ddsketch/store"
 )
 
-// QuantileAccuracy is the relative error of quantiles.
 const QuantileAccuracy = 0.01
 
 const maxSketchBytes = 64 << 10 // bytes of a sketch that a node may send
 
-// Sketches are the two sketches as nodes send them.
+// Sketches encodes the two sketches as backends send them.
 func (p *PartialAggregate) Sketches() (quantile, distinct []byte, err error) {
 	p.quantiles.Encode(&quantile, false)
 	distinct, err = p.distinct.MarshalBinary()
 	return quantile, distinct, err
 }
 
-// RestorePartialAggregate makes aggregates of what a node sent. A sketch that cannot be read is an error, also where the
-// library would not survive it.
+// RestorePartialAggregate makes aggregates of what a backend sent: figures of count values and the two sketches, each
+// of which may be empty. Sketches that cannot be decoded are an error, also where the libraries panic.
 func RestorePartialAggregate(c Column, count uint64, sum, least, most Value, quantile, distinct []byte) (
 	p *PartialAggregate, err error) {
 	defer func() {
@@ -66,9 +65,9 @@
 	return p, nil
 }
 
-// restoreQuantiles takes the sketch of a node. It is read into a store that grows with its bins and not with
-// how far these lie apart, and only bins that values can have come to the sketch that is merged. Guards the
-// broker against 85 bytes that made the usual store ask for 1.2 TB: the fuzzer's find, kept under testdata.
+// restoreQuantiles decodes a sketch of quantiles. A dense store allocates the range between the least and the greatest
+// bin, which a few bytes of a malformed sketch can make larger than any memory. So the sketch is decoded into a sparse
+// store, and only bins that float64 values can have are merged into the dense one.
 func (p *PartialAggregate) restoreQuantiles(text []byte, count uint64) error {
 	s, err := ddsketch.DecodeDDSketch(bytes.Clone(text), store.SparseStoreConstructor, p.quantiles.IndexMapping)
 	if err != nil {
--- a/internal/results/merge/sketch_test.go
+++ b/internal/results/merge/sketch_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// FuzzRestore: whatever a node sends as its aggregates is usable or an error.
+// FuzzRestore: whatever aggregates a backend sends, they are an error or can be combined.
 func FuzzRestore(f *testing.F) {
 	p, _ := NewPartialAggregate(Column{Name: "risk", Kind: Float})
 	for i := range 50 {
--- a/internal/results/merge/value.go
+++ b/internal/results/merge/value.go
@@ -9,7 +9,7 @@
 // Kind is the type of a value.
 type Kind uint8
 
-// The kinds of values.
+// The kinds of values. Cursors contain their numbers: they must not change.
 const (
 	Null Kind = iota
 	Int       // also money, in minor units; the column then names its currency
@@ -17,12 +17,13 @@
 	Text
 )
 
+// kindNames are the names of kinds in the schemas that backends send.
 var kindNames = [...]string{"null", "int", "float", "text"}
 
-// String names the kind.
+// String is the name of the kind.
 func (k Kind) String() string { return kindNames[k] }
 
-// Value is one value of a row.
+// Value is one value of a row. Only the field that belongs to its kind is set; the zero value is null.
 type Value struct {
 	Kind  Kind
 	Int   int64
@@ -30,16 +31,16 @@
 	Text  string
 }
 
-// IntOf, FloatOf and TextOf make values.
+// IntOf makes an integer value.
 func IntOf(x int64) Value { return Value{Kind: Int, Int: x} }
 
-// FloatOf makes a float.
+// FloatOf makes a float value.
 func FloatOf(x float64) Value { return Value{Kind: Float, Float: x} }
 
-// TextOf makes a text.
+// TextOf makes a text value.
 func TextOf(x string) Value { return Value{Kind: Text, Text: x} }
 
-// String shows a value.
+// String formats a value. Distinct counts, group keys and canonical clauses are made of this form: it must not change.
 func (v Value) String() string {
 	switch v.Kind {
 	case Int:
@@ -52,8 +53,8 @@
 	return "null"
 }
 
-// Compare orders two values of one kind. Null comes first; NaN is no value that can be ordered and must have
-// been turned away.
+// Compare orders two values of one kind, and values of different kinds by kind, null first. NaN has no place in the
+// order and must have been rejected before.
 func Compare(a, b Value) int {
 	if a.Kind != b.Kind {
 		return cmp.Compare(a.Kind, b.Kind)
@@ -69,7 +70,7 @@
 	return 0
 }
 
-// number is a value as a float, for bounds; false if it is none.
+// number is the value as a float; ok is false for texts, null and NaN.
 func (v Value) number() (float64, bool) {
 	switch v.Kind {
 	case Int:
