--- a/internal/results/merge/batch.go
+++ b/internal/results/merge/batch.go
@@ -18,43 +18,62 @@
 // Validate returns the first thing that is wrong with a batch for which at most maxRows rows after a position were
 // requested; a nil position requests rows from the first. A batch is validated as a whole before it is merged, so that
 // an answer holds all rows of a batch or none.
-func (o *Order) Validate(b *Batch, after *Position, most int) error {
-	if err := o.schema.CheckCompatible(b.Schema); err != nil {
+func (o *Order) Validate(batch *Batch, after *Position, maxRows int) error {
+	if err := o.schema.CheckCompatible(batch.Schema); err != nil {
 		return err
 	}
-	if len(b.Rows) > most {
-		return invalid(-1, ErrTooMany, "%d of %d", len(b.Rows), most)
+	if len(batch.Rows) > maxRows {
+		return invalid(NoRow, ErrTooMany, "%d rows, not %d", len(batch.Rows), maxRows)
 	}
-	for i := range b.Rows {
-		r := &b.Rows[i]
-		if len(r.Values) != len(o.schema) {
-			return invalid(i, ErrSchemaMismatch, "%d values of %d columns", len(r.Values), len(o.schema))
+	for i := range batch.Rows {
+		row := &batch.Rows[i]
+		if err := o.validateValues(i, row); err != nil {
+			return err
 		}
-		for j, v := range r.Values {
-			if v.Kind != o.schema[j].Kind && v.Kind != Null {
-				return invalid(i, ErrSchemaMismatch, "%s is %v", o.schema[j].Name, v.Kind)
-			}
+		if row.Bucket < batch.Buckets.Start || row.Bucket >= batch.Buckets.End {
+			return invalid(i, ErrForeignBucket, "%d, not of %v", row.Bucket, batch.Buckets)
 		}
-		for _, at := range o.rankColumns {
-			if v := r.Values[at]; v.Kind == Null {
-				return invalid(i, ErrNullRank, "%s", o.schema[at].Name)
-			} else if v.Kind == Float && math.IsNaN(v.Float) {
-				return invalid(i, ErrInvalidNumber, "%s", o.schema[at].Name)
+		if i > 0 {
+			if err := o.validateSuccessor(i, &batch.Rows[i-1], row); err != nil {
+				return err
 			}
+		} else if after != nil && o.Compare(o.PositionOf(*row), *after) <= 0 {
+			return invalid(i, ErrBeforePosition, "%v", row.Values)
 		}
-		if r.Bucket < b.Buckets.Start || r.Bucket >= b.Buckets.End {
-			return invalid(i, ErrForeignBucket, "%d, not of %v", r.Bucket, b.Buckets)
+	}
+	return nil
+}
+
+// validateValues checks the values of the row at an index against the schema and the rank columns.
+func (o *Order) validateValues(index int, row *Row) error {
+	if len(row.Values) != len(o.schema) {
+		return invalid(index, ErrSchemaMismatch, "%d values of %d columns", len(row.Values), len(o.schema))
+	}
+	for i, value := range row.Values {
+		if value.Kind != o.schema[i].Kind && value.Kind != Null {
+			return invalid(index, ErrSchemaMismatch, "%s is %v", o.schema[i].Name, value.Kind)
 		}
-		if i > 0 {
-			switch c := o.compareRows(&b.Rows[i-1], r); {
-			case c == 0:
-				return invalid(i, ErrDuplicate, "district %d, key %q", r.Bucket, r.Key)
-			case c > 0:
-				return invalid(i, ErrOutOfOrder, "%v after %v", r.Values, b.Rows[i-1].Values)
-			}
-		} else if after != nil && o.Compare(o.PositionOf(*r), *after) <= 0 {
-			return invalid(i, ErrBeforePosition, "%v", r.Values)
+	}
+	for _, column := range o.rankColumns {
+		value := row.Values[column]
+		if value.Kind == Null {
+			return invalid(index, ErrNullRank, "%s", o.schema[column].Name)
 		}
+		if value.Kind == Float && math.IsNaN(value.Float) {
+			return invalid(index, ErrInvalidNumber, "%s", o.schema[column].Name)
+		}
+	}
+	return nil
+}
+
+// validateSuccessor checks that the row at an index comes after the one before it.
+func (o *Order) validateSuccessor(index int, previous, row *Row) error {
+	comparison := o.compareRows(previous, row)
+	if comparison == 0 {
+		return invalid(index, ErrDuplicate, "bucket %d, key %q", row.Bucket, row.Key)
+	}
+	if comparison > 0 {
+		return invalid(index, ErrOutOfOrder, "%v after %v", row.Values, previous.Values)
 	}
 	return nil
 }
--- a/internal/results/merge/clause.go
+++ b/internal/results/merge/clause.go
@@ -9,6 +9,9 @@
 	"slices"
 )
 
+// This file maps the JSON names of a clause. Cursors are bound to the text that Canonical makes: the names, the order
+// of the fields and what is omitted must not change.
+
 // Clause is what a client asks of a merge: the object "merge" of a query.
 type Clause struct {
 	Rank      []RankColumn      `json:"rank,omitempty"`
@@ -25,6 +28,12 @@
 	Order  string `json:"order,omitempty"` // "" is OrderAscending
 }
 
+// The orders of a rank column.
+const (
+	OrderAscending  = "asc"
+	OrderDescending = "desc"
+)
+
 // PageClause is the size of a page, in rows, and the cursor of the page before; "" for the first page.
 type PageClause struct {
 	Size   int    `json:"size,omitempty"`
@@ -39,6 +48,17 @@
 	Quantile *float64 `json:"q,omitempty"`  // 0 to 1; of FunctionQuantile alone
 }
 
+// The functions of an aggregate.
+const (
+	FunctionCount    = "count"
+	FunctionSum      = "sum"
+	FunctionMin      = "min"
+	FunctionMax      = "max"
+	FunctionMean     = "mean"
+	FunctionQuantile = "quantile"
+	FunctionDistinct = "distinct"
+)
+
 // Condition is one condition of the filter. Rows pass that meet all conditions.
 type Condition struct {
 	Column   string          `json:"column"`
@@ -46,49 +66,60 @@
 	Value    json.RawMessage `json:"value"` // see Operand
 }
 
+// The operators of a condition.
+const (
+	OperatorEqual          = "eq"
+	OperatorNotEqual       = "ne"
+	OperatorLess           = "lt"
+	OperatorLessOrEqual    = "le"
+	OperatorGreater        = "gt"
+	OperatorGreaterOrEqual = "ge"
+)
+
 // ParseClause reads a clause. The error wraps ErrInvalidClause and names the first field that is wrong.
 func ParseClause(text []byte) (*Clause, error) {
-	d := json.NewDecoder(bytes.NewReader(text))
-	d.DisallowUnknownFields()
-	c := &Clause{}
-	if err := d.Decode(c); err != nil {
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	clause := &Clause{}
+	if err := decoder.Decode(clause); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrInvalidClause, err)
 	}
-	if _, err := d.Token(); !errors.Is(err, io.EOF) {
+	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
 		return nil, invalidField("merge", "more than one object")
 	}
-	return c, c.validate()
+	return clause, clause.validate()
 }
 
 // SortColumns is the rank as NewOrder takes it.
 func (c *Clause) SortColumns() []SortColumn {
-	out := make([]SortColumn, len(c.Rank))
-	for i, r := range c.Rank {
-		out[i] = SortColumn{r.Column, r.Order == "desc"}
+	columns := make([]SortColumn, len(c.Rank))
+	for i, rank := range c.Rank {
+		columns[i] = SortColumn{Column: rank.Column, Descending: rank.Order == OrderDescending}
 	}
-	return out
+	return columns
 }
 
 // Canonical encodes the clause without its page. Spacing, the order of names, the form of numbers and an omitted order
 // do not change the result. A cursor is bound to it, so that a client may change the size of pages from one page to the
 // next. The clause must be valid.
 func (c *Clause) Canonical() []byte {
-	x := *c
-	x.Page, x.Rank = nil, slices.Clone(c.Rank)
-	for i := range x.Rank {
-		if x.Rank[i].Order == "" {
-			x.Rank[i].Order = "asc"
+	canonical := *c
+	canonical.Page = nil
+	canonical.Rank = slices.Clone(c.Rank)
+	for i := range canonical.Rank {
+		if canonical.Rank[i].Order == "" {
+			canonical.Rank[i].Order = OrderAscending
 		}
 	}
-	x.Filter = slices.Clone(c.Filter)
-	for i, t := range x.Filter {
-		if v, err := t.Operand(); err == nil && v.Kind != Text {
-			x.Filter[i].Value = []byte(v.String())
+	canonical.Filter = slices.Clone(c.Filter)
+	for i, condition := range canonical.Filter {
+		if operand, err := condition.Operand(); err == nil && operand.Kind != Text {
+			canonical.Filter[i].Value = []byte(operand.String())
 		}
 	}
-	text, err := json.Marshal(x)
+	text, err := json.Marshal(canonical)
 	if err != nil {
-		panic(err) // it was checked: names, numbers and JSON
+		panic(err) // not of a valid clause
 	}
 	return text
 }
--- a/internal/results/merge/clause_test.go
+++ b/internal/results/merge/clause_test.go
@@ -11,24 +11,27 @@
 	"filter":[{"column":"premium","op":"le","value":700},{"column":"insurer","op":"ne","value":"x"}],"least":0.9}`
 
 func TestParseClause(t *testing.T) {
-	c, err := ParseClause([]byte(fullClause))
+	clause, err := ParseClause([]byte(fullClause))
 	require.NoError(t, err)
-	require.Equal(t, []SortColumn{{"premium", false}, {"risk", true}}, c.SortColumns())
+	require.Equal(t, []SortColumn{{"premium", false}, {"risk", true}}, clause.SortColumns())
 	next, err := ParseClause([]byte(`{"least":0.9,"rank":[{"column":"premium","order":"asc"},{"order":"desc","column":"risk"}],
 		"page":{"size":50,"cursor":"abc"},"aggregate":[{"do":"count","name":"n"},{"name":"p99","do":"quantile","of":"risk",
 		"q":0.99}],"group":["insurer"],"filter":[{"column":"premium","op":"le","value":7e2},{"column":"insurer","op":"ne",
 		"value":"x"}]}`))
 	require.NoError(t, err)
-	again, err := ParseClause(next.Canonical())
-	require.ErrorIs(t, err, ErrInvalidClause, "a rank without its page is no clause")
-	require.Equal(t, c.Aggregate, again.Aggregate)
-	for text, field := range map[string]string{
+	canonical, err := ParseClause(next.Canonical())
+	require.ErrorIs(t, err, ErrInvalidClause, "a rank without a page is invalid")
+	require.Equal(t, clause.Aggregate, canonical.Aggregate)
+}
+
+func TestParseClauseErrors(t *testing.T) {
+	for text, want := range map[string]string{
 		`{}`:                          "neither rank nor aggregate",
 		`[`:                           "unexpected EOF",
 		`{"rank":[{"column":"a"}]} x`: "more than one object",
-		`{"rank":[{"column":"a"}]}`:   "page: a rank has a page",
-		`{"aggregate":[{"name":"n","do":"count"}],"page":{"size":1}}`:                               "page: a rank has a page",
-		`{"rank":[{"column":"a"},{"column":"a"}],"page":{}}`:                                        `rank[1].column: "a" stands twice`,
+		`{"rank":[{"column":"a"}]}`:   "page: page and rank must be given together",
+		`{"aggregate":[{"name":"n","do":"count"}],"page":{"size":1}}`:                               "page: page and rank must be given together",
+		`{"rank":[{"column":"a"},{"column":"a"}],"page":{}}`:                                        `rank[1].column: duplicate "a"`,
 		`{"rank":[{"column":"a","order":"up"}],"page":{}}`:                                          "rank[0].order",
 		`{"rank":[{"column":"a"}],"page":{"size":1001}}`:                                            "page.size",
 		`{"rank":[{"column":"a"}],"page":{"size":-1}}`:                                              "page.size",
@@ -46,23 +49,24 @@
 	} {
 		_, err := ParseClause([]byte(text))
 		require.ErrorIs(t, err, ErrInvalidClause, text)
-		require.Contains(t, err.Error(), field, text)
+		require.Contains(t, err.Error(), want, text)
 	}
 }
 
 // The canonical form depends on what is asked, not on how the JSON is written or on the size of the page.
 func TestCanonical(t *testing.T) {
-	same := func(a, b string) bool {
-		x, err := ParseClause([]byte(a))
+	equal := func(a, b string) bool {
+		t.Helper()
+		first, err := ParseClause([]byte(a))
 		require.NoError(t, err)
-		y, err := ParseClause([]byte(b))
+		second, err := ParseClause([]byte(b))
 		require.NoError(t, err)
-		return string(x.Canonical()) == string(y.Canonical())
+		return string(first.Canonical()) == string(second.Canonical())
 	}
-	a := `{"rank":[{"column":"a"}],"page":{"size":5},"filter":[{"column":"b","op":"lt","value":1.50}]}`
-	require.True(t, same(a, `{"filter":[{"op":"lt","value": 1.5,"column":"b"}],"page":{"size":9,"cursor":"x"},"rank":[{"order":"asc","column":"a"}]}`))
-	require.False(t, same(a, `{"rank":[{"column":"a"}],"page":{"size":5},"filter":[{"column":"b","op":"le","value":1.5}]}`))
-	require.False(t, same(a, `{"rank":[{"column":"a","order":"desc"}],"page":{"size":5},"filter":[{"column":"b","op":"lt","value":1.5}]}`))
+	clause := `{"rank":[{"column":"a"}],"page":{"size":5},"filter":[{"column":"b","op":"lt","value":1.50}]}`
+	require.True(t, equal(clause, `{"filter":[{"op":"lt","value": 1.5,"column":"b"}],"page":{"size":9,"cursor":"x"},"rank":[{"order":"asc","column":"a"}]}`))
+	require.False(t, equal(clause, `{"rank":[{"column":"a"}],"page":{"size":5},"filter":[{"column":"b","op":"le","value":1.5}]}`))
+	require.False(t, equal(clause, `{"rank":[{"column":"a","order":"desc"}],"page":{"size":5},"filter":[{"column":"b","op":"lt","value":1.5}]}`))
 }
 
 // FuzzParse: a clause is an error, or its canonical form is a clause with the same canonical form.
@@ -70,24 +74,22 @@
 	f.Add([]byte(fullClause))
 	f.Add([]byte(`{"aggregate":[{"name":"n","do":"count"}],"filter":[{"column":"a","op":"eq","value":1e400}]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		c, err := ParseClause(text)
+		clause, err := ParseClause(text)
 		if err != nil {
 			return
 		}
-		once := c.Canonical()
-		var again []byte
-		if c.Page == nil {
-			d, err := ParseClause(once)
+		canonical := clause.Canonical()
+		if clause.Page == nil { // without its page a clause with a rank is invalid
+			again, err := ParseClause(canonical)
 			if err != nil {
-				t.Fatalf("%s: %v", once, err)
+				t.Fatalf("%s: %v", canonical, err)
 			}
-			again = d.Canonical()
-			if string(once) != string(again) {
-				t.Fatalf("%s\n%s", once, again)
+			if string(again.Canonical()) != string(canonical) {
+				t.Fatalf("%s\n%s", canonical, again.Canonical())
 			}
 		}
-		for _, x := range c.Filter {
-			x.Matches(IntOf(1))
+		for _, condition := range clause.Filter {
+			condition.Matches(IntOf(1))
 		}
 	})
 }
--- a/internal/results/merge/clause_validation.go
+++ b/internal/results/merge/clause_validation.go
@@ -17,32 +17,20 @@
 )
 
 var (
-	functions = []string{"count", "sum", "min", "max", "mean", "quantile", "distinct"}
-	operators = []string{"eq", "ne", "lt", "le", "gt", "ge"}
+	functions = []string{FunctionCount, FunctionSum, FunctionMin, FunctionMax, FunctionMean, FunctionQuantile,
+		FunctionDistinct}
+	operators = []string{OperatorEqual, OperatorNotEqual, OperatorLess, OperatorLessOrEqual, OperatorGreater,
+		OperatorGreaterOrEqual}
 )
 
 // ErrInvalidClause is wrapped by the errors of ParseClause. Their texts go to clients.
-var ErrInvalidClause = errors.New("the merge cannot be used")
+var ErrInvalidClause = errors.New("invalid merge clause")
 
 // invalidField makes an ErrInvalidClause for a field, which has its JSON name.
 func invalidField(field, format string, args ...any) error {
 	return fmt.Errorf("%w: %s: %s", ErrInvalidClause, field, fmt.Sprintf(format, args...))
 }
 
-func validateName(field, s string) error {
-	if s == "" || len(s) > MaxNameBytes {
-		return invalidField(field, "a name of 1 to %d bytes, not %.70q", MaxNameBytes, s)
-	}
-	return nil
-}
-
-func validateCount(field string, n, most int) error {
-	if n > most {
-		return invalidField(field, "%d, %d at most", n, most)
-	}
-	return nil
-}
-
 // validate returns an error for the first field that is wrong.
 func (c *Clause) validate() error {
 	if len(c.Rank) == 0 && len(c.Aggregate) == 0 {
@@ -50,70 +38,123 @@
 	}
 	if err := errors.Join(validateCount("rank", len(c.Rank), MaxRankColumns),
 		validateCount("aggregate", len(c.Aggregate), MaxAggregates),
-		validateCount("group", len(c.Group), MaxGroupColumns), validateCount("filter", len(c.Filter), MaxConditions)); err != nil {
+		validateCount("group", len(c.Group), MaxGroupColumns),
+		validateCount("filter", len(c.Filter), MaxConditions)); err != nil {
 		return err
 	}
-	var seen []string
-	for i, r := range c.Rank {
+	for _, validate := range []func() error{c.validateRank, c.validateScalars, c.validateGroup, c.validateAggregates,
+		c.validateFilter} {
+		if err := validate(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func validateCount(field string, count, maxCount int) error {
+	if count > maxCount {
+		return invalidField(field, "%d, not at most %d", count, maxCount)
+	}
+	return nil
+}
+
+func validateName(field, name string) error {
+	if name == "" || len(name) > MaxNameBytes {
+		return invalidField(field, "%.70q, not a name of 1 to %d bytes", name, MaxNameBytes)
+	}
+	return nil
+}
+
+func (c *Clause) validateRank() error {
+	var columns []string
+	for i, rank := range c.Rank {
 		field := fmt.Sprintf("rank[%d]", i)
-		if err := validateName(field+".column", r.Column); err != nil {
+		if err := validateName(field+".column", rank.Column); err != nil {
 			return err
 		}
-		if r.Order != "" && r.Order != "asc" && r.Order != "desc" {
-			return invalidField(field+".order", "%q, not asc or desc", r.Order)
+		if rank.Order != "" && rank.Order != OrderAscending && rank.Order != OrderDescending {
+			return invalidField(field+".order", "%q, not asc or desc", rank.Order)
 		}
-		if slices.Contains(seen, r.Column) {
-			return invalidField(field+".column", "%q stands twice", r.Column)
+		if slices.Contains(columns, rank.Column) {
+			return invalidField(field+".column", "duplicate %q", rank.Column)
 		}
-		seen = append(seen, r.Column)
+		columns = append(columns, rank.Column)
 	}
+	return nil
+}
+
+// validateScalars checks which fields may be there together, the page and the minimum weight.
+func (c *Clause) validateScalars() error {
 	switch {
 	case (c.Page == nil) != (len(c.Rank) == 0):
-		return invalidField("page", "a rank has a page, and only a rank")
+		return invalidField("page", "page and rank must be given together")
 	case c.Page != nil && (c.Page.Size < 0 || c.Page.Size > MaxPageSize):
-		return invalidField("page.size", "%d, 0 to %d", c.Page.Size, MaxPageSize)
+		return invalidField("page.size", "%d, not 0 to %d", c.Page.Size, MaxPageSize)
 	case len(c.Group) > 0 && len(c.Aggregate) == 0:
 		return invalidField("group", "no aggregate")
-	case !(c.MinWeight >= 0 && c.MinWeight <= 1):
-		return invalidField("least", "%v, 0 to 1", c.MinWeight)
+	case !(c.MinWeight >= 0 && c.MinWeight <= 1): // nor a NaN
+		return invalidField("least", "%v, not 0 to 1", c.MinWeight)
 	}
-	for i, g := range c.Group {
-		if err := validateName(fmt.Sprintf("group[%d]", i), g); err != nil {
+	return nil
+}
+
+func (c *Clause) validateGroup() error {
+	for i, column := range c.Group {
+		field := fmt.Sprintf("group[%d]", i)
+		if err := validateName(field, column); err != nil {
 			return err
 		}
-		if slices.Contains(c.Group[:i], g) {
-			return invalidField(fmt.Sprintf("group[%d]", i), "%q stands twice", g)
+		if slices.Contains(c.Group[:i], column) {
+			return invalidField(field, "duplicate %q", column)
 		}
 	}
-	seen = nil
-	for i, f := range c.Aggregate {
+	return nil
+}
+
+func (c *Clause) validateAggregates() error {
+	var names []string
+	for i := range c.Aggregate {
+		aggregate := &c.Aggregate[i]
 		field := fmt.Sprintf("aggregate[%d]", i)
-		if err := validateName(field+".name", f.Name); err != nil {
+		if err := validateName(field+".name", aggregate.Name); err != nil {
 			return err
 		}
-		if slices.Contains(seen, f.Name) {
-			return invalidField(field+".name", "%q stands twice", f.Name)
-		}
-		seen = append(seen, f.Name)
-		if !slices.Contains(functions, f.Function) {
-			return invalidField(field+".do", "%q, not one of %v", f.Function, functions)
-		}
-		if f.Column == "" && f.Function != "count" || len(f.Column) > MaxNameBytes {
-			return invalidField(field+".of", "a column's name, not %.70q", f.Column)
+		if slices.Contains(names, aggregate.Name) {
+			return invalidField(field+".name", "duplicate %q", aggregate.Name)
 		}
-		if (f.Function == "quantile") != (f.Quantile != nil) || f.Quantile != nil && !(*f.Quantile >= 0 && *f.Quantile <= 1) {
-			return invalidField(field+".q", "0 to 1, of a quantile and of nothing else")
+		names = append(names, aggregate.Name)
+		if err := aggregate.validateFunction(field); err != nil {
+			return err
 		}
 	}
-	for i, t := range c.Filter {
+	return nil
+}
+
+// validateFunction checks the function and its arguments; field is that of the aggregate.
+func (a *AggregateClause) validateFunction(field string) error {
+	if !slices.Contains(functions, a.Function) {
+		return invalidField(field+".do", "%q, not one of %v", a.Function, functions)
+	}
+	if a.Column == "" && a.Function != FunctionCount || len(a.Column) > MaxNameBytes {
+		return invalidField(field+".of", "%.70q, not the name of a column", a.Column)
+	}
+	needsQuantile := a.Function == FunctionQuantile
+	if needsQuantile != (a.Quantile != nil) || a.Quantile != nil && !(*a.Quantile >= 0 && *a.Quantile <= 1) {
+		return invalidField(field+".q", "must be 0 to 1 for a quantile and absent for any other function")
+	}
+	return nil
+}
+
+func (c *Clause) validateFilter() error {
+	for i, condition := range c.Filter {
 		field := fmt.Sprintf("filter[%d]", i)
-		if err := validateName(field+".column", t.Column); err != nil {
+		if err := validateName(field+".column", condition.Column); err != nil {
 			return err
 		}
-		if !slices.Contains(operators, t.Operator) {
-			return invalidField(field+".op", "%q, not one of %v", t.Operator, operators)
+		if !slices.Contains(operators, condition.Operator) {
+			return invalidField(field+".op", "%q, not one of %v", condition.Operator, operators)
 		}
-		if _, err := t.Operand(); err != nil {
+		if _, err := condition.Operand(); err != nil {
 			return invalidField(field+".value", "%v", err)
 		}
 	}
--- a/internal/results/merge/errors.go
+++ b/internal/results/merge/errors.go
@@ -7,19 +7,22 @@
 
 // Why rows, aggregates or sketches of a shard cannot be combined. A *ValidationError wraps one of them.
 var (
-	ErrSchemaMismatch   = errors.New("other columns")
-	ErrCurrencyMismatch = errors.New("another currency")
-	ErrNullRank         = errors.New("no value in a rank column")
-	ErrInvalidNumber    = errors.New("no number in a rank column")
+	ErrSchemaMismatch   = errors.New("schema mismatch")
+	ErrCurrencyMismatch = errors.New("currency mismatch")
+	ErrNullRank         = errors.New("null in a rank column")
+	ErrInvalidNumber    = errors.New("not a valid number")
 	ErrOutOfOrder       = errors.New("rows out of order")
-	ErrTooMany          = errors.New("more rows than were asked for")
-	ErrDuplicate        = errors.New("a row twice")
-	ErrBeforePosition   = errors.New("a row from before the place that was asked for")
-	ErrForeignBucket    = errors.New("a row of districts that were not asked for")
-	ErrOverflow         = errors.New("the sum overflows")
-	ErrInvalidSketch    = errors.New("a sketch that cannot be used")
+	ErrTooMany          = errors.New("more than requested")
+	ErrDuplicate        = errors.New("duplicate")
+	ErrBeforePosition   = errors.New("row not after the requested position")
+	ErrForeignBucket    = errors.New("row of a bucket that was not requested")
+	ErrOverflow         = errors.New("sum overflows")
+	ErrInvalidSketch    = errors.New("invalid sketch")
 )
 
+// NoRow is the Row of a ValidationError that concerns no single row.
+const NoRow = -1
+
 // ValidationError is the first thing that is wrong with what a shard returned.
 type ValidationError struct {
 	Row    int // index in the batch, or NoRow
@@ -28,17 +31,17 @@
 }
 
 // Error contains the row, if there is one, the cause and the detail.
-func (f *ValidationError) Error() string {
-	if f.Row < 0 {
-		return fmt.Sprintf("%v: %s", f.Err, f.Detail)
+func (e *ValidationError) Error() string {
+	if e.Row < 0 {
+		return fmt.Sprintf("%v: %s", e.Err, e.Detail)
 	}
-	return fmt.Sprintf("row %d: %v: %s", f.Row, f.Err, f.Detail)
+	return fmt.Sprintf("row %d: %v: %s", e.Row, e.Err, e.Detail)
 }
 
 // Unwrap returns the cause.
-func (f *ValidationError) Unwrap() error { return f.Err }
+func (e *ValidationError) Unwrap() error { return e.Err }
 
 // invalid makes a ValidationError.
 func invalid(row int, err error, format string, args ...any) error {
-	return &ValidationError{row, fmt.Sprintf(format, args...), err}
+	return &ValidationError{Row: row, Detail: fmt.Sprintf(format, args...), Err: err}
 }
--- a/internal/results/merge/filter.go
+++ b/internal/results/merge/filter.go
@@ -7,43 +7,56 @@
 )
 
 // Operand is the value of a condition: a text, or a number, which is an integer if an int64 holds it.
-func (t Condition) Operand() (Value, error) {
-	var s string
-	if json.Unmarshal(t.Value, &s) == nil && len(t.Value) > 0 && t.Value[0] == '"' {
-		return TextOf(s), nil
+func (c Condition) Operand() (Value, error) {
+	var text string
+	if json.Unmarshal(c.Value, &text) == nil && len(c.Value) > 0 && c.Value[0] == '"' {
+		return TextOf(text), nil
 	}
-	var n json.Number
-	if json.Unmarshal(t.Value, &n) != nil || n == "" {
-		return Value{}, fmt.Errorf("a number or a text, not %.40s", t.Value)
+	var number json.Number
+	if json.Unmarshal(c.Value, &number) != nil || number == "" {
+		return Value{}, fmt.Errorf("%.40s, not a number or a text", c.Value)
 	}
-	if x, err := n.Int64(); err == nil {
-		return IntOf(x), nil
+	if integer, err := number.Int64(); err == nil {
+		return IntOf(integer), nil
 	}
-	x, err := n.Float64()
-	if err != nil || math.IsInf(x, 0) {
-		return Value{}, fmt.Errorf("a number that can be held, not %.40s", t.Value)
+	float, err := number.Float64()
+	if err != nil || math.IsInf(float, 0) {
+		return Value{}, fmt.Errorf("%.40s, not a number that a float64 holds", c.Value)
 	}
-	return FloatOf(x), nil
+	return FloatOf(float), nil
 }
 
 // Matches reports whether a value meets the condition. Null meets none, and a text and a number are not comparable and
 // meet none either. An integer and a float are compared as floats. NaN is unequal to every number.
-func (t Condition) Matches(v Value) bool {
-	want, err := t.Operand()
-	if err != nil || v.Kind == Null || (v.Kind == Text) != (want.Kind == Text) {
+func (c Condition) Matches(value Value) bool {
+	operand, err := c.Operand()
+	if err != nil || value.Kind == Null || (value.Kind == Text) != (operand.Kind == Text) {
 		return false
 	}
-	c := 0
-	if v.Kind == want.Kind {
-		c = Compare(v, want)
+	if value.Kind == Float && math.IsNaN(value.Float) {
+		return c.Operator == OperatorNotEqual
+	}
+	var comparison int
+	if value.Kind == operand.Kind {
+		comparison = Compare(value, operand)
 	} else {
-		a, _ := v.number()
-		b, _ := want.number()
-		c = Compare(FloatOf(a), FloatOf(b))
+		left, _ := value.number()
+		right, _ := operand.number()
+		comparison = Compare(FloatOf(left), FloatOf(right))
 	}
-	if v.Kind == Float && math.IsNaN(v.Float) {
-		return t.Operator == "ne"
+	switch c.Operator {
+	case OperatorEqual:
+		return comparison == 0
+	case OperatorNotEqual:
+		return comparison != 0
+	case OperatorLess:
+		return comparison < 0
+	case OperatorLessOrEqual:
+		return comparison <= 0
+	case OperatorGreater:
+		return comparison > 0
+	case OperatorGreaterOrEqual:
+		return comparison >= 0
 	}
-	return map[string]bool{"eq": c == 0, "ne": c != 0, "lt": c < 0, "le": c <= 0, "gt": c > 0,
-		"ge": c >= 0}[t.Operator]
+	return false
 }
--- a/internal/results/merge/filter_test.go
+++ b/internal/results/merge/filter_test.go
@@ -8,19 +8,27 @@
 )
 
 func TestConditionMatches(t *testing.T) {
-	term := func(op, value string) Condition { return Condition{"a", op, []byte(value)} }
-	for _, c := range []struct {
-		t    Condition
-		v    Value
-		want bool
+	condition := func(operator, value string) Condition { return Condition{"a", operator, []byte(value)} }
+	for _, test := range []struct {
+		condition Condition
+		value     Value
+		want      bool
 	}{
-		{term("le", "7"), IntOf(7), true}, {term("lt", "7"), IntOf(7), false}, {term("gt", "6.5"), IntOf(7), true},
-		{term("eq", "7"), FloatOf(7), true}, {term("eq", `"7"`), IntOf(7), false}, {term("ne", `"7"`), IntOf(7), false},
-		{term("ge", `"b"`), TextOf("c"), true}, {term("eq", "7"), Value{}, false}, {term("ne", "7"), Value{}, false},
-		{term("lt", "7"), FloatOf(math.NaN()), false}, {term("ne", "7"), FloatOf(math.NaN()), true},
-		{term("eq", "9007199254740993"), IntOf(9007199254740993), true},
-		{term("eq", "9007199254740993"), IntOf(9007199254740992), false},
+		{condition("le", "7"), IntOf(7), true},
+		{condition("lt", "7"), IntOf(7), false},
+		{condition("gt", "6.5"), IntOf(7), true},
+		{condition("eq", "7"), FloatOf(7), true},
+		{condition("eq", `"7"`), IntOf(7), false},
+		{condition("ne", `"7"`), IntOf(7), false},
+		{condition("ge", `"b"`), TextOf("c"), true},
+		{condition("eq", "7"), Value{}, false},
+		{condition("ne", "7"), Value{}, false},
+		{condition("lt", "7"), FloatOf(math.NaN()), false},
+		{condition("ne", "7"), FloatOf(math.NaN()), true},
+		{condition("eq", "9007199254740993"), IntOf(9007199254740993), true},
+		{condition("eq", "9007199254740993"), IntOf(9007199254740992), false},
 	} {
-		require.Equal(t, c.want, c.t.Matches(c.v), "%s %s %v", c.t.Operator, c.t.Value, c.v)
+		require.Equal(t, test.want, test.condition.Matches(test.value),
+			"%s %s %v", test.condition.Operator, test.condition.Value, test.value)
 	}
 }
--- a/internal/results/merge/groups.go
+++ b/internal/results/merge/groups.go
@@ -16,53 +16,53 @@
 }
 
 // NewGroups makes an empty set of at most maxGroups groups.
-func NewGroups(columns []Column, most int) *Groups {
-	return &Groups{columns: columns, maxGroups: most, byKey: map[string]*Group{}}
+func NewGroups(columns []Column, maxGroups int) *Groups {
+	return &Groups{columns: columns, maxGroups: maxGroups, byKey: map[string]*Group{}}
 }
 
 // groupKey encodes the values of a group. It is unambiguous, as formatted values contain no zero byte.
 func groupKey(values []Value) string {
-	var b []byte
-	for _, v := range values {
-		b = append(b, v.Kind.String()...)
-		b = append(b, v.String()...)
-		b = append(b, 0)
+	var key []byte
+	for _, value := range values {
+		key = append(key, value.Kind.String()...)
+		key = append(key, value.String()...)
+		key = append(key, 0)
 	}
-	return string(b)
+	return string(key)
 }
 
 // GetOrCreate returns the group of the values. It makes one of no rows if there is none, or returns ErrTooMany.
 func (g *Groups) GetOrCreate(values []Value) (*Group, error) {
 	key := groupKey(values)
-	if x := g.byKey[key]; x != nil {
-		return x, nil
+	if group := g.byKey[key]; group != nil {
+		return group, nil
 	}
 	if len(g.byKey) >= g.maxGroups {
-		return nil, invalid(-1, ErrTooMany, "more than %d groups", g.maxGroups)
+		return nil, invalid(NoRow, ErrTooMany, "more than %d groups", g.maxGroups)
 	}
-	x := &Group{Values: slices.Clone(values)}
-	for _, c := range g.columns {
-		p, err := NewPartialAggregate(c)
+	group := &Group{Values: slices.Clone(values)}
+	for _, column := range g.columns {
+		partial, err := NewPartialAggregate(column)
 		if err != nil {
 			return nil, err
 		}
-		x.Partials = append(x.Partials, p)
+		group.Partials = append(group.Partials, partial)
 	}
-	g.byKey[key] = x
-	return x, nil
+	g.byKey[key] = group
+	return group, nil
 }
 
 // Insert adds a group. One that exists, or with another number of aggregates than columns, is an ErrDuplicate.
 func (g *Groups) Insert(values []Value, partials []*PartialAggregate) error {
-	n := len(g.byKey)
-	x, err := g.GetOrCreate(values)
+	before := len(g.byKey)
+	group, err := g.GetOrCreate(values)
 	if err != nil {
 		return err
 	}
-	if len(g.byKey) == n || len(partials) != len(g.columns) {
-		return invalid(-1, ErrDuplicate, "group %v", values)
+	if len(g.byKey) == before || len(partials) != len(g.columns) {
+		return invalid(NoRow, ErrDuplicate, "group %v", values)
 	}
-	x.Partials = partials
+	group.Partials = partials
 	return nil
 }
 
@@ -70,41 +70,42 @@
 func (g *Groups) Columns() []Column { return g.columns }
 
 // Combine adds all groups of another shard, or, if it returns an error, none of them.
-func (g *Groups) Combine(o *Groups) error {
-	next := NewGroups(g.columns, g.maxGroups)
-	for _, from := range []*Groups{g, o} {
-		for _, x := range from.byKey {
-			to, err := next.GetOrCreate(x.Values)
-			if err != nil {
+func (g *Groups) Combine(other *Groups) error {
+	combined := NewGroups(g.columns, g.maxGroups)
+	for _, groups := range []*Groups{g, other} {
+		for _, group := range groups.byKey {
+			if err := combined.add(group); err != nil {
 				return err
 			}
-			if len(to.Partials) != len(x.Partials) {
-				return invalid(-1, ErrSchemaMismatch, "%d aggregates, not %d", len(x.Partials), len(to.Partials))
-			}
-			for i, p := range x.Partials {
-				if err := to.Partials[i].Combine(p); err != nil {
-					return err
-				}
-			}
 		}
 	}
-	g.byKey = next.byKey
+	g.byKey = combined.byKey
+	return nil
+}
+
+// add combines one group into that of the same values; after an error a part of it may have been added.
+func (g *Groups) add(group *Group) error {
+	target, err := g.GetOrCreate(group.Values)
+	if err != nil {
+		return err
+	}
+	if len(target.Partials) != len(group.Partials) {
+		return invalid(NoRow, ErrSchemaMismatch, "%d aggregates, not %d", len(group.Partials), len(target.Partials))
+	}
+	for i, partial := range group.Partials {
+		if err := target.Partials[i].Combine(partial); err != nil {
+			return err
+		}
+	}
 	return nil
 }
 
 // Sorted returns the groups in the order of their values.
 func (g *Groups) Sorted() []*Group {
-	out := make([]*Group, 0, len(g.byKey))
-	for _, x := range g.byKey {
-		out = append(out, x)
+	sorted := make([]*Group, 0, len(g.byKey))
+	for _, group := range g.byKey {
+		sorted = append(sorted, group)
 	}
-	slices.SortFunc(out, func(a, b *Group) int {
-		for i := range a.Values {
-			if c := Compare(a.Values[i], b.Values[i]); c != 0 {
-				return c
-			}
-		}
-		return 0
-	})
-	return out
+	slices.SortFunc(sorted, func(a, b *Group) int { return slices.CompareFunc(a.Values, b.Values, Compare) })
+	return sorted
 }
--- a/internal/results/merge/groups_test.go
+++ b/internal/results/merge/groups_test.go
@@ -6,21 +6,23 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestGroupsAreBoundedAndCombineAllOrNone(t *testing.T) {
-	column := []Column{{Name: "premium", Kind: Int}}
-	make := func(names ...string) *Groups {
-		g := NewGroups(column, 3)
-		for _, n := range names {
-			x, err := g.GetOrCreate([]Value{TextOf(n)})
-			require.NoError(t, err)
-			require.NoError(t, x.Partials[0].Add(IntOf(2)))
-		}
-		return g
+// newGroups makes groups of at most 3 names, each with one premium.
+func newGroups(t *testing.T, names ...string) *Groups {
+	t.Helper()
+	groups := NewGroups([]Column{{Name: "premium", Kind: Int}}, 3)
+	for _, name := range names {
+		group, err := groups.GetOrCreate([]Value{TextOf(name)})
+		require.NoError(t, err)
+		require.NoError(t, group.Partials[0].Add(IntOf(2)))
 	}
-	a := make("x", "y")
-	require.NoError(t, a.Combine(make("y", "z")))
-	require.Len(t, a.Sorted(), 3)
-	require.EqualValues(t, 2, a.Sorted()[1].Partials[0].Count)
-	require.ErrorIs(t, a.Combine(make("x", "w")), ErrTooMany)
-	require.EqualValues(t, 1, a.Sorted()[0].Partials[0].Count, "none of it is in")
+	return groups
+}
+
+func TestGroupsAreBoundedAndCombineAllOrNone(t *testing.T) {
+	groups := newGroups(t, "x", "y")
+	require.NoError(t, groups.Combine(newGroups(t, "y", "z")))
+	require.Len(t, groups.Sorted(), 3)
+	require.EqualValues(t, 2, groups.Sorted()[1].Partials[0].Count)
+	require.ErrorIs(t, groups.Combine(newGroups(t, "x", "w")), ErrTooMany)
+	require.EqualValues(t, 1, groups.Sorted()[0].Partials[0].Count, "none of the other groups is combined")
 }
--- a/internal/results/merge/heap.go
+++ b/internal/results/merge/heap.go
@@ -15,7 +15,8 @@
 func (h *inputHeap) Len() int { return len(h.list) }
 
 func (h *inputHeap) Less(i, j int) bool {
-	return h.order.compareRows(&h.list[i].batch.Rows[h.list[i].next], &h.list[j].batch.Rows[h.list[j].next]) < 0
+	a, b := &h.list[i], &h.list[j]
+	return h.order.compareRows(&a.batch.Rows[a.next], &b.batch.Rows[b.next]) < 0
 }
 
 func (h *inputHeap) Swap(i, j int) { h.list[i], h.list[j] = h.list[j], h.list[i] }
@@ -23,8 +24,8 @@
 func (h *inputHeap) Push(x any) { h.list = append(h.list, x.(input)) }
 
 func (h *inputHeap) Pop() any {
-	n := len(h.list) - 1
-	x := h.list[n]
-	h.list = h.list[:n]
+	last := len(h.list) - 1
+	x := h.list[last]
+	h.list = h.list[:last]
 	return x
 }
--- a/internal/results/merge/order.go
+++ b/internal/results/merge/order.go
@@ -24,16 +24,17 @@
 }
 
 // NewOrder makes an order of the rows of a schema. A rank column that the schema lacks is an ErrSchemaMismatch.
-func NewOrder(s Schema, by []SortColumn) (*Order, error) {
-	o := &Order{schema: s}
-	for _, b := range by {
-		i := s.Index(b.Column)
-		if i < 0 {
-			return nil, invalid(-1, ErrSchemaMismatch, "rank column %q is not there", b.Column)
+func NewOrder(schema Schema, rank []SortColumn) (*Order, error) {
+	order := &Order{schema: schema}
+	for _, sortColumn := range rank {
+		index := schema.Index(sortColumn.Column)
+		if index < 0 {
+			return nil, invalid(NoRow, ErrSchemaMismatch, "no rank column %q", sortColumn.Column)
 		}
-		o.rankColumns, o.descending = append(o.rankColumns, i), append(o.descending, b.Descending)
+		order.rankColumns = append(order.rankColumns, index)
+		order.descending = append(order.descending, sortColumn.Descending)
 	}
-	return o, nil
+	return order, nil
 }
 
 // Position is a row's position in an order. The next page starts after the position of the last row.
@@ -44,22 +45,19 @@
 }
 
 // PositionOf is the position of a row.
-func (o *Order) PositionOf(r Row) Position {
-	p := Position{Rank: make([]Value, len(o.rankColumns)), Bucket: r.Bucket, Key: r.Key}
-	for i, at := range o.rankColumns {
-		p.Rank[i] = r.Values[at]
+func (o *Order) PositionOf(row Row) Position {
+	position := Position{Rank: make([]Value, len(o.rankColumns)), Bucket: row.Bucket, Key: row.Key}
+	for i, column := range o.rankColumns {
+		position.Rank[i] = row.Values[column]
 	}
-	return p
+	return position
 }
 
 // CompareRanks compares the rank columns of two positions alone.
 func (o *Order) CompareRanks(a, b []Value) int {
 	for i := range min(len(a), len(b)) {
 		if c := Compare(a[i], b[i]); c != 0 {
-			if o.descending[i] {
-				return -c
-			}
-			return c
+			return o.directed(i, c)
 		}
 	}
 	return 0
@@ -72,13 +70,18 @@
 
 // compareRows orders two rows like Compare orders their positions, without allocating these.
 func (o *Order) compareRows(a, b *Row) int {
-	for i, at := range o.rankColumns {
-		if c := Compare(a.Values[at], b.Values[at]); c != 0 {
-			if o.descending[i] {
-				return -c
-			}
-			return c
+	for i, column := range o.rankColumns {
+		if c := Compare(a.Values[column], b.Values[column]); c != 0 {
+			return o.directed(i, c)
 		}
 	}
 	return cmp.Or(cmp.Compare(a.Bucket, b.Bucket), cmp.Compare(a.Key, b.Key))
 }
+
+// directed reverses a comparison of the values of a rank column if that is descending.
+func (o *Order) directed(rankColumn, comparison int) int {
+	if o.descending[rankColumn] {
+		return -comparison
+	}
+	return comparison
+}
--- a/internal/results/merge/page.go
+++ b/internal/results/merge/page.go
@@ -23,31 +23,44 @@
 // The result depends neither on the order of the batches nor on how buckets are split into shards. Merge allocates the
 // page and one heap entry for each batch.
 func (o *Order) Merge(batches []*Batch, limit int) Page {
-	h := &inputHeap{order: o}
-	p := Page{}
-	for _, b := range batches {
-		p.HasMore = p.HasMore || b.HasMore
-		if len(b.Rows) > 0 {
-			h.list = append(h.list, input{b, 0})
+	inputs := &inputHeap{order: o}
+	page := Page{}
+	for _, batch := range batches {
+		page.HasMore = page.HasMore || batch.HasMore
+		if len(batch.Rows) > 0 {
+			inputs.list = append(inputs.list, input{batch: batch})
 		}
 	}
-	heap.Init(h)
-	for len(p.Rows) < limit && h.Len() > 0 {
-		top := &h.list[0]
-		p.Rows, p.Sources = append(p.Rows, top.batch.Rows[top.next]), append(p.Sources, top.batch.Buckets)
-		if top.next++; top.next < len(top.batch.Rows) {
-			heap.Fix(h, 0)
+	heap.Init(inputs)
+	for len(page.Rows) < limit && inputs.Len() > 0 {
+		first := &inputs.list[0]
+		page.Rows = append(page.Rows, first.batch.Rows[first.next])
+		page.Sources = append(page.Sources, first.batch.Buckets)
+		first.next++
+		if first.next < len(first.batch.Rows) {
+			heap.Fix(inputs, 0)
 		} else {
-			heap.Pop(h)
+			heap.Pop(inputs)
 		}
 	}
-	p.HasMore = p.HasMore || h.Len() > 0
-	for _, b := range batches {
-		n := len(b.Rows)
-		if limit > 0 && b.HasMore && (n == 0 || len(p.Rows) < limit || o.compareRows(&b.Rows[n-1], &p.Rows[limit-1]) < 0) {
-			p.NeedMore = append(p.NeedMore, b.Buckets)
+	page.HasMore = page.HasMore || inputs.Len() > 0
+	for _, batch := range batches {
+		if batch.HasMore && o.mayReach(batch, page.Rows, limit) {
+			page.NeedMore = append(page.NeedMore, batch.Buckets)
 		}
 	}
-	slices.SortFunc(p.NeedMore, func(a, b shardmap.Range) int { return cmp.Compare(a.Start, b.Start) })
-	return p
+	slices.SortFunc(page.NeedMore, func(a, b shardmap.Range) int { return cmp.Compare(a.Start, b.Start) })
+	return page
+}
+
+// mayReach reports whether rows after those of a batch may belong to a page of limit rows.
+func (o *Order) mayReach(batch *Batch, page []Row, limit int) bool {
+	if limit <= 0 {
+		return false
+	}
+	count := len(batch.Rows)
+	if count == 0 || len(page) < limit {
+		return true
+	}
+	return o.compareRows(&batch.Rows[count-1], &page[limit-1]) < 0
 }
--- a/internal/results/merge/partial.go
+++ b/internal/results/merge/partial.go
@@ -26,85 +26,99 @@
 }
 
 // NewPartialAggregate makes the aggregates of no rows.
-func NewPartialAggregate(c Column) (*PartialAggregate, error) {
-	s, err := ddsketch.NewDefaultDDSketch(QuantileAccuracy)
+func NewPartialAggregate(column Column) (*PartialAggregate, error) {
+	quantiles, err := ddsketch.NewDefaultDDSketch(QuantileAccuracy)
 	if err != nil {
 		return nil, err
 	}
-	return &PartialAggregate{Column: c, floatSum: new(big.Float).SetPrec(exactSumBits), quantiles: s,
-		distinct: hyperloglog.New()}, nil
+	return &PartialAggregate{
+		Column:    column,
+		floatSum:  newExactSum(),
+		quantiles: quantiles,
+		distinct:  hyperloglog.New(),
+	}, nil
 }
 
+func newExactSum() *big.Float { return new(big.Float).SetPrec(exactSumBits) }
+
 // Add adds one value; null counts for nothing. A value that cannot be added is an error and changes nothing.
-func (p *PartialAggregate) Add(v Value) error {
-	if v.Kind == Null {
+func (p *PartialAggregate) Add(value Value) error {
+	if value.Kind == Null {
 		return nil
 	}
-	if v.Kind != p.Column.Kind {
-		return invalid(-1, ErrSchemaMismatch, "%s is %v, not %v", p.Column.Name, v.Kind, p.Column.Kind)
+	if value.Kind != p.Column.Kind {
+		return invalid(NoRow, ErrSchemaMismatch, "%s is %v, not %v", p.Column.Name, value.Kind, p.Column.Kind)
 	}
-	x, number := v.number()
-	if v.Kind == Float && (!number || math.IsInf(x, 0)) {
-		return invalid(-1, ErrInvalidNumber, "%s", p.Column.Name)
+	number, isNumber := value.number()
+	if value.Kind == Float && (!isNumber || math.IsInf(number, 0)) {
+		return invalid(NoRow, ErrInvalidNumber, "%s", p.Column.Name)
 	}
-	sum, over := addInts(p.intSum, v.Int) // of others than ints nothing is added
-	if over {
-		return invalid(-1, ErrOverflow, "%s", p.Column.Name)
+	intSum, overflow := addInts(p.intSum, value.Int) // Int is 0 in values of other kinds
+	if overflow {
+		return invalid(NoRow, ErrOverflow, "%s", p.Column.Name)
 	}
-	if number {
-		if err := p.quantiles.Add(x); err != nil { // of the greatest floats there are; it changes nothing then
-			return invalid(-1, ErrInvalidSketch, "%s: %v", p.Column.Name, err)
+	if isNumber {
+		// The sketch rejects the greatest floats; it is unchanged then.
+		if err := p.quantiles.Add(number); err != nil {
+			return invalid(NoRow, ErrInvalidSketch, "%s: %v", p.Column.Name, err)
 		}
 	}
-	if p.intSum = sum; v.Kind == Float {
-		p.floatSum.Add(p.floatSum, new(big.Float).SetPrec(exactSumBits).SetFloat64(x))
+	p.intSum = intSum
+	if value.Kind == Float {
+		p.floatSum.Add(p.floatSum, newExactSum().SetFloat64(number))
 	}
-	p.distinct.Insert([]byte(v.String()))
-	if p.Count++; p.Count == 1 || Compare(v, p.Min) < 0 {
-		p.Min = v
+	p.distinct.Insert([]byte(value.String()))
+	p.extend(value, value)
+	p.Count++
+	return nil
+}
+
+// extend makes Min and Max cover other values, before Count counts these.
+func (p *PartialAggregate) extend(least, greatest Value) {
+	if p.Count == 0 || Compare(least, p.Min) < 0 {
+		p.Min = least
 	}
-	if p.Count == 1 || Compare(v, p.Max) > 0 {
-		p.Max = v
+	if p.Count == 0 || Compare(greatest, p.Max) > 0 {
+		p.Max = greatest
 	}
-	return nil
 }
 
 // addInts adds two integers and reports whether the sum overflows.
-func addInts(a, b int64) (sum int64, over bool) {
+func addInts(a, b int64) (sum int64, overflow bool) {
 	sum = a + b
 	return sum, (a > 0 && b > 0 && sum < 0) || (a < 0 && b < 0 && sum >= 0)
 }
 
 // Combine adds the aggregates of another shard. If they cannot be combined, it returns an error and changes nothing.
-func (p *PartialAggregate) Combine(o *PartialAggregate) error {
-	if err := (Schema{p.Column}).CheckCompatible(Schema{o.Column}); err != nil {
+func (p *PartialAggregate) Combine(other *PartialAggregate) error {
+	if err := (Schema{p.Column}).CheckCompatible(Schema{other.Column}); err != nil {
 		return err
 	}
-	sum, over := addInts(p.intSum, o.intSum)
-	if over {
-		return invalid(-1, ErrOverflow, "%s", p.Column.Name)
+	intSum, overflow := addInts(p.intSum, other.intSum)
+	if overflow {
+		return invalid(NoRow, ErrOverflow, "%s", p.Column.Name)
 	}
-	if _, carry := bits.Add64(p.Count, o.Count, 0); carry != 0 {
-		return invalid(-1, ErrOverflow, "count of %s", p.Column.Name)
+	count, carry := bits.Add64(p.Count, other.Count, 0)
+	if carry != 0 {
+		return invalid(NoRow, ErrOverflow, "count of %s", p.Column.Name)
 	}
-	quantile, distinct := p.quantiles.Copy(), p.distinct.Clone()
-	if err := quantile.MergeWith(o.quantiles); err != nil {
-		return invalid(-1, ErrInvalidSketch, "%s: %v", p.Column.Name, err)
+	// A merge that fails may have changed its receiver, hence the copies.
+	quantiles := p.quantiles.Copy()
+	if err := quantiles.MergeWith(other.quantiles); err != nil {
+		return invalid(NoRow, ErrInvalidSketch, "%s: %v", p.Column.Name, err)
 	}
-	if err := distinct.Merge(o.distinct); err != nil {
-		return invalid(-1, ErrInvalidSketch, "%s: %v", p.Column.Name, err)
+	distinct := p.distinct.Clone()
+	if err := distinct.Merge(other.distinct); err != nil {
+		return invalid(NoRow, ErrInvalidSketch, "%s: %v", p.Column.Name, err)
 	}
-	p.quantiles, p.distinct, p.intSum = quantile, distinct, sum
-	p.floatSum.Add(p.floatSum, o.floatSum)
-	if o.Count > 0 {
-		if p.Count == 0 || Compare(o.Min, p.Min) < 0 {
-			p.Min = o.Min
-		}
-		if p.Count == 0 || Compare(o.Max, p.Max) > 0 {
-			p.Max = o.Max
-		}
+	p.quantiles = quantiles
+	p.distinct = distinct
+	p.intSum = intSum
+	p.floatSum.Add(p.floatSum, other.floatSum)
+	if other.Count > 0 {
+		p.extend(other.Min, other.Max)
 	}
-	p.Count += o.Count
+	p.Count = count
 	return nil
 }
 
@@ -113,11 +127,11 @@
 	if p.Column.Kind == Int {
 		return IntOf(p.intSum), nil
 	}
-	x, _ := p.floatSum.Float64()
-	if math.IsInf(x, 0) {
-		return Value{}, invalid(-1, ErrOverflow, "%s", p.Column.Name)
+	sum, _ := p.floatSum.Float64()
+	if math.IsInf(sum, 0) {
+		return Value{}, invalid(NoRow, ErrOverflow, "%s", p.Column.Name)
 	}
-	return FloatOf(x), nil
+	return FloatOf(sum), nil
 }
 
 // Mean is the mean of the values; null if there are none.
@@ -125,28 +139,28 @@
 	if p.Count == 0 {
 		return Value{}, nil
 	}
-	sum := new(big.Float).SetPrec(exactSumBits).Set(p.floatSum)
+	sum := newExactSum().Set(p.floatSum)
 	if p.Column.Kind == Int {
 		sum.SetInt64(p.intSum)
 	}
-	x, _ := sum.Quo(sum, new(big.Float).SetPrec(exactSumBits).SetUint64(p.Count)).Float64()
-	if math.IsInf(x, 0) {
-		return Value{}, invalid(-1, ErrOverflow, "%s", p.Column.Name)
+	mean, _ := sum.Quo(sum, newExactSum().SetUint64(p.Count)).Float64()
+	if math.IsInf(mean, 0) {
+		return Value{}, invalid(NoRow, ErrOverflow, "%s", p.Column.Name)
 	}
-	return FloatOf(x), nil
+	return FloatOf(mean), nil
 }
 
 // Quantile is the value below which a share of the values lies, from 0 to 1, within QuantileAccuracy; null if there are
 // no values.
-func (p *PartialAggregate) Quantile(q float64) (Value, error) {
+func (p *PartialAggregate) Quantile(share float64) (Value, error) {
 	if p.Count == 0 {
 		return Value{}, nil
 	}
-	x, err := p.quantiles.GetValueAtQuantile(q)
+	quantile, err := p.quantiles.GetValueAtQuantile(share)
 	if err != nil {
-		return Value{}, invalid(-1, ErrInvalidSketch, "%s: %v", p.Column.Name, err)
+		return Value{}, invalid(NoRow, ErrInvalidSketch, "%s: %v", p.Column.Name, err)
 	}
-	return FloatOf(x), nil
+	return FloatOf(quantile), nil
 }
 
 // Distinct estimates the number of distinct values.
--- a/internal/results/merge/partial_test.go
+++ b/internal/results/merge/partial_test.go
@@ -10,92 +10,108 @@
 	"pgregory.net/rapid"
 )
 
+func newPartial(t require.TestingT, column Column) *PartialAggregate {
+	if helper, ok := t.(interface{ Helper() }); ok {
+		helper.Helper()
+	}
+	partial, err := NewPartialAggregate(column)
+	require.NoError(t, err)
+	return partial
+}
+
+// requireEqualAggregates checks that both aggregates have the same sum and figures, and returns the sum.
+func requireEqualAggregates(t *rapid.T, want, got *PartialAggregate) Value {
+	t.Helper()
+	wantSum, err := want.Sum()
+	require.NoError(t, err)
+	gotSum, err := got.Sum()
+	require.NoError(t, err)
+	require.Equal(t, wantSum, gotSum)
+	require.Equal(t, want.Count, got.Count)
+	require.Equal(t, want.Min, got.Min)
+	require.Equal(t, want.Max, got.Max)
+	require.Equal(t, want.Distinct(), got.Distinct())
+	for _, share := range []float64{0, 0.5, 0.99, 1} {
+		wantQuantile, err := want.Quantile(share)
+		require.NoError(t, err)
+		gotQuantile, err := got.Quantile(share)
+		require.NoError(t, err)
+		require.Equal(t, wantQuantile, gotQuantile)
+	}
+	return gotSum
+}
+
 // Aggregates are the same however the values are split into shards and in whatever order these arrive. Sums of floats
 // are the exact ones, rounded once, which no order of float additions yields.
 func TestAggregatesDoNotDependOnTheOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		column := Column{Name: "risk", Kind: Float}
 		values := rapid.SliceOfN(rapid.Float64Range(-1e300, 1e300), 1, 40).Draw(t, "values")
-		whole, err := NewPartialAggregate(column)
-		require.NoError(t, err)
+		whole := newPartial(t, column)
 		exact := new(big.Rat)
 		for _, x := range values {
 			require.NoError(t, whole.Add(FloatOf(x)))
 			exact.Add(exact, new(big.Rat).SetFloat64(x))
 		}
-		parts := make([]*PartialAggregate, rapid.IntRange(1, 6).Draw(t, "slices"))
-		for i := range parts {
-			parts[i], _ = NewPartialAggregate(column)
+		partials := make([]*PartialAggregate, rapid.IntRange(1, 6).Draw(t, "shards"))
+		for i := range partials {
+			partials[i] = newPartial(t, column)
 		}
 		for _, x := range values {
-			require.NoError(t, parts[rapid.IntRange(0, len(parts)-1).Draw(t, "slice")].Add(FloatOf(x)))
+			require.NoError(t, partials[rapid.IntRange(0, len(partials)-1).Draw(t, "shard")].Add(FloatOf(x)))
 		}
-		// A tree of any shape: two of them become one until one is left.
-		for len(parts) > 1 {
-			i := rapid.IntRange(0, len(parts)-1).Draw(t, "i")
-			p := parts[i]
-			parts = slices.Delete(parts, i, i+1)
-			j := rapid.IntRange(0, len(parts)-1).Draw(t, "j")
-			require.NoError(t, parts[j].Combine(p))
+		// Any two are combined into one until one is left: a tree of any shape.
+		for len(partials) > 1 {
+			i := rapid.IntRange(0, len(partials)-1).Draw(t, "i")
+			partial := partials[i]
+			partials = slices.Delete(partials, i, i+1)
+			j := rapid.IntRange(0, len(partials)-1).Draw(t, "j")
+			require.NoError(t, partials[j].Combine(partial))
 		}
-		got := parts[0]
-		a, err := whole.Sum()
-		require.NoError(t, err)
-		b, err := got.Sum()
-		require.NoError(t, err)
+		combined := partials[0]
+		sum := requireEqualAggregates(t, whole, combined)
 		want, _ := exact.Float64()
-		require.Equal(t, want, b.Float)
-		require.Equal(t, a, b)
-		require.Equal(t, whole.Count, got.Count)
-		require.Equal(t, whole.Min, got.Min)
-		require.Equal(t, whole.Max, got.Max)
-		require.Equal(t, whole.Distinct(), got.Distinct())
-		for _, q := range []float64{0, 0.5, 0.99, 1} {
-			x, err := whole.Quantile(q)
-			require.NoError(t, err)
-			y, err := got.Quantile(q)
-			require.NoError(t, err)
-			require.Equal(t, x, y)
-		}
-		// And so after a way over the wire.
-		quantile, distinct, err := got.Sketches()
+		require.Equal(t, want, sum.Float)
+
+		quantiles, distinct, err := combined.Sketches()
 		require.NoError(t, err)
-		back, err := RestorePartialAggregate(column, got.Count, b, got.Min, got.Max, quantile, distinct)
+		restored, err := RestorePartialAggregate(column, combined.Count, sum, combined.Min, combined.Max, quantiles, distinct)
 		require.NoError(t, err)
-		require.Equal(t, got.Distinct(), back.Distinct())
+		require.Equal(t, combined.Distinct(), restored.Distinct())
 	})
 }
 
 func TestRejectedIntegersChangeNothing(t *testing.T) {
-	p, err := NewPartialAggregate(Column{Name: "premium", Kind: Int, Currency: "INR"})
-	require.NoError(t, err)
-	require.NoError(t, p.Add(IntOf(math.MaxInt64-5)))
-	require.NoError(t, p.Add(Value{}), "null counts for nothing")
-	require.ErrorIs(t, p.Add(IntOf(6)), ErrOverflow)
-	require.ErrorIs(t, p.Add(FloatOf(6)), ErrSchemaMismatch)
-	o, err := NewPartialAggregate(Column{Name: "premium", Kind: Int, Currency: "INR"})
-	require.NoError(t, err)
-	require.NoError(t, o.Add(IntOf(7)))
-	require.ErrorIs(t, p.Combine(o), ErrOverflow)
-	o.Column.Currency = "USD"
-	require.ErrorIs(t, p.Combine(o), ErrCurrencyMismatch)
-	sum, err := p.Sum()
+	column := Column{Name: "premium", Kind: Int, Currency: "INR"}
+	partial := newPartial(t, column)
+	require.NoError(t, partial.Add(IntOf(math.MaxInt64-5)))
+	require.NoError(t, partial.Add(Value{}), "null counts for nothing")
+	require.ErrorIs(t, partial.Add(IntOf(6)), ErrOverflow)
+	require.ErrorIs(t, partial.Add(FloatOf(6)), ErrSchemaMismatch)
+	other := newPartial(t, column)
+	require.NoError(t, other.Add(IntOf(7)))
+	require.ErrorIs(t, partial.Combine(other), ErrOverflow)
+	other.Column.Currency = "USD"
+	require.ErrorIs(t, partial.Combine(other), ErrCurrencyMismatch)
+	sum, err := partial.Sum()
 	require.NoError(t, err)
 	require.Equal(t, IntOf(math.MaxInt64-5), sum)
-	require.EqualValues(t, 1, p.Count)
-	mean, err := p.Mean()
+	require.EqualValues(t, 1, partial.Count)
+	mean, err := partial.Mean()
 	require.NoError(t, err)
 	require.InEpsilon(t, float64(math.MaxInt64), mean.Float, 1e-9)
-	f, err := NewPartialAggregate(Column{Name: "risk", Kind: Float})
-	require.NoError(t, err)
-	require.ErrorIs(t, f.Add(FloatOf(math.NaN())), ErrInvalidNumber)
-	require.ErrorIs(t, f.Add(FloatOf(math.Inf(1))), ErrInvalidNumber)
-	require.ErrorIs(t, f.Add(FloatOf(math.MaxFloat64)), ErrInvalidSketch, "more than quantiles can hold")
-	sum, err = f.Sum()
+}
+
+func TestRejectedFloatsChangeNothing(t *testing.T) {
+	partial := newPartial(t, Column{Name: "risk", Kind: Float})
+	require.ErrorIs(t, partial.Add(FloatOf(math.NaN())), ErrInvalidNumber)
+	require.ErrorIs(t, partial.Add(FloatOf(math.Inf(1))), ErrInvalidNumber)
+	require.ErrorIs(t, partial.Add(FloatOf(math.MaxFloat64)), ErrInvalidSketch, "beyond what the quantiles can hold")
+	sum, err := partial.Sum()
 	require.NoError(t, err)
 	require.Zero(t, sum.Float)
-	require.NoError(t, f.Add(FloatOf(1.2e308)))
-	require.NoError(t, f.Add(FloatOf(1.2e308)))
-	_, err = f.Sum()
+	require.NoError(t, partial.Add(FloatOf(1.2e308)))
+	require.NoError(t, partial.Add(FloatOf(1.2e308)))
+	_, err = partial.Sum()
 	require.ErrorIs(t, err, ErrOverflow)
 }
--- a/internal/results/merge/schema.go
+++ b/internal/results/merge/schema.go
@@ -12,8 +12,8 @@
 
 // Index is the index of the column with a name; -1 if there is none.
 func (s Schema) Index(name string) int {
-	for i, c := range s {
-		if c.Name == name {
+	for i, column := range s {
+		if column.Name == name {
 			return i
 		}
 	}
@@ -21,16 +21,17 @@
 }
 
 // CheckCompatible returns nil if rows of both schemas can be merged, else an error with the first difference.
-func (s Schema) CheckCompatible(o Schema) error {
-	if len(s) != len(o) {
-		return invalid(-1, ErrSchemaMismatch, "%d columns, not %d", len(o), len(s))
+func (s Schema) CheckCompatible(other Schema) error {
+	if len(s) != len(other) {
+		return invalid(NoRow, ErrSchemaMismatch, "%d columns, not %d", len(other), len(s))
 	}
-	for i, c := range s {
-		switch d := o[i]; {
-		case c.Name != d.Name || c.Kind != d.Kind:
-			return invalid(-1, ErrSchemaMismatch, "%s %v, not %s %v", d.Name, d.Kind, c.Name, c.Kind)
-		case c.Currency != d.Currency:
-			return invalid(-1, ErrCurrencyMismatch, "%s in %q, not %q", c.Name, d.Currency, c.Currency)
+	for i, want := range s {
+		got := other[i]
+		if want.Name != got.Name || want.Kind != got.Kind {
+			return invalid(NoRow, ErrSchemaMismatch, "%s %v, not %s %v", got.Name, got.Kind, want.Name, want.Kind)
+		}
+		if want.Currency != got.Currency {
+			return invalid(NoRow, ErrCurrencyMismatch, "%s in %q, not %q", want.Name, got.Currency, want.Currency)
 		}
 	}
 	return nil
--- a/internal/results/merge/sketch.go
+++ b/internal/results/merge/sketch.go
@@ -7,95 +7,127 @@
 	"math"
 
 	"github.com/DataDog/sketches-go/ddsketch"
+	"github.com/DataDog/sketches-go/ddsketch/mapping"
 	"github.com/DataDog/sketches-go/ddsketch/store"
 )
 
-const QuantileAccuracy = 0.01
+const (
+	// QuantileAccuracy is the relative error of quantiles.
+	QuantileAccuracy = 0.01
 
-const maxSketchBytes = 64 << 10 // bytes of a sketch that a node may send
+	// maxSketchBytes bounds a sketch that a backend sends.
+	maxSketchBytes = 64 << 10
+)
 
 // Sketches encodes the two sketches as backends send them.
-func (p *PartialAggregate) Sketches() (quantile, distinct []byte, err error) {
-	p.quantiles.Encode(&quantile, false)
+func (p *PartialAggregate) Sketches() (quantiles, distinct []byte, err error) {
+	p.quantiles.Encode(&quantiles, false)
 	distinct, err = p.distinct.MarshalBinary()
-	return quantile, distinct, err
+	return quantiles, distinct, err
 }
 
 // RestorePartialAggregate makes aggregates of what a backend sent: figures of count values and the two sketches, each
 // of which may be empty. Sketches that cannot be decoded are an error, also where the libraries panic.
-func RestorePartialAggregate(c Column, count uint64, sum, least, most Value, quantile, distinct []byte) (
-	p *PartialAggregate, err error) {
+func RestorePartialAggregate(column Column, count uint64, sum, least, greatest Value, quantiles, distinct []byte) (
+	partial *PartialAggregate, err error) {
 	defer func() {
-		if e := recover(); e != nil {
-			p, err = nil, invalid(-1, ErrInvalidSketch, "%s: %v", c.Name, e)
+		if cause := recover(); cause != nil {
+			partial = nil
+			err = invalid(NoRow, ErrInvalidSketch, "%s: %v", column.Name, cause)
 		}
 	}()
-	if len(quantile) > maxSketchBytes || len(distinct) > maxSketchBytes {
-		return nil, invalid(-1, ErrInvalidSketch, "%s: %d and %d bytes", c.Name, len(quantile), len(distinct))
+	if len(quantiles) > maxSketchBytes || len(distinct) > maxSketchBytes {
+		return nil, invalid(NoRow, ErrInvalidSketch, "%s: %d and %d bytes", column.Name, len(quantiles), len(distinct))
 	}
-	if p, err = NewPartialAggregate(c); err != nil {
+	partial, err = NewPartialAggregate(column)
+	if err != nil {
 		return nil, err
 	}
 	if count == 0 {
-		return p, nil
+		return partial, nil
 	}
-	for _, v := range []Value{least, most} {
-		if v.Kind != c.Kind {
-			return nil, invalid(-1, ErrSchemaMismatch, "%s is %v, not %v", c.Name, v.Kind, c.Kind)
-		}
+	if err := validateFigures(column, sum, least, greatest); err != nil {
+		return nil, err
 	}
-	x, number := sum.number()
-	if c.Kind != Text && (sum.Kind != c.Kind || !number || math.IsInf(x, 0)) || Compare(least, most) > 0 {
-		return nil, invalid(-1, ErrInvalidNumber, "%s: sum %v from %v to %v", c.Name, sum, least, most)
+	partial.Count = count
+	partial.Min = least
+	partial.Max = greatest
+	partial.intSum = sum.Int
+	if column.Kind == Float {
+		partial.floatSum.SetFloat64(sum.Float)
 	}
-	p.Count, p.Min, p.Max, p.intSum = count, least, most, sum.Int
-	if c.Kind == Float {
-		p.floatSum.SetFloat64(x)
+	if err := partial.restoreSketches(quantiles, distinct); err != nil {
+		return nil, invalid(NoRow, ErrInvalidSketch, "%s: %v", column.Name, err)
 	}
-	if len(quantile) > 0 {
-		if err := p.restoreQuantiles(quantile, count); err != nil {
-			return nil, invalid(-1, ErrInvalidSketch, "%s: %v", c.Name, err)
+	return partial, nil
+}
+
+// validateFigures checks the sum, minimum and maximum of one value or more. A text column has no sum.
+func validateFigures(column Column, sum, least, greatest Value) error {
+	for _, value := range []Value{least, greatest} {
+		if value.Kind != column.Kind {
+			return invalid(NoRow, ErrSchemaMismatch, "%s is %v, not %v", column.Name, value.Kind, column.Kind)
 		}
 	}
-	if len(distinct) > 0 {
-		if err := p.distinct.UnmarshalBinary(distinct); err != nil {
-			return nil, invalid(-1, ErrInvalidSketch, "%s: %v", c.Name, err)
+	number, isNumber := sum.number()
+	validSum := column.Kind == Text || sum.Kind == column.Kind && isNumber && !math.IsInf(number, 0)
+	if !validSum || Compare(least, greatest) > 0 {
+		return invalid(NoRow, ErrInvalidNumber, "%s: sum %v, minimum %v, maximum %v", column.Name, sum, least, greatest)
+	}
+	return nil
+}
+
+// restoreSketches decodes those of the two sketches that are not empty. Count must have been set.
+func (p *PartialAggregate) restoreSketches(quantiles, distinct []byte) error {
+	if len(quantiles) > 0 {
+		if err := p.restoreQuantiles(quantiles); err != nil {
+			return err
 		}
 	}
-	return p, nil
+	if len(distinct) > 0 {
+		return p.distinct.UnmarshalBinary(distinct)
+	}
+	return nil
 }
 
 // restoreQuantiles decodes a sketch of quantiles. A dense store allocates the range between the least and the greatest
 // bin, which a few bytes of a malformed sketch can make larger than any memory. So the sketch is decoded into a sparse
 // store, and only bins that float64 values can have are merged into the dense one.
-func (p *PartialAggregate) restoreQuantiles(text []byte, count uint64) error {
-	s, err := ddsketch.DecodeDDSketch(bytes.Clone(text), store.SparseStoreConstructor, p.quantiles.IndexMapping)
+func (p *PartialAggregate) restoreQuantiles(encoded []byte) error {
+	expected := p.quantiles.IndexMapping
+	sketch, err := ddsketch.DecodeDDSketch(bytes.Clone(encoded), store.SparseStoreConstructor, expected)
 	if err != nil {
 		return err
 	}
-	m := p.quantiles.IndexMapping
-	if !s.IndexMapping.Equals(m) {
+	if !sketch.Equals(expected) { // of the index mapping, which the sketch embeds
 		return errors.New("quantiles of another accuracy")
 	}
-	low, high, total := m.Index(m.MinIndexableValue()), m.Index(m.MaxIndexableValue()), s.GetZeroCount()
-	for _, from := range []store.Store{s.GetPositiveValueStore(), s.GetNegativeValueStore()} {
-		from.ForEach(func(index int, n float64) (stop bool) {
-			if index < low || index > high || !(n >= 0) || math.IsInf(n, 0) {
-				err = fmt.Errorf("bin %d with %v values", index, n)
-				return true
-			}
-			total += n
-			return false
-		})
-	}
-	if err != nil {
-		return err
-	}
-	if !(s.GetZeroCount() >= 0) || total != float64(count) {
-		return fmt.Errorf("quantiles of %v values, not %d", total, count)
+	total := sketch.GetZeroCount()
+	for _, bins := range []store.Store{sketch.GetPositiveValueStore(), sketch.GetNegativeValueStore()} {
+		total, err = addBins(total, bins, expected)
+		if err != nil {
+			return err
+		}
 	}
-	if err := p.quantiles.MergeWith(s); err != nil {
-		return err
+	if !(sketch.GetZeroCount() >= 0) || total != float64(p.Count) { // nor a NaN
+		return fmt.Errorf("quantiles of %v values, not %d", total, p.Count)
 	}
-	return nil
+	return p.quantiles.MergeWith(sketch)
+}
+
+// addBins adds the counts of the bins to a total. It returns an error for a bin that no value can have, or whose count
+// is not a finite number from 0.
+func addBins(total float64, bins store.Store, indexing mapping.IndexMapping) (float64, error) {
+	lowest := indexing.Index(indexing.MinIndexableValue())
+	highest := indexing.Index(indexing.MaxIndexableValue())
+	var err error
+	bins.ForEach(func(index int, count float64) (stop bool) {
+		if index < lowest || index > highest || !(count >= 0) || math.IsInf(count, 0) {
+			err = fmt.Errorf("bin %d with %v values", index, count)
+			return true
+		}
+		total += count
+		return false
+	})
+	return total, err
 }
--- a/internal/results/merge/value.go
+++ b/internal/results/merge/value.go
@@ -71,7 +71,7 @@
 }
 
 // number is the value as a float; ok is false for texts, null and NaN.
-func (v Value) number() (float64, bool) {
+func (v Value) number() (x float64, ok bool) {
 	switch v.Kind {
 	case Int:
 		return float64(v.Int), true
--- a/internal/results/reading/reading_test.go
+++ b/internal/results/reading/reading_test.go
@@ -288,7 +288,7 @@
 		require.Equal(t, hopeless, st.Hopeless)
 		if !hopeless {
 			require.Len(t, st.Result.Statement.Missing, 2)
-			require.ErrorContains(t, fmt.Errorf("%s", st.Result.Statement.Missing[0].Fault), "another currency")
+			require.ErrorContains(t, fmt.Errorf("%s", st.Result.Statement.Missing[0].Fault), merge.ErrCurrencyMismatch.Error())
 		}
 	}
 }
