--- a/internal/results/complete/complete_test.go
+++ b/internal/results/completeness/complete_test.go
@@ -1,4 +1,4 @@
-package complete
+package completeness
 
 import (
 	"flag"
--- a/internal/results/reading/reading.go
+++ b/internal/results/reading/reading.go
@@ -11,7 +11,7 @@
 	"slices"
 
 	"ternstage/internal/decision/shardmap"
-	"ternstage/internal/results/complete"
+	"ternstage/internal/results/completeness"
 	"ternstage/internal/results/cursor"
 	"ternstage/internal/results/fetch"
 	"ternstage/internal/results/merge"
@@ -32,7 +32,7 @@
 	Epoch     uint64 // of the map by which this page begins
 	Need      float64
 	Fetch     fetch.Options // its limit is the clause's
-	Summaries []*complete.Summary
+	Summaries []*completeness.Summary
 }
 
 // Ask is what a node is to be asked for: so many rows after a place, all that were asked for before included,
@@ -53,7 +53,7 @@
 	From      []shardmap.Range
 	First     int    // rank of the first row, from 1
 	Certain   []bool // of each rank
-	Statement *complete.Statement
+	Statement *completeness.Statement
 	Whole     bool
 	Next      *cursor.Cursor // nil where there is no next page
 	Groups    []Group        // aggregates, in order of the groups' values
@@ -71,7 +71,7 @@
 type Figure struct {
 	Name  string
 	Value merge.Value
-	Bound complete.Bound
+	Bound completeness.Bound
 }
 
 // MostGroups bounds the groups of an answer.
@@ -81,7 +81,7 @@
 	Part
 	batch  *merge.Batch
 	groups *merge.Groups
-	why    complete.Why
+	why    completeness.Why
 	fault  string
 }
 
@@ -91,7 +91,7 @@
 	before *cursor.Cursor // of the page before; nil for the first
 	plan   *fetch.Plan
 	slices []*slice
-	notes  []*complete.Summary
+	notes  []*completeness.Summary
 }
 
 // New begins a page: the first, or what comes after a cursor.
@@ -105,7 +105,7 @@
 	var weights []float64
 	for _, p := range parts {
 		districts, weights = append(districts, p.Districts), append(weights, p.Weight)
-		r.slices = append(r.slices, &slice{Part: p, why: complete.Refused})
+		r.slices = append(r.slices, &slice{Part: p, why: completeness.Refused})
 	}
 	plan, asks := fetch.New(now, r.q.Fetch, districts, weights)
 	r.plan = plan
@@ -155,7 +155,7 @@
 		return nil // its slice was split or merged meanwhile
 	}
 	if v := r.least(s.Districts); a.Batch.Version < v {
-		s.why = complete.Older
+		s.why = completeness.Older
 		return fmt.Errorf("%w: %d, not %d", ErrOlder, a.Batch.Version, v)
 	}
 	order, err := merge.NewOrder(a.Batch.Schema, r.q.Clause.SortColumns())
@@ -181,15 +181,15 @@
 }
 
 func (r *Reading) spoil(s *slice, err error) {
-	s.batch, s.why, s.fault = nil, complete.Spoilt, err.Error()
+	s.batch, s.why, s.fault = nil, completeness.Spoilt, err.Error()
 	r.plan.Lost(s.Districts)
 }
 
 // Lost tells that a slice cannot be had, and why. A slice of which only an older version came stays missing
 // for that.
-func (r *Reading) Lost(d shardmap.Range, why complete.Why) {
+func (r *Reading) Lost(d shardmap.Range, why completeness.Why) {
 	if s := r.find(d); s != nil {
-		if s.batch = nil; s.why != complete.Older {
+		if s.batch = nil; s.why != completeness.Older {
 			s.why = why
 		}
 		r.plan.Lost(d)
@@ -214,7 +214,7 @@
 	r.slices = slices.DeleteFunc(r.slices, func(x *slice) bool { return x == s })
 	for _, p := range by {
 		p.Weight = s.Weight * float64(p.Districts.Size()) / float64(d.Size())
-		r.slices = append(r.slices, &slice{Part: p, why: complete.Refused})
+		r.slices = append(r.slices, &slice{Part: p, why: completeness.Refused})
 	}
 	return r.asks(asks)
 }
@@ -233,7 +233,7 @@
 	v := r.plan.Decide(now)
 	for _, d := range v.Drop {
 		if s := r.find(d); s != nil {
-			s.batch, s.why = nil, complete.TimedOut
+			s.batch, s.why = nil, completeness.TimedOut
 		}
 	}
 	if v.Hopeless {
@@ -326,7 +326,7 @@
 
 // figures are what the client asked for of the groups. Bounds are given where a summary's can be: of all
 // rows, with no filter and no group, and of one column.
-func (r *Reading) figures(total *merge.Groups, st *complete.Statement) ([]Group, error) {
+func (r *Reading) figures(total *merge.Groups, st *completeness.Statement) ([]Group, error) {
 	c, of := r.q.Clause, Of(r.q.Clause)
 	columns := 0
 	for _, name := range of {
@@ -353,7 +353,7 @@
 				return nil, err
 			}
 			if !bounded {
-				b = complete.Bound{}
+				b = completeness.Bound{}
 			}
 			x.Figures = append(x.Figures, Figure{f.Name, v, b})
 		}
@@ -363,8 +363,8 @@
 }
 
 // figure is one aggregate and its bound. Quantiles and distinct counts have none while something is missing.
-func figure(f merge.AggregateClause, p *merge.PartialAggregate, st *complete.Statement) (
-	v merge.Value, b complete.Bound, err error) {
+func figure(f merge.AggregateClause, p *merge.PartialAggregate, st *completeness.Statement) (
+	v merge.Value, b completeness.Bound, err error) {
 	sum := 0.0
 	if v, err = p.Sum(); err != nil {
 		return v, b, err
@@ -396,7 +396,7 @@
 		v = merge.IntOf(int64(p.Distinct()))
 	}
 	if v.Kind == merge.Text {
-		b = complete.Bound{}
+		b = completeness.Bound{}
 	}
 	return v, b, err
 }
@@ -412,11 +412,11 @@
 
 // result makes the page and what the next one needs to agree with it.
 func (r *Reading) result(order *merge.Order, page merge.Page) *Result {
-	var parts []complete.Part
+	var parts []completeness.Part
 	var spans []cursor.Span
 	slices.SortFunc(r.slices, func(a, b *slice) int { return cmp.Compare(a.Districts.Start, b.Districts.Start) })
 	for _, s := range r.slices {
-		p := complete.Part{Districts: s.Districts, Weight: s.Weight, In: s.batch != nil, Version: s.Version,
+		p := completeness.Part{Districts: s.Districts, Weight: s.Weight, In: s.batch != nil, Version: s.Version,
 			Since: s.Since, Why: s.why, Fault: s.fault}
 		span := cursor.Span{Lo: s.Districts.Start, Hi: s.Districts.End, Since: s.Since}
 		if p.In {
@@ -425,7 +425,7 @@
 		parts, spans = append(parts, p), append(spans, span)
 	}
 	out := &Result{Rows: page.Rows, From: page.Sources, First: 1,
-		Statement: complete.State(parts, r.notes, r.q.Need)}
+		Statement: completeness.State(parts, r.notes, r.q.Need)}
 	places := make([]merge.Position, len(page.Rows))
 	for i, x := range page.Rows {
 		places[i] = order.PositionOf(x)
--- a/internal/results/reading/reading_test.go
+++ b/internal/results/reading/reading_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 
 	"ternstage/internal/decision/shardmap"
-	"ternstage/internal/results/complete"
+	"ternstage/internal/results/completeness"
 	"ternstage/internal/results/cursor"
 	"ternstage/internal/results/fetch"
 	"ternstage/internal/results/merge"
@@ -32,7 +32,7 @@
 	silent  map[shardmap.Range]bool
 	spoil   func(a *rows.Answer)
 	taken   []error
-	notes   []*complete.Summary
+	notes   []*completeness.Summary
 }
 
 func newSite(t require.TestingT, premiums ...int64) *site {
@@ -88,7 +88,7 @@
 			}
 			if err := r.Take(now, x, a.Rows); err != nil {
 				if s.taken = append(s.taken, err); x.Batch.Version < s.version[a.Districts] {
-					r.Lost(a.Districts, complete.Failed) // no replica has a newer one
+					r.Lost(a.Districts, completeness.Failed) // no replica has a newer one
 				}
 			}
 		}
@@ -133,7 +133,7 @@
 	require.False(t, one.Whole)
 	require.Equal(t, []bool{false, false, false, false, false, false}, one.Certain, "it might hold the cheapest")
 	require.InDelta(t, 0.8, one.Statement.Share, 1e-9)
-	require.Equal(t, complete.TimedOut, one.Statement.Missing[0].Why)
+	require.Equal(t, completeness.TimedOut, one.Statement.Missing[0].Why)
 
 	s.silent[cheap] = false
 	two := s.page(6, one.Next)
@@ -156,8 +156,8 @@
 	// A summary of its least rules the cheapest out, or does not.
 	s = newSite(t, premiums()...)
 	s.silent[cheap], s.version[cheap], s.since[cheap] = true, 3, 2
-	note := &complete.Summary{Districts: cheap, Version: 3, Since: 2, Count: 6, Least: []merge.Value{merge.IntOf(104)}}
-	s.notes = []*complete.Summary{note}
+	note := &completeness.Summary{Districts: cheap, Version: 3, Since: 2, Count: 6, Least: []merge.Value{merge.IntOf(104)}}
+	s.notes = []*completeness.Summary{note}
 	one = s.page(6, nil)
 	require.Equal(t, []bool{true, true, true}, one.Certain[:3], "dearer than the first three")
 	require.False(t, one.Certain[5])
@@ -191,7 +191,7 @@
 	}
 	two := s.page(6, one.Next)
 	require.ErrorIs(t, s.taken[0], ErrOlder)
-	require.Equal(t, complete.Older, two.Statement.Missing[0].Why, "no replica was better: the slice is missing")
+	require.Equal(t, completeness.Older, two.Statement.Missing[0].Why, "no replica was better: the slice is missing")
 	s.spoil, s.version[cheap] = nil, 6
 	two = s.page(6, one.Next)
 	require.Equal(t, []cursor.Span{{Lo: 4, Hi: 6, Version: 6}}, two.Other, "a newer one is read, and said")
@@ -213,7 +213,7 @@
 		}
 		one := s.page(6, nil)
 		require.Len(t, one.Statement.Missing, 1, name)
-		require.Equal(t, complete.Spoilt, one.Statement.Missing[0].Why, name)
+		require.Equal(t, completeness.Spoilt, one.Statement.Missing[0].Why, name)
 		require.NotEmpty(t, one.Statement.Missing[0].Fault, name)
 		for _, r := range one.Rows {
 			require.False(t, r.Bucket == 4 || r.Bucket == 5, "%s: none of its rows", name)
@@ -301,7 +301,7 @@
 		{"name":"median","do":"quantile","of":"premium","q":0.5},{"name":"kinds","do":"distinct","of":"premium"}]}`))
 	require.NoError(t, err)
 	columns := []merge.Column{{Kind: merge.Int}, table[0]}
-	read := func(values map[int][]int64, notes ...*complete.Summary) Step {
+	read := func(values map[int][]int64, notes ...*completeness.Summary) Step {
 		q := newSite(t).query(0)
 		q.Clause, q.Summaries = c, notes
 		var parts []Part
@@ -312,7 +312,7 @@
 		for i, p := range parts {
 			list, in := values[i]
 			if !in {
-				r.Lost(p.Districts, complete.Failed)
+				r.Lost(p.Districts, completeness.Failed)
 				continue
 			}
 			g := merge.NewGroups(columns, 1)
@@ -336,7 +336,7 @@
 		}
 		return out
 	}
-	exact := func(x float64) complete.Bound { return complete.Bound{Known: true, Low: x, High: x} }
+	exact := func(x float64) completeness.Bound { return completeness.Bound{Known: true, Low: x, High: x} }
 	f := figures(read(map[int][]int64{0: {5, 7}, 1: {}, 2: {3, 3, 2}}))
 	require.Equal(t, Figure{"n", merge.IntOf(5), exact(5)}, f["n"])
 	require.Equal(t, Figure{"total", merge.IntOf(20), exact(20)}, f["total"])
@@ -346,9 +346,9 @@
 	require.Equal(t, merge.IntOf(4), f["kinds"].Value)
 
 	f = figures(read(map[int][]int64{0: {5, 7}, 2: {3}}))
-	require.Equal(t, Figure{"total", merge.IntOf(15), complete.Bound{}}, f["total"], "nothing is known of what is missing")
+	require.Equal(t, Figure{"total", merge.IntOf(15), completeness.Bound{}}, f["total"], "nothing is known of what is missing")
 	require.False(t, f["least"].Bound.Known)
-	note := &complete.Summary{Districts: shardmap.Range{Start: 1, End: 2}, Version: 1, Since: 1, Count: 2, Min: 1, Max: 4, Sum: 5,
+	note := &completeness.Summary{Districts: shardmap.Range{Start: 1, End: 2}, Version: 1, Since: 1, Count: 2, Min: 1, Max: 4, Sum: 5,
 		Least: []merge.Value{}}
 	f = figures(read(map[int][]int64{0: {5, 7}, 2: {3}}, note))
 	require.Equal(t, exact(20), f["total"].Bound)
--- a/internal/results/rows/rows.go
+++ b/internal/results/rows/rows.go
@@ -13,7 +13,7 @@
 	"unicode/utf8"
 
 	"ternstage/internal/decision/shardmap"
-	"ternstage/internal/results/complete"
+	"ternstage/internal/results/completeness"
 	"ternstage/internal/results/merge"
 )
 
@@ -33,8 +33,8 @@
 // Answer is what a node gives for a part: a batch of rows, and what it states of all its rows.
 type Answer struct {
 	Batch   merge.Batch
-	Groups  *merge.Groups     // its aggregates; nil if none were asked for
-	Summary *complete.Summary // nil if it states none
+	Groups  *merge.Groups         // its aggregates; nil if none were asked for
+	Summary *completeness.Summary // nil if it states none
 }
 
 // Want is what a node was asked for, by which its answer is read.
@@ -353,11 +353,11 @@
 }
 
 // read makes a summary of what a node stated.
-func (n *note) read(b merge.Batch, since uint64, rank []string) (*complete.Summary, error) {
+func (n *note) read(b merge.Batch, since uint64, rank []string) (*completeness.Summary, error) {
 	if n == nil {
 		return nil, nil
 	}
-	s := &complete.Summary{Districts: b.Buckets, Version: b.Version, Since: since, Count: n.Count,
+	s := &completeness.Summary{Districts: b.Buckets, Version: b.Version, Since: since, Count: n.Count,
 		Min: math.NaN(),
 		Max: math.NaN(), Sum: math.NaN()}
 	for _, v := range []struct {
