--- a/internal/results/completeness/complete_test.go
+++ b/internal/results/completeness/complete_test.go
@@ -18,53 +18,53 @@
 
 var table = merge.Schema{{Name: "premium", Kind: merge.Int}}
 
-func order(t require.TestingT) *merge.Order {
+func newOrder(t require.TestingT) *merge.Order {
 	o, err := merge.NewOrder(table, []merge.SortColumn{{Column: "premium"}})
 	require.NoError(t, err)
 	return o
 }
 
-type slice struct {
+type testShard struct {
 	part    Part
 	rows    []int64
 	summary *Summary
 }
 
-// summarize is what a node would state of a slice truly.
-func (s *slice) summarize() *Summary {
-	x := &Summary{Districts: s.part.Districts, Version: s.part.Version, Since: s.part.Since, Count: uint64(len(s.rows)),
+// trueSummary is what a node would state of a slice truly.
+func (s *testShard) trueSummary() *Summary {
+	x := &Summary{Buckets: s.part.Buckets, Version: s.part.Version, ShardEpoch: s.part.ShardEpoch, Count: uint64(len(s.rows)),
 		Min: math.NaN(), Max: math.NaN()}
 	for _, v := range s.rows {
 		x.Sum += float64(v)
 	}
 	if len(s.rows) > 0 {
 		least, most := slices.Min(s.rows), slices.Max(s.rows)
-		x.Least, x.Min, x.Max = []merge.Value{merge.IntOf(least)}, float64(least), float64(most)
+		x.FirstRank, x.Min, x.Max = []merge.Value{merge.IntOf(least)}, float64(least), float64(most)
 	}
 	return x
 }
 
 // Whatever slices are missing and whatever is known of them, a rank that is called certain is the true one, and every
 // bound holds the truth. A summary that is out of date is worth nothing.
-func TestNothingIsClaimedThatIsNotTrue(t *testing.T) {
+func TestReportClaimsNothingUntrue(t *testing.T) {
 	certain, bounded := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		o := order(t)
-		var all []slice
+		o := newOrder(t)
+		var all []testShard
 		for i := range rapid.IntRange(1, 8).Draw(t, "slices") {
-			s := slice{part: Part{Districts: shardmap.Range{Start: i, End: i + 1}, Weight: 1, Version: 5, Since: 3,
-				In: rapid.IntRange(0, 3).Draw(t, "missing") > 0}}
+			s := testShard{part: Part{Buckets: shardmap.Range{Start: i, End: i + 1}, Weight: 1, Version: 5, ShardEpoch: 3,
+				Present: rapid.IntRange(0, 3).Draw(t, "missing") > 0}}
 			for range rapid.IntRange(0, 5).Draw(t, "rows") {
 				s.rows = append(s.rows, int64(rapid.IntRange(0, 9).Draw(t, "premium")))
 			}
 			slices.Sort(s.rows)
-			switch x := s.summarize(); rapid.IntRange(0, 5).Draw(t, "summary") {
+			switch x := s.trueSummary(); rapid.IntRange(0, 5).Draw(t, "summary") {
 			case 0: // none
 			case 1: // an older version, of rows that were other ones
-				x.Version, x.Least, x.Count = 4, []merge.Value{merge.IntOf(99)}, 0
+				x.Version, x.FirstRank, x.Count = 4, []merge.Value{merge.IntOf(99)}, 0
 				s.summary = x
 			case 2: // from before a split
-				x.Since, x.Least, x.Count = 2, []merge.Value{merge.IntOf(99)}, 0
+				x.ShardEpoch, x.FirstRank, x.Count = 2, []merge.Value{merge.IntOf(99)}, 0
 				s.summary = x
 			default:
 				s.summary = x
@@ -84,10 +84,10 @@
 				summaries = append(summaries, s.summary)
 			}
 			for i, v := range s.rows {
-				at := merge.Position{Rank: []merge.Value{merge.IntOf(v)}, Bucket: s.part.Districts.Start, Key: fmt.Sprint(i)}
+				at := merge.Position{Rank: []merge.Value{merge.IntOf(v)}, Bucket: s.part.Buckets.Start, Key: fmt.Sprint(i)}
 				truth = append(truth, at)
 				sum, count, least = sum+float64(v), count+1, min(least, float64(v))
-				if s.part.In {
+				if s.part.Present {
 					places = append(places, at)
 					sumIn, countIn, leastIn = sumIn+float64(v), countIn+1, min(leastIn, float64(v))
 				}
@@ -95,9 +95,9 @@
 		}
 		slices.SortFunc(places, o.Compare)
 		slices.SortFunc(truth, o.Compare)
-		st := State(parts, summaries, 1)
-		require.Equal(t, len(st.Missing) == 0, st.Whole)
-		for i, ok := range st.Certain(o, places) {
+		st := New(parts, summaries, 1)
+		require.Equal(t, len(st.Missing) == 0, st.Complete)
+		for i, ok := range st.CertainRanks(o, places) {
 			if ok {
 				certain++
 				require.Equal(t, truth[i], places[i], "rank %d is called certain", i+1)
@@ -112,13 +112,13 @@
 				require.GreaterOrEqual(t, b.High, x)
 			}
 		}
-		in(st.Count(uint64(countIn)), float64(count))
-		in(st.Sum(sumIn), sum)
-		if b := st.Min(leastIn, countIn > 0); b.Known {
+		in(st.CountBound(uint64(countIn)), float64(count))
+		in(st.SumBound(sumIn), sum)
+		if b := st.MinBound(leastIn, countIn > 0); b.Known {
 			require.Equal(t, least, b.Low)
 		}
 		if count > 0 {
-			in(st.Mean(sumIn, uint64(countIn)), sum/float64(count))
+			in(st.MeanBound(sumIn, uint64(countIn)), sum/float64(count))
 		}
 	})
 	require.Positive(t, certain)
@@ -126,63 +126,63 @@
 }
 
 // The missing slice might hold the cheapest policy.
-func TestNoFalseFirstPlace(t *testing.T) {
-	o := order(t)
-	parts := []Part{{Districts: shardmap.Range{Start: 0, End: 5}, Weight: 0.7, In: true, Version: 1, Since: 1},
-		{Districts: shardmap.Range{Start: 5, End: 9}, Weight: 0.3, Version: 8, Since: 2, Why: TimedOut}}
+func TestFirstRankIsCertainOnlyByAnApplicableSummary(t *testing.T) {
+	o := newOrder(t)
+	parts := []Part{{Buckets: shardmap.Range{Start: 0, End: 5}, Weight: 0.7, Present: true, Version: 1, ShardEpoch: 1},
+		{Buckets: shardmap.Range{Start: 5, End: 9}, Weight: 0.3, Version: 8, ShardEpoch: 2, Reason: TimedOut}}
 	first := []merge.Position{{Rank: []merge.Value{merge.IntOf(10)}, Bucket: 2, Key: "k"}}
 	note := func(f func(*Summary)) []*Summary {
-		x := &Summary{Districts: parts[1].Districts, Version: 8, Since: 2, Count: 3, Least: []merge.Value{merge.IntOf(11)}}
+		x := &Summary{Buckets: parts[1].Buckets, Version: 8, ShardEpoch: 2, Count: 3, FirstRank: []merge.Value{merge.IntOf(11)}}
 		f(x)
 		return []*Summary{x}
 	}
 	is := func(want bool, sums []*Summary, why string) {
 		t.Helper()
-		st := State(parts, sums, 1)
-		require.Equal(t, want, st.Certain(o, first)[0], why)
-		require.False(t, st.Whole)
-		require.InDelta(t, 0.7, st.Share, 1e-9)
+		st := New(parts, sums, 1)
+		require.Equal(t, want, st.CertainRanks(o, first)[0], why)
+		require.False(t, st.Complete)
+		require.InDelta(t, 0.7, st.Weight, 1e-9)
 	}
 	is(false, nil, "nothing is known")
 	is(true, note(func(*Summary) {}), "its least is dearer")
-	is(true, note(func(x *Summary) { x.Least[0] = merge.IntOf(10) }), "as dear, of a later district")
-	is(false, note(func(x *Summary) { x.Least[0] = merge.IntOf(9) }), "it is cheaper")
+	is(true, note(func(x *Summary) { x.FirstRank[0] = merge.IntOf(10) }), "as dear, of a later district")
+	is(false, note(func(x *Summary) { x.FirstRank[0] = merge.IntOf(9) }), "it is cheaper")
 	is(false, note(func(x *Summary) { x.Version = 7 }), "the summary is of an older version")
-	is(false, note(func(x *Summary) { x.Since = 1 }), "it is from before a split")
-	is(false, note(func(x *Summary) { x.Districts.End = 8 }), "it is of other districts")
-	is(true, note(func(x *Summary) { x.Count, x.Least = 0, nil }), "it has no rows")
+	is(false, note(func(x *Summary) { x.ShardEpoch = 1 }), "it is from before a split")
+	is(false, note(func(x *Summary) { x.Buckets.End = 8 }), "it is of other districts")
+	is(true, note(func(x *Summary) { x.Count, x.FirstRank = 0, nil }), "it has no rows")
 	parts[1].Version = 0
 	is(false, note(func(*Summary) {}), "nobody knows which version is in force")
 }
 
 // An answer from exactly the floor may be given, one district less may not, and what the client asks for is kept.
-func TestFloorByADistrict(t *testing.T) {
+func TestMeetsFloor(t *testing.T) {
 	for in, want := range map[int]bool{69: false, 70: true, 71: true} {
 		var parts []Part
 		for i := range 100 {
-			parts = append(parts, Part{Districts: shardmap.Range{Start: i, End: i + 1}, Weight: 0.01, In: i < in})
+			parts = append(parts, Part{Buckets: shardmap.Range{Start: i, End: i + 1}, Weight: 0.01, Present: i < in})
 		}
-		require.Equal(t, want, State(parts, nil, 1).Enough(0.7, 0), in)
-		require.False(t, State(parts, nil, 1).Enough(0.7, 0.72))
+		require.Equal(t, want, New(parts, nil, 1).MeetsFloor(0.7, 0), in)
+		require.False(t, New(parts, nil, 1).MeetsFloor(0.7, 0.72))
 	}
-	require.False(t, State(nil, nil, 1).Enough(0, 0), "nothing is in")
+	require.False(t, New(nil, nil, 1).MeetsFloor(0, 0), "nothing is in")
 }
 
 func BenchmarkState1000(b *testing.B) {
-	o := order(b)
+	o := newOrder(b)
 	var parts []Part
 	var sums []*Summary
 	var places []merge.Position
 	for i := range 1000 {
 		r := shardmap.Range{Start: i, End: i + 1}
-		parts = append(parts, Part{Districts: r, Weight: 0.001, In: i%10 > 0, Version: 1, Since: 1})
-		sums = append(sums, &Summary{Districts: r, Version: 1, Since: 1, Count: 1, Least: []merge.Value{merge.IntOf(900)}})
+		parts = append(parts, Part{Buckets: r, Weight: 0.001, Present: i%10 > 0, Version: 1, ShardEpoch: 1})
+		sums = append(sums, &Summary{Buckets: r, Version: 1, ShardEpoch: 1, Count: 1, FirstRank: []merge.Value{merge.IntOf(900)}})
 	}
 	for i := range 50 {
 		places = append(places, merge.Position{Rank: []merge.Value{merge.IntOf(int64(i))}})
 	}
 	b.ReportAllocs()
 	for range b.N {
-		State(parts, sums, 1).Certain(o, places)
+		New(parts, sums, 1).CertainRanks(o, places)
 	}
 }
--- a/internal/results/reading/reading.go
+++ b/internal/results/reading/reading.go
@@ -53,7 +53,7 @@
 	From      []shardmap.Range
 	First     int    // rank of the first row, from 1
 	Certain   []bool // of each rank
-	Statement *completeness.Statement
+	Statement *completeness.Report
 	Whole     bool
 	Next      *cursor.Cursor // nil where there is no next page
 	Groups    []Group        // aggregates, in order of the groups' values
@@ -81,7 +81,7 @@
 	Part
 	batch  *merge.Batch
 	groups *merge.Groups
-	why    completeness.Why
+	why    completeness.Reason
 	fault  string
 }
 
@@ -105,7 +105,7 @@
 	var weights []float64
 	for _, p := range parts {
 		districts, weights = append(districts, p.Districts), append(weights, p.Weight)
-		r.slices = append(r.slices, &slice{Part: p, why: completeness.Refused})
+		r.slices = append(r.slices, &slice{Part: p, why: completeness.Rejected})
 	}
 	plan, asks := fetch.New(now, r.q.Fetch, districts, weights)
 	r.plan = plan
@@ -155,7 +155,7 @@
 		return nil // its slice was split or merged meanwhile
 	}
 	if v := r.least(s.Districts); a.Batch.Version < v {
-		s.why = completeness.Older
+		s.why = completeness.StaleVersion
 		return fmt.Errorf("%w: %d, not %d", ErrOlder, a.Batch.Version, v)
 	}
 	order, err := merge.NewOrder(a.Batch.Schema, r.q.Clause.SortColumns())
@@ -181,15 +181,15 @@
 }
 
 func (r *Reading) spoil(s *slice, err error) {
-	s.batch, s.why, s.fault = nil, completeness.Spoilt, err.Error()
+	s.batch, s.why, s.fault = nil, completeness.Malformed, err.Error()
 	r.plan.Lost(s.Districts)
 }
 
 // Lost tells that a slice cannot be had, and why. A slice of which only an older version came stays missing
 // for that.
-func (r *Reading) Lost(d shardmap.Range, why completeness.Why) {
+func (r *Reading) Lost(d shardmap.Range, why completeness.Reason) {
 	if s := r.find(d); s != nil {
-		if s.batch = nil; s.why != completeness.Older {
+		if s.batch = nil; s.why != completeness.StaleVersion {
 			s.why = why
 		}
 		r.plan.Lost(d)
@@ -214,7 +214,7 @@
 	r.slices = slices.DeleteFunc(r.slices, func(x *slice) bool { return x == s })
 	for _, p := range by {
 		p.Weight = s.Weight * float64(p.Districts.Size()) / float64(d.Size())
-		r.slices = append(r.slices, &slice{Part: p, why: completeness.Refused})
+		r.slices = append(r.slices, &slice{Part: p, why: completeness.Rejected})
 	}
 	return r.asks(asks)
 }
@@ -326,7 +326,7 @@
 
 // figures are what the client asked for of the groups. Bounds are given where a summary's can be: of all
 // rows, with no filter and no group, and of one column.
-func (r *Reading) figures(total *merge.Groups, st *completeness.Statement) ([]Group, error) {
+func (r *Reading) figures(total *merge.Groups, st *completeness.Report) ([]Group, error) {
 	c, of := r.q.Clause, Of(r.q.Clause)
 	columns := 0
 	for _, name := range of {
@@ -363,7 +363,7 @@
 }
 
 // figure is one aggregate and its bound. Quantiles and distinct counts have none while something is missing.
-func figure(f merge.AggregateClause, p *merge.PartialAggregate, st *completeness.Statement) (
+func figure(f merge.AggregateClause, p *merge.PartialAggregate, st *completeness.Report) (
 	v merge.Value, b completeness.Bound, err error) {
 	sum := 0.0
 	if v, err = p.Sum(); err != nil {
@@ -380,16 +380,16 @@
 	}
 	switch f.Function {
 	case "count":
-		return merge.IntOf(int64(p.Count)), st.Count(p.Count), nil
+		return merge.IntOf(int64(p.Count)), st.CountBound(p.Count), nil
 	case "sum":
-		b = st.Sum(sum)
+		b = st.SumBound(sum)
 	case "min":
-		v, b = p.Min, st.Min(number(p.Min), p.Count > 0)
+		v, b = p.Min, st.MinBound(number(p.Min), p.Count > 0)
 	case "max":
-		v, b = p.Max, st.Max(number(p.Max), p.Count > 0)
+		v, b = p.Max, st.MaxBound(number(p.Max), p.Count > 0)
 	case "mean":
 		v, err = p.Mean()
-		b = st.Mean(sum, p.Count)
+		b = st.MeanBound(sum, p.Count)
 	case "quantile":
 		v, err = p.Quantile(*f.Quantile)
 	case "distinct":
@@ -416,21 +416,21 @@
 	var spans []cursor.Span
 	slices.SortFunc(r.slices, func(a, b *slice) int { return cmp.Compare(a.Districts.Start, b.Districts.Start) })
 	for _, s := range r.slices {
-		p := completeness.Part{Districts: s.Districts, Weight: s.Weight, In: s.batch != nil, Version: s.Version,
-			Since: s.Since, Why: s.why, Fault: s.fault}
+		p := completeness.Part{Buckets: s.Districts, Weight: s.Weight, Present: s.batch != nil, Version: s.Version,
+			ShardEpoch: s.Since, Reason: s.why, Detail: s.fault}
 		span := cursor.Span{Lo: s.Districts.Start, Hi: s.Districts.End, Since: s.Since}
-		if p.In {
+		if p.Present {
 			p.Version, span.Version = s.batch.Version, s.batch.Version
 		}
 		parts, spans = append(parts, p), append(spans, span)
 	}
 	out := &Result{Rows: page.Rows, From: page.Sources, First: 1,
-		Statement: completeness.State(parts, r.notes, r.q.Need)}
+		Statement: completeness.New(parts, r.notes, r.q.Need)}
 	places := make([]merge.Position, len(page.Rows))
 	for i, x := range page.Rows {
 		places[i] = order.PositionOf(x)
 	}
-	out.Certain, out.Whole = out.Statement.Certain(order, places), out.Statement.Whole
+	out.Certain, out.Whole = out.Statement.CertainRanks(order, places), out.Statement.Complete
 	sure := true
 	if r.before != nil {
 		out.First = r.before.Next
--- a/internal/results/reading/reading_test.go
+++ b/internal/results/reading/reading_test.go
@@ -132,8 +132,8 @@
 	one := s.page(6, nil)
 	require.False(t, one.Whole)
 	require.Equal(t, []bool{false, false, false, false, false, false}, one.Certain, "it might hold the cheapest")
-	require.InDelta(t, 0.8, one.Statement.Share, 1e-9)
-	require.Equal(t, completeness.TimedOut, one.Statement.Missing[0].Why)
+	require.InDelta(t, 0.8, one.Statement.Weight, 1e-9)
+	require.Equal(t, completeness.TimedOut, one.Statement.Missing[0].Reason)
 
 	s.silent[cheap] = false
 	two := s.page(6, one.Next)
@@ -156,7 +156,7 @@
 	// A summary of its least rules the cheapest out, or does not.
 	s = newSite(t, premiums()...)
 	s.silent[cheap], s.version[cheap], s.since[cheap] = true, 3, 2
-	note := &completeness.Summary{Districts: cheap, Version: 3, Since: 2, Count: 6, Least: []merge.Value{merge.IntOf(104)}}
+	note := &completeness.Summary{Buckets: cheap, Version: 3, ShardEpoch: 2, Count: 6, FirstRank: []merge.Value{merge.IntOf(104)}}
 	s.notes = []*completeness.Summary{note}
 	one = s.page(6, nil)
 	require.Equal(t, []bool{true, true, true}, one.Certain[:3], "dearer than the first three")
@@ -191,7 +191,7 @@
 	}
 	two := s.page(6, one.Next)
 	require.ErrorIs(t, s.taken[0], ErrOlder)
-	require.Equal(t, completeness.Older, two.Statement.Missing[0].Why, "no replica was better: the slice is missing")
+	require.Equal(t, completeness.StaleVersion, two.Statement.Missing[0].Reason, "no replica was better: the slice is missing")
 	s.spoil, s.version[cheap] = nil, 6
 	two = s.page(6, one.Next)
 	require.Equal(t, []cursor.Span{{Lo: 4, Hi: 6, Version: 6}}, two.Other, "a newer one is read, and said")
@@ -213,8 +213,8 @@
 		}
 		one := s.page(6, nil)
 		require.Len(t, one.Statement.Missing, 1, name)
-		require.Equal(t, completeness.Spoilt, one.Statement.Missing[0].Why, name)
-		require.NotEmpty(t, one.Statement.Missing[0].Fault, name)
+		require.Equal(t, completeness.Malformed, one.Statement.Missing[0].Reason, name)
+		require.NotEmpty(t, one.Statement.Missing[0].Detail, name)
 		for _, r := range one.Rows {
 			require.False(t, r.Bucket == 4 || r.Bucket == 5, "%s: none of its rows", name)
 		}
@@ -288,7 +288,7 @@
 		require.Equal(t, hopeless, st.Hopeless)
 		if !hopeless {
 			require.Len(t, st.Result.Statement.Missing, 2)
-			require.ErrorContains(t, fmt.Errorf("%s", st.Result.Statement.Missing[0].Fault), merge.ErrCurrencyMismatch.Error())
+			require.ErrorContains(t, fmt.Errorf("%s", st.Result.Statement.Missing[0].Detail), merge.ErrCurrencyMismatch.Error())
 		}
 	}
 }
@@ -348,8 +348,8 @@
 	f = figures(read(map[int][]int64{0: {5, 7}, 2: {3}}))
 	require.Equal(t, Figure{"total", merge.IntOf(15), completeness.Bound{}}, f["total"], "nothing is known of what is missing")
 	require.False(t, f["least"].Bound.Known)
-	note := &completeness.Summary{Districts: shardmap.Range{Start: 1, End: 2}, Version: 1, Since: 1, Count: 2, Min: 1, Max: 4, Sum: 5,
-		Least: []merge.Value{}}
+	note := &completeness.Summary{Buckets: shardmap.Range{Start: 1, End: 2}, Version: 1, ShardEpoch: 1, Count: 2, Min: 1, Max: 4, Sum: 5,
+		FirstRank: []merge.Value{}}
 	f = figures(read(map[int][]int64{0: {5, 7}, 2: {3}}, note))
 	require.Equal(t, exact(20), f["total"].Bound)
 	require.Equal(t, exact(5), f["n"].Bound)
@@ -360,5 +360,5 @@
 	f = figures(st)
 	require.Equal(t, merge.IntOf(1<<62+3), f["total"].Value)
 	require.Len(t, st.Result.Statement.Missing, 1)
-	require.Contains(t, st.Result.Statement.Missing[0].Fault, "overflows")
+	require.Contains(t, st.Result.Statement.Missing[0].Detail, "overflows")
 }
--- a/internal/results/rows/arrow.go
+++ b/internal/results/rows/arrow.go
@@ -125,7 +125,7 @@
 		strconv.FormatBool(a.Batch.HasMore)}
 	if s := a.Summary; s != nil {
 		n := note{Count: s.Count, Min: number(s.Min), Max: number(s.Max), Sum: number(s.Sum)}
-		for _, v := range s.Least {
+		for _, v := range s.FirstRank {
 			n.Least = append(n.Least, raw(v))
 		}
 		text, err := json.Marshal(n)
--- a/internal/results/rows/rows.go
+++ b/internal/results/rows/rows.go
@@ -357,7 +357,7 @@
 	if n == nil {
 		return nil, nil
 	}
-	s := &completeness.Summary{Districts: b.Buckets, Version: b.Version, Since: since, Count: n.Count,
+	s := &completeness.Summary{Buckets: b.Buckets, Version: b.Version, ShardEpoch: since, Count: n.Count,
 		Min: math.NaN(),
 		Max: math.NaN(), Sum: math.NaN()}
 	for _, v := range []struct {
@@ -382,7 +382,7 @@
 		if err != nil || v.Kind == merge.Null || v.Kind == merge.Float && math.IsNaN(v.Float) {
 			return nil, bad("summary: least[%d]: %.40s", i, raw)
 		}
-		s.Least = append(s.Least, v)
+		s.FirstRank = append(s.FirstRank, v)
 	}
 	return s, nil
 }
@@ -415,7 +415,7 @@
 	}
 	if s := a.Summary; s != nil {
 		h.Summary = &note{Count: s.Count, Min: number(s.Min), Max: number(s.Max), Sum: number(s.Sum)}
-		for _, v := range s.Least {
+		for _, v := range s.FirstRank {
 			h.Summary.Least = append(h.Summary.Least, raw(v))
 		}
 	}
--- a/internal/results/rows/rows_test.go
+++ b/internal/results/rows/rows_test.go
@@ -30,8 +30,8 @@
 	return &Answer{Batch: merge.Batch{Buckets: districts, Version: 7, Schema: s, HasMore: true, Rows: []merge.Row{
 		{Bucket: 12, Key: "k-1", Values: []merge.Value{merge.IntOf(math.MaxInt64), merge.FloatOf(0.1), merge.TextOf("ä\"\n")}},
 		{Bucket: 19, Key: "k 2", Values: []merge.Value{{}, {}, {}}}}},
-		Summary: &completeness.Summary{Districts: districts, Version: 7, Since: 3, Count: 99,
-			Least: []merge.Value{merge.IntOf(5), merge.FloatOf(0.25)}, Min: 5, Max: 900, Sum: 12_000}}
+		Summary: &completeness.Summary{Buckets: districts, Version: 7, ShardEpoch: 3, Count: 99,
+			FirstRank: []merge.Value{merge.IntOf(5), merge.FloatOf(0.25)}, Min: 5, Max: 900, Sum: 12_000}}
 }
 
 func TestThereAndBack(t *testing.T) {
