--- a/internal/results/completeness/bounds.go
+++ b/internal/results/completeness/bounds.go
@@ -2,16 +2,16 @@
 
 import "math"
 
-// Bound is between what a figure lies; unknown if nothing can be said.
+// Bound is the range in which an aggregate over all rows lies. The zero value is unknown.
 type Bound struct {
 	Known     bool
-	Low, High float64
+	Low, High float64 // both included
 }
 
-// Exact tells that the figure is what was counted.
+// Exact reports whether the aggregate is known without error.
 func (b Bound) Exact() bool { return b.Known && b.Low == b.High }
 
-// CountBound is between what the count of all rows lies, of which so many are in.
+// CountBound bounds the count of all rows, of which present ones are counted.
 func (s *Report) CountBound(in uint64) Bound {
 	b := Bound{true, float64(in), float64(in)}
 	for _, p := range s.Missing {
@@ -24,7 +24,8 @@
 	return b
 }
 
-// SumBound is between what the sum lies. Where a summary's sum is no number its count, least and most bound it.
+// SumBound bounds the sum over all rows, given that over the present ones. Where a summary has no sum, its count,
+// minimum and maximum bound it.
 func (s *Report) SumBound(in float64) Bound {
 	b := Bound{true, in, in}
 	for _, p := range s.Missing {
@@ -45,13 +46,13 @@
 	return b
 }
 
-// MinBound is between what the least value lies, of which the least that is in is given; any tells whether one is
-// in.
+// MinBound is the minimum over all rows, given that over the present ones if there are any; else present counts for
+// nothing.
 func (s *Report) MinBound(in float64, any bool) Bound {
 	return s.extremeBound(in, any, func(x *Summary) float64 { return x.Min }, less)
 }
 
-// MaxBound is the same for the greatest.
+// MaxBound is the maximum over all rows, like MinBound.
 func (s *Report) MaxBound(in float64, any bool) Bound {
 	return s.extremeBound(in, any, func(x *Summary) float64 { return x.Max }, more)
 }
@@ -60,6 +61,8 @@
 
 func more(a, b float64) bool { return a > b }
 
+// extremeBound is the most extreme of a value and those of the summaries of missing parts, where moreExtreme compares
+// two values.
 func (s *Report) extremeBound(in float64, any bool, of func(*Summary) float64,
 	better func(a, b float64) bool) Bound {
 	for _, p := range s.Missing {
@@ -74,7 +77,7 @@
 	return Bound{any, in, in}
 }
 
-// MeanBound is between what the mean lies.
+// MeanBound bounds the mean over all rows, given the sum and count over the present ones.
 func (s *Report) MeanBound(sum float64, count uint64) Bound {
 	n, t := s.CountBound(count), s.SumBound(sum)
 	if !n.Known || !t.Known || n.Low == 0 {
--- a/internal/results/completeness/certain.go
+++ b/internal/results/completeness/certain.go
@@ -2,8 +2,8 @@
 
 import "ternstage/internal/results/merge"
 
-// CertainRanks tells of each place, in order, whether its rank is certain: no missing part could hold a row that
-// comes before it. Once one is not, none after it is.
+// CertainRanks reports for each of an answer's positions, which are in order, whether its rank is certain: no missing
+// part can hold a row before it. After a rank that is not certain no rank is.
 func (s *Report) CertainRanks(o *merge.Order, places []merge.Position) []bool {
 	out := make([]bool, len(places))
 	// The first place that a missing row could take bounds them all.
--- a/internal/results/completeness/certain_test.go
+++ b/internal/results/completeness/certain_test.go
@@ -9,7 +9,7 @@
 	"ternstage/internal/results/merge"
 )
 
-// The missing slice might hold the cheapest policy.
+// The first rank is certain only if the missing shard cannot hold a row of a lower premium.
 func TestFirstRankIsCertainOnlyByAnApplicableSummary(t *testing.T) {
 	o := newOrder(t)
 	parts := []Part{{Buckets: shardmap.Range{Start: 0, End: 5}, Weight: 0.7, Present: true, Version: 1, ShardEpoch: 1},
--- a/internal/results/completeness/fixture_test.go
+++ b/internal/results/completeness/fixture_test.go
@@ -8,10 +8,12 @@
 	"ternstage/internal/results/merge"
 )
 
+// A fixed seed makes every run draw the same cases; -rapid.seed=0 on the command line draws new ones.
 func init() { _ = flag.Set("rapid.seed", "20261201") }
 
 var table = merge.Schema{{Name: "premium", Kind: merge.Int}}
 
+// newOrder ranks rows by premium, the least first.
 func newOrder(t require.TestingT) *merge.Order {
 	o, err := merge.NewOrder(table, []merge.SortColumn{{Column: "premium"}})
 	require.NoError(t, err)
--- a/internal/results/completeness/reason.go
+++ b/internal/results/completeness/reason.go
@@ -1,19 +1,20 @@
 package completeness
 
-// Reason tells why districts are missing.
+// Reason is why a part is missing.
 type Reason uint8
 
 // The reasons.
 const (
-	Rejected     Reason = iota // turned away, or never sent
+	Rejected     Reason = iota // rejected by the backends, or never sent
 	TimedOut                   // no answer in time
-	Failed                     // the node failed, or its connection
-	NotHolder                  // no node held them
-	Malformed                  // what came cannot be combined
-	StaleVersion               // only an older data version than the page before
+	Failed                     // the backend or the connection to it failed
+	NotHolder                  // no backend held the buckets
+	Malformed                  // the answer cannot be combined with the others
+	StaleVersion               // only an older data version than that of the page before was available
 )
 
+// reasonNames are the names of reasons in answers.
 var reasonNames = [...]string{"refused", "timed-out", "failed", "moved", "spoilt", "older-version"}
 
-// String names the reason as answers do.
+// String is the name of the reason in answers.
 func (w Reason) String() string { return reasonNames[w] }
--- a/internal/results/completeness/report.go
+++ b/internal/results/completeness/report.go
@@ -7,15 +7,15 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-// Part is districts of a query that are in or missing together, with their share of its weight as it began.
+// Part is the part of a query that one shard answers. Its buckets are present or missing together.
 type Part struct {
 	Buckets    shardmap.Range
-	Weight     float64
+	Weight     float64 // share of the query's weight
 	Present    bool
-	Version    uint64 // of the data that was read; of a missing part the newest that is known of, 0 for none
-	ShardEpoch uint64 // epoch of the last change of the slice that holds them
+	Version    uint64 // of the data that was read; of a missing part the newest known, 0 if none is
+	ShardEpoch uint64 // epoch of the last change of the shard that holds the buckets
 	Reason     Reason // of a missing part
-	Detail     string // of a spoilt one
+	Detail     string // of a Malformed one: what is wrong with its answer
 }
 
 // Report is how complete an answer is.
@@ -28,10 +28,11 @@
 	summaries map[shardmap.Range]*Summary
 }
 
-// weightTolerance is what sums of weights may fall short by, as the platform's rules allow.
+// weightTolerance is by how much sums of weights may fall short, as the platform's rules allow.
 const weightTolerance = 1e-4
 
-// New makes the statement of a query's parts. need is the share that makes a whole answer.
+// New makes the report of a query's parts. An answer is complete if no part is missing and the weight that is present
+// is completeFrom or more.
 func New(parts []Part, summaries []*Summary, need float64) *Report {
 	s := &Report{parts: parts, summaries: map[shardmap.Range]*Summary{}}
 	for _, x := range summaries {
@@ -54,8 +55,8 @@
 	return s
 }
 
-// MeetsFloor tells whether an answer may be given: its share is the class's floor or more, and what the client
-// asked for if that is stricter.
+// MeetsFloor reports whether an answer may be given: the weight that is present reaches the floor of the class and the
+// minimum that the client asks for.
 func (s *Report) MeetsFloor(floor, least float64) bool {
 	return len(s.Present) > 0 && s.Weight >= max(floor, least)-weightTolerance
 }
--- a/internal/results/completeness/report_test.go
+++ b/internal/results/completeness/report_test.go
@@ -13,13 +13,14 @@
 	"ternstage/internal/results/merge"
 )
 
+// testShard is a shard with its premiums in order, and what the broker knows of it.
 type testShard struct {
 	part    Part
 	rows    []int64
 	summary *Summary
 }
 
-// trueSummary is what a node would state of a slice truly.
+// trueSummary is the summary that the shard's backend states.
 func (s *testShard) trueSummary() *Summary {
 	x := &Summary{Buckets: s.part.Buckets, Version: s.part.Version, ShardEpoch: s.part.ShardEpoch, Count: uint64(len(s.rows)),
 		Min: math.NaN(), Max: math.NaN()}
@@ -33,8 +34,8 @@
 	return x
 }
 
-// Whatever slices are missing and whatever is known of them, a rank that is called certain is the true one, and every
-// bound holds the truth. A summary that is out of date is worth nothing.
+// Whichever shards are missing and whatever is known of them, a certain rank is the true one and each bound holds the
+// true figure. Outdated summaries count for nothing.
 func TestReportClaimsNothingUntrue(t *testing.T) {
 	certain, bounded := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -114,7 +115,8 @@
 	require.Positive(t, bounded)
 }
 
-// An answer from exactly the floor may be given, one district less may not, and what the client asks for is kept.
+// An answer with exactly the floor's weight may be given and one with a bucket less may not; a stricter minimum of the
+// client counts.
 func TestMeetsFloor(t *testing.T) {
 	for in, want := range map[int]bool{69: false, 70: true, 71: true} {
 		var parts []Part
--- a/internal/results/completeness/summary.go
+++ b/internal/results/completeness/summary.go
@@ -5,26 +5,26 @@
 	"ternstage/internal/results/merge"
 )
 
-// Summary is what a node stated of districts at one data version, some time ago.
+// Summary is what a backend stated earlier about the rows of some buckets at one data version. Min, Max and Sum are of
+// the aggregated column, and NaN where the backend stated none.
 type Summary struct {
 	Buckets    shardmap.Range
 	Version    uint64
-	ShardEpoch uint64        // epoch of the last change of the slice that it was of
+	ShardEpoch uint64        // epoch of the last change of the shard that held the buckets
 	Count      uint64        // of rows
-	FirstRank  []merge.Value // the rank columns of its first row; nil if it has no rows
-	Min, Max   float64       // of the aggregated column
+	FirstRank  []merge.Value // the rank columns of the first row; nil if there are no rows
+	Min, Max   float64
 	Sum        float64
 }
 
-// AppliesTo tells whether a summary says anything of a missing part: it is of exactly these districts, as they
-// are sliced now, and of the newest data version that is known of. Anything else is worth nothing, and so is
-// a part whose version nobody knows.
+// AppliesTo reports whether the summary holds for a missing part: it is of exactly the part's buckets, since the last
+// change of their shard, and of the newest data version known. It never does for a part of unknown version.
 func (s *Summary) AppliesTo(p Part) bool {
 	return s != nil && s.Buckets == p.Buckets && s.ShardEpoch == p.ShardEpoch && p.Version > 0 &&
 		s.Version >= p.Version
 }
 
-// summaryOf is what holds of a missing part.
+// summaryOf is the summary that applies to a missing part, or nil.
 func (s *Report) summaryOf(p Part) *Summary {
 	if x := s.summaries[p.Buckets]; x.AppliesTo(p) {
 		return x
