--- a/internal/results/completeness/bounds.go
+++ b/internal/results/completeness/bounds.go
@@ -12,76 +12,89 @@
 func (b Bound) Exact() bool { return b.Known && b.Low == b.High }
 
 // CountBound bounds the count of all rows, of which present ones are counted.
-func (s *Report) CountBound(in uint64) Bound {
-	b := Bound{true, float64(in), float64(in)}
-	for _, p := range s.Missing {
-		x := s.summaryOf(p)
-		if x == nil {
+func (r *Report) CountBound(present uint64) Bound {
+	bound := Bound{Known: true, Low: float64(present), High: float64(present)}
+	for _, part := range r.Missing {
+		summary := r.summaryOf(part)
+		if summary == nil {
 			return Bound{}
 		}
-		b.Low, b.High = b.Low+float64(x.Count), b.High+float64(x.Count)
+		bound.Low += float64(summary.Count)
+		bound.High += float64(summary.Count)
 	}
-	return b
+	return bound
 }
 
 // SumBound bounds the sum over all rows, given that over the present ones. Where a summary has no sum, its count,
 // minimum and maximum bound it.
-func (s *Report) SumBound(in float64) Bound {
-	b := Bound{true, in, in}
-	for _, p := range s.Missing {
-		x := s.summaryOf(p)
+func (r *Report) SumBound(present float64) Bound {
+	bound := Bound{Known: true, Low: present, High: present}
+	for _, part := range r.Missing {
+		summary := r.summaryOf(part)
 		switch {
-		case x == nil:
+		case summary == nil:
 			return Bound{}
-		case x.Count == 0:
-		case !math.IsNaN(x.Sum):
-			b.Low, b.High = b.Low+x.Sum, b.High+x.Sum
+		case summary.Count == 0:
+			// No rows change no sum.
+		case !math.IsNaN(summary.Sum):
+			bound.Low += summary.Sum
+			bound.High += summary.Sum
 		default:
-			b.Low, b.High = b.Low+float64(x.Count)*x.Min, b.High+float64(x.Count)*x.Max
+			bound.Low += float64(summary.Count) * summary.Min
+			bound.High += float64(summary.Count) * summary.Max
 		}
 	}
-	if math.IsNaN(b.Low) || math.IsNaN(b.High) {
+	if math.IsNaN(bound.Low) || math.IsNaN(bound.High) {
 		return Bound{}
 	}
-	return b
+	return bound
 }
 
 // MinBound is the minimum over all rows, given that over the present ones if there are any; else present counts for
 // nothing.
-func (s *Report) MinBound(in float64, any bool) Bound {
-	return s.extremeBound(in, any, func(x *Summary) float64 { return x.Min }, less)
+func (r *Report) MinBound(present float64, anyPresent bool) Bound {
+	return r.extremeBound(present, anyPresent,
+		func(summary *Summary) float64 { return summary.Min },
+		func(a, b float64) bool { return a < b })
 }
 
 // MaxBound is the maximum over all rows, like MinBound.
-func (s *Report) MaxBound(in float64, any bool) Bound {
-	return s.extremeBound(in, any, func(x *Summary) float64 { return x.Max }, more)
+func (r *Report) MaxBound(present float64, anyPresent bool) Bound {
+	return r.extremeBound(present, anyPresent,
+		func(summary *Summary) float64 { return summary.Max },
+		func(a, b float64) bool { return a > b })
 }
 
-func less(a, b float64) bool { return a < b }
-
-func more(a, b float64) bool { return a > b }
-
 // extremeBound is the most extreme of a value and those of the summaries of missing parts, where moreExtreme compares
 // two values.
-func (s *Report) extremeBound(in float64, any bool, of func(*Summary) float64,
-	better func(a, b float64) bool) Bound {
-	for _, p := range s.Missing {
-		x := s.summaryOf(p)
-		if x == nil || x.Count > 0 && math.IsNaN(of(x)) {
+func (r *Report) extremeBound(extreme float64, known bool, valueOf func(*Summary) float64,
+	moreExtreme func(a, b float64) bool) Bound {
+	for _, part := range r.Missing {
+		summary := r.summaryOf(part)
+		if summary == nil {
+			return Bound{}
+		}
+		if summary.Count == 0 {
+			continue
+		}
+		value := valueOf(summary)
+		if math.IsNaN(value) {
 			return Bound{}
 		}
-		if x.Count > 0 && (!any || better(of(x), in)) {
-			in, any = of(x), true
+		if !known || moreExtreme(value, extreme) {
+			extreme = value
+			known = true
 		}
 	}
-	return Bound{any, in, in}
+	return Bound{Known: known, Low: extreme, High: extreme}
 }
 
 // MeanBound bounds the mean over all rows, given the sum and count over the present ones.
-func (s *Report) MeanBound(sum float64, count uint64) Bound {
-	n, t := s.CountBound(count), s.SumBound(sum)
-	if !n.Known || !t.Known || n.Low == 0 {
+func (r *Report) MeanBound(presentSum float64, presentCount uint64) Bound {
+	count := r.CountBound(presentCount)
+	sum := r.SumBound(presentSum)
+	if !count.Known || !sum.Known || count.Low == 0 {
 		return Bound{}
 	}
-	return Bound{true, t.Low / n.Low, t.High / n.Low}
+	return Bound{Known: true, Low: sum.Low / count.Low, High: sum.High / count.High}
 }
--- a/internal/results/completeness/certain.go
+++ b/internal/results/completeness/certain.go
@@ -4,28 +4,37 @@
 
 // CertainRanks reports for each of an answer's positions, which are in order, whether its rank is certain: no missing
 // part can hold a row before it. After a rank that is not certain no rank is.
-func (s *Report) CertainRanks(o *merge.Order, places []merge.Position) []bool {
-	out := make([]bool, len(places))
-	// The first place that a missing row could take bounds them all.
-	var first *merge.Position
-	for _, p := range s.Missing {
-		x := s.summaryOf(p)
-		if x == nil {
-			return out // it might hold anything
+func (r *Report) CertainRanks(order *merge.Order, positions []merge.Position) []bool {
+	certain := make([]bool, len(positions))
+	first, known := r.firstMissing(order)
+	if !known {
+		return certain
+	}
+	for i, position := range positions {
+		if first != nil && order.Compare(position, *first) >= 0 {
+			break
 		}
-		if x.Count == 0 {
-			continue
+		certain[i] = true
+	}
+	return certain
+}
+
+// firstMissing is the first position that a row of a missing part can have, nil if the missing parts have no rows. It
+// is unknown if a missing part has no summary.
+func (r *Report) firstMissing(order *merge.Order) (first *merge.Position, known bool) {
+	for _, part := range r.Missing {
+		summary := r.summaryOf(part)
+		if summary == nil {
+			return nil, false
 		}
-		// The key of its first row is not known: any key of its first district may be.
-		least := merge.Position{Rank: x.FirstRank, Bucket: p.Buckets.Start}
-		if first == nil || o.Compare(least, *first) < 0 {
-			first = &least
+		if summary.Count == 0 {
+			continue
 		}
-	}
-	for i, at := range places {
-		if out[i] = first == nil || o.Compare(at, *first) < 0; !out[i] {
-			break
+		// The first row's bucket and key are not known: it may be of the first bucket and have any key.
+		lowest := merge.Position{Rank: summary.FirstRank, Bucket: part.Buckets.Start}
+		if first == nil || order.Compare(lowest, *first) < 0 {
+			first = &lowest
 		}
 	}
-	return out
+	return first, true
 }
--- a/internal/results/completeness/certain_test.go
+++ b/internal/results/completeness/certain_test.go
@@ -11,30 +11,46 @@
 
 // The first rank is certain only if the missing shard cannot hold a row of a lower premium.
 func TestFirstRankIsCertainOnlyByAnApplicableSummary(t *testing.T) {
-	o := newOrder(t)
-	parts := []Part{{Buckets: shardmap.Range{Start: 0, End: 5}, Weight: 0.7, Present: true, Version: 1, ShardEpoch: 1},
-		{Buckets: shardmap.Range{Start: 5, End: 9}, Weight: 0.3, Version: 8, ShardEpoch: 2, Reason: TimedOut}}
-	first := []merge.Position{{Rank: []merge.Value{merge.IntOf(10)}, Bucket: 2, Key: "k"}}
-	note := func(f func(*Summary)) []*Summary {
-		x := &Summary{Buckets: parts[1].Buckets, Version: 8, ShardEpoch: 2, Count: 3, FirstRank: []merge.Value{merge.IntOf(11)}}
-		f(x)
-		return []*Summary{x}
+	order := newOrder(t)
+	positions := []merge.Position{{Rank: []merge.Value{merge.IntOf(10)}, Bucket: 2, Key: "k"}}
+	for name, test := range map[string]struct {
+		summary *Summary // its change is made to one that applies, with a first premium of 11
+		change  func(summary *Summary, missing *Part)
+		want    bool
+	}{
+		"no summary":              {nil, nil, false},
+		"higher first premium":    {newSummary(), func(*Summary, *Part) {}, true},
+		"equal in a later bucket": {newSummary(), func(s *Summary, _ *Part) { s.FirstRank[0] = merge.IntOf(10) }, true},
+		"lower first premium":     {newSummary(), func(s *Summary, _ *Part) { s.FirstRank[0] = merge.IntOf(9) }, false},
+		"older data version":      {newSummary(), func(s *Summary, _ *Part) { s.Version = 7 }, false},
+		"before a split":          {newSummary(), func(s *Summary, _ *Part) { s.ShardEpoch = 1 }, false},
+		"other buckets":           {newSummary(), func(s *Summary, _ *Part) { s.Buckets.End = 8 }, false},
+		"no rows": {newSummary(), func(s *Summary, _ *Part) {
+			s.Count = 0
+			s.FirstRank = nil
+		}, true},
+		"unknown data version": {newSummary(), func(_ *Summary, missing *Part) { missing.Version = 0 }, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			parts := []Part{
+				{Buckets: shardmap.Range{Start: 0, End: 5}, Weight: 0.7, Present: true, Version: 1, ShardEpoch: 1},
+				{Buckets: shardmap.Range{Start: 5, End: 9}, Weight: 0.3, Version: 8, ShardEpoch: 2, Reason: TimedOut},
+			}
+			var summaries []*Summary
+			if test.summary != nil {
+				test.change(test.summary, &parts[1])
+				summaries = append(summaries, test.summary)
+			}
+			report := New(parts, summaries, 1)
+			require.Equal(t, test.want, report.CertainRanks(order, positions)[0])
+			require.False(t, report.Complete)
+			require.InDelta(t, 0.7, report.Weight, 1e-9)
+		})
 	}
-	is := func(want bool, sums []*Summary, why string) {
-		t.Helper()
-		st := New(parts, sums, 1)
-		require.Equal(t, want, st.CertainRanks(o, first)[0], why)
-		require.False(t, st.Complete)
-		require.InDelta(t, 0.7, st.Weight, 1e-9)
-	}
-	is(false, nil, "nothing is known")
-	is(true, note(func(*Summary) {}), "its least is dearer")
-	is(true, note(func(x *Summary) { x.FirstRank[0] = merge.IntOf(10) }), "as dear, of a later district")
-	is(false, note(func(x *Summary) { x.FirstRank[0] = merge.IntOf(9) }), "it is cheaper")
-	is(false, note(func(x *Summary) { x.Version = 7 }), "the summary is of an older version")
-	is(false, note(func(x *Summary) { x.ShardEpoch = 1 }), "it is from before a split")
-	is(false, note(func(x *Summary) { x.Buckets.End = 8 }), "it is of other districts")
-	is(true, note(func(x *Summary) { x.Count, x.FirstRank = 0, nil }), "it has no rows")
-	parts[1].Version = 0
-	is(false, note(func(*Summary) {}), "nobody knows which version is in force")
+}
+
+// newSummary applies to the missing part of the test.
+func newSummary() *Summary {
+	return &Summary{Buckets: shardmap.Range{Start: 5, End: 9}, Version: 8, ShardEpoch: 2, Count: 3,
+		FirstRank: []merge.Value{merge.IntOf(11)}}
 }
--- a/internal/results/completeness/fixture_test.go
+++ b/internal/results/completeness/fixture_test.go
@@ -11,11 +11,13 @@
 // A fixed seed makes every run draw the same cases; -rapid.seed=0 on the command line draws new ones.
 func init() { _ = flag.Set("rapid.seed", "20261201") }
 
-var table = merge.Schema{{Name: "premium", Kind: merge.Int}}
-
 // newOrder ranks rows by premium, the least first.
 func newOrder(t require.TestingT) *merge.Order {
-	o, err := merge.NewOrder(table, []merge.SortColumn{{Column: "premium"}})
+	if helper, ok := t.(interface{ Helper() }); ok {
+		helper.Helper()
+	}
+	schema := merge.Schema{{Name: "premium", Kind: merge.Int}}
+	order, err := merge.NewOrder(schema, []merge.SortColumn{{Column: "premium"}})
 	require.NoError(t, err)
-	return o
+	return order
 }
--- a/internal/results/completeness/reason.go
+++ b/internal/results/completeness/reason.go
@@ -14,7 +14,14 @@
 )
 
 // reasonNames are the names of reasons in answers.
-var reasonNames = [...]string{"refused", "timed-out", "failed", "moved", "spoilt", "older-version"}
+var reasonNames = [...]string{
+	Rejected:     "refused",
+	TimedOut:     "timed-out",
+	Failed:       "failed",
+	NotHolder:    "moved",
+	Malformed:    "spoilt",
+	StaleVersion: "older-version",
+}
 
 // String is the name of the reason in answers.
-func (w Reason) String() string { return reasonNames[w] }
+func (r Reason) String() string { return reasonNames[r] }
--- a/internal/results/completeness/report.go
+++ b/internal/results/completeness/report.go
@@ -7,6 +7,9 @@
 	"ternstage/internal/decision/shardmap"
 )
 
+// weightTolerance is by how much sums of weights may fall short, as the platform's rules allow.
+const weightTolerance = 1e-4
+
 // Part is the part of a query that one shard answers. Its buckets are present or missing together.
 type Part struct {
 	Buckets    shardmap.Range
@@ -20,43 +23,40 @@
 
 // Report is how complete an answer is.
 type Report struct {
-	Weight    float64 // of weight that is in
-	Complete  bool
-	Present   []Part
-	Missing   []Part
-	parts     []Part
-	summaries map[shardmap.Range]*Summary
-}
+	Weight   float64 // share of the query's weight that is present
+	Complete bool
+	Present  []Part // in the order of their buckets
+	Missing  []Part // in the order of their buckets
 
-// weightTolerance is by how much sums of weights may fall short, as the platform's rules allow.
-const weightTolerance = 1e-4
+	summaries map[shardmap.Range]*Summary // the newest of each range of buckets
+}
 
 // New makes the report of a query's parts. An answer is complete if no part is missing and the weight that is present
 // is completeFrom or more.
-func New(parts []Part, summaries []*Summary, need float64) *Report {
-	s := &Report{parts: parts, summaries: map[shardmap.Range]*Summary{}}
-	for _, x := range summaries {
-		if old := s.summaries[x.Buckets]; old == nil || old.Version < x.Version {
-			s.summaries[x.Buckets] = x
+func New(parts []Part, summaries []*Summary, completeFrom float64) *Report {
+	report := &Report{summaries: map[shardmap.Range]*Summary{}}
+	for _, summary := range summaries {
+		if newest := report.summaries[summary.Buckets]; newest == nil || newest.Version < summary.Version {
+			report.summaries[summary.Buckets] = summary
 		}
 	}
-	for _, p := range parts {
-		if p.Present {
-			s.Weight += p.Weight
-			s.Present = append(s.Present, p)
+	for _, part := range parts {
+		if part.Present {
+			report.Weight += part.Weight
+			report.Present = append(report.Present, part)
 		} else {
-			s.Missing = append(s.Missing, p)
+			report.Missing = append(report.Missing, part)
 		}
 	}
-	order := func(a, b Part) int { return cmp.Compare(a.Buckets.Start, b.Buckets.Start) }
-	slices.SortFunc(s.Present, order)
-	slices.SortFunc(s.Missing, order)
-	s.Complete = len(parts) > 0 && s.Weight >= need-weightTolerance && len(s.Missing) == 0
-	return s
+	byBuckets := func(a, b Part) int { return cmp.Compare(a.Buckets.Start, b.Buckets.Start) }
+	slices.SortFunc(report.Present, byBuckets)
+	slices.SortFunc(report.Missing, byBuckets)
+	report.Complete = len(parts) > 0 && report.Weight >= completeFrom-weightTolerance && len(report.Missing) == 0
+	return report
 }
 
 // MeetsFloor reports whether an answer may be given: the weight that is present reaches the floor of the class and the
 // minimum that the client asks for.
-func (s *Report) MeetsFloor(floor, least float64) bool {
-	return len(s.Present) > 0 && s.Weight >= max(floor, least)-weightTolerance
+func (r *Report) MeetsFloor(floor, minWeight float64) bool {
+	return len(r.Present) > 0 && r.Weight >= max(floor, minWeight)-weightTolerance
 }
--- a/internal/results/completeness/report_test.go
+++ b/internal/results/completeness/report_test.go
@@ -15,100 +15,128 @@
 
 // testShard is a shard with its premiums in order, and what the broker knows of it.
 type testShard struct {
-	part    Part
-	rows    []int64
-	summary *Summary
+	part     Part
+	premiums []int64
+	summary  *Summary // may be nil or outdated
 }
 
 // trueSummary is the summary that the shard's backend states.
 func (s *testShard) trueSummary() *Summary {
-	x := &Summary{Buckets: s.part.Buckets, Version: s.part.Version, ShardEpoch: s.part.ShardEpoch, Count: uint64(len(s.rows)),
-		Min: math.NaN(), Max: math.NaN()}
-	for _, v := range s.rows {
-		x.Sum += float64(v)
+	summary := &Summary{Buckets: s.part.Buckets, Version: s.part.Version, ShardEpoch: s.part.ShardEpoch,
+		Count: uint64(len(s.premiums)), Min: math.NaN(), Max: math.NaN()}
+	for _, premium := range s.premiums {
+		summary.Sum += float64(premium)
 	}
-	if len(s.rows) > 0 {
-		least, most := slices.Min(s.rows), slices.Max(s.rows)
-		x.FirstRank, x.Min, x.Max = []merge.Value{merge.IntOf(least)}, float64(least), float64(most)
+	if len(s.premiums) > 0 {
+		least := slices.Min(s.premiums)
+		summary.FirstRank = []merge.Value{merge.IntOf(least)}
+		summary.Min = float64(least)
+		summary.Max = float64(slices.Max(s.premiums))
 	}
-	return x
+	return summary
+}
+
+// drawShard draws whether the shard is present, its premiums, and a summary that is true, outdated or absent. What an
+// outdated one states is wrong.
+func drawShard(t *rapid.T, bucket int) testShard {
+	shard := testShard{part: Part{Buckets: shardmap.Range{Start: bucket, End: bucket + 1}, Weight: 1, Version: 5,
+		ShardEpoch: 3, Present: rapid.IntRange(0, 3).Draw(t, "present") > 0}}
+	for range rapid.IntRange(0, 5).Draw(t, "rows") {
+		shard.premiums = append(shard.premiums, int64(rapid.IntRange(0, 9).Draw(t, "premium")))
+	}
+	slices.Sort(shard.premiums)
+	summary := shard.trueSummary()
+	switch rapid.IntRange(0, 5).Draw(t, "summary") {
+	case 0: // none
+	case 1:
+		summary.Version = 4 // older than the data
+		summary.FirstRank = []merge.Value{merge.IntOf(99)}
+		summary.Count = 0
+		shard.summary = summary
+	case 2:
+		summary.ShardEpoch = 2 // before the last change of the shard
+		summary.FirstRank = []merge.Value{merge.IntOf(99)}
+		summary.Count = 0
+		shard.summary = summary
+	default:
+		shard.summary = summary
+	}
+	return shard
+}
+
+// testFigures are the rows of some shards and the aggregates over them.
+type testFigures struct {
+	positions []merge.Position // in order
+	sum       float64
+	count     int
+	least     float64
+}
+
+func figuresOf(order *merge.Order, shards []testShard) testFigures {
+	figures := testFigures{least: math.Inf(1)}
+	for _, shard := range shards {
+		for i, premium := range shard.premiums {
+			figures.positions = append(figures.positions, merge.Position{Rank: []merge.Value{merge.IntOf(premium)},
+				Bucket: shard.part.Buckets.Start, Key: fmt.Sprint(i)})
+			figures.sum += float64(premium)
+			figures.count++
+			figures.least = min(figures.least, float64(premium))
+		}
+	}
+	slices.SortFunc(figures.positions, order.Compare)
+	return figures
 }
 
 // Whichever shards are missing and whatever is known of them, a certain rank is the true one and each bound holds the
 // true figure. Outdated summaries count for nothing.
 func TestReportClaimsNothingUntrue(t *testing.T) {
-	certain, bounded := 0, 0
+	certain := 0
+	bounded := 0
 	rapid.Check(t, func(t *rapid.T) {
-		o := newOrder(t)
-		var all []testShard
-		for i := range rapid.IntRange(1, 8).Draw(t, "slices") {
-			s := testShard{part: Part{Buckets: shardmap.Range{Start: i, End: i + 1}, Weight: 1, Version: 5, ShardEpoch: 3,
-				Present: rapid.IntRange(0, 3).Draw(t, "missing") > 0}}
-			for range rapid.IntRange(0, 5).Draw(t, "rows") {
-				s.rows = append(s.rows, int64(rapid.IntRange(0, 9).Draw(t, "premium")))
-			}
-			slices.Sort(s.rows)
-			switch x := s.trueSummary(); rapid.IntRange(0, 5).Draw(t, "summary") {
-			case 0: // none
-			case 1: // an older version, of rows that were other ones
-				x.Version, x.FirstRank, x.Count = 4, []merge.Value{merge.IntOf(99)}, 0
-				s.summary = x
-			case 2: // from before a split
-				x.ShardEpoch, x.FirstRank, x.Count = 2, []merge.Value{merge.IntOf(99)}, 0
-				s.summary = x
-			default:
-				s.summary = x
-			}
-			all = append(all, s)
+		order := newOrder(t)
+		var shards, presentShards []testShard
+		for i := range rapid.IntRange(1, 8).Draw(t, "shards") {
+			shards = append(shards, drawShard(t, i))
 		}
-		n := float64(len(all))
 		var parts []Part
 		var summaries []*Summary
-		var places, truth []merge.Position
-		sum, sumIn, count, countIn := 0.0, 0.0, 0, 0
-		least, leastIn := math.Inf(1), math.Inf(1)
-		for _, s := range all {
-			s.part.Weight = 1 / n
-			parts = append(parts, s.part)
-			if s.summary != nil {
-				summaries = append(summaries, s.summary)
+		for _, shard := range shards {
+			shard.part.Weight = 1 / float64(len(shards))
+			parts = append(parts, shard.part)
+			if shard.summary != nil {
+				summaries = append(summaries, shard.summary)
 			}
-			for i, v := range s.rows {
-				at := merge.Position{Rank: []merge.Value{merge.IntOf(v)}, Bucket: s.part.Buckets.Start, Key: fmt.Sprint(i)}
-				truth = append(truth, at)
-				sum, count, least = sum+float64(v), count+1, min(least, float64(v))
-				if s.part.Present {
-					places = append(places, at)
-					sumIn, countIn, leastIn = sumIn+float64(v), countIn+1, min(leastIn, float64(v))
-				}
+			if shard.part.Present {
+				presentShards = append(presentShards, shard)
 			}
 		}
-		slices.SortFunc(places, o.Compare)
-		slices.SortFunc(truth, o.Compare)
-		st := New(parts, summaries, 1)
-		require.Equal(t, len(st.Missing) == 0, st.Complete)
-		for i, ok := range st.CertainRanks(o, places) {
-			if ok {
+		all := figuresOf(order, shards)
+		present := figuresOf(order, presentShards)
+		report := New(parts, summaries, 1)
+		require.Equal(t, len(report.Missing) == 0, report.Complete)
+		for i, isCertain := range report.CertainRanks(order, present.positions) {
+			if isCertain {
 				certain++
-				require.Equal(t, truth[i], places[i], "rank %d is called certain", i+1)
-			} else if len(st.Missing) == 0 {
-				t.Fatalf("rank %d of a whole answer is not certain", i+1)
+				require.Equal(t, all.positions[i], present.positions[i], "rank %d is reported as certain", i+1)
+			} else if len(report.Missing) == 0 {
+				t.Fatalf("rank %d of a complete answer is not certain", i+1)
 			}
 		}
-		in := func(b Bound, x float64) {
-			if b.Known {
+		requireWithin := func(bound Bound, figure float64) {
+			t.Helper()
+			if bound.Known {
 				bounded++
-				require.LessOrEqual(t, b.Low, x)
-				require.GreaterOrEqual(t, b.High, x)
+				require.LessOrEqual(t, bound.Low, figure)
+				require.GreaterOrEqual(t, bound.High, figure)
 			}
 		}
-		in(st.CountBound(uint64(countIn)), float64(count))
-		in(st.SumBound(sumIn), sum)
-		if b := st.MinBound(leastIn, countIn > 0); b.Known {
-			require.Equal(t, least, b.Low)
+		requireWithin(report.CountBound(uint64(present.count)), float64(all.count))
+		requireWithin(report.SumBound(present.sum), all.sum)
+		if bound := report.MinBound(present.least, present.count > 0); bound.Known {
+			require.Equal(t, all.least, bound.Low)
 		}
-		if count > 0 {
-			in(st.MeanBound(sumIn, uint64(countIn)), sum/float64(count))
+		if all.count > 0 {
+			requireWithin(report.MeanBound(present.sum, uint64(present.count)), all.sum/float64(all.count))
 		}
 	})
 	require.Positive(t, certain)
@@ -118,32 +146,33 @@
 // An answer with exactly the floor's weight may be given and one with a bucket less may not; a stricter minimum of the
 // client counts.
 func TestMeetsFloor(t *testing.T) {
-	for in, want := range map[int]bool{69: false, 70: true, 71: true} {
+	for present, want := range map[int]bool{69: false, 70: true, 71: true} {
 		var parts []Part
 		for i := range 100 {
-			parts = append(parts, Part{Buckets: shardmap.Range{Start: i, End: i + 1}, Weight: 0.01, Present: i < in})
+			parts = append(parts, Part{Buckets: shardmap.Range{Start: i, End: i + 1}, Weight: 0.01, Present: i < present})
 		}
-		require.Equal(t, want, New(parts, nil, 1).MeetsFloor(0.7, 0), in)
+		require.Equal(t, want, New(parts, nil, 1).MeetsFloor(0.7, 0), present)
 		require.False(t, New(parts, nil, 1).MeetsFloor(0.7, 0.72))
 	}
-	require.False(t, New(nil, nil, 1).MeetsFloor(0, 0), "nothing is in")
+	require.False(t, New(nil, nil, 1).MeetsFloor(0, 0), "nothing is present")
 }
 
 func BenchmarkState1000(b *testing.B) {
-	o := newOrder(b)
+	order := newOrder(b)
 	var parts []Part
-	var sums []*Summary
-	var places []merge.Position
+	var summaries []*Summary
+	var positions []merge.Position
 	for i := range 1000 {
-		r := shardmap.Range{Start: i, End: i + 1}
-		parts = append(parts, Part{Buckets: r, Weight: 0.001, Present: i%10 > 0, Version: 1, ShardEpoch: 1})
-		sums = append(sums, &Summary{Buckets: r, Version: 1, ShardEpoch: 1, Count: 1, FirstRank: []merge.Value{merge.IntOf(900)}})
+		buckets := shardmap.Range{Start: i, End: i + 1}
+		parts = append(parts, Part{Buckets: buckets, Weight: 0.001, Present: i%10 > 0, Version: 1, ShardEpoch: 1})
+		summaries = append(summaries, &Summary{Buckets: buckets, Version: 1, ShardEpoch: 1, Count: 1,
+			FirstRank: []merge.Value{merge.IntOf(900)}})
 	}
 	for i := range 50 {
-		places = append(places, merge.Position{Rank: []merge.Value{merge.IntOf(int64(i))}})
+		positions = append(positions, merge.Position{Rank: []merge.Value{merge.IntOf(int64(i))}})
 	}
 	b.ReportAllocs()
 	for range b.N {
-		New(parts, sums, 1).CertainRanks(o, places)
+		New(parts, summaries, 1).CertainRanks(order, positions)
 	}
 }
--- a/internal/results/completeness/summary.go
+++ b/internal/results/completeness/summary.go
@@ -19,15 +19,16 @@
 
 // AppliesTo reports whether the summary holds for a missing part: it is of exactly the part's buckets, since the last
 // change of their shard, and of the newest data version known. It never does for a part of unknown version.
-func (s *Summary) AppliesTo(p Part) bool {
-	return s != nil && s.Buckets == p.Buckets && s.ShardEpoch == p.ShardEpoch && p.Version > 0 &&
-		s.Version >= p.Version
+func (s *Summary) AppliesTo(part Part) bool {
+	return s != nil && s.Buckets == part.Buckets && s.ShardEpoch == part.ShardEpoch && part.Version > 0 &&
+		s.Version >= part.Version
 }
 
 // summaryOf is the summary that applies to a missing part, or nil.
-func (s *Report) summaryOf(p Part) *Summary {
-	if x := s.summaries[p.Buckets]; x.AppliesTo(p) {
-		return x
+func (r *Report) summaryOf(part Part) *Summary {
+	summary := r.summaries[part.Buckets]
+	if !summary.AppliesTo(part) {
+		return nil
 	}
-	return nil
+	return summary
 }
