--- a/internal/results/reading/reading.go
+++ b/internal/results/reading/reading.go
@@ -140,7 +140,7 @@
 		return 0
 	}
 	for _, s := range r.before.Spans {
-		if (shardmap.Range{Start: s.Lo, End: s.Hi}).Overlaps(d) {
+		if (shardmap.Range{Start: s.Start, End: s.End}).Overlaps(d) {
 			v = max(v, s.Version)
 		}
 	}
@@ -418,7 +418,7 @@
 	for _, s := range r.slices {
 		p := completeness.Part{Buckets: s.Districts, Weight: s.Weight, Present: s.batch != nil, Version: s.Version,
 			ShardEpoch: s.Since, Reason: s.why, Detail: s.fault}
-		span := cursor.Span{Lo: s.Districts.Start, Hi: s.Districts.End, Since: s.Since}
+		span := cursor.Span{Start: s.Districts.Start, End: s.Districts.End, ShardEpoch: s.Since}
 		if p.Present {
 			p.Version, span.Version = s.batch.Version, s.batch.Version
 		}
@@ -433,20 +433,20 @@
 	out.Certain, out.Whole = out.Statement.CertainRanks(order, places), out.Statement.Complete
 	sure := true
 	if r.before != nil {
-		out.First = r.before.Next
-		out.Back, out.Gone, out.Other = r.before.Changed(spans)
+		out.First = r.before.NextRank
+		out.Back, out.Gone, out.Other = r.before.Changes(spans)
 		changed := len(out.Back)+len(out.Gone)+len(out.Other) > 0
 		out.Whole = out.Whole && !changed
 		// The ranks of this page count on from the ones before: they are no surer than those, and not at all once
 		// the pages before would differ.
-		if sure = r.before.Certain && !changed; !sure {
+		if sure = r.before.RanksCertain && !changed; !sure {
 			clear(out.Certain)
 		}
 	}
 	if page.HasMore && len(places) > 0 {
 		last := places[len(places)-1]
-		out.Next = &cursor.Cursor{Epoch: r.q.Epoch, Next: out.First + len(places), After: &last, Spans: spans,
-			Certain: sure && !slices.Contains(out.Certain, false)}
+		out.Next = &cursor.Cursor{Epoch: r.q.Epoch, NextRank: out.First + len(places), After: &last, Spans: spans,
+			RanksCertain: sure && !slices.Contains(out.Certain, false)}
 		if r.before != nil {
 			out.Next.Epoch = r.before.Epoch
 		}
--- a/internal/results/reading/reading_test.go
+++ b/internal/results/reading/reading_test.go
@@ -138,7 +138,7 @@
 	s.silent[cheap] = false
 	two := s.page(6, one.Next)
 	require.Equal(t, 7, two.First)
-	require.Equal(t, []cursor.Span{{Lo: 4, Hi: 6, Version: 1}}, two.Back)
+	require.Equal(t, []cursor.Span{{Start: 4, End: 6, Version: 1}}, two.Back)
 	require.False(t, two.Whole)
 	require.NotContains(t, two.Certain, true)
 	seen := append(keys(one.Rows), keys(two.Rows)...)
@@ -173,7 +173,7 @@
 	require.NotContains(t, one.Certain, false)
 	s.silent[cheap] = true
 	two := s.page(6, one.Next)
-	require.Equal(t, []cursor.Span{{Lo: 4, Hi: 6}}, two.Gone)
+	require.Equal(t, []cursor.Span{{Start: 4, End: 6}}, two.Gone)
 	require.False(t, two.Whole)
 	require.NotContains(t, two.Certain, true)
 	require.True(t, s.o.Compare(s.o.PositionOf(one.Rows[5]), s.o.PositionOf(two.Rows[0])) < 0, "it stays in order")
@@ -194,7 +194,7 @@
 	require.Equal(t, completeness.StaleVersion, two.Statement.Missing[0].Reason, "no replica was better: the slice is missing")
 	s.spoil, s.version[cheap] = nil, 6
 	two = s.page(6, one.Next)
-	require.Equal(t, []cursor.Span{{Lo: 4, Hi: 6, Version: 6}}, two.Other, "a newer one is read, and said")
+	require.Equal(t, []cursor.Span{{Start: 4, End: 6, Version: 6}}, two.Other, "a newer one is read, and said")
 }
 
 // What one slice brings cannot be combined: it is missing by name, and the others are answered.
