--- a/internal/results/cursor/cursor.go
+++ b/internal/results/cursor/cursor.go
@@ -9,17 +9,17 @@
 
 // Cursor is what a page leaves to the next.
 type Cursor struct {
-	Epoch        uint64          // by which the first page began
+	Epoch        uint64          // of the shard map by which the first page began
 	NextRank     int             // rank of the next row, from 1
-	After        *merge.Position // the last row; nil where there was none
-	Spans        []Span          // in order of districts: those that were in, and those that were missing
+	After        *merge.Position // of the last row; nil if there was none
+	Spans        []Span          // what the page read and what it missed, in the order of buckets
 	QueryDigest  [32]byte        // Digest of the query
-	RanksCertain bool            // every rank so far was certain
+	RanksCertain bool            // all ranks so far were certain
 	Tenant       string
-	ExpiresAt    int64
+	ExpiresAt    int64 // Unix ms
 }
 
-// Digest is what tells one query from another: its class and its clauses as they were written.
+// Digest identifies a query by its class and its clauses, in the form of merge.Clause.Canonical.
 func Digest(class string, clauses []byte) [32]byte {
 	h := sha256.New()
 	_, _ = fmt.Fprintf(h, "%d:%s", len(class), class)
--- a/internal/results/cursor/errors.go
+++ b/internal/results/cursor/errors.go
@@ -2,7 +2,7 @@
 
 import "errors"
 
-// What can be wrong with a cursor.
+// What can be wrong with a cursor. The texts go to clients and reveal nothing of its content.
 var (
 	ErrMalformed    = errors.New("the cursor is none")
 	ErrUnknownKey   = errors.New("the cursor's key is gone")
--- a/internal/results/cursor/keyring.go
+++ b/internal/results/cursor/keyring.go
@@ -10,11 +10,11 @@
 
 // Key is one key of the operator's file.
 type Key struct {
-	Name   string // 1 to 32 bytes; it stands in the cursor
+	Name   string // 1 to 32 bytes; readable in the cursor
 	Secret []byte // 32 bytes
 }
 
-// KeyRing is the keys in service: the first one seals, all open.
+// KeyRing is the keys in service. The first one seals, all open.
 type KeyRing struct {
 	names   []string
 	ciphers map[string]cipher.AEAD
@@ -22,12 +22,13 @@
 }
 
 const (
-	maxKeyNameBytes = 32
-	secretBytes     = 32
-	maxKeys         = 2 // at once: a key changes while the one before still opens
+	maxKeyNameBytes = 32 // a byte of the cursor holds the length
+	secretBytes     = 32 // AES-256
+	maxKeys         = 2  // a new key and the one before, whose cursors are still in use
 )
 
-// NewKeyRing makes a ring of one key or two. rand gives the nonces.
+// NewKeyRing makes a ring of one key or two with different names. Nonces are read from a cryptographically secure
+// source.
 func NewKeyRing(keys []Key, rand io.Reader) (*KeyRing, error) {
 	if len(keys) < 1 || len(keys) > maxKeys {
 		return nil, fmt.Errorf("%d cursor keys, not 1 or %d", len(keys), maxKeys)
--- a/internal/results/cursor/seal.go
+++ b/internal/results/cursor/seal.go
@@ -10,11 +10,10 @@
 	"ternstage/internal/results/merge"
 )
 
-// MaxTextBytes is the longest cursor, in bytes of its text.
+// MaxTextBytes is the length of the longest text of a cursor.
 const MaxTextBytes = 32 << 10
 
-// Seal makes the text of a cursor. One that would be longer than Most is an error: there is no next page
-// then.
+// Seal makes the text of a cursor. It returns ErrTooLong if that would exceed MaxTextBytes: there is no next page then.
 func (r *KeyRing) Seal(c *Cursor) (string, error) {
 	b := sealedBody{Epoch: c.Epoch, NextRank: c.NextRank, Spans: joinAdjacent(c.Spans), QueryDigest: c.QueryDigest[:], Tenant: []byte(c.Tenant),
 		ExpiresAt: c.ExpiresAt, RanksCertain: c.RanksCertain}
@@ -43,8 +42,8 @@
 	return base64.RawURLEncoding.EncodeToString(out), nil
 }
 
-// Open reads a cursor that a client gives back with a query. The error names what is wrong and reveals
-// nothing else.
+// Open reads the text of a cursor that a client sends with a query at now, in Unix ms. The error is one of the
+// package's error values.
 func (r *KeyRing) Open(text, tenant string, query [32]byte, now int64) (*Cursor, error) {
 	if len(text) > MaxTextBytes {
 		return nil, ErrMalformed
--- a/internal/results/cursor/seal_test.go
+++ b/internal/results/cursor/seal_test.go
@@ -77,6 +77,7 @@
 	require.ErrorIs(t, err, ErrTooLong)
 }
 
+// FuzzOpen: any other text than a sealed one is an error or a cursor with a valid rank.
 func FuzzOpen(f *testing.F) {
 	r, c := newKeyRing(f, newKey("a", 1)), newCursor()
 	text, err := r.Seal(c)
--- a/internal/results/cursor/span.go
+++ b/internal/results/cursor/span.go
@@ -1,14 +1,14 @@
 package cursor
 
-// Span is districts as a page read them.
+// Span is buckets from Start to End, End not included, as a page read them. It is sealed with its CBOR keys.
 type Span struct {
 	Start      int    `cbor:"1,keyasint"`
 	End        int    `cbor:"2,keyasint"`
-	Version    uint64 `cbor:"3,keyasint,omitempty"` // of the data; 0 where they were missing
-	ShardEpoch uint64 `cbor:"4,keyasint,omitempty"`
+	Version    uint64 `cbor:"3,keyasint,omitempty"` // of the data; 0 if the buckets were missing
+	ShardEpoch uint64 `cbor:"4,keyasint,omitempty"` // epoch of the last change of the shard that held them
 }
 
-// joinAdjacent puts neighbours of one version together.
+// joinAdjacent joins spans that follow each other and were read alike, so that sealed cursors stay short.
 func joinAdjacent(spans []Span) (out []Span) {
 	for _, s := range spans {
 		if n := len(out) - 1; n >= 0 && out[n].End == s.Start && out[n].Version == s.Version &&
@@ -21,9 +21,8 @@
 	return out
 }
 
-// Changes compares what the page before read with what this one did, by districts, whatever slices hold them
-// now: those that have come back, those that are gone, and those whose data is of another version. Page one
-// would differ where any of the three is not empty.
+// Changes compares what the page before read with what this one reads. It compares buckets, whichever shards held them
+// then and hold them now.
 func (c *Cursor) Changes(now []Span) (back, gone, other []Span) {
 	for _, was := range c.Spans {
 		for _, is := range now {
--- a/internal/results/cursor/span_test.go
+++ b/internal/results/cursor/span_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A slice that was missing comes back, one that was read is gone, one has newer data; slices were cut anew meanwhile.
+// Of the three spans of a cursor the missing one returns in part, one is lost in part and one is updated in part, while
+// the buckets are split into other shards.
 func TestChanges(t *testing.T) {
 	c := newCursor()
 	back, gone, other := c.Changes([]Span{{0, 5, 3, 9}, {5, 15, 0, 9}, {15, 25, 4, 9}, {25, 30, 5, 9}})
--- a/internal/results/cursor/wire.go
+++ b/internal/results/cursor/wire.go
@@ -6,7 +6,7 @@
 	"ternstage/internal/results/merge"
 )
 
-// sealedValue is a value on the wire.
+// sealedValue is a merge.Value with CBOR keys.
 type sealedValue struct {
 	Kind  merge.Kind `cbor:"1,keyasint"`
 	Int   int64      `cbor:"2,keyasint,omitempty"`
@@ -14,6 +14,8 @@
 	Text  string     `cbor:"4,keyasint,omitempty"`
 }
 
+// sealedBody is the CBOR map that is sealed; Span is a part of it. Cursors live longer than the process that sealed
+// them: keys and types must not change.
 type sealedBody struct {
 	Epoch        uint64        `cbor:"1,keyasint"`
 	NextRank     int           `cbor:"2,keyasint"`
