--- a/internal/results/cursor/cursor.go
+++ b/internal/results/cursor/cursor.go
@@ -21,8 +21,9 @@
 
 // Digest identifies a query by its class and its clauses, in the form of merge.Clause.Canonical.
 func Digest(class string, clauses []byte) [32]byte {
-	h := sha256.New()
-	_, _ = fmt.Fprintf(h, "%d:%s", len(class), class)
-	_, _ = h.Write(clauses)
-	return [32]byte(h.Sum(nil))
+	hash := sha256.New()
+	// The length keeps class and clauses apart. Writes to a hash return no error.
+	_, _ = fmt.Fprintf(hash, "%d:%s", len(class), class)
+	_, _ = hash.Write(clauses)
+	return [32]byte(hash.Sum(nil))
 }
--- a/internal/results/cursor/span.go
+++ b/internal/results/cursor/span.go
@@ -9,37 +9,55 @@
 }
 
 // joinAdjacent joins spans that follow each other and were read alike, so that sealed cursors stay short.
-func joinAdjacent(spans []Span) (out []Span) {
-	for _, s := range spans {
-		if n := len(out) - 1; n >= 0 && out[n].End == s.Start && out[n].Version == s.Version &&
-			out[n].ShardEpoch == s.ShardEpoch {
-			out[n].End = s.End
+func joinAdjacent(spans []Span) []Span {
+	var joined []Span
+	for _, span := range spans {
+		last := len(joined) - 1
+		if last >= 0 && joined[last].End == span.Start && joined[last].Version == span.Version &&
+			joined[last].ShardEpoch == span.ShardEpoch {
+			joined[last].End = span.End
 			continue
 		}
-		out = append(out, s)
+		joined = append(joined, span)
 	}
-	return out
+	return joined
 }
 
+// Changes are the buckets that a page reads otherwise than the page before. If there are any, the first page would
+// differ if it were read now. Spans have the version and shard epoch of now.
+type Changes struct {
+	Returned []Span // missing before, present now
+	Lost     []Span // present before, missing now
+	Updated  []Span // present at another data version
+}
+
+// Any reports whether there are changes.
+func (c *Changes) Any() bool { return len(c.Returned)+len(c.Lost)+len(c.Updated) > 0 }
+
 // Changes compares what the page before read with what this one reads. It compares buckets, whichever shards held them
 // then and hold them now.
-func (c *Cursor) Changes(now []Span) (back, gone, other []Span) {
-	for _, was := range c.Spans {
-		for _, is := range now {
-			lo, hi := max(was.Start, is.Start), min(was.End, is.End)
-			if lo >= hi || was.Version == is.Version {
+func (c *Cursor) Changes(now []Span) Changes {
+	var changes Changes
+	for _, before := range c.Spans {
+		for _, current := range now {
+			common := Span{
+				Start:      max(before.Start, current.Start),
+				End:        min(before.End, current.End),
+				Version:    current.Version,
+				ShardEpoch: current.ShardEpoch,
+			}
+			if common.Start >= common.End || before.Version == current.Version {
 				continue
 			}
-			s := Span{Start: lo, End: hi, Version: is.Version, ShardEpoch: is.ShardEpoch}
 			switch {
-			case was.Version == 0:
-				back = append(back, s)
-			case is.Version == 0:
-				gone = append(gone, s)
+			case before.Version == 0:
+				changes.Returned = append(changes.Returned, common)
+			case current.Version == 0:
+				changes.Lost = append(changes.Lost, common)
 			default:
-				other = append(other, s)
+				changes.Updated = append(changes.Updated, common)
 			}
 		}
 	}
-	return back, gone, other
+	return changes
 }
--- a/internal/results/cursor/wire.go
+++ b/internal/results/cursor/wire.go
@@ -1,19 +1,13 @@
 package cursor
 
 import (
+	"fmt"
+
 	"github.com/fxamacker/cbor/v2"
 
 	"ternstage/internal/results/merge"
 )
 
-// sealedValue is a merge.Value with CBOR keys.
-type sealedValue struct {
-	Kind  merge.Kind `cbor:"1,keyasint"`
-	Int   int64      `cbor:"2,keyasint,omitempty"`
-	Float float64    `cbor:"3,keyasint,omitempty"`
-	Text  string     `cbor:"4,keyasint,omitempty"`
-}
-
 // sealedBody is the CBOR map that is sealed; Span is a part of it. Cursors live longer than the process that sealed
 // them: keys and types must not change.
 type sealedBody struct {
@@ -30,17 +24,89 @@
 	RanksCertain bool          `cbor:"11,keyasint,omitempty"`
 }
 
+// sealedValue is a merge.Value with CBOR keys.
+type sealedValue struct {
+	Kind  merge.Kind `cbor:"1,keyasint"`
+	Int   int64      `cbor:"2,keyasint,omitempty"`
+	Float float64    `cbor:"3,keyasint,omitempty"`
+	Text  string     `cbor:"4,keyasint,omitempty"`
+}
+
 var (
+	// encoding is deterministic: the same cursor has the same size on every broker.
 	encoding = mustMode(cbor.CoreDetEncOptions().EncMode())
-	decoding = mustMode(cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF,
+
+	decoding = mustMode(cbor.DecOptions{
+		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
 		ExtraReturnErrors: cbor.ExtraDecErrorUnknownField,
-		MaxNestedLevels:   6, MaxArrayElements: 16384, MaxMapPairs: 64,
-		IndefLength: cbor.IndefLengthForbidden}.DecMode())
+		MaxNestedLevels:   6,
+		MaxArrayElements:  16384,
+		MaxMapPairs:       64,
+		IndefLength:       cbor.IndefLengthForbidden,
+	}.DecMode())
 )
 
-func mustMode[T any](v T, err error) T {
+func mustMode[Mode any](mode Mode, err error) Mode {
+	if err != nil {
+		panic(err) // the options are constant
+	}
+	return mode
+}
+
+// encode makes the text to be sealed.
+func (c *Cursor) encode() ([]byte, error) {
+	body := sealedBody{
+		Epoch:        c.Epoch,
+		NextRank:     c.NextRank,
+		Spans:        joinAdjacent(c.Spans),
+		QueryDigest:  c.QueryDigest[:],
+		Tenant:       []byte(c.Tenant),
+		ExpiresAt:    c.ExpiresAt,
+		RanksCertain: c.RanksCertain,
+	}
+	if c.After != nil {
+		body.HasPosition = true
+		body.Bucket = c.After.Bucket
+		body.Key = c.After.Key
+		for _, value := range c.After.Rank {
+			body.Rank = append(body.Rank, sealedValue(value))
+		}
+	}
+	text, err := encoding.Marshal(body)
 	if err != nil {
-		panic(err) // options that are written here
+		return nil, fmt.Errorf("cursor: %w", err)
+	}
+	return text, nil
+}
+
+// decode reads what encode made. A body that cannot be read was sealed by a broker of another version.
+func decode(text []byte) (*sealedBody, error) {
+	body := &sealedBody{}
+	if err := decoding.Unmarshal(text, body); err != nil {
+		return nil, ErrMalformed
+	}
+	if len(body.QueryDigest) != len(Cursor{}.QueryDigest) || body.NextRank < 1 {
+		return nil, ErrMalformed
+	}
+	return body, nil
+}
+
+// cursor makes the cursor of a body.
+func (b *sealedBody) cursor() *Cursor {
+	c := &Cursor{
+		Epoch:        b.Epoch,
+		NextRank:     b.NextRank,
+		Spans:        b.Spans,
+		QueryDigest:  [32]byte(b.QueryDigest),
+		Tenant:       string(b.Tenant),
+		ExpiresAt:    b.ExpiresAt,
+		RanksCertain: b.RanksCertain,
+	}
+	if b.HasPosition {
+		c.After = &merge.Position{Bucket: b.Bucket, Key: b.Key}
+		for _, value := range b.Rank {
+			c.After.Rank = append(c.After.Rank, merge.Value(value))
+		}
 	}
-	return v
+	return c
 }
--- a/internal/results/reading/reading.go
+++ b/internal/results/reading/reading.go
@@ -434,7 +434,8 @@
 	sure := true
 	if r.before != nil {
 		out.First = r.before.NextRank
-		out.Back, out.Gone, out.Other = r.before.Changes(spans)
+		changes := r.before.Changes(spans)
+		out.Back, out.Gone, out.Other = changes.Returned, changes.Lost, changes.Updated
 		changed := len(out.Back)+len(out.Gone)+len(out.Other) > 0
 		out.Whole = out.Whole && !changed
 		// The ranks of this page count on from the ones before: they are no surer than those, and not at all once
