--- a/internal/results/fetch/plan_test.go
+++ b/internal/results/fetchplan/plan_test.go
@@ -1,4 +1,4 @@
-package fetch
+package fetchplan
 
 import (
 	"flag"
--- a/internal/results/reading/reading.go
+++ b/internal/results/reading/reading.go
@@ -13,7 +13,7 @@
 	"ternstage/internal/decision/shardmap"
 	"ternstage/internal/results/completeness"
 	"ternstage/internal/results/cursor"
-	"ternstage/internal/results/fetch"
+	"ternstage/internal/results/fetchplan"
 	"ternstage/internal/results/merge"
 	"ternstage/internal/results/rows"
 )
@@ -31,7 +31,7 @@
 	Clause    *merge.Clause
 	Epoch     uint64 // of the map by which this page begins
 	Need      float64
-	Fetch     fetch.Options // its limit is the clause's
+	Fetch     fetchplan.Options // its limit is the clause's
 	Summaries []*completeness.Summary
 }
 
@@ -89,7 +89,7 @@
 type Reading struct {
 	q      Query
 	before *cursor.Cursor // of the page before; nil for the first
-	plan   *fetch.Plan
+	plan   *fetchplan.Plan
 	slices []*slice
 	notes  []*completeness.Summary
 }
@@ -107,12 +107,12 @@
 		districts, weights = append(districts, p.Districts), append(weights, p.Weight)
 		r.slices = append(r.slices, &slice{Part: p, why: completeness.Rejected})
 	}
-	plan, asks := fetch.New(now, r.q.Fetch, districts, weights)
+	plan, asks := fetchplan.New(now, r.q.Fetch, districts, weights)
 	r.plan = plan
 	return r, r.asks(asks)
 }
 
-func (r *Reading) asks(list []fetch.Ask) []Ask {
+func (r *Reading) asks(list []fetchplan.Ask) []Ask {
 	out := make([]Ask, 0, len(list))
 	for _, a := range list {
 		out = append(out, Ask{a.Districts, a.Rows, r.after()})
--- a/internal/results/reading/reading_test.go
+++ b/internal/results/reading/reading_test.go
@@ -12,7 +12,7 @@
 	"ternstage/internal/decision/shardmap"
 	"ternstage/internal/results/completeness"
 	"ternstage/internal/results/cursor"
-	"ternstage/internal/results/fetch"
+	"ternstage/internal/results/fetchplan"
 	"ternstage/internal/results/merge"
 	"ternstage/internal/results/rows"
 )
@@ -62,7 +62,7 @@
 func (s *site) query(size int) Query {
 	return Query{Clause: &merge.Clause{Rank: []merge.RankColumn{{Column: "premium"}}, Page: &merge.PageClause{Size: size}},
 		Epoch: 41, Need: 1, Summaries: s.notes,
-		Fetch: fetch.Options{Floor: 0.1, Aim: 1000, Deadline: 2000, Partial: 0.9, Late: 0.3, Spare: 20}}
+		Fetch: fetchplan.Options{Floor: 0.1, Aim: 1000, Deadline: 2000, Partial: 0.9, Late: 0.3, Spare: 20}}
 }
 
 // page reads a page to its end.
