--- a/internal/results/fetchplan/plan.go
+++ b/internal/results/fetchplan/plan.go
@@ -13,260 +13,260 @@
 
 // Options are what a plan goes by.
 type Options struct {
-	Limit    int     // rows of the page
-	Floor    float64 // least share of weight for an answer: the class's, or the client's if that is stricter
-	Aim      float64 // until when an answer is worth all
-	Deadline float64 // until when there must be one
-	Partial  float64 // worth of an answer that is not whole, for each share of weight that is in
-	Late     float64 // worth of one after the aim
-	Spare    float64 // ms before the aim and the deadline by which the answer must be out
-	MostRows int     // of one ask: bounds what a slice may send at a time
+	Limit             int     // rows of the page
+	Floor             float64 // least share of weight for an answer: the class's, or the client's if that is stricter
+	LatencyObjective  float64 // until when an answer is worth all
+	Deadline          float64 // until when there must be one
+	PartialWorth      float64 // worth of an answer that is not whole, for each share of weight that is in
+	LateWorth         float64 // worth of one after the aim
+	Margin            float64 // ms before the aim and the deadline by which the answer must be out
+	MaxRowsPerRequest int     // of one ask: bounds what a slice may send at a time
 }
 
 const (
-	evenFirst = 1.5 // x an even share of the page: what each slice is asked for first
-	spread    = 1.0 // x the root of that besides, as the shares of a page scatter like counts
-	grow      = 2   // x what was asked before: so many more rows of who has them next
-	lateAfter = 3.0 // x the median time of those that are in: a slice that takes longer is late
-	lateLeast = 5.0 // ms under which none is late, whatever the median
+	evenShareFactor = 1.5 // x an even share of the page: what each slice is asked for first
+	deviationFactor = 1.0 // x the root of that besides, as the shares of a page scatter like counts
+	growthFactor    = 2   // x what was asked before: so many more rows of who has them next
+	lateFactor      = 3.0 // x the median time of those that are in: a slice that takes longer is late
+	minLateMs       = 5.0 // ms under which none is late, whatever the median
 )
 
-// State is where a part stands.
-type State uint8
+// state is where a part stands.
+type state uint8
 
 // The states of a part.
 const (
-	Out     State = iota // asked, and not answered
-	In                   // all that is needed of it so far is here
-	Dropped              // waited for no longer; its weight is missing
-	Missing              // it cannot be had
+	inFlight    state = iota // asked, and not answered
+	answered                 // all that is needed of it so far is here
+	abandoned                // waited for no longer; its weight is missing
+	unavailable              // it cannot be had
 )
 
 type part struct {
-	districts shardmap.Range
-	weight    float64
-	state     State
-	rows      int // asked for in all, from the place of the page
-	got       int // of them here
-	more      bool
-	asked     float64 // when it was last asked
-	read      bool    // it was in once: what it gave stands, though more of it is out
+	buckets     shardmap.Range
+	weight      float64
+	state       state
+	requested   int // asked for in all, from the place of the page
+	received    int // of them here
+	hasMore     bool
+	requestedAt float64 // when it was last asked
+	read        bool    // it was in once: what it gave stands, though more of it is out
 }
 
-// Ask is what a slice is to be asked for: so many rows in all from the page's place, of which so many are
+// Request is what a slice is to be asked for: so many rows in all from the page's place, of which so many are
 // here.
-type Ask struct {
-	Districts  shardmap.Range
-	Rows, Have int
+type Request struct {
+	Buckets        shardmap.Range
+	Rows, Received int
 }
 
 // Plan is the reading of one page.
 type Plan struct {
-	o      Options
-	parts  []*part
-	took   []float64 // of the answers so far, in order
-	moved  int       // rows that came
-	rounds int
+	options      Options
+	parts        []*part
+	latencies    []float64 // of the answers so far, in order
+	rowsReceived int       // rows that came
+	extraRounds  int
 }
 
 // New plans a page over these parts and gives the first asks.
-func New(now float64, o Options, districts []shardmap.Range, weights []float64) (*Plan, []Ask) {
-	p := &Plan{o: o}
-	first := p.first(len(districts))
-	asks := make([]Ask, 0, len(districts))
+func New(now float64, o Options, districts []shardmap.Range, weights []float64) (*Plan, []Request) {
+	p := &Plan{options: o}
+	first := p.firstRows(len(districts))
+	asks := make([]Request, 0, len(districts))
 	for i, d := range districts {
-		p.parts = append(p.parts, &part{districts: d, weight: weights[i], rows: first, asked: now})
-		asks = append(asks, Ask{d, first, 0})
+		p.parts = append(p.parts, &part{buckets: d, weight: weights[i], requested: first, requestedAt: now})
+		asks = append(asks, Request{d, first, 0})
 	}
 	return p, asks
 }
 
-// first is how many rows each of n slices is asked for first: an even share of the page and some more, as
+// firstRows is how many rows each of n slices is asked for first: an even share of the page and some more, as
 // most pages then need a second round of a few slices only, and far less than a page of each is moved.
-func (p *Plan) first(n int) int {
-	if n == 0 || p.o.Limit <= 0 {
-		return min(p.o.Limit, 1)
+func (p *Plan) firstRows(n int) int {
+	if n == 0 || p.options.Limit <= 0 {
+		return min(p.options.Limit, 1)
 	}
-	even := float64(p.o.Limit) / float64(n)
-	return p.bound(int(math.Ceil(evenFirst*even + spread*math.Sqrt(even))))
+	even := float64(p.options.Limit) / float64(n)
+	return p.boundRows(int(math.Ceil(evenShareFactor*even + deviationFactor*math.Sqrt(even))))
 }
 
-func (p *Plan) bound(rows int) int {
-	rows = min(rows, p.o.Limit)
-	if p.o.MostRows > 0 {
-		rows = min(rows, p.o.MostRows)
+func (p *Plan) boundRows(rows int) int {
+	rows = min(rows, p.options.Limit)
+	if p.options.MaxRowsPerRequest > 0 {
+		rows = min(rows, p.options.MaxRowsPerRequest)
 	}
 	return max(rows, 1)
 }
 
 func (p *Plan) find(d shardmap.Range) *part {
-	if i := slices.IndexFunc(p.parts, func(x *part) bool { return x.districts == d }); i >= 0 {
+	if i := slices.IndexFunc(p.parts, func(x *part) bool { return x.buckets == d }); i >= 0 {
 		return p.parts[i]
 	}
 	return nil
 }
 
-// Got takes the rows of a slice, which has so many in all from the page's place by now, and perhaps more. It
+// RecordAnswer takes the rows of a slice, which has so many in all from the page's place by now, and perhaps more. It
 // tells whether they are wanted: what comes from a slice that was dropped is not, or it would count and not
 // be waited for.
-func (p *Plan) Got(now float64, d shardmap.Range, rows int, more bool) bool {
+func (p *Plan) RecordAnswer(now float64, d shardmap.Range, rows int, more bool) bool {
 	x := p.find(d)
-	if x == nil || x.state != Out {
+	if x == nil || x.state != inFlight {
 		return false
 	}
-	p.moved += rows - x.got
-	x.state, x.got, x.more, x.read = In, rows, more, true
-	i, _ := slices.BinarySearch(p.took, now-x.asked)
-	p.took = slices.Insert(p.took, i, now-x.asked)
+	p.rowsReceived += rows - x.received
+	x.state, x.received, x.hasMore, x.read = answered, rows, more, true
+	i, _ := slices.BinarySearch(p.latencies, now-x.requestedAt)
+	p.latencies = slices.Insert(p.latencies, i, now-x.requestedAt)
 	return true
 }
 
-// Lost tells that a slice cannot be had. If it was read before, what it gave must not stand either: the rows
+// RecordFailure tells that a slice cannot be had. If it was read before, what it gave must not stand either: the rows
 // that follow are not there, and a page that went past them would skip them.
-func (p *Plan) Lost(d shardmap.Range) {
-	if x := p.find(d); x != nil && x.state != Dropped {
-		x.state = Missing
+func (p *Plan) RecordFailure(d shardmap.Range) {
+	if x := p.find(d); x != nil && x.state != abandoned {
+		x.state = unavailable
 	}
 }
 
-// Replace puts parts in the place of one whose slice was split or merged meanwhile: none of its rows stand,
+// Reshard puts parts in the place of one whose slice was split or merged meanwhile: none of its rows stand,
 // and all of its districts are asked for anew.
-func (p *Plan) Replace(now float64, d shardmap.Range, by []shardmap.Range) []Ask {
-	i := slices.IndexFunc(p.parts, func(x *part) bool { return x.districts == d })
-	if i < 0 || p.parts[i].state == Dropped {
+func (p *Plan) Reshard(now float64, d shardmap.Range, by []shardmap.Range) []Request {
+	i := slices.IndexFunc(p.parts, func(x *part) bool { return x.buckets == d })
+	if i < 0 || p.parts[i].state == abandoned {
 		return nil
 	}
 	old := p.parts[i]
 	p.parts = slices.Delete(p.parts, i, i+1)
-	asks := make([]Ask, 0, len(by))
+	asks := make([]Request, 0, len(by))
 	for _, r := range by {
-		x := &part{districts: r, weight: old.weight * float64(r.Size()) / float64(old.districts.Size()),
-			rows:  old.rows,
-			asked: now}
+		x := &part{buckets: r, weight: old.weight * float64(r.Size()) / float64(old.buckets.Size()),
+			requested:   old.requested,
+			requestedAt: now}
 		p.parts = append(p.parts, x)
-		asks = append(asks, Ask{r, x.rows, 0})
+		asks = append(asks, Request{r, x.requested, 0})
 	}
 	return asks
 }
 
-// More asks those that the merge named for more rows: twice as many as before. Only they can still reach the
+// RequestMore asks those that the merge named for more rows: twice as many as before. Only they can still reach the
 // page.
-func (p *Plan) More(now float64, need []shardmap.Range) (asks []Ask) {
+func (p *Plan) RequestMore(now float64, need []shardmap.Range) (asks []Request) {
 	for _, d := range need {
 		x := p.find(d)
-		if x == nil || x.state != In || !x.more {
+		if x == nil || x.state != answered || !x.hasMore {
 			continue
 		}
 		// So many more at least that one of them can come after those that were here.
-		next := x.got + p.bound((grow-1)*max(x.rows, 1))
-		x.rows, x.state, x.asked = min(next, x.got+p.o.Limit), Out, now
-		asks = append(asks, Ask{d, x.rows, x.got})
+		next := x.received + p.boundRows((growthFactor-1)*max(x.requested, 1))
+		x.requested, x.state, x.requestedAt = min(next, x.received+p.options.Limit), inFlight, now
+		asks = append(asks, Request{d, x.requested, x.received})
 	}
 	if len(asks) > 0 {
-		p.rounds++
+		p.extraRounds++
 	}
 	return asks
 }
 
-// shares are the weight that is in, and that is in or may still come.
-func (p *Plan) shares() (in, could float64) {
+// weights are the weight that is in, and that is in or may still come.
+func (p *Plan) weights() (in, could float64) {
 	for _, x := range p.parts {
 		switch x.state {
-		case In:
+		case answered:
 			in, could = in+x.weight, could+x.weight
-		case Out:
+		case inFlight:
 			could += x.weight
 		}
 	}
 	return in, could
 }
 
-// slack is what sums of weights may fall short by, as the platform's rules allow.
-const slack = 1e-4
+// weightTolerance is what sums of weights may fall short by, as the platform's rules allow.
+const weightTolerance = 1e-4
 
-// Verdict is what to do now.
-type Verdict struct {
-	Done     bool             // merge what is in: nothing is waited for any more
-	Hopeless bool             // the floor cannot be reached: end it
-	Drop     []shardmap.Range // these are waited for no longer
-	At       float64          // else ask again at this time at the latest
+// Decision is what to do now.
+type Decision struct {
+	Done      bool             // merge what is in: nothing is waited for any more
+	Hopeless  bool             // the floor cannot be reached: end it
+	Abandoned []shardmap.Range // these are waited for no longer
+	WakeAt    float64          // else ask again at this time at the latest
 }
 
 // Decide tells whether to wait. A late slice is dropped as soon as what is left reaches the floor and an
 // answer in part is worth more than what waiting brings; never below the floor, and none before it is late
 // but for want of time.
-func (p *Plan) Decide(now float64) Verdict {
-	in, could := p.shares()
-	if could < p.o.Floor-slack {
-		return Verdict{Done: true, Hopeless: true}
+func (p *Plan) Decide(now float64) Decision {
+	in, could := p.weights()
+	if could < p.options.Floor-weightTolerance {
+		return Decision{Done: true, Hopeless: true}
 	}
 	var out []*part
 	for _, x := range p.parts {
-		if x.state == Out {
+		if x.state == inFlight {
 			out = append(out, x)
 		}
 	}
 	if len(out) == 0 {
-		return Verdict{Done: true, Hopeless: in < p.o.Floor-slack || in == 0}
+		return Decision{Done: true, Hopeless: in < p.options.Floor-weightTolerance || in == 0}
 	}
-	enough := in >= p.o.Floor-slack && in > 0
-	last := p.o.Deadline - p.o.Spare
-	if enough && p.o.Partial*in >= p.o.Late {
+	enough := in >= p.options.Floor-weightTolerance && in > 0
+	last := p.options.Deadline - p.options.Margin
+	if enough && p.options.PartialWorth*in >= p.options.LateWorth {
 		// After the aim a whole answer is worth less than this one now.
-		last = min(last, p.o.Aim-p.o.Spare)
+		last = min(last, p.options.LatencyObjective-p.options.Margin)
 	}
 	if now >= last {
 		if !enough {
-			return Verdict{Done: true, Hopeless: true}
+			return Decision{Done: true, Hopeless: true}
 		}
-		return Verdict{Done: true, Drop: p.drop(out)}
+		return Decision{Done: true, Abandoned: p.drop(out)}
 	}
-	v := Verdict{At: last}
+	v := Decision{WakeAt: last}
 	if !enough {
 		return v // below the floor nothing is dropped, however late it is
 	}
 	// Who is late is dropped only once all that is out is: as long as one is waited for, the others cost
 	// nothing.
-	late := p.late()
+	late := p.lateAfter()
 	for _, x := range out {
-		v.At = min(v.At, max(x.asked+late, now+1))
-		if now < x.asked+late {
+		v.WakeAt = min(v.WakeAt, max(x.requestedAt+late, now+1))
+		if now < x.requestedAt+late {
 			return v
 		}
 	}
 	// Waiting to the aim for slices that are late might make the answer whole; that they come is not to be
 	// counted on once they are as late again.
-	if now < out[0].asked+2*late && p.o.Partial < 1 {
-		v.At = min(last, out[0].asked+2*late)
+	if now < out[0].requestedAt+2*late && p.options.PartialWorth < 1 {
+		v.WakeAt = min(last, out[0].requestedAt+2*late)
 		return v
 	}
-	return Verdict{Done: true, Drop: p.drop(out)}
+	return Decision{Done: true, Abandoned: p.drop(out)}
 }
 
-// late is after how many ms a slice is late: by the median of those that have answered.
-func (p *Plan) late() float64 {
-	if len(p.took) == 0 {
+// lateAfter is after how many ms a slice is late: by the median of those that have answered.
+func (p *Plan) lateAfter() float64 {
+	if len(p.latencies) == 0 {
 		return math.Inf(1)
 	}
-	return max(lateAfter*p.took[len(p.took)/2], lateLeast)
+	return max(lateFactor*p.latencies[len(p.latencies)/2], minLateMs)
 }
 
 func (p *Plan) drop(out []*part) (d []shardmap.Range) {
 	for _, x := range out {
-		x.state = Dropped
-		d = append(d, x.districts)
+		x.state = abandoned
+		d = append(d, x.buckets)
 	}
 	return d
 }
 
-// Stands tells whether what a slice gave is part of the answer.
-func (p *Plan) Stands(d shardmap.Range) bool {
+// Included tells whether what a slice gave is part of the answer.
+func (p *Plan) Included(d shardmap.Range) bool {
 	x := p.find(d)
-	return x != nil && x.state == In
+	return x != nil && x.state == answered
 }
 
-// Moved is how many rows came, Rounds how often slices were asked for more.
-func (p *Plan) Moved() int { return p.moved }
+// RowsReceived is how many rows came, Rounds how often slices were asked for more.
+func (p *Plan) RowsReceived() int { return p.rowsReceived }
 
-// Rounds is how often slices were asked for more.
-func (p *Plan) Rounds() int { return p.rounds }
+// ExtraRounds is how often slices were asked for more.
+func (p *Plan) ExtraRounds() int { return p.extraRounds }
--- a/internal/results/reading/reading.go
+++ b/internal/results/reading/reading.go
@@ -112,10 +112,10 @@
 	return r, r.asks(asks)
 }
 
-func (r *Reading) asks(list []fetchplan.Ask) []Ask {
+func (r *Reading) asks(list []fetchplan.Request) []Ask {
 	out := make([]Ask, 0, len(list))
 	for _, a := range list {
-		out = append(out, Ask{a.Districts, a.Rows, r.after()})
+		out = append(out, Ask{a.Buckets, a.Rows, r.after()})
 	}
 	return out
 }
@@ -169,7 +169,7 @@
 		r.spoil(s, err)
 		return err
 	}
-	if !r.plan.Got(now, s.Districts, len(a.Batch.Rows), a.Batch.HasMore) {
+	if !r.plan.RecordAnswer(now, s.Districts, len(a.Batch.Rows), a.Batch.HasMore) {
 		return nil // it was dropped, or this is an answer twice
 	}
 	b := a.Batch
@@ -182,7 +182,7 @@
 
 func (r *Reading) spoil(s *slice, err error) {
 	s.batch, s.why, s.fault = nil, completeness.Malformed, err.Error()
-	r.plan.Lost(s.Districts)
+	r.plan.RecordFailure(s.Districts)
 }
 
 // Lost tells that a slice cannot be had, and why. A slice of which only an older version came stays missing
@@ -192,7 +192,7 @@
 		if s.batch = nil; s.why != completeness.StaleVersion {
 			s.why = why
 		}
-		r.plan.Lost(d)
+		r.plan.RecordFailure(d)
 	}
 }
 
@@ -207,7 +207,7 @@
 	for _, p := range by {
 		ranges = append(ranges, p.Districts)
 	}
-	asks := r.plan.Replace(now, d, ranges)
+	asks := r.plan.Reshard(now, d, ranges)
 	if asks == nil {
 		return nil
 	}
@@ -231,33 +231,33 @@
 // Step decides what follows on what has come.
 func (r *Reading) Step(now float64) Step {
 	v := r.plan.Decide(now)
-	for _, d := range v.Drop {
+	for _, d := range v.Abandoned {
 		if s := r.find(d); s != nil {
 			s.batch, s.why = nil, completeness.TimedOut
 		}
 	}
 	if v.Hopeless {
-		return Step{Hopeless: true, Drop: v.Drop}
+		return Step{Hopeless: true, Drop: v.Abandoned}
 	}
 	if !v.Done {
-		return Step{At: v.At}
+		return Step{At: v.WakeAt}
 	}
 	order, batches, total := r.reconcile()
 	if in := r.share(); in < r.q.Fetch.Floor-1e-4 || order == nil {
-		return Step{Hopeless: true, Drop: v.Drop}
+		return Step{Hopeless: true, Drop: v.Abandoned}
 	}
 	page := order.Merge(batches, r.q.Fetch.Limit)
-	if asks := r.plan.More(now, page.NeedMore); len(asks) > 0 {
-		return Step{Asks: r.asks(asks), Drop: v.Drop}
+	if asks := r.plan.RequestMore(now, page.NeedMore); len(asks) > 0 {
+		return Step{Asks: r.asks(asks), Drop: v.Abandoned}
 	}
 	out := r.result(order, page)
 	if total != nil {
 		var err error
 		if out.Groups, err = r.figures(total, out.Statement); err != nil {
-			return Step{Hopeless: true, Drop: v.Drop} // no figure can be given: never a wrong one in silence
+			return Step{Hopeless: true, Drop: v.Abandoned} // no figure can be given: never a wrong one in silence
 		}
 	}
-	return Step{Result: out, Drop: v.Drop}
+	return Step{Result: out, Drop: v.Abandoned}
 }
 
 // reconcile finds the columns that most of the weight has, and spoils the slices that have others: of two
@@ -270,7 +270,7 @@
 	var votes []*vote
 	in := slices.Clone(r.slices)
 	slices.SortFunc(in, func(a, b *slice) int { return cmp.Compare(a.Districts.Start, b.Districts.Start) })
-	in = slices.DeleteFunc(in, func(s *slice) bool { return s.batch == nil || !r.plan.Stands(s.Districts) })
+	in = slices.DeleteFunc(in, func(s *slice) bool { return s.batch == nil || !r.plan.Included(s.Districts) })
 	for _, s := range in {
 		i := slices.IndexFunc(votes, func(v *vote) bool { return v.schema.CheckCompatible(s.batch.Schema) == nil })
 		if i < 0 {
--- a/internal/results/reading/reading_test.go
+++ b/internal/results/reading/reading_test.go
@@ -62,7 +62,7 @@
 func (s *site) query(size int) Query {
 	return Query{Clause: &merge.Clause{Rank: []merge.RankColumn{{Column: "premium"}}, Page: &merge.PageClause{Size: size}},
 		Epoch: 41, Need: 1, Summaries: s.notes,
-		Fetch: fetchplan.Options{Floor: 0.1, Aim: 1000, Deadline: 2000, Partial: 0.9, Late: 0.3, Spare: 20}}
+		Fetch: fetchplan.Options{Floor: 0.1, LatencyObjective: 1000, Deadline: 2000, PartialWorth: 0.9, LateWorth: 0.3, Margin: 20}}
 }
 
 // page reads a page to its end.
