--- a/internal/results/fetchplan/decide.go
+++ b/internal/results/fetchplan/decide.go
@@ -6,7 +6,7 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-// weights are the weight that is in, and that is in or may still come.
+// weights are the weight that is present, and that which is present or may still come.
 func (p *Plan) weights() (in, could float64) {
 	for _, x := range p.parts {
 		switch x.state {
@@ -19,20 +19,20 @@
 	return in, could
 }
 
-// weightTolerance is what sums of weights may fall short by, as the platform's rules allow.
 const weightTolerance = 1e-4
 
-// Decision is what to do now.
+// Decision is what to do next.
 type Decision struct {
-	Done      bool             // merge what is in: nothing is waited for any more
-	Hopeless  bool             // the floor cannot be reached: end it
-	Abandoned []shardmap.Range // these are waited for no longer
-	WakeAt    float64          // else ask again at this time at the latest
+	Done      bool             // merge what is included: nothing is waited for
+	Hopeless  bool             // the floor cannot be reached: reject the query
+	Abandoned []shardmap.Range // shards that are no longer waited for
+	WakeAt    float64          // ms; unless Done, decide again at this time at the latest
 }
 
-// Decide tells whether to wait. A late slice is dropped as soon as what is left reaches the floor and an
-// answer in part is worth more than what waiting brings; never below the floor, and none before it is late
-// but for want of time.
+// Decide decides whether to wait for the shards in flight.
+//
+// Below the floor every shard is waited for until the deadline. From the floor on, waiting ends when all shards in
+// flight are late, or when the time is up: as long as one is waited for, the others cost nothing.
 func (p *Plan) Decide(now float64) Decision {
 	in, could := p.weights()
 	if could < p.options.Floor-weightTolerance {
@@ -81,7 +81,7 @@
 	return Decision{Done: true, Abandoned: p.drop(out)}
 }
 
-// lateAfter is after how many ms a slice is late: by the median of those that have answered.
+// lateAfter is after how many ms a shard is late; infinite as long as none has answered.
 func (p *Plan) lateAfter() float64 {
 	if len(p.latencies) == 0 {
 		return math.Inf(1)
--- a/internal/results/fetchplan/decide_test.go
+++ b/internal/results/fetchplan/decide_test.go
@@ -8,7 +8,6 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-// Nothing is dropped below the floor, however late it is; above it a late slice is, once it is as late again.
 func TestNoShardIsAbandonedBelowTheFloor(t *testing.T) {
 	ten := func(floor float64, in int) (*Plan, []shardmap.Range) {
 		var d []shardmap.Range
--- a/internal/results/fetchplan/doc.go
+++ b/internal/results/fetchplan/doc.go
@@ -1,5 +1,18 @@
-// Package fetchplan plans the reading of one page from many slices: how many rows to ask of each, whom to ask for
-// more, whom to wait for no longer, and when to answer with what is in. It has no I/O and no clock; times are
-// ms that the caller passes. Which replica is asked and whether an attempt is made again stays with the
-// decision module.
+// Package fetchplan plans how one page is read from many shards: how many rows to request of each, which to ask for
+// more, which to wait for no longer, and when to answer with what has arrived. It does no I/O and reads no clock: times
+// are ms that the caller passes. Which replica is asked and whether an attempt is retried is not decided here.
+//
+//	plan, requests := fetchplan.New(now, options, shards, weights)
+//	// Send the requests; tell the plan what comes:
+//	wanted := plan.RecordAnswer(now, buckets, rows, hasMore)
+//	plan.RecordFailure(buckets)
+//	// After that, and at decision.WakeAt:
+//	decision := plan.Decide(now)
+//	// Once decision.Done, merge the batches for which plan.Included holds:
+//	requests = plan.RequestMore(now, page.NeedMore) // none: the page is final
+//
+// Each request counts rows from the position after which the page starts, and not from the request before, so that one
+// answer is of one data version.
+//
+// Weights are shares of the query's weight. A Plan is not safe for concurrent use.
 package fetchplan
--- a/internal/results/fetchplan/fixture_test.go
+++ b/internal/results/fetchplan/fixture_test.go
@@ -11,16 +11,18 @@
 	"ternstage/internal/results/merge"
 )
 
+// A fixed seed makes every run draw the same cases; -rapid.seed=0 on the command line draws new ones.
 func init() { _ = flag.Set("rapid.seed", "20261201") }
 
 var testSchema = merge.Schema{{Name: "premium", Kind: merge.Int}}
 
-// testTable is slices with rows in order, and a reading of one page from them.
+// testTable is a table whose buckets are shards, one each, of equal weights.
 type testTable struct {
 	order *merge.Order
 	rows  map[shardmap.Range][]merge.Row
 }
 
+// newTable makes a table; drawPremium gives the premium of each row.
 func newTable(t require.TestingT, n, each int, draw func() int64) (*testTable, []shardmap.Range, []float64) {
 	o, err := merge.NewOrder(testSchema, []merge.SortColumn{{Column: "premium"}})
 	require.NoError(t, err)
@@ -39,7 +41,8 @@
 	return w, districts, weights
 }
 
-// readPage reads a page to its end; asks are answered at once but for slices that never are.
+// readPage carries a plan out to its end. Requests are answered 1 ms after each other, but for those to silent shards,
+// which never are.
 func (w *testTable) readPage(t require.TestingT, p *Plan, asks []Request, limit int, never func(shardmap.Range) bool) merge.Page {
 	batches, now := map[shardmap.Range]*merge.Batch{}, 0.0
 	for round := 0; round < 200; round++ {
@@ -73,5 +76,6 @@
 }
 
 func newOptions(limit int) Options {
-	return Options{Limit: limit, Floor: 0.7, LatencyObjective: 10_000, Deadline: 20_000, PartialWorth: 0.9, LateWorth: 0.3, Margin: 20}
+	return Options{Limit: limit, Floor: 0.7, LatencyObjective: 10_000, Deadline: 20_000, PartialWorth: 0.9,
+		LateWorth: 0.3, Margin: 20}
 }
--- a/internal/results/fetchplan/plan.go
+++ b/internal/results/fetchplan/plan.go
@@ -6,29 +6,29 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-// Options are what a plan goes by.
+// Options are what the plan of a page depends on. Times are ms of the caller's clock.
 type Options struct {
 	Limit             int     // rows of the page
-	Floor             float64 // least share of weight for an answer: the class's, or the client's if that is stricter
-	LatencyObjective  float64 // until when an answer is worth all
-	Deadline          float64 // until when there must be one
-	PartialWorth      float64 // worth of an answer that is not whole, for each share of weight that is in
-	LateWorth         float64 // worth of one after the aim
-	Margin            float64 // ms before the aim and the deadline by which the answer must be out
-	MaxRowsPerRequest int     // of one ask: bounds what a slice may send at a time
+	Floor             float64 // least weight of an answer: the class's, or the client's if that is stricter
+	LatencyObjective  float64 // time until which an answer has its full worth
+	Deadline          float64 // time until which there must be an answer
+	PartialWorth      float64 // worth of a partial answer, for each share of weight that is present
+	LateWorth         float64 // worth of a complete answer after the latency objective
+	Margin            float64 // ms before objective and deadline at which the answer must be sent
+	MaxRowsPerRequest int     // bounds by how many rows a request exceeds the one before; 0 for no bound
 }
 
-// state is where a part stands.
+// state is the state of a part.
 type state uint8
 
-// The states of a part.
 const (
-	inFlight    state = iota // asked, and not answered
-	answered                 // all that is needed of it so far is here
-	abandoned                // waited for no longer; its weight is missing
-	unavailable              // it cannot be had
+	inFlight    state = iota // requested and not answered
+	answered                 // no further rows are requested
+	abandoned                // no longer waited for; its weight is missing
+	unavailable              // cannot be read; its weight is missing
 )
 
+// part is the share of the page that one shard answers.
 type part struct {
 	buckets     shardmap.Range
 	weight      float64
@@ -40,23 +40,22 @@
 	read        bool    // it was in once: what it gave stands, though more of it is out
 }
 
-// Request is what a slice is to be asked for: so many rows in all from the page's place, of which so many are
-// here.
+// Request is what to request of a shard.
 type Request struct {
 	Buckets        shardmap.Range
 	Rows, Received int
 }
 
-// Plan is the reading of one page.
+// Plan is the plan of one page.
 type Plan struct {
 	options      Options
 	parts        []*part
-	latencies    []float64 // of the answers so far, in order
-	rowsReceived int       // rows that came
+	latencies    []float64 // ms; of all answers, ascending
+	rowsReceived int
 	extraRounds  int
 }
 
-// New plans a page over these parts and gives the first asks.
+// New plans a page over shards of given weights. It returns the first requests.
 func New(now float64, o Options, districts []shardmap.Range, weights []float64) (*Plan, []Request) {
 	p := &Plan{options: o}
 	first := p.firstRows(len(districts))
@@ -68,6 +67,7 @@
 	return p, asks
 }
 
+// find is the part with exactly these buckets, or nil.
 func (p *Plan) find(d shardmap.Range) *part {
 	if i := slices.IndexFunc(p.parts, func(x *part) bool { return x.buckets == d }); i >= 0 {
 		return p.parts[i]
@@ -75,9 +75,8 @@
 	return nil
 }
 
-// RecordAnswer takes the rows of a slice, which has so many in all from the page's place by now, and perhaps more. It
-// tells whether they are wanted: what comes from a slice that was dropped is not, or it would count and not
-// be waited for.
+// RecordAnswer records that a shard answered with rows, counted from the position after which the page starts. It
+// reports whether the answer is wanted; one of a shard that is not waited for must not be merged.
 func (p *Plan) RecordAnswer(now float64, d shardmap.Range, rows int, more bool) bool {
 	x := p.find(d)
 	if x == nil || x.state != inFlight {
@@ -90,16 +89,17 @@
 	return true
 }
 
-// RecordFailure tells that a slice cannot be had. If it was read before, what it gave must not stand either: the rows
-// that follow are not there, and a page that went past them would skip them.
+// RecordFailure records that a shard cannot be read. Rows that it gave before do not count either: without those that
+// follow them the page would skip rows.
 func (p *Plan) RecordFailure(d shardmap.Range) {
 	if x := p.find(d); x != nil && x.state != abandoned {
 		x.state = unavailable
 	}
 }
 
-// Reshard puts parts in the place of one whose slice was split or merged meanwhile: none of its rows stand,
-// and all of its districts are asked for anew.
+// Reshard replaces a shard by those that hold its buckets after a split or merge, and returns the requests for these.
+// The rows of the old shard no longer count. A shard that is not part of the plan or is abandoned is left alone, and
+// nil returned.
 func (p *Plan) Reshard(now float64, d shardmap.Range, by []shardmap.Range) []Request {
 	i := slices.IndexFunc(p.parts, func(x *part) bool { return x.buckets == d })
 	if i < 0 || p.parts[i].state == abandoned {
@@ -126,14 +126,14 @@
 	return d
 }
 
-// Included tells whether what a slice gave is part of the answer.
+// Included reports whether the rows of a shard are part of the answer.
 func (p *Plan) Included(d shardmap.Range) bool {
 	x := p.find(d)
 	return x != nil && x.state == answered
 }
 
-// RowsReceived is how many rows came, Rounds how often slices were asked for more.
+// RowsReceived is how many rows came, each counted once.
 func (p *Plan) RowsReceived() int { return p.rowsReceived }
 
-// ExtraRounds is how often slices were asked for more.
+// ExtraRounds is how often shards were asked for more rows.
 func (p *Plan) ExtraRounds() int { return p.extraRounds }
--- a/internal/results/fetchplan/plan_test.go
+++ b/internal/results/fetchplan/plan_test.go
@@ -11,7 +11,7 @@
 	"ternstage/internal/results/merge"
 )
 
-// The page is the true one over the slices that stand, for any table, with some slices silent.
+// With some shards silent the page is the true one over the shards that are included.
 func TestPageIsThatOfTheIncludedShards(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n, limit := rapid.IntRange(1, 12).Draw(t, "slices"), rapid.IntRange(0, 20).Draw(t, "limit")
@@ -42,7 +42,7 @@
 	})
 }
 
-// A slice that is split between two fetches of a page is read anew as its halves; its old rows do not stand.
+// A shard that is split between two requests of a page is read anew as its halves; its old rows do not count.
 func TestSplitBetweenTwoRequests(t *testing.T) {
 	d := []shardmap.Range{{Start: 0, End: 10}, {Start: 10, End: 20}}
 	p, _ := New(0, newOptions(10), d, []float64{0.5, 0.5})
--- a/internal/results/fetchplan/rows.go
+++ b/internal/results/fetchplan/rows.go
@@ -14,8 +14,8 @@
 	minLateMs       = 5.0 // ms under which none is late, whatever the median
 )
 
-// firstRows is how many rows each of n slices is asked for first: an even share of the page and some more, as
-// most pages then need a second round of a few slices only, and far less than a page of each is moved.
+// firstRows is how many rows to request first of each of some shards. It suffices for most shards of most pages, and is
+// far less than a page of each.
 func (p *Plan) firstRows(n int) int {
 	if n == 0 || p.options.Limit <= 0 {
 		return min(p.options.Limit, 1)
@@ -24,6 +24,7 @@
 	return p.boundRows(int(math.Ceil(evenShareFactor*even + deviationFactor*math.Sqrt(even))))
 }
 
+// boundRows bounds additional rows of a request: at least 1, at most a page and MaxRowsPerRequest.
 func (p *Plan) boundRows(rows int) int {
 	rows = min(rows, p.options.Limit)
 	if p.options.MaxRowsPerRequest > 0 {
@@ -32,7 +33,7 @@
 	return max(rows, 1)
 }
 
-// RequestMore asks those that the merge named for more rows: twice as many as before. Only they can still reach the
+// RequestMore returns requests for more rows of the shards that the merge needs more of. No other shard can add to the
 // page.
 func (p *Plan) RequestMore(now float64, need []shardmap.Range) (asks []Request) {
 	for _, d := range need {
--- a/internal/results/fetchplan/rows_test.go
+++ b/internal/results/fetchplan/rows_test.go
@@ -11,7 +11,7 @@
 	"ternstage/internal/results/merge"
 )
 
-// 200 slices of 100,000 rows each and a page of 50: what is moved is close to what the page needs.
+// For a page of 50 rows over 200 shards of 100,000 rows not many more rows are received than the page has.
 func TestFewRowsAreReceivedForAPage(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	const n, each, limit = 200, 100_000, 50
