--- a/internal/results/fetchplan/decide.go
+++ b/internal/results/fetchplan/decide.go
@@ -6,20 +6,19 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-// weights are the weight that is present, and that which is present or may still come.
-func (p *Plan) weights() (in, could float64) {
-	for _, x := range p.parts {
-		switch x.state {
-		case answered:
-			in, could = in+x.weight, could+x.weight
-		case inFlight:
-			could += x.weight
-		}
-	}
-	return in, could
-}
+const (
+	// weightTolerance is by how much sums of weights may fall short, as the platform's rules allow.
+	weightTolerance = 1e-4
+
+	// lateFactor times the median latency of the answers so far is when a shard is late.
+	lateFactor = 3.0
 
-const weightTolerance = 1e-4
+	// minLateMs is the least latency at which a shard is late, in ms.
+	minLateMs = 5.0
+
+	// minWakeMs is the least time until the plan wants to decide again, in ms, while a shard is in flight.
+	minWakeMs = 1.0
+)
 
 // Decision is what to do next.
 type Decision struct {
@@ -34,51 +33,84 @@
 // Below the floor every shard is waited for until the deadline. From the floor on, waiting ends when all shards in
 // flight are late, or when the time is up: as long as one is waited for, the others cost nothing.
 func (p *Plan) Decide(now float64) Decision {
-	in, could := p.weights()
-	if could < p.options.Floor-weightTolerance {
+	present, possible := p.weights()
+	if possible < p.options.Floor-weightTolerance {
 		return Decision{Done: true, Hopeless: true}
 	}
-	var out []*part
-	for _, x := range p.parts {
-		if x.state == inFlight {
-			out = append(out, x)
-		}
+	reached := present >= p.options.Floor-weightTolerance && present > 0
+	waiting := p.inFlight()
+	if len(waiting) == 0 {
+		return Decision{Done: true, Hopeless: !reached}
 	}
-	if len(out) == 0 {
-		return Decision{Done: true, Hopeless: in < p.options.Floor-weightTolerance || in == 0}
+	lastCall := p.lastCall(reached, present)
+	switch {
+	case now >= lastCall && !reached:
+		return Decision{Done: true, Hopeless: true}
+	case now >= lastCall:
+		return Decision{Done: true, Abandoned: abandon(waiting)}
+	case !reached:
+		return Decision{WakeAt: lastCall}
 	}
-	enough := in >= p.options.Floor-weightTolerance && in > 0
-	last := p.options.Deadline - p.options.Margin
-	if enough && p.options.PartialWorth*in >= p.options.LateWorth {
-		// After the aim a whole answer is worth less than this one now.
-		last = min(last, p.options.LatencyObjective-p.options.Margin)
+	wakeAt, wait := p.waitForLate(now, lastCall, waiting)
+	if wait {
+		return Decision{WakeAt: wakeAt}
+	}
+	return Decision{Done: true, Abandoned: abandon(waiting)}
+}
+
+// lastCall is the time at which the answer must be sent. If the floor is reached and a partial answer now has at least
+// the worth of a late one, that is before the latency objective.
+func (p *Plan) lastCall(reached bool, present float64) float64 {
+	deadline := p.options.Deadline - p.options.Margin
+	if reached && p.options.PartialWorth*present >= p.options.LateWorth {
+		return min(deadline, p.options.LatencyObjective-p.options.Margin)
 	}
-	if now >= last {
-		if !enough {
-			return Decision{Done: true, Hopeless: true}
+	return deadline
+}
+
+// waitForLate reports whether to wait for the shards in flight, and until when at the latest. A shard is late after a
+// multiple of the median latency. Once all are, a complete answer may still be worth waiting for, but no longer than
+// that time again.
+func (p *Plan) waitForLate(now, lastCall float64, waiting []*part) (wakeAt float64, wait bool) {
+	lateAfter := p.lateAfter()
+	wakeAt = lastCall
+	for _, part := range waiting {
+		lateAt := part.requestedAt + lateAfter
+		wakeAt = min(wakeAt, max(lateAt, now+minWakeMs))
+		if now < lateAt {
+			return wakeAt, true
 		}
-		return Decision{Done: true, Abandoned: p.drop(out)}
 	}
-	v := Decision{WakeAt: last}
-	if !enough {
-		return v // below the floor nothing is dropped, however late it is
+	giveUpAt := waiting[0].requestedAt + 2*lateAfter
+	if now < giveUpAt && p.options.PartialWorth < 1 {
+		return min(lastCall, giveUpAt), true
 	}
-	// Who is late is dropped only once all that is out is: as long as one is waited for, the others cost
-	// nothing.
-	late := p.lateAfter()
-	for _, x := range out {
-		v.WakeAt = min(v.WakeAt, max(x.requestedAt+late, now+1))
-		if now < x.requestedAt+late {
-			return v
+	return 0, false
+}
+
+// weights are the weight that is present, and that which is present or may still come.
+func (p *Plan) weights() (present, possible float64) {
+	for _, part := range p.parts {
+		switch part.state {
+		case answered:
+			present += part.weight
+			possible += part.weight
+		case inFlight:
+			possible += part.weight
 		}
 	}
-	// Waiting to the aim for slices that are late might make the answer whole; that they come is not to be
-	// counted on once they are as late again.
-	if now < out[0].requestedAt+2*late && p.options.PartialWorth < 1 {
-		v.WakeAt = min(last, out[0].requestedAt+2*late)
-		return v
+	return present, possible
+}
+
+// inFlight are the parts that are waited for, in the order of the plan.
+func (p *Plan) inFlight() []*part {
+	var waiting []*part
+	for _, part := range p.parts {
+		if part.state == inFlight {
+			waiting = append(waiting, part)
+		}
 	}
-	return Decision{Done: true, Abandoned: p.drop(out)}
+	return waiting
 }
 
 // lateAfter is after how many ms a shard is late; infinite as long as none has answered.
@@ -86,5 +118,16 @@
 	if len(p.latencies) == 0 {
 		return math.Inf(1)
 	}
-	return max(lateFactor*p.latencies[len(p.latencies)/2], minLateMs)
+	median := p.latencies[len(p.latencies)/2]
+	return max(lateFactor*median, minLateMs)
+}
+
+// abandon abandons parts and returns their buckets.
+func abandon(parts []*part) []shardmap.Range {
+	var buckets []shardmap.Range
+	for _, part := range parts {
+		part.state = abandoned
+		buckets = append(buckets, part.buckets)
+	}
+	return buckets
 }
--- a/internal/results/fetchplan/decide_test.go
+++ b/internal/results/fetchplan/decide_test.go
@@ -8,45 +8,54 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-func TestNoShardIsAbandonedBelowTheFloor(t *testing.T) {
-	ten := func(floor float64, in int) (*Plan, []shardmap.Range) {
-		var d []shardmap.Range
-		var w []float64
-		for i := range 10 {
-			d, w = append(d, shardmap.Range{Start: i, End: i + 1}), append(w, 0.1)
-		}
-		o := newOptions(10)
-		o.Floor = floor
-		p, _ := New(0, o, d, w)
-		for i := range in {
-			require.True(t, p.RecordAnswer(20, d[i], 1, false))
-		}
-		return p, d
+// planOfTen plans a page over ten shards with the floor at 0.7; the first ones have answered after 20 ms.
+func planOfTen(t *testing.T, answered int) (*Plan, []shardmap.Range) {
+	t.Helper()
+	var shards []shardmap.Range
+	var weights []float64
+	for i := range 10 {
+		shards = append(shards, shardmap.Range{Start: i, End: i + 1})
+		weights = append(weights, 0.1)
 	}
-	p, d := ten(0.7, 6)
-	v := p.Decide(5000)
-	require.False(t, v.Done, "six of ten are not seven")
-	require.Equal(t, 20_000-20.0, v.WakeAt)
-	require.True(t, p.RecordAnswer(5000, d[6], 1, false), "the seventh comes late, and is wanted")
-	v = p.Decide(5001)
-	require.True(t, v.Done && !v.Hopeless)
-	require.Equal(t, d[7:], v.Abandoned)
-	require.False(t, p.RecordAnswer(5002, d[7], 1, false), "what was dropped does not come back into the page")
-
-	p, _ = ten(0.7, 7)
-	v = p.Decide(30)
-	require.Equal(t, Decision{WakeAt: 60}, v, "three times the median of 20 ms")
-	v = p.Decide(60)
-	require.Equal(t, Decision{WakeAt: 120}, v)
-	require.True(t, p.Decide(120).Done)
-
-	p, _ = ten(0.7, 6)
-	require.Equal(t, Decision{Done: true, Hopeless: true}, p.Decide(19_980), "at the end there is no answer below the floor")
-	p, d = ten(0.7, 6)
-	for _, x := range d[6:] {
-		p.RecordFailure(x)
+	options := newOptions(10)
+	options.Floor = 0.7
+	plan, _ := New(0, options, shards, weights)
+	for i := range answered {
+		require.True(t, plan.RecordAnswer(20, shards[i], 1, false))
 	}
-	require.Equal(t, Decision{Done: true, Hopeless: true}, p.Decide(21), "it is known at once")
-	p, _ = ten(0.7, 10)
-	require.Equal(t, Decision{Done: true}, p.Decide(21))
+	return plan, shards
+}
+
+func TestNoShardIsAbandonedBelowTheFloor(t *testing.T) {
+	plan, shards := planOfTen(t, 6)
+	decision := plan.Decide(5000)
+	require.False(t, decision.Done, "six of ten do not reach 0.7")
+	require.Equal(t, 20_000-20.0, decision.WakeAt)
+	require.True(t, plan.RecordAnswer(5000, shards[6], 1, false), "the seventh is late, and wanted")
+	decision = plan.Decide(5001)
+	require.True(t, decision.Done && !decision.Hopeless)
+	require.Equal(t, shards[7:], decision.Abandoned)
+	require.False(t, plan.RecordAnswer(5002, shards[7], 1, false), "the answer of an abandoned shard is not wanted")
+}
+
+func TestLateShardsAreAbandonedAboveTheFloor(t *testing.T) {
+	plan, _ := planOfTen(t, 7)
+	require.Equal(t, Decision{WakeAt: 60}, plan.Decide(30), "three times the median of 20 ms")
+	require.Equal(t, Decision{WakeAt: 120}, plan.Decide(60))
+	require.True(t, plan.Decide(120).Done)
+}
+
+func TestHopelessBelowTheFloor(t *testing.T) {
+	plan, _ := planOfTen(t, 6)
+	require.Equal(t, Decision{Done: true, Hopeless: true}, plan.Decide(19_980), "at the deadline")
+	plan, shards := planOfTen(t, 6)
+	for _, buckets := range shards[6:] {
+		plan.RecordFailure(buckets)
+	}
+	require.Equal(t, Decision{Done: true, Hopeless: true}, plan.Decide(21), "as soon as it is known")
+}
+
+func TestDoneOnceAllHaveAnswered(t *testing.T) {
+	plan, _ := planOfTen(t, 10)
+	require.Equal(t, Decision{Done: true}, plan.Decide(21))
 }
--- a/internal/results/fetchplan/fixture_test.go
+++ b/internal/results/fetchplan/fixture_test.go
@@ -18,56 +18,72 @@
 
 // testTable is a table whose buckets are shards, one each, of equal weights.
 type testTable struct {
-	order *merge.Order
-	rows  map[shardmap.Range][]merge.Row
+	order   *merge.Order
+	shards  []shardmap.Range
+	weights []float64
+	rows    map[shardmap.Range][]merge.Row // in order
 }
 
 // newTable makes a table; drawPremium gives the premium of each row.
-func newTable(t require.TestingT, n, each int, draw func() int64) (*testTable, []shardmap.Range, []float64) {
-	o, err := merge.NewOrder(testSchema, []merge.SortColumn{{Column: "premium"}})
+func newTable(t require.TestingT, shards, rowsPerShard int, drawPremium func() int64) *testTable {
+	order, err := merge.NewOrder(testSchema, []merge.SortColumn{{Column: "premium"}})
 	require.NoError(t, err)
-	w := &testTable{order: o, rows: map[shardmap.Range][]merge.Row{}}
-	var districts []shardmap.Range
-	var weights []float64
-	for i := range n {
-		d := shardmap.Range{Start: i, End: i + 1}
-		districts, weights = append(districts, d), append(weights, 1/float64(n))
-		for j := range each {
-			w.rows[d] = append(w.rows[d], merge.Row{Bucket: i, Key: fmt.Sprintf("%06d", j),
-				Values: []merge.Value{merge.IntOf(draw())}})
+	table := &testTable{order: order, rows: map[shardmap.Range][]merge.Row{}}
+	for i := range shards {
+		buckets := shardmap.Range{Start: i, End: i + 1}
+		table.shards = append(table.shards, buckets)
+		table.weights = append(table.weights, 1/float64(shards))
+		for j := range rowsPerShard {
+			table.rows[buckets] = append(table.rows[buckets], newRow(i, j, drawPremium()))
 		}
-		slices.SortFunc(w.rows[d], func(a, b merge.Row) int { return o.Compare(o.PositionOf(a), o.PositionOf(b)) })
+		table.sort(table.rows[buckets])
 	}
-	return w, districts, weights
+	return table
+}
+
+func newRow(bucket, number int, premium int64) merge.Row {
+	return merge.Row{Bucket: bucket, Key: fmt.Sprintf("%06d", number), Values: []merge.Value{merge.IntOf(premium)}}
+}
+
+func (w *testTable) sort(rows []merge.Row) {
+	slices.SortFunc(rows, func(a, b merge.Row) int {
+		return w.order.Compare(w.order.PositionOf(a), w.order.PositionOf(b))
+	})
 }
 
 // readPage carries a plan out to its end. Requests are answered 1 ms after each other, but for those to silent shards,
 // which never are.
-func (w *testTable) readPage(t require.TestingT, p *Plan, asks []Request, limit int, never func(shardmap.Range) bool) merge.Page {
-	batches, now := map[shardmap.Range]*merge.Batch{}, 0.0
+func (w *testTable) readPage(t require.TestingT, plan *Plan, requests []Request, limit int,
+	silent func(shardmap.Range) bool) merge.Page {
+	batches := map[shardmap.Range]*merge.Batch{}
+	now := 0.0
 	for round := 0; round < 200; round++ {
-		for _, a := range asks {
-			if now++; never(a.Buckets) {
+		for _, request := range requests {
+			now++
+			if silent(request.Buckets) {
 				continue
 			}
-			rows := w.rows[a.Buckets]
-			n := min(a.Rows, len(rows))
-			if p.RecordAnswer(now, a.Buckets, n, n < len(rows)) {
-				batches[a.Buckets] = &merge.Batch{Buckets: a.Buckets, Schema: testSchema, Rows: rows[:n], HasMore: n < len(rows)}
+			rows := w.rows[request.Buckets]
+			count := min(request.Rows, len(rows))
+			hasMore := count < len(rows)
+			if plan.RecordAnswer(now, request.Buckets, count, hasMore) {
+				batches[request.Buckets] = &merge.Batch{Buckets: request.Buckets, Schema: testSchema, Rows: rows[:count],
+					HasMore: hasMore}
 			}
 		}
-		for v := p.Decide(now); !v.Done; v = p.Decide(now) {
-			require.Greater(t, v.WakeAt, now, "it is told when to look again")
-			now = v.WakeAt
+		for decision := plan.Decide(now); !decision.Done; decision = plan.Decide(now) {
+			require.Greater(t, decision.WakeAt, now, "a decision to wait says until when")
+			now = decision.WakeAt
 		}
-		var list []*merge.Batch
-		for d, b := range batches {
-			if p.Included(d) {
-				list = append(list, b)
+		var included []*merge.Batch
+		for buckets, batch := range batches {
+			if plan.Included(buckets) {
+				included = append(included, batch)
 			}
 		}
-		page := w.order.Merge(list, limit)
-		if asks = p.RequestMore(now, page.NeedMore); len(page.NeedMore) == 0 {
+		page := w.order.Merge(included, limit)
+		requests = plan.RequestMore(now, page.NeedMore)
+		if len(page.NeedMore) == 0 {
 			return page
 		}
 	}
--- a/internal/results/fetchplan/plan.go
+++ b/internal/results/fetchplan/plan.go
@@ -33,17 +33,17 @@
 	buckets     shardmap.Range
 	weight      float64
 	state       state
-	requested   int // asked for in all, from the place of the page
-	received    int // of them here
-	hasMore     bool
-	requestedAt float64 // when it was last asked
-	read        bool    // it was in once: what it gave stands, though more of it is out
+	requested   int     // rows, from the position after which the page starts
+	received    int     // rows of the last answer
+	hasMore     bool    // the shard has rows after those received
+	requestedAt float64 // ms; of the last request
 }
 
 // Request is what to request of a shard.
 type Request struct {
-	Buckets        shardmap.Range
-	Rows, Received int
+	Buckets  shardmap.Range
+	Rows     int // from the position after which the page starts
+	Received int // how many of these have been received before
 }
 
 // Plan is the plan of one page.
@@ -56,80 +56,83 @@
 }
 
 // New plans a page over shards of given weights. It returns the first requests.
-func New(now float64, o Options, districts []shardmap.Range, weights []float64) (*Plan, []Request) {
-	p := &Plan{options: o}
-	first := p.firstRows(len(districts))
-	asks := make([]Request, 0, len(districts))
-	for i, d := range districts {
-		p.parts = append(p.parts, &part{buckets: d, weight: weights[i], requested: first, requestedAt: now})
-		asks = append(asks, Request{d, first, 0})
+func New(now float64, options Options, shards []shardmap.Range, weights []float64) (*Plan, []Request) {
+	plan := &Plan{options: options}
+	rows := plan.firstRows(len(shards))
+	requests := make([]Request, 0, len(shards))
+	for i, buckets := range shards {
+		plan.parts = append(plan.parts, &part{buckets: buckets, weight: weights[i], requested: rows, requestedAt: now})
+		requests = append(requests, Request{Buckets: buckets, Rows: rows})
 	}
-	return p, asks
+	return plan, requests
+}
+
+// index is the index of the part with exactly these buckets, or -1.
+func (p *Plan) index(buckets shardmap.Range) int {
+	return slices.IndexFunc(p.parts, func(part *part) bool { return part.buckets == buckets })
 }
 
 // find is the part with exactly these buckets, or nil.
-func (p *Plan) find(d shardmap.Range) *part {
-	if i := slices.IndexFunc(p.parts, func(x *part) bool { return x.buckets == d }); i >= 0 {
-		return p.parts[i]
+func (p *Plan) find(buckets shardmap.Range) *part {
+	i := p.index(buckets)
+	if i < 0 {
+		return nil
 	}
-	return nil
+	return p.parts[i]
 }
 
 // RecordAnswer records that a shard answered with rows, counted from the position after which the page starts. It
 // reports whether the answer is wanted; one of a shard that is not waited for must not be merged.
-func (p *Plan) RecordAnswer(now float64, d shardmap.Range, rows int, more bool) bool {
-	x := p.find(d)
-	if x == nil || x.state != inFlight {
+func (p *Plan) RecordAnswer(now float64, buckets shardmap.Range, rows int, hasMore bool) bool {
+	part := p.find(buckets)
+	if part == nil || part.state != inFlight {
 		return false
 	}
-	p.rowsReceived += rows - x.received
-	x.state, x.received, x.hasMore, x.read = answered, rows, more, true
-	i, _ := slices.BinarySearch(p.latencies, now-x.requestedAt)
-	p.latencies = slices.Insert(p.latencies, i, now-x.requestedAt)
+	p.rowsReceived += rows - part.received
+	part.state = answered
+	part.received = rows
+	part.hasMore = hasMore
+	latency := now - part.requestedAt
+	i, _ := slices.BinarySearch(p.latencies, latency)
+	p.latencies = slices.Insert(p.latencies, i, latency)
 	return true
 }
 
 // RecordFailure records that a shard cannot be read. Rows that it gave before do not count either: without those that
 // follow them the page would skip rows.
-func (p *Plan) RecordFailure(d shardmap.Range) {
-	if x := p.find(d); x != nil && x.state != abandoned {
-		x.state = unavailable
+func (p *Plan) RecordFailure(buckets shardmap.Range) {
+	if part := p.find(buckets); part != nil && part.state != abandoned {
+		part.state = unavailable
 	}
 }
 
 // Reshard replaces a shard by those that hold its buckets after a split or merge, and returns the requests for these.
 // The rows of the old shard no longer count. A shard that is not part of the plan or is abandoned is left alone, and
 // nil returned.
-func (p *Plan) Reshard(now float64, d shardmap.Range, by []shardmap.Range) []Request {
-	i := slices.IndexFunc(p.parts, func(x *part) bool { return x.buckets == d })
+func (p *Plan) Reshard(now float64, buckets shardmap.Range, successors []shardmap.Range) []Request {
+	i := p.index(buckets)
 	if i < 0 || p.parts[i].state == abandoned {
 		return nil
 	}
 	old := p.parts[i]
 	p.parts = slices.Delete(p.parts, i, i+1)
-	asks := make([]Request, 0, len(by))
-	for _, r := range by {
-		x := &part{buckets: r, weight: old.weight * float64(r.Size()) / float64(old.buckets.Size()),
+	requests := make([]Request, 0, len(successors))
+	for _, successor := range successors {
+		p.parts = append(p.parts, &part{
+			buckets:     successor,
+			weight:      old.weight * float64(successor.Size()) / float64(old.buckets.Size()),
 			requested:   old.requested,
-			requestedAt: now}
-		p.parts = append(p.parts, x)
-		asks = append(asks, Request{r, x.requested, 0})
-	}
-	return asks
-}
-
-func (p *Plan) drop(out []*part) (d []shardmap.Range) {
-	for _, x := range out {
-		x.state = abandoned
-		d = append(d, x.buckets)
+			requestedAt: now,
+		})
+		requests = append(requests, Request{Buckets: successor, Rows: old.requested})
 	}
-	return d
+	return requests
 }
 
 // Included reports whether the rows of a shard are part of the answer.
-func (p *Plan) Included(d shardmap.Range) bool {
-	x := p.find(d)
-	return x != nil && x.state == answered
+func (p *Plan) Included(buckets shardmap.Range) bool {
+	part := p.find(buckets)
+	return part != nil && part.state == answered
 }
 
 // RowsReceived is how many rows came, each counted once.
--- a/internal/results/fetchplan/rows_test.go
+++ b/internal/results/fetchplan/rows_test.go
@@ -1,32 +1,30 @@
 package fetchplan
 
 import (
-	"fmt"
 	"math/rand/v2"
 	"testing"
 
 	"github.com/stretchr/testify/require"
 
 	"ternstage/internal/decision/shardmap"
-	"ternstage/internal/results/merge"
 )
 
 // For a page of 50 rows over 200 shards of 100,000 rows not many more rows are received than the page has.
 func TestFewRowsAreReceivedForAPage(t *testing.T) {
-	r := rand.New(rand.NewPCG(1, 2))
-	const n, each, limit = 200, 100_000, 50
-	w, districts, weights := newTable(t, n, 0, nil)
-	for _, d := range districts { // only the first rows can matter: the least of so many draws
-		at := int64(0)
-		for j := range 200 {
-			at += int64(r.ExpFloat64() * 1e6 / each)
-			w.rows[d] = append(w.rows[d], merge.Row{Bucket: d.Start, Key: fmt.Sprintf("%06d", j),
-				Values: []merge.Value{merge.IntOf(at)}})
+	random := rand.New(rand.NewPCG(1, 2))
+	const shards, rowsPerShard, limit = 200, 100_000, 50
+	table := newTable(t, shards, 0, nil)
+	for _, buckets := range table.shards { // 200 rows of each suffice: the least of so many draws
+		premium := int64(0)
+		for i := range 200 {
+			premium += int64(random.ExpFloat64() * 1e6 / rowsPerShard)
+			table.rows[buckets] = append(table.rows[buckets], newRow(buckets.Start, i, premium))
 		}
 	}
-	p, asks := New(0, newOptions(limit), districts, weights)
-	page := w.readPage(t, p, asks, limit, func(shardmap.Range) bool { return false })
+	plan, requests := New(0, newOptions(limit), table.shards, table.weights)
+	page := table.readPage(t, plan, requests, limit, func(shardmap.Range) bool { return false })
 	require.Len(t, page.Rows, limit)
-	require.Less(t, p.RowsReceived(), 300, "of 10,000 if each were asked for a page")
-	t.Logf("%d rows moved for a page of %d over %d slices, in %d further rounds", p.RowsReceived(), limit, n, p.ExtraRounds())
+	require.Less(t, plan.RowsReceived(), 300, "a page of each shard would be 10,000")
+	t.Logf("%d rows received for a page of %d over %d shards, in %d extra rounds", plan.RowsReceived(), limit, shards,
+		plan.ExtraRounds())
 }
