--- a/internal/results/rows/rows.go
+++ b/internal/results/rows/rows.go
@@ -19,15 +19,15 @@
 
 // The bounds of what a node may send.
 const (
-	MostColumns = 64
-	MostText    = 4 << 10 // bytes of one text
+	MaxColumns   = 64
+	MaxTextBytes = 4 << 10 // bytes of one text
 )
 
-// ErrForm is wrapped where something has not the form.
-var ErrForm = errors.New("the rows cannot be used")
+// ErrMalformed is wrapped where something has not the form.
+var ErrMalformed = errors.New("the rows cannot be used")
 
-func bad(format string, args ...any) error {
-	return fmt.Errorf("%w: %s", ErrForm, fmt.Sprintf(format, args...))
+func malformed(format string, args ...any) error {
+	return fmt.Errorf("%w: %s", ErrMalformed, fmt.Sprintf(format, args...))
 }
 
 // Answer is what a node gives for a part: a batch of rows, and what it states of all its rows.
@@ -37,99 +37,99 @@
 	Summary *completeness.Summary // nil if it states none
 }
 
-// Want is what a node was asked for, by which its answer is read.
-type Want struct {
-	Districts shardmap.Range
-	Since     uint64   // epoch of the slice's last change
-	Most      int      // rows
-	Rank      []string // columns, by which a summary's least values are read
-	Of        []string // aggregated columns; "" counts rows
-	Group     []string // columns
-	Groups    int      // at most
+// Request is what a node was asked for, by which its answer is read.
+type Request struct {
+	Buckets          shardmap.Range
+	ShardEpoch       uint64   // epoch of the slice's last change
+	MaxRows          int      // rows
+	RankColumns      []string // columns, by which a summary's least values are read
+	AggregateColumns []string // aggregated columns; "" counts rows
+	GroupColumns     []string // columns
+	MaxGroups        int      // at most
 }
 
-// column is a column in the JSON form.
-type column struct {
+// wireColumn is a column in the JSON form.
+type wireColumn struct {
 	Name     string `json:"name"`
 	Kind     string `json:"kind"` // int, float or text
 	Currency string `json:"currency,omitempty"`
 }
 
-// note is a summary in the JSON form; its version and districts are the answer's.
-type note struct {
-	Count uint64            `json:"count"`
-	Least []json.RawMessage `json:"least,omitempty"` // the rank columns of the first row
-	Min   *float64          `json:"min,omitempty"`
-	Max   *float64          `json:"max,omitempty"`
-	Sum   *float64          `json:"sum,omitempty"`
+// wireSummary is a summary in the JSON form; its version and districts are the answer's.
+type wireSummary struct {
+	Count     uint64            `json:"count"`
+	FirstRank []json.RawMessage `json:"least,omitempty"` // the rank columns of the first row
+	Min       *float64          `json:"min,omitempty"`
+	Max       *float64          `json:"max,omitempty"`
+	Sum       *float64          `json:"sum,omitempty"`
 }
 
-type head struct {
-	Version uint64   `json:"version"`
-	Schema  []column `json:"schema"`
-	More    bool     `json:"more"`
-	Summary *note    `json:"summary,omitempty"`
-	Groups  []group  `json:"groups,omitempty"`
+type wireAnswer struct {
+	Version uint64       `json:"version"`
+	Schema  []wireColumn `json:"schema"`
+	More    bool         `json:"more"`
+	Summary *wireSummary `json:"summary,omitempty"`
+	Groups  []wireGroup  `json:"groups,omitempty"`
 }
 
-// group is the aggregates of a group in the JSON form, of each aggregated column in turn.
-type group struct {
-	By []json.RawMessage `json:"by,omitempty"`
-	Of []partial         `json:"of"`
+// wireGroup is the aggregates of a group in the JSON form, of each aggregated column in turn.
+type wireGroup struct {
+	Values   []json.RawMessage `json:"by,omitempty"`
+	Partials []wirePartial     `json:"of"`
 }
 
-type partial struct {
-	Count    uint64          `json:"count"`
-	Sum      json.RawMessage `json:"sum,omitempty"`
-	Min      json.RawMessage `json:"min,omitempty"`
-	Max      json.RawMessage `json:"max,omitempty"`
-	Quantile []byte          `json:"quantile,omitempty"` // sketches, in base64
-	Distinct []byte          `json:"distinct,omitempty"`
+type wirePartial struct {
+	Count     uint64          `json:"count"`
+	Sum       json.RawMessage `json:"sum,omitempty"`
+	Min       json.RawMessage `json:"min,omitempty"`
+	Max       json.RawMessage `json:"max,omitempty"`
+	Quantiles []byte          `json:"quantile,omitempty"` // sketches, in base64
+	Distinct  []byte          `json:"distinct,omitempty"`
 }
 
-var kinds = map[string]merge.Kind{"int": merge.Int, "float": merge.Float, "text": merge.Text}
+var wireKinds = map[string]merge.Kind{"int": merge.Int, "float": merge.Float, "text": merge.Text}
 
-func schemaOf(list []column) (merge.Schema, error) {
-	if len(list) > MostColumns {
-		return nil, bad("%d columns, %d at most", len(list), MostColumns)
+func decodeSchema(list []wireColumn) (merge.Schema, error) {
+	if len(list) > MaxColumns {
+		return nil, malformed("%d columns, %d at most", len(list), MaxColumns)
 	}
 	var s merge.Schema
 	for i, c := range list {
-		k, ok := kinds[c.Kind]
+		k, ok := wireKinds[c.Kind]
 		if !ok || c.Name == "" || s.Index(c.Name) >= 0 {
-			return nil, bad("schema[%d]: name %.40q, kind %.10q", i, c.Name, c.Kind)
+			return nil, malformed("schema[%d]: name %.40q, kind %.10q", i, c.Name, c.Kind)
 		}
 		s = append(s, merge.Column{Name: c.Name, Kind: k, Currency: c.Currency})
 	}
 	return s, nil
 }
 
-// ParseJSON reads a node's answer:
+// DecodeJSON reads a node's answer:
 //
 //	{"version":7,"schema":[...],"rows":[[district,"key",value,...],...],"more":true,
 //	 "groups":[...],"summary":{...}}
 //
 // with the schema before the rows.
-func ParseJSON(text []byte, w Want) (*Answer, error) {
+func DecodeJSON(text []byte, w Request) (*Answer, error) {
 	if !utf8.Valid(text) {
-		return nil, bad("not UTF-8")
+		return nil, malformed("not UTF-8")
 	}
-	a := &Answer{Batch: merge.Batch{Buckets: w.Districts}}
+	a := &Answer{Batch: merge.Batch{Buckets: w.Buckets}}
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.UseNumber()
 	if t, err := d.Token(); err != nil || t != json.Delim('{') {
-		return nil, bad("no object")
+		return nil, malformed("no object")
 	}
-	var h head
+	var h wireAnswer
 	seen := map[string]bool{}
 	for d.More() {
 		t, err := d.Token()
 		if err != nil {
-			return nil, bad("%v", err)
+			return nil, malformed("%v", err)
 		}
 		name, _ := t.(string)
 		if seen[name] {
-			return nil, bad("%.20q stands twice", name)
+			return nil, malformed("%.20q stands twice", name)
 		}
 		seen[name] = true
 		switch name {
@@ -143,88 +143,88 @@
 			err = d.Decode(&h.Groups)
 		case "schema":
 			if err = d.Decode(&h.Schema); err == nil {
-				a.Batch.Schema, err = schemaOf(h.Schema)
+				a.Batch.Schema, err = decodeSchema(h.Schema)
 			}
 		case "rows":
 			if !seen["schema"] {
-				return nil, bad("rows before their schema")
+				return nil, malformed("rows before their schema")
 			}
-			a.Batch.Rows, err = rowsOf(d, a.Batch.Schema, w.Most)
+			a.Batch.Rows, err = decodeRows(d, a.Batch.Schema, w.MaxRows)
 		default:
-			return nil, bad("name %.40q", name)
+			return nil, malformed("name %.40q", name)
 		}
-		if err != nil && !errors.Is(err, ErrForm) {
-			err = bad("%s: %v", name, err)
+		if err != nil && !errors.Is(err, ErrMalformed) {
+			err = malformed("%s: %v", name, err)
 		}
 		if err != nil {
 			return nil, err
 		}
 	}
 	if _, err := d.Token(); err != nil {
-		return nil, bad("%v", err)
+		return nil, malformed("%v", err)
 	}
 	if d.More() {
-		return nil, bad("something behind the object")
+		return nil, malformed("something behind the object")
 	}
 	if !seen["schema"] || !seen["rows"] || h.Version == 0 {
-		return nil, bad("version, schema or rows missing")
+		return nil, malformed("version, schema or rows missing")
 	}
 	a.Batch.Version, a.Batch.HasMore = h.Version, h.More
-	return a, a.rest(h.Summary, h.Groups, w)
+	return a, a.decodeRest(h.Summary, h.Groups, w)
 }
 
-// rest reads what comes beside the rows.
-func (a *Answer) rest(n *note, groups []group, w Want) (err error) {
-	if a.Summary, err = n.read(a.Batch, w.Since, w.Rank); err != nil {
+// decodeRest reads what comes beside the rows.
+func (a *Answer) decodeRest(n *wireSummary, groups []wireGroup, w Request) (err error) {
+	if a.Summary, err = n.decode(a.Batch, w.ShardEpoch, w.RankColumns); err != nil {
 		return err
 	}
-	if len(w.Of) == 0 {
+	if len(w.AggregateColumns) == 0 {
 		if len(groups) > 0 {
-			return bad("groups, and none were asked for")
+			return malformed("groups, and none were asked for")
 		}
 		return nil
 	}
-	columns, by := make([]merge.Column, len(w.Of)), make([]merge.Column, len(w.Group))
-	for i, name := range append(slices.Clone(w.Of), w.Group...) {
+	columns, by := make([]merge.Column, len(w.AggregateColumns)), make([]merge.Column, len(w.GroupColumns))
+	for i, name := range append(slices.Clone(w.AggregateColumns), w.GroupColumns...) {
 		c := merge.Column{Kind: merge.Int}
 		if at := a.Batch.Schema.Index(name); at >= 0 {
 			c = a.Batch.Schema[at]
-		} else if name != "" || i >= len(w.Of) {
-			return bad("column %q is not there", name)
+		} else if name != "" || i >= len(w.AggregateColumns) {
+			return malformed("column %q is not there", name)
 		}
-		if i < len(w.Of) {
+		if i < len(w.AggregateColumns) {
 			columns[i] = c
 		} else {
-			by[i-len(w.Of)] = c
+			by[i-len(w.AggregateColumns)] = c
 		}
 	}
-	a.Groups = merge.NewGroups(columns, w.Groups)
+	a.Groups = merge.NewGroups(columns, w.MaxGroups)
 	for i, g := range groups {
-		if len(g.By) != len(by) || len(g.Of) != len(columns) || i >= w.Groups {
-			return bad("groups[%d]: %d values and %d aggregates, of at most %d groups", i, len(g.By), len(g.Of),
-				w.Groups)
+		if len(g.Values) != len(by) || len(g.Partials) != len(columns) || i >= w.MaxGroups {
+			return malformed("groups[%d]: %d values and %d aggregates, of at most %d groups", i, len(g.Values), len(g.Partials),
+				w.MaxGroups)
 		}
 		values := make([]merge.Value, len(by))
-		for j, raw := range g.By {
-			if values[j], err = valueOf(raw, by[j].Kind); err != nil {
-				return bad("groups[%d].by[%d]: %v", i, j, err)
+		for j, raw := range g.Values {
+			if values[j], err = decodeValue(raw, by[j].Kind); err != nil {
+				return malformed("groups[%d].by[%d]: %v", i, j, err)
 			}
 		}
 		partials := make([]*merge.PartialAggregate, len(columns))
-		for j, p := range g.Of {
-			if partials[j], err = p.read(columns[j]); err != nil {
-				return bad("groups[%d].of[%d]: %v", i, j, err)
+		for j, p := range g.Partials {
+			if partials[j], err = p.decode(columns[j]); err != nil {
+				return malformed("groups[%d].of[%d]: %v", i, j, err)
 			}
 		}
 		if err := a.Groups.Insert(values, partials); err != nil {
-			return bad("groups[%d]: %v", i, err)
+			return malformed("groups[%d]: %v", i, err)
 		}
 	}
 	return nil
 }
 
-// read makes aggregates of what a node sent.
-func (p *partial) read(c merge.Column) (*merge.PartialAggregate, error) {
+// decode makes aggregates of what a node sent.
+func (p *wirePartial) decode(c merge.Column) (*merge.PartialAggregate, error) {
 	var v [3]merge.Value
 	for i, raw := range []json.RawMessage{p.Sum, p.Min, p.Max} {
 		kind := c.Kind
@@ -241,77 +241,77 @@
 		if len(raw) == 0 {
 			return nil, fmt.Errorf("sum, min or max missing")
 		}
-		if v[i], err = valueOf(raw, kind); err != nil {
+		if v[i], err = decodeValue(raw, kind); err != nil {
 			return nil, err
 		}
 	}
-	return merge.RestorePartialAggregate(c, p.Count, v[0], v[1], v[2], p.Quantile, p.Distinct)
+	return merge.RestorePartialAggregate(c, p.Count, v[0], v[1], v[2], p.Quantiles, p.Distinct)
 }
 
-// formGroups is groups in the JSON form.
-func formGroups(g *merge.Groups) ([]group, error) {
+// encodeGroups is groups in the JSON form.
+func encodeGroups(g *merge.Groups) ([]wireGroup, error) {
 	if g == nil {
 		return nil, nil
 	}
-	out := []group{}
+	out := []wireGroup{}
 	for _, x := range g.Sorted() {
-		f := group{}
+		f := wireGroup{}
 		for _, v := range x.Values {
-			f.By = append(f.By, raw(v))
+			f.Values = append(f.Values, encodeValue(v))
 		}
 		for _, p := range x.Partials {
-			q := partial{Count: p.Count}
+			q := wirePartial{Count: p.Count}
 			if p.Count > 0 && p.Column.Name != "" {
 				if p.Column.Kind != merge.Text {
 					sum, err := p.Sum()
 					if err != nil {
 						return nil, err
 					}
-					q.Sum = raw(sum)
+					q.Sum = encodeValue(sum)
 				}
-				q.Min, q.Max = raw(p.Min), raw(p.Max)
+				q.Min, q.Max = encodeValue(p.Min), encodeValue(p.Max)
 				var err error
-				if q.Quantile, q.Distinct, err = p.Sketches(); err != nil {
+				if q.Quantiles, q.Distinct, err = p.Sketches(); err != nil {
 					return nil, err
 				}
 				if p.Column.Kind == merge.Text {
-					q.Quantile = nil
+					q.Quantiles = nil
 				}
 			}
-			f.Of = append(f.Of, q)
+			f.Partials = append(f.Partials, q)
 		}
 		out = append(out, f)
 	}
 	return out, nil
 }
 
-// rowsOf reads rows one by one: a list without end is given up at the first row too many.
-func rowsOf(d *json.Decoder, s merge.Schema, most int) ([]merge.Row, error) {
+// decodeRows reads rows one by one: a list without end is given up at the first row too many.
+func decodeRows(d *json.Decoder, s merge.Schema, most int) ([]merge.Row, error) {
 	if t, err := d.Token(); err != nil || t != json.Delim('[') {
-		return nil, bad("rows: no list")
+		return nil, malformed("rows: no list")
 	}
 	out := []merge.Row{}
 	for d.More() {
 		if len(out) == most {
-			return nil, bad("more than the %d rows that were asked for", most)
+			return nil, malformed("more than the %d rows that were asked for", most)
 		}
 		var raw []json.RawMessage
 		if err := d.Decode(&raw); err != nil {
-			return nil, bad("rows[%d]: %v", len(out), err)
+			return nil, malformed("rows[%d]: %v", len(out), err)
 		}
 		if len(raw) != len(s)+2 {
-			return nil, bad("rows[%d]: %d values, not district, key and %d columns", len(out), len(raw), len(s))
+			return nil, malformed("rows[%d]: %d values, not district, key and %d columns", len(out), len(raw), len(s))
 		}
 		var r merge.Row
 		if json.Unmarshal(raw[0], &r.Bucket) != nil || json.Unmarshal(raw[1], &r.Key) != nil ||
-			len(r.Key) > MostText {
-			return nil, bad("rows[%d]: district %.20s, key %.40s", len(out), raw[0], raw[1])
+			len(r.Key) > MaxTextBytes {
+			return nil, malformed("rows[%d]: district %.20s, key %.40s", len(out), raw[0], raw[1])
 		}
 		r.Values = make([]merge.Value, len(s))
 		for i, c := range s {
-			v, err := valueOf(raw[i+2], c.Kind)
+			v, err := decodeValue(raw[i+2], c.Kind)
 			if err != nil {
-				return nil, bad("rows[%d]: %s: %v", len(out), c.Name, err)
+				return nil, malformed("rows[%d]: %s: %v", len(out), c.Name, err)
 			}
 			r.Values[i] = v
 		}
@@ -321,9 +321,9 @@
 	return out, err
 }
 
-// valueOf reads a value of a kind, or null. A float that JSON cannot write comes as "NaN": it is no number,
+// decodeValue reads a value of a kind, or null. A float that JSON cannot write comes as "NaN": it is no number,
 // and the merge turns its row away if it is ranked by it.
-func valueOf(raw json.RawMessage, k merge.Kind) (merge.Value, error) {
+func decodeValue(raw json.RawMessage, k merge.Kind) (merge.Value, error) {
 	text := string(bytes.TrimSpace(raw))
 	if text == "null" {
 		return merge.Value{}, nil
@@ -346,14 +346,14 @@
 		return merge.FloatOf(x), nil
 	}
 	var x string
-	if err := json.Unmarshal(raw, &x); err != nil || len(x) > MostText {
-		return merge.Value{}, fmt.Errorf("no text of %d bytes at most: %.40s", MostText, text)
+	if err := json.Unmarshal(raw, &x); err != nil || len(x) > MaxTextBytes {
+		return merge.Value{}, fmt.Errorf("no text of %d bytes at most: %.40s", MaxTextBytes, text)
 	}
 	return merge.TextOf(x), nil
 }
 
-// read makes a summary of what a node stated.
-func (n *note) read(b merge.Batch, since uint64, rank []string) (*completeness.Summary, error) {
+// decode makes a summary of what a node stated.
+func (n *wireSummary) decode(b merge.Batch, since uint64, rank []string) (*completeness.Summary, error) {
 	if n == nil {
 		return nil, nil
 	}
@@ -368,26 +368,26 @@
 			*v.to = *v.from
 		}
 	}
-	if n.Count == 0 && len(n.Least) > 0 || n.Count > 0 && len(n.Least) != len(rank) || s.Min > s.Max {
-		return nil, bad("summary: %d least values of %d rank columns, %d rows, %v to %v", len(n.Least), len(rank),
+	if n.Count == 0 && len(n.FirstRank) > 0 || n.Count > 0 && len(n.FirstRank) != len(rank) || s.Min > s.Max {
+		return nil, malformed("summary: %d least values of %d rank columns, %d rows, %v to %v", len(n.FirstRank), len(rank),
 			n.Count,
 			s.Min, s.Max)
 	}
-	for i, raw := range n.Least {
+	for i, raw := range n.FirstRank {
 		at := b.Schema.Index(rank[i])
 		if at < 0 {
-			return nil, bad("summary: rank column %q is not there", rank[i])
+			return nil, malformed("summary: rank column %q is not there", rank[i])
 		}
-		v, err := valueOf(raw, b.Schema[at].Kind)
+		v, err := decodeValue(raw, b.Schema[at].Kind)
 		if err != nil || v.Kind == merge.Null || v.Kind == merge.Float && math.IsNaN(v.Float) {
-			return nil, bad("summary: least[%d]: %.40s", i, raw)
+			return nil, malformed("summary: least[%d]: %.40s", i, raw)
 		}
 		s.FirstRank = append(s.FirstRank, v)
 	}
 	return s, nil
 }
 
-func raw(v merge.Value) json.RawMessage {
+func encodeValue(v merge.Value) json.RawMessage {
 	switch {
 	case v.Kind == merge.Null:
 		return json.RawMessage("null")
@@ -400,27 +400,27 @@
 	return json.RawMessage(v.String())
 }
 
-func number(x float64) *float64 {
+func numberOrNil(x float64) *float64 {
 	if math.IsNaN(x) {
 		return nil
 	}
 	return &x
 }
 
-// JSON is an answer as ParseJSON reads it.
-func (a *Answer) JSON() ([]byte, error) {
-	h := head{Version: a.Batch.Version, More: a.Batch.HasMore, Schema: []column{}}
+// EncodeJSON is an answer as ParseJSON reads it.
+func (a *Answer) EncodeJSON() ([]byte, error) {
+	h := wireAnswer{Version: a.Batch.Version, More: a.Batch.HasMore, Schema: []wireColumn{}}
 	for _, c := range a.Batch.Schema {
-		h.Schema = append(h.Schema, column{c.Name, c.Kind.String(), c.Currency})
+		h.Schema = append(h.Schema, wireColumn{c.Name, c.Kind.String(), c.Currency})
 	}
 	if s := a.Summary; s != nil {
-		h.Summary = &note{Count: s.Count, Min: number(s.Min), Max: number(s.Max), Sum: number(s.Sum)}
+		h.Summary = &wireSummary{Count: s.Count, Min: numberOrNil(s.Min), Max: numberOrNil(s.Max), Sum: numberOrNil(s.Sum)}
 		for _, v := range s.FirstRank {
-			h.Summary.Least = append(h.Summary.Least, raw(v))
+			h.Summary.FirstRank = append(h.Summary.FirstRank, encodeValue(v))
 		}
 	}
 	var err error
-	if h.Groups, err = formGroups(a.Groups); err != nil {
+	if h.Groups, err = encodeGroups(a.Groups); err != nil {
 		return nil, err
 	}
 	list := make([][]json.RawMessage, 0, len(a.Batch.Rows))
@@ -431,12 +431,12 @@
 		}
 		line := []json.RawMessage{json.RawMessage(fmt.Sprint(r.Bucket)), key}
 		for _, v := range r.Values {
-			line = append(line, raw(v))
+			line = append(line, encodeValue(v))
 		}
 		list = append(list, line)
 	}
 	return json.Marshal(struct {
-		head
+		wireAnswer
 		Rows [][]json.RawMessage `json:"rows"`
 	}{h, list})
 }
--- a/internal/results/rows/rows_test.go
+++ b/internal/results/rows/rows_test.go
@@ -16,56 +16,56 @@
 )
 
 var (
-	districts = shardmap.Range{Start: 10, End: 20}
-	rank      = []string{"premium", "risk"}
+	testBuckets = shardmap.Range{Start: 10, End: 20}
+	testRank    = []string{"premium", "risk"}
 )
 
-func want(most int, rank []string) Want {
-	return Want{Districts: districts, Since: 3, Most: most, Rank: rank, Groups: 3}
+func newRequest(most int, rank []string) Request {
+	return Request{Buckets: testBuckets, ShardEpoch: 3, MaxRows: most, RankColumns: rank, MaxGroups: 3}
 }
 
-func sample() *Answer {
+func newAnswer() *Answer {
 	s := merge.Schema{{Name: "premium", Kind: merge.Int, Currency: "INR"}, {Name: "risk", Kind: merge.Float},
 		{Name: "insurer", Kind: merge.Text}}
-	return &Answer{Batch: merge.Batch{Buckets: districts, Version: 7, Schema: s, HasMore: true, Rows: []merge.Row{
+	return &Answer{Batch: merge.Batch{Buckets: testBuckets, Version: 7, Schema: s, HasMore: true, Rows: []merge.Row{
 		{Bucket: 12, Key: "k-1", Values: []merge.Value{merge.IntOf(math.MaxInt64), merge.FloatOf(0.1), merge.TextOf("ä\"\n")}},
 		{Bucket: 19, Key: "k 2", Values: []merge.Value{{}, {}, {}}}}},
-		Summary: &completeness.Summary{Buckets: districts, Version: 7, ShardEpoch: 3, Count: 99,
+		Summary: &completeness.Summary{Buckets: testBuckets, Version: 7, ShardEpoch: 3, Count: 99,
 			FirstRank: []merge.Value{merge.IntOf(5), merge.FloatOf(0.25)}, Min: 5, Max: 900, Sum: 12_000}}
 }
 
-func TestThereAndBack(t *testing.T) {
-	a := sample()
-	text, err := a.JSON()
+func TestJSONRoundTrip(t *testing.T) {
+	a := newAnswer()
+	text, err := a.EncodeJSON()
 	require.NoError(t, err)
-	got, err := ParseJSON(text, want(2, rank))
+	got, err := DecodeJSON(text, newRequest(2, testRank))
 	require.NoError(t, err)
 	require.Equal(t, a, got)
-	rec, err := a.Arrow()
+	rec, err := a.EncodeArrow()
 	require.NoError(t, err)
 	defer rec.Release()
-	got, err = FromArrow(rec, want(2, rank))
+	got, err = DecodeArrow(rec, newRequest(2, testRank))
 	require.NoError(t, err)
 	require.Equal(t, a, got)
 	a.Batch.Rows, a.Summary, a.Batch.HasMore = []merge.Row{}, nil, false
-	text, err = a.JSON()
+	text, err = a.EncodeJSON()
 	require.NoError(t, err)
-	got, err = ParseJSON(text, want(0, rank))
+	got, err = DecodeJSON(text, newRequest(0, testRank))
 	require.NoError(t, err)
 	require.Equal(t, a, got)
-	a = sample()
+	a = newAnswer()
 	a.Batch.Rows[0].Values[1] = merge.FloatOf(math.NaN())
-	text, err = a.JSON()
+	text, err = a.EncodeJSON()
 	require.NoError(t, err)
-	got, err = ParseJSON(text, want(2, rank))
+	got, err = DecodeJSON(text, newRequest(2, testRank))
 	require.NoError(t, err, "NaN is for the merge to turn away")
 	require.True(t, math.IsNaN(got.Batch.Rows[0].Values[1].Float))
 }
 
 // Aggregates by group go over both wires and are then what they were.
-func TestGroupsThereAndBack(t *testing.T) {
-	a, w := sample(), want(2, rank)
-	w.Of, w.Group = []string{"", "risk", "insurer"}, []string{"insurer"}
+func TestGroupsRoundTrip(t *testing.T) {
+	a, w := newAnswer(), newRequest(2, testRank)
+	w.AggregateColumns, w.GroupColumns = []string{"", "risk", "insurer"}, []string{"insurer"}
 	s := a.Batch.Schema
 	a.Groups = merge.NewGroups([]merge.Column{{Kind: merge.Int}, s[1], s[2]}, 3)
 	for i, name := range []string{"x", "x", "y"} {
@@ -87,33 +87,33 @@
 		require.Equal(t, merge.FloatOf(1.5), all[0].Partials[1].Max)
 		require.EqualValues(t, 1, all[1].Partials[2].Distinct())
 	}
-	text, err := a.JSON()
+	text, err := a.EncodeJSON()
 	require.NoError(t, err)
-	check(ParseJSON(text, w))
-	rec, err := a.Arrow()
+	check(DecodeJSON(text, w))
+	rec, err := a.EncodeArrow()
 	require.NoError(t, err)
 	defer rec.Release()
-	check(FromArrow(rec, w))
-	w.Groups = 1
-	_, err = ParseJSON(text, w)
-	require.ErrorIs(t, err, ErrForm, "more groups than the bound")
-	w.Groups, w.Of = 3, nil
-	_, err = ParseJSON(text, w)
-	require.ErrorIs(t, err, ErrForm, "groups that nobody asked for")
-	w.Of, w.Group = []string{"age"}, nil
-	_, err = ParseJSON(text, w)
+	check(DecodeArrow(rec, w))
+	w.MaxGroups = 1
+	_, err = DecodeJSON(text, w)
+	require.ErrorIs(t, err, ErrMalformed, "more groups than the bound")
+	w.MaxGroups, w.AggregateColumns = 3, nil
+	_, err = DecodeJSON(text, w)
+	require.ErrorIs(t, err, ErrMalformed, "groups that nobody asked for")
+	w.AggregateColumns, w.GroupColumns = []string{"age"}, nil
+	_, err = DecodeJSON(text, w)
 	require.ErrorContains(t, err, `column "age" is not there`)
 	for _, bad := range []string{`{"by":["x"],"of":[{"count":1,"sum":7}]}`, `{"by":["x"],"of":[{"count":0,"sum":7}]}`,
 		`{"by":["x"],"of":[{"count":1,"sum":1,"min":2,"max":1}]}`, `{"by":[],"of":[{"count":0}]}`, `{"by":["x"],"of":[]}`,
 		`{"by":["x"],"of":[{"count":0}]},{"by":["x"],"of":[{"count":0}]}`,
 		`{"by":["x"],"of":[{"count":1,"sum":1,"min":1,"max":1,"quantile":"AQID"}]}`} {
-		_, err := ParseJSON([]byte(`{"version":7,"schema":[{"name":"premium","kind":"int"},{"name":"insurer","kind":"text"}],
-			"rows":[],"groups":[`+bad+`]}`), Want{Districts: districts, Of: []string{"premium"}, Group: []string{"insurer"}, Groups: 3})
-		require.ErrorIs(t, err, ErrForm, bad)
+		_, err := DecodeJSON([]byte(`{"version":7,"schema":[{"name":"premium","kind":"int"},{"name":"insurer","kind":"text"}],
+			"rows":[],"groups":[`+bad+`]}`), Request{Buckets: testBuckets, AggregateColumns: []string{"premium"}, GroupColumns: []string{"insurer"}, MaxGroups: 3})
+		require.ErrorIs(t, err, ErrMalformed, bad)
 	}
 }
 
-func TestWhatHasNotTheForm(t *testing.T) {
+func TestDecodeJSONErrors(t *testing.T) {
 	const schema = `"version":7,"schema":[{"name":"premium","kind":"int"}]`
 	for text, what := range map[string]string{
 		``:                                          "no object",
@@ -139,17 +139,17 @@
 		`{` + schema + `,"rows":[],"summary":{"count":0,"least":[1]}}`:                           "summary: 1 least",
 		`{` + schema + `,"rows":[],"summary":{"count":3,"least":[1],"min":2,"max":1}}`:           "summary",
 	} {
-		_, err := ParseJSON([]byte(text), want(2, rank[:1]))
-		require.ErrorIs(t, err, ErrForm, text)
+		_, err := DecodeJSON([]byte(text), newRequest(2, testRank[:1]))
+		require.ErrorIs(t, err, ErrMalformed, text)
 		require.Contains(t, err.Error(), what, text)
 	}
 	// Rows without end are given up at the first that was not asked for, not after they were all held.
 	endless := `{` + schema + `,"rows":[` + strings.Repeat(`[10,"a",1],`, 1_000_000)
-	n := testing.AllocsPerRun(1, func() { _, _ = ParseJSON([]byte(endless), want(2, rank[:1])) })
+	n := testing.AllocsPerRun(1, func() { _, _ = DecodeJSON([]byte(endless), newRequest(2, testRank[:1])) })
 	require.Less(t, n, 300.0)
 }
 
-func TestArrowOfAnotherForm(t *testing.T) {
+func TestDecodeArrowErrors(t *testing.T) {
 	build := func(f func(b *array.RecordBuilder), meta arrow.Metadata, fields ...arrow.Field) arrow.RecordBatch {
 		b := array.NewRecordBuilder(memory.DefaultAllocator, arrow.NewSchema(fields, &meta))
 		defer b.Release()
@@ -177,31 +177,31 @@
 		"too many":     {build(func(b *array.RecordBuilder) { one(b); one(b); one(b) }, meta, district, key), "3 rows, 2 were asked for"},
 		"null key":     {build(func(b *array.RecordBuilder) { b.Field(0).AppendEmptyValue(); b.Field(1).AppendNull() }, meta, district, key), "key"},
 	} {
-		_, err := FromArrow(c.rec, want(2, nil))
-		require.ErrorIs(t, err, ErrForm, name)
+		_, err := DecodeArrow(c.rec, newRequest(2, nil))
+		require.ErrorIs(t, err, ErrMalformed, name)
 		require.Contains(t, err.Error(), c.what, name)
 	}
 }
 
 // FuzzParseJSON: whatever a node sends is an error, or can be written and read again.
 func FuzzParseJSON(f *testing.F) {
-	text, _ := sample().JSON()
+	text, _ := newAnswer().EncodeJSON()
 	f.Add(text)
 	f.Add([]byte(`{"version":7,"schema":[{"name":"premium","kind":"float"}],"rows":[[1,"a","NaN"]]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		a, err := ParseJSON(text, want(10, rank))
+		a, err := DecodeJSON(text, newRequest(10, testRank))
 		if err != nil {
 			return
 		}
-		once, err := a.JSON()
+		once, err := a.EncodeJSON()
 		if err != nil {
 			t.Fatal(err)
 		}
-		b, err := ParseJSON(once, want(10, rank))
+		b, err := DecodeJSON(once, newRequest(10, testRank))
 		if err != nil {
 			t.Fatalf("%s: %v", once, err)
 		}
-		if again, _ := b.JSON(); string(again) != string(once) {
+		if again, _ := b.EncodeJSON(); string(again) != string(once) {
 			t.Fatalf("%s\n%s", once, again)
 		}
 	})
