--- a/internal/results/rows/answer.go
+++ b/internal/results/rows/answer.go
@@ -9,33 +9,34 @@
 	"ternstage/internal/results/merge"
 )
 
-// The bounds of what a node may send.
+// Bounds of what a backend may send.
 const (
 	MaxColumns   = 64
-	MaxTextBytes = 4 << 10 // bytes of one text
+	MaxTextBytes = 4 << 10 // of a text or a row's key
 )
 
-// ErrMalformed is wrapped where something has not the form.
+// ErrMalformed is wrapped by all errors of decoding.
 var ErrMalformed = errors.New("the rows cannot be used")
 
+// malformed makes an ErrMalformed.
 func malformed(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrMalformed, fmt.Sprintf(format, args...))
 }
 
-// Answer is what a node gives for a part: a batch of rows, and what it states of all its rows.
+// Answer is what a backend sends for one shard.
 type Answer struct {
 	Batch   merge.Batch
-	Groups  *merge.Groups         // its aggregates; nil if none were asked for
-	Summary *completeness.Summary // nil if it states none
+	Groups  *merge.Groups         // nil if no aggregates were requested
+	Summary *completeness.Summary // of all rows of the shard; nil if the backend states none
 }
 
-// Request is what a node was asked for, by which its answer is read.
+// Request is what was requested of a shard.
 type Request struct {
 	Buckets          shardmap.Range
-	ShardEpoch       uint64   // epoch of the slice's last change
-	MaxRows          int      // rows
-	RankColumns      []string // columns, by which a summary's least values are read
-	AggregateColumns []string // aggregated columns; "" counts rows
-	GroupColumns     []string // columns
-	MaxGroups        int      // at most
+	ShardEpoch       uint64 // epoch of the shard's last change
+	MaxRows          int
+	RankColumns      []string // names, in the order of the rank
+	AggregateColumns []string // names, in the order in which aggregates are sent; "" counts rows
+	GroupColumns     []string // names, in the order in which values of groups are sent
+	MaxGroups        int
 }
--- a/internal/results/rows/arrow_decode.go
+++ b/internal/results/rows/arrow_decode.go
@@ -10,9 +10,7 @@
 	"ternstage/internal/results/merge"
 )
 
-// DecodeArrow reads a node's record batch: the columns district (int32) and key (utf8), then int64, float64 and
-// utf8 ones, with the schema metadata version, more, summary and groups, and a money column's field metadata
-// currency.
+// DecodeArrow decodes the Arrow form of an answer. The texts of the answer are in the memory of the record batch.
 func DecodeArrow(rec arrow.RecordBatch, w Request) (*Answer, error) {
 	s := rec.Schema()
 	if rec.NumRows() > int64(w.MaxRows) {
@@ -85,7 +83,8 @@
 	return a, a.decodeRest(n, groups, w)
 }
 
-// columnReader is the kind of a column and how to read it; nil where it is none that can be merged.
+// columnReader returns the kind of a column and a function that reads its value in a row; nil for a type that is not
+// among those of the wire.
 func columnReader(c arrow.Array) (merge.Kind, func(i int) merge.Value) {
 	null := func(read func(i int) merge.Value) func(i int) merge.Value {
 		return func(i int) merge.Value {
--- a/internal/results/rows/arrow_encode.go
+++ b/internal/results/rows/arrow_encode.go
@@ -12,7 +12,7 @@
 	"ternstage/internal/results/merge"
 )
 
-// EncodeArrow is an answer as FromArrow reads it. Whoever gets it releases it.
+// EncodeArrow encodes an answer in the form that DecodeArrow decodes. The caller releases the record batch.
 func (a *Answer) EncodeArrow() (arrow.RecordBatch, error) {
 	names, values := []string{nameVersion, nameMore}, []string{strconv.FormatUint(a.Batch.Version, 10),
 		strconv.FormatBool(a.Batch.HasMore)}
--- a/internal/results/rows/groups.go
+++ b/internal/results/rows/groups.go
@@ -8,7 +8,7 @@
 	"ternstage/internal/results/merge"
 )
 
-// decodeRest reads what comes beside the rows.
+// decodeRest decodes what an answer has beside its batch, which must have been decoded.
 func (a *Answer) decodeRest(n *wireSummary, groups []wireGroup, w Request) (err error) {
 	if a.Summary, err = n.decode(a.Batch, w.ShardEpoch, w.RankColumns); err != nil {
 		return err
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// decode makes aggregates of what a node sent.
+// decode makes the aggregates of a column.
 func (p *wirePartial) decode(c merge.Column) (*merge.PartialAggregate, error) {
 	var v [3]merge.Value
 	for i, raw := range []json.RawMessage{p.Sum, p.Min, p.Max} {
@@ -83,7 +83,7 @@
 	return merge.RestorePartialAggregate(c, p.Count, v[0], v[1], v[2], p.Quantiles, p.Distinct)
 }
 
-// encodeGroups is groups in the JSON form.
+// encodeGroups is the inverse of decodeGroups; nil of nil.
 func encodeGroups(g *merge.Groups) ([]wireGroup, error) {
 	if g == nil {
 		return nil, nil
--- a/internal/results/rows/groups_test.go
+++ b/internal/results/rows/groups_test.go
@@ -8,7 +8,6 @@
 	"ternstage/internal/results/merge"
 )
 
-// Aggregates by group go over both wires and are then what they were.
 func TestGroupsRoundTrip(t *testing.T) {
 	a, w := newAnswer(), newRequest(2, testRank)
 	w.AggregateColumns, w.GroupColumns = []string{"", "risk", "insurer"}, []string{"insurer"}
--- a/internal/results/rows/json_decode.go
+++ b/internal/results/rows/json_decode.go
@@ -24,12 +24,7 @@
 	return s, nil
 }
 
-// DecodeJSON reads a node's answer:
-//
-//	{"version":7,"schema":[...],"rows":[[district,"key",value,...],...],"more":true,
-//	 "groups":[...],"summary":{...}}
-//
-// with the schema before the rows.
+// DecodeJSON decodes the JSON form of an answer.
 func DecodeJSON(text []byte, w Request) (*Answer, error) {
 	if !utf8.Valid(text) {
 		return nil, malformed("not UTF-8")
@@ -93,7 +88,7 @@
 	return a, a.decodeRest(h.Summary, h.Groups, w)
 }
 
-// decodeRows reads rows one by one: a list without end is given up at the first row too many.
+// decodeRows decodes rows one by one, so that it can stop at the first that was not requested, however many follow.
 func decodeRows(d *json.Decoder, s merge.Schema, most int) ([]merge.Row, error) {
 	if t, err := d.Token(); err != nil || t != json.Delim('[') {
 		return nil, malformed("rows: no list")
--- a/internal/results/rows/json_encode.go
+++ b/internal/results/rows/json_encode.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// EncodeJSON is an answer as ParseJSON reads it.
+// EncodeJSON encodes an answer in the form that DecodeJSON decodes.
 func (a *Answer) EncodeJSON() ([]byte, error) {
 	h := wireAnswer{Version: a.Batch.Version, More: a.Batch.HasMore, Schema: []wireColumn{}}
 	for _, c := range a.Batch.Schema {
--- a/internal/results/rows/json_test.go
+++ b/internal/results/rows/json_test.go
@@ -74,7 +74,7 @@
 	require.Less(t, n, 300.0)
 }
 
-// FuzzParseJSON: whatever a node sends is an error, or can be written and read again.
+// FuzzParseJSON: whatever a backend sends is an error, or an answer that is encoded and decoded without change.
 func FuzzParseJSON(f *testing.F) {
 	text, _ := newAnswer().EncodeJSON()
 	f.Add(text)
--- a/internal/results/rows/summary.go
+++ b/internal/results/rows/summary.go
@@ -7,7 +7,7 @@
 	"ternstage/internal/results/merge"
 )
 
-// decode makes a summary of what a node stated.
+// decode makes the summary of the shard that a batch is from; nil of nil.
 func (n *wireSummary) decode(b merge.Batch, since uint64, rank []string) (*completeness.Summary, error) {
 	if n == nil {
 		return nil, nil
--- a/internal/results/rows/value.go
+++ b/internal/results/rows/value.go
@@ -9,8 +9,7 @@
 	"ternstage/internal/results/merge"
 )
 
-// decodeValue reads a value of a kind, or null. A float that JSON cannot write comes as "NaN": it is no number,
-// and the merge turns its row away if it is ranked by it.
+// decodeValue decodes a value of a kind, or null. That a rank column has no NaN is for merge to check.
 func decodeValue(raw json.RawMessage, k merge.Kind) (merge.Value, error) {
 	text := string(bytes.TrimSpace(raw))
 	if text == "null" {
@@ -40,6 +39,7 @@
 	return merge.TextOf(x), nil
 }
 
+// encodeValue is the inverse of decodeValue, but that it encodes infinite floats as NaN too.
 func encodeValue(v merge.Value) json.RawMessage {
 	switch {
 	case v.Kind == merge.Null:
--- a/internal/results/rows/wire.go
+++ b/internal/results/rows/wire.go
@@ -6,7 +6,7 @@
 	"ternstage/internal/results/merge"
 )
 
-// The names of what a record batch's schema carries beside its columns.
+// The names of an answer's members, in JSON and in Arrow metadata.
 const (
 	nameVersion      = "version"
 	nameMore         = "more"
@@ -17,22 +17,23 @@
 	columnKey        = "key"
 )
 
-// wireColumn is a column in the JSON form.
+// wireColumn is a column of the schema.
 type wireColumn struct {
 	Name     string `json:"name"`
-	Kind     string `json:"kind"` // int, float or text
+	Kind     string `json:"kind"` // of wireKinds
 	Currency string `json:"currency,omitempty"`
 }
 
-// wireSummary is a summary in the JSON form; its version and districts are the answer's.
+// wireSummary is a summary; its version and buckets are those of the answer.
 type wireSummary struct {
 	Count     uint64            `json:"count"`
-	FirstRank []json.RawMessage `json:"least,omitempty"` // the rank columns of the first row
+	FirstRank []json.RawMessage `json:"least,omitempty"`
 	Min       *float64          `json:"min,omitempty"`
 	Max       *float64          `json:"max,omitempty"`
 	Sum       *float64          `json:"sum,omitempty"`
 }
 
+// wireAnswer is an answer in JSON, but for its rows.
 type wireAnswer struct {
 	Version uint64       `json:"version"`
 	Schema  []wireColumn `json:"schema"`
@@ -41,19 +42,21 @@
 	Groups  []wireGroup  `json:"groups,omitempty"`
 }
 
-// wireGroup is the aggregates of a group in the JSON form, of each aggregated column in turn.
+// wireGroup is a group: the values by which rows are grouped, and an aggregate for each aggregated column.
 type wireGroup struct {
 	Values   []json.RawMessage `json:"by,omitempty"`
 	Partials []wirePartial     `json:"of"`
 }
 
+// wirePartial is the aggregates of a column. The sketches are base64.
 type wirePartial struct {
 	Count     uint64          `json:"count"`
 	Sum       json.RawMessage `json:"sum,omitempty"`
 	Min       json.RawMessage `json:"min,omitempty"`
 	Max       json.RawMessage `json:"max,omitempty"`
-	Quantiles []byte          `json:"quantile,omitempty"` // sketches, in base64
+	Quantiles []byte          `json:"quantile,omitempty"`
 	Distinct  []byte          `json:"distinct,omitempty"`
 }
 
+// wireKinds are the names of kinds; merge.Kind.String is the inverse.
 var wireKinds = map[string]merge.Kind{"int": merge.Int, "float": merge.Float, "text": merge.Text}
