--- a/internal/results/rows/answer.go
+++ b/internal/results/rows/answer.go
@@ -16,7 +16,7 @@
 )
 
 // ErrMalformed is wrapped by all errors of decoding.
-var ErrMalformed = errors.New("the rows cannot be used")
+var ErrMalformed = errors.New("malformed rows")
 
 // malformed makes an ErrMalformed.
 func malformed(format string, args ...any) error {
--- a/internal/results/rows/arrow_decode.go
+++ b/internal/results/rows/arrow_decode.go
@@ -11,96 +11,138 @@
 )
 
 // DecodeArrow decodes the Arrow form of an answer. The texts of the answer are in the memory of the record batch.
-func DecodeArrow(rec arrow.RecordBatch, w Request) (*Answer, error) {
-	s := rec.Schema()
-	if rec.NumRows() > int64(w.MaxRows) {
-		return nil, malformed("%d rows, %d were asked for", rec.NumRows(), w.MaxRows)
-	}
-	if s.NumFields() < 2 || s.NumFields() > MaxColumns+2 || s.Field(0).Name != columnBucket ||
-		s.Field(1).Name != columnKey {
-		return nil, malformed("the first columns are not district and key")
-	}
-	district, ok := rec.Column(0).(*array.Int32)
-	if !ok || district.NullN() > 0 {
-		return nil, malformed("district: %v, not int32 without nulls", rec.Column(0).DataType())
-	}
-	key, ok := rec.Column(1).(*array.String)
-	if !ok || key.NullN() > 0 {
-		return nil, malformed("key: %v, not utf8 without nulls", rec.Column(1).DataType())
-	}
-	a := &Answer{Batch: merge.Batch{Buckets: w.Buckets, Rows: make([]merge.Row, rec.NumRows())}}
-	var err error
-	meta := s.Metadata()
-	get := func(name string) string {
-		v, _ := meta.GetValue(name)
-		return v
-	}
-	if a.Batch.Version, err = strconv.ParseUint(get(nameVersion), 10, 64); err != nil || a.Batch.Version == 0 {
-		return nil, malformed("version %.20q", get(nameVersion))
-	}
-	if a.Batch.HasMore, err = strconv.ParseBool(get(nameMore)); err != nil {
-		return nil, malformed("more %.20q", get(nameMore))
-	}
-	columns := s.NumFields() - 2
-	for i := range a.Batch.Rows {
-		if len(key.Value(i)) > MaxTextBytes {
-			return nil, malformed("row %d: a key of %d bytes", i, len(key.Value(i)))
-		}
-		a.Batch.Rows[i] = merge.Row{Bucket: int(district.Value(i)), Key: key.Value(i),
-			Values: make([]merge.Value, columns)}
+func DecodeArrow(record arrow.RecordBatch, request Request) (*Answer, error) {
+	answer := &Answer{Batch: merge.Batch{Buckets: request.Buckets}}
+	batch := &answer.Batch
+	buckets, keys, err := identities(record, request.MaxRows)
+	if err != nil {
+		return nil, err
+	}
+	metadata := arrowMetadata(record.Schema().Metadata())
+	batch.Version, err = strconv.ParseUint(metadata.get(nameVersion), 10, 64)
+	if err != nil || batch.Version == 0 {
+		return nil, malformed("version %.20q", metadata.get(nameVersion))
+	}
+	batch.HasMore, err = strconv.ParseBool(metadata.get(nameMore))
+	if err != nil {
+		return nil, malformed("more %.20q", metadata.get(nameMore))
+	}
+	batch.Rows, err = decodeIdentities(buckets, keys, record.Schema().NumFields()-identityColumns)
+	if err != nil {
+		return nil, err
+	}
+	if err := decodeColumns(record, batch); err != nil {
+		return nil, err
+	}
+	var summary *wireSummary
+	if err := metadata.decode(nameSummary, &summary); err != nil {
+		return nil, err
+	}
+	var groups []wireGroup
+	if err := metadata.decode(nameGroups, &groups); err != nil {
+		return nil, err
+	}
+	return answer, answer.decodeRest(summary, groups, &request)
+}
+
+// arrowMetadata is the metadata of a record batch's schema.
+type arrowMetadata arrow.Metadata
+
+// get is the value of a name; "" if there is none.
+func (m arrowMetadata) get(name string) string {
+	value, _ := arrow.Metadata(m).GetValue(name)
+	return value
+}
+
+// decode decodes the JSON value of a name, if there is one.
+func (m arrowMetadata) decode(name string, target any) error {
+	text := m.get(name)
+	if text == "" {
+		return nil
+	}
+	if err := json.Unmarshal([]byte(text), target); err != nil {
+		return malformed("%s: %v", name, err)
 	}
-	for j := range columns {
-		f := s.Field(j + 2)
-		if a.Batch.Schema.Index(f.Name) >= 0 || f.Name == "" {
-			return nil, malformed("column %.40q stands twice or has no name", f.Name)
+	return nil
+}
+
+// identities finds the columns with the buckets and keys of the rows.
+func identities(record arrow.RecordBatch, maxRows int) (*array.Int32, *array.String, error) {
+	if record.NumRows() > int64(maxRows) {
+		return nil, nil, malformed("%d rows, %d were requested", record.NumRows(), maxRows)
+	}
+	schema := record.Schema()
+	fields := schema.NumFields()
+	if fields < identityColumns || fields > identityColumns+MaxColumns || schema.Field(0).Name != columnBucket ||
+		schema.Field(1).Name != columnKey {
+		return nil, nil, malformed("the first columns are not district and key")
+	}
+	buckets, ok := record.Column(0).(*array.Int32)
+	if !ok || buckets.NullN() > 0 {
+		return nil, nil, malformed("district: %v, not int32 without nulls", record.Column(0).DataType())
+	}
+	keys, ok := record.Column(1).(*array.String)
+	if !ok || keys.NullN() > 0 {
+		return nil, nil, malformed("key: %v, not utf8 without nulls", record.Column(1).DataType())
+	}
+	return buckets, keys, nil
+}
+
+// decodeIdentities makes rows with their buckets and keys, and room for the values of some columns.
+func decodeIdentities(buckets *array.Int32, keys *array.String, columns int) ([]merge.Row, error) {
+	rows := make([]merge.Row, keys.Len())
+	for i := range rows {
+		key := keys.Value(i)
+		if len(key) > MaxTextBytes {
+			return nil, malformed("row %d: a key of %d bytes", i, len(key))
 		}
-		currency, _ := f.Metadata.GetValue(metadataCurrency)
-		kind, at := columnReader(rec.Column(j + 2))
-		if at == nil {
-			return nil, malformed("column %.40q: %v", f.Name, f.Type)
+		rows[i] = merge.Row{Bucket: int(buckets.Value(i)), Key: key, Values: make([]merge.Value, columns)}
+	}
+	return rows, nil
+}
+
+// decodeColumns decodes the schema of a batch and the values of its rows.
+func decodeColumns(record arrow.RecordBatch, batch *merge.Batch) error {
+	for i := range record.Schema().NumFields() - identityColumns {
+		field := record.Schema().Field(identityColumns + i)
+		if batch.Schema.Index(field.Name) >= 0 || field.Name == "" {
+			return malformed("column %.40q: duplicate or without a name", field.Name)
 		}
-		a.Batch.Schema = append(a.Batch.Schema, merge.Column{Name: f.Name, Kind: kind, Currency: currency})
-		for i := range a.Batch.Rows {
-			v := at(i)
-			if len(v.Text) > MaxTextBytes {
-				return nil, malformed("row %d: %s: a text of %d bytes", i, f.Name, len(v.Text))
-			}
-			a.Batch.Rows[i].Values[j] = v
+		kind, valueAt := columnReader(record.Column(identityColumns + i))
+		if valueAt == nil {
+			return malformed("column %.40q: %v", field.Name, field.Type)
 		}
-	}
-	var n *wireSummary
-	var groups []wireGroup
-	for _, m := range []struct {
-		name string
-		to   any
-	}{{nameSummary, &n}, {nameGroups, &groups}} {
-		if text := get(m.name); text != "" {
-			if err := json.Unmarshal([]byte(text), m.to); err != nil {
-				return nil, malformed("%s: %v", m.name, err)
+		currency, _ := field.Metadata.GetValue(metadataCurrency)
+		batch.Schema = append(batch.Schema, merge.Column{Name: field.Name, Kind: kind, Currency: currency})
+		for row := range batch.Rows {
+			value := valueAt(row)
+			if len(value.Text) > MaxTextBytes {
+				return malformed("row %d: %s: a text of %d bytes", row, field.Name, len(value.Text))
 			}
+			batch.Rows[row].Values[i] = value
 		}
 	}
-	return a, a.decodeRest(n, groups, w)
+	return nil
 }
 
 // columnReader returns the kind of a column and a function that reads its value in a row; nil for a type that is not
 // among those of the wire.
-func columnReader(c arrow.Array) (merge.Kind, func(i int) merge.Value) {
-	null := func(read func(i int) merge.Value) func(i int) merge.Value {
-		return func(i int) merge.Value {
-			if c.IsNull(i) {
+func columnReader(column arrow.Array) (merge.Kind, func(row int) merge.Value) {
+	orNull := func(read func(row int) merge.Value) func(row int) merge.Value {
+		return func(row int) merge.Value {
+			if column.IsNull(row) {
 				return merge.Value{}
 			}
-			return read(i)
+			return read(row)
 		}
 	}
-	switch c := c.(type) {
+	switch column := column.(type) {
 	case *array.Int64:
-		return merge.Int, null(func(i int) merge.Value { return merge.IntOf(c.Value(i)) })
+		return merge.Int, orNull(func(row int) merge.Value { return merge.IntOf(column.Value(row)) })
 	case *array.Float64:
-		return merge.Float, null(func(i int) merge.Value { return merge.FloatOf(c.Value(i)) })
+		return merge.Float, orNull(func(row int) merge.Value { return merge.FloatOf(column.Value(row)) })
 	case *array.String:
-		return merge.Text, null(func(i int) merge.Value { return merge.TextOf(c.Value(i)) })
+		return merge.Text, orNull(func(row int) merge.Value { return merge.TextOf(column.Value(row)) })
 	}
 	return merge.Null, nil
 }
--- a/internal/results/rows/arrow_encode.go
+++ b/internal/results/rows/arrow_encode.go
@@ -14,71 +14,93 @@
 
 // EncodeArrow encodes an answer in the form that DecodeArrow decodes. The caller releases the record batch.
 func (a *Answer) EncodeArrow() (arrow.RecordBatch, error) {
-	names, values := []string{nameVersion, nameMore}, []string{strconv.FormatUint(a.Batch.Version, 10),
-		strconv.FormatBool(a.Batch.HasMore)}
-	if s := a.Summary; s != nil {
-		n := wireSummary{Count: s.Count, Min: numberOrNil(s.Min), Max: numberOrNil(s.Max), Sum: numberOrNil(s.Sum)}
-		for _, v := range s.FirstRank {
-			n.FirstRank = append(n.FirstRank, encodeValue(v))
+	metadata, err := a.encodeMetadata()
+	if err != nil {
+		return nil, err
+	}
+	schema := arrow.NewSchema(encodeFields(a.Batch.Schema), &metadata)
+	builder := array.NewRecordBuilder(memory.DefaultAllocator, schema)
+	defer builder.Release()
+	for i, row := range a.Batch.Rows {
+		if len(row.Values) != len(a.Batch.Schema) || row.Bucket < 0 || row.Bucket > math.MaxInt32 {
+			return nil, malformed("row %d: %d values, district %d", i, len(row.Values), row.Bucket)
+		}
+		builder.Field(0).(*array.Int32Builder).Append(int32(row.Bucket))
+		builder.Field(1).(*array.StringBuilder).Append(row.Key)
+		for j, value := range row.Values {
+			appendValue(builder.Field(identityColumns+j), value)
 		}
-		text, err := json.Marshal(n)
+	}
+	return builder.NewRecordBatch(), nil
+}
+
+// encodeMetadata encodes what an answer has beside its rows.
+func (a *Answer) encodeMetadata() (arrow.Metadata, error) {
+	names := []string{nameVersion, nameMore}
+	values := []string{strconv.FormatUint(a.Batch.Version, 10), strconv.FormatBool(a.Batch.HasMore)}
+	if a.Summary != nil {
+		text, err := json.Marshal(encodeSummary(a.Summary))
 		if err != nil {
-			return nil, err
+			return arrow.Metadata{}, err
 		}
-		names, values = append(names, nameSummary), append(values, string(text))
+		names = append(names, nameSummary)
+		values = append(values, string(text))
 	}
 	if a.Groups != nil {
 		groups, err := encodeGroups(a.Groups)
 		if err != nil {
-			return nil, err
+			return arrow.Metadata{}, err
 		}
 		text, err := json.Marshal(groups)
 		if err != nil {
-			return nil, err
+			return arrow.Metadata{}, err
 		}
-		names, values = append(names, nameGroups), append(values, string(text))
+		names = append(names, nameGroups)
+		values = append(values, string(text))
 	}
-	fields := []arrow.Field{{Name: columnBucket, Type: arrow.PrimitiveTypes.Int32},
-		{Name: columnKey, Type: arrow.BinaryTypes.String}}
-	types := map[merge.Kind]arrow.DataType{merge.Int: arrow.PrimitiveTypes.Int64,
-		merge.Float: arrow.PrimitiveTypes.Float64,
-		merge.Text:  arrow.BinaryTypes.String}
-	for _, c := range a.Batch.Schema {
-		f := arrow.Field{Name: c.Name, Type: types[c.Kind], Nullable: true}
-		if c.Currency != "" {
-			f.Metadata = arrow.NewMetadata([]string{metadataCurrency}, []string{c.Currency})
+	return arrow.NewMetadata(names, values), nil
+}
+
+// arrowTypes are the types of the columns of each kind.
+var arrowTypes = map[merge.Kind]arrow.DataType{
+	merge.Int:   arrow.PrimitiveTypes.Int64,
+	merge.Float: arrow.PrimitiveTypes.Float64,
+	merge.Text:  arrow.BinaryTypes.String,
+}
+
+func encodeFields(schema merge.Schema) []arrow.Field {
+	fields := []arrow.Field{
+		{Name: columnBucket, Type: arrow.PrimitiveTypes.Int32},
+		{Name: columnKey, Type: arrow.BinaryTypes.String},
+	}
+	for _, column := range schema {
+		field := arrow.Field{Name: column.Name, Type: arrowTypes[column.Kind], Nullable: true}
+		if column.Currency != "" {
+			field.Metadata = arrow.NewMetadata([]string{metadataCurrency}, []string{column.Currency})
 		}
-		fields = append(fields, f)
+		fields = append(fields, field)
 	}
-	meta := arrow.NewMetadata(names, values)
-	b := array.NewRecordBuilder(memory.DefaultAllocator, arrow.NewSchema(fields, &meta))
-	defer b.Release()
-	for i, r := range a.Batch.Rows {
-		if len(r.Values) != len(a.Batch.Schema) || r.Bucket < 0 || r.Bucket > math.MaxInt32 {
-			return nil, malformed("row %d: %d values, district %d", i, len(r.Values), r.Bucket)
+	return fields
+}
+
+// appendValue appends a value to a column; one of another kind than the column's becomes null.
+func appendValue(builder array.Builder, value merge.Value) {
+	switch builder := builder.(type) {
+	case *array.Int64Builder:
+		if value.Kind == merge.Int {
+			builder.Append(value.Int)
+			return
+		}
+	case *array.Float64Builder:
+		if value.Kind == merge.Float {
+			builder.Append(value.Float)
+			return
 		}
-		b.Field(0).(*array.Int32Builder).Append(int32(r.Bucket))
-		b.Field(1).(*array.StringBuilder).Append(r.Key)
-		for j, v := range r.Values {
-			switch f := b.Field(j + 2).(type) {
-			case *array.Int64Builder:
-				if v.Kind == merge.Int {
-					f.Append(v.Int)
-					continue
-				}
-			case *array.Float64Builder:
-				if v.Kind == merge.Float {
-					f.Append(v.Float)
-					continue
-				}
-			case *array.StringBuilder:
-				if v.Kind == merge.Text {
-					f.Append(v.Text)
-					continue
-				}
-			}
-			b.Field(j + 2).AppendNull()
+	case *array.StringBuilder:
+		if value.Kind == merge.Text {
+			builder.Append(value.Text)
+			return
 		}
 	}
-	return b.NewRecordBatch(), nil
+	builder.AppendNull()
 }
--- a/internal/results/rows/arrow_test.go
+++ b/internal/results/rows/arrow_test.go
@@ -9,36 +9,68 @@
 	"github.com/stretchr/testify/require"
 )
 
+func TestArrowRoundTrip(t *testing.T) {
+	answer := newAnswer()
+	record, err := answer.EncodeArrow()
+	require.NoError(t, err)
+	t.Cleanup(record.Release)
+	decoded, err := DecodeArrow(record, newRequest(2, testRank))
+	require.NoError(t, err)
+	require.Equal(t, answer, decoded)
+}
+
+// buildRecord makes a record batch of some fields whose columns are filled by a function.
+func buildRecord(t *testing.T, fill func(*array.RecordBuilder), metadata arrow.Metadata, fields ...arrow.Field,
+) arrow.RecordBatch {
+	t.Helper()
+	builder := array.NewRecordBuilder(memory.DefaultAllocator, arrow.NewSchema(fields, &metadata))
+	defer builder.Release()
+	fill(builder)
+	record := builder.NewRecordBatch()
+	t.Cleanup(record.Release)
+	return record
+}
+
+// appendEmptyRow appends a row of empty values.
+func appendEmptyRow(builder *array.RecordBuilder) {
+	for _, field := range builder.Fields() {
+		field.AppendEmptyValue()
+	}
+}
+
 func TestDecodeArrowErrors(t *testing.T) {
-	build := func(f func(b *array.RecordBuilder), meta arrow.Metadata, fields ...arrow.Field) arrow.RecordBatch {
-		b := array.NewRecordBuilder(memory.DefaultAllocator, arrow.NewSchema(fields, &meta))
-		defer b.Release()
-		f(b)
-		return b.NewRecordBatch()
+	metadata := arrow.NewMetadata([]string{"version", "more"}, []string{"7", "false"})
+	bucket := arrow.Field{Name: "district", Type: arrow.PrimitiveTypes.Int32}
+	bucket64 := arrow.Field{Name: "district", Type: arrow.PrimitiveTypes.Int64}
+	key := arrow.Field{Name: "key", Type: arrow.BinaryTypes.String}
+	date := arrow.Field{Name: "d", Type: arrow.FixedWidthTypes.Date32}
+	text := arrow.Field{Name: "x", Type: arrow.BinaryTypes.String}
+	appendThreeRows := func(builder *array.RecordBuilder) {
+		appendEmptyRow(builder)
+		appendEmptyRow(builder)
+		appendEmptyRow(builder)
 	}
-	meta := arrow.NewMetadata([]string{"version", "more"}, []string{"7", "false"})
-	district, key := arrow.Field{Name: "district", Type: arrow.PrimitiveTypes.Int32}, arrow.Field{Name: "key",
-		Type: arrow.BinaryTypes.String}
-	one := func(b *array.RecordBuilder) {
-		for _, f := range b.Fields() {
-			f.AppendEmptyValue()
-		}
+	appendNullKey := func(builder *array.RecordBuilder) {
+		builder.Field(0).AppendEmptyValue()
+		builder.Field(1).AppendNull()
 	}
-	for name, c := range map[string]struct {
-		rec  arrow.RecordBatch
-		what string
+	for name, test := range map[string]struct {
+		record arrow.RecordBatch
+		want   string
 	}{
-		"no key":       {build(one, meta, district), "the first columns"},
-		"other order":  {build(one, meta, key, district), "the first columns"},
-		"wide":         {build(one, meta, arrow.Field{Name: "district", Type: arrow.PrimitiveTypes.Int64}, key), "district: int64"},
-		"no version":   {build(one, arrow.Metadata{}, district, key), "version"},
-		"dates":        {build(one, meta, district, key, arrow.Field{Name: "d", Type: arrow.FixedWidthTypes.Date32}), "date32"},
-		"column twice": {build(one, meta, district, key, arrow.Field{Name: "x", Type: arrow.BinaryTypes.String}, arrow.Field{Name: "x", Type: arrow.BinaryTypes.String}), "stands twice"},
-		"too many":     {build(func(b *array.RecordBuilder) { one(b); one(b); one(b) }, meta, district, key), "3 rows, 2 were asked for"},
-		"null key":     {build(func(b *array.RecordBuilder) { b.Field(0).AppendEmptyValue(); b.Field(1).AppendNull() }, meta, district, key), "key"},
+		"no key":           {buildRecord(t, appendEmptyRow, metadata, bucket), "the first columns"},
+		"other order":      {buildRecord(t, appendEmptyRow, metadata, key, bucket), "the first columns"},
+		"int64 buckets":    {buildRecord(t, appendEmptyRow, metadata, bucket64, key), "district: int64"},
+		"no version":       {buildRecord(t, appendEmptyRow, arrow.Metadata{}, bucket, key), "version"},
+		"dates":            {buildRecord(t, appendEmptyRow, metadata, bucket, key, date), "date32"},
+		"duplicate column": {buildRecord(t, appendEmptyRow, metadata, bucket, key, text, text), "duplicate"},
+		"too many rows":    {buildRecord(t, appendThreeRows, metadata, bucket, key), "3 rows, 2 were requested"},
+		"null key":         {buildRecord(t, appendNullKey, metadata, bucket, key), "key"},
 	} {
-		_, err := DecodeArrow(c.rec, newRequest(2, nil))
-		require.ErrorIs(t, err, ErrMalformed, name)
-		require.Contains(t, err.Error(), c.what, name)
+		t.Run(name, func(t *testing.T) {
+			_, err := DecodeArrow(test.record, newRequest(2, nil))
+			require.ErrorIs(t, err, ErrMalformed)
+			require.Contains(t, err.Error(), test.want)
+		})
 	}
 }
--- a/internal/results/rows/groups.go
+++ b/internal/results/rows/groups.go
@@ -2,120 +2,178 @@
 
 import (
 	"encoding/json"
-	"fmt"
-	"slices"
+	"errors"
 
 	"ternstage/internal/results/merge"
 )
 
 // decodeRest decodes what an answer has beside its batch, which must have been decoded.
-func (a *Answer) decodeRest(n *wireSummary, groups []wireGroup, w Request) (err error) {
-	if a.Summary, err = n.decode(a.Batch, w.ShardEpoch, w.RankColumns); err != nil {
+func (a *Answer) decodeRest(summary *wireSummary, groups []wireGroup, request *Request) error {
+	var err error
+	a.Summary, err = summary.decode(&a.Batch, request)
+	if err != nil {
 		return err
 	}
-	if len(w.AggregateColumns) == 0 {
+	if len(request.AggregateColumns) == 0 {
 		if len(groups) > 0 {
-			return malformed("groups, and none were asked for")
+			return malformed("groups that were not requested")
 		}
 		return nil
 	}
-	columns, by := make([]merge.Column, len(w.AggregateColumns)), make([]merge.Column, len(w.GroupColumns))
-	for i, name := range append(slices.Clone(w.AggregateColumns), w.GroupColumns...) {
-		c := merge.Column{Kind: merge.Int}
-		if at := a.Batch.Schema.Index(name); at >= 0 {
-			c = a.Batch.Schema[at]
-		} else if name != "" || i >= len(w.AggregateColumns) {
-			return malformed("column %q is not there", name)
+	a.Groups, err = decodeGroups(groups, a.Batch.Schema, request)
+	return err
+}
+
+// decodeGroups decodes the groups of an answer.
+func decodeGroups(groups []wireGroup, schema merge.Schema, request *Request) (*merge.Groups, error) {
+	aggregated, err := findColumns(schema, request.AggregateColumns, true)
+	if err != nil {
+		return nil, err
+	}
+	grouping, err := findColumns(schema, request.GroupColumns, false)
+	if err != nil {
+		return nil, err
+	}
+	decoded := merge.NewGroups(aggregated, request.MaxGroups)
+	for i := range groups {
+		group := &groups[i]
+		if len(group.Values) != len(grouping) || len(group.Partials) != len(aggregated) || i >= request.MaxGroups {
+			return nil, malformed("groups[%d]: %d values and %d aggregates, of at most %d groups", i, len(group.Values),
+				len(group.Partials), request.MaxGroups)
 		}
-		if i < len(w.AggregateColumns) {
-			columns[i] = c
-		} else {
-			by[i-len(w.AggregateColumns)] = c
+		values, partials, err := group.decode(i, grouping, aggregated)
+		if err != nil {
+			return nil, err
 		}
-	}
-	a.Groups = merge.NewGroups(columns, w.MaxGroups)
-	for i, g := range groups {
-		if len(g.Values) != len(by) || len(g.Partials) != len(columns) || i >= w.MaxGroups {
-			return malformed("groups[%d]: %d values and %d aggregates, of at most %d groups", i, len(g.Values), len(g.Partials),
-				w.MaxGroups)
+		if err := decoded.Insert(values, partials); err != nil {
+			return nil, malformed("groups[%d]: %v", i, err)
 		}
-		values := make([]merge.Value, len(by))
-		for j, raw := range g.Values {
-			if values[j], err = decodeValue(raw, by[j].Kind); err != nil {
-				return malformed("groups[%d].by[%d]: %v", i, j, err)
-			}
+	}
+	return decoded, nil
+}
+
+// decode decodes the group at an index, which has a value and an aggregate for each column.
+func (w *wireGroup) decode(index int, grouping, aggregated []merge.Column) (
+	[]merge.Value, []*merge.PartialAggregate, error) {
+	values := make([]merge.Value, len(grouping))
+	for i, raw := range w.Values {
+		value, err := decodeValue(raw, grouping[i].Kind)
+		if err != nil {
+			return nil, nil, malformed("groups[%d].by[%d]: %v", index, i, err)
 		}
-		partials := make([]*merge.PartialAggregate, len(columns))
-		for j, p := range g.Partials {
-			if partials[j], err = p.decode(columns[j]); err != nil {
-				return malformed("groups[%d].of[%d]: %v", i, j, err)
-			}
+		values[i] = value
+	}
+	partials := make([]*merge.PartialAggregate, len(aggregated))
+	for i := range w.Partials {
+		partial, err := w.Partials[i].decode(aggregated[i])
+		if err != nil {
+			return nil, nil, malformed("groups[%d].of[%d]: %v", index, i, err)
 		}
-		if err := a.Groups.Insert(values, partials); err != nil {
-			return malformed("groups[%d]: %v", i, err)
+		partials[i] = partial
+	}
+	return values, partials, nil
+}
+
+// findColumns finds columns of a schema by name. Where rows may be counted, "" is a column of integers without a name.
+func findColumns(schema merge.Schema, names []string, mayCountRows bool) ([]merge.Column, error) {
+	columns := make([]merge.Column, len(names))
+	for i, name := range names {
+		index := schema.Index(name)
+		switch {
+		case index >= 0:
+			columns[i] = schema[index]
+		case name == "" && mayCountRows:
+			columns[i] = merge.Column{Kind: merge.Int}
+		default:
+			return nil, malformed("no column %q", name)
 		}
 	}
-	return nil
+	return columns, nil
 }
 
 // decode makes the aggregates of a column.
-func (p *wirePartial) decode(c merge.Column) (*merge.PartialAggregate, error) {
-	var v [3]merge.Value
-	for i, raw := range []json.RawMessage{p.Sum, p.Min, p.Max} {
-		kind := c.Kind
-		if i == 0 && kind == merge.Text {
-			continue // a text has no sum
-		}
-		if p.Count == 0 || c.Name == "" {
-			if v[i] = (merge.Value{Kind: kind}); len(raw) > 0 {
-				return nil, fmt.Errorf("sum, min or max of nothing")
-			}
+func (w *wirePartial) decode(column merge.Column) (*merge.PartialAggregate, error) {
+	hasFigures := w.Count > 0 && column.Name != ""
+	var sum, least, greatest merge.Value
+	for _, figure := range []struct {
+		raw     json.RawMessage
+		decoded *merge.Value
+		absent  bool
+	}{
+		{w.Sum, &sum, column.Kind == merge.Text}, // texts have no sum; one that is sent does not matter
+		{w.Min, &least, false},
+		{w.Max, &greatest, false},
+	} {
+		if figure.absent {
 			continue
 		}
 		var err error
-		if len(raw) == 0 {
-			return nil, fmt.Errorf("sum, min or max missing")
-		}
-		if v[i], err = decodeValue(raw, kind); err != nil {
+		*figure.decoded, err = decodeFigure(figure.raw, column.Kind, hasFigures)
+		if err != nil {
 			return nil, err
 		}
 	}
-	return merge.RestorePartialAggregate(c, p.Count, v[0], v[1], v[2], p.Quantiles, p.Distinct)
+	return merge.RestorePartialAggregate(column, w.Count, sum, least, greatest, w.Quantiles, w.Distinct)
+}
+
+// decodeFigure decodes a sum, minimum or maximum, which must be there if the aggregate has figures and else not; it
+// then is the zero of its kind.
+func decodeFigure(raw json.RawMessage, kind merge.Kind, hasFigures bool) (merge.Value, error) {
+	if !hasFigures {
+		if len(raw) > 0 {
+			return merge.Value{}, errors.New("sum, minimum or maximum of no values")
+		}
+		return merge.Value{Kind: kind}, nil
+	}
+	if len(raw) == 0 {
+		return merge.Value{}, errors.New("sum, minimum or maximum missing")
+	}
+	return decodeValue(raw, kind)
 }
 
 // encodeGroups is the inverse of decodeGroups; nil of nil.
-func encodeGroups(g *merge.Groups) ([]wireGroup, error) {
-	if g == nil {
+func encodeGroups(groups *merge.Groups) ([]wireGroup, error) {
+	if groups == nil {
 		return nil, nil
 	}
-	out := []wireGroup{}
-	for _, x := range g.Sorted() {
-		f := wireGroup{}
-		for _, v := range x.Values {
-			f.Values = append(f.Values, encodeValue(v))
-		}
-		for _, p := range x.Partials {
-			q := wirePartial{Count: p.Count}
-			if p.Count > 0 && p.Column.Name != "" {
-				if p.Column.Kind != merge.Text {
-					sum, err := p.Sum()
-					if err != nil {
-						return nil, err
-					}
-					q.Sum = encodeValue(sum)
-				}
-				q.Min, q.Max = encodeValue(p.Min), encodeValue(p.Max)
-				var err error
-				if q.Quantiles, q.Distinct, err = p.Sketches(); err != nil {
-					return nil, err
-				}
-				if p.Column.Kind == merge.Text {
-					q.Quantiles = nil
-				}
+	encoded := []wireGroup{}
+	for _, group := range groups.Sorted() {
+		wire := wireGroup{Values: encodeValues(group.Values)}
+		for _, partial := range group.Partials {
+			encodedPartial, err := encodePartial(partial)
+			if err != nil {
+				return nil, err
 			}
-			f.Partials = append(f.Partials, q)
+			wire.Partials = append(wire.Partials, encodedPartial)
 		}
-		out = append(out, f)
+		encoded = append(encoded, wire)
+	}
+	return encoded, nil
+}
+
+// encodePartial is the inverse of wirePartial.decode. Texts have neither a sum nor quantiles.
+func encodePartial(partial *merge.PartialAggregate) (wirePartial, error) {
+	wire := wirePartial{Count: partial.Count}
+	if partial.Count == 0 || partial.Column.Name == "" {
+		return wire, nil
+	}
+	isText := partial.Column.Kind == merge.Text
+	if !isText {
+		sum, err := partial.Sum()
+		if err != nil {
+			return wirePartial{}, err
+		}
+		wire.Sum = encodeValue(sum)
+	}
+	wire.Min = encodeValue(partial.Min)
+	wire.Max = encodeValue(partial.Max)
+	quantiles, distinct, err := partial.Sketches()
+	if err != nil {
+		return wirePartial{}, err
+	}
+	if !isText {
+		wire.Quantiles = quantiles
 	}
-	return out, nil
+	wire.Distinct = distinct
+	return wire, nil
 }
--- a/internal/results/rows/groups_test.go
+++ b/internal/results/rows/groups_test.go
@@ -8,52 +8,87 @@
 	"ternstage/internal/results/merge"
 )
 
-func TestGroupsRoundTrip(t *testing.T) {
-	a, w := newAnswer(), newRequest(2, testRank)
-	w.AggregateColumns, w.GroupColumns = []string{"", "risk", "insurer"}, []string{"insurer"}
-	s := a.Batch.Schema
-	a.Groups = merge.NewGroups([]merge.Column{{Kind: merge.Int}, s[1], s[2]}, 3)
-	for i, name := range []string{"x", "x", "y"} {
-		g, err := a.Groups.GetOrCreate([]merge.Value{merge.TextOf(name)})
+// newGroupedAnswer has two groups, x of two rows and y of one, and the request that it answers.
+func newGroupedAnswer(t *testing.T) (*Answer, Request) {
+	t.Helper()
+	answer := newAnswer()
+	request := newRequest(2, testRank)
+	request.AggregateColumns = []string{"", "risk", "insurer"}
+	request.GroupColumns = []string{"insurer"}
+	schema := answer.Batch.Schema
+	answer.Groups = merge.NewGroups([]merge.Column{{Kind: merge.Int}, schema[1], schema[2]}, 3)
+	for i, insurer := range []string{"x", "x", "y"} {
+		group, err := answer.Groups.GetOrCreate([]merge.Value{merge.TextOf(insurer)})
 		require.NoError(t, err)
-		for j, v := range []merge.Value{merge.IntOf(0), merge.FloatOf(float64(i) + 0.5), merge.TextOf(name)} {
-			require.NoError(t, g.Partials[j].Add(v))
+		values := []merge.Value{merge.IntOf(0), merge.FloatOf(float64(i) + 0.5), merge.TextOf(insurer)}
+		for j, value := range values {
+			require.NoError(t, group.Partials[j].Add(value))
 		}
 	}
-	check := func(got *Answer, err error) {
-		t.Helper()
-		require.NoError(t, err)
-		all := got.Groups.Sorted()
-		require.Len(t, all, 2)
-		require.EqualValues(t, 2, all[0].Partials[0].Count)
-		sum, err := all[0].Partials[1].Sum()
-		require.NoError(t, err)
-		require.Equal(t, merge.FloatOf(2), sum)
-		require.Equal(t, merge.FloatOf(1.5), all[0].Partials[1].Max)
-		require.EqualValues(t, 1, all[1].Partials[2].Distinct())
-	}
-	text, err := a.EncodeJSON()
+	return answer, request
+}
+
+// requireGroups checks that a decoded answer has the groups of newGroupedAnswer.
+func requireGroups(t *testing.T, decoded *Answer) {
+	t.Helper()
+	groups := decoded.Groups.Sorted()
+	require.Len(t, groups, 2)
+	require.EqualValues(t, 2, groups[0].Partials[0].Count)
+	sum, err := groups[0].Partials[1].Sum()
 	require.NoError(t, err)
-	check(DecodeJSON(text, w))
-	rec, err := a.EncodeArrow()
+	require.Equal(t, merge.FloatOf(2), sum)
+	require.Equal(t, merge.FloatOf(1.5), groups[0].Partials[1].Max)
+	require.EqualValues(t, 1, groups[1].Partials[2].Distinct())
+}
+
+func TestGroupsRoundTrip(t *testing.T) {
+	answer, request := newGroupedAnswer(t)
+	text, err := answer.EncodeJSON()
 	require.NoError(t, err)
-	defer rec.Release()
-	check(DecodeArrow(rec, w))
-	w.MaxGroups = 1
-	_, err = DecodeJSON(text, w)
+	decoded, err := DecodeJSON(text, request)
+	require.NoError(t, err)
+	requireGroups(t, decoded)
+	record, err := answer.EncodeArrow()
+	require.NoError(t, err)
+	t.Cleanup(record.Release)
+	decoded, err = DecodeArrow(record, request)
+	require.NoError(t, err)
+	requireGroups(t, decoded)
+}
+
+func TestGroupsThatWereNotRequested(t *testing.T) {
+	answer, request := newGroupedAnswer(t)
+	text, err := answer.EncodeJSON()
+	require.NoError(t, err)
+	request.MaxGroups = 1
+	_, err = DecodeJSON(text, request)
 	require.ErrorIs(t, err, ErrMalformed, "more groups than the bound")
-	w.MaxGroups, w.AggregateColumns = 3, nil
-	_, err = DecodeJSON(text, w)
-	require.ErrorIs(t, err, ErrMalformed, "groups that nobody asked for")
-	w.AggregateColumns, w.GroupColumns = []string{"age"}, nil
-	_, err = DecodeJSON(text, w)
-	require.ErrorContains(t, err, `column "age" is not there`)
-	for _, bad := range []string{`{"by":["x"],"of":[{"count":1,"sum":7}]}`, `{"by":["x"],"of":[{"count":0,"sum":7}]}`,
-		`{"by":["x"],"of":[{"count":1,"sum":1,"min":2,"max":1}]}`, `{"by":[],"of":[{"count":0}]}`, `{"by":["x"],"of":[]}`,
-		`{"by":["x"],"of":[{"count":0}]},{"by":["x"],"of":[{"count":0}]}`,
-		`{"by":["x"],"of":[{"count":1,"sum":1,"min":1,"max":1,"quantile":"AQID"}]}`} {
-		_, err := DecodeJSON([]byte(`{"version":7,"schema":[{"name":"premium","kind":"int"},{"name":"insurer","kind":"text"}],
-			"rows":[],"groups":[`+bad+`]}`), Request{Buckets: testBuckets, AggregateColumns: []string{"premium"}, GroupColumns: []string{"insurer"}, MaxGroups: 3})
-		require.ErrorIs(t, err, ErrMalformed, bad)
+	request.MaxGroups = 3
+	request.AggregateColumns = nil
+	_, err = DecodeJSON(text, request)
+	require.ErrorIs(t, err, ErrMalformed, "no groups were requested")
+	request.AggregateColumns = []string{"age"}
+	request.GroupColumns = nil
+	_, err = DecodeJSON(text, request)
+	require.ErrorContains(t, err, `no column "age"`)
+}
+
+func TestMalformedGroups(t *testing.T) {
+	request := Request{Buckets: testBuckets, AggregateColumns: []string{"premium"}, GroupColumns: []string{"insurer"},
+		MaxGroups: 3}
+	for name, groups := range map[string]string{
+		"no minimum":           `{"by":["x"],"of":[{"count":1,"sum":7}]}`,
+		"sum of no values":     `{"by":["x"],"of":[{"count":0,"sum":7}]}`,
+		"minimum over maximum": `{"by":["x"],"of":[{"count":1,"sum":1,"min":2,"max":1}]}`,
+		"value missing":        `{"by":[],"of":[{"count":0}]}`,
+		"aggregate missing":    `{"by":["x"],"of":[]}`,
+		"duplicate":            `{"by":["x"],"of":[{"count":0}]},{"by":["x"],"of":[{"count":0}]}`,
+		"malformed sketch":     `{"by":["x"],"of":[{"count":1,"sum":1,"min":1,"max":1,"quantile":"AQID"}]}`,
+	} {
+		t.Run(name, func(t *testing.T) {
+			_, err := DecodeJSON([]byte(`{"version":7,"schema":[{"name":"premium","kind":"int"},{"name":"insurer","kind":"text"}],
+				"rows":[],"groups":[`+groups+`]}`), request)
+			require.ErrorIs(t, err, ErrMalformed)
+		})
 	}
 }
--- a/internal/results/rows/json_decode.go
+++ b/internal/results/rows/json_decode.go
@@ -9,117 +9,155 @@
 	"ternstage/internal/results/merge"
 )
 
-func decodeSchema(list []wireColumn) (merge.Schema, error) {
-	if len(list) > MaxColumns {
-		return nil, malformed("%d columns, %d at most", len(list), MaxColumns)
-	}
-	var s merge.Schema
-	for i, c := range list {
-		k, ok := wireKinds[c.Kind]
-		if !ok || c.Name == "" || s.Index(c.Name) >= 0 {
-			return nil, malformed("schema[%d]: name %.40q, kind %.10q", i, c.Name, c.Kind)
-		}
-		s = append(s, merge.Column{Name: c.Name, Kind: k, Currency: c.Currency})
-	}
-	return s, nil
+// jsonDecoder decodes one answer, member by member.
+type jsonDecoder struct {
+	json    *json.Decoder
+	request *Request
+	seen    map[string]bool // names of the members so far
+	wire    wireAnswer
+	answer  *Answer
 }
 
 // DecodeJSON decodes the JSON form of an answer.
-func DecodeJSON(text []byte, w Request) (*Answer, error) {
+func DecodeJSON(text []byte, request Request) (*Answer, error) {
 	if !utf8.Valid(text) {
 		return nil, malformed("not UTF-8")
 	}
-	a := &Answer{Batch: merge.Batch{Buckets: w.Buckets}}
-	d := json.NewDecoder(bytes.NewReader(text))
-	d.UseNumber()
-	if t, err := d.Token(); err != nil || t != json.Delim('{') {
-		return nil, malformed("no object")
+	decoder := &jsonDecoder{
+		json:    json.NewDecoder(bytes.NewReader(text)),
+		request: &request,
+		seen:    map[string]bool{},
+		answer:  &Answer{Batch: merge.Batch{Buckets: request.Buckets}},
+	}
+	decoder.json.UseNumber()
+	if err := decoder.decodeObject(); err != nil {
+		return nil, err
+	}
+	if !decoder.seen[nameSchema] || !decoder.seen[nameRows] || decoder.wire.Version == 0 {
+		return nil, malformed("version, schema or rows missing")
+	}
+	answer := decoder.answer
+	answer.Batch.Version = decoder.wire.Version
+	answer.Batch.HasMore = decoder.wire.More
+	return answer, answer.decodeRest(decoder.wire.Summary, decoder.wire.Groups, &request)
+}
+
+// decodeObject decodes the text, which must be one object.
+func (d *jsonDecoder) decodeObject() error {
+	if token, err := d.json.Token(); err != nil || token != json.Delim('{') {
+		return malformed("no object")
 	}
-	var h wireAnswer
-	seen := map[string]bool{}
-	for d.More() {
-		t, err := d.Token()
+	for d.json.More() {
+		token, err := d.json.Token()
 		if err != nil {
-			return nil, malformed("%v", err)
+			return malformed("%v", err)
 		}
-		name, _ := t.(string)
-		if seen[name] {
-			return nil, malformed("%.20q stands twice", name)
-		}
-		seen[name] = true
-		switch name {
-		case "version":
-			err = d.Decode(&h.Version)
-		case "more":
-			err = d.Decode(&h.More)
-		case "summary":
-			err = d.Decode(&h.Summary)
-		case "groups":
-			err = d.Decode(&h.Groups)
-		case "schema":
-			if err = d.Decode(&h.Schema); err == nil {
-				a.Batch.Schema, err = decodeSchema(h.Schema)
-			}
-		case "rows":
-			if !seen["schema"] {
-				return nil, malformed("rows before their schema")
-			}
-			a.Batch.Rows, err = decodeRows(d, a.Batch.Schema, w.MaxRows)
-		default:
-			return nil, malformed("name %.40q", name)
+		name, _ := token.(string)
+		if d.seen[name] {
+			return malformed("duplicate %.20q", name)
 		}
+		d.seen[name] = true
+		err = d.decodeMember(name)
 		if err != nil && !errors.Is(err, ErrMalformed) {
-			err = malformed("%s: %v", name, err)
+			return malformed("%s: %v", name, err)
 		}
 		if err != nil {
-			return nil, err
+			return err
 		}
 	}
-	if _, err := d.Token(); err != nil {
-		return nil, malformed("%v", err)
+	if _, err := d.json.Token(); err != nil {
+		return malformed("%v", err)
 	}
-	if d.More() {
-		return nil, malformed("something behind the object")
+	if d.json.More() {
+		return malformed("text after the object")
 	}
-	if !seen["schema"] || !seen["rows"] || h.Version == 0 {
-		return nil, malformed("version, schema or rows missing")
+	return nil
+}
+
+// decodeMember decodes the value of the member with a name.
+func (d *jsonDecoder) decodeMember(name string) error {
+	switch name {
+	case nameVersion:
+		return d.json.Decode(&d.wire.Version)
+	case nameMore:
+		return d.json.Decode(&d.wire.More)
+	case nameSummary:
+		return d.json.Decode(&d.wire.Summary)
+	case nameGroups:
+		return d.json.Decode(&d.wire.Groups)
+	case nameSchema:
+		if err := d.json.Decode(&d.wire.Schema); err != nil {
+			return err
+		}
+		var err error
+		d.answer.Batch.Schema, err = decodeSchema(d.wire.Schema)
+		return err
+	case nameRows:
+		if !d.seen[nameSchema] {
+			return malformed("rows before their schema")
+		}
+		var err error
+		d.answer.Batch.Rows, err = decodeRows(d.json, d.answer.Batch.Schema, d.request.MaxRows)
+		return err
 	}
-	a.Batch.Version, a.Batch.HasMore = h.Version, h.More
-	return a, a.decodeRest(h.Summary, h.Groups, w)
+	return malformed("unknown name %.40q", name)
+}
+
+func decodeSchema(columns []wireColumn) (merge.Schema, error) {
+	if len(columns) > MaxColumns {
+		return nil, malformed("%d columns, not at most %d", len(columns), MaxColumns)
+	}
+	var schema merge.Schema
+	for i, column := range columns {
+		kind, ok := wireKinds[column.Kind]
+		if !ok || column.Name == "" || schema.Index(column.Name) >= 0 {
+			return nil, malformed("schema[%d]: name %.40q, kind %.10q", i, column.Name, column.Kind)
+		}
+		schema = append(schema, merge.Column{Name: column.Name, Kind: kind, Currency: column.Currency})
+	}
+	return schema, nil
 }
 
 // decodeRows decodes rows one by one, so that it can stop at the first that was not requested, however many follow.
-func decodeRows(d *json.Decoder, s merge.Schema, most int) ([]merge.Row, error) {
-	if t, err := d.Token(); err != nil || t != json.Delim('[') {
-		return nil, malformed("rows: no list")
-	}
-	out := []merge.Row{}
-	for d.More() {
-		if len(out) == most {
-			return nil, malformed("more than the %d rows that were asked for", most)
+func decodeRows(decoder *json.Decoder, schema merge.Schema, maxRows int) ([]merge.Row, error) {
+	if token, err := decoder.Token(); err != nil || token != json.Delim('[') {
+		return nil, malformed("rows: no array")
+	}
+	rows := []merge.Row{}
+	for decoder.More() {
+		if len(rows) == maxRows {
+			return nil, malformed("more than the %d rows that were requested", maxRows)
 		}
 		var raw []json.RawMessage
-		if err := d.Decode(&raw); err != nil {
-			return nil, malformed("rows[%d]: %v", len(out), err)
+		if err := decoder.Decode(&raw); err != nil {
+			return nil, malformed("rows[%d]: %v", len(rows), err)
 		}
-		if len(raw) != len(s)+2 {
-			return nil, malformed("rows[%d]: %d values, not district, key and %d columns", len(out), len(raw), len(s))
-		}
-		var r merge.Row
-		if json.Unmarshal(raw[0], &r.Bucket) != nil || json.Unmarshal(raw[1], &r.Key) != nil ||
-			len(r.Key) > MaxTextBytes {
-			return nil, malformed("rows[%d]: district %.20s, key %.40s", len(out), raw[0], raw[1])
+		row, err := decodeRow(raw, schema, len(rows))
+		if err != nil {
+			return nil, err
 		}
-		r.Values = make([]merge.Value, len(s))
-		for i, c := range s {
-			v, err := decodeValue(raw[i+2], c.Kind)
-			if err != nil {
-				return nil, malformed("rows[%d]: %s: %v", len(out), c.Name, err)
-			}
-			r.Values[i] = v
+		rows = append(rows, row)
+	}
+	_, err := decoder.Token()
+	return rows, err
+}
+
+// decodeRow decodes the row at an index.
+func decodeRow(raw []json.RawMessage, schema merge.Schema, index int) (merge.Row, error) {
+	if len(raw) != len(schema)+identityColumns {
+		return merge.Row{}, malformed("rows[%d]: %d values, not district, key and %d columns", index, len(raw), len(schema))
+	}
+	row := merge.Row{Values: make([]merge.Value, len(schema))}
+	if json.Unmarshal(raw[0], &row.Bucket) != nil || json.Unmarshal(raw[1], &row.Key) != nil ||
+		len(row.Key) > MaxTextBytes {
+		return merge.Row{}, malformed("rows[%d]: district %.20s, key %.40s", index, raw[0], raw[1])
+	}
+	for i, column := range schema {
+		value, err := decodeValue(raw[identityColumns+i], column.Kind)
+		if err != nil {
+			return merge.Row{}, malformed("rows[%d]: %s: %v", index, column.Name, err)
 		}
-		out = append(out, r)
+		row.Values[i] = value
 	}
-	_, err := d.Token()
-	return out, err
+	return row, nil
 }
--- a/internal/results/rows/json_encode.go
+++ b/internal/results/rows/json_encode.go
@@ -2,39 +2,37 @@
 
 import (
 	"encoding/json"
-	"fmt"
+	"strconv"
 )
 
 // EncodeJSON encodes an answer in the form that DecodeJSON decodes.
 func (a *Answer) EncodeJSON() ([]byte, error) {
-	h := wireAnswer{Version: a.Batch.Version, More: a.Batch.HasMore, Schema: []wireColumn{}}
-	for _, c := range a.Batch.Schema {
-		h.Schema = append(h.Schema, wireColumn{c.Name, c.Kind.String(), c.Currency})
+	wire := wireAnswer{
+		Version: a.Batch.Version,
+		Schema:  []wireColumn{},
+		More:    a.Batch.HasMore,
+		Summary: encodeSummary(a.Summary),
 	}
-	if s := a.Summary; s != nil {
-		h.Summary = &wireSummary{Count: s.Count, Min: numberOrNil(s.Min), Max: numberOrNil(s.Max), Sum: numberOrNil(s.Sum)}
-		for _, v := range s.FirstRank {
-			h.Summary.FirstRank = append(h.Summary.FirstRank, encodeValue(v))
-		}
+	for _, column := range a.Batch.Schema {
+		wire.Schema = append(wire.Schema,
+			wireColumn{Name: column.Name, Kind: column.Kind.String(), Currency: column.Currency})
 	}
 	var err error
-	if h.Groups, err = encodeGroups(a.Groups); err != nil {
+	wire.Groups, err = encodeGroups(a.Groups)
+	if err != nil {
 		return nil, err
 	}
-	list := make([][]json.RawMessage, 0, len(a.Batch.Rows))
-	for _, r := range a.Batch.Rows {
-		key, err := json.Marshal(r.Key)
+	rows := make([][]json.RawMessage, 0, len(a.Batch.Rows))
+	for _, row := range a.Batch.Rows {
+		key, err := json.Marshal(row.Key)
 		if err != nil {
 			return nil, err
 		}
-		line := []json.RawMessage{json.RawMessage(fmt.Sprint(r.Bucket)), key}
-		for _, v := range r.Values {
-			line = append(line, encodeValue(v))
-		}
-		list = append(list, line)
+		identity := []json.RawMessage{json.RawMessage(strconv.Itoa(row.Bucket)), key}
+		rows = append(rows, append(identity, encodeValues(row.Values)...))
 	}
 	return json.Marshal(struct {
 		wireAnswer
 		Rows [][]json.RawMessage `json:"rows"`
-	}{h, list})
+	}{wire, rows})
 }
--- a/internal/results/rows/summary.go
+++ b/internal/results/rows/summary.go
@@ -8,43 +8,64 @@
 )
 
 // decode makes the summary of the shard that a batch is from; nil of nil.
-func (n *wireSummary) decode(b merge.Batch, since uint64, rank []string) (*completeness.Summary, error) {
-	if n == nil {
+func (w *wireSummary) decode(batch *merge.Batch, request *Request) (*completeness.Summary, error) {
+	if w == nil {
 		return nil, nil
 	}
-	s := &completeness.Summary{Buckets: b.Buckets, Version: b.Version, ShardEpoch: since, Count: n.Count,
-		Min: math.NaN(),
-		Max: math.NaN(), Sum: math.NaN()}
-	for _, v := range []struct {
-		from *float64
-		to   *float64
-	}{{n.Min, &s.Min}, {n.Max, &s.Max}, {n.Sum, &s.Sum}} {
-		if v.from != nil {
-			*v.to = *v.from
-		}
+	rank := request.RankColumns
+	summary := &completeness.Summary{
+		Buckets:    batch.Buckets,
+		Version:    batch.Version,
+		ShardEpoch: request.ShardEpoch,
+		Count:      w.Count,
+		Min:        orNaN(w.Min),
+		Max:        orNaN(w.Max),
+		Sum:        orNaN(w.Sum),
 	}
-	if n.Count == 0 && len(n.FirstRank) > 0 || n.Count > 0 && len(n.FirstRank) != len(rank) || s.Min > s.Max {
-		return nil, malformed("summary: %d least values of %d rank columns, %d rows, %v to %v", len(n.FirstRank), len(rank),
-			n.Count,
-			s.Min, s.Max)
+	surplus := w.Count == 0 && len(w.FirstRank) > 0
+	incomplete := w.Count > 0 && len(w.FirstRank) != len(rank)
+	if surplus || incomplete || summary.Min > summary.Max {
+		return nil, malformed("summary: %d least values of %d rank columns, %d rows, minimum %v, maximum %v",
+			len(w.FirstRank), len(rank), w.Count, summary.Min, summary.Max)
 	}
-	for i, raw := range n.FirstRank {
-		at := b.Schema.Index(rank[i])
-		if at < 0 {
-			return nil, malformed("summary: rank column %q is not there", rank[i])
+	for i, raw := range w.FirstRank {
+		column := batch.Schema.Index(rank[i])
+		if column < 0 {
+			return nil, malformed("summary: no rank column %q", rank[i])
 		}
-		v, err := decodeValue(raw, b.Schema[at].Kind)
-		if err != nil || v.Kind == merge.Null || v.Kind == merge.Float && math.IsNaN(v.Float) {
+		value, err := decodeValue(raw, batch.Schema[column].Kind)
+		if err != nil || value.Kind == merge.Null || value.Kind == merge.Float && math.IsNaN(value.Float) {
 			return nil, malformed("summary: least[%d]: %.40s", i, raw)
 		}
-		s.FirstRank = append(s.FirstRank, v)
+		summary.FirstRank = append(summary.FirstRank, value)
+	}
+	return summary, nil
+}
+
+// encodeSummary is the inverse of decode; nil of nil.
+func encodeSummary(summary *completeness.Summary) *wireSummary {
+	if summary == nil {
+		return nil
+	}
+	return &wireSummary{
+		Count:     summary.Count,
+		FirstRank: encodeValues(summary.FirstRank),
+		Min:       numberOrNil(summary.Min),
+		Max:       numberOrNil(summary.Max),
+		Sum:       numberOrNil(summary.Sum),
+	}
+}
+
+func orNaN(number *float64) float64 {
+	if number == nil {
+		return math.NaN()
 	}
-	return s, nil
+	return *number
 }
 
-func numberOrNil(x float64) *float64 {
-	if math.IsNaN(x) {
+func numberOrNil(number float64) *float64 {
+	if math.IsNaN(number) {
 		return nil
 	}
-	return &x
+	return &number
 }
--- a/internal/results/rows/value.go
+++ b/internal/results/rows/value.go
@@ -9,46 +9,72 @@
 	"ternstage/internal/results/merge"
 )
 
+// The JSON forms of null and of floats that JSON cannot represent.
+const (
+	jsonNull = "null"
+	jsonNaN  = `"NaN"`
+)
+
 // decodeValue decodes a value of a kind, or null. That a rank column has no NaN is for merge to check.
-func decodeValue(raw json.RawMessage, k merge.Kind) (merge.Value, error) {
+func decodeValue(raw json.RawMessage, kind merge.Kind) (merge.Value, error) {
 	text := string(bytes.TrimSpace(raw))
-	if text == "null" {
+	if text == jsonNull {
 		return merge.Value{}, nil
 	}
-	switch k {
+	switch kind {
 	case merge.Int:
-		var x int64
-		if err := json.Unmarshal(raw, &x); err != nil {
-			return merge.Value{}, fmt.Errorf("no integer of 64 bits: %.40s", text)
-		}
-		return merge.IntOf(x), nil
+		return decodeInt(raw, text)
 	case merge.Float:
-		if text == `"NaN"` {
-			return merge.FloatOf(math.NaN()), nil
-		}
-		var x float64
-		if err := json.Unmarshal(raw, &x); err != nil {
-			return merge.Value{}, fmt.Errorf("no number: %.40s", text)
-		}
-		return merge.FloatOf(x), nil
-	}
-	var x string
-	if err := json.Unmarshal(raw, &x); err != nil || len(x) > MaxTextBytes {
-		return merge.Value{}, fmt.Errorf("no text of %d bytes at most: %.40s", MaxTextBytes, text)
-	}
-	return merge.TextOf(x), nil
+		return decodeFloat(raw, text)
+	}
+	return decodeText(raw, text)
+}
+
+func decodeInt(raw json.RawMessage, text string) (merge.Value, error) {
+	var integer int64
+	if err := json.Unmarshal(raw, &integer); err != nil {
+		return merge.Value{}, fmt.Errorf("not an integer of 64 bits: %.40s", text)
+	}
+	return merge.IntOf(integer), nil
+}
+
+func decodeFloat(raw json.RawMessage, text string) (merge.Value, error) {
+	if text == jsonNaN {
+		return merge.FloatOf(math.NaN()), nil
+	}
+	var float float64
+	if err := json.Unmarshal(raw, &float); err != nil {
+		return merge.Value{}, fmt.Errorf("not a number: %.40s", text)
+	}
+	return merge.FloatOf(float), nil
+}
+
+func decodeText(raw json.RawMessage, text string) (merge.Value, error) {
+	var decoded string
+	if err := json.Unmarshal(raw, &decoded); err != nil || len(decoded) > MaxTextBytes {
+		return merge.Value{}, fmt.Errorf("not a text of at most %d bytes: %.40s", MaxTextBytes, text)
+	}
+	return merge.TextOf(decoded), nil
 }
 
 // encodeValue is the inverse of decodeValue, but that it encodes infinite floats as NaN too.
-func encodeValue(v merge.Value) json.RawMessage {
+func encodeValue(value merge.Value) json.RawMessage {
 	switch {
-	case v.Kind == merge.Null:
-		return json.RawMessage("null")
-	case v.Kind == merge.Float && (math.IsNaN(v.Float) || math.IsInf(v.Float, 0)):
-		return json.RawMessage(`"NaN"`)
-	case v.Kind == merge.Text:
-		text, _ := json.Marshal(v.Text)
+	case value.Kind == merge.Null:
+		return json.RawMessage(jsonNull)
+	case value.Kind == merge.Float && (math.IsNaN(value.Float) || math.IsInf(value.Float, 0)):
+		return json.RawMessage(jsonNaN)
+	case value.Kind == merge.Text:
+		text, _ := json.Marshal(value.Text) // a string has no error
 		return text
 	}
-	return json.RawMessage(v.String())
+	return json.RawMessage(value.String())
+}
+
+func encodeValues(values []merge.Value) []json.RawMessage {
+	var encoded []json.RawMessage
+	for _, value := range values {
+		encoded = append(encoded, encodeValue(value))
+	}
+	return encoded
 }
--- a/internal/results/rows/wire.go
+++ b/internal/results/rows/wire.go
@@ -6,17 +6,45 @@
 	"ternstage/internal/results/merge"
 )
 
+// The JSON form of an answer, with the schema before the rows:
+//
+//	{"version":7,"schema":[...],"rows":[[bucket,"key",value,...],...],"more":true,"groups":[...],"summary":{...}}
+//
+// A float that JSON cannot represent is the text "NaN".
+//
+// The Arrow form is a record batch of the columns district (int32) and key (utf8), then int64, float64 and utf8
+// columns. Metadata of its schema has version, more, and in their JSON form summary and groups; metadata of a column of
+// money has currency.
+
 // The names of an answer's members, in JSON and in Arrow metadata.
 const (
-	nameVersion      = "version"
-	nameMore         = "more"
-	nameSummary      = "summary"
-	nameGroups       = "groups"
+	nameVersion = "version"
+	nameSchema  = "schema"
+	nameRows    = "rows"
+	nameMore    = "more"
+	nameGroups  = "groups"
+	nameSummary = "summary"
+)
+
+// Further names of the Arrow form.
+const (
 	metadataCurrency = "currency"
 	columnBucket     = "district"
 	columnKey        = "key"
 )
 
+// identityColumns is how many columns, the bucket and the key, are before those of the schema.
+const identityColumns = 2
+
+// wireAnswer is an answer in JSON, but for its rows.
+type wireAnswer struct {
+	Version uint64       `json:"version"`
+	Schema  []wireColumn `json:"schema"`
+	More    bool         `json:"more"`
+	Summary *wireSummary `json:"summary,omitempty"`
+	Groups  []wireGroup  `json:"groups,omitempty"`
+}
+
 // wireColumn is a column of the schema.
 type wireColumn struct {
 	Name     string `json:"name"`
@@ -33,15 +61,6 @@
 	Sum       *float64          `json:"sum,omitempty"`
 }
 
-// wireAnswer is an answer in JSON, but for its rows.
-type wireAnswer struct {
-	Version uint64       `json:"version"`
-	Schema  []wireColumn `json:"schema"`
-	More    bool         `json:"more"`
-	Summary *wireSummary `json:"summary,omitempty"`
-	Groups  []wireGroup  `json:"groups,omitempty"`
-}
-
 // wireGroup is a group: the values by which rows are grouped, and an aggregate for each aggregated column.
 type wireGroup struct {
 	Values   []json.RawMessage `json:"by,omitempty"`
