--- a/internal/results/reading/reading_test.go
+++ b/internal/results/pageread/reading_test.go
@@ -1,4 +1,4 @@
-package reading
+package pageread
 
 import (
 	"flag"
