--- a/internal/results/pageread/reading.go
+++ b/internal/results/pageread/reading.go
@@ -20,41 +20,41 @@
 
 // Part is districts that one slice holds.
 type Part struct {
-	Districts shardmap.Range
-	Weight    float64
-	Since     uint64 // epoch of the slice's last change
-	Version   uint64 // the newest data version that anybody has told of; 0 if nobody has
+	Buckets    shardmap.Range
+	Weight     float64
+	ShardEpoch uint64 // epoch of the slice's last change
+	Version    uint64 // the newest data version that anybody has told of; 0 if nobody has
 }
 
 // Query is what is read.
 type Query struct {
-	Clause    *merge.Clause
-	Epoch     uint64 // of the map by which this page begins
-	Need      float64
-	Fetch     fetchplan.Options // its limit is the clause's
-	Summaries []*completeness.Summary
+	Clause       *merge.Clause
+	Epoch        uint64 // of the map by which this page begins
+	CompleteFrom float64
+	Plan         fetchplan.Options // its limit is the clause's
+	Summaries    []*completeness.Summary
 }
 
-// Ask is what a node is to be asked for: so many rows after a place, all that were asked for before included,
+// Request is what a node is to be asked for: so many rows after a place, all that were asked for before included,
 // so that one answer stands for itself, whatever data version it is of.
-type Ask struct {
-	Districts shardmap.Range
-	Rows      int
-	After     *merge.Position
+type Request struct {
+	Buckets shardmap.Range
+	Rows    int
+	After   *merge.Position
 }
 
-// ErrOlder tells that a node answered from an older data version than the page before read: another replica
+// ErrStaleVersion tells that a node answered from an older data version than the page before read: another replica
 // may have the newer one.
-var ErrOlder = errors.New("an older data version than the page before")
+var ErrStaleVersion = errors.New("an older data version than the page before")
 
 // Result is a page.
 type Result struct {
 	Rows      []merge.Row
-	From      []shardmap.Range
-	First     int    // rank of the first row, from 1
+	Sources   []shardmap.Range
+	FirstRank int    // rank of the first row, from 1
 	Certain   []bool // of each rank
-	Statement *completeness.Report
-	Whole     bool
+	Report    *completeness.Report
+	Complete  bool
 	Next      *cursor.Cursor // nil where there is no next page
 	Groups    []Group        // aggregates, in order of the groups' values
 	// What has changed since the page before, by districts; page one would differ where one is not empty.
@@ -63,79 +63,79 @@
 
 // Group is the figures of one group.
 type Group struct {
-	Values  []merge.Value
-	Figures []Figure
+	Values     []merge.Value
+	Aggregates []Aggregate
 }
 
-// Figure is one aggregate over what is in, and between what that over all rows lies, where that is known.
-type Figure struct {
+// Aggregate is one aggregate over what is in, and between what that over all rows lies, where that is known.
+type Aggregate struct {
 	Name  string
 	Value merge.Value
 	Bound completeness.Bound
 }
 
-// MostGroups bounds the groups of an answer.
-const MostGroups = 1000
+// MaxGroups bounds the groups of an answer.
+const MaxGroups = 1000
 
-type slice struct {
+type shard struct {
 	Part
 	batch  *merge.Batch
 	groups *merge.Groups
-	why    completeness.Reason
-	fault  string
+	reason completeness.Reason
+	detail string
 }
 
-// Reading is one page that is being read.
-type Reading struct {
-	q      Query
-	before *cursor.Cursor // of the page before; nil for the first
-	plan   *fetchplan.Plan
-	slices []*slice
-	notes  []*completeness.Summary
+// Reader is one page that is being read.
+type Reader struct {
+	query     Query
+	before    *cursor.Cursor // of the page before; nil for the first
+	plan      *fetchplan.Plan
+	shards    []*shard
+	summaries []*completeness.Summary
 }
 
 // New begins a page: the first, or what comes after a cursor.
-func New(now float64, q Query, parts []Part, before *cursor.Cursor) (*Reading, []Ask) {
-	r := &Reading{q: q, before: before, notes: slices.Clone(q.Summaries)}
-	r.q.Fetch.Limit = 0
+func New(now float64, q Query, parts []Part, before *cursor.Cursor) (*Reader, []Request) {
+	r := &Reader{query: q, before: before, summaries: slices.Clone(q.Summaries)}
+	r.query.Plan.Limit = 0
 	if p := q.Clause.Page; p != nil {
-		r.q.Fetch.Limit = p.Size
+		r.query.Plan.Limit = p.Size
 	}
 	var districts []shardmap.Range
 	var weights []float64
 	for _, p := range parts {
-		districts, weights = append(districts, p.Districts), append(weights, p.Weight)
-		r.slices = append(r.slices, &slice{Part: p, why: completeness.Rejected})
+		districts, weights = append(districts, p.Buckets), append(weights, p.Weight)
+		r.shards = append(r.shards, &shard{Part: p, reason: completeness.Rejected})
 	}
-	plan, asks := fetchplan.New(now, r.q.Fetch, districts, weights)
+	plan, asks := fetchplan.New(now, r.query.Plan, districts, weights)
 	r.plan = plan
-	return r, r.asks(asks)
+	return r, r.requests(asks)
 }
 
-func (r *Reading) asks(list []fetchplan.Request) []Ask {
-	out := make([]Ask, 0, len(list))
+func (r *Reader) requests(list []fetchplan.Request) []Request {
+	out := make([]Request, 0, len(list))
 	for _, a := range list {
-		out = append(out, Ask{a.Buckets, a.Rows, r.after()})
+		out = append(out, Request{a.Buckets, a.Rows, r.after()})
 	}
 	return out
 }
 
-func (r *Reading) after() *merge.Position {
+func (r *Reader) after() *merge.Position {
 	if r.before == nil {
 		return nil
 	}
 	return r.before.After
 }
 
-func (r *Reading) find(d shardmap.Range) *slice {
-	if i := slices.IndexFunc(r.slices, func(s *slice) bool { return s.Districts == d }); i >= 0 {
-		return r.slices[i]
+func (r *Reader) find(d shardmap.Range) *shard {
+	if i := slices.IndexFunc(r.shards, func(s *shard) bool { return s.Buckets == d }); i >= 0 {
+		return r.shards[i]
 	}
 	return nil
 }
 
-// least is the newest data version of any of these districts that the page before read.
-func (r *Reading) least(d shardmap.Range) (v uint64) {
+// minVersion is the newest data version of any of these districts that the page before read.
+func (r *Reader) minVersion(d shardmap.Range) (v uint64) {
 	if r.before == nil {
 		return 0
 	}
@@ -147,130 +147,130 @@
 	return v
 }
 
-// Take takes a node's answer to an ask of so many rows. ErrOlder tells that another replica may do better,
+// RecordAnswer takes a node's answer to an ask of so many rows. ErrOlder tells that another replica may do better,
 // and that the slice is still out; a *merge.Fault that the slice's part has failed and its rows are nowhere.
-func (r *Reading) Take(now float64, a *rows.Answer, asked int) error {
+func (r *Reader) RecordAnswer(now float64, a *rows.Answer, asked int) error {
 	s := r.find(a.Batch.Buckets)
 	if s == nil {
 		return nil // its slice was split or merged meanwhile
 	}
-	if v := r.least(s.Districts); a.Batch.Version < v {
-		s.why = completeness.StaleVersion
-		return fmt.Errorf("%w: %d, not %d", ErrOlder, a.Batch.Version, v)
+	if v := r.minVersion(s.Buckets); a.Batch.Version < v {
+		s.reason = completeness.StaleVersion
+		return fmt.Errorf("%w: %d, not %d", ErrStaleVersion, a.Batch.Version, v)
 	}
-	order, err := merge.NewOrder(a.Batch.Schema, r.q.Clause.SortColumns())
+	order, err := merge.NewOrder(a.Batch.Schema, r.query.Clause.SortColumns())
 	if err == nil {
 		err = order.Validate(&a.Batch, r.after(), asked)
 	}
-	if err == nil && len(r.q.Clause.Aggregate) > 0 && a.Groups == nil {
+	if err == nil && len(r.query.Clause.Aggregate) > 0 && a.Groups == nil {
 		err = &merge.ValidationError{Row: -1, Detail: "no aggregates", Err: merge.ErrSchemaMismatch}
 	}
 	if err != nil {
-		r.spoil(s, err)
+		r.reject(s, err)
 		return err
 	}
-	if !r.plan.RecordAnswer(now, s.Districts, len(a.Batch.Rows), a.Batch.HasMore) {
+	if !r.plan.RecordAnswer(now, s.Buckets, len(a.Batch.Rows), a.Batch.HasMore) {
 		return nil // it was dropped, or this is an answer twice
 	}
 	b := a.Batch
 	s.batch, s.groups, s.Version = &b, a.Groups, max(s.Version, b.Version)
 	if a.Summary != nil {
-		r.notes = append(r.notes, a.Summary)
+		r.summaries = append(r.summaries, a.Summary)
 	}
 	return nil
 }
 
-func (r *Reading) spoil(s *slice, err error) {
-	s.batch, s.why, s.fault = nil, completeness.Malformed, err.Error()
-	r.plan.RecordFailure(s.Districts)
+func (r *Reader) reject(s *shard, err error) {
+	s.batch, s.reason, s.detail = nil, completeness.Malformed, err.Error()
+	r.plan.RecordFailure(s.Buckets)
 }
 
-// Lost tells that a slice cannot be had, and why. A slice of which only an older version came stays missing
+// RecordFailure tells that a slice cannot be had, and why. A slice of which only an older version came stays missing
 // for that.
-func (r *Reading) Lost(d shardmap.Range, why completeness.Reason) {
+func (r *Reader) RecordFailure(d shardmap.Range, why completeness.Reason) {
 	if s := r.find(d); s != nil {
-		if s.batch = nil; s.why != completeness.StaleVersion {
-			s.why = why
+		if s.batch = nil; s.reason != completeness.StaleVersion {
+			s.reason = why
 		}
 		r.plan.RecordFailure(d)
 	}
 }
 
-// Replace follows a split, a merge or a move: what a slice gave does not stand, and its districts are asked
+// Reshard follows a split, a merge or a move: what a slice gave does not stand, and its districts are asked
 // for anew.
-func (r *Reading) Replace(now float64, d shardmap.Range, by []Part) []Ask {
+func (r *Reader) Reshard(now float64, d shardmap.Range, by []Part) []Request {
 	s := r.find(d)
 	if s == nil {
 		return nil
 	}
 	ranges := make([]shardmap.Range, 0, len(by))
 	for _, p := range by {
-		ranges = append(ranges, p.Districts)
+		ranges = append(ranges, p.Buckets)
 	}
 	asks := r.plan.Reshard(now, d, ranges)
 	if asks == nil {
 		return nil
 	}
-	r.slices = slices.DeleteFunc(r.slices, func(x *slice) bool { return x == s })
+	r.shards = slices.DeleteFunc(r.shards, func(x *shard) bool { return x == s })
 	for _, p := range by {
-		p.Weight = s.Weight * float64(p.Districts.Size()) / float64(d.Size())
-		r.slices = append(r.slices, &slice{Part: p, why: completeness.Rejected})
+		p.Weight = s.Weight * float64(p.Buckets.Size()) / float64(d.Size())
+		r.shards = append(r.shards, &shard{Part: p, reason: completeness.Rejected})
 	}
-	return r.asks(asks)
+	return r.requests(asks)
 }
 
 // Step is what to do now.
 type Step struct {
-	Asks     []Ask
-	Drop     []shardmap.Range // waited for no longer
-	Result   *Result          // the page, once it is there
-	Hopeless bool             // there can be no answer
-	At       float64          // else step again at this time at the latest
+	Requests  []Request
+	Abandoned []shardmap.Range // waited for no longer
+	Result    *Result          // the page, once it is there
+	Hopeless  bool             // there can be no answer
+	WakeAt    float64          // else step again at this time at the latest
 }
 
 // Step decides what follows on what has come.
-func (r *Reading) Step(now float64) Step {
+func (r *Reader) Step(now float64) Step {
 	v := r.plan.Decide(now)
 	for _, d := range v.Abandoned {
 		if s := r.find(d); s != nil {
-			s.batch, s.why = nil, completeness.TimedOut
+			s.batch, s.reason = nil, completeness.TimedOut
 		}
 	}
 	if v.Hopeless {
-		return Step{Hopeless: true, Drop: v.Abandoned}
+		return Step{Hopeless: true, Abandoned: v.Abandoned}
 	}
 	if !v.Done {
-		return Step{At: v.WakeAt}
+		return Step{WakeAt: v.WakeAt}
 	}
-	order, batches, total := r.reconcile()
-	if in := r.share(); in < r.q.Fetch.Floor-1e-4 || order == nil {
-		return Step{Hopeless: true, Drop: v.Abandoned}
+	order, batches, total := r.combinable()
+	if in := r.presentWeight(); in < r.query.Plan.Floor-1e-4 || order == nil {
+		return Step{Hopeless: true, Abandoned: v.Abandoned}
 	}
-	page := order.Merge(batches, r.q.Fetch.Limit)
+	page := order.Merge(batches, r.query.Plan.Limit)
 	if asks := r.plan.RequestMore(now, page.NeedMore); len(asks) > 0 {
-		return Step{Asks: r.asks(asks), Drop: v.Abandoned}
+		return Step{Requests: r.requests(asks), Abandoned: v.Abandoned}
 	}
 	out := r.result(order, page)
 	if total != nil {
 		var err error
-		if out.Groups, err = r.figures(total, out.Statement); err != nil {
-			return Step{Hopeless: true, Drop: v.Abandoned} // no figure can be given: never a wrong one in silence
+		if out.Groups, err = r.aggregates(total, out.Report); err != nil {
+			return Step{Hopeless: true, Abandoned: v.Abandoned} // no figure can be given: never a wrong one in silence
 		}
 	}
-	return Step{Result: out, Drop: v.Abandoned}
+	return Step{Result: out, Abandoned: v.Abandoned}
 }
 
-// reconcile finds the columns that most of the weight has, and spoils the slices that have others: of two
+// combinable finds the columns that most of the weight has, and spoils the slices that have others: of two
 // schemas neither is the right one by coming first.
-func (r *Reading) reconcile() (*merge.Order, []*merge.Batch, *merge.Groups) {
+func (r *Reader) combinable() (*merge.Order, []*merge.Batch, *merge.Groups) {
 	type vote struct {
 		schema merge.Schema
 		weight float64
 	}
 	var votes []*vote
-	in := slices.Clone(r.slices)
-	slices.SortFunc(in, func(a, b *slice) int { return cmp.Compare(a.Districts.Start, b.Districts.Start) })
-	in = slices.DeleteFunc(in, func(s *slice) bool { return s.batch == nil || !r.plan.Included(s.Districts) })
+	in := slices.Clone(r.shards)
+	slices.SortFunc(in, func(a, b *shard) int { return cmp.Compare(a.Buckets.Start, b.Buckets.Start) })
+	in = slices.DeleteFunc(in, func(s *shard) bool { return s.batch == nil || !r.plan.Included(s.Buckets) })
 	for _, s := range in {
 		i := slices.IndexFunc(votes, func(v *vote) bool { return v.schema.CheckCompatible(s.batch.Schema) == nil })
 		if i < 0 {
@@ -292,30 +292,30 @@
 	var total *merge.Groups
 	for _, s := range in {
 		if err := best.schema.CheckCompatible(s.batch.Schema); err != nil {
-			r.spoil(s, err)
+			r.reject(s, err)
 			continue
 		}
 		if s.groups != nil {
 			if total == nil {
-				total = merge.NewGroups(s.groups.Columns(), MostGroups)
+				total = merge.NewGroups(s.groups.Columns(), MaxGroups)
 			}
 			if err := total.Combine(s.groups); err != nil {
-				r.spoil(s, err) // a sum that overflows with it, more groups than the bound: without it there is a figure
+				r.reject(s, err) // a sum that overflows with it, more groups than the bound: without it there is a figure
 				continue
 			}
 		}
 		out = append(out, s.batch)
 	}
-	order, err := merge.NewOrder(best.schema, r.q.Clause.SortColumns())
+	order, err := merge.NewOrder(best.schema, r.query.Clause.SortColumns())
 	if err != nil {
 		return nil, nil, nil
 	}
 	return order, out, total
 }
 
-// Of are the aggregated columns of a clause, each once: what nodes are asked for and in which order. ""
+// AggregateColumns are the aggregated columns of a clause, each once: what nodes are asked for and in which order. ""
 // counts rows.
-func Of(c *merge.Clause) (out []string) {
+func AggregateColumns(c *merge.Clause) (out []string) {
 	for _, f := range c.Aggregate {
 		if !slices.Contains(out, f.Column) {
 			out = append(out, f.Column)
@@ -324,10 +324,10 @@
 	return out
 }
 
-// figures are what the client asked for of the groups. Bounds are given where a summary's can be: of all
+// aggregates are what the client asked for of the groups. Bounds are given where a summary's can be: of all
 // rows, with no filter and no group, and of one column.
-func (r *Reading) figures(total *merge.Groups, st *completeness.Report) ([]Group, error) {
-	c, of := r.q.Clause, Of(r.q.Clause)
+func (r *Reader) aggregates(total *merge.Groups, st *completeness.Report) ([]Group, error) {
+	c, of := r.query.Clause, AggregateColumns(r.query.Clause)
 	columns := 0
 	for _, name := range of {
 		if name != "" {
@@ -348,22 +348,22 @@
 		x := Group{Values: g.Values}
 		for _, f := range c.Aggregate {
 			p := g.Partials[slices.Index(of, f.Column)]
-			v, b, err := figure(f, p, st)
+			v, b, err := compute(f, p, st)
 			if err != nil {
 				return nil, err
 			}
 			if !bounded {
 				b = completeness.Bound{}
 			}
-			x.Figures = append(x.Figures, Figure{f.Name, v, b})
+			x.Aggregates = append(x.Aggregates, Aggregate{f.Name, v, b})
 		}
 		out = append(out, x)
 	}
 	return out, nil
 }
 
-// figure is one aggregate and its bound. Quantiles and distinct counts have none while something is missing.
-func figure(f merge.AggregateClause, p *merge.PartialAggregate, st *completeness.Report) (
+// compute is one aggregate and its bound. Quantiles and distinct counts have none while something is missing.
+func compute(f merge.AggregateClause, p *merge.PartialAggregate, st *completeness.Report) (
 	v merge.Value, b completeness.Bound, err error) {
 	sum := 0.0
 	if v, err = p.Sum(); err != nil {
@@ -401,8 +401,8 @@
 	return v, b, err
 }
 
-func (r *Reading) share() (in float64) {
-	for _, s := range r.slices {
+func (r *Reader) presentWeight() (in float64) {
+	for _, s := range r.shards {
 		if s.batch != nil {
 			in += s.Weight
 		}
@@ -411,33 +411,33 @@
 }
 
 // result makes the page and what the next one needs to agree with it.
-func (r *Reading) result(order *merge.Order, page merge.Page) *Result {
+func (r *Reader) result(order *merge.Order, page merge.Page) *Result {
 	var parts []completeness.Part
 	var spans []cursor.Span
-	slices.SortFunc(r.slices, func(a, b *slice) int { return cmp.Compare(a.Districts.Start, b.Districts.Start) })
-	for _, s := range r.slices {
-		p := completeness.Part{Buckets: s.Districts, Weight: s.Weight, Present: s.batch != nil, Version: s.Version,
-			ShardEpoch: s.Since, Reason: s.why, Detail: s.fault}
-		span := cursor.Span{Start: s.Districts.Start, End: s.Districts.End, ShardEpoch: s.Since}
+	slices.SortFunc(r.shards, func(a, b *shard) int { return cmp.Compare(a.Buckets.Start, b.Buckets.Start) })
+	for _, s := range r.shards {
+		p := completeness.Part{Buckets: s.Buckets, Weight: s.Weight, Present: s.batch != nil, Version: s.Version,
+			ShardEpoch: s.ShardEpoch, Reason: s.reason, Detail: s.detail}
+		span := cursor.Span{Start: s.Buckets.Start, End: s.Buckets.End, ShardEpoch: s.ShardEpoch}
 		if p.Present {
 			p.Version, span.Version = s.batch.Version, s.batch.Version
 		}
 		parts, spans = append(parts, p), append(spans, span)
 	}
-	out := &Result{Rows: page.Rows, From: page.Sources, First: 1,
-		Statement: completeness.New(parts, r.notes, r.q.Need)}
+	out := &Result{Rows: page.Rows, Sources: page.Sources, FirstRank: 1,
+		Report: completeness.New(parts, r.summaries, r.query.CompleteFrom)}
 	places := make([]merge.Position, len(page.Rows))
 	for i, x := range page.Rows {
 		places[i] = order.PositionOf(x)
 	}
-	out.Certain, out.Whole = out.Statement.CertainRanks(order, places), out.Statement.Complete
+	out.Certain, out.Complete = out.Report.CertainRanks(order, places), out.Report.Complete
 	sure := true
 	if r.before != nil {
-		out.First = r.before.NextRank
+		out.FirstRank = r.before.NextRank
 		changes := r.before.Changes(spans)
 		out.Back, out.Gone, out.Other = changes.Returned, changes.Lost, changes.Updated
 		changed := len(out.Back)+len(out.Gone)+len(out.Other) > 0
-		out.Whole = out.Whole && !changed
+		out.Complete = out.Complete && !changed
 		// The ranks of this page count on from the ones before: they are no surer than those, and not at all once
 		// the pages before would differ.
 		if sure = r.before.RanksCertain && !changed; !sure {
@@ -446,7 +446,7 @@
 	}
 	if page.HasMore && len(places) > 0 {
 		last := places[len(places)-1]
-		out.Next = &cursor.Cursor{Epoch: r.q.Epoch, NextRank: out.First + len(places), After: &last, Spans: spans,
+		out.Next = &cursor.Cursor{Epoch: r.query.Epoch, NextRank: out.FirstRank + len(places), After: &last, Spans: spans,
 			RanksCertain: sure && !slices.Contains(out.Certain, false)}
 		if r.before != nil {
 			out.Next.Epoch = r.before.Epoch
--- a/internal/results/pageread/reading_test.go
+++ b/internal/results/pageread/reading_test.go
@@ -19,76 +19,76 @@
 
 func init() { _ = flag.Set("rapid.seed", "20261201") }
 
-var table = merge.Schema{{Name: "premium", Kind: merge.Int}}
+var testSchema = merge.Schema{{Name: "premium", Kind: merge.Int}}
 
-// site is a table over districts, cut into slices of which some are silent.
-type site struct {
-	t       require.TestingT
-	o       *merge.Order
-	all     []merge.Row // in order
-	cut     []shardmap.Range
-	since   map[shardmap.Range]uint64
-	version map[shardmap.Range]uint64
-	silent  map[shardmap.Range]bool
-	spoil   func(a *rows.Answer)
-	taken   []error
-	notes   []*completeness.Summary
+// testTable is a table over districts, cut into slices of which some are silent.
+type testTable struct {
+	t            require.TestingT
+	order        *merge.Order
+	rows         []merge.Row // in order
+	shards       []shardmap.Range
+	shardEpochs  map[shardmap.Range]uint64
+	versions     map[shardmap.Range]uint64
+	silent       map[shardmap.Range]bool
+	changeAnswer func(a *rows.Answer)
+	answerErrors []error
+	summaries    []*completeness.Summary
 }
 
-func newSite(t require.TestingT, premiums ...int64) *site {
-	o, err := merge.NewOrder(table, []merge.SortColumn{{Column: "premium"}})
+func newTable(t require.TestingT, premiums ...int64) *testTable {
+	o, err := merge.NewOrder(testSchema, []merge.SortColumn{{Column: "premium"}})
 	require.NoError(t, err)
-	s := &site{t: t, o: o, since: map[shardmap.Range]uint64{}, version: map[shardmap.Range]uint64{},
+	s := &testTable{t: t, order: o, shardEpochs: map[shardmap.Range]uint64{}, versions: map[shardmap.Range]uint64{},
 		silent: map[shardmap.Range]bool{}}
 	for i, p := range premiums { // district i%10
-		s.all = append(s.all, merge.Row{Bucket: i % 10, Key: fmt.Sprintf("%03d", i), Values: []merge.Value{merge.IntOf(p)}})
+		s.rows = append(s.rows, merge.Row{Bucket: i % 10, Key: fmt.Sprintf("%03d", i), Values: []merge.Value{merge.IntOf(p)}})
 	}
-	slices.SortFunc(s.all, func(a, b merge.Row) int { return o.Compare(o.PositionOf(a), o.PositionOf(b)) })
+	slices.SortFunc(s.rows, func(a, b merge.Row) int { return o.Compare(o.PositionOf(a), o.PositionOf(b)) })
 	for i := range 5 {
-		s.cut = append(s.cut, shardmap.Range{Start: 2 * i, End: 2*i + 2})
+		s.shards = append(s.shards, shardmap.Range{Start: 2 * i, End: 2*i + 2})
 	}
 	return s
 }
 
-func (s *site) of(d shardmap.Range, after *merge.Position) (out []merge.Row) {
-	for _, r := range s.all {
-		if d.Start <= r.Bucket && r.Bucket < d.End && (after == nil || s.o.Compare(s.o.PositionOf(r), *after) > 0) {
+func (s *testTable) rowsAfter(d shardmap.Range, after *merge.Position) (out []merge.Row) {
+	for _, r := range s.rows {
+		if d.Start <= r.Bucket && r.Bucket < d.End && (after == nil || s.order.Compare(s.order.PositionOf(r), *after) > 0) {
 			out = append(out, r)
 		}
 	}
 	return out
 }
 
-func (s *site) query(size int) Query {
+func (s *testTable) query(size int) Query {
 	return Query{Clause: &merge.Clause{Rank: []merge.RankColumn{{Column: "premium"}}, Page: &merge.PageClause{Size: size}},
-		Epoch: 41, Need: 1, Summaries: s.notes,
-		Fetch: fetchplan.Options{Floor: 0.1, LatencyObjective: 1000, Deadline: 2000, PartialWorth: 0.9, LateWorth: 0.3, Margin: 20}}
+		Epoch: 41, CompleteFrom: 1, Summaries: s.summaries,
+		Plan: fetchplan.Options{Floor: 0.1, LatencyObjective: 1000, Deadline: 2000, PartialWorth: 0.9, LateWorth: 0.3, Margin: 20}}
 }
 
-// page reads a page to its end.
-func (s *site) page(size int, before *cursor.Cursor) *Result {
+// readPage reads a page to its end.
+func (s *testTable) readPage(size int, before *cursor.Cursor) *Result {
 	var parts []Part
-	for _, d := range s.cut {
-		parts = append(parts, Part{Districts: d, Weight: float64(d.Size()) / 10, Since: s.since[d], Version: s.version[d]})
+	for _, d := range s.shards {
+		parts = append(parts, Part{Buckets: d, Weight: float64(d.Size()) / 10, ShardEpoch: s.shardEpochs[d], Version: s.versions[d]})
 	}
 	now := 0.0
 	r, asks := New(now, s.query(size), parts, before)
 	for range 300 {
 		for _, a := range asks {
 			now++
-			if s.silent[a.Districts] {
+			if s.silent[a.Buckets] {
 				continue
 			}
-			list := s.of(a.Districts, a.After)
+			list := s.rowsAfter(a.Buckets, a.After)
 			n := min(a.Rows, len(list))
-			x := &rows.Answer{Batch: merge.Batch{Buckets: a.Districts, Version: max(s.version[a.Districts], 1), Schema: table,
+			x := &rows.Answer{Batch: merge.Batch{Buckets: a.Buckets, Version: max(s.versions[a.Buckets], 1), Schema: testSchema,
 				Rows: slices.Clone(list[:n]), HasMore: n < len(list)}}
-			if s.spoil != nil {
-				s.spoil(x)
+			if s.changeAnswer != nil {
+				s.changeAnswer(x)
 			}
-			if err := r.Take(now, x, a.Rows); err != nil {
-				if s.taken = append(s.taken, err); x.Batch.Version < s.version[a.Districts] {
-					r.Lost(a.Districts, completeness.Failed) // no replica has a newer one
+			if err := r.RecordAnswer(now, x, a.Rows); err != nil {
+				if s.answerErrors = append(s.answerErrors, err); x.Batch.Version < s.versions[a.Buckets] {
+					r.RecordFailure(a.Buckets, completeness.Failed) // no replica has a newer one
 				}
 			}
 		}
@@ -97,26 +97,26 @@
 		if st.Result != nil {
 			return st.Result
 		}
-		if asks = st.Asks; len(asks) == 0 {
-			require.Greater(s.t, st.At, now)
-			now = st.At
+		if asks = st.Requests; len(asks) == 0 {
+			require.Greater(s.t, st.WakeAt, now)
+			now = st.WakeAt
 		}
 	}
 	require.Fail(s.t, "the page does not end")
 	return nil
 }
 
-func keys(list []merge.Row) (out []string) {
+func keysOf(list []merge.Row) (out []string) {
 	for _, r := range list {
 		out = append(out, r.Key)
 	}
 	return out
 }
 
-var cheap = shardmap.Range{Start: 4, End: 6} // districts 4 and 5
+var cheapestShard = shardmap.Range{Start: 4, End: 6} // districts 4 and 5
 
-// premiums has the cheapest policy in district 4.
-func premiums() (out []int64) {
+// testPremiums has the cheapest policy in district 4.
+func testPremiums() (out []int64) {
 	for i := range 30 {
 		out = append(out, int64(100+i*7%30))
 	}
@@ -126,95 +126,95 @@
 
 // The missing slice holds the cheapest policy: no first place is claimed. It comes back before page two: page two agrees
 // with page one, shows no row twice, and says that page one would now differ.
-func TestSliceThatComesBackBetweenPages(t *testing.T) {
-	s := newSite(t, premiums()...)
-	s.silent[cheap] = true
-	one := s.page(6, nil)
-	require.False(t, one.Whole)
+func TestShardReturnsBetweenPages(t *testing.T) {
+	s := newTable(t, testPremiums()...)
+	s.silent[cheapestShard] = true
+	one := s.readPage(6, nil)
+	require.False(t, one.Complete)
 	require.Equal(t, []bool{false, false, false, false, false, false}, one.Certain, "it might hold the cheapest")
-	require.InDelta(t, 0.8, one.Statement.Weight, 1e-9)
-	require.Equal(t, completeness.TimedOut, one.Statement.Missing[0].Reason)
+	require.InDelta(t, 0.8, one.Report.Weight, 1e-9)
+	require.Equal(t, completeness.TimedOut, one.Report.Missing[0].Reason)
 
-	s.silent[cheap] = false
-	two := s.page(6, one.Next)
-	require.Equal(t, 7, two.First)
+	s.silent[cheapestShard] = false
+	two := s.readPage(6, one.Next)
+	require.Equal(t, 7, two.FirstRank)
 	require.Equal(t, []cursor.Span{{Start: 4, End: 6, Version: 1}}, two.Back)
-	require.False(t, two.Whole)
+	require.False(t, two.Complete)
 	require.NotContains(t, two.Certain, true)
-	seen := append(keys(one.Rows), keys(two.Rows)...)
+	seen := append(keysOf(one.Rows), keysOf(two.Rows)...)
 	require.Len(t, slices.Compact(slices.Sorted(slices.Values(seen))), 12, "no row twice")
 	require.NotContains(t, seen, "004", "what would have come before page two is on no page, and that is said")
-	last := s.o.PositionOf(one.Rows[5])
+	last := s.order.PositionOf(one.Rows[5])
 	var rest []merge.Row
-	for _, r := range s.all {
-		if s.o.Compare(s.o.PositionOf(r), last) > 0 {
+	for _, r := range s.rows {
+		if s.order.Compare(s.order.PositionOf(r), last) > 0 {
 			rest = append(rest, r)
 		}
 	}
-	require.Equal(t, keys(rest[:6]), keys(two.Rows), "none is skipped by rank")
+	require.Equal(t, keysOf(rest[:6]), keysOf(two.Rows), "none is skipped by rank")
 
 	// A summary of its least rules the cheapest out, or does not.
-	s = newSite(t, premiums()...)
-	s.silent[cheap], s.version[cheap], s.since[cheap] = true, 3, 2
-	note := &completeness.Summary{Buckets: cheap, Version: 3, ShardEpoch: 2, Count: 6, FirstRank: []merge.Value{merge.IntOf(104)}}
-	s.notes = []*completeness.Summary{note}
-	one = s.page(6, nil)
+	s = newTable(t, testPremiums()...)
+	s.silent[cheapestShard], s.versions[cheapestShard], s.shardEpochs[cheapestShard] = true, 3, 2
+	note := &completeness.Summary{Buckets: cheapestShard, Version: 3, ShardEpoch: 2, Count: 6, FirstRank: []merge.Value{merge.IntOf(104)}}
+	s.summaries = []*completeness.Summary{note}
+	one = s.readPage(6, nil)
 	require.Equal(t, []bool{true, true, true}, one.Certain[:3], "dearer than the first three")
 	require.False(t, one.Certain[5])
 	note.Version = 2
-	require.False(t, s.page(6, nil).Certain[0], "an older summary is worth nothing")
+	require.False(t, s.readPage(6, nil).Certain[0], "an older summary is worth nothing")
 }
 
 // A slice that was read for page one is gone at page two.
-func TestSliceThatIsGoneAtPageTwo(t *testing.T) {
-	s := newSite(t, premiums()...)
-	one := s.page(6, nil)
-	require.True(t, one.Whole)
+func TestShardIsLostBetweenPages(t *testing.T) {
+	s := newTable(t, testPremiums()...)
+	one := s.readPage(6, nil)
+	require.True(t, one.Complete)
 	require.NotContains(t, one.Certain, false)
-	s.silent[cheap] = true
-	two := s.page(6, one.Next)
+	s.silent[cheapestShard] = true
+	two := s.readPage(6, one.Next)
 	require.Equal(t, []cursor.Span{{Start: 4, End: 6}}, two.Gone)
-	require.False(t, two.Whole)
+	require.False(t, two.Complete)
 	require.NotContains(t, two.Certain, true)
-	require.True(t, s.o.Compare(s.o.PositionOf(one.Rows[5]), s.o.PositionOf(two.Rows[0])) < 0, "it stays in order")
+	require.True(t, s.order.Compare(s.order.PositionOf(one.Rows[5]), s.order.PositionOf(two.Rows[0])) < 0, "it stays in order")
 }
 
 // A replica answers from an older data version than page one's.
-func TestOlderVersionAtPageTwo(t *testing.T) {
-	s := newSite(t, premiums()...)
-	s.version[cheap] = 5
-	one := s.page(6, nil)
-	s.spoil = func(a *rows.Answer) {
-		if a.Batch.Buckets == cheap {
+func TestDataVersionOfPageTwo(t *testing.T) {
+	s := newTable(t, testPremiums()...)
+	s.versions[cheapestShard] = 5
+	one := s.readPage(6, nil)
+	s.changeAnswer = func(a *rows.Answer) {
+		if a.Batch.Buckets == cheapestShard {
 			a.Batch.Version = 4
 		}
 	}
-	two := s.page(6, one.Next)
-	require.ErrorIs(t, s.taken[0], ErrOlder)
-	require.Equal(t, completeness.StaleVersion, two.Statement.Missing[0].Reason, "no replica was better: the slice is missing")
-	s.spoil, s.version[cheap] = nil, 6
-	two = s.page(6, one.Next)
+	two := s.readPage(6, one.Next)
+	require.ErrorIs(t, s.answerErrors[0], ErrStaleVersion)
+	require.Equal(t, completeness.StaleVersion, two.Report.Missing[0].Reason, "no replica was better: the slice is missing")
+	s.changeAnswer, s.versions[cheapestShard] = nil, 6
+	two = s.readPage(6, one.Next)
 	require.Equal(t, []cursor.Span{{Start: 4, End: 6, Version: 6}}, two.Other, "a newer one is read, and said")
 }
 
 // What one slice brings cannot be combined: it is missing by name, and the others are answered.
-func TestSpoiltSliceIsMissingByName(t *testing.T) {
+func TestMalformedAnswerIsReported(t *testing.T) {
 	for name, f := range map[string]func(b *merge.Batch){
 		"out of order":  func(b *merge.Batch) { slices.Reverse(b.Rows) },
 		"other columns": func(b *merge.Batch) { b.Schema = merge.Schema{{Name: "premium", Kind: merge.Int, Currency: "USD"}} },
 		"null":          func(b *merge.Batch) { b.Rows[0].Values = []merge.Value{{}} },
 		"too many":      func(b *merge.Batch) { b.Rows = append(b.Rows, slices.Repeat(b.Rows, 40)...) },
 	} {
-		s := newSite(t, premiums()...)
-		s.spoil = func(a *rows.Answer) {
-			if a.Batch.Buckets == cheap {
+		s := newTable(t, testPremiums()...)
+		s.changeAnswer = func(a *rows.Answer) {
+			if a.Batch.Buckets == cheapestShard {
 				f(&a.Batch)
 			}
 		}
-		one := s.page(6, nil)
-		require.Len(t, one.Statement.Missing, 1, name)
-		require.Equal(t, completeness.Malformed, one.Statement.Missing[0].Reason, name)
-		require.NotEmpty(t, one.Statement.Missing[0].Detail, name)
+		one := s.readPage(6, nil)
+		require.Len(t, one.Report.Missing, 1, name)
+		require.Equal(t, completeness.Malformed, one.Report.Missing[0].Reason, name)
+		require.NotEmpty(t, one.Report.Missing[0].Detail, name)
 		for _, r := range one.Rows {
 			require.False(t, r.Bucket == 4 || r.Bucket == 5, "%s: none of its rows", name)
 		}
@@ -230,33 +230,33 @@
 		for range rapid.IntRange(0, 40).Draw(t, "rows") {
 			p = append(p, int64(rapid.IntRange(0, 9).Draw(t, "premium")))
 		}
-		s := newSite(t, p...)
+		s := newTable(t, p...)
 		var before *cursor.Cursor
 		var got []merge.Row
 		for pages := 0; pages < 60; pages++ {
-			s.cut, s.silent = nil, map[shardmap.Range]bool{}
+			s.shards, s.silent = nil, map[shardmap.Range]bool{}
 			for at := 0; at < 10; {
 				d := shardmap.Range{Start: at, End: at + rapid.IntRange(1, 10-at).Draw(t, "cut")}
-				s.cut, at = append(s.cut, d), d.End
+				s.shards, at = append(s.shards, d), d.End
 				s.silent[d] = d.Start > 0 && rapid.IntRange(0, 9).Draw(t, "silent") == 0
 			}
-			r := s.page(rapid.IntRange(1, 9).Draw(t, "size"), before)
-			require.Equal(t, len(got)+1, r.First)
+			r := s.readPage(rapid.IntRange(1, 9).Draw(t, "size"), before)
+			require.Equal(t, len(got)+1, r.FirstRank)
 			missing := 0
-			for _, d := range s.cut {
+			for _, d := range s.shards {
 				if s.silent[d] {
 					missing++
 				}
 			}
-			require.Equal(t, missing > 0, len(r.Statement.Missing) > 0)
-			require.False(t, r.Whole && missing > 0)
+			require.Equal(t, missing > 0, len(r.Report.Missing) > 0)
+			require.False(t, r.Complete && missing > 0)
 			for i, x := range r.Rows {
 				if len(got) > 0 {
-					require.Negative(t, s.o.Compare(s.o.PositionOf(got[len(got)-1]), s.o.PositionOf(x)))
+					require.Negative(t, s.order.Compare(s.order.PositionOf(got[len(got)-1]), s.order.PositionOf(x)))
 				}
 				if got = append(got, x); r.Certain[i] {
 					certain++
-					require.Equal(t, s.all[r.First+i-1].Key, x.Key)
+					require.Equal(t, s.rows[r.FirstRank+i-1].Key, x.Key)
 				}
 			}
 			if before = r.Next; before == nil {
@@ -270,49 +270,49 @@
 // Slices whose columns only the others show to be wrong count for nothing towards the floor either.
 func TestFloorCountsOnlyWhatCanBeMerged(t *testing.T) {
 	for floor, hopeless := range map[float64]bool{0.6: false, 0.7: true} {
-		q := newSite(t).query(3)
-		q.Fetch.Floor = floor
+		q := newTable(t).query(3)
+		q.Plan.Floor = floor
 		var parts []Part
 		for i := range 5 {
-			parts = append(parts, Part{Districts: shardmap.Range{Start: i, End: i + 1}, Weight: 0.2})
+			parts = append(parts, Part{Buckets: shardmap.Range{Start: i, End: i + 1}, Weight: 0.2})
 		}
 		r, asks := New(0, q, parts, nil)
 		for i, a := range asks {
-			schema := table
+			schema := testSchema
 			if i < 2 { // those that come first are not right for that
 				schema = merge.Schema{{Name: "premium", Kind: merge.Int, Currency: "USD"}}
 			}
-			require.NoError(t, r.Take(1, &rows.Answer{Batch: merge.Batch{Buckets: a.Districts, Version: 1, Schema: schema}}, a.Rows))
+			require.NoError(t, r.RecordAnswer(1, &rows.Answer{Batch: merge.Batch{Buckets: a.Buckets, Version: 1, Schema: schema}}, a.Rows))
 		}
 		st := r.Step(2)
 		require.Equal(t, hopeless, st.Hopeless)
 		if !hopeless {
-			require.Len(t, st.Result.Statement.Missing, 2)
-			require.ErrorContains(t, fmt.Errorf("%s", st.Result.Statement.Missing[0].Detail), merge.ErrCurrencyMismatch.Error())
+			require.Len(t, st.Result.Report.Missing, 2)
+			require.ErrorContains(t, fmt.Errorf("%s", st.Result.Report.Missing[0].Detail), merge.ErrCurrencyMismatch.Error())
 		}
 	}
 }
 
 // Aggregates are over what is in, with a bound where a summary gives one, and a sum that would overflow fails the slice
 // that makes it do so and not the figure.
-func TestFigures(t *testing.T) {
+func TestAggregatesOfACompleteAnswer(t *testing.T) {
 	c, err := merge.ParseClause([]byte(`{"aggregate":[{"name":"n","do":"count"},{"name":"total","do":"sum","of":"premium"},
 		{"name":"least","do":"min","of":"premium"},{"name":"mean","do":"mean","of":"premium"},
 		{"name":"median","do":"quantile","of":"premium","q":0.5},{"name":"kinds","do":"distinct","of":"premium"}]}`))
 	require.NoError(t, err)
-	columns := []merge.Column{{Kind: merge.Int}, table[0]}
+	columns := []merge.Column{{Kind: merge.Int}, testSchema[0]}
 	read := func(values map[int][]int64, notes ...*completeness.Summary) Step {
-		q := newSite(t).query(0)
+		q := newTable(t).query(0)
 		q.Clause, q.Summaries = c, notes
 		var parts []Part
 		for i := range 3 {
-			parts = append(parts, Part{Districts: shardmap.Range{Start: i, End: i + 1}, Weight: 1.0 / 3, Version: 1, Since: 1})
+			parts = append(parts, Part{Buckets: shardmap.Range{Start: i, End: i + 1}, Weight: 1.0 / 3, Version: 1, ShardEpoch: 1})
 		}
 		r, _ := New(0, q, parts, nil)
 		for i, p := range parts {
 			list, in := values[i]
 			if !in {
-				r.Lost(p.Districts, completeness.Failed)
+				r.RecordFailure(p.Buckets, completeness.Failed)
 				continue
 			}
 			g := merge.NewGroups(columns, 1)
@@ -322,43 +322,43 @@
 				require.NoError(t, x.Partials[0].Add(merge.IntOf(0)))
 				require.NoError(t, x.Partials[1].Add(merge.IntOf(v)))
 			}
-			require.NoError(t, r.Take(1, &rows.Answer{Batch: merge.Batch{Buckets: p.Districts, Version: 1, Schema: table},
+			require.NoError(t, r.RecordAnswer(1, &rows.Answer{Batch: merge.Batch{Buckets: p.Buckets, Version: 1, Schema: testSchema},
 				Groups: g}, 0))
 		}
 		return r.Step(2)
 	}
-	figures := func(st Step) map[string]Figure {
+	figures := func(st Step) map[string]Aggregate {
 		require.NotNil(t, st.Result)
 		require.Len(t, st.Result.Groups, 1)
-		out := map[string]Figure{}
-		for _, f := range st.Result.Groups[0].Figures {
+		out := map[string]Aggregate{}
+		for _, f := range st.Result.Groups[0].Aggregates {
 			out[f.Name] = f
 		}
 		return out
 	}
 	exact := func(x float64) completeness.Bound { return completeness.Bound{Known: true, Low: x, High: x} }
 	f := figures(read(map[int][]int64{0: {5, 7}, 1: {}, 2: {3, 3, 2}}))
-	require.Equal(t, Figure{"n", merge.IntOf(5), exact(5)}, f["n"])
-	require.Equal(t, Figure{"total", merge.IntOf(20), exact(20)}, f["total"])
-	require.Equal(t, Figure{"least", merge.IntOf(2), exact(2)}, f["least"])
-	require.Equal(t, Figure{"mean", merge.FloatOf(4), exact(4)}, f["mean"])
+	require.Equal(t, Aggregate{"n", merge.IntOf(5), exact(5)}, f["n"])
+	require.Equal(t, Aggregate{"total", merge.IntOf(20), exact(20)}, f["total"])
+	require.Equal(t, Aggregate{"least", merge.IntOf(2), exact(2)}, f["least"])
+	require.Equal(t, Aggregate{"mean", merge.FloatOf(4), exact(4)}, f["mean"])
 	require.InEpsilon(t, 3, f["median"].Value.Float, 2*merge.QuantileAccuracy)
 	require.Equal(t, merge.IntOf(4), f["kinds"].Value)
 
 	f = figures(read(map[int][]int64{0: {5, 7}, 2: {3}}))
-	require.Equal(t, Figure{"total", merge.IntOf(15), completeness.Bound{}}, f["total"], "nothing is known of what is missing")
+	require.Equal(t, Aggregate{"total", merge.IntOf(15), completeness.Bound{}}, f["total"], "nothing is known of what is missing")
 	require.False(t, f["least"].Bound.Known)
 	note := &completeness.Summary{Buckets: shardmap.Range{Start: 1, End: 2}, Version: 1, ShardEpoch: 1, Count: 2, Min: 1, Max: 4, Sum: 5,
 		FirstRank: []merge.Value{}}
 	f = figures(read(map[int][]int64{0: {5, 7}, 2: {3}}, note))
 	require.Equal(t, exact(20), f["total"].Bound)
 	require.Equal(t, exact(5), f["n"].Bound)
-	require.Equal(t, Figure{"least", merge.IntOf(3), exact(1)}, f["least"], "the least that is in, and the least that is")
+	require.Equal(t, Aggregate{"least", merge.IntOf(3), exact(1)}, f["least"], "the least that is in, and the least that is")
 	require.False(t, f["median"].Bound.Known)
 
 	st := read(map[int][]int64{0: {1 << 62}, 1: {1 << 62}, 2: {3}})
 	f = figures(st)
 	require.Equal(t, merge.IntOf(1<<62+3), f["total"].Value)
-	require.Len(t, st.Result.Statement.Missing, 1)
-	require.Contains(t, st.Result.Statement.Missing[0].Detail, "overflows")
+	require.Len(t, st.Result.Report.Missing, 1)
+	require.Contains(t, st.Result.Report.Missing[0].Detail, "overflows")
 }
