--- a/internal/results/pageread/aggregates.go
+++ b/internal/results/pageread/aggregates.go
@@ -7,21 +7,20 @@
 	"ternstage/internal/results/merge"
 )
 
-// Group is the figures of one group.
+// Group is the aggregates of one group, in the order of the clause.
 type Group struct {
-	Values     []merge.Value
+	Values     []merge.Value // of the columns by which rows are grouped
 	Aggregates []Aggregate
 }
 
-// Aggregate is one aggregate over what is in, and between what that over all rows lies, where that is known.
+// Aggregate is one aggregate over the rows that are present, and its bound over all rows.
 type Aggregate struct {
 	Name  string
 	Value merge.Value
 	Bound completeness.Bound
 }
 
-// aggregates are what the client asked for of the groups. Bounds are given where a summary's can be: of all
-// rows, with no filter and no group, and of one column.
+// aggregates computes what the clause asks for of combined groups.
 func (r *Reader) aggregates(total *merge.Groups, st *completeness.Report) ([]Group, error) {
 	c, of := r.query.Clause, AggregateColumns(r.query.Clause)
 	columns := 0
@@ -58,7 +57,8 @@
 	return out, nil
 }
 
-// compute is one aggregate and its bound. Quantiles and distinct counts have none while something is missing.
+// compute computes one aggregate and its bound. While parts are missing, quantiles and distinct counts have no bound;
+// neither have aggregates of texts but the count.
 func compute(f merge.AggregateClause, p *merge.PartialAggregate, st *completeness.Report) (
 	v merge.Value, b completeness.Bound, err error) {
 	sum := 0.0
--- a/internal/results/pageread/aggregates_test.go
+++ b/internal/results/pageread/aggregates_test.go
@@ -11,8 +11,6 @@
 	"ternstage/internal/results/rows"
 )
 
-// Aggregates are over what is in, with a bound where a summary gives one, and a sum that would overflow fails the slice
-// that makes it do so and not the figure.
 func TestAggregatesOfACompleteAnswer(t *testing.T) {
 	c, err := merge.ParseClause([]byte(`{"aggregate":[{"name":"n","do":"count"},{"name":"total","do":"sum","of":"premium"},
 		{"name":"least","do":"min","of":"premium"},{"name":"mean","do":"mean","of":"premium"},
--- a/internal/results/pageread/combine.go
+++ b/internal/results/pageread/combine.go
@@ -10,8 +10,9 @@
 // MaxGroups bounds the groups of an answer.
 const MaxGroups = 1000
 
-// combinable finds the columns that most of the weight has, and spoils the slices that have others: of two
-// schemas neither is the right one by coming first.
+// combinable finds what can be merged of all shards that are included, and rejects the others: those with another
+// schema than most of the weight has, and those with which a sum overflows or there are too many groups. ok is false if
+// nothing can be merged.
 func (r *Reader) combinable() (*merge.Order, []*merge.Batch, *merge.Groups) {
 	type vote struct {
 		schema merge.Schema
--- a/internal/results/pageread/combine_test.go
+++ b/internal/results/pageread/combine_test.go
@@ -13,7 +13,7 @@
 	"ternstage/internal/results/rows"
 )
 
-// What one slice brings cannot be combined: it is missing by name, and the others are answered.
+// A shard whose answer cannot be combined is missing, with the reason, and the others are answered.
 func TestMalformedAnswerIsReported(t *testing.T) {
 	for name, f := range map[string]func(b *merge.Batch){
 		"out of order":  func(b *merge.Batch) { slices.Reverse(b.Rows) },
@@ -37,7 +37,7 @@
 	}
 }
 
-// Slices whose columns only the others show to be wrong count for nothing towards the floor either.
+// Shards with another schema than most of the weight do not count towards the floor, also if they answer first.
 func TestFloorCountsOnlyWhatCanBeMerged(t *testing.T) {
 	for floor, hopeless := range map[float64]bool{0.6: false, 0.7: true} {
 		q := newTable(t).query(3)
--- a/internal/results/pageread/doc.go
+++ b/internal/results/pageread/doc.go
@@ -1,5 +1,18 @@
-// Package pageread carries one page of one query from its first asks to its answer: it puts the plan, the
-// merge and the statement of completeness together. It has no I/O and no clock. Core asks nodes for what it
-// wants and tells it what came; which replica, whether to try again and whether the query is refused stay
-// with the decision module.
+// Package pageread reads one page of one query, from its first requests to its result. It joins the plan (fetchplan),
+// the merge (merge), the report of completeness (completeness) and the cursor of the next page (cursor). It does no I/O
+// and reads no clock: times are ms that the caller passes.
+//
+//	reader, requests := pageread.New(now, query, parts, before)
+//	for {
+//		// Send the requests; tell the reader what comes, with RecordAnswer, RecordFailure and Reshard.
+//		step := reader.Step(now)
+//		if step.Result != nil || step.Hopeless {
+//			break
+//		}
+//		requests = step.Requests // if there are none, step again on the next answer, or at step.WakeAt
+//	}
+//
+// Which replica is asked, whether an attempt is retried and whether a query is rejected is for the caller to decide.
+//
+// Weights are shares of the query's weight. A Reader is not safe for concurrent use.
 package pageread
--- a/internal/results/pageread/fixture_test.go
+++ b/internal/results/pageread/fixture_test.go
@@ -15,11 +15,12 @@
 	"ternstage/internal/results/rows"
 )
 
+// A fixed seed makes every run draw the same cases; -rapid.seed=0 on the command line draws new ones.
 func init() { _ = flag.Set("rapid.seed", "20261201") }
 
 var testSchema = merge.Schema{{Name: "premium", Kind: merge.Int}}
 
-// testTable is a table over districts, cut into slices of which some are silent.
+// testTable is a table of ten buckets and the backends that hold its shards.
 type testTable struct {
 	t            require.TestingT
 	order        *merge.Order
@@ -33,6 +34,7 @@
 	summaries    []*completeness.Summary
 }
 
+// newTable makes a table of five shards with a row for each premium; row i is of bucket i modulo 10.
 func newTable(t require.TestingT, premiums ...int64) *testTable {
 	o, err := merge.NewOrder(testSchema, []merge.SortColumn{{Column: "premium"}})
 	require.NoError(t, err)
@@ -48,6 +50,7 @@
 	return s
 }
 
+// rowsAfter are the rows of some buckets after a position, or from the first if that is nil.
 func (s *testTable) rowsAfter(d shardmap.Range, after *merge.Position) (out []merge.Row) {
 	for _, r := range s.rows {
 		if d.Start <= r.Bucket && r.Bucket < d.End && (after == nil || s.order.Compare(s.order.PositionOf(r), *after) > 0) {
@@ -63,7 +66,7 @@
 		Plan: fetchplan.Options{Floor: 0.1, LatencyObjective: 1000, Deadline: 2000, PartialWorth: 0.9, LateWorth: 0.3, Margin: 20}}
 }
 
-// readPage reads a page to its end.
+// readPage reads a page to its end. Requests are answered 1 ms after each other.
 func (s *testTable) readPage(size int, before *cursor.Cursor) *Result {
 	var parts []Part
 	for _, d := range s.shards {
@@ -111,9 +114,10 @@
 	return out
 }
 
-var cheapestShard = shardmap.Range{Start: 4, End: 6} // districts 4 and 5
+// cheapestShard is the shard of buckets 4 and 5.
+var cheapestShard = shardmap.Range{Start: 4, End: 6}
 
-// testPremiums has the cheapest policy in district 4.
+// testPremiums are 30 premiums with the lowest, of key 004, in the cheapest shard.
 func testPremiums() (out []int64) {
 	for i := range 30 {
 		out = append(out, int64(100+i*7%30))
--- a/internal/results/pageread/query.go
+++ b/internal/results/pageread/query.go
@@ -10,37 +10,37 @@
 	"ternstage/internal/results/merge"
 )
 
-// Part is districts that one slice holds.
+// Part is the part of the query that one shard answers.
 type Part struct {
 	Buckets    shardmap.Range
 	Weight     float64
-	ShardEpoch uint64 // epoch of the slice's last change
-	Version    uint64 // the newest data version that anybody has told of; 0 if nobody has
+	ShardEpoch uint64 // epoch of the shard's last change
+	Version    uint64 // newest data version known; 0 if none is
 }
 
 // Query is what is read.
 type Query struct {
 	Clause       *merge.Clause
-	Epoch        uint64 // of the map by which this page begins
-	CompleteFrom float64
-	Plan         fetchplan.Options // its limit is the clause's
+	Epoch        uint64            // of the shard map by which this page begins
+	CompleteFrom float64           // weight of a complete answer
+	Plan         fetchplan.Options // but for Limit, which is the clause's
 	Summaries    []*completeness.Summary
 }
 
-// Request is what a node is to be asked for: so many rows after a place, all that were asked for before included,
-// so that one answer stands for itself, whatever data version it is of.
+// Request is what to request of a shard: the first rows after a position, those requested before included, so that one
+// answer is of one data version.
 type Request struct {
 	Buckets shardmap.Range
 	Rows    int
-	After   *merge.Position
+	After   *merge.Position // nil on the first page
 }
 
-// ErrStaleVersion tells that a node answered from an older data version than the page before read: another replica
-// may have the newer one.
+// ErrStaleVersion is wrapped by the error for an answer of an older data version than the page before read. Another
+// replica may have the newer one.
 var ErrStaleVersion = errors.New("an older data version than the page before")
 
-// AggregateColumns are the aggregated columns of a clause, each once: what nodes are asked for and in which order. ""
-// counts rows.
+// AggregateColumns are the columns that a clause aggregates, each once; "" counts rows. Backends send aggregates in
+// this order.
 func AggregateColumns(c *merge.Clause) (out []string) {
 	for _, f := range c.Aggregate {
 		if !slices.Contains(out, f.Column) {
--- a/internal/results/pageread/reader.go
+++ b/internal/results/pageread/reader.go
@@ -12,24 +12,25 @@
 	"ternstage/internal/results/rows"
 )
 
+// shard is a part and what its shard has answered.
 type shard struct {
 	Part
-	batch  *merge.Batch
-	groups *merge.Groups
-	reason completeness.Reason
-	detail string
+	batch  *merge.Batch        // nil while it is missing
+	groups *merge.Groups       // of the batch's answer
+	reason completeness.Reason // while batch is nil: why
+	detail string              // of a malformed answer
 }
 
-// Reader is one page that is being read.
+// Reader reads one page.
 type Reader struct {
 	query     Query
-	before    *cursor.Cursor // of the page before; nil for the first
+	before    *cursor.Cursor // of the page before; nil on the first
 	plan      *fetchplan.Plan
 	shards    []*shard
-	summaries []*completeness.Summary
+	summaries []*completeness.Summary // of the query, and those that came with answers
 }
 
-// New begins a page: the first, or what comes after a cursor.
+// New begins to read a page: the first, or that after a cursor. It returns the first requests.
 func New(now float64, q Query, parts []Part, before *cursor.Cursor) (*Reader, []Request) {
 	r := &Reader{query: q, before: before, summaries: slices.Clone(q.Summaries)}
 	r.query.Plan.Limit = 0
@@ -47,6 +48,7 @@
 	return r, r.requests(asks)
 }
 
+// requests adds the position after which the page starts to requests of the plan.
 func (r *Reader) requests(list []fetchplan.Request) []Request {
 	out := make([]Request, 0, len(list))
 	for _, a := range list {
@@ -55,6 +57,7 @@
 	return out
 }
 
+// after is the position after which the page starts; nil on the first page.
 func (r *Reader) after() *merge.Position {
 	if r.before == nil {
 		return nil
@@ -62,6 +65,7 @@
 	return r.before.After
 }
 
+// find is the shard with exactly these buckets, or nil.
 func (r *Reader) find(d shardmap.Range) *shard {
 	if i := slices.IndexFunc(r.shards, func(s *shard) bool { return s.Buckets == d }); i >= 0 {
 		return r.shards[i]
@@ -69,7 +73,7 @@
 	return nil
 }
 
-// minVersion is the newest data version of any of these districts that the page before read.
+// minVersion is the newest data version at which the page before read any of some buckets; 0 if it read none of them.
 func (r *Reader) minVersion(d shardmap.Range) (v uint64) {
 	if r.before == nil {
 		return 0
@@ -82,8 +86,9 @@
 	return v
 }
 
-// RecordAnswer takes a node's answer to an ask of so many rows. ErrOlder tells that another replica may do better,
-// and that the slice is still out; a *merge.Fault that the slice's part has failed and its rows are nowhere.
+// RecordAnswer records a backend's answer to a request for requested rows. An answer that is no longer wanted is
+// ignored. An error that wraps ErrStaleVersion leaves the shard in flight, so that another replica can be asked. After
+// any other error, a *merge.ValidationError, the shard is missing, and none of its rows are merged.
 func (r *Reader) RecordAnswer(now float64, a *rows.Answer, asked int) error {
 	s := r.find(a.Batch.Buckets)
 	if s == nil {
@@ -115,13 +120,14 @@
 	return nil
 }
 
+// reject makes a shard missing because of its answer.
 func (r *Reader) reject(s *shard, err error) {
 	s.batch, s.reason, s.detail = nil, completeness.Malformed, err.Error()
 	r.plan.RecordFailure(s.Buckets)
 }
 
-// RecordFailure tells that a slice cannot be had, and why. A slice of which only an older version came stays missing
-// for that.
+// RecordFailure records that a shard cannot be read, and why. If only a stale version of it came, that stays the
+// reason.
 func (r *Reader) RecordFailure(d shardmap.Range, why completeness.Reason) {
 	if s := r.find(d); s != nil {
 		if s.batch = nil; s.reason != completeness.StaleVersion {
@@ -131,8 +137,8 @@
 	}
 }
 
-// Reshard follows a split, a merge or a move: what a slice gave does not stand, and its districts are asked
-// for anew.
+// Reshard replaces a shard by those that hold its buckets after a split, merge or move, and returns the requests for
+// these. What the old shard gave no longer counts.
 func (r *Reader) Reshard(now float64, d shardmap.Range, by []Part) []Request {
 	s := r.find(d)
 	if s == nil {
--- a/internal/results/pageread/result.go
+++ b/internal/results/pageread/result.go
@@ -24,7 +24,8 @@
 	Back, Gone, Other []cursor.Span
 }
 
-// result makes the page and what the next one needs to agree with it.
+// result makes the result of a final page. A page's ranks continue those of the pages before, so they are certain only
+// if these were and nothing has changed since: a shard that has returned may hold rows that belong before them.
 func (r *Reader) result(order *merge.Order, page merge.Page) *Result {
 	var parts []completeness.Part
 	var spans []cursor.Span
--- a/internal/results/pageread/result_test.go
+++ b/internal/results/pageread/result_test.go
@@ -14,8 +14,8 @@
 	"ternstage/internal/results/rows"
 )
 
-// The missing slice holds the cheapest policy: no first place is claimed. It comes back before page two: page two agrees
-// with page one, shows no row twice, and says that page one would now differ.
+// The shard with the lowest premium is missing from page one, which so has no certain rank, and returns before page two.
+// Page two continues page one, repeats no row, and says that page one would now differ.
 func TestShardReturnsBetweenPages(t *testing.T) {
 	s := newTable(t, testPremiums()...)
 	s.silent[cheapestShard] = true
@@ -55,7 +55,6 @@
 	require.False(t, s.readPage(6, nil).Certain[0], "an older summary is worth nothing")
 }
 
-// A slice that was read for page one is gone at page two.
 func TestShardIsLostBetweenPages(t *testing.T) {
 	s := newTable(t, testPremiums()...)
 	one := s.readPage(6, nil)
@@ -69,7 +68,7 @@
 	require.True(t, s.order.Compare(s.order.PositionOf(one.Rows[5]), s.order.PositionOf(two.Rows[0])) < 0, "it stays in order")
 }
 
-// A replica answers from an older data version than page one's.
+// On page two a replica answers at an older data version than page one read, then at a newer one.
 func TestDataVersionOfPageTwo(t *testing.T) {
 	s := newTable(t, testPremiums()...)
 	s.versions[cheapestShard] = 5
@@ -87,8 +86,8 @@
 	require.Equal(t, []cursor.Span{{Start: 4, End: 6, Version: 6}}, two.Other, "a newer one is read, and said")
 }
 
-// Over any table, with slices cut anew and silent at random between pages, no row is shown twice, order holds over all
-// pages, a rank that is called certain is the true one, and whole is said only of what is whole.
+// Over any table, with shards split anew and silent at random between pages, no row is repeated, all pages are in order,
+// a certain rank is the true one, and only a complete page is reported as complete.
 func TestPagesAgree(t *testing.T) {
 	certain := 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/results/pageread/step.go
+++ b/internal/results/pageread/step.go
@@ -5,16 +5,16 @@
 	"ternstage/internal/results/completeness"
 )
 
-// Step is what to do now.
+// Step is what to do next.
 type Step struct {
 	Requests  []Request
-	Abandoned []shardmap.Range // waited for no longer
-	Result    *Result          // the page, once it is there
+	Abandoned []shardmap.Range // shards that are no longer waited for
+	Result    *Result          // the page, once it is final
 	Hopeless  bool             // there can be no answer
-	WakeAt    float64          // else step again at this time at the latest
+	WakeAt    float64          // ms; without requests, result or Hopeless: step again at this time at the latest
 }
 
-// Step decides what follows on what has come.
+// Step decides what follows from what has been recorded.
 func (r *Reader) Step(now float64) Step {
 	v := r.plan.Decide(now)
 	for _, d := range v.Abandoned {
@@ -46,6 +46,7 @@
 	return Step{Result: out, Abandoned: v.Abandoned}
 }
 
+// presentWeight is the weight of the shards that are not missing.
 func (r *Reader) presentWeight() (in float64) {
 	for _, s := range r.shards {
 		if s.batch != nil {
