--- a/internal/results/pageread/aggregates.go
+++ b/internal/results/pageread/aggregates.go
@@ -21,78 +21,89 @@
 }
 
 // aggregates computes what the clause asks for of combined groups.
-func (r *Reader) aggregates(total *merge.Groups, st *completeness.Report) ([]Group, error) {
-	c, of := r.query.Clause, AggregateColumns(r.query.Clause)
-	columns := 0
-	for _, name := range of {
-		if name != "" {
-			columns++
-		}
-	}
-	bounded := len(st.Missing) == 0 || len(c.Filter) == 0 && len(c.Group) == 0 && columns <= 1
-	list := total.Sorted()
-	if len(list) == 0 && len(c.Group) == 0 { // of no rows at all there is one group of nothing
-		g, err := total.GetOrCreate(nil)
+func (r *Reader) aggregates(combined *merge.Groups, report *completeness.Report) ([]Group, error) {
+	clause := r.query.Clause
+	columns := AggregateColumns(clause)
+	bounded := len(report.Missing) == 0 || summariesBound(clause, columns)
+	sorted := combined.Sorted()
+	if len(sorted) == 0 && len(clause.Group) == 0 { // without grouping there is one group, also of no rows
+		group, err := combined.GetOrCreate(nil)
 		if err != nil {
 			return nil, err
 		}
-		list = append(list, g)
+		sorted = append(sorted, group)
 	}
-	out := make([]Group, 0, len(list))
-	for _, g := range list {
-		x := Group{Values: g.Values}
-		for _, f := range c.Aggregate {
-			p := g.Partials[slices.Index(of, f.Column)]
-			v, b, err := compute(f, p, st)
+	groups := make([]Group, 0, len(sorted))
+	for _, group := range sorted {
+		computed := Group{Values: group.Values}
+		for i := range clause.Aggregate {
+			asked := &clause.Aggregate[i]
+			partial := group.Partials[slices.Index(columns, asked.Column)]
+			value, bound, err := compute(asked, partial, report)
 			if err != nil {
 				return nil, err
 			}
 			if !bounded {
-				b = completeness.Bound{}
+				bound = completeness.Bound{}
 			}
-			x.Aggregates = append(x.Aggregates, Aggregate{f.Name, v, b})
+			computed.Aggregates = append(computed.Aggregates, Aggregate{Name: asked.Name, Value: value, Bound: bound})
+		}
+		groups = append(groups, computed)
+	}
+	return groups, nil
+}
+
+// summariesBound reports whether summaries can bound the aggregates of a clause: they are of all rows of a shard, so it
+// must neither filter nor group, and of one column.
+func summariesBound(clause *merge.Clause, columns []string) bool {
+	named := 0
+	for _, column := range columns {
+		if column != "" {
+			named++
 		}
-		out = append(out, x)
 	}
-	return out, nil
+	return len(clause.Filter) == 0 && len(clause.Group) == 0 && named <= 1
 }
 
 // compute computes one aggregate and its bound. While parts are missing, quantiles and distinct counts have no bound;
 // neither have aggregates of texts but the count.
-func compute(f merge.AggregateClause, p *merge.PartialAggregate, st *completeness.Report) (
-	v merge.Value, b completeness.Bound, err error) {
-	sum := 0.0
-	if v, err = p.Sum(); err != nil {
-		return v, b, err
-	}
-	if sum = v.Float; v.Kind == merge.Int {
-		sum = float64(v.Int)
+func compute(asked *merge.AggregateClause, partial *merge.PartialAggregate, report *completeness.Report) (
+	value merge.Value, bound completeness.Bound, err error) {
+	sumValue, err := partial.Sum()
+	if err != nil {
+		return merge.Value{}, completeness.Bound{}, err
 	}
-	number := func(x merge.Value) float64 {
-		if x.Kind == merge.Int {
-			return float64(x.Int)
-		}
-		return x.Float
+	sum := number(sumValue)
+	value = sumValue
+	switch asked.Function {
+	case merge.FunctionCount:
+		return merge.IntOf(int64(partial.Count)), report.CountBound(partial.Count), nil
+	case merge.FunctionSum:
+		bound = report.SumBound(sum)
+	case merge.FunctionMin:
+		value = partial.Min
+		bound = report.MinBound(number(partial.Min), partial.Count > 0)
+	case merge.FunctionMax:
+		value = partial.Max
+		bound = report.MaxBound(number(partial.Max), partial.Count > 0)
+	case merge.FunctionMean:
+		value, err = partial.Mean()
+		bound = report.MeanBound(sum, partial.Count)
+	case merge.FunctionQuantile:
+		value, err = partial.Quantile(*asked.Quantile)
+	case merge.FunctionDistinct:
+		value = merge.IntOf(int64(partial.Distinct()))
 	}
-	switch f.Function {
-	case "count":
-		return merge.IntOf(int64(p.Count)), st.CountBound(p.Count), nil
-	case "sum":
-		b = st.SumBound(sum)
-	case "min":
-		v, b = p.Min, st.MinBound(number(p.Min), p.Count > 0)
-	case "max":
-		v, b = p.Max, st.MaxBound(number(p.Max), p.Count > 0)
-	case "mean":
-		v, err = p.Mean()
-		b = st.MeanBound(sum, p.Count)
-	case "quantile":
-		v, err = p.Quantile(*f.Quantile)
-	case "distinct":
-		v = merge.IntOf(int64(p.Distinct()))
+	if value.Kind == merge.Text {
+		bound = completeness.Bound{}
 	}
-	if v.Kind == merge.Text {
-		b = completeness.Bound{}
+	return value, bound, err
+}
+
+// number is a value as a float; 0 for null and texts.
+func number(value merge.Value) float64 {
+	if value.Kind == merge.Int {
+		return float64(value.Int)
 	}
-	return v, b, err
+	return value.Float
 }
--- a/internal/results/pageread/aggregates_test.go
+++ b/internal/results/pageread/aggregates_test.go
@@ -11,70 +11,89 @@
 	"ternstage/internal/results/rows"
 )
 
-func TestAggregatesOfACompleteAnswer(t *testing.T) {
-	c, err := merge.ParseClause([]byte(`{"aggregate":[{"name":"n","do":"count"},{"name":"total","do":"sum","of":"premium"},
-		{"name":"least","do":"min","of":"premium"},{"name":"mean","do":"mean","of":"premium"},
-		{"name":"median","do":"quantile","of":"premium","q":0.5},{"name":"kinds","do":"distinct","of":"premium"}]}`))
+const aggregateClause = `{"aggregate":[{"name":"n","do":"count"},{"name":"total","do":"sum","of":"premium"},
+	{"name":"least","do":"min","of":"premium"},{"name":"mean","do":"mean","of":"premium"},
+	{"name":"median","do":"quantile","of":"premium","q":0.5},{"name":"kinds","do":"distinct","of":"premium"}]}`
+
+// aggregateThree reads the aggregates of three shards with the premiums given by bucket; one without any entry fails.
+func aggregateThree(t *testing.T, premiums map[int][]int64, summaries ...*completeness.Summary) *Result {
+	t.Helper()
+	clause, err := merge.ParseClause([]byte(aggregateClause))
 	require.NoError(t, err)
-	columns := []merge.Column{{Kind: merge.Int}, testSchema[0]}
-	read := func(values map[int][]int64, notes ...*completeness.Summary) Step {
-		q := newTable(t).query(0)
-		q.Clause, q.Summaries = c, notes
-		var parts []Part
-		for i := range 3 {
-			parts = append(parts, Part{Buckets: shardmap.Range{Start: i, End: i + 1}, Weight: 1.0 / 3, Version: 1, ShardEpoch: 1})
+	query := newTable(t).query(0)
+	query.Clause = clause
+	query.Summaries = summaries
+	var parts []Part
+	for i := range 3 {
+		parts = append(parts, Part{Buckets: shardmap.Range{Start: i, End: i + 1}, Weight: 1.0 / 3, Version: 1,
+			ShardEpoch: 1})
+	}
+	reader, _ := New(0, query, parts, nil)
+	for i, part := range parts {
+		ofShard, ok := premiums[i]
+		if !ok {
+			reader.RecordFailure(part.Buckets, completeness.Failed)
+			continue
 		}
-		r, _ := New(0, q, parts, nil)
-		for i, p := range parts {
-			list, in := values[i]
-			if !in {
-				r.RecordFailure(p.Buckets, completeness.Failed)
-				continue
-			}
-			g := merge.NewGroups(columns, 1)
-			x, err := g.GetOrCreate(nil)
-			require.NoError(t, err)
-			for _, v := range list {
-				require.NoError(t, x.Partials[0].Add(merge.IntOf(0)))
-				require.NoError(t, x.Partials[1].Add(merge.IntOf(v)))
-			}
-			require.NoError(t, r.RecordAnswer(1, &rows.Answer{Batch: merge.Batch{Buckets: p.Buckets, Version: 1, Schema: testSchema},
-				Groups: g}, 0))
+		groups := merge.NewGroups([]merge.Column{{Kind: merge.Int}, testSchema[0]}, 1)
+		group, err := groups.GetOrCreate(nil)
+		require.NoError(t, err)
+		for _, premium := range ofShard {
+			require.NoError(t, group.Partials[0].Add(merge.IntOf(0)))
+			require.NoError(t, group.Partials[1].Add(merge.IntOf(premium)))
 		}
-		return r.Step(2)
+		answer := &rows.Answer{Batch: merge.Batch{Buckets: part.Buckets, Version: 1, Schema: testSchema}, Groups: groups}
+		require.NoError(t, reader.RecordAnswer(1, answer, 0))
 	}
-	figures := func(st Step) map[string]Aggregate {
-		require.NotNil(t, st.Result)
-		require.Len(t, st.Result.Groups, 1)
-		out := map[string]Aggregate{}
-		for _, f := range st.Result.Groups[0].Aggregates {
-			out[f.Name] = f
-		}
-		return out
+	step := reader.Step(2)
+	require.NotNil(t, step.Result)
+	return step.Result
+}
+
+// aggregatesByName are the aggregates of a result's only group.
+func aggregatesByName(t *testing.T, result *Result) map[string]Aggregate {
+	t.Helper()
+	require.Len(t, result.Groups, 1)
+	byName := map[string]Aggregate{}
+	for _, aggregate := range result.Groups[0].Aggregates {
+		byName[aggregate.Name] = aggregate
 	}
-	exact := func(x float64) completeness.Bound { return completeness.Bound{Known: true, Low: x, High: x} }
-	f := figures(read(map[int][]int64{0: {5, 7}, 1: {}, 2: {3, 3, 2}}))
-	require.Equal(t, Aggregate{"n", merge.IntOf(5), exact(5)}, f["n"])
-	require.Equal(t, Aggregate{"total", merge.IntOf(20), exact(20)}, f["total"])
-	require.Equal(t, Aggregate{"least", merge.IntOf(2), exact(2)}, f["least"])
-	require.Equal(t, Aggregate{"mean", merge.FloatOf(4), exact(4)}, f["mean"])
-	require.InEpsilon(t, 3, f["median"].Value.Float, 2*merge.QuantileAccuracy)
-	require.Equal(t, merge.IntOf(4), f["kinds"].Value)
+	return byName
+}
 
-	f = figures(read(map[int][]int64{0: {5, 7}, 2: {3}}))
-	require.Equal(t, Aggregate{"total", merge.IntOf(15), completeness.Bound{}}, f["total"], "nothing is known of what is missing")
-	require.False(t, f["least"].Bound.Known)
-	note := &completeness.Summary{Buckets: shardmap.Range{Start: 1, End: 2}, Version: 1, ShardEpoch: 1, Count: 2, Min: 1, Max: 4, Sum: 5,
-		FirstRank: []merge.Value{}}
-	f = figures(read(map[int][]int64{0: {5, 7}, 2: {3}}, note))
-	require.Equal(t, exact(20), f["total"].Bound)
-	require.Equal(t, exact(5), f["n"].Bound)
-	require.Equal(t, Aggregate{"least", merge.IntOf(3), exact(1)}, f["least"], "the least that is in, and the least that is")
-	require.False(t, f["median"].Bound.Known)
+func exactly(x float64) completeness.Bound { return completeness.Bound{Known: true, Low: x, High: x} }
+
+func TestAggregatesOfACompleteAnswer(t *testing.T) {
+	aggregates := aggregatesByName(t, aggregateThree(t, map[int][]int64{0: {5, 7}, 1: {}, 2: {3, 3, 2}}))
+	require.Equal(t, Aggregate{"n", merge.IntOf(5), exactly(5)}, aggregates["n"])
+	require.Equal(t, Aggregate{"total", merge.IntOf(20), exactly(20)}, aggregates["total"])
+	require.Equal(t, Aggregate{"least", merge.IntOf(2), exactly(2)}, aggregates["least"])
+	require.Equal(t, Aggregate{"mean", merge.FloatOf(4), exactly(4)}, aggregates["mean"])
+	require.InEpsilon(t, 3, aggregates["median"].Value.Float, 2*merge.QuantileAccuracy)
+	require.Equal(t, merge.IntOf(4), aggregates["kinds"].Value)
+}
+
+func TestAggregatesWithoutASummaryOfTheMissingShard(t *testing.T) {
+	aggregates := aggregatesByName(t, aggregateThree(t, map[int][]int64{0: {5, 7}, 2: {3}}))
+	require.Equal(t, Aggregate{"total", merge.IntOf(15), completeness.Bound{}}, aggregates["total"])
+	require.False(t, aggregates["least"].Bound.Known)
+}
+
+func TestAggregatesWithASummaryOfTheMissingShard(t *testing.T) {
+	summary := &completeness.Summary{Buckets: shardmap.Range{Start: 1, End: 2}, Version: 1, ShardEpoch: 1, Count: 2,
+		Min: 1, Max: 4, Sum: 5, FirstRank: []merge.Value{}}
+	aggregates := aggregatesByName(t, aggregateThree(t, map[int][]int64{0: {5, 7}, 2: {3}}, summary))
+	require.Equal(t, exactly(20), aggregates["total"].Bound)
+	require.Equal(t, exactly(5), aggregates["n"].Bound)
+	require.Equal(t, Aggregate{"least", merge.IntOf(3), exactly(1)}, aggregates["least"],
+		"the value is that of the rows that are present, the bound that of all rows")
+	require.False(t, aggregates["median"].Bound.Known)
+}
 
-	st := read(map[int][]int64{0: {1 << 62}, 1: {1 << 62}, 2: {3}})
-	f = figures(st)
-	require.Equal(t, merge.IntOf(1<<62+3), f["total"].Value)
-	require.Len(t, st.Result.Report.Missing, 1)
-	require.Contains(t, st.Result.Report.Missing[0].Detail, "overflows")
+// A shard with which the sum overflows is missing; the aggregate is that of the others.
+func TestOverflowRejectsTheShard(t *testing.T) {
+	result := aggregateThree(t, map[int][]int64{0: {1 << 62}, 1: {1 << 62}, 2: {3}})
+	require.Equal(t, merge.IntOf(1<<62+3), aggregatesByName(t, result)["total"].Value)
+	require.Len(t, result.Report.Missing, 1)
+	require.Contains(t, result.Report.Missing[0].Detail, "overflows")
 }
--- a/internal/results/pageread/combine.go
+++ b/internal/results/pageread/combine.go
@@ -10,56 +10,82 @@
 // MaxGroups bounds the groups of an answer.
 const MaxGroups = 1000
 
+// combinableInputs is what can be merged.
+type combinableInputs struct {
+	order   *merge.Order
+	batches []*merge.Batch
+	groups  *merge.Groups // combined; nil without aggregates
+}
+
 // combinable finds what can be merged of all shards that are included, and rejects the others: those with another
 // schema than most of the weight has, and those with which a sum overflows or there are too many groups. ok is false if
 // nothing can be merged.
-func (r *Reader) combinable() (*merge.Order, []*merge.Batch, *merge.Groups) {
-	type vote struct {
-		schema merge.Schema
-		weight float64
-	}
-	var votes []*vote
-	in := slices.Clone(r.shards)
-	slices.SortFunc(in, func(a, b *shard) int { return cmp.Compare(a.Buckets.Start, b.Buckets.Start) })
-	in = slices.DeleteFunc(in, func(s *shard) bool { return s.batch == nil || !r.plan.Included(s.Buckets) })
-	for _, s := range in {
-		i := slices.IndexFunc(votes, func(v *vote) bool { return v.schema.CheckCompatible(s.batch.Schema) == nil })
-		if i < 0 {
-			i = len(votes)
-			votes = append(votes, &vote{schema: s.batch.Schema})
-		}
-		votes[i].weight += s.Weight
-	}
-	if len(votes) == 0 {
-		return nil, nil, nil
-	}
-	best := votes[0]
-	for _, v := range votes[1:] {
-		if v.weight > best.weight {
-			best = v
-		}
+func (r *Reader) combinable() (inputs combinableInputs, ok bool) {
+	included := r.includedShards()
+	if len(included) == 0 {
+		return combinableInputs{}, false
 	}
-	var out []*merge.Batch
-	var total *merge.Groups
-	for _, s := range in {
-		if err := best.schema.CheckCompatible(s.batch.Schema); err != nil {
-			r.reject(s, err)
+	schema := commonSchema(included)
+	for _, shard := range included {
+		if err := schema.CheckCompatible(shard.batch.Schema); err != nil {
+			r.reject(shard, err)
 			continue
 		}
-		if s.groups != nil {
-			if total == nil {
-				total = merge.NewGroups(s.groups.Columns(), MaxGroups)
+		if shard.groups != nil {
+			if inputs.groups == nil {
+				inputs.groups = merge.NewGroups(shard.groups.Columns(), MaxGroups)
 			}
-			if err := total.Combine(s.groups); err != nil {
-				r.reject(s, err) // a sum that overflows with it, more groups than the bound: without it there is a figure
+			if err := inputs.groups.Combine(shard.groups); err != nil {
+				r.reject(shard, err)
 				continue
 			}
 		}
-		out = append(out, s.batch)
+		inputs.batches = append(inputs.batches, shard.batch)
 	}
-	order, err := merge.NewOrder(best.schema, r.query.Clause.SortColumns())
+	order, err := merge.NewOrder(schema, r.query.Clause.SortColumns())
 	if err != nil {
-		return nil, nil, nil
+		return combinableInputs{}, false
+	}
+	inputs.order = order
+	return inputs, true
+}
+
+// includedShards are the shards whose answers the plan includes, in the order of their buckets.
+func (r *Reader) includedShards() []*shard {
+	included := slices.Clone(r.shards)
+	sortByBuckets(included)
+	return slices.DeleteFunc(included, func(s *shard) bool {
+		return s.batch == nil || !r.plan.Included(s.Buckets)
+	})
+}
+
+func sortByBuckets(shards []*shard) {
+	slices.SortFunc(shards, func(a, b *shard) int { return cmp.Compare(a.Buckets.Start, b.Buckets.Start) })
+}
+
+// commonSchema is the schema that most weight of some shards has; of equals that of the first buckets. The order in
+// which answers arrive does not matter.
+func commonSchema(shards []*shard) merge.Schema {
+	type candidate struct {
+		schema merge.Schema
+		weight float64
+	}
+	var candidates []*candidate
+	for _, shard := range shards {
+		i := slices.IndexFunc(candidates, func(c *candidate) bool {
+			return c.schema.CheckCompatible(shard.batch.Schema) == nil
+		})
+		if i < 0 {
+			i = len(candidates)
+			candidates = append(candidates, &candidate{schema: shard.batch.Schema})
+		}
+		candidates[i].weight += shard.Weight
+	}
+	common := candidates[0]
+	for _, candidate := range candidates[1:] {
+		if candidate.weight > common.weight {
+			common = candidate
+		}
 	}
-	return order, out, total
+	return common.schema
 }
--- a/internal/results/pageread/fixture_test.go
+++ b/internal/results/pageread/fixture_test.go
@@ -18,6 +18,8 @@
 // A fixed seed makes every run draw the same cases; -rapid.seed=0 on the command line draws new ones.
 func init() { _ = flag.Set("rapid.seed", "20261201") }
 
+const testBucketCount = 10
+
 var testSchema = merge.Schema{{Name: "premium", Kind: merge.Int}}
 
 // testTable is a table of ten buckets and the backends that hold its shards.
@@ -27,101 +29,124 @@
 	rows         []merge.Row // in order
 	shards       []shardmap.Range
 	shardEpochs  map[shardmap.Range]uint64
-	versions     map[shardmap.Range]uint64
-	silent       map[shardmap.Range]bool
-	changeAnswer func(a *rows.Answer)
-	answerErrors []error
+	versions     map[shardmap.Range]uint64 // newest known; 0 is answered as 1
+	silent       map[shardmap.Range]bool   // shards that do not answer
+	changeAnswer func(*rows.Answer)        // if not nil
 	summaries    []*completeness.Summary
+	answerErrors []error // of the answers of all pages
 }
 
 // newTable makes a table of five shards with a row for each premium; row i is of bucket i modulo 10.
 func newTable(t require.TestingT, premiums ...int64) *testTable {
-	o, err := merge.NewOrder(testSchema, []merge.SortColumn{{Column: "premium"}})
+	order, err := merge.NewOrder(testSchema, []merge.SortColumn{{Column: "premium"}})
 	require.NoError(t, err)
-	s := &testTable{t: t, order: o, shardEpochs: map[shardmap.Range]uint64{}, versions: map[shardmap.Range]uint64{},
-		silent: map[shardmap.Range]bool{}}
-	for i, p := range premiums { // district i%10
-		s.rows = append(s.rows, merge.Row{Bucket: i % 10, Key: fmt.Sprintf("%03d", i), Values: []merge.Value{merge.IntOf(p)}})
+	table := &testTable{t: t, order: order, shardEpochs: map[shardmap.Range]uint64{},
+		versions: map[shardmap.Range]uint64{}, silent: map[shardmap.Range]bool{}}
+	for i, premium := range premiums {
+		table.rows = append(table.rows, merge.Row{Bucket: i % testBucketCount, Key: fmt.Sprintf("%03d", i),
+			Values: []merge.Value{merge.IntOf(premium)}})
 	}
-	slices.SortFunc(s.rows, func(a, b merge.Row) int { return o.Compare(o.PositionOf(a), o.PositionOf(b)) })
+	slices.SortFunc(table.rows, table.compare)
 	for i := range 5 {
-		s.shards = append(s.shards, shardmap.Range{Start: 2 * i, End: 2*i + 2})
+		table.shards = append(table.shards, shardmap.Range{Start: 2 * i, End: 2*i + 2})
 	}
-	return s
+	return table
+}
+
+func (w *testTable) compare(a, b merge.Row) int {
+	return w.order.Compare(w.order.PositionOf(a), w.order.PositionOf(b))
 }
 
 // rowsAfter are the rows of some buckets after a position, or from the first if that is nil.
-func (s *testTable) rowsAfter(d shardmap.Range, after *merge.Position) (out []merge.Row) {
-	for _, r := range s.rows {
-		if d.Start <= r.Bucket && r.Bucket < d.End && (after == nil || s.order.Compare(s.order.PositionOf(r), *after) > 0) {
-			out = append(out, r)
+func (w *testTable) rowsAfter(buckets shardmap.Range, after *merge.Position) []merge.Row {
+	var found []merge.Row
+	for _, row := range w.rows {
+		inBuckets := buckets.Start <= row.Bucket && row.Bucket < buckets.End
+		if inBuckets && (after == nil || w.order.Compare(w.order.PositionOf(row), *after) > 0) {
+			found = append(found, row)
 		}
 	}
-	return out
+	return found
+}
+
+func (w *testTable) query(size int) Query {
+	return Query{
+		Clause: &merge.Clause{Rank: []merge.RankColumn{{Column: "premium"}}, Page: &merge.PageClause{Size: size}},
+		Epoch:  41, CompleteFrom: 1, Summaries: w.summaries,
+		Plan: fetchplan.Options{Floor: 0.1, LatencyObjective: 1000, Deadline: 2000, PartialWorth: 0.9, LateWorth: 0.3,
+			Margin: 20},
+	}
 }
 
-func (s *testTable) query(size int) Query {
-	return Query{Clause: &merge.Clause{Rank: []merge.RankColumn{{Column: "premium"}}, Page: &merge.PageClause{Size: size}},
-		Epoch: 41, CompleteFrom: 1, Summaries: s.summaries,
-		Plan: fetchplan.Options{Floor: 0.1, LatencyObjective: 1000, Deadline: 2000, PartialWorth: 0.9, LateWorth: 0.3, Margin: 20}}
+// answer is the answer of a shard's backend.
+func (w *testTable) answer(request Request) *rows.Answer {
+	found := w.rowsAfter(request.Buckets, request.After)
+	count := min(request.Rows, len(found))
+	answer := &rows.Answer{Batch: merge.Batch{Buckets: request.Buckets, Version: max(w.versions[request.Buckets], 1),
+		Schema: testSchema, Rows: slices.Clone(found[:count]), HasMore: count < len(found)}}
+	if w.changeAnswer != nil {
+		w.changeAnswer(answer)
+	}
+	return answer
 }
 
 // readPage reads a page to its end. Requests are answered 1 ms after each other.
-func (s *testTable) readPage(size int, before *cursor.Cursor) *Result {
+func (w *testTable) readPage(size int, before *cursor.Cursor) *Result {
 	var parts []Part
-	for _, d := range s.shards {
-		parts = append(parts, Part{Buckets: d, Weight: float64(d.Size()) / 10, ShardEpoch: s.shardEpochs[d], Version: s.versions[d]})
+	for _, buckets := range w.shards {
+		parts = append(parts, Part{Buckets: buckets, Weight: float64(buckets.Size()) / testBucketCount,
+			ShardEpoch: w.shardEpochs[buckets], Version: w.versions[buckets]})
 	}
 	now := 0.0
-	r, asks := New(now, s.query(size), parts, before)
+	reader, requests := New(now, w.query(size), parts, before)
 	for range 300 {
-		for _, a := range asks {
+		for _, request := range requests {
 			now++
-			if s.silent[a.Buckets] {
+			if w.silent[request.Buckets] {
 				continue
 			}
-			list := s.rowsAfter(a.Buckets, a.After)
-			n := min(a.Rows, len(list))
-			x := &rows.Answer{Batch: merge.Batch{Buckets: a.Buckets, Version: max(s.versions[a.Buckets], 1), Schema: testSchema,
-				Rows: slices.Clone(list[:n]), HasMore: n < len(list)}}
-			if s.changeAnswer != nil {
-				s.changeAnswer(x)
+			answer := w.answer(request)
+			err := reader.RecordAnswer(now, answer, request.Rows)
+			if err == nil {
+				continue
 			}
-			if err := r.RecordAnswer(now, x, a.Rows); err != nil {
-				if s.answerErrors = append(s.answerErrors, err); x.Batch.Version < s.versions[a.Buckets] {
-					r.RecordFailure(a.Buckets, completeness.Failed) // no replica has a newer one
-				}
+			w.answerErrors = append(w.answerErrors, err)
+			if answer.Batch.Version < w.versions[request.Buckets] { // no replica has a newer one
+				reader.RecordFailure(request.Buckets, completeness.Failed)
 			}
 		}
-		st := r.Step(now)
-		require.False(s.t, st.Hopeless)
-		if st.Result != nil {
-			return st.Result
+		step := reader.Step(now)
+		require.False(w.t, step.Hopeless)
+		if step.Result != nil {
+			return step.Result
 		}
-		if asks = st.Requests; len(asks) == 0 {
-			require.Greater(s.t, st.WakeAt, now)
-			now = st.WakeAt
+		requests = step.Requests
+		if len(requests) == 0 {
+			require.Greater(w.t, step.WakeAt, now)
+			now = step.WakeAt
 		}
 	}
-	require.Fail(s.t, "the page does not end")
+	require.Fail(w.t, "the page does not end")
 	return nil
 }
 
-func keysOf(list []merge.Row) (out []string) {
-	for _, r := range list {
-		out = append(out, r.Key)
+func keysOf(rows []merge.Row) []string {
+	var keys []string
+	for _, row := range rows {
+		keys = append(keys, row.Key)
 	}
-	return out
+	return keys
 }
 
 // cheapestShard is the shard of buckets 4 and 5.
 var cheapestShard = shardmap.Range{Start: 4, End: 6}
 
 // testPremiums are 30 premiums with the lowest, of key 004, in the cheapest shard.
-func testPremiums() (out []int64) {
+func testPremiums() []int64 {
+	var premiums []int64
 	for i := range 30 {
-		out = append(out, int64(100+i*7%30))
+		premiums = append(premiums, int64(100+i*7%30))
 	}
-	out[4] = 1
-	return out
+	premiums[4] = 1
+	return premiums
 }
--- a/internal/results/pageread/query.go
+++ b/internal/results/pageread/query.go
@@ -10,13 +10,9 @@
 	"ternstage/internal/results/merge"
 )
 
-// Part is the part of the query that one shard answers.
-type Part struct {
-	Buckets    shardmap.Range
-	Weight     float64
-	ShardEpoch uint64 // epoch of the shard's last change
-	Version    uint64 // newest data version known; 0 if none is
-}
+// ErrStaleVersion is wrapped by the error for an answer of an older data version than the page before read. Another
+// replica may have the newer one.
+var ErrStaleVersion = errors.New("older data version than that of the page before")
 
 // Query is what is read.
 type Query struct {
@@ -27,6 +23,14 @@
 	Summaries    []*completeness.Summary
 }
 
+// Part is the part of the query that one shard answers.
+type Part struct {
+	Buckets    shardmap.Range
+	Weight     float64
+	ShardEpoch uint64 // epoch of the shard's last change
+	Version    uint64 // newest data version known; 0 if none is
+}
+
 // Request is what to request of a shard: the first rows after a position, those requested before included, so that one
 // answer is of one data version.
 type Request struct {
@@ -35,17 +39,14 @@
 	After   *merge.Position // nil on the first page
 }
 
-// ErrStaleVersion is wrapped by the error for an answer of an older data version than the page before read. Another
-// replica may have the newer one.
-var ErrStaleVersion = errors.New("an older data version than the page before")
-
 // AggregateColumns are the columns that a clause aggregates, each once; "" counts rows. Backends send aggregates in
 // this order.
-func AggregateColumns(c *merge.Clause) (out []string) {
-	for _, f := range c.Aggregate {
-		if !slices.Contains(out, f.Column) {
-			out = append(out, f.Column)
+func AggregateColumns(clause *merge.Clause) []string {
+	var columns []string
+	for i := range clause.Aggregate {
+		if column := clause.Aggregate[i].Column; !slices.Contains(columns, column) {
+			columns = append(columns, column)
 		}
 	}
-	return out
+	return columns
 }
--- a/internal/results/pageread/reader.go
+++ b/internal/results/pageread/reader.go
@@ -12,15 +12,6 @@
 	"ternstage/internal/results/rows"
 )
 
-// shard is a part and what its shard has answered.
-type shard struct {
-	Part
-	batch  *merge.Batch        // nil while it is missing
-	groups *merge.Groups       // of the batch's answer
-	reason completeness.Reason // while batch is nil: why
-	detail string              // of a malformed answer
-}
-
 // Reader reads one page.
 type Reader struct {
 	query     Query
@@ -30,31 +21,43 @@
 	summaries []*completeness.Summary // of the query, and those that came with answers
 }
 
+// shard is a part and what its shard has answered.
+type shard struct {
+	Part
+	batch  *merge.Batch        // nil while it is missing
+	groups *merge.Groups       // of the batch's answer
+	reason completeness.Reason // while batch is nil: why
+	detail string              // of a malformed answer
+}
+
 // New begins to read a page: the first, or that after a cursor. It returns the first requests.
-func New(now float64, q Query, parts []Part, before *cursor.Cursor) (*Reader, []Request) {
-	r := &Reader{query: q, before: before, summaries: slices.Clone(q.Summaries)}
-	r.query.Plan.Limit = 0
-	if p := q.Clause.Page; p != nil {
-		r.query.Plan.Limit = p.Size
+func New(now float64, query Query, parts []Part, before *cursor.Cursor) (*Reader, []Request) {
+	reader := &Reader{query: query, before: before, summaries: slices.Clone(query.Summaries)}
+	reader.query.Plan.Limit = 0
+	if page := query.Clause.Page; page != nil {
+		reader.query.Plan.Limit = page.Size
 	}
-	var districts []shardmap.Range
+	var buckets []shardmap.Range
 	var weights []float64
-	for _, p := range parts {
-		districts, weights = append(districts, p.Buckets), append(weights, p.Weight)
-		r.shards = append(r.shards, &shard{Part: p, reason: completeness.Rejected})
-	}
-	plan, asks := fetchplan.New(now, r.query.Plan, districts, weights)
-	r.plan = plan
-	return r, r.requests(asks)
+	for _, part := range parts {
+		buckets = append(buckets, part.Buckets)
+		weights = append(weights, part.Weight)
+		reader.shards = append(reader.shards, newShard(part))
+	}
+	plan, requests := fetchplan.New(now, reader.query.Plan, buckets, weights)
+	reader.plan = plan
+	return reader, reader.requests(requests)
 }
 
+func newShard(part Part) *shard { return &shard{Part: part, reason: completeness.Rejected} }
+
 // requests adds the position after which the page starts to requests of the plan.
-func (r *Reader) requests(list []fetchplan.Request) []Request {
-	out := make([]Request, 0, len(list))
-	for _, a := range list {
-		out = append(out, Request{a.Buckets, a.Rows, r.after()})
+func (r *Reader) requests(planned []fetchplan.Request) []Request {
+	requests := make([]Request, 0, len(planned))
+	for _, request := range planned {
+		requests = append(requests, Request{Buckets: request.Buckets, Rows: request.Rows, After: r.after()})
 	}
-	return out
+	return requests
 }
 
 // after is the position after which the page starts; nil on the first page.
@@ -66,96 +69,113 @@
 }
 
 // find is the shard with exactly these buckets, or nil.
-func (r *Reader) find(d shardmap.Range) *shard {
-	if i := slices.IndexFunc(r.shards, func(s *shard) bool { return s.Buckets == d }); i >= 0 {
-		return r.shards[i]
+func (r *Reader) find(buckets shardmap.Range) *shard {
+	i := slices.IndexFunc(r.shards, func(s *shard) bool { return s.Buckets == buckets })
+	if i < 0 {
+		return nil
 	}
-	return nil
+	return r.shards[i]
 }
 
 // minVersion is the newest data version at which the page before read any of some buckets; 0 if it read none of them.
-func (r *Reader) minVersion(d shardmap.Range) (v uint64) {
+func (r *Reader) minVersion(buckets shardmap.Range) uint64 {
 	if r.before == nil {
 		return 0
 	}
-	for _, s := range r.before.Spans {
-		if (shardmap.Range{Start: s.Start, End: s.End}).Overlaps(d) {
-			v = max(v, s.Version)
+	newest := uint64(0)
+	for _, span := range r.before.Spans {
+		if (shardmap.Range{Start: span.Start, End: span.End}).Overlaps(buckets) {
+			newest = max(newest, span.Version)
 		}
 	}
-	return v
+	return newest
 }
 
 // RecordAnswer records a backend's answer to a request for requested rows. An answer that is no longer wanted is
 // ignored. An error that wraps ErrStaleVersion leaves the shard in flight, so that another replica can be asked. After
 // any other error, a *merge.ValidationError, the shard is missing, and none of its rows are merged.
-func (r *Reader) RecordAnswer(now float64, a *rows.Answer, asked int) error {
-	s := r.find(a.Batch.Buckets)
-	if s == nil {
-		return nil // its slice was split or merged meanwhile
+func (r *Reader) RecordAnswer(now float64, answer *rows.Answer, requested int) error {
+	shard := r.find(answer.Batch.Buckets)
+	if shard == nil {
+		return nil // it was split or merged meanwhile
 	}
-	if v := r.minVersion(s.Buckets); a.Batch.Version < v {
-		s.reason = completeness.StaleVersion
-		return fmt.Errorf("%w: %d, not %d", ErrStaleVersion, a.Batch.Version, v)
+	if minVersion := r.minVersion(shard.Buckets); answer.Batch.Version < minVersion {
+		shard.reason = completeness.StaleVersion
+		return fmt.Errorf("%w: %d, not %d", ErrStaleVersion, answer.Batch.Version, minVersion)
 	}
-	order, err := merge.NewOrder(a.Batch.Schema, r.query.Clause.SortColumns())
-	if err == nil {
-		err = order.Validate(&a.Batch, r.after(), asked)
+	if err := r.validate(answer, requested); err != nil {
+		r.reject(shard, err)
+		return err
 	}
-	if err == nil && len(r.query.Clause.Aggregate) > 0 && a.Groups == nil {
-		err = &merge.ValidationError{Row: -1, Detail: "no aggregates", Err: merge.ErrSchemaMismatch}
+	if !r.plan.RecordAnswer(now, shard.Buckets, len(answer.Batch.Rows), answer.Batch.HasMore) {
+		return nil
 	}
+	batch := answer.Batch
+	shard.batch = &batch
+	shard.groups = answer.Groups
+	shard.Version = max(shard.Version, batch.Version)
+	if answer.Summary != nil {
+		r.summaries = append(r.summaries, answer.Summary)
+	}
+	return nil
+}
+
+// validate checks an answer by itself; that it has the same schema as others is for commonSchema to check.
+func (r *Reader) validate(answer *rows.Answer, requested int) error {
+	order, err := merge.NewOrder(answer.Batch.Schema, r.query.Clause.SortColumns())
 	if err != nil {
-		r.reject(s, err)
 		return err
 	}
-	if !r.plan.RecordAnswer(now, s.Buckets, len(a.Batch.Rows), a.Batch.HasMore) {
-		return nil // it was dropped, or this is an answer twice
+	if err := order.Validate(&answer.Batch, r.after(), requested); err != nil {
+		return err
 	}
-	b := a.Batch
-	s.batch, s.groups, s.Version = &b, a.Groups, max(s.Version, b.Version)
-	if a.Summary != nil {
-		r.summaries = append(r.summaries, a.Summary)
+	if len(r.query.Clause.Aggregate) > 0 && answer.Groups == nil {
+		return &merge.ValidationError{Row: merge.NoRow, Detail: "no aggregates", Err: merge.ErrSchemaMismatch}
 	}
 	return nil
 }
 
 // reject makes a shard missing because of its answer.
-func (r *Reader) reject(s *shard, err error) {
-	s.batch, s.reason, s.detail = nil, completeness.Malformed, err.Error()
-	r.plan.RecordFailure(s.Buckets)
+func (r *Reader) reject(shard *shard, err error) {
+	shard.batch = nil
+	shard.reason = completeness.Malformed
+	shard.detail = err.Error()
+	r.plan.RecordFailure(shard.Buckets)
 }
 
 // RecordFailure records that a shard cannot be read, and why. If only a stale version of it came, that stays the
 // reason.
-func (r *Reader) RecordFailure(d shardmap.Range, why completeness.Reason) {
-	if s := r.find(d); s != nil {
-		if s.batch = nil; s.reason != completeness.StaleVersion {
-			s.reason = why
-		}
-		r.plan.RecordFailure(d)
+func (r *Reader) RecordFailure(buckets shardmap.Range, reason completeness.Reason) {
+	shard := r.find(buckets)
+	if shard == nil {
+		return
+	}
+	shard.batch = nil
+	if shard.reason != completeness.StaleVersion {
+		shard.reason = reason
 	}
+	r.plan.RecordFailure(buckets)
 }
 
 // Reshard replaces a shard by those that hold its buckets after a split, merge or move, and returns the requests for
 // these. What the old shard gave no longer counts.
-func (r *Reader) Reshard(now float64, d shardmap.Range, by []Part) []Request {
-	s := r.find(d)
-	if s == nil {
+func (r *Reader) Reshard(now float64, buckets shardmap.Range, successors []Part) []Request {
+	old := r.find(buckets)
+	if old == nil {
 		return nil
 	}
-	ranges := make([]shardmap.Range, 0, len(by))
-	for _, p := range by {
-		ranges = append(ranges, p.Buckets)
+	ranges := make([]shardmap.Range, 0, len(successors))
+	for _, part := range successors {
+		ranges = append(ranges, part.Buckets)
 	}
-	asks := r.plan.Reshard(now, d, ranges)
-	if asks == nil {
+	requests := r.plan.Reshard(now, buckets, ranges)
+	if requests == nil {
 		return nil
 	}
-	r.shards = slices.DeleteFunc(r.shards, func(x *shard) bool { return x == s })
-	for _, p := range by {
-		p.Weight = s.Weight * float64(p.Buckets.Size()) / float64(d.Size())
-		r.shards = append(r.shards, &shard{Part: p, reason: completeness.Rejected})
+	r.shards = slices.DeleteFunc(r.shards, func(s *shard) bool { return s == old })
+	for _, part := range successors {
+		part.Weight = old.Weight * float64(part.Buckets.Size()) / float64(buckets.Size())
+		r.shards = append(r.shards, newShard(part))
 	}
-	return r.requests(asks)
+	return r.requests(requests)
 }
--- a/internal/results/pageread/result.go
+++ b/internal/results/pageread/result.go
@@ -1,7 +1,6 @@
 package pageread
 
 import (
-	"cmp"
 	"slices"
 
 	"ternstage/internal/decision/shardmap"
@@ -13,59 +12,81 @@
 // Result is a page.
 type Result struct {
 	Rows      []merge.Row
-	Sources   []shardmap.Range
-	FirstRank int    // rank of the first row, from 1
-	Certain   []bool // of each rank
+	Sources   []shardmap.Range // for each row, the buckets of the shard that it came from
+	FirstRank int              // rank of the first row, from 1
+	Certain   []bool           // for each row, whether its rank is certain
 	Report    *completeness.Report
-	Complete  bool
-	Next      *cursor.Cursor // nil where there is no next page
-	Groups    []Group        // aggregates, in order of the groups' values
-	// What has changed since the page before, by districts; page one would differ where one is not empty.
-	Back, Gone, Other []cursor.Span
+	Complete  bool           // the report is complete and nothing has changed since the page before
+	Next      *cursor.Cursor // without tenant, digest and expiry; nil if there is no next page
+	Groups    []Group        // in the order of their values
+	Changes   cursor.Changes // since the page before
 }
 
 // result makes the result of a final page. A page's ranks continue those of the pages before, so they are certain only
 // if these were and nothing has changed since: a shard that has returned may hold rows that belong before them.
 func (r *Reader) result(order *merge.Order, page merge.Page) *Result {
-	var parts []completeness.Part
-	var spans []cursor.Span
-	slices.SortFunc(r.shards, func(a, b *shard) int { return cmp.Compare(a.Buckets.Start, b.Buckets.Start) })
-	for _, s := range r.shards {
-		p := completeness.Part{Buckets: s.Buckets, Weight: s.Weight, Present: s.batch != nil, Version: s.Version,
-			ShardEpoch: s.ShardEpoch, Reason: s.reason, Detail: s.detail}
-		span := cursor.Span{Start: s.Buckets.Start, End: s.Buckets.End, ShardEpoch: s.ShardEpoch}
-		if p.Present {
-			p.Version, span.Version = s.batch.Version, s.batch.Version
-		}
-		parts, spans = append(parts, p), append(spans, span)
+	parts, spans := r.describeShards()
+	report := completeness.New(parts, r.summaries, r.query.CompleteFrom)
+	positions := make([]merge.Position, len(page.Rows))
+	for i, row := range page.Rows {
+		positions[i] = order.PositionOf(row)
 	}
-	out := &Result{Rows: page.Rows, Sources: page.Sources, FirstRank: 1,
-		Report: completeness.New(parts, r.summaries, r.query.CompleteFrom)}
-	places := make([]merge.Position, len(page.Rows))
-	for i, x := range page.Rows {
-		places[i] = order.PositionOf(x)
+	result := &Result{
+		Rows:      page.Rows,
+		Sources:   page.Sources,
+		FirstRank: 1,
+		Certain:   report.CertainRanks(order, positions),
+		Report:    report,
+		Complete:  report.Complete,
 	}
-	out.Certain, out.Complete = out.Report.CertainRanks(order, places), out.Report.Complete
-	sure := true
+	epoch := r.query.Epoch
+	ranksCertain := true
 	if r.before != nil {
-		out.FirstRank = r.before.NextRank
-		changes := r.before.Changes(spans)
-		out.Back, out.Gone, out.Other = changes.Returned, changes.Lost, changes.Updated
-		changed := len(out.Back)+len(out.Gone)+len(out.Other) > 0
-		out.Complete = out.Complete && !changed
-		// The ranks of this page count on from the ones before: they are no surer than those, and not at all once
-		// the pages before would differ.
-		if sure = r.before.RanksCertain && !changed; !sure {
-			clear(out.Certain)
+		epoch = r.before.Epoch
+		result.FirstRank = r.before.NextRank
+		result.Changes = r.before.Changes(spans)
+		changed := result.Changes.Any()
+		result.Complete = result.Complete && !changed
+		ranksCertain = r.before.RanksCertain && !changed
+		if !ranksCertain {
+			clear(result.Certain)
+		}
+	}
+	if page.HasMore && len(positions) > 0 {
+		last := positions[len(positions)-1]
+		result.Next = &cursor.Cursor{
+			Epoch:        epoch,
+			NextRank:     result.FirstRank + len(positions),
+			After:        &last,
+			Spans:        spans,
+			RanksCertain: ranksCertain && !slices.Contains(result.Certain, false),
 		}
 	}
-	if page.HasMore && len(places) > 0 {
-		last := places[len(places)-1]
-		out.Next = &cursor.Cursor{Epoch: r.query.Epoch, NextRank: out.FirstRank + len(places), After: &last, Spans: spans,
-			RanksCertain: sure && !slices.Contains(out.Certain, false)}
-		if r.before != nil {
-			out.Next.Epoch = r.before.Epoch
+	return result
+}
+
+// describeShards describes the shards, in the order of their buckets, for the report and for the next page.
+func (r *Reader) describeShards() ([]completeness.Part, []cursor.Span) {
+	sortByBuckets(r.shards)
+	var parts []completeness.Part
+	var spans []cursor.Span
+	for _, shard := range r.shards {
+		part := completeness.Part{
+			Buckets:    shard.Buckets,
+			Weight:     shard.Weight,
+			Present:    shard.batch != nil,
+			Version:    shard.Version,
+			ShardEpoch: shard.ShardEpoch,
+			Reason:     shard.reason,
+			Detail:     shard.detail,
+		}
+		span := cursor.Span{Start: shard.Buckets.Start, End: shard.Buckets.End, ShardEpoch: shard.ShardEpoch}
+		if shard.batch != nil {
+			part.Version = shard.batch.Version
+			span.Version = shard.batch.Version
 		}
+		parts = append(parts, part)
+		spans = append(spans, span)
 	}
-	return out
+	return parts, spans
 }
--- a/internal/results/pageread/result_test.go
+++ b/internal/results/pageread/result_test.go
@@ -17,73 +17,86 @@
 // The shard with the lowest premium is missing from page one, which so has no certain rank, and returns before page two.
 // Page two continues page one, repeats no row, and says that page one would now differ.
 func TestShardReturnsBetweenPages(t *testing.T) {
-	s := newTable(t, testPremiums()...)
-	s.silent[cheapestShard] = true
-	one := s.readPage(6, nil)
-	require.False(t, one.Complete)
-	require.Equal(t, []bool{false, false, false, false, false, false}, one.Certain, "it might hold the cheapest")
-	require.InDelta(t, 0.8, one.Report.Weight, 1e-9)
-	require.Equal(t, completeness.TimedOut, one.Report.Missing[0].Reason)
+	table := newTable(t, testPremiums()...)
+	table.silent[cheapestShard] = true
+	first := table.readPage(6, nil)
+	require.False(t, first.Complete)
+	require.Equal(t, []bool{false, false, false, false, false, false}, first.Certain, "it may hold the lowest premium")
+	require.InDelta(t, 0.8, first.Report.Weight, 1e-9)
+	require.Equal(t, completeness.TimedOut, first.Report.Missing[0].Reason)
 
-	s.silent[cheapestShard] = false
-	two := s.readPage(6, one.Next)
-	require.Equal(t, 7, two.FirstRank)
-	require.Equal(t, []cursor.Span{{Start: 4, End: 6, Version: 1}}, two.Back)
-	require.False(t, two.Complete)
-	require.NotContains(t, two.Certain, true)
-	seen := append(keysOf(one.Rows), keysOf(two.Rows)...)
-	require.Len(t, slices.Compact(slices.Sorted(slices.Values(seen))), 12, "no row twice")
-	require.NotContains(t, seen, "004", "what would have come before page two is on no page, and that is said")
-	last := s.order.PositionOf(one.Rows[5])
-	var rest []merge.Row
-	for _, r := range s.rows {
-		if s.order.Compare(s.order.PositionOf(r), last) > 0 {
-			rest = append(rest, r)
-		}
-	}
-	require.Equal(t, keysOf(rest[:6]), keysOf(two.Rows), "none is skipped by rank")
+	table.silent[cheapestShard] = false
+	second := table.readPage(6, first.Next)
+	require.Equal(t, 7, second.FirstRank)
+	require.Equal(t, []cursor.Span{{Start: 4, End: 6, Version: 1}}, second.Changes.Returned)
+	require.False(t, second.Complete)
+	require.NotContains(t, second.Certain, true)
+	keys := append(keysOf(first.Rows), keysOf(second.Rows)...)
+	require.Len(t, slices.Compact(slices.Sorted(slices.Values(keys))), 12, "no row is repeated")
+	require.NotContains(t, keys, "004", "a row of the returned shard that belongs before page two is on no page")
+	last := table.order.PositionOf(first.Rows[5])
+	rest := table.rowsAfter(shardmap.Range{Start: 0, End: testBucketCount}, &last)
+	require.Equal(t, keysOf(rest[:6]), keysOf(second.Rows), "no row after page one is skipped")
+}
 
-	// A summary of its least rules the cheapest out, or does not.
-	s = newTable(t, testPremiums()...)
-	s.silent[cheapestShard], s.versions[cheapestShard], s.shardEpochs[cheapestShard] = true, 3, 2
-	note := &completeness.Summary{Buckets: cheapestShard, Version: 3, ShardEpoch: 2, Count: 6, FirstRank: []merge.Value{merge.IntOf(104)}}
-	s.summaries = []*completeness.Summary{note}
-	one = s.readPage(6, nil)
-	require.Equal(t, []bool{true, true, true}, one.Certain[:3], "dearer than the first three")
-	require.False(t, one.Certain[5])
-	note.Version = 2
-	require.False(t, s.readPage(6, nil).Certain[0], "an older summary is worth nothing")
+// A summary of the missing shard makes those ranks certain that come before its first row.
+func TestSummaryMakesRanksCertain(t *testing.T) {
+	table := newTable(t, testPremiums()...)
+	table.silent[cheapestShard] = true
+	table.versions[cheapestShard] = 3
+	table.shardEpochs[cheapestShard] = 2
+	summary := &completeness.Summary{Buckets: cheapestShard, Version: 3, ShardEpoch: 2, Count: 6,
+		FirstRank: []merge.Value{merge.IntOf(104)}}
+	table.summaries = []*completeness.Summary{summary}
+	page := table.readPage(6, nil)
+	require.Equal(t, []bool{true, true, true}, page.Certain[:3], "its first premium is above the first three")
+	require.False(t, page.Certain[5])
+	summary.Version = 2
+	require.False(t, table.readPage(6, nil).Certain[0], "a summary of an older version does not count")
 }
 
 func TestShardIsLostBetweenPages(t *testing.T) {
-	s := newTable(t, testPremiums()...)
-	one := s.readPage(6, nil)
-	require.True(t, one.Complete)
-	require.NotContains(t, one.Certain, false)
-	s.silent[cheapestShard] = true
-	two := s.readPage(6, one.Next)
-	require.Equal(t, []cursor.Span{{Start: 4, End: 6}}, two.Gone)
-	require.False(t, two.Complete)
-	require.NotContains(t, two.Certain, true)
-	require.True(t, s.order.Compare(s.order.PositionOf(one.Rows[5]), s.order.PositionOf(two.Rows[0])) < 0, "it stays in order")
+	table := newTable(t, testPremiums()...)
+	first := table.readPage(6, nil)
+	require.True(t, first.Complete)
+	require.NotContains(t, first.Certain, false)
+	table.silent[cheapestShard] = true
+	second := table.readPage(6, first.Next)
+	require.Equal(t, []cursor.Span{{Start: 4, End: 6}}, second.Changes.Lost)
+	require.False(t, second.Complete)
+	require.NotContains(t, second.Certain, true)
+	require.True(t, table.compare(first.Rows[5], second.Rows[0]) < 0, "pages stay in order")
 }
 
 // On page two a replica answers at an older data version than page one read, then at a newer one.
 func TestDataVersionOfPageTwo(t *testing.T) {
-	s := newTable(t, testPremiums()...)
-	s.versions[cheapestShard] = 5
-	one := s.readPage(6, nil)
-	s.changeAnswer = func(a *rows.Answer) {
-		if a.Batch.Buckets == cheapestShard {
-			a.Batch.Version = 4
+	table := newTable(t, testPremiums()...)
+	table.versions[cheapestShard] = 5
+	first := table.readPage(6, nil)
+	table.changeAnswer = func(answer *rows.Answer) {
+		if answer.Batch.Buckets == cheapestShard {
+			answer.Batch.Version = 4
 		}
 	}
-	two := s.readPage(6, one.Next)
-	require.ErrorIs(t, s.answerErrors[0], ErrStaleVersion)
-	require.Equal(t, completeness.StaleVersion, two.Report.Missing[0].Reason, "no replica was better: the slice is missing")
-	s.changeAnswer, s.versions[cheapestShard] = nil, 6
-	two = s.readPage(6, one.Next)
-	require.Equal(t, []cursor.Span{{Start: 4, End: 6, Version: 6}}, two.Other, "a newer one is read, and said")
+	second := table.readPage(6, first.Next)
+	require.ErrorIs(t, table.answerErrors[0], ErrStaleVersion)
+	require.Equal(t, completeness.StaleVersion, second.Report.Missing[0].Reason, "no replica has the newer version")
+	table.changeAnswer = nil
+	table.versions[cheapestShard] = 6
+	second = table.readPage(6, first.Next)
+	require.Equal(t, []cursor.Span{{Start: 4, End: 6, Version: 6}}, second.Changes.Updated)
+}
+
+// drawShards splits the buckets into shards of which all but the first may be silent.
+func drawShards(t *rapid.T, table *testTable) {
+	table.shards = nil
+	table.silent = map[shardmap.Range]bool{}
+	for start := 0; start < testBucketCount; {
+		buckets := shardmap.Range{Start: start, End: start + rapid.IntRange(1, testBucketCount-start).Draw(t, "size")}
+		table.shards = append(table.shards, buckets)
+		start = buckets.End
+		table.silent[buckets] = buckets.Start > 0 && rapid.IntRange(0, 9).Draw(t, "silent") == 0
+	}
 }
 
 // Over any table, with shards split anew and silent at random between pages, no row is repeated, all pages are in order,
@@ -91,40 +104,37 @@
 func TestPagesAgree(t *testing.T) {
 	certain := 0
 	rapid.Check(t, func(t *rapid.T) {
-		var p []int64
+		var premiums []int64
 		for range rapid.IntRange(0, 40).Draw(t, "rows") {
-			p = append(p, int64(rapid.IntRange(0, 9).Draw(t, "premium")))
+			premiums = append(premiums, int64(rapid.IntRange(0, 9).Draw(t, "premium")))
 		}
-		s := newTable(t, p...)
+		table := newTable(t, premiums...)
 		var before *cursor.Cursor
-		var got []merge.Row
+		var read []merge.Row
 		for pages := 0; pages < 60; pages++ {
-			s.shards, s.silent = nil, map[shardmap.Range]bool{}
-			for at := 0; at < 10; {
-				d := shardmap.Range{Start: at, End: at + rapid.IntRange(1, 10-at).Draw(t, "cut")}
-				s.shards, at = append(s.shards, d), d.End
-				s.silent[d] = d.Start > 0 && rapid.IntRange(0, 9).Draw(t, "silent") == 0
-			}
-			r := s.readPage(rapid.IntRange(1, 9).Draw(t, "size"), before)
-			require.Equal(t, len(got)+1, r.FirstRank)
+			drawShards(t, table)
+			page := table.readPage(rapid.IntRange(1, 9).Draw(t, "size"), before)
+			require.Equal(t, len(read)+1, page.FirstRank)
 			missing := 0
-			for _, d := range s.shards {
-				if s.silent[d] {
+			for _, buckets := range table.shards {
+				if table.silent[buckets] {
 					missing++
 				}
 			}
-			require.Equal(t, missing > 0, len(r.Report.Missing) > 0)
-			require.False(t, r.Complete && missing > 0)
-			for i, x := range r.Rows {
-				if len(got) > 0 {
-					require.Negative(t, s.order.Compare(s.order.PositionOf(got[len(got)-1]), s.order.PositionOf(x)))
+			require.Equal(t, missing > 0, len(page.Report.Missing) > 0)
+			require.False(t, page.Complete && missing > 0)
+			for i, row := range page.Rows {
+				if len(read) > 0 {
+					require.Negative(t, table.compare(read[len(read)-1], row))
 				}
-				if got = append(got, x); r.Certain[i] {
+				read = append(read, row)
+				if page.Certain[i] {
 					certain++
-					require.Equal(t, s.rows[r.FirstRank+i-1].Key, x.Key)
+					require.Equal(t, table.rows[page.FirstRank+i-1].Key, row.Key)
 				}
 			}
-			if before = r.Next; before == nil {
+			before = page.Next
+			if before == nil {
 				return
 			}
 		}
--- a/internal/results/pageread/step.go
+++ b/internal/results/pageread/step.go
@@ -5,6 +5,9 @@
 	"ternstage/internal/results/completeness"
 )
 
+// weightTolerance is by how much sums of weights may fall short, as the platform's rules allow.
+const weightTolerance = 1e-4
+
 // Step is what to do next.
 type Step struct {
 	Requests  []Request
@@ -16,42 +19,46 @@
 
 // Step decides what follows from what has been recorded.
 func (r *Reader) Step(now float64) Step {
-	v := r.plan.Decide(now)
-	for _, d := range v.Abandoned {
-		if s := r.find(d); s != nil {
-			s.batch, s.reason = nil, completeness.TimedOut
+	decision := r.plan.Decide(now)
+	for _, buckets := range decision.Abandoned {
+		if shard := r.find(buckets); shard != nil {
+			shard.batch = nil
+			shard.reason = completeness.TimedOut
 		}
 	}
-	if v.Hopeless {
-		return Step{Hopeless: true, Abandoned: v.Abandoned}
+	hopeless := Step{Hopeless: true, Abandoned: decision.Abandoned}
+	if decision.Hopeless {
+		return hopeless
 	}
-	if !v.Done {
-		return Step{WakeAt: v.WakeAt}
+	if !decision.Done {
+		return Step{WakeAt: decision.WakeAt}
 	}
-	order, batches, total := r.combinable()
-	if in := r.presentWeight(); in < r.query.Plan.Floor-1e-4 || order == nil {
-		return Step{Hopeless: true, Abandoned: v.Abandoned}
+	inputs, ok := r.combinable()
+	if !ok || r.presentWeight() < r.query.Plan.Floor-weightTolerance {
+		return hopeless
 	}
-	page := order.Merge(batches, r.query.Plan.Limit)
-	if asks := r.plan.RequestMore(now, page.NeedMore); len(asks) > 0 {
-		return Step{Requests: r.requests(asks), Abandoned: v.Abandoned}
+	page := inputs.order.Merge(inputs.batches, r.query.Plan.Limit)
+	if requests := r.plan.RequestMore(now, page.NeedMore); len(requests) > 0 {
+		return Step{Requests: r.requests(requests), Abandoned: decision.Abandoned}
 	}
-	out := r.result(order, page)
-	if total != nil {
-		var err error
-		if out.Groups, err = r.aggregates(total, out.Report); err != nil {
-			return Step{Hopeless: true, Abandoned: v.Abandoned} // no figure can be given: never a wrong one in silence
+	result := r.result(inputs.order, page)
+	if inputs.groups != nil {
+		groups, err := r.aggregates(inputs.groups, result.Report)
+		if err != nil {
+			return hopeless // no answer rather than one without the aggregates that were asked for
 		}
+		result.Groups = groups
 	}
-	return Step{Result: out, Abandoned: v.Abandoned}
+	return Step{Result: result, Abandoned: decision.Abandoned}
 }
 
 // presentWeight is the weight of the shards that are not missing.
-func (r *Reader) presentWeight() (in float64) {
-	for _, s := range r.shards {
-		if s.batch != nil {
-			in += s.Weight
+func (r *Reader) presentWeight() float64 {
+	weight := 0.0
+	for _, shard := range r.shards {
+		if shard.batch != nil {
+			weight += shard.Weight
 		}
 	}
-	return in
+	return weight
 }
