--- /dev/null
+++ b/internal/results/fetchplan/fixture_test.go
@@ -0,0 +1,97 @@
+package fetchplan
+
+import (
+	"flag"
+	"fmt"
+	"slices"
+
+	"github.com/stretchr/testify/require"
+
+	"ternstage/internal/decision/shardmap"
+	"ternstage/internal/results/merge"
+)
+
+// A fixed seed makes every run draw the same cases; -rapid.seed=0 on the command line draws new ones.
+func init() { _ = flag.Set("rapid.seed", "20261201") }
+
+var testSchema = merge.Schema{{Name: "premium", Kind: merge.Int}}
+
+// testTable is a table whose buckets are shards, one each, of equal weights.
+type testTable struct {
+	order   *merge.Order
+	shards  []shardmap.Range
+	weights []float64
+	rows    map[shardmap.Range][]merge.Row // in order
+}
+
+// newTable makes a table; drawPremium gives the premium of each row.
+func newTable(t require.TestingT, shards, rowsPerShard int, drawPremium func() int64) *testTable {
+	order, err := merge.NewOrder(testSchema, []merge.SortColumn{{Column: "premium"}})
+	require.NoError(t, err)
+	table := &testTable{order: order, rows: map[shardmap.Range][]merge.Row{}}
+	for i := range shards {
+		buckets := shardmap.Range{Start: i, End: i + 1}
+		table.shards = append(table.shards, buckets)
+		table.weights = append(table.weights, 1/float64(shards))
+		for j := range rowsPerShard {
+			table.rows[buckets] = append(table.rows[buckets], newRow(i, j, drawPremium()))
+		}
+		table.sort(table.rows[buckets])
+	}
+	return table
+}
+
+func newRow(bucket, number int, premium int64) merge.Row {
+	return merge.Row{Bucket: bucket, Key: fmt.Sprintf("%06d", number), Values: []merge.Value{merge.IntOf(premium)}}
+}
+
+func (w *testTable) sort(rows []merge.Row) {
+	slices.SortFunc(rows, func(a, b merge.Row) int {
+		return w.order.Compare(w.order.PositionOf(a), w.order.PositionOf(b))
+	})
+}
+
+// readPage carries a plan out to its end. Requests are answered 1 ms after each other, but for those to silent shards,
+// which never are.
+func (w *testTable) readPage(t require.TestingT, plan *Plan, requests []Request, limit int,
+	silent func(shardmap.Range) bool) merge.Page {
+	batches := map[shardmap.Range]*merge.Batch{}
+	now := 0.0
+	for round := 0; round < 200; round++ {
+		for _, request := range requests {
+			now++
+			if silent(request.Buckets) {
+				continue
+			}
+			rows := w.rows[request.Buckets]
+			count := min(request.Rows, len(rows))
+			hasMore := count < len(rows)
+			if plan.RecordAnswer(now, request.Buckets, count, hasMore) {
+				batches[request.Buckets] = &merge.Batch{Buckets: request.Buckets, Schema: testSchema, Rows: rows[:count],
+					HasMore: hasMore}
+			}
+		}
+		for decision := plan.Decide(now); !decision.Done; decision = plan.Decide(now) {
+			require.Greater(t, decision.WakeAt, now, "a decision to wait says until when")
+			now = decision.WakeAt
+		}
+		var included []*merge.Batch
+		for buckets, batch := range batches {
+			if plan.Included(buckets) {
+				included = append(included, batch)
+			}
+		}
+		page := w.order.Merge(included, limit)
+		requests = plan.RequestMore(now, page.NeedMore)
+		if len(page.NeedMore) == 0 {
+			return page
+		}
+	}
+	require.Fail(t, "the page does not end")
+	return merge.Page{}
+}
+
+func newOptions(limit int) Options {
+	return Options{Limit: limit, Floor: 0.7, LatencyObjective: 10_000, Deadline: 20_000, PartialWorth: 0.9,
+		LateWorth: 0.3, Margin: 20}
+}
--- /dev/null
+++ b/internal/results/fetchplan/plan.go
@@ -0,0 +1,142 @@
+package fetchplan
+
+import (
+	"slices"
+
+	"ternstage/internal/decision/shardmap"
+)
+
+// Options are what the plan of a page depends on. Times are ms of the caller's clock.
+type Options struct {
+	Limit             int     // rows of the page
+	Floor             float64 // least weight of an answer: the class's, or the client's if that is stricter
+	LatencyObjective  float64 // time until which an answer has its full worth
+	Deadline          float64 // time until which there must be an answer
+	PartialWorth      float64 // worth of a partial answer, for each share of weight that is present
+	LateWorth         float64 // worth of a complete answer after the latency objective
+	Margin            float64 // ms before objective and deadline at which the answer must be sent
+	MaxRowsPerRequest int     // bounds by how many rows a request exceeds the one before; 0 for no bound
+}
+
+// state is the state of a part.
+type state uint8
+
+const (
+	inFlight    state = iota // requested and not answered
+	answered                 // no further rows are requested
+	abandoned                // no longer waited for; its weight is missing
+	unavailable              // cannot be read; its weight is missing
+)
+
+// part is the share of the page that one shard answers.
+type part struct {
+	buckets     shardmap.Range
+	weight      float64
+	state       state
+	requested   int     // rows, from the position after which the page starts
+	received    int     // rows of the last answer
+	hasMore     bool    // the shard has rows after those received
+	requestedAt float64 // ms; of the last request
+}
+
+// Request is what to request of a shard.
+type Request struct {
+	Buckets  shardmap.Range
+	Rows     int // from the position after which the page starts
+	Received int // how many of these have been received before
+}
+
+// Plan is the plan of one page.
+type Plan struct {
+	options      Options
+	parts        []*part
+	latencies    []float64 // ms; of all answers, ascending
+	rowsReceived int
+	extraRounds  int
+}
+
+// New plans a page over shards of given weights. It returns the first requests.
+func New(now float64, options Options, shards []shardmap.Range, weights []float64) (*Plan, []Request) {
+	plan := &Plan{options: options}
+	rows := plan.firstRows(len(shards))
+	requests := make([]Request, 0, len(shards))
+	for i, buckets := range shards {
+		plan.parts = append(plan.parts, &part{buckets: buckets, weight: weights[i], requested: rows, requestedAt: now})
+		requests = append(requests, Request{Buckets: buckets, Rows: rows})
+	}
+	return plan, requests
+}
+
+// index is the index of the part with exactly these buckets, or -1.
+func (p *Plan) index(buckets shardmap.Range) int {
+	return slices.IndexFunc(p.parts, func(part *part) bool { return part.buckets == buckets })
+}
+
+// find is the part with exactly these buckets, or nil.
+func (p *Plan) find(buckets shardmap.Range) *part {
+	i := p.index(buckets)
+	if i < 0 {
+		return nil
+	}
+	return p.parts[i]
+}
+
+// RecordAnswer records that a shard answered with rows, counted from the position after which the page starts. It
+// reports whether the answer is wanted; one of a shard that is not waited for must not be merged.
+func (p *Plan) RecordAnswer(now float64, buckets shardmap.Range, rows int, hasMore bool) bool {
+	part := p.find(buckets)
+	if part == nil || part.state != inFlight {
+		return false
+	}
+	p.rowsReceived += rows - part.received
+	part.state = answered
+	part.received = rows
+	part.hasMore = hasMore
+	latency := now - part.requestedAt
+	i, _ := slices.BinarySearch(p.latencies, latency)
+	p.latencies = slices.Insert(p.latencies, i, latency)
+	return true
+}
+
+// RecordFailure records that a shard cannot be read. Rows that it gave before do not count either: without those that
+// follow them the page would skip rows.
+func (p *Plan) RecordFailure(buckets shardmap.Range) {
+	if part := p.find(buckets); part != nil && part.state != abandoned {
+		part.state = unavailable
+	}
+}
+
+// Reshard replaces a shard by those that hold its buckets after a split or merge, and returns the requests for these.
+// The rows of the old shard no longer count. A shard that is not part of the plan or is abandoned is left alone, and
+// nil returned.
+func (p *Plan) Reshard(now float64, buckets shardmap.Range, successors []shardmap.Range) []Request {
+	i := p.index(buckets)
+	if i < 0 || p.parts[i].state == abandoned {
+		return nil
+	}
+	old := p.parts[i]
+	p.parts = slices.Delete(p.parts, i, i+1)
+	requests := make([]Request, 0, len(successors))
+	for _, successor := range successors {
+		p.parts = append(p.parts, &part{
+			buckets:     successor,
+			weight:      old.weight * float64(successor.Size()) / float64(old.buckets.Size()),
+			requested:   old.requested,
+			requestedAt: now,
+		})
+		requests = append(requests, Request{Buckets: successor, Rows: old.requested})
+	}
+	return requests
+}
+
+// Included reports whether the rows of a shard are part of the answer.
+func (p *Plan) Included(buckets shardmap.Range) bool {
+	part := p.find(buckets)
+	return part != nil && part.state == answered
+}
+
+// RowsReceived is how many rows came, each counted once.
+func (p *Plan) RowsReceived() int { return p.rowsReceived }
+
+// ExtraRounds is how often shards were asked for more rows.
+func (p *Plan) ExtraRounds() int { return p.extraRounds }
--- /dev/null
+++ b/internal/results/merge/order.go
@@ -0,0 +1,87 @@
+package merge
+
+import "cmp"
+
+// SortColumn is one column of a rank.
+type SortColumn struct {
+	Column     string
+	Descending bool // the greatest value first
+}
+
+// Row is a row of a shard. Bucket and key together identify it.
+type Row struct {
+	Bucket int
+	Key    string
+	Values []Value // one for each column of the schema
+}
+
+// Order is a total order of rows: the rank columns, then the bucket, then the key. Bucket and key belong to the row and
+// not to the shard that holds it, so the order does not depend on how buckets are split into shards.
+type Order struct {
+	schema      Schema
+	rankColumns []int  // indices in the schema
+	descending  []bool // for each rank column
+}
+
+// NewOrder makes an order of the rows of a schema. A rank column that the schema lacks is an ErrSchemaMismatch.
+func NewOrder(schema Schema, rank []SortColumn) (*Order, error) {
+	order := &Order{schema: schema}
+	for _, sortColumn := range rank {
+		index := schema.Index(sortColumn.Column)
+		if index < 0 {
+			return nil, invalid(NoRow, ErrSchemaMismatch, "no rank column %q", sortColumn.Column)
+		}
+		order.rankColumns = append(order.rankColumns, index)
+		order.descending = append(order.descending, sortColumn.Descending)
+	}
+	return order, nil
+}
+
+// Position is a row's position in an order. The next page starts after the position of the last row.
+type Position struct {
+	Rank   []Value // values of the rank columns
+	Bucket int
+	Key    string
+}
+
+// PositionOf is the position of a row.
+func (o *Order) PositionOf(row Row) Position {
+	position := Position{Rank: make([]Value, len(o.rankColumns)), Bucket: row.Bucket, Key: row.Key}
+	for i, column := range o.rankColumns {
+		position.Rank[i] = row.Values[column]
+	}
+	return position
+}
+
+// CompareRanks compares the rank columns of two positions alone.
+func (o *Order) CompareRanks(a, b []Value) int {
+	for i := range min(len(a), len(b)) {
+		if c := Compare(a[i], b[i]); c != 0 {
+			return o.directed(i, c)
+		}
+	}
+	return 0
+}
+
+// Compare orders two positions.
+func (o *Order) Compare(a, b Position) int {
+	return cmp.Or(o.CompareRanks(a.Rank, b.Rank), cmp.Compare(a.Bucket, b.Bucket), cmp.Compare(a.Key, b.Key))
+}
+
+// compareRows orders two rows like Compare orders their positions, without allocating these.
+func (o *Order) compareRows(a, b *Row) int {
+	for i, column := range o.rankColumns {
+		if c := Compare(a.Values[column], b.Values[column]); c != 0 {
+			return o.directed(i, c)
+		}
+	}
+	return cmp.Or(cmp.Compare(a.Bucket, b.Bucket), cmp.Compare(a.Key, b.Key))
+}
+
+// directed reverses a comparison of the values of a rank column if that is descending.
+func (o *Order) directed(rankColumn, comparison int) int {
+	if o.descending[rankColumn] {
+		return -comparison
+	}
+	return comparison
+}
--- /dev/null
+++ b/internal/results/merge/sketch.go
@@ -0,0 +1,133 @@
+package merge
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"math"
+
+	"github.com/DataDog/sketches-go/ddsketch"
+	"github.com/DataDog/sketches-go/ddsketch/mapping"
+	"github.com/DataDog/sketches-go/ddsketch/store"
+)
+
+const (
+	// QuantileAccuracy is the relative error of quantiles.
+	QuantileAccuracy = 0.01
+
+	// maxSketchBytes bounds a sketch that a backend sends.
+	maxSketchBytes = 64 << 10
+)
+
+// Sketches encodes the two sketches as backends send them.
+func (p *PartialAggregate) Sketches() (quantiles, distinct []byte, err error) {
+	p.quantiles.Encode(&quantiles, false)
+	distinct, err = p.distinct.MarshalBinary()
+	return quantiles, distinct, err
+}
+
+// RestorePartialAggregate makes aggregates of what a backend sent: figures of count values and the two sketches, each
+// of which may be empty. Sketches that cannot be decoded are an error, also where the libraries panic.
+func RestorePartialAggregate(column Column, count uint64, sum, least, greatest Value, quantiles, distinct []byte) (
+	partial *PartialAggregate, err error) {
+	defer func() {
+		if cause := recover(); cause != nil {
+			partial = nil
+			err = invalid(NoRow, ErrInvalidSketch, "%s: %v", column.Name, cause)
+		}
+	}()
+	if len(quantiles) > maxSketchBytes || len(distinct) > maxSketchBytes {
+		return nil, invalid(NoRow, ErrInvalidSketch, "%s: %d and %d bytes", column.Name, len(quantiles), len(distinct))
+	}
+	partial, err = NewPartialAggregate(column)
+	if err != nil {
+		return nil, err
+	}
+	if count == 0 {
+		return partial, nil
+	}
+	if err := validateFigures(column, sum, least, greatest); err != nil {
+		return nil, err
+	}
+	partial.Count = count
+	partial.Min = least
+	partial.Max = greatest
+	partial.intSum = sum.Int
+	if column.Kind == Float {
+		partial.floatSum.SetFloat64(sum.Float)
+	}
+	if err := partial.restoreSketches(quantiles, distinct); err != nil {
+		return nil, invalid(NoRow, ErrInvalidSketch, "%s: %v", column.Name, err)
+	}
+	return partial, nil
+}
+
+// validateFigures checks the sum, minimum and maximum of one value or more. A text column has no sum.
+func validateFigures(column Column, sum, least, greatest Value) error {
+	for _, value := range []Value{least, greatest} {
+		if value.Kind != column.Kind {
+			return invalid(NoRow, ErrSchemaMismatch, "%s is %v, not %v", column.Name, value.Kind, column.Kind)
+		}
+	}
+	number, isNumber := sum.number()
+	validSum := column.Kind == Text || sum.Kind == column.Kind && isNumber && !math.IsInf(number, 0)
+	if !validSum || Compare(least, greatest) > 0 {
+		return invalid(NoRow, ErrInvalidNumber, "%s: sum %v, minimum %v, maximum %v", column.Name, sum, least, greatest)
+	}
+	return nil
+}
+
+// restoreSketches decodes those of the two sketches that are not empty. Count must have been set.
+func (p *PartialAggregate) restoreSketches(quantiles, distinct []byte) error {
+	if len(quantiles) > 0 {
+		if err := p.restoreQuantiles(quantiles); err != nil {
+			return err
+		}
+	}
+	if len(distinct) > 0 {
+		return p.distinct.UnmarshalBinary(distinct)
+	}
+	return nil
+}
+
+// restoreQuantiles decodes a sketch of quantiles. A dense store allocates the range between the least and the greatest
+// bin, which a few bytes of a malformed sketch can make larger than any memory. So the sketch is decoded into a sparse
+// store, and only bins that float64 values can have are merged into the dense one.
+func (p *PartialAggregate) restoreQuantiles(encoded []byte) error {
+	expected := p.quantiles.IndexMapping
+	sketch, err := ddsketch.DecodeDDSketch(bytes.Clone(encoded), store.SparseStoreConstructor, expected)
+	if err != nil {
+		return err
+	}
+	if !sketch.Equals(expected) { // of the index mapping, which the sketch embeds
+		return errors.New("quantiles of another accuracy")
+	}
+	total := sketch.GetZeroCount()
+	for _, bins := range []store.Store{sketch.GetPositiveValueStore(), sketch.GetNegativeValueStore()} {
+		total, err = addBins(total, bins, expected)
+		if err != nil {
+			return err
+		}
+	}
+	if !(sketch.GetZeroCount() >= 0) || total != float64(p.Count) { // nor a NaN
+		return fmt.Errorf("quantiles of %v values, not %d", total, p.Count)
+	}
+	return p.quantiles.MergeWith(sketch)
+}
+
+// addBins adds the counts of the bins to a total. It returns an error for a bin that no value can have, or whose count
+// is not a finite number from 0.
+func addBins(total float64, bins store.Store, indexing mapping.IndexMapping) (float64, error) {
+	lowest := indexing.Index(indexing.MinIndexableValue())
+	highest := indexing.Index(indexing.MaxIndexableValue())
+	var err error
+	bins.ForEach(func(index int, count float64) (stop bool) {
+		if index < lowest || index > highest || !(count >= 0) || math.IsInf(count, 0) {
+			err = fmt.Errorf("bin %d with %v values", index, count)
+			return true
+		}
+		total += count
+		return false
+	})
+	return total, err
+}
--- /dev/null
+++ b/internal/results/pageread/fixture_test.go
@@ -0,0 +1,152 @@
+package pageread
+
+import (
+	"flag"
+	"fmt"
+	"slices"
+
+	"github.com/stretchr/testify/require"
+
+	"ternstage/internal/decision/shardmap"
+	"ternstage/internal/results/completeness"
+	"ternstage/internal/results/cursor"
+	"ternstage/internal/results/fetchplan"
+	"ternstage/internal/results/merge"
+	"ternstage/internal/results/rows"
+)
+
+// A fixed seed makes every run draw the same cases; -rapid.seed=0 on the command line draws new ones.
+func init() { _ = flag.Set("rapid.seed", "20261201") }
+
+const testBucketCount = 10
+
+var testSchema = merge.Schema{{Name: "premium", Kind: merge.Int}}
+
+// testTable is a table of ten buckets and the backends that hold its shards.
+type testTable struct {
+	t            require.TestingT
+	order        *merge.Order
+	rows         []merge.Row // in order
+	shards       []shardmap.Range
+	shardEpochs  map[shardmap.Range]uint64
+	versions     map[shardmap.Range]uint64 // newest known; 0 is answered as 1
+	silent       map[shardmap.Range]bool   // shards that do not answer
+	changeAnswer func(*rows.Answer)        // if not nil
+	summaries    []*completeness.Summary
+	answerErrors []error // of the answers of all pages
+}
+
+// newTable makes a table of five shards with a row for each premium; row i is of bucket i modulo 10.
+func newTable(t require.TestingT, premiums ...int64) *testTable {
+	order, err := merge.NewOrder(testSchema, []merge.SortColumn{{Column: "premium"}})
+	require.NoError(t, err)
+	table := &testTable{t: t, order: order, shardEpochs: map[shardmap.Range]uint64{},
+		versions: map[shardmap.Range]uint64{}, silent: map[shardmap.Range]bool{}}
+	for i, premium := range premiums {
+		table.rows = append(table.rows, merge.Row{Bucket: i % testBucketCount, Key: fmt.Sprintf("%03d", i),
+			Values: []merge.Value{merge.IntOf(premium)}})
+	}
+	slices.SortFunc(table.rows, table.compare)
+	for i := range 5 {
+		table.shards = append(table.shards, shardmap.Range{Start: 2 * i, End: 2*i + 2})
+	}
+	return table
+}
+
+func (w *testTable) compare(a, b merge.Row) int {
+	return w.order.Compare(w.order.PositionOf(a), w.order.PositionOf(b))
+}
+
+// rowsAfter are the rows of some buckets after a position, or from the first if that is nil.
+func (w *testTable) rowsAfter(buckets shardmap.Range, after *merge.Position) []merge.Row {
+	var found []merge.Row
+	for _, row := range w.rows {
+		inBuckets := buckets.Start <= row.Bucket && row.Bucket < buckets.End
+		if inBuckets && (after == nil || w.order.Compare(w.order.PositionOf(row), *after) > 0) {
+			found = append(found, row)
+		}
+	}
+	return found
+}
+
+func (w *testTable) query(size int) Query {
+	return Query{
+		Clause: &merge.Clause{Rank: []merge.RankColumn{{Column: "premium"}}, Page: &merge.PageClause{Size: size}},
+		Epoch:  41, CompleteFrom: 1, Summaries: w.summaries,
+		Plan: fetchplan.Options{Floor: 0.1, LatencyObjective: 1000, Deadline: 2000, PartialWorth: 0.9, LateWorth: 0.3,
+			Margin: 20},
+	}
+}
+
+// answer is the answer of a shard's backend.
+func (w *testTable) answer(request Request) *rows.Answer {
+	found := w.rowsAfter(request.Buckets, request.After)
+	count := min(request.Rows, len(found))
+	answer := &rows.Answer{Batch: merge.Batch{Buckets: request.Buckets, Version: max(w.versions[request.Buckets], 1),
+		Schema: testSchema, Rows: slices.Clone(found[:count]), HasMore: count < len(found)}}
+	if w.changeAnswer != nil {
+		w.changeAnswer(answer)
+	}
+	return answer
+}
+
+// readPage reads a page to its end. Requests are answered 1 ms after each other.
+func (w *testTable) readPage(size int, before *cursor.Cursor) *Result {
+	var parts []Part
+	for _, buckets := range w.shards {
+		parts = append(parts, Part{Buckets: buckets, Weight: float64(buckets.Size()) / testBucketCount,
+			ShardEpoch: w.shardEpochs[buckets], Version: w.versions[buckets]})
+	}
+	now := 0.0
+	reader, requests := New(now, w.query(size), parts, before)
+	for range 300 {
+		for _, request := range requests {
+			now++
+			if w.silent[request.Buckets] {
+				continue
+			}
+			answer := w.answer(request)
+			err := reader.RecordAnswer(now, answer, request.Rows)
+			if err == nil {
+				continue
+			}
+			w.answerErrors = append(w.answerErrors, err)
+			if answer.Batch.Version < w.versions[request.Buckets] { // no replica has a newer one
+				reader.RecordFailure(request.Buckets, completeness.Failed)
+			}
+		}
+		step := reader.Step(now)
+		require.False(w.t, step.Hopeless)
+		if step.Result != nil {
+			return step.Result
+		}
+		requests = step.Requests
+		if len(requests) == 0 {
+			require.Greater(w.t, step.WakeAt, now)
+			now = step.WakeAt
+		}
+	}
+	require.Fail(w.t, "the page does not end")
+	return nil
+}
+
+func keysOf(rows []merge.Row) []string {
+	var keys []string
+	for _, row := range rows {
+		keys = append(keys, row.Key)
+	}
+	return keys
+}
+
+// cheapestShard is the shard of buckets 4 and 5.
+var cheapestShard = shardmap.Range{Start: 4, End: 6}
+
+// testPremiums are 30 premiums with the lowest, of key 004, in the cheapest shard.
+func testPremiums() []int64 {
+	var premiums []int64
+	for i := range 30 {
+		premiums = append(premiums, int64(100+i*7%30))
+	}
+	premiums[4] = 1
+	return premiums
+}
--- /dev/null
+++ b/internal/results/pageread/result.go
@@ -0,0 +1,92 @@
+package pageread
+
+import (
+	"slices"
+
+	"ternstage/internal/decision/shardmap"
+	"ternstage/internal/results/completeness"
+	"ternstage/internal/results/cursor"
+	"ternstage/internal/results/merge"
+)
+
+// Result is a page.
+type Result struct {
+	Rows      []merge.Row
+	Sources   []shardmap.Range // for each row, the buckets of the shard that it came from
+	FirstRank int              // rank of the first row, from 1
+	Certain   []bool           // for each row, whether its rank is certain
+	Report    *completeness.Report
+	Complete  bool           // the report is complete and nothing has changed since the page before
+	Next      *cursor.Cursor // without tenant, digest and expiry; nil if there is no next page
+	Groups    []Group        // in the order of their values
+	Changes   cursor.Changes // since the page before
+}
+
+// result makes the result of a final page. A page's ranks continue those of the pages before, so they are certain only
+// if these were and nothing has changed since: a shard that has returned may hold rows that belong before them.
+func (r *Reader) result(order *merge.Order, page merge.Page) *Result {
+	parts, spans := r.describeShards()
+	report := completeness.New(parts, r.summaries, r.query.CompleteFrom)
+	positions := make([]merge.Position, len(page.Rows))
+	for i, row := range page.Rows {
+		positions[i] = order.PositionOf(row)
+	}
+	result := &Result{
+		Rows:      page.Rows,
+		Sources:   page.Sources,
+		FirstRank: 1,
+		Certain:   report.CertainRanks(order, positions),
+		Report:    report,
+		Complete:  report.Complete,
+	}
+	epoch := r.query.Epoch
+	ranksCertain := true
+	if r.before != nil {
+		epoch = r.before.Epoch
+		result.FirstRank = r.before.NextRank
+		result.Changes = r.before.Changes(spans)
+		changed := result.Changes.Any()
+		result.Complete = result.Complete && !changed
+		ranksCertain = r.before.RanksCertain && !changed
+		if !ranksCertain {
+			clear(result.Certain)
+		}
+	}
+	if page.HasMore && len(positions) > 0 {
+		last := positions[len(positions)-1]
+		result.Next = &cursor.Cursor{
+			Epoch:        epoch,
+			NextRank:     result.FirstRank + len(positions),
+			After:        &last,
+			Spans:        spans,
+			RanksCertain: ranksCertain && !slices.Contains(result.Certain, false),
+		}
+	}
+	return result
+}
+
+// describeShards describes the shards, in the order of their buckets, for the report and for the next page.
+func (r *Reader) describeShards() ([]completeness.Part, []cursor.Span) {
+	sortByBuckets(r.shards)
+	var parts []completeness.Part
+	var spans []cursor.Span
+	for _, shard := range r.shards {
+		part := completeness.Part{
+			Buckets:    shard.Buckets,
+			Weight:     shard.Weight,
+			Present:    shard.batch != nil,
+			Version:    shard.Version,
+			ShardEpoch: shard.ShardEpoch,
+			Reason:     shard.reason,
+			Detail:     shard.detail,
+		}
+		span := cursor.Span{Start: shard.Buckets.Start, End: shard.Buckets.End, ShardEpoch: shard.ShardEpoch}
+		if shard.batch != nil {
+			part.Version = shard.batch.Version
+			span.Version = shard.batch.Version
+		}
+		parts = append(parts, part)
+		spans = append(spans, span)
+	}
+	return parts, spans
+}
--- /dev/null
+++ b/internal/results/rows/groups.go
@@ -0,0 +1,179 @@
+package rows
+
+import (
+	"encoding/json"
+	"errors"
+
+	"ternstage/internal/results/merge"
+)
+
+// decodeRest decodes what an answer has beside its batch, which must have been decoded.
+func (a *Answer) decodeRest(summary *wireSummary, groups []wireGroup, request *Request) error {
+	var err error
+	a.Summary, err = summary.decode(&a.Batch, request)
+	if err != nil {
+		return err
+	}
+	if len(request.AggregateColumns) == 0 {
+		if len(groups) > 0 {
+			return malformed("groups that were not requested")
+		}
+		return nil
+	}
+	a.Groups, err = decodeGroups(groups, a.Batch.Schema, request)
+	return err
+}
+
+// decodeGroups decodes the groups of an answer.
+func decodeGroups(groups []wireGroup, schema merge.Schema, request *Request) (*merge.Groups, error) {
+	aggregated, err := findColumns(schema, request.AggregateColumns, true)
+	if err != nil {
+		return nil, err
+	}
+	grouping, err := findColumns(schema, request.GroupColumns, false)
+	if err != nil {
+		return nil, err
+	}
+	decoded := merge.NewGroups(aggregated, request.MaxGroups)
+	for i := range groups {
+		group := &groups[i]
+		if len(group.Values) != len(grouping) || len(group.Partials) != len(aggregated) || i >= request.MaxGroups {
+			return nil, malformed("groups[%d]: %d values and %d aggregates, of at most %d groups", i, len(group.Values),
+				len(group.Partials), request.MaxGroups)
+		}
+		values, partials, err := group.decode(i, grouping, aggregated)
+		if err != nil {
+			return nil, err
+		}
+		if err := decoded.Insert(values, partials); err != nil {
+			return nil, malformed("groups[%d]: %v", i, err)
+		}
+	}
+	return decoded, nil
+}
+
+// decode decodes the group at an index, which has a value and an aggregate for each column.
+func (w *wireGroup) decode(index int, grouping, aggregated []merge.Column) (
+	[]merge.Value, []*merge.PartialAggregate, error) {
+	values := make([]merge.Value, len(grouping))
+	for i, raw := range w.Values {
+		value, err := decodeValue(raw, grouping[i].Kind)
+		if err != nil {
+			return nil, nil, malformed("groups[%d].by[%d]: %v", index, i, err)
+		}
+		values[i] = value
+	}
+	partials := make([]*merge.PartialAggregate, len(aggregated))
+	for i := range w.Partials {
+		partial, err := w.Partials[i].decode(aggregated[i])
+		if err != nil {
+			return nil, nil, malformed("groups[%d].of[%d]: %v", index, i, err)
+		}
+		partials[i] = partial
+	}
+	return values, partials, nil
+}
+
+// findColumns finds columns of a schema by name. Where rows may be counted, "" is a column of integers without a name.
+func findColumns(schema merge.Schema, names []string, mayCountRows bool) ([]merge.Column, error) {
+	columns := make([]merge.Column, len(names))
+	for i, name := range names {
+		index := schema.Index(name)
+		switch {
+		case index >= 0:
+			columns[i] = schema[index]
+		case name == "" && mayCountRows:
+			columns[i] = merge.Column{Kind: merge.Int}
+		default:
+			return nil, malformed("no column %q", name)
+		}
+	}
+	return columns, nil
+}
+
+// decode makes the aggregates of a column.
+func (w *wirePartial) decode(column merge.Column) (*merge.PartialAggregate, error) {
+	hasFigures := w.Count > 0 && column.Name != ""
+	var sum, least, greatest merge.Value
+	for _, figure := range []struct {
+		raw     json.RawMessage
+		decoded *merge.Value
+		absent  bool
+	}{
+		{w.Sum, &sum, column.Kind == merge.Text}, // texts have no sum; one that is sent does not matter
+		{w.Min, &least, false},
+		{w.Max, &greatest, false},
+	} {
+		if figure.absent {
+			continue
+		}
+		var err error
+		*figure.decoded, err = decodeFigure(figure.raw, column.Kind, hasFigures)
+		if err != nil {
+			return nil, err
+		}
+	}
+	return merge.RestorePartialAggregate(column, w.Count, sum, least, greatest, w.Quantiles, w.Distinct)
+}
+
+// decodeFigure decodes a sum, minimum or maximum, which must be there if the aggregate has figures and else not; it
+// then is the zero of its kind.
+func decodeFigure(raw json.RawMessage, kind merge.Kind, hasFigures bool) (merge.Value, error) {
+	if !hasFigures {
+		if len(raw) > 0 {
+			return merge.Value{}, errors.New("sum, minimum or maximum of no values")
+		}
+		return merge.Value{Kind: kind}, nil
+	}
+	if len(raw) == 0 {
+		return merge.Value{}, errors.New("sum, minimum or maximum missing")
+	}
+	return decodeValue(raw, kind)
+}
+
+// encodeGroups is the inverse of decodeGroups; nil of nil.
+func encodeGroups(groups *merge.Groups) ([]wireGroup, error) {
+	if groups == nil {
+		return nil, nil
+	}
+	encoded := []wireGroup{}
+	for _, group := range groups.Sorted() {
+		wire := wireGroup{Values: encodeValues(group.Values)}
+		for _, partial := range group.Partials {
+			encodedPartial, err := encodePartial(partial)
+			if err != nil {
+				return nil, err
+			}
+			wire.Partials = append(wire.Partials, encodedPartial)
+		}
+		encoded = append(encoded, wire)
+	}
+	return encoded, nil
+}
+
+// encodePartial is the inverse of wirePartial.decode. Texts have neither a sum nor quantiles.
+func encodePartial(partial *merge.PartialAggregate) (wirePartial, error) {
+	wire := wirePartial{Count: partial.Count}
+	if partial.Count == 0 || partial.Column.Name == "" {
+		return wire, nil
+	}
+	isText := partial.Column.Kind == merge.Text
+	if !isText {
+		sum, err := partial.Sum()
+		if err != nil {
+			return wirePartial{}, err
+		}
+		wire.Sum = encodeValue(sum)
+	}
+	wire.Min = encodeValue(partial.Min)
+	wire.Max = encodeValue(partial.Max)
+	quantiles, distinct, err := partial.Sketches()
+	if err != nil {
+		return wirePartial{}, err
+	}
+	if !isText {
+		wire.Quantiles = quantiles
+	}
+	wire.Distinct = distinct
+	return wire, nil
+}
--- /dev/null
+++ b/internal/results/rows/summary.go
@@ -0,0 +1,71 @@
+package rows
+
+import (
+	"math"
+
+	"ternstage/internal/results/completeness"
+	"ternstage/internal/results/merge"
+)
+
+// decode makes the summary of the shard that a batch is from; nil of nil.
+func (w *wireSummary) decode(batch *merge.Batch, request *Request) (*completeness.Summary, error) {
+	if w == nil {
+		return nil, nil
+	}
+	rank := request.RankColumns
+	summary := &completeness.Summary{
+		Buckets:    batch.Buckets,
+		Version:    batch.Version,
+		ShardEpoch: request.ShardEpoch,
+		Count:      w.Count,
+		Min:        orNaN(w.Min),
+		Max:        orNaN(w.Max),
+		Sum:        orNaN(w.Sum),
+	}
+	surplus := w.Count == 0 && len(w.FirstRank) > 0
+	incomplete := w.Count > 0 && len(w.FirstRank) != len(rank)
+	if surplus || incomplete || summary.Min > summary.Max {
+		return nil, malformed("summary: %d least values of %d rank columns, %d rows, minimum %v, maximum %v",
+			len(w.FirstRank), len(rank), w.Count, summary.Min, summary.Max)
+	}
+	for i, raw := range w.FirstRank {
+		column := batch.Schema.Index(rank[i])
+		if column < 0 {
+			return nil, malformed("summary: no rank column %q", rank[i])
+		}
+		value, err := decodeValue(raw, batch.Schema[column].Kind)
+		if err != nil || value.Kind == merge.Null || value.Kind == merge.Float && math.IsNaN(value.Float) {
+			return nil, malformed("summary: least[%d]: %.40s", i, raw)
+		}
+		summary.FirstRank = append(summary.FirstRank, value)
+	}
+	return summary, nil
+}
+
+// encodeSummary is the inverse of decode; nil of nil.
+func encodeSummary(summary *completeness.Summary) *wireSummary {
+	if summary == nil {
+		return nil
+	}
+	return &wireSummary{
+		Count:     summary.Count,
+		FirstRank: encodeValues(summary.FirstRank),
+		Min:       numberOrNil(summary.Min),
+		Max:       numberOrNil(summary.Max),
+		Sum:       numberOrNil(summary.Sum),
+	}
+}
+
+func orNaN(number *float64) float64 {
+	if number == nil {
+		return math.NaN()
+	}
+	return *number
+}
+
+func numberOrNil(number float64) *float64 {
+	if math.IsNaN(number) {
+		return nil
+	}
+	return &number
+}
