--- a/cmd/ternstage/shutdown.go
+++ b/cmd/ternstage/shutdown.go
@@ -110,8 +110,8 @@
 	s.pollTimer.Set(s.loop.Now() + shutdownPollMs)
 }
 
-// acceptEnded reports whether nothing more is accepted: what came now might not be answered before SIGKILL, or no client
-// is left, or the successor accepts.
+// acceptEnded reports whether nothing more is accepted: what came now might not be answered before SIGKILL, or no
+// client is left, or the successor accepts.
 func (s *gracefulShutdown) acceptEnded(elapsedMs float64, open int) bool {
 	if elapsedMs >= max(s.killDelayMs, s.acceptMs) {
 		return true
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -7,7 +7,7 @@
 //   - settings.go: the platform's JSON, and where its names are mapped to the terms of docs/GLOSSARY.md.
 //   - validate.go: which values are rejected.
 //
-// The platform's settings are read twice: their share for the scheduler by package simwire, which the simulator's adapter
-// uses as well, and the rest here. The adapter has no use for the rest and must not reject a site for it, so that the
-// two have separate types.
+// The platform's settings are read twice: their share for the scheduler by package simwire, which the simulator's
+// adapter uses as well, and the rest here. The adapter has no use for the rest and must not reject a site for it, so
+// that the two have separate types.
 package config
--- a/internal/control/adminops/doc.go
+++ b/internal/control/adminops/doc.go
@@ -9,8 +9,9 @@
 //   - otherprocess.go: whether another process of the broker serves beside this one.
 //
 // A call that cannot be stored is answered 500, although it is in force in this process: the next process would not
-// know of it. A suspension that finds the file locked by another process is answered 500 too, and changes nothing. A file that cannot be read is logged once. Suspensions then stay as they were, and the broker is
-// draining if the file is that of a drain.
+// know of it. A suspension that finds the file locked by another process is answered 500 too, and changes nothing. A
+// file that cannot be read is logged once. Suspensions then stay as they were, and the broker is draining if the file
+// is that of a drain.
 //
 // Everything here runs on the event loop; nothing is safe for concurrent use.
 package adminops
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -115,8 +115,8 @@
 // Counts gives the totals since the start.
 func (c *Core) Counts() Counts { return c.counts }
 
-// RunRound runs the scheduling round that ends a wake-up: what happened is reported to the scheduler, it decides once, and the
-// back end sends what it was given.
+// RunRound runs the scheduling round that ends a wake-up: what happened is reported to the scheduler, it decides
+// once, and the back end sends what it was given.
 func (c *Core) RunRound() {
 	now := c.clock.Now()
 	c.expire(now)
--- a/internal/core/outcomes.go
+++ b/internal/core/outcomes.go
@@ -15,8 +15,8 @@
 }
 
 // AttemptEnded reports how an attempt ended. The first report of an attempt counts, later ones are ignored. value is
-// what the backend gave if the outcome is Succeeded, and must not change afterwards. It is reported to the scheduler in the next
-// round.
+// what the backend gave if the outcome is Succeeded, and must not change afterwards. It is reported to the scheduler
+// in the next round.
 func (c *Core) AttemptEnded(attempt *Attempt, outcome scheduler.Outcome, value []byte) {
 	if attempt.ended {
 		return
--- a/internal/decision/maintenance/drain.go
+++ b/internal/decision/maintenance/drain.go
@@ -32,8 +32,8 @@
 	DrainedByMs = 4000.0
 )
 
-// BrokerDrain is the state of the broker between an operator's call to drain and the call to activate. The zero value is a
-// broker that serves.
+// BrokerDrain is the state of the broker between an operator's call to drain and the call to activate. The zero value
+// is a broker that serves.
 type BrokerDrain struct {
 	active  bool
 	sinceMs float64
--- a/internal/transport/backendpool/connection_end.go
+++ b/internal/transport/backendpool/connection_end.go
@@ -60,8 +60,8 @@
 	c.pool.core.AttemptEndedLater(part.attempt, outcome)
 }
 
-// attributeLoss reports whether only this connection broke while the backend is up: either it broke as soon as it was used
-// after being idle, where the end of a process would have shown before, or another connection to the backend is
+// attributeLoss reports whether only this connection broke while the backend is up: either it broke as soon as it was
+// used after being idle, where the end of a process would have shown before, or another connection to the backend is
 // open. The former is recorded for idleRisk. Without this a backend would count as lost, and as warming up once it
 // serves again.
 func (c *connection) attributeLoss(code logs.Code) (connectionOnly bool) {
--- a/internal/transport/backendpool/connection_selection.go
+++ b/internal/transport/backendpool/connection_selection.go
@@ -60,8 +60,8 @@
 // usable reports whether the connection takes calls, if it has the capacity.
 func (c *connection) usable() bool { return c.retiredFor == "" && c.pendingRejection == nil }
 
-// hasCapacity reports whether the connection takes one more call. Abandoned parts count, as the backend may still work on
-// them.
+// hasCapacity reports whether the connection takes one more call. Abandoned parts count, as the backend may still
+// work on them.
 func (c *connection) hasCapacity() bool {
 	return c.usable() && len(c.calls)+len(c.abandoned) < c.pool.options.StreamsPerConnection
 }
--- a/internal/transport/backendpool/idle_risk.go
+++ b/internal/transport/backendpool/idle_risk.go
@@ -53,8 +53,8 @@
 	return r.lossRates[slot] * math.Exp2((r.updatedAt[slot]-now)/lossHalfLifeMs)
 }
 
-// allows reports whether the loss rate of connections that have been idle so long is not above maxRate. What is lost after
-// a shorter idle time counts too, as it would be lost after a longer one.
+// allows reports whether the loss rate of connections that have been idle so long is not above maxRate. What is lost
+// after a shorter idle time counts too, as it would be lost after a longer one.
 func (r *idleRisk) allows(now, idleMs, maxRate float64) bool {
 	for slot := firstIdleSlot; slot <= idleTimeSlot(idleMs); slot++ {
 		if r.lossRate(slot, now) > maxRate {
