--- a/Makefile
+++ b/Makefile
@@ -6,9 +6,9 @@
 test:
 	go test -count=1 $${SKIP:+-skip "$$SKIP"} ./... # the program under test is built by the tests, which the cache does not see
 
-lint: # the linter is pinned by tools/go.mod, so that the product's go.sum stays small
+lint: # the linter is pinned by tools/go.mod, so that the product's go.sum stays small; a shared cache names files of other checkouts
 	go vet ./...
-	go tool -modfile=tools/go.mod golangci-lint run ./...
+	GOLANGCI_LINT_CACHE=$(CURDIR)/bin/lint-cache go tool -modfile=tools/go.mod golangci-lint run ./...
 
 try: build
 	exec bin/emulator up
