--- a/test/crossings_test.go
+++ b/test/crossings_test.go
@@ -10,6 +10,7 @@
 	"net"
 	"net/http"
 	"os"
+	"path/filepath"
 	"slices"
 	"strconv"
 	"strings"
@@ -70,15 +71,25 @@
 // stopped stops the program, has all of that happen, and lets it go on.
 func stopped(p *program, happens func()) {
 	require.NoError(p.t, p.Process.Signal(syscall.SIGSTOP))
-	state := func() string {
-		text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Process.Pid))
-		return string(text[bytes.LastIndexByte(text, ')')+2:][:1])
-	}
-	require.Eventually(p.t, func() bool { return state() == "T" }, patience, time.Millisecond)
+	require.Eventually(p.t, p.allThreadsStopped, patience, time.Millisecond)
 	happens()
 	require.NoError(p.t, p.Process.Signal(syscall.SIGCONT))
 }
 
+// allThreadsStopped reports whether every thread of the program has stopped. The first thread, whose state is that of
+// the process, may stop while the thread of the event loop still runs, takes an event and stops before it reads the clock.
+func (p *program) allThreadsStopped() bool {
+	paths, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.Process.Pid))
+	require.NoError(p.t, err)
+	for _, path := range paths {
+		text, err := os.ReadFile(path)
+		if err != nil || string(text[bytes.LastIndexByte(text, ')')+2:][:1]) != "T" {
+			return false
+		}
+	}
+	return len(paths) > 0
+}
+
 // TestGoneUnsafe: a client goes while a part of it that must not run twice is out. The part is turned away afterwards, so
 // that it never ran: for a client that stays it would go to another node, for one that has gone it does not.
 func TestGoneUnsafe(t *testing.T) {
