--- a/cmd/ternlab/main.go
+++ b/cmd/emulator/main.go
@@ -1,4 +1,4 @@
-// Command ternlab is the lab: it plays experiments in virtual time or live on loopback, and keeps what they
+// Command emulator is the lab: it plays experiments in virtual time or live on loopback, and keeps what they
 // found.
 package main
 
@@ -24,11 +24,11 @@
 )
 
 func main() {
-	root := &cobra.Command{Use: "ternlab", Short: "Plays experiments with brokers, nodes and clients",
+	root := &cobra.Command{Use: "emulator", Short: "Plays experiments with brokers, nodes and clients",
 		SilenceUsage: true, SilenceErrors: true}
 	root.AddCommand(runCommand(), upCommand(), compareCommand(), reportCommand())
 	if err := root.Execute(); err != nil {
-		fmt.Fprintln(os.Stderr, "ternlab:", err)
+		fmt.Fprintln(os.Stderr, "emulator:", err)
 		os.Exit(1)
 	}
 }
@@ -162,7 +162,7 @@
 	if wire != "frames" && wire != "flight" {
 		return result.Summary{}, of, fmt.Errorf("--wire %s: frames or flight", wire)
 	}
-	dir, err := os.MkdirTemp("", "ternlab")
+	dir, err := os.MkdirTemp("", "emulator")
 	if err != nil {
 		return result.Summary{}, of, err
 	}
@@ -207,7 +207,7 @@
 			if seconds > 0 {
 				e.Seconds = seconds
 			}
-			dir, err := os.MkdirTemp("", "ternlab")
+			dir, err := os.MkdirTemp("", "emulator")
 			if err != nil {
 				return err
 			}
--- a/cmd/simhost/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command simhost runs the decision module behind the simulator's wire. It only translates.
+// Command simadapter runs the decision module behind the simulator's wire. It only translates.
 package main
 
 import (
@@ -14,7 +14,7 @@
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "simhost:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
--- a/experiments/experiments.go
+++ b/experiments/experiments.go
@@ -1,9 +1,9 @@
-// Package experiments holds the experiments that ternlab knows without a file.
+// Package experiments holds the experiments that emulator knows without a file.
 package experiments
 
 import _ "embed"
 
-// Up is what ternlab up plays: a small fleet under some load, whose slices change now and then.
+// Up is what emulator up plays: a small fleet under some load, whose slices change now and then.
 //
 //go:embed up.jsonnet
 var Up string
--- a/experiments/up.jsonnet
+++ b/experiments/up.jsonnet
@@ -1,4 +1,4 @@
-// A small fleet under some load, whose slices change now and then: what ternlab up plays, until it is ended.
+// A small fleet under some load, whose slices change now and then: what emulator up plays, until it is ended.
 {
   name: 'up',
   seconds: 7200,
