--- a/cmd/ternstage/broker.go
+++ b/cmd/ternstage/broker.go
@@ -48,9 +48,9 @@
 	closers []func() // see onClose
 }
 
-// backend is a core.Backend that the program can close.
+// backend is a core.Transport that the program can close.
 type backend interface {
-	core.Backend
+	core.Transport
 	Close()
 }
 
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -30,7 +30,7 @@
 		return
 	}
 	heap.Push(&c.deadlines, attempt)
-	c.backend.Send(attempt)
+	c.transport.Send(attempt)
 }
 
 // Cancel stops the wait for an attempt. A non-idempotent one whose client has disconnected is left to end by itself if
@@ -41,17 +41,17 @@
 		return
 	}
 	if attempt.NonIdempotent && attempt.part.request.disconnected {
-		withdrawn := c.backend.Withdraw(attempt)
+		withdrawn := c.transport.Withdraw(attempt)
 		if !withdrawn {
 			return
 		}
 	}
-	c.backend.Abandon(attempt)
+	c.transport.Abandon(attempt)
 	c.AttemptEndedLater(attempt, scheduler.Cancelled)
 }
 
 // CloseIdleConnections closes the idle connections to a backend.
-func (c *Core) CloseIdleConnections(replica uint32) { c.backend.CloseIdleConnections(replica) }
+func (c *Core) CloseIdleConnections(replica uint32) { c.transport.CloseIdleConnections(replica) }
 
 // Answer ends a request with the parts that have arrived.
 func (c *Core) Answer(queryID uint64, complete bool) {
--- a/internal/core/answer.go
+++ b/internal/core/answer.go
@@ -27,7 +27,7 @@
 }
 
 // ValidValue reports whether what a backend gave can be a value: UTF-8 and not empty. Values go to clients as JSON
-// strings, where other bytes would be changed. A back end fails an attempt that brought anything else.
+// strings, where other bytes would be changed. A transport fails an attempt that brought anything else.
 func ValidValue(value []byte) bool { return len(value) > 0 && utf8.Valid(value) }
 
 // Answer is the one final answer of a request.
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -5,7 +5,7 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-// Attempt is one dispatch of a part to a backend. The back end reads the exported fields and may set Handle,
+// Attempt is one dispatch of a part to a backend. The transport reads the exported fields and may set Handle,
 // ConnectionOnly and BackendEpoch.
 type Attempt struct {
 	Request        string  // the request's ID
@@ -16,7 +16,7 @@
 	Deadline       float64 // when the wait for it ends, in ms of the loop's clock
 	StartBy        float64 // until when it may begin, in ms of the loop's clock; after that it must not
 	NonIdempotent  bool    // it must not run twice
-	Handle         any     // the back end's own; core does not look at it
+	Handle         any     // the transport's own; core does not look at it
 	ConnectionOnly bool    // set before the attempt's end is reported: the fault is the connection's, not the backend's
 
 	Buckets      shardmap.Range // that are asked for; empty where placement is fixed
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -9,7 +9,7 @@
 	"ternstage/internal/transport/simwire"
 )
 
-// benchFixture is a broker with fixed placement whose back end and clock are the benchmark's.
+// benchFixture is a broker with fixed placement whose transport and clock are the benchmark's.
 type benchFixture struct {
 	b        *testing.B
 	core     *core.Core
--- a/internal/core/completion.go
+++ b/internal/core/completion.go
@@ -76,7 +76,7 @@
 	c.openCount -= 1 + len(request.parts)
 }
 
-// withdrawParts keeps all parts of a request from beginning: attempts that the back end has not begun are taken back,
+// withdrawParts keeps all parts of a request from beginning: attempts that the transport has not begun are taken back,
 // whether or not the settings allow to cancel those that have begun.
 func (c *Core) withdrawParts(request *Request) {
 	for _, p := range request.parts {
@@ -86,7 +86,7 @@
 			if attempt.ended {
 				continue
 			}
-			withdrawn := c.backend.Withdraw(attempt)
+			withdrawn := c.transport.Withdraw(attempt)
 			if withdrawn {
 				c.AttemptEndedLater(attempt, scheduler.Cancelled)
 			}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -12,7 +12,7 @@
 type Core struct {
 	scheduler *scheduler.Scheduler
 	clock     Clock
-	backend   Backend
+	transport Transport
 	endpoints EndpointList
 	log       Log
 
@@ -94,9 +94,9 @@
 	return c, nil
 }
 
-// Attach sets the back end and the endpoint list. It must be called before any other method.
-func (c *Core) Attach(backend Backend, endpoints EndpointList) {
-	c.backend = backend
+// Attach sets the transport and the endpoint list. It must be called before any other method.
+func (c *Core) Attach(transport Transport, endpoints EndpointList) {
+	c.transport = transport
 	c.endpoints = endpoints
 }
 
@@ -116,7 +116,7 @@
 func (c *Core) Counts() Counts { return c.counts }
 
 // RunRound runs the scheduling round that ends a wake-up: what happened is reported to the scheduler, it decides
-// once, and the back end sends what it was given.
+// once, and the transport sends what it was given.
 func (c *Core) RunRound() {
 	now := c.clock.Now()
 	c.expire(now)
@@ -136,7 +136,7 @@
 
 	c.fireTimer(now)
 	c.scheduler.RunRound(now)
-	c.backend.Flush()
+	c.transport.Flush()
 	c.scheduleWake()
 }
 
--- a/internal/core/disconnects_test.go
+++ b/internal/core/disconnects_test.go
@@ -9,7 +9,7 @@
 	"ternstage/internal/decision/scheduler"
 )
 
-// A client disconnects while an attempt waits at the back end. Nothing of it begins, whether or not the settings allow
+// A client disconnects while an attempt waits at the transport. Nothing of it begins, whether or not the settings allow
 // to cancel what has begun; a non-idempotent attempt that has begun is waited for, and is the last of its request.
 func TestDisconnectWithdrawsAttempts(t *testing.T) {
 	for _, canCancel := range []bool{true, false} {
--- a/internal/core/fixture_test.go
+++ b/internal/core/fixture_test.go
@@ -12,7 +12,7 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-// fixture is a broker under resharding whose back end, endpoint list, clock and log are the test's. Its backends are a
+// fixture is a broker under resharding whose transport, endpoint list, clock and log are the test's. Its backends are a
 // to d.
 type fixture struct {
 	t           *testing.T
@@ -189,7 +189,7 @@
 	return client.answers[0]
 }
 
-// fixedFixture is a broker with fixed placement, before two backends that hold its one shard. Its back end begins no
+// fixedFixture is a broker with fixed placement, before two backends that hold its one shard. Its transport begins no
 // attempt until the test says so.
 type fixedFixture struct {
 	*fixture
--- a/internal/core/interfaces.go
+++ b/internal/core/interfaces.go
@@ -7,9 +7,9 @@
 	Finish(Answer)
 }
 
-// Backend carries attempts to the backends. Its methods must not call back into Core, except for
+// Transport carries attempts to the backends. Its methods must not call back into Core, except for
 // Core.AttemptEndedLater.
-type Backend interface {
+type Transport interface {
 	// Send takes an attempt. The attempts of one scheduling round to one backend may share a call.
 	Send(*Attempt)
 	// Flush ends the scheduling round: the attempts taken since the last Flush are sent.
--- a/internal/core/outcomes.go
+++ b/internal/core/outcomes.go
@@ -34,7 +34,7 @@
 	c.ended = append(c.ended, endedAttempt{attempt, outcome})
 }
 
-// AttemptEndedLater reports an outcome that the back end learns while Core is calling it, and asks for a round in
+// AttemptEndedLater reports an outcome that the transport learns while Core is calling it, and asks for a round in
 // which it is reported to the scheduler.
 func (c *Core) AttemptEndedLater(attempt *Attempt, outcome scheduler.Outcome) {
 	c.AttemptEnded(attempt, outcome, nil)
@@ -76,7 +76,7 @@
 	slices.SortFunc(expired, func(x, y *Attempt) int { return cmp.Compare(x.part.id, y.part.id) })
 	for _, attempt := range expired {
 		outcome := scheduler.TimedOut
-		neverRan := c.backend.Abandon(attempt)
+		neverRan := c.transport.Abandon(attempt)
 		if neverRan {
 			outcome = scheduler.ConnectFailed // the scheduler may retry what never ran
 		}
--- a/internal/lab/world/virtual.go
+++ b/internal/lab/world/virtual.go
@@ -15,7 +15,7 @@
 )
 
 // virtual is a broker in virtual time: the real core and module, and this world in place of its wires. It
-// implements core.Backend, core.List, core.Clock and core.Log.
+// implements core.Transport, core.List, core.Clock and core.Log.
 type virtual struct {
 	sim    *World
 	index  int
@@ -390,14 +390,14 @@
 	b.step()
 }
 
-// Send implements core.Backend.
+// Send implements core.Transport.
 func (b *virtual) Send(a *core.Attempt) {
 	f := &sending{b: b, gen: b.gen, a: a, node: b.sim.fleet.nodes[a.Backend-1]}
 	a.Handle = f
 	b.turn = append(b.turn, f)
 }
 
-// Flush implements core.Backend.
+// Flush implements core.Transport.
 func (b *virtual) Flush() {
 	turn := b.turn
 	b.turn = nil
@@ -409,10 +409,10 @@
 	}
 }
 
-// CloseIdleConnections implements core.Backend: connections cost nothing here.
+// CloseIdleConnections implements core.Transport: connections cost nothing here.
 func (b *virtual) CloseIdleConnections(uint32) {}
 
-// Withdraw implements core.Backend.
+// Withdraw implements core.Transport.
 func (b *virtual) Withdraw(a *core.Attempt) bool {
 	i := slices.Index(b.turn, a.Handle.(*sending))
 	if i >= 0 {
@@ -421,7 +421,7 @@
 	return i >= 0
 }
 
-// Abandon implements core.Backend.
+// Abandon implements core.Transport.
 func (b *virtual) Abandon(a *core.Attempt) (neverRan bool) {
 	if b.Withdraw(a) {
 		return true
--- a/internal/transport/backendpool/abandon.go
+++ b/internal/transport/backendpool/abandon.go
@@ -10,7 +10,7 @@
 // maxAbandonedParts is how many abandoned parts without an answer a connection may have before it takes no new calls.
 const maxAbandonedParts = 64
 
-// Withdraw implements core.Backend. A part can be withdrawn until its call is encoded: it is left out of the frame.
+// Withdraw implements core.Transport. A part can be withdrawn until its call is encoded: it is left out of the frame.
 func (p *Pool) Withdraw(attempt *core.Attempt) bool {
 	if backend := p.backends[attempt.Backend]; backend != nil {
 		if i := slices.Index(backend.unplaced, attempt); i >= 0 {
@@ -27,7 +27,7 @@
 	return true
 }
 
-// Abandon implements core.Backend. An abandoned part that was sent may still be answered; that answer is ignored.
+// Abandon implements core.Transport. An abandoned part that was sent may still be answered; that answer is ignored.
 func (p *Pool) Abandon(attempt *core.Attempt) (neverRan bool) {
 	withdrawn := p.Withdraw(attempt)
 	if withdrawn {
--- a/internal/transport/backendpool/doc.go
+++ b/internal/transport/backendpool/doc.go
@@ -1,7 +1,7 @@
 // Package backendpool sends attempts to the backends and reports their outcomes: a pool of connections for every
 // backend, calls that share a connection, and what is proved of a part whose connection breaks.
 //
-// [Pool] implements core.Backend on the event loop. Core hands over the attempts of a scheduling round with Send and
+// [Pool] implements core.Transport on the event loop. Core hands over the attempts of a scheduling round with Send and
 // ends the round with Flush. Flush groups them into calls, one frame each, and places every call on a connection.
 // Outcomes go back through [Core]. Everything runs on the loop's thread: a Pool starts no goroutine and is not safe
 // for concurrent use.
--- a/internal/transport/backendpool/pool.go
+++ b/internal/transport/backendpool/pool.go
@@ -36,7 +36,7 @@
 	AttemptEndedLater(attempt *core.Attempt, outcome scheduler.Outcome)
 }
 
-// Pool holds the connections to all backends. It implements core.Backend.
+// Pool holds the connections to all backends. It implements core.Transport.
 type Pool struct {
 	loop    *loop.Loop
 	core    Core
@@ -79,7 +79,7 @@
 	return p
 }
 
-// Send implements core.Backend.
+// Send implements core.Transport.
 func (p *Pool) Send(attempt *core.Attempt) {
 	backend := p.backends[attempt.Backend]
 	if backend == nil {
@@ -92,7 +92,7 @@
 	backend.unplaced = append(backend.unplaced, attempt)
 }
 
-// Flush implements core.Backend.
+// Flush implements core.Transport.
 func (p *Pool) Flush() {
 	unflushed := p.unflushed
 	p.unflushed = nil
@@ -128,7 +128,7 @@
 	backend.address = address
 }
 
-// CloseIdleConnections implements core.Backend.
+// CloseIdleConnections implements core.Transport.
 func (p *Pool) CloseIdleConnections(replica uint32) {
 	backend := p.backends[replica]
 	if backend == nil {
--- a/internal/transport/flight/backend_client.go
+++ b/internal/transport/flight/backend_client.go
@@ -28,7 +28,7 @@
 	MaxConnections int
 }
 
-// BackendClient asks backends over Flight. It implements core.Backend. Each part is a DoGet of its own, as no call of
+// BackendClient asks backends over Flight. It implements core.Transport. Each part is a DoGet of its own, as no call of
 // Flight carries several tickets. Its methods are called on the loop.
 type BackendClient struct {
 	loop    Loop
@@ -56,14 +56,14 @@
 	}
 }
 
-// Send implements core.Backend.
+// Send implements core.Transport.
 func (c *BackendClient) Send(coreAttempt *core.Attempt) {
 	attempt := &attempt{Attempt: coreAttempt}
 	coreAttempt.Handle = attempt
 	c.unflushed = append(c.unflushed, attempt)
 }
 
-// Flush implements core.Backend.
+// Flush implements core.Transport.
 func (c *BackendClient) Flush() {
 	unflushed := c.unflushed
 	c.unflushed = nil
@@ -91,7 +91,7 @@
 	go c.runAttempt(ctx, attempt)
 }
 
-// Withdraw implements core.Backend. An attempt can be withdrawn until its call begins.
+// Withdraw implements core.Transport. An attempt can be withdrawn until its call begins.
 func (c *BackendClient) Withdraw(coreAttempt *core.Attempt) bool {
 	attempt, _ := coreAttempt.Handle.(*attempt)
 	if attempt == nil || attempt.ended {
@@ -105,7 +105,7 @@
 	return true
 }
 
-// Abandon implements core.Backend. gRPC tells the backend that the call is cancelled.
+// Abandon implements core.Transport. gRPC tells the backend that the call is cancelled.
 func (c *BackendClient) Abandon(coreAttempt *core.Attempt) (neverRan bool) {
 	withdrawn := c.Withdraw(coreAttempt)
 	if withdrawn {
@@ -118,7 +118,7 @@
 	return false
 }
 
-// CloseIdleConnections implements core.Backend.
+// CloseIdleConnections implements core.Transport.
 func (c *BackendClient) CloseIdleConnections(replica uint32) {
 	// retire replaces the list that is ranged over.
 	for _, connection := range c.connections[replica] {
