--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -29,7 +29,7 @@
 func (f *benchFixture) Abandon(*core.Attempt) (neverRan bool)   { return false }
 func (f *benchFixture) Withdraw(*core.Attempt) bool             { return false }
 func (f *benchFixture) CloseIdleConnections(uint32)             {}
-func (f *benchFixture) Finish(core.Answer)                      { f.answers++ }
+func (f *benchFixture) Deliver(core.Answer)                     { f.answers++ }
 
 func newBenchFixture(b *testing.B, shards int) *benchFixture {
 	b.Helper()
--- a/internal/core/completion.go
+++ b/internal/core/completion.go
@@ -29,7 +29,7 @@
 	c.counts.add(answer.Kind)
 	c.log.RequestEnded(request, answer)
 	if !request.disconnected {
-		request.Client.Finish(answer)
+		request.Client.Deliver(answer)
 	}
 }
 
--- a/internal/core/doc.go
+++ b/internal/core/doc.go
@@ -7,7 +7,7 @@
 //
 // # Usage
 //
-// A front calls Core.Submit with a Request and gets the final answer by Client.Finish. If the client disconnects
+// A front calls Core.Submit with a Request and gets the final answer by Client.Deliver. If the client disconnects
 // first, the front calls Core.ClientDisconnected instead of waiting.
 //
 // A transport implements Transport. It gets an Attempt by Transport.Send and reports how it ended by Core.AttemptEnded,
@@ -19,7 +19,7 @@
 //
 // # Invariants
 //
-//   - A request that Submit accepted ends once: Log.RequestEnded is called once, and Client.Finish once unless the
+//   - A request that Submit accepted ends once: Log.RequestEnded is called once, and Client.Deliver once unless the
 //     client disconnected before.
 //   - An attempt that Transport.Send got ends once. The first report counts, and later ones are ignored; at its Deadline
 //     core ends it itself.
--- a/internal/core/fixture_test.go
+++ b/internal/core/fixture_test.go
@@ -127,7 +127,7 @@
 // recorder is a client that keeps the answers that it gets.
 type recorder struct{ answers []Answer }
 
-func (r *recorder) Finish(answer Answer) { r.answers = append(r.answers, answer) }
+func (r *recorder) Deliver(answer Answer) { r.answers = append(r.answers, answer) }
 
 // submit submits a request for these shards and runs a round.
 func (f *fixture) submit(class int, epoch uint64, shards ...int) *recorder {
--- a/internal/core/interfaces.go
+++ b/internal/core/interfaces.go
@@ -2,9 +2,9 @@
 
 // Client receives the final answer of one request.
 type Client interface {
-	// Finish is called exactly once, and not at all if the client disconnected before. It may be called from within
+	// Deliver is called exactly once, and not at all if the client disconnected before. It may be called from within
 	// Core.Submit, and must not call back into Core.
-	Finish(Answer)
+	Deliver(Answer)
 }
 
 // Transport carries attempts to the backends. Its methods must not call back into Core, except for
@@ -43,6 +43,6 @@
 type Log interface {
 	// SchedulerLine takes one line for the people on call.
 	SchedulerLine(text string)
-	// RequestEnded is called once for each request that was accepted, before Client.Finish.
+	// RequestEnded is called once for each request that was accepted, before Client.Deliver.
 	RequestEnded(request *Request, answer Answer)
 }
--- a/internal/lab/world/live.go
+++ b/internal/lab/world/live.go
@@ -394,7 +394,7 @@
 					q.rejected()
 				}
 			default:
-				q.Finish(a)
+				q.Deliver(a)
 			}
 		})
 	}()
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -338,8 +338,8 @@
 	return true
 }
 
-// Finish implements core.Client.
-func (q *query) Finish(a core.Answer) {
+// Deliver implements core.Client.
+func (q *query) Deliver(a core.Answer) {
 	s, id := q.sim, q.ask.ID
 	if q.over || q.gen != q.b.process() {
 		return
--- a/internal/transport/flight/front.go
+++ b/internal/transport/flight/front.go
@@ -93,8 +93,8 @@
 	request *core.Request
 }
 
-// Finish implements core.Client.
-func (c *clientCall) Finish(answer core.Answer) { c.answer <- answer }
+// Deliver implements core.Client.
+func (c *clientCall) Deliver(answer core.Answer) { c.answer <- answer }
 
 // DoGet answers a query: the ticket is its body, the call's metadata its envelope, the call's deadline its deadline.
 // It implements the Flight service. Errors are gRPC statuses, see front_answer.go.
--- a/internal/transport/flight/front_test.go
+++ b/internal/transport/flight/front_test.go
@@ -36,7 +36,7 @@
 	}
 	c.submitted <- request
 	if c.answer != nil {
-		request.Client.Finish(*c.answer)
+		request.Client.Deliver(*c.answer)
 	}
 	return nil
 }
@@ -166,7 +166,7 @@
 		require.Fail(t, "stopped with a call in flight")
 	case <-time.After(50 * time.Millisecond):
 	}
-	request.Client.Finish(core.Answer{Kind: core.Answered})
+	request.Client.Deliver(core.Answer{Kind: core.Answered})
 	require.NoError(t, receive(t, ended))
 	receive(t, stopped)
 }
--- a/internal/transport/httpfront/fixture_test.go
+++ b/internal/transport/httpfront/fixture_test.go
@@ -45,7 +45,7 @@
 		return f.submitErr
 	}
 	if f.answerAtOnce {
-		r.Client.Finish(core.Answer{Kind: core.Rejected})
+		r.Client.Deliver(core.Answer{Kind: core.Rejected})
 		return nil
 	}
 	f.submitted <- r
--- a/internal/transport/httpfront/query.go
+++ b/internal/transport/httpfront/query.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// trySubmit submits a query to core. On an error nothing was submitted. Core may call Finish from within it.
+// trySubmit submits a query to core. On an error nothing was submitted. Core may call Deliver from within it.
 func (c *connection) trySubmit(request *httpRequest) error {
 	envelope, err := parseEnvelope(request)
 	if err != nil {
@@ -39,7 +39,7 @@
 		return err
 	}
 	query.Client = c
-	c.open = query // before Submit: Finish clears it
+	c.open = query // before Submit: Deliver clears it
 	err = c.server.core.Submit(query)
 	if err != nil {
 		c.open = nil
@@ -74,9 +74,9 @@
 	return seconds
 }
 
-// Finish implements core.Client. Requests behind the answered one are served from the loop, not from here: core is in
-// the middle of a scheduling round, or of Submit.
-func (c *connection) Finish(answer core.Answer) {
+// Deliver implements core.Client. Requests behind the answered one are served from the loop, not from here: core is
+// in the middle of a scheduling round, or of Submit.
+func (c *connection) Deliver(answer core.Answer) {
 	c.open = nil
 	c.respond(answerResponse(answer))
 	c.servePosted = len(c.stream.In) > 0 && !c.ending.afterOutput
--- a/internal/transport/httpfront/query_test.go
+++ b/internal/transport/httpfront/query_test.go
@@ -29,7 +29,7 @@
 		assert.Equal(t, "id-1", r.ID)
 		f.onLoop(func() {
 			assert.InDelta(t, f.loop.Now()+1000, r.Deadline, 500)
-			r.Client.Finish(c.answer)
+			r.Client.Deliver(c.answer)
 		})
 		buffer := make([]byte, 4096)
 		n, err := connection.Read(buffer)
@@ -78,7 +78,7 @@
 	for _, kind := range []core.AnswerKind{core.Failed, core.Rejected} {
 		r := f.waitRequest(t, f.submitted)
 		assert.Empty(t, f.submitted)
-		f.onLoop(func() { r.Client.Finish(core.Answer{Kind: kind}) })
+		f.onLoop(func() { r.Client.Deliver(core.Answer{Kind: kind}) })
 	}
 	assert.Equal(t, []string{"HTTP/1.1 502", "HTTP/1.1 503", "HTTP/1.1 200"}, readStatuses(t, connection))
 	assert.Empty(t, f.submitted, "what comes behind the last request is not read")
--- a/internal/transport/httpfront/read_test.go
+++ b/internal/transport/httpfront/read_test.go
@@ -24,7 +24,7 @@
 	}
 	r := f.waitRequest(t, f.submitted)
 	send(t, connection, "GET /_health HTTP/1.0\r\n\r\n")
-	f.onLoop(func() { r.Client.Finish(core.Answer{Kind: core.Failed}) })
+	f.onLoop(func() { r.Client.Deliver(core.Answer{Kind: core.Failed}) })
 	assert.True(t, strings.HasPrefix(readAll(t, connection), "HTTP/1.1 502 Bad Gateway\r\n"))
 }
 
--- a/internal/transport/httpfront/server.go
+++ b/internal/transport/httpfront/server.go
@@ -12,10 +12,10 @@
 
 // Core answers queries. *core.Core implements it.
 type Core interface {
-	// Submit takes a request, and calls its Client.Finish with the final answer, from within Submit or later. On an
+	// Submit takes a request, and calls its Client.Deliver with the final answer, from within Submit or later. On an
 	// error it has not taken it.
 	Submit(*core.Request) error
-	// ClientDisconnected reports whether the client of a request that Submit took has disconnected. Client.Finish is not
+	// ClientDisconnected reports whether the client of a request that Submit took has disconnected. Client.Deliver is not
 	// called for it any more.
 	ClientDisconnected(*core.Request)
 }
--- a/internal/transport/httpfront/shutdown_test.go
+++ b/internal/transport/httpfront/shutdown_test.go
@@ -23,9 +23,9 @@
 	// An answer is the last of its connection, unless requests were read behind it.
 	send(t, used, "GET /_health HTTP/1.1\r\n\r\n")
 	assert.Contains(t, readAll(t, used), "\r\nConnection: close\r\n")
-	f.onLoop(func() { first.Client.Finish(core.Answer{Kind: core.Failed}) })
+	f.onLoop(func() { first.Client.Deliver(core.Answer{Kind: core.Failed}) })
 	second := f.waitRequest(t, f.submitted)
-	f.onLoop(func() { second.Client.Finish(core.Answer{Kind: core.Rejected}) })
+	f.onLoop(func() { second.Client.Deliver(core.Answer{Kind: core.Rejected}) })
 	assert.Equal(t, []string{"HTTP/1.1 502", "HTTP/1.1 503"}, readStatuses(t, busy))
 
 	f.onLoop(f.server.CloseIdle)
