--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -8,18 +8,18 @@
 
 var _ scheduler.Actions = (*Core)(nil)
 
-// Send implements scheduler.Actions, as the methods below do; only the scheduler may call them. timeout is in ms, 0 for
+// Send implements scheduler.Actions, as the methods below do; only the scheduler may call them. timeoutMs is in ms, 0 for
 // the request's deadline. An attempt that cannot be sent, beyond the limit of attempts or after its deadline, ends as
 // NotSent.
-func (c *Core) Send(partID uint64, replica uint32, timeout float64) {
+func (c *Core) Send(partID uint64, replica uint32, timeoutMs float64) {
 	part := c.parts[partID]
 	if part == nil {
 		return
 	}
 	now := c.clock.Now()
 	deadline := part.request.Deadline
-	if timeout != 0 {
-		deadline = min(deadline, now+timeout)
+	if timeoutMs != 0 {
+		deadline = min(deadline, now+timeoutMs)
 	}
 	attempt := c.newAttempt(now, part, replica, deadline)
 	part.attempts = append(part.attempts, attempt)
@@ -34,7 +34,7 @@
 }
 
 // Cancel stops the wait for an attempt. A non-idempotent one whose client has disconnected is left to end by itself if
-// it has begun: see endDisconnected.
+// it has begun: see handleDisconnect.
 func (c *Core) Cancel(partID uint64, number int) {
 	attempt := c.inFlight[attemptKey{partID, number}]
 	if attempt == nil || attempt.ended {
@@ -55,19 +55,19 @@
 
 // Answer ends a request with the parts that have arrived.
 func (c *Core) Answer(queryID uint64, complete bool) {
-	c.finish(queryID, Answer{Kind: Answered, Complete: complete})
+	c.endRequest(queryID, Answer{Kind: Answered, Complete: complete})
 }
 
 // Reject ends a request and has its client retry after so many ms.
-func (c *Core) Reject(queryID uint64, retryAfter float64) {
-	c.finish(queryID, Answer{Kind: Rejected, RetryAfter: retryAfter})
+func (c *Core) Reject(queryID uint64, retryAfterMs float64) {
+	c.endRequest(queryID, Answer{Kind: Rejected, RetryAfter: retryAfterMs})
 }
 
 // Fail ends a request without any promise.
-func (c *Core) Fail(queryID uint64) { c.finish(queryID, Answer{Kind: Failed}) }
+func (c *Core) Fail(queryID uint64) { c.endRequest(queryID, Answer{Kind: Failed}) }
 
 // SetTimer asks for TimerFired after so many ms, or earlier if that was asked for before.
-func (c *Core) SetTimer(after float64) { c.wakeAt = min(c.wakeAt, c.clock.Now()+after) }
+func (c *Core) SetTimer(afterMs float64) { c.timerAt = min(c.timerAt, c.clock.Now()+afterMs) }
 
 // WatchEndpoints subscribes to changes of the endpoint list.
 func (c *Core) WatchEndpoints() { c.endpoints.Watch() }
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -50,11 +50,11 @@
 	maxStartWindowMs = 400.0
 )
 
-// startWindow is the time in ms after its decision within which an attempt begins, by the grace of drains in ms; 0 for
+// startWindowMs is the time in ms after its decision within which an attempt begins, by the grace of drains in ms; 0 for
 // no drains.
-func startWindow(drainGrace float64) float64 {
-	if drainGrace > 0 {
-		return min(maxStartWindowMs, drainGrace*startWindowRatio)
+func startWindowMs(drainGraceMs float64) float64 {
+	if drainGraceMs > 0 {
+		return min(maxStartWindowMs, drainGraceMs*startWindowRatio)
 	}
 	return maxStartWindowMs
 }
@@ -77,7 +77,7 @@
 		IdempotencyKey: part.request.IdempotencyKey,
 		Backend:        replica,
 		Deadline:       deadline,
-		StartBy:        c.startBy(now, part),
+		StartBy:        c.latestStart(now, part),
 		NonIdempotent:  part.request.nonIdempotent,
 
 		heapIndex: -1,
@@ -92,10 +92,10 @@
 	return attempt
 }
 
-// startBy is until when an attempt that is decided on now may begin: while its backend may still be draining, and, for
+// latestStart is until when an attempt that is decided on now may begin: while its backend may still be draining, and, for
 // a repeat that the backend drops only within the deduplication window of the first attempt, within that window.
-func (c *Core) startBy(now float64, part *partState) float64 {
-	latest := now + c.startWindow
+func (c *Core) latestStart(now float64, part *partState) float64 {
+	latest := now + c.startWindowMs
 	class := &c.classes[part.request.Class]
 	if class.Idempotency != scheduler.IdempotentWithKey {
 		return latest
--- a/internal/core/completion.go
+++ b/internal/core/completion.go
@@ -7,25 +7,25 @@
 	"ternstage/internal/decision/scheduler"
 )
 
-// finish gives the final answer of an open request; it does nothing if the request has ended.
-func (c *Core) finish(queryID uint64, answer Answer) {
-	request := c.requests[queryID]
+// endRequest gives the final answer of an open request; it does nothing if the request has ended.
+func (c *Core) endRequest(queryID uint64, answer Answer) {
+	request := c.openRequests[queryID]
 	if request == nil {
 		return
 	}
-	if request.version != nil {
-		answer.Epoch = request.version.Epoch
+	if request.mapVersion != nil {
+		answer.Epoch = request.mapVersion.Epoch
 	}
 	if answer.Kind == Answered {
-		answer.Values = c.values(request)
+		answer.Values = c.arrivedValues(request)
 	}
-	answer.TimedOut = answer.Kind == Failed && request.outOfTime()
-	c.forget(request)
-	c.deliver(request, answer)
+	answer.TimedOut = answer.Kind == Failed && request.hasTimedOut()
+	c.removeRequest(request)
+	c.deliverAnswer(request, answer)
 }
 
-// deliver counts and logs a final answer and gives it to the client.
-func (c *Core) deliver(request *Request, answer Answer) {
+// deliverAnswer counts and logs a final answer and gives it to the client.
+func (c *Core) deliverAnswer(request *Request, answer Answer) {
 	c.counts.add(answer.Kind)
 	c.log.RequestEnded(request, answer)
 	if !request.disconnected {
@@ -33,8 +33,8 @@
 	}
 }
 
-// values are the values that have arrived for a request.
-func (c *Core) values(request *Request) []Value {
+// arrivedValues are the values that have arrived for a request.
+func (c *Core) arrivedValues(request *Request) []Value {
 	if c.shardMap != nil {
 		return request.completeValues()
 	}
@@ -52,26 +52,26 @@
 func (r *Request) completeValues() []Value {
 	parts := slices.Clone(r.parts)
 	slices.SortFunc(parts, func(x, y *partState) int {
-		return cmp.Or(cmp.Compare(x.segment.asked.number, y.segment.asked.number),
+		return cmp.Or(cmp.Compare(x.segment.clientPart.number, y.segment.clientPart.number),
 			cmp.Compare(x.segment.Start, y.segment.Start))
 	})
 	var values []Value
 	for _, p := range parts {
-		if p.segment.asked.coverage.Complete() {
-			values = append(values, Value{Shard: p.segment.asked.Shard, Buckets: p.segment.Range, Doc: p.value})
+		if p.segment.clientPart.coverage.Complete() {
+			values = append(values, Value{Shard: p.segment.clientPart.Shard, Buckets: p.segment.Range, Doc: p.value})
 		}
 	}
 	return values
 }
 
-// forget drops an open request: nothing of it begins any more, and its version of the shard map is released.
-func (c *Core) forget(request *Request) {
-	delete(c.requests, request.queryID)
-	delete(c.requestIDs, request.ID)
+// removeRequest drops an open request: nothing of it begins any more, and its version of the shard map is released.
+func (c *Core) removeRequest(request *Request) {
+	delete(c.openRequests, request.queryID)
+	delete(c.openRequestIDs, request.ID)
 	c.withdrawParts(request)
-	if request.version != nil {
-		c.shardMap.Release(request.version)
-		request.version = nil // a front may hold the request for longer, and must not hold the map with it
+	if request.mapVersion != nil {
+		c.shardMap.Release(request.mapVersion)
+		request.mapVersion = nil // a front may hold the request for longer, and must not hold the map with it
 	}
 	c.openCount -= 1 + len(request.parts)
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -17,36 +17,36 @@
 	log       Log
 
 	// From the settings; they do not change.
-	classes       []scheduler.Class
-	shards        int
-	maxAttempts   int     // of a part; 0 for no limit
-	maxOpen       int     // of openCount; 0 for no limit
-	maxRetryAfter float64 // ms
-	startWindow   float64 // ms after its decision within which an attempt begins
-
-	nextID        uint64 // the last id that was given to a request or a part
-	requests      map[uint64]*Request
-	requestIDs    map[string]bool // of requests
-	parts         map[uint64]*partState
-	openCount     int     // open requests and their parts
-	finalAnswerBy float64 // the latest deadline of requests submitted from now on
-	counts        Counts
-
-	inFlight     map[attemptKey]*Attempt // whose end has not been reported to the scheduler
-	deadlines    deadlineHeap            // of attempts that have not ended
-	ended        []endedAttempt          // to be reported to the scheduler in the next round
-	disconnected []*Request              // to be reported to the scheduler in the next round
-	wakeAt       float64                 // when the scheduler's timer fires; +Inf for never
+	classes         []scheduler.Class
+	shardCount      int
+	maxAttempts     int     // of a part; 0 for no limit
+	maxOpen         int     // of openCount; 0 for no limit
+	maxRetryAfterMs float64 // ms
+	startWindowMs   float64 // ms after its decision within which an attempt begins
+
+	lastID         uint64 // the last id that was given to a request or a part
+	openRequests   map[uint64]*Request
+	openRequestIDs map[string]bool // of requests
+	parts          map[uint64]*partState
+	openCount      int     // open requests and their parts
+	finalAnswerBy  float64 // the latest deadline of requests submitted from now on
+	counts         Counts
+
+	inFlight             map[attemptKey]*Attempt // whose end has not been reported to the scheduler
+	deadlines            deadlineHeap            // of attempts that have not ended
+	endedAttempts        []endedAttempt          // to be reported to the scheduler in the next round
+	disconnectedRequests []*Request              // to be reported to the scheduler in the next round
+	timerAt              float64                 // when the scheduler's timer fires; +Inf for never
 
 	// Under resharding.
-	shardMap        *shardmap.Map // nil where placement is fixed
-	partsByShard    map[shardmap.ShardID][]*partState
-	paused          []*partState // that wait for an epoch
-	onNewerMap      func(epoch uint64)
-	onMapChanged    func(*shardmap.Version)
-	resharding      ReshardingStats
-	droppedVersions uint64 // as last logged
-	notifiedEpoch   uint64 // of the map that the scheduler knows
+	shardMap              *shardmap.Map // nil where placement is fixed
+	partsByShard          map[shardmap.ShardID][]*partState
+	pausedParts           []*partState // that wait for an epoch
+	onNewerMap            func(epoch uint64)
+	onMapChanged          func(*shardmap.Version)
+	reshardingStats       ReshardingStats
+	loggedDroppedVersions uint64 // as last logged
+	notifiedEpoch         uint64 // of the map that the scheduler knows
 }
 
 // Options are what core needs beside the scheduler's settings.
@@ -67,20 +67,20 @@
 		clock: options.Clock,
 		log:   options.Log,
 
-		classes:       settings.Classes,
-		shards:        settings.Shards,
-		maxAttempts:   settings.MaxAttempts,
-		maxOpen:       options.MaxOpen,
-		maxRetryAfter: settings.MaxRetryAfter,
-		startWindow:   startWindow(settings.DrainGrace),
+		classes:         settings.Classes,
+		shardCount:      settings.Shards,
+		maxAttempts:     settings.MaxAttempts,
+		maxOpen:         options.MaxOpen,
+		maxRetryAfterMs: settings.MaxRetryAfter,
+		startWindowMs:   startWindowMs(settings.DrainGrace),
 
-		requests:      map[uint64]*Request{},
-		requestIDs:    map[string]bool{},
-		parts:         map[uint64]*partState{},
-		finalAnswerBy: math.Inf(1),
+		openRequests:   map[uint64]*Request{},
+		openRequestIDs: map[string]bool{},
+		parts:          map[uint64]*partState{},
+		finalAnswerBy:  math.Inf(1),
 
 		inFlight: map[attemptKey]*Attempt{},
-		wakeAt:   math.Inf(1),
+		timerAt:  math.Inf(1),
 
 		shardMap:     options.ShardMap,
 		partsByShard: map[shardmap.ShardID][]*partState{},
@@ -110,7 +110,7 @@
 }
 
 // OpenRequests is the number of requests that have not ended.
-func (c *Core) OpenRequests() int { return len(c.requests) }
+func (c *Core) OpenRequests() int { return len(c.openRequests) }
 
 // Counts gives the totals since the start.
 func (c *Core) Counts() Counts { return c.counts }
@@ -119,43 +119,43 @@
 // once, and the transport sends what it was given.
 func (c *Core) RunRound() {
 	now := c.clock.Now()
-	c.expire(now)
+	c.expireAttempts(now)
 
 	// The scheduler's actions may end further attempts, as Cancel does. Those are reported in the next round: an event
 	// must not come while the scheduler is in the middle of another.
-	ended := c.ended
-	disconnected := c.disconnected
-	c.ended = nil
-	c.disconnected = nil
+	ended := c.endedAttempts
+	disconnected := c.disconnectedRequests
+	c.endedAttempts = nil
+	c.disconnectedRequests = nil
 	for _, request := range disconnected {
-		c.endDisconnected(now, request)
+		c.handleDisconnect(now, request)
 	}
 	for _, end := range ended {
-		c.reportEnd(now, end)
+		c.reportAttemptEnd(now, end)
 	}
 
 	c.fireTimer(now)
 	c.scheduler.RunRound(now)
 	c.transport.Flush()
-	c.scheduleWake()
+	c.scheduleNextRound()
 }
 
 // fireTimer reports to the scheduler that its timer has fired, if it has.
 func (c *Core) fireTimer(now float64) {
-	if now >= c.wakeAt {
-		c.wakeAt = math.Inf(1)
+	if now >= c.timerAt {
+		c.timerAt = math.Inf(1)
 		c.scheduler.TimerFired(now)
 	}
 }
 
-// scheduleWake asks for the next round: at once if there are ends to report, else for the scheduler's timer or the
+// scheduleNextRound asks for the next round: at once if there are ends to report, else for the scheduler's timer or the
 // first deadline of an attempt, whichever is earlier.
-func (c *Core) scheduleWake() {
-	next := c.wakeAt
+func (c *Core) scheduleNextRound() {
+	next := c.timerAt
 	if len(c.deadlines) > 0 {
 		next = min(next, c.deadlines[0].Deadline)
 	}
-	if len(c.ended) > 0 {
+	if len(c.endedAttempts) > 0 {
 		next = 0
 	}
 	if !math.IsInf(next, 1) {
--- a/internal/core/outcomes.go
+++ b/internal/core/outcomes.go
@@ -31,7 +31,7 @@
 		attempt.part.value = value
 		c.countArrival(attempt.part)
 	}
-	c.ended = append(c.ended, endedAttempt{attempt, outcome})
+	c.endedAttempts = append(c.endedAttempts, endedAttempt{attempt, outcome})
 }
 
 // AttemptEndedLater reports an outcome that the transport learns while Core is calling it, and asks for a round in
@@ -41,13 +41,13 @@
 	c.clock.WakeAt(0)
 }
 
-// reportEnd reports to the scheduler how an attempt ended, and does what follows from it for the part and the request.
-func (c *Core) reportEnd(now float64, end endedAttempt) {
+// reportAttemptEnd reports to the scheduler how an attempt ended, and does what follows from it for the part and the request.
+func (c *Core) reportAttemptEnd(now float64, end endedAttempt) {
 	attempt := end.attempt
 	part := attempt.part
 	request := part.request
 	delete(c.inFlight, attemptKey{part.id, attempt.number})
-	_, open := c.requests[request.queryID]
+	_, isOpen := c.openRequests[request.queryID]
 	retryDelayMs := c.handleNotHolder(attempt, end.outcome)
 	c.scheduler.AttemptEnded(now, scheduler.AttemptResult{
 		Part:           part.id,
@@ -56,19 +56,19 @@
 		Outcome:        end.outcome,
 		Latency:        now - attempt.sentAt,
 		ConnectionOnly: attempt.ConnectionOnly,
-		PartDone:       end.outcome == scheduler.Succeeded || !open,
+		PartDone:       end.outcome == scheduler.Succeeded || !isOpen,
 		RetryDelay:     retryDelayMs,
 	})
 	if end.outcome != scheduler.Succeeded {
-		c.reroute(now, part)
+		c.reroutePart(now, part)
 	}
-	if request.disconnected && c.requests[request.queryID] == request && !request.inFlight() {
-		c.concludeDisconnected(request)
+	if request.disconnected && c.openRequests[request.queryID] == request && !request.hasAttemptInFlight() {
+		c.endDisconnectedRequest(request)
 	}
 }
 
-// expire ends the attempts whose deadline has passed. They end in the order of their parts' ids, whatever the heap's.
-func (c *Core) expire(now float64) {
+// expireAttempts ends the attempts whose deadline has passed. They end in the order of their parts' ids, whatever the heap's.
+func (c *Core) expireAttempts(now float64) {
 	var expired []*Attempt
 	for len(c.deadlines) > 0 && now >= c.deadlines[0].Deadline {
 		expired = append(expired, heap.Pop(&c.deadlines).(*Attempt))
--- a/internal/core/part.go
+++ b/internal/core/part.go
@@ -31,24 +31,24 @@
 		HasCostHint: p.HasCostHint,
 	}
 	if p.segment != nil {
-		out.AtomicGroup = p.segment.asked.number
+		out.AtomicGroup = p.segment.clientPart.number
 	}
 	return out
 }
 
-// inFlight reports whether an attempt of the part has not ended.
-func (p *partState) inFlight() bool {
+// hasAttemptInFlight reports whether an attempt of the part has not ended.
+func (p *partState) hasAttemptInFlight() bool {
 	return slices.ContainsFunc(p.attempts, func(a *Attempt) bool { return !a.ended })
 }
 
-// lastInFlight reports whether the last attempt of the part has not ended.
-func (p *partState) lastInFlight() bool {
+// isLastAttemptInFlight reports whether the last attempt of the part has not ended.
+func (p *partState) isLastAttemptInFlight() bool {
 	count := len(p.attempts)
 	return count > 0 && !p.attempts[count-1].ended
 }
 
-// outOfTime reports whether the last attempt of the part timed out or is still in flight.
-func (p *partState) outOfTime() bool {
+// hasTimedOut reports whether the last attempt of the part timed out or is still in flight.
+func (p *partState) hasTimedOut() bool {
 	count := len(p.attempts)
 	return count > 0 && (!p.attempts[count-1].ended || p.attempts[count-1].outcome == scheduler.TimedOut)
 }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -31,7 +31,7 @@
 	queryID       uint64 // the scheduler's id; 0 until Submit has accepted the request
 	parts         []*partState
 	clientParts   []*clientPart     // under resharding: Parts with the buckets that they mean
-	version       *shardmap.Version // under resharding: of the map by which it began, held until it ends
+	mapVersion    *shardmap.Version // under resharding: of the map by which it began, held until it ends
 	nonIdempotent bool              // by its class
 	disconnected  bool
 }
@@ -39,14 +39,16 @@
 // ClientDisconnected reports whether the client disconnected before the final answer, which reaches nobody.
 func (r *Request) ClientDisconnected() bool { return r.disconnected }
 
-// inFlight reports whether an attempt of the request has not ended.
-func (r *Request) inFlight() bool { return slices.ContainsFunc(r.parts, (*partState).inFlight) }
+// hasAttemptInFlight reports whether an attempt of the request has not ended.
+func (r *Request) hasAttemptInFlight() bool {
+	return slices.ContainsFunc(r.parts, (*partState).hasAttemptInFlight)
+}
 
-// outOfTime reports whether a part of the request did not arrive for want of time.
-func (r *Request) outOfTime() bool { return slices.ContainsFunc(r.parts, (*partState).outOfTime) }
+// hasTimedOut reports whether a part of the request did not arrive for want of time.
+func (r *Request) hasTimedOut() bool { return slices.ContainsFunc(r.parts, (*partState).hasTimedOut) }
 
-// arrived reports whether all parts of the request have arrived.
-func (r *Request) arrived() bool {
+// hasAllParts reports whether all parts of the request have arrived.
+func (r *Request) hasAllParts() bool {
 	return !slices.ContainsFunc(r.parts, func(p *partState) bool { return !p.arrived })
 }
 
--- a/internal/core/resharding.go
+++ b/internal/core/resharding.go
@@ -18,36 +18,36 @@
 // they may go, and what of them has arrived, the shard map decides.
 type segmentState struct {
 	shardmap.Segment
-	asked           *clientPart // the client's part that it belongs to
+	clientPart      *clientPart // the client's part that it belongs to
 	notHolderStreak int         // consecutive attempts that ended as NotHolder
 	resumeEpoch     uint64      // the epoch that ends its pause; 0 if it does not wait for one
 }
 
 // admitSegments binds a request to the map in use and hands its segments to the scheduler.
 func (c *Core) admitSegments(now float64, request *Request) {
-	request.version = c.shardMap.Acquire()
-	var buffer [routeBuffer]shardmap.Segment
-	for _, asked := range request.clientParts {
-		for _, segment := range c.shardMap.Route(buffer[:0], asked.Shard, asked.coverage.Range) {
-			part := c.addSegment(request, asked, segment)
+	request.mapVersion = c.shardMap.Acquire()
+	var buffer [routeBufferSize]shardmap.Segment
+	for _, clientPart := range request.clientParts {
+		for _, segment := range c.shardMap.Route(buffer[:0], clientPart.Shard, clientPart.coverage.Range) {
+			part := c.addSegment(request, clientPart, segment)
 			c.scheduler.PartArrived(now, part.schedulerPart())
 		}
 	}
 }
 
 // addSegment adds a segment of a client's part to a request. Weight and cost are shared out by number of buckets.
-func (c *Core) addSegment(request *Request, asked *clientPart, segment shardmap.Segment) *partState {
-	c.nextID++
-	ratio := float64(segment.Size()) / float64(asked.coverage.Size())
+func (c *Core) addSegment(request *Request, clientPart *clientPart, segment shardmap.Segment) *partState {
+	c.lastID++
+	ratio := float64(segment.Size()) / float64(clientPart.coverage.Size())
 	part := &partState{
-		Part:    asked.Part,
-		id:      c.nextID,
+		Part:    clientPart.Part,
+		id:      c.lastID,
 		request: request,
-		segment: &segmentState{Segment: segment, asked: asked},
+		segment: &segmentState{Segment: segment, clientPart: clientPart},
 	}
 	part.Shard = segment.Shard
-	part.Weight = asked.Weight * ratio
-	part.CostHint = asked.CostHint * ratio
+	part.Weight = clientPart.Weight * ratio
+	part.CostHint = clientPart.CostHint * ratio
 	request.parts = append(request.parts, part)
 	c.parts[part.id] = part
 	c.partsByShard[segment.Shard] = append(c.partsByShard[segment.Shard], part)
@@ -68,7 +68,7 @@
 	}
 	if part.segment.resumeEpoch > 0 {
 		part.segment.resumeEpoch = 0
-		c.paused = slices.DeleteFunc(c.paused, same)
+		c.pausedParts = slices.DeleteFunc(c.pausedParts, same)
 	}
 }
 
@@ -77,8 +77,8 @@
 	if part.segment == nil {
 		return
 	}
-	if _, err := part.segment.asked.coverage.Arrived(part.segment.Range); err != nil {
-		c.resharding.Duplicates++
+	if _, err := part.segment.clientPart.coverage.Arrived(part.segment.Range); err != nil {
+		c.reshardingStats.Duplicates++
 		c.log.SchedulerLine(err.Error())
 	}
 }
@@ -103,22 +103,22 @@
 	}
 	if wait.UntilEpoch > 0 && segment.resumeEpoch == 0 && c.parts[part.id] == part {
 		segment.resumeEpoch = wait.UntilEpoch
-		c.paused = append(c.paused, part)
+		c.pausedParts = append(c.pausedParts, part)
 	}
 	if wait.DelayMs > 0 {
-		c.resharding.Paused++
+		c.reshardingStats.Paused++
 	}
 	return wait.DelayMs
 }
 
-// reroute replaces a part whose shard no longer holds its buckets by parts of the shards that do, if a retry of it is
+// reroutePart replaces a part whose shard no longer holds its buckets by parts of the shards that do, if a retry of it is
 // allowed. A part of which an attempt is in flight is looked at when that ends. It does nothing where placement is
 // fixed.
-func (c *Core) reroute(now float64, part *partState) {
-	if part.segment == nil || part.arrived || c.parts[part.id] != part || part.inFlight() {
+func (c *Core) reroutePart(now float64, part *partState) {
+	if part.segment == nil || part.arrived || c.parts[part.id] != part || part.hasAttemptInFlight() {
 		return
 	}
-	var buffer [routeBuffer]shardmap.Segment
+	var buffer [routeBufferSize]shardmap.Segment
 	segments, decision := c.shardMap.Reroute(buffer[:0], part.segment.Segment, part.request.nonIdempotent,
 		part.mayHaveRun())
 	if decision == shardmap.ReplaceSegments {
@@ -129,11 +129,11 @@
 // replacePart puts parts for these segments, which are the same buckets, in the place of a part. What was attempted of
 // it counts for each of them. The part stays if the scheduler does not replace it.
 func (c *Core) replacePart(now float64, part *partState, segments []shardmap.Segment) {
-	asked := part.segment.asked
+	clientPart := part.segment.clientPart
 	replacements := make([]*partState, 0, len(segments))
 	schedulerParts := make([]scheduler.Part, 0, len(segments))
 	for _, segment := range segments {
-		replacement := c.addSegment(part.request, asked, segment)
+		replacement := c.addSegment(part.request, clientPart, segment)
 		replacement.attempts = slices.Clone(part.attempts)
 		replacements = append(replacements, replacement)
 		schedulerParts = append(schedulerParts, replacement.schedulerPart())
@@ -145,14 +145,14 @@
 		}
 		return
 	}
-	if err := asked.coverage.Replace(part.segment.Range, segments); err != nil {
+	if err := clientPart.coverage.Replace(part.segment.Range, segments); err != nil {
 		panic(err) // the map has routed the same buckets
 	}
 	c.dropPart(part)
 	c.openCount += len(segments) - 1
-	c.resharding.Replaced++
+	c.reshardingStats.Replaced++
 	if len(segments) > 1 {
-		c.resharding.Split++
+		c.reshardingStats.Split++
 	}
 }
 
--- a/internal/core/resolve.go
+++ b/internal/core/resolve.go
@@ -12,8 +12,8 @@
 // first map. A read of the map takes less.
 const behindRetryAfterMs = 100.0
 
-// routeBuffer is the number of segments for which routing a part needs no allocation.
-const routeBuffer = 8
+// routeBufferSize is the number of segments for which routing a part needs no allocation.
+const routeBufferSize = 8
 
 // StaleEpochError is returned by Core.Submit if a shard that the client named is unknown, as its map is too old.
 type StaleEpochError struct {
@@ -27,10 +27,10 @@
 // Unwrap gives ErrInvalidRequest and the map's own error.
 func (e *StaleEpochError) Unwrap() []error { return []error{ErrInvalidRequest, e.Err} }
 
-// resolve finds the buckets of a request's parts, and the number of segments that they take by the map in use. That is
+// resolveParts finds the buckets of a request's parts, and the number of segments that they take by the map in use. That is
 // 0 if there is no map yet, or if the client names shards of a newer one: this broker is behind, and a retry is
 // harmless.
-func (c *Core) resolve(request *Request) (segmentCount int, err error) {
+func (c *Core) resolveParts(request *Request) (segmentCount int, err error) {
 	epoch := c.Epoch()
 	behind := request.Epoch > epoch
 	if behind {
@@ -40,15 +40,15 @@
 		return 0, nil
 	}
 	request.clientParts = make([]*clientPart, 0, len(request.Parts))
-	var buffer [routeBuffer]shardmap.Segment
+	var buffer [routeBufferSize]shardmap.Segment
 	for i, p := range request.Parts {
 		buckets, err := c.shardMap.Resolve(p.Shard)
 		if err != nil && behind {
-			c.resharding.Behind++
+			c.reshardingStats.Behind++
 			return 0, nil
 		}
 		if err != nil {
-			c.resharding.Stale++
+			c.reshardingStats.Stale++
 			return 0, &StaleEpochError{Epoch: epoch, Err: err}
 		}
 		segments := c.shardMap.Route(buffer[:0], p.Shard, buckets)
--- a/internal/core/shardmap.go
+++ b/internal/core/shardmap.go
@@ -19,7 +19,7 @@
 }
 
 // ReshardingStats gives the counters since the start.
-func (c *Core) ReshardingStats() ReshardingStats { return c.resharding }
+func (c *Core) ReshardingStats() ReshardingStats { return c.reshardingStats }
 
 // OnNewerMap sets the function that is called when a client or a backend knows a newer map, with its epoch. The
 // default is none.
@@ -31,19 +31,19 @@
 // ApplySnapshot takes a snapshot of the shard map into use. On an error the map in use stays.
 func (c *Core) ApplySnapshot(snapshot shardmap.Snapshot) error {
 	retired, err := c.shardMap.Reset(snapshot)
-	return c.mapApplied(retired, err)
+	return c.completeMapUpdate(retired, err)
 }
 
 // ApplyChanges takes changes of the map into use, all or, on an error, none. backends are the names of those that may
 // hold shards; none for any.
 func (c *Core) ApplyChanges(changes []shardmap.Change, backends []string) error {
 	retired, err := c.shardMap.Apply(changes, backends)
-	return c.mapApplied(retired, err)
+	return c.completeMapUpdate(retired, err)
 }
 
-// mapApplied ends ApplySnapshot and ApplyChanges: it carries out the change if the epoch in use has changed, and
+// completeMapUpdate ends ApplySnapshot and ApplyChanges: it carries out the change if the epoch in use has changed, and
 // returns the map's error.
-func (c *Core) mapApplied(retired []shardmap.ShardID, err error) error {
+func (c *Core) completeMapUpdate(retired []shardmap.ShardID, err error) error {
 	if err != nil {
 		return err
 	}
@@ -65,11 +65,11 @@
 	now := c.clock.Now()
 	c.scheduler.PlacementChanged()
 	for _, id := range retired {
-		for _, part := range slices.Clone(c.partsByShard[id]) { // reroute changes the list
-			if part.lastInFlight() {
-				c.resharding.InFlight++
+		for _, part := range slices.Clone(c.partsByShard[id]) { // reroutePart changes the list
+			if part.isLastAttemptInFlight() {
+				c.reshardingStats.InFlight++
 			}
-			c.reroute(now, part)
+			c.reroutePart(now, part)
 		}
 	}
 	c.resumeParts(c.Epoch())
@@ -78,8 +78,8 @@
 
 // resumeParts ends the pause of the parts that wait for this epoch or an older one.
 func (c *Core) resumeParts(epoch uint64) {
-	waiting := c.paused[:0]
-	for _, part := range c.paused {
+	waiting := c.pausedParts[:0]
+	for _, part := range c.pausedParts {
 		if part.segment.resumeEpoch > epoch {
 			waiting = append(waiting, part)
 			continue
@@ -87,19 +87,19 @@
 		part.segment.resumeEpoch = 0
 		c.scheduler.ResumePart(part.id)
 	}
-	clear(c.paused[len(waiting):])
-	c.paused = waiting
+	clear(c.pausedParts[len(waiting):])
+	c.pausedParts = waiting
 }
 
 // logDroppedVersions writes a line if versions of the map were dropped since the last one.
 func (c *Core) logDroppedVersions() {
 	total := c.shardMap.DroppedVersions()
-	if total == c.droppedVersions {
+	if total == c.loggedDroppedVersions {
 		return
 	}
 	c.log.SchedulerLine(fmt.Sprintf("shard map: %d versions dropped at the limit, %d since the start",
-		total-c.droppedVersions, total))
-	c.droppedVersions = total
+		total-c.loggedDroppedVersions, total))
+	c.loggedDroppedVersions = total
 }
 
 // Epoch is that of the shard map in use; 0 before the first. It must not be called where placement is fixed.
--- a/internal/core/submission.go
+++ b/internal/core/submission.go
@@ -27,13 +27,13 @@
 	}
 	// Backends know the parts by the request's id. A second use of the id while the first is open could give one
 	// client's answer to another, and run a non-idempotent part twice for a client that retries.
-	if c.requestIDs[request.ID] {
+	if c.openRequestIDs[request.ID] {
 		return fmt.Errorf("%w: request id %q is in use", ErrInvalidRequest, request.ID)
 	}
 	now := c.clock.Now()
 	partCount := len(request.Parts)
 	if c.shardMap != nil {
-		segmentCount, err := c.resolve(request)
+		segmentCount, err := c.resolveParts(request)
 		if err != nil {
 			return err
 		}
@@ -43,9 +43,9 @@
 	c.counts.Submitted++
 	switch {
 	case partCount == 0:
-		c.deliver(request, Answer{Kind: Rejected, RetryAfter: min(c.maxRetryAfter, behindRetryAfterMs)})
+		c.deliverAnswer(request, Answer{Kind: Rejected, RetryAfter: min(c.maxRetryAfterMs, behindRetryAfterMs)})
 	case c.maxOpen > 0 && c.openCount+1+partCount > c.maxOpen:
-		c.deliver(request, Answer{Kind: Rejected, RetryAfter: c.maxRetryAfter})
+		c.deliverAnswer(request, Answer{Kind: Rejected, RetryAfter: c.maxRetryAfterMs})
 	default:
 		c.admit(now, request, partCount)
 	}
@@ -58,9 +58,9 @@
 	sum := 0.0
 	seen := make(map[int]bool, len(parts))
 	for _, p := range parts {
-		// A shard that is asked twice would give one part id two meanings at its backend. Under resharding, resolve
+		// A shard that is asked twice would give one part id two meanings at its backend. Under resharding, resolveParts
 		// tells which shards are known.
-		unknown := p.Shard < 0 || c.shardMap == nil && p.Shard >= c.shards
+		unknown := p.Shard < 0 || c.shardMap == nil && p.Shard >= c.shardCount
 		if unknown || seen[p.Shard] {
 			return fmt.Errorf("%w: shard %d is unknown or asked twice", ErrInvalidRequest, p.Shard)
 		}
@@ -78,11 +78,11 @@
 
 // admit hands a request and its parts to the scheduler. partCount is the number of parts that it becomes.
 func (c *Core) admit(now float64, request *Request, partCount int) {
-	c.nextID++
-	request.queryID = c.nextID
+	c.lastID++
+	request.queryID = c.lastID
 	request.nonIdempotent = c.classes[request.Class].Idempotency == scheduler.NonIdempotent
-	c.requests[request.queryID] = request
-	c.requestIDs[request.ID] = true
+	c.openRequests[request.queryID] = request
+	c.openRequestIDs[request.ID] = true
 	c.openCount += 1 + partCount
 	c.scheduler.QueryArrived(now, scheduler.Query{
 		ID:          request.queryID,
@@ -97,8 +97,8 @@
 		return
 	}
 	for _, p := range request.Parts {
-		c.nextID++
-		part := &partState{Part: p, id: c.nextID, request: request}
+		c.lastID++
+		part := &partState{Part: p, id: c.lastID, request: request}
 		request.parts = append(request.parts, part)
 		c.parts[part.id] = part
 		c.scheduler.PartArrived(now, part.schedulerPart())
