--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -8,9 +8,9 @@
 
 var _ scheduler.Actions = (*Core)(nil)
 
-// Send implements scheduler.Actions, as the methods below do; only the scheduler may call them. timeoutMs is in ms, 0 for
-// the request's deadline. An attempt that cannot be sent, beyond the limit of attempts or after its deadline, ends as
-// NotSent.
+// Send starts the next attempt of a part. A timeoutMs of 0 stands for the request's deadline. An attempt that exceeds
+// the limit of attempts, or whose deadline has passed, is not sent and ends as NotSent. Like the methods below, Send
+// implements scheduler.Actions, and only the scheduler may call it.
 func (c *Core) Send(partID uint64, replica uint32, timeoutMs float64) {
 	part := c.parts[partID]
 	if part == nil {
@@ -33,8 +33,8 @@
 	c.transport.Send(attempt)
 }
 
-// Cancel stops the wait for an attempt. A non-idempotent one whose client has disconnected is left to end by itself if
-// it has begun: see handleDisconnect.
+// Cancel stops waiting for an attempt. A non-idempotent attempt whose client has disconnected is left to end by
+// itself if it has begun: see handleDisconnect.
 func (c *Core) Cancel(partID uint64, number int) {
 	attempt := c.inFlight[attemptKey{partID, number}]
 	if attempt == nil || attempt.ended {
@@ -53,24 +53,24 @@
 // CloseIdleConnections closes the idle connections to a backend.
 func (c *Core) CloseIdleConnections(replica uint32) { c.transport.CloseIdleConnections(replica) }
 
-// Answer ends a request with the parts that have arrived.
+// Answer ends a request with the values that have arrived.
 func (c *Core) Answer(queryID uint64, complete bool) {
 	c.endRequest(queryID, Answer{Kind: Answered, Complete: complete})
 }
 
-// Reject ends a request and has its client retry after so many ms.
+// Reject ends a request. The client may retry after the given time.
 func (c *Core) Reject(queryID uint64, retryAfterMs float64) {
 	c.endRequest(queryID, Answer{Kind: Rejected, RetryAfter: retryAfterMs})
 }
 
-// Fail ends a request without any promise.
+// Fail ends a request as failed: its parts may have run.
 func (c *Core) Fail(queryID uint64) { c.endRequest(queryID, Answer{Kind: Failed}) }
 
-// SetTimer asks for TimerFired after so many ms, or earlier if that was asked for before.
+// SetTimer requests TimerFired after the given time. A pending request for an earlier time stays in effect.
 func (c *Core) SetTimer(afterMs float64) { c.timerAt = min(c.timerAt, c.clock.Now()+afterMs) }
 
 // WatchEndpoints subscribes to changes of the endpoint list.
 func (c *Core) WatchEndpoints() { c.endpoints.Watch() }
 
-// Log writes a line of the scheduler.
+// Log writes a line of the scheduler to the log.
 func (c *Core) Log(text string) { c.log.SchedulerLine(text) }
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -8,27 +8,27 @@
 // Attempt is one dispatch of a part to a backend. The transport reads the exported fields and may set Handle,
 // ConnectionOnly and BackendEpoch.
 type Attempt struct {
-	Request        string  // the request's ID
-	Shard          int     // the shard that is asked, by its id of the placement in use
-	Payload        []byte  // what the backend is asked; shared by all attempts of the request and read-only
-	IdempotencyKey string  // by which the backend drops repeats; "" for none
+	Request        string  // id of the request
+	Shard          int     // id of the shard in the placement in use
+	Payload        []byte  // the query text; shared by all attempts of the request and read-only
+	IdempotencyKey string  // lets the backend drop repeats; "" for none
 	Backend        uint32  // replica number of the backend
-	Deadline       float64 // when the wait for it ends, in ms of the loop's clock
-	StartBy        float64 // until when it may begin, in ms of the loop's clock; after that it must not
-	NonIdempotent  bool    // it must not run twice
-	Handle         any     // the transport's own; core does not look at it
-	ConnectionOnly bool    // set before the attempt's end is reported: the fault is the connection's, not the backend's
+	Deadline       float64 // when core stops waiting for the attempt, in ms of the loop's clock
+	StartBy        float64 // latest time at which the attempt may begin, in ms of the loop's clock
+	NonIdempotent  bool    // the part must not run twice
+	Handle         any     // reserved for the transport; core does not use it
+	ConnectionOnly bool    // set before the end is reported if the connection is at fault, not the backend
 
-	Buckets      shardmap.Range // that are asked for; empty where placement is fixed
-	Epoch        uint64         // of the shard map by which they were routed; 0 where placement is fixed
-	BackendEpoch uint64         // set before the outcome NotHolder is reported: of the backend's map; 0 if unknown
+	Buckets      shardmap.Range // requested buckets; empty where placement is fixed
+	Epoch        uint64         // epoch of the shard map by which Buckets were routed; 0 where placement is fixed
+	BackendEpoch uint64         // epoch of the backend's map, set before NotHolder is reported; 0 if unknown
 
-	heapIndex int // in Core.deadlines; -1 if it is not there
+	heapIndex int // index in Core.deadlines; -1 if not in it
 	part      *partState
 	number    int     // among the attempts of its part, from 0
-	sentAt    float64 // when the scheduler decided on it
+	sentAt    float64 // when the scheduler decided on the attempt
 	ended     bool
-	outcome   scheduler.Outcome // once it has ended
+	outcome   scheduler.Outcome // valid once ended is set
 }
 
 // attemptKey identifies an attempt to the scheduler: its part and its number among the part's attempts, from 0.
@@ -37,21 +37,21 @@
 	number int
 }
 
-// mayHaveRun reports whether the attempt is not proved never to have run.
+// mayHaveRun reports whether the attempt may have run. It is false only if the outcome proves that it never ran.
 func (a *Attempt) mayHaveRun() bool { return !a.ended || mayHaveRun(a.outcome) }
 
 const (
-	// startWindowRatio is the part of the drain grace within which an attempt begins. The scheduler sends to a draining
-	// backend for half of the grace; what it decides last begins within the other half, however late its connection
-	// comes up.
+	// startWindowRatio is the fraction of the drain grace within which an attempt must begin. The scheduler sends to
+	// a draining backend during the first half of the grace. The last of these attempts must begin within the other
+	// half, however late their connection is established.
 	startWindowRatio = 0.4
 
-	// maxStartWindowMs bounds the same: a decision is not carried out on old information.
+	// maxStartWindowMs limits the start window, so that no attempt begins on outdated information.
 	maxStartWindowMs = 400.0
 )
 
-// startWindowMs is the time in ms after its decision within which an attempt begins, by the grace of drains in ms; 0 for
-// no drains.
+// startWindowMs returns the time in ms from the decision on an attempt until it must begin. A drain grace of 0 means
+// that backends do not drain.
 func startWindowMs(drainGraceMs float64) float64 {
 	if drainGraceMs > 0 {
 		return min(maxStartWindowMs, drainGraceMs*startWindowRatio)
@@ -59,7 +59,8 @@
 	return maxStartWindowMs
 }
 
-// mayHaveRun reports whether an attempt with this outcome is not proved never to have run.
+// mayHaveRun reports whether an attempt with this outcome may have run. It is false for the outcomes that prove that
+// the attempt never ran.
 func mayHaveRun(outcome scheduler.Outcome) bool {
 	switch outcome {
 	case scheduler.Rejected, scheduler.ConnectFailed, scheduler.NotSent, scheduler.NotHolder:
@@ -68,7 +69,7 @@
 	return true
 }
 
-// newAttempt makes the next attempt of a part, as decided now.
+// newAttempt makes the next attempt of a part. The scheduler decided on it at time now.
 func (c *Core) newAttempt(now float64, part *partState, replica uint32, deadline float64) *Attempt {
 	attempt := &Attempt{
 		Request:        part.request.ID,
@@ -92,8 +93,9 @@
 	return attempt
 }
 
-// latestStart is until when an attempt that is decided on now may begin: while its backend may still be draining, and, for
-// a repeat that the backend drops only within the deduplication window of the first attempt, within that window.
+// latestStart returns the latest time at which an attempt that is decided on now may begin. The attempt must begin
+// within the start window, as its backend may be draining. A retry of a part that may have run must also begin within
+// the deduplication window, which starts with the first attempt: the backend drops repeats only within that window.
 func (c *Core) latestStart(now float64, part *partState) float64 {
 	latest := now + c.startWindowMs
 	class := &c.classes[part.request.Class]
--- a/internal/core/completion.go
+++ b/internal/core/completion.go
@@ -7,7 +7,7 @@
 	"ternstage/internal/decision/scheduler"
 )
 
-// endRequest gives the final answer of an open request; it does nothing if the request has ended.
+// endRequest ends an open request with its final answer. It does nothing if the request has ended.
 func (c *Core) endRequest(queryID uint64, answer Answer) {
 	request := c.openRequests[queryID]
 	if request == nil {
@@ -24,7 +24,7 @@
 	c.deliverAnswer(request, answer)
 }
 
-// deliverAnswer counts and logs a final answer and gives it to the client.
+// deliverAnswer counts and logs a final answer, and passes it to the client unless the client has disconnected.
 func (c *Core) deliverAnswer(request *Request, answer Answer) {
 	c.counts.add(answer.Kind)
 	c.log.RequestEnded(request, answer)
@@ -33,7 +33,7 @@
 	}
 }
 
-// arrivedValues are the values that have arrived for a request.
+// arrivedValues returns the values that have arrived for a request and count in its answer.
 func (c *Core) arrivedValues(request *Request) []Value {
 	if c.shardMap != nil {
 		return request.completeValues()
@@ -47,8 +47,8 @@
 	return values
 }
 
-// completeValues are the values of the client's parts of which all buckets have arrived, in the order of the client's
-// parts and of the buckets. A part of which some have not arrived counts for nothing.
+// completeValues returns the values of the client's parts whose buckets have all arrived, in the order of the
+// client's parts and of the buckets. A part with missing buckets does not count at all.
 func (r *Request) completeValues() []Value {
 	parts := slices.Clone(r.parts)
 	slices.SortFunc(parts, func(x, y *partState) int {
@@ -64,20 +64,21 @@
 	return values
 }
 
-// removeRequest drops an open request: nothing of it begins any more, and its version of the shard map is released.
+// removeRequest removes a request from the open ones. It withdraws the request's parts and releases its version of
+// the shard map.
 func (c *Core) removeRequest(request *Request) {
 	delete(c.openRequests, request.queryID)
 	delete(c.openRequestIDs, request.ID)
 	c.withdrawParts(request)
 	if request.mapVersion != nil {
 		c.shardMap.Release(request.mapVersion)
-		request.mapVersion = nil // a front may hold the request for longer, and must not hold the map with it
+		request.mapVersion = nil // a front may keep the request for longer, and must not keep the map in memory with it
 	}
 	c.openCount -= 1 + len(request.parts)
 }
 
-// withdrawParts keeps all parts of a request from beginning: attempts that the transport has not begun are taken back,
-// whether or not the settings allow to cancel those that have begun.
+// withdrawParts prevents any further attempt of a request from beginning, and withdraws the attempts that the
+// transport has not begun. It does so even if the settings forbid cancelling attempts that have begun.
 func (c *Core) withdrawParts(request *Request) {
 	for _, p := range request.parts {
 		delete(c.parts, p.id)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -19,21 +19,21 @@
 	// From the settings; they do not change.
 	classes         []scheduler.Class
 	shardCount      int
-	maxAttempts     int     // of a part; 0 for no limit
-	maxOpen         int     // of openCount; 0 for no limit
-	maxRetryAfterMs float64 // ms
-	startWindowMs   float64 // ms after its decision within which an attempt begins
-
-	lastID         uint64 // the last id that was given to a request or a part
-	openRequests   map[uint64]*Request
-	openRequestIDs map[string]bool // of requests
-	parts          map[uint64]*partState
-	openCount      int     // open requests and their parts
-	finalAnswerBy  float64 // the latest deadline of requests submitted from now on
+	maxAttempts     int     // per part; 0 for no limit
+	maxOpen         int     // limit of openCount; 0 for no limit
+	maxRetryAfterMs float64 // longest delay that a rejected client is given
+	startWindowMs   float64 // time from the decision on an attempt until it must begin
+
+	lastID         uint64                // last id assigned to a request or a part
+	openRequests   map[uint64]*Request   // by queryID
+	openRequestIDs map[string]bool       // the clients' ids of openRequests
+	parts          map[uint64]*partState // by id; without the parts withdrawn after a disconnect
+	openCount      int                   // number of open requests plus number of their parts
+	finalAnswerBy  float64               // latest deadline of requests submitted from now on
 	counts         Counts
 
-	inFlight             map[attemptKey]*Attempt // whose end has not been reported to the scheduler
-	deadlines            deadlineHeap            // of attempts that have not ended
+	inFlight             map[attemptKey]*Attempt // attempts whose end has not been reported to the scheduler
+	deadlines            deadlineHeap            // attempts that have not ended
 	endedAttempts        []endedAttempt          // to be reported to the scheduler in the next round
 	disconnectedRequests []*Request              // to be reported to the scheduler in the next round
 	timerAt              float64                 // when the scheduler's timer fires; +Inf for never
@@ -41,27 +41,27 @@
 	// Under resharding.
 	shardMap              *shardmap.Map // nil where placement is fixed
 	partsByShard          map[shardmap.ShardID][]*partState
-	pausedParts           []*partState // that wait for an epoch
+	pausedParts           []*partState // parts that wait for a newer map before a retry
 	onNewerMap            func(epoch uint64)
 	onMapChanged          func(*shardmap.Version)
 	reshardingStats       ReshardingStats
-	loggedDroppedVersions uint64 // as last logged
-	notifiedEpoch         uint64 // of the map that the scheduler knows
+	loggedDroppedVersions uint64 // total of dropped map versions when it was last logged
+	notifiedEpoch         uint64 // epoch of the last map that the scheduler was notified of
 }
 
-// Options are what core needs beside the scheduler's settings.
+// Options configure a Core, in addition to the scheduler's settings.
 type Options struct {
-	MaxOpen int   // open requests and parts, together, beyond which Submit rejects; 0, the default, for no limit
+	MaxOpen int   // limit of open requests plus their parts, beyond which Submit rejects; 0, the default, for none
 	Clock   Clock // required
 	Log     Log   // required
 
-	// ShardMap is the map of shards under resharding. It must also be the Placement of the scheduler's settings. nil,
-	// the default, where placement is fixed.
+	// ShardMap is the shard map under resharding. It must also be the Placement of the scheduler's settings. It is
+	// nil, the default, where placement is fixed.
 	ShardMap *shardmap.Map
 }
 
-// New makes a core and its scheduler, with the seed of its random choices. An error says which setting is out of its
-// range.
+// New makes a Core and its scheduler. The seed determines the scheduler's random choices. The error names the setting
+// that is out of range.
 func New(settings scheduler.Settings, seed uint64, options Options) (*Core, error) {
 	c := &Core{
 		clock: options.Clock,
@@ -100,8 +100,8 @@
 	c.endpoints = endpoints
 }
 
-// SetFinalAnswerDeadline shortens the deadlines of requests submitted from now on to a time of the loop's clock, as the
-// process ends then. The default is none.
+// SetFinalAnswerDeadline limits the deadlines of requests submitted from now on to the given time of the loop's
+// clock, at which the process ends. By default there is no limit.
 func (c *Core) SetFinalAnswerDeadline(at float64) { c.finalAnswerBy = at }
 
 // EndpointsChanged passes a change of the endpoint list to the scheduler.
@@ -109,20 +109,20 @@
 	c.scheduler.EndpointsChanged(c.clock.Now(), kind, entries)
 }
 
-// OpenRequests is the number of requests that have not ended.
+// OpenRequests returns the number of requests that have not ended.
 func (c *Core) OpenRequests() int { return len(c.openRequests) }
 
-// Counts gives the totals since the start.
+// Counts returns the totals since the start.
 func (c *Core) Counts() Counts { return c.counts }
 
-// RunRound runs the scheduling round that ends a wake-up: what happened is reported to the scheduler, it decides
-// once, and the transport sends what it was given.
+// RunRound runs the scheduling round that ends a wake-up: core reports the events to the scheduler, the scheduler
+// decides once, and the transport sends the attempts that it was given.
 func (c *Core) RunRound() {
 	now := c.clock.Now()
 	c.expireAttempts(now)
 
-	// The scheduler's actions may end further attempts, as Cancel does. Those are reported in the next round: an event
-	// must not come while the scheduler is in the middle of another.
+	// The scheduler's actions may end further attempts, as Cancel does. Those ends are reported in the next round,
+	// because the scheduler must not receive an event while it handles another.
 	ended := c.endedAttempts
 	disconnected := c.disconnectedRequests
 	c.endedAttempts = nil
@@ -140,7 +140,7 @@
 	c.scheduleNextRound()
 }
 
-// fireTimer reports to the scheduler that its timer has fired, if it has.
+// fireTimer reports TimerFired to the scheduler if its timer is due.
 func (c *Core) fireTimer(now float64) {
 	if now >= c.timerAt {
 		c.timerAt = math.Inf(1)
@@ -148,8 +148,8 @@
 	}
 }
 
-// scheduleNextRound asks for the next round: at once if there are ends to report, else for the scheduler's timer or the
-// first deadline of an attempt, whichever is earlier.
+// scheduleNextRound requests the next round: at once if ends of attempts are to be reported, otherwise at the
+// scheduler's timer or the first deadline of an attempt, whichever is earlier.
 func (c *Core) scheduleNextRound() {
 	next := c.timerAt
 	if len(c.deadlines) > 0 {
--- a/internal/core/deadlines.go
+++ b/internal/core/deadlines.go
@@ -1,10 +1,10 @@
 package core
 
-// deadlineHeap is a heap of attempts by their deadlines, the earliest first. One timer serves all of them. It
-// implements heap.Interface and keeps Attempt.heapIndex.
+// deadlineHeap is a heap of attempts ordered by deadline, the earliest first. One timer serves all of them.
+// deadlineHeap implements heap.Interface and keeps Attempt.heapIndex up to date.
 type deadlineHeap []*Attempt
 
-// Len implements heap.Interface; so do the methods below.
+// Len implements heap.Interface, as do the methods below.
 func (d deadlineHeap) Len() int { return len(d) }
 
 // Less orders by deadline.
@@ -23,7 +23,7 @@
 	*d = append(*d, a)
 }
 
-// Pop removes the last attempt of the slice.
+// Pop removes and returns the last attempt of the slice.
 func (d *deadlineHeap) Pop() any {
 	n := len(*d) - 1
 	a := (*d)[n]
--- a/internal/core/disconnects.go
+++ b/internal/core/disconnects.go
@@ -1,7 +1,7 @@
 package core
 
-// ClientDisconnected notes that the client of a request has disconnected: from the next round on nothing of the request
-// begins. It does nothing if the request has ended.
+// ClientDisconnected records that the client of a request has disconnected. No attempt of the request begins after
+// the next scheduling round has started. It does nothing if the request has ended.
 func (c *Core) ClientDisconnected(request *Request) {
 	if c.openRequests[request.queryID] != request || request.disconnected {
 		return
@@ -10,9 +10,9 @@
 	c.disconnectedRequests = append(c.disconnectedRequests, request)
 }
 
-// handleDisconnect ends a request whose client has disconnected. A non-idempotent one of which something is in flight
-// stays open until that has ended, so that its outcome is learnt and logged: a cancel could
-// cross an answer on its way.
+// handleDisconnect ends a request whose client has disconnected. A non-idempotent request with an attempt in flight
+// stays open until the attempt has ended, so that its outcome is known and logged: a cancellation could cross an
+// answer that is on its way.
 func (c *Core) handleDisconnect(now float64, request *Request) {
 	c.scheduler.ClientDisconnected(now, request.queryID)
 	c.withdrawParts(request)
@@ -22,7 +22,7 @@
 	c.endDisconnectedRequest(request)
 }
 
-// endDisconnectedRequest ends a request whose client has disconnected and of which nothing is waited for.
+// endDisconnectedRequest ends a request whose client has disconnected and whose attempts need not be waited for.
 func (c *Core) endDisconnectedRequest(request *Request) {
 	answer := Answer{Kind: Failed}
 	if request.hasAllParts() {
--- a/internal/core/outcomes.go
+++ b/internal/core/outcomes.go
@@ -8,15 +8,15 @@
 	"ternstage/internal/decision/scheduler"
 )
 
-// endedAttempt is an attempt with its outcome, until it is reported to the scheduler.
+// endedAttempt is an attempt whose outcome has not been reported to the scheduler yet.
 type endedAttempt struct {
 	attempt *Attempt
 	outcome scheduler.Outcome
 }
 
-// AttemptEnded reports how an attempt ended. The first report of an attempt counts, later ones are ignored. value is
-// what the backend gave if the outcome is Succeeded, and must not change afterwards. It is reported to the scheduler
-// in the next round.
+// AttemptEnded reports how an attempt ended. The first report of an attempt counts, and later ones are ignored. value
+// is the backend's result if the outcome is Succeeded; the caller must not change it afterwards. Core reports the
+// outcome to the scheduler in the next round.
 func (c *Core) AttemptEnded(attempt *Attempt, outcome scheduler.Outcome, value []byte) {
 	if attempt.ended {
 		return
@@ -34,14 +34,15 @@
 	c.endedAttempts = append(c.endedAttempts, endedAttempt{attempt, outcome})
 }
 
-// AttemptEndedLater reports an outcome that the transport learns while Core is calling it, and asks for a round in
-// which it is reported to the scheduler.
+// AttemptEndedLater is AttemptEnded for an outcome that the transport learns while Core is calling it. It also
+// requests the round in which the outcome is reported to the scheduler.
 func (c *Core) AttemptEndedLater(attempt *Attempt, outcome scheduler.Outcome) {
 	c.AttemptEnded(attempt, outcome, nil)
 	c.clock.WakeAt(0)
 }
 
-// reportAttemptEnd reports to the scheduler how an attempt ended, and does what follows from it for the part and the request.
+// reportAttemptEnd reports to the scheduler how an attempt ended. Then it reroutes the part, or ends the request, if
+// the outcome requires it.
 func (c *Core) reportAttemptEnd(now float64, end endedAttempt) {
 	attempt := end.attempt
 	part := attempt.part
@@ -67,7 +68,8 @@
 	}
 }
 
-// expireAttempts ends the attempts whose deadline has passed. They end in the order of their parts' ids, whatever the heap's.
+// expireAttempts ends the attempts whose deadline has passed. It sorts them by their parts' ids, so that the order
+// does not depend on that of the heap.
 func (c *Core) expireAttempts(now float64) {
 	var expired []*Attempt
 	for len(c.deadlines) > 0 && now >= c.deadlines[0].Deadline {
@@ -78,7 +80,7 @@
 		outcome := scheduler.TimedOut
 		neverRan := c.transport.Abandon(attempt)
 		if neverRan {
-			outcome = scheduler.ConnectFailed // the scheduler may retry what never ran
+			outcome = scheduler.ConnectFailed // lets the scheduler retry the part, as it never ran
 		}
 		c.AttemptEnded(attempt, outcome, nil)
 	}
--- a/internal/core/part.go
+++ b/internal/core/part.go
@@ -6,20 +6,20 @@
 	"ternstage/internal/decision/scheduler"
 )
 
-// partState is what core dispatches: a part as the client named it where placement is fixed, a segment of such a part
-// under resharding.
+// partState is the unit that core dispatches: where placement is fixed, a part as the client named it; under
+// resharding, one segment of such a part.
 type partState struct {
-	Part            // Shard is by the placement in use
+	Part            // its Shard is the shard's id in the placement in use
 	id       uint64 // unique in this process
 	request  *Request
-	attempts []*Attempt // by number; under resharding also those of the part that it replaced
-	value    []byte     // once it has arrived
+	attempts []*Attempt // by number; under resharding, starts with the attempts of the part that it replaced
+	value    []byte     // the backend's value, once arrived is set
 	arrived  bool
 
 	segment *segmentState // nil where placement is fixed
 }
 
-// schedulerPart is the part as the scheduler knows it.
+// schedulerPart returns the part in the scheduler's form.
 func (p *partState) schedulerPart() scheduler.Part {
 	out := scheduler.Part{
 		ID:          p.id,
@@ -36,7 +36,7 @@
 	return out
 }
 
-// hasAttemptInFlight reports whether an attempt of the part has not ended.
+// hasAttemptInFlight reports whether any attempt of the part has not ended.
 func (p *partState) hasAttemptInFlight() bool {
 	return slices.ContainsFunc(p.attempts, func(a *Attempt) bool { return !a.ended })
 }
@@ -47,11 +47,12 @@
 	return count > 0 && !p.attempts[count-1].ended
 }
 
-// hasTimedOut reports whether the last attempt of the part timed out or is still in flight.
+// hasTimedOut reports whether the part ran out of time: its last attempt timed out, or is still in flight as the
+// request ends.
 func (p *partState) hasTimedOut() bool {
 	count := len(p.attempts)
 	return count > 0 && (!p.attempts[count-1].ended || p.attempts[count-1].outcome == scheduler.TimedOut)
 }
 
-// mayHaveRun reports whether an attempt of the part is not proved never to have run.
+// mayHaveRun reports whether any attempt of the part may have run.
 func (p *partState) mayHaveRun() bool { return slices.ContainsFunc(p.attempts, (*Attempt).mayHaveRun) }
--- a/internal/core/resharding.go
+++ b/internal/core/resharding.go
@@ -7,23 +7,23 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-// clientPart is a part as its client named it, under resharding. Its segments are the parts that are dispatched.
+// clientPart is a part as its client named it, under resharding. Core dispatches its segments as separate parts.
 type clientPart struct {
 	Part
-	coverage *shardmap.Coverage // the buckets that it asks for, and which of them have arrived
-	number   int                // in the order of Request.Parts, from 1; the scheduler's atomic group
+	coverage *shardmap.Coverage // the part's buckets, and which of them have arrived
+	number   int                // position in Request.Parts, from 1; also the scheduler's atomic group
 }
 
-// segmentState is what a dispatched part is under resharding: buckets of a client's part that one shard holds. Where
-// they may go, and what of them has arrived, the shard map decides.
+// segmentState describes a dispatched part under resharding: the buckets of a client's part that one shard holds.
+// Package shardmap decides where the segment may be sent, and tracks which buckets have arrived.
 type segmentState struct {
 	shardmap.Segment
-	clientPart      *clientPart // the client's part that it belongs to
-	notHolderStreak int         // consecutive attempts that ended as NotHolder
-	resumeEpoch     uint64      // the epoch that ends its pause; 0 if it does not wait for one
+	clientPart      *clientPart // the client's part that the segment belongs to
+	notHolderStreak int         // number of consecutive attempts that ended as NotHolder
+	resumeEpoch     uint64      // epoch of the map that ends the pause; 0 if the segment does not wait for one
 }
 
-// admitSegments binds a request to the map in use and hands its segments to the scheduler.
+// admitSegments binds a request to the map in use and passes its segments to the scheduler as parts.
 func (c *Core) admitSegments(now float64, request *Request) {
 	request.mapVersion = c.shardMap.Acquire()
 	var buffer [routeBufferSize]shardmap.Segment
@@ -35,7 +35,8 @@
 	}
 }
 
-// addSegment adds a segment of a client's part to a request. Weight and cost are shared out by number of buckets.
+// addSegment adds a segment of a client's part to a request, as a part of its own. Weight and cost hint are divided
+// in proportion to the number of buckets.
 func (c *Core) addSegment(request *Request, clientPart *clientPart, segment shardmap.Segment) *partState {
 	c.lastID++
 	ratio := float64(segment.Size()) / float64(clientPart.coverage.Size())
@@ -54,7 +55,8 @@
 	return part
 }
 
-// unlinkSegment removes a part from what changes of the map look at. It does nothing where placement is fixed.
+// unlinkSegment removes a part from the indexes that map changes use: partsByShard and pausedParts. It does nothing
+// where placement is fixed.
 func (c *Core) unlinkSegment(part *partState) {
 	if part.segment == nil {
 		return
@@ -72,7 +74,8 @@
 	}
 }
 
-// countArrival counts the buckets of a part that has arrived, each once. It does nothing where placement is fixed.
+// countArrival records the buckets of a part that has arrived, and logs a line if they had arrived before. It does
+// nothing where placement is fixed.
 func (c *Core) countArrival(part *partState) {
 	if part.segment == nil {
 		return
@@ -83,9 +86,9 @@
 	}
 }
 
-// handleNotHolder counts how often in a row a part's backends did not hold its shard. After such an outcome it has the
-// shard map read if the backend knows a newer one, and pauses the part until then. It returns the time in ms for which
-// the part is not retried, 0 after any other outcome.
+// handleNotHolder counts the consecutive attempts of a part that ended as NotHolder. After such an outcome the
+// shard map decides whether a newer map is read and whether the part pauses until then. handleNotHolder returns the
+// time in ms for which the part is not retried, which is 0 after any other outcome.
 func (c *Core) handleNotHolder(attempt *Attempt, outcome scheduler.Outcome) float64 {
 	part := attempt.part
 	segment := part.segment
@@ -111,9 +114,9 @@
 	return wait.DelayMs
 }
 
-// reroutePart replaces a part whose shard no longer holds its buckets by parts of the shards that do, if a retry of it is
-// allowed. A part of which an attempt is in flight is looked at when that ends. It does nothing where placement is
-// fixed.
+// reroutePart replaces a part whose shard no longer holds its buckets by parts of the shards that do, if a retry is
+// allowed. A part with an attempt in flight is not replaced until the attempt has ended. reroutePart does nothing
+// where placement is fixed.
 func (c *Core) reroutePart(now float64, part *partState) {
 	if part.segment == nil || part.arrived || c.parts[part.id] != part || part.hasAttemptInFlight() {
 		return
@@ -126,8 +129,8 @@
 	}
 }
 
-// replacePart puts parts for these segments, which are the same buckets, in the place of a part. What was attempted of
-// it counts for each of them. The part stays if the scheduler does not replace it.
+// replacePart replaces a part by one part for each of the given segments, which make up the same buckets. Each
+// replacement takes over the attempts of the part. The part remains if the scheduler does not replace it.
 func (c *Core) replacePart(now float64, part *partState, segments []shardmap.Segment) {
 	clientPart := part.segment.clientPart
 	replacements := make([]*partState, 0, len(segments))
@@ -146,7 +149,7 @@
 		return
 	}
 	if err := clientPart.coverage.Replace(part.segment.Range, segments); err != nil {
-		panic(err) // the map has routed the same buckets
+		panic(err) // cannot happen: the map routed the same buckets
 	}
 	c.dropPart(part)
 	c.openCount += len(segments) - 1
@@ -156,7 +159,7 @@
 	}
 }
 
-// dropPart removes a part from its request.
+// dropPart removes a part from its request and from the indexes of parts.
 func (c *Core) dropPart(part *partState) {
 	delete(c.parts, part.id)
 	c.unlinkSegment(part)
--- a/internal/core/resolve.go
+++ b/internal/core/resolve.go
@@ -8,28 +8,29 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-// behindRetryAfterMs is when a client may retry whose shard map is newer than this broker's, or that came before the
-// first map. A read of the map takes less.
+// behindRetryAfterMs is the delay for a client retry if the client's shard map is newer than this broker's, or if
+// this broker has no map yet. Reading the map takes less time.
 const behindRetryAfterMs = 100.0
 
-// routeBufferSize is the number of segments for which routing a part needs no allocation.
+// routeBufferSize is the number of segments of a part up to which routing needs no allocation.
 const routeBufferSize = 8
 
-// StaleEpochError is returned by Core.Submit if a shard that the client named is unknown, as its map is too old.
+// StaleEpochError is returned by Core.Submit if the client named an unknown shard because the client's map is too
+// old.
 type StaleEpochError struct {
-	Epoch uint64 // of the map in use
-	Err   error  // of shardmap.Map.Resolve
+	Epoch uint64 // epoch of the map in use
+	Err   error  // returned by shardmap.Map.Resolve
 }
 
-// Error goes to clients in bodies.
+// Error returns the text that clients receive in response bodies.
 func (e *StaleEpochError) Error() string { return fmt.Sprintf("%v: %v", ErrInvalidRequest, e.Err) }
 
-// Unwrap gives ErrInvalidRequest and the map's own error.
+// Unwrap returns ErrInvalidRequest and the error of the shard map.
 func (e *StaleEpochError) Unwrap() []error { return []error{ErrInvalidRequest, e.Err} }
 
-// resolveParts finds the buckets of a request's parts, and the number of segments that they take by the map in use. That is
-// 0 if there is no map yet, or if the client names shards of a newer one: this broker is behind, and a retry is
-// harmless.
+// resolveParts finds the buckets of a request's parts, and returns the number of segments into which the map in use
+// divides them. It returns 0 if there is no map yet, or if the client names shards of a newer map. This broker is
+// then behind, and a client retry is harmless.
 func (c *Core) resolveParts(request *Request) (segmentCount int, err error) {
 	epoch := c.Epoch()
 	behind := request.Epoch > epoch
@@ -59,8 +60,8 @@
 	return segmentCount, checkDisjoint(request.clientParts)
 }
 
-// checkDisjoint refuses parts that share buckets, as names of shards from different epochs may: those would count
-// twice.
+// checkDisjoint returns an error if parts share buckets, which would count twice. Parts may share buckets if the
+// client names shards of different epochs.
 func checkDisjoint(parts []*clientPart) error {
 	ranges := make([]shardmap.Range, 0, len(parts))
 	for _, p := range parts {
--- a/internal/core/shardmap.go
+++ b/internal/core/shardmap.go
@@ -7,42 +7,43 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-// ReshardingStats counts what became of parts that a change of the shard map affected, since the start.
+// ReshardingStats counts, since the start, what happened to parts and requests because the shard map changed.
 type ReshardingStats struct {
-	Replaced   uint64 `json:"parts_replaced"`  // went on as parts of other shards
-	Split      uint64 `json:"parts_split"`     // of those, became more than one
-	InFlight   uint64 `json:"parts_caught"`    // were in flight when their shard changed or was retired
-	Paused     uint64 `json:"parts_paused"`    // waited, as a backend did not hold their shard
-	Duplicates uint64 `json:"counted_twice"`   // answers dropped, as their buckets had arrived
-	Stale      uint64 `json:"stale_requests"`  // named shards that are unknown
-	Behind     uint64 `json:"behind_requests"` // named shards of a newer map than this broker's, and were rejected
+	Replaced   uint64 `json:"parts_replaced"`  // parts replaced by parts of other shards
+	Split      uint64 `json:"parts_split"`     // of those, parts replaced by more than one
+	InFlight   uint64 `json:"parts_caught"`    // parts in flight when their shard was retired
+	Paused     uint64 `json:"parts_paused"`    // retries delayed because a backend did not hold the shard
+	Duplicates uint64 `json:"counted_twice"`   // answers to buckets that had arrived already
+	Stale      uint64 `json:"stale_requests"`  // requests that named unknown shards
+	Behind     uint64 `json:"behind_requests"` // requests rejected because they named shards of a newer map
 }
 
-// ReshardingStats gives the counters since the start.
+// ReshardingStats returns the counts since the start.
 func (c *Core) ReshardingStats() ReshardingStats { return c.reshardingStats }
 
-// OnNewerMap sets the function that is called when a client or a backend knows a newer map, with its epoch. The
-// default is none.
+// OnNewerMap sets the function to call with the epoch when a client or a backend knows a newer map. By default none
+// is called.
 func (c *Core) OnNewerMap(notify func(epoch uint64)) { c.onNewerMap = notify }
 
-// OnMapChanged sets the function that is called after a map has been taken into use. The default is none.
+// OnMapChanged sets the function to call after a new version of the map has been taken into use. By default none is
+// called.
 func (c *Core) OnMapChanged(notify func(*shardmap.Version)) { c.onMapChanged = notify }
 
-// ApplySnapshot takes a snapshot of the shard map into use. On an error the map in use stays.
+// ApplySnapshot replaces the shard map by a snapshot. On an error the map in use remains.
 func (c *Core) ApplySnapshot(snapshot shardmap.Snapshot) error {
 	retired, err := c.shardMap.Reset(snapshot)
 	return c.completeMapUpdate(retired, err)
 }
 
-// ApplyChanges takes changes of the map into use, all or, on an error, none. backends are the names of those that may
-// hold shards; none for any.
+// ApplyChanges applies changes to the map: all of them or, on an error, none. backends are the names of the backends
+// that may hold shards; an empty list allows any.
 func (c *Core) ApplyChanges(changes []shardmap.Change, backends []string) error {
 	retired, err := c.shardMap.Apply(changes, backends)
 	return c.completeMapUpdate(retired, err)
 }
 
-// completeMapUpdate ends ApplySnapshot and ApplyChanges: it carries out the change if the epoch in use has changed, and
-// returns the map's error.
+// completeMapUpdate is the common end of ApplySnapshot and ApplyChanges. If the epoch in use has changed, it adapts
+// the open requests and reports the new version. It returns the error of the update.
 func (c *Core) completeMapUpdate(retired []shardmap.ShardID, err error) error {
 	if err != nil {
 		return err
@@ -59,8 +60,8 @@
 	return nil
 }
 
-// applyMapChange reroutes the parts of retired shards, resumes the parts that wait for the epoch in use, and asks for a
-// round that decides on them.
+// applyMapChange reroutes the parts of retired shards, resumes the parts that wait for the epoch in use, and requests
+// a round so that the scheduler decides on them.
 func (c *Core) applyMapChange(retired []shardmap.ShardID) {
 	now := c.clock.Now()
 	c.scheduler.PlacementChanged()
@@ -76,7 +77,7 @@
 	c.clock.WakeAt(0)
 }
 
-// resumeParts ends the pause of the parts that wait for this epoch or an older one.
+// resumeParts ends the pause of the parts that wait for the given epoch or an older one.
 func (c *Core) resumeParts(epoch uint64) {
 	waiting := c.pausedParts[:0]
 	for _, part := range c.pausedParts {
@@ -91,7 +92,7 @@
 	c.pausedParts = waiting
 }
 
-// logDroppedVersions writes a line if versions of the map were dropped since the last one.
+// logDroppedVersions logs how many versions of the map were dropped since its last log line, if any were.
 func (c *Core) logDroppedVersions() {
 	total := c.shardMap.DroppedVersions()
 	if total == c.loggedDroppedVersions {
@@ -102,5 +103,6 @@
 	c.loggedDroppedVersions = total
 }
 
-// Epoch is that of the shard map in use; 0 before the first. It must not be called where placement is fixed.
+// Epoch returns the epoch of the shard map in use, or 0 before the first map. It must not be called where placement
+// is fixed.
 func (c *Core) Epoch() uint64 { return c.shardMap.Current().Epoch }
--- a/internal/core/submission.go
+++ b/internal/core/submission.go
@@ -8,25 +8,25 @@
 	"ternstage/internal/decision/scheduler"
 )
 
-// ErrInvalidRequest is wrapped by the errors of Submit: the request is not as its front has agreed. The texts go to
-// clients in bodies.
+// ErrInvalidRequest is wrapped by the errors of Submit for a request that violates the contract with clients. The
+// error texts go to clients in response bodies.
 var ErrInvalidRequest = errors.New("the request breaks its contract")
 
 const (
-	// maxPartWeight and weightSumTolerance allow for weights that clients have rounded.
+	// maxPartWeight and weightSumTolerance allow for rounding of weights by clients.
 	maxPartWeight      = 1.001
 	weightSumTolerance = 0.01
 )
 
-// Submit accepts a request, or rejects it by its final answer at once: beyond Options.MaxOpen, and while there is no
-// shard map as new as the client's. An error, ErrInvalidRequest or StaleEpochError, means that it was not accepted:
-// the front answers the client itself.
+// Submit accepts a request. It delivers a Rejected answer at once if the request would exceed Options.MaxOpen, if
+// there is no shard map yet, or if the client names a shard of a newer map. An error, which wraps ErrInvalidRequest
+// and may be a StaleEpochError, means that the request was not accepted: the front answers the client itself.
 func (c *Core) Submit(request *Request) error {
 	if err := c.checkParts(request.Parts); err != nil {
 		return err
 	}
-	// Backends know the parts by the request's id. A second use of the id while the first is open could give one
-	// client's answer to another, and run a non-idempotent part twice for a client that retries.
+	// Backends identify parts by the request's id. Two open requests with the same id could mix up the answers of two
+	// clients, and could run a non-idempotent part twice for a client that retries.
 	if c.openRequestIDs[request.ID] {
 		return fmt.Errorf("%w: request id %q is in use", ErrInvalidRequest, request.ID)
 	}
@@ -52,19 +52,19 @@
 	return nil
 }
 
-// checkParts checks what the scheduler and the backends rely on: known and different shards, and weights above 0 that
-// add up to 1.
+// checkParts checks what the scheduler and the backends rely on: each part names a known shard of its own, and the
+// weights are above 0 and add up to 1.
 func (c *Core) checkParts(parts []Part) error {
 	sum := 0.0
 	seen := make(map[int]bool, len(parts))
 	for _, p := range parts {
-		// A shard that is asked twice would give one part id two meanings at its backend. Under resharding, resolveParts
-		// tells which shards are known.
+		// A shard that is named twice would give two parts the same id at its backend. Under resharding, resolveParts
+		// checks whether the shards are known.
 		unknown := p.Shard < 0 || c.shardMap == nil && p.Shard >= c.shardCount
 		if unknown || seen[p.Shard] {
 			return fmt.Errorf("%w: shard %d is unknown or asked twice", ErrInvalidRequest, p.Shard)
 		}
-		if !(p.Weight > 0) || p.Weight > maxPartWeight { // a NaN is refused too
+		if !(p.Weight > 0) || p.Weight > maxPartWeight { // also true for a NaN
 			return fmt.Errorf("%w: weight of shard %d", ErrInvalidRequest, p.Shard)
 		}
 		seen[p.Shard] = true
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// admit hands a request and its parts to the scheduler. partCount is the number of parts that it becomes.
+// admit passes a request and its parts to the scheduler. partCount is the number of parts to dispatch.
 func (c *Core) admit(now float64, request *Request, partCount int) {
 	c.lastID++
 	request.queryID = c.lastID
