--- a/internal/core/answer_test.go
+++ b/internal/core/answer_test.go
@@ -12,7 +12,7 @@
 	}
 }
 
-func TestAnswerKindsInTheLog(t *testing.T) {
+func TestAnswerKindString(t *testing.T) {
 	assert.Equal(t, "answered", Answered.String())
 	assert.Equal(t, "rejected", Rejected.String())
 	assert.Equal(t, "failed", Failed.String())
--- a/internal/core/attempt_test.go
+++ b/internal/core/attempt_test.go
@@ -10,8 +10,9 @@
 	"ternstage/internal/decision/scheduler"
 )
 
-// An attempt begins within 400 ms of its decision, or 0.4 of the drain grace where that is less; a repeat of a part
-// that may have run begins within the deduplication window of its class, from the first attempt.
+// An attempt must begin within 400 ms of its decision, or within 0.4 of the drain grace if that is less. A retry of a
+// part that may have run must also begin within the deduplication window of its class, counted from the first
+// attempt.
 func TestStartBy(t *testing.T) {
 	const dedupWindow = 250.0
 	class := scheduler.Class{Idempotency: scheduler.IdempotentWithKey, DedupWindow: dedupWindow}
@@ -28,11 +29,11 @@
 
 			broker = newFixedFixture(t, drainGrace, true, class)
 			broker.submitOne()
-			broker.core.AttemptEnded(broker.attempts[0], scheduler.Rejected, nil) // it never ran
+			broker.core.AttemptEnded(broker.attempts[0], scheduler.Rejected, nil) // the attempt never ran
 			broker.runFor(100)
 			require.Len(t, broker.attempts, 2)
 			assert.Equal(t, broker.attempts[1].sentAt+window, broker.attempts[1].StartBy,
-				"the window of a first attempt")
+				"the start window of a first attempt applies")
 		})
 	}
 }
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -9,7 +9,8 @@
 	"ternstage/internal/transport/simwire"
 )
 
-// benchFixture is a broker with fixed placement whose transport and clock are the benchmark's.
+// benchFixture is a broker with fixed placement. It is also the broker's transport, endpoint list, clock, log and
+// client.
 type benchFixture struct {
 	b        *testing.B
 	core     *core.Core
@@ -55,11 +56,11 @@
 	return f
 }
 
-// submit submits the i-th request, of so many parts.
-func (f *benchFixture) submit(i, parts int) {
+// submit submits the i-th request, with the given number of parts.
+func (f *benchFixture) submit(i, partCount int) {
 	request := &core.Request{ID: fmt.Sprint(i), Deadline: f.now + 3000, Client: f, Payload: []byte("x")}
-	for j := range parts {
-		request.Parts = append(request.Parts, core.Part{Shard: (i*7 + j) % f.shards, Weight: 1 / float64(parts),
+	for j := range partCount {
+		request.Parts = append(request.Parts, core.Part{Shard: (i*7 + j) % f.shards, Weight: 1 / float64(partCount),
 			CostHint: 10, HasCostHint: true})
 	}
 	if err := f.core.Submit(request); err != nil {
@@ -73,7 +74,7 @@
 	f.inFlight = f.inFlight[1:]
 }
 
-// BenchmarkQuery is the path of a request of four parts from Submit to its answer, with 20 others in flight.
+// BenchmarkQuery measures a request of four parts from Submit to its answer, with 20 other requests in flight.
 func BenchmarkQuery(b *testing.B) {
 	broker := newBenchFixture(b, 24)
 	b.ReportAllocs()
@@ -88,7 +89,7 @@
 	}
 }
 
-// BenchmarkRunRound is a scheduling round with 100 open requests of one part each, in flight, by the number of shards.
+// BenchmarkRunRound measures a scheduling round with 100 requests of one part each in flight, by number of shards.
 func BenchmarkRunRound(b *testing.B) {
 	for _, shards := range []int{24, 1000, 100_000} {
 		b.Run(fmt.Sprint(shards), func(b *testing.B) {
@@ -103,24 +104,25 @@
 	}
 }
 
-// fill leaves 100 requests in flight. Before, 2000 are answered, so that the replicas are known to carry as much.
+// fill leaves 100 requests in flight. Before that, 2000 requests are answered, so that the scheduler has learnt that
+// the replicas can serve that many.
 func (f *benchFixture) fill() {
-	const answered, open, most = 2000, 100, 4000
-	for i := 0; i < answered || f.core.OpenRequests() < open; i++ {
+	const answeredCount, openCount, maxSubmitted = 2000, 100, 4000
+	for i := 0; i < answeredCount || f.core.OpenRequests() < openCount; i++ {
 		f.now += 5
 		f.submit(i, 1)
 		f.core.RunRound()
-		for i < answered && len(f.inFlight) > 0 {
-			if len(f.inFlight) < open && i%150 != 0 {
+		for i < answeredCount && len(f.inFlight) > 0 {
+			if len(f.inFlight) < openCount && i%150 != 0 {
 				break
 			}
 			f.succeedFirst()
 		}
-		if i == answered {
+		if i == answeredCount {
 			f.core.RunRound()
 		}
-		if i > most {
-			f.b.Fatal(f.core.OpenRequests())
+		if i > maxSubmitted {
+			f.b.Fatalf("%d requests are open after %d were submitted", f.core.OpenRequests(), i+1)
 		}
 	}
 }
--- a/internal/core/disconnects_test.go
+++ b/internal/core/disconnects_test.go
@@ -9,8 +9,9 @@
 	"ternstage/internal/decision/scheduler"
 )
 
-// A client disconnects while an attempt waits at the transport. Nothing of it begins, whether or not the settings allow
-// to cancel what has begun; a non-idempotent attempt that has begun is waited for, and is the last of its request.
+// A client disconnects while the transport holds an attempt that has not begun. The attempt must not begin, whether
+// or not the settings allow cancelling attempts that have begun. A non-idempotent attempt that has begun is waited
+// for, and no attempt of the request follows it.
 func TestDisconnectWithdrawsAttempts(t *testing.T) {
 	for _, canCancel := range []bool{true, false} {
 		for _, idempotency := range []scheduler.Idempotency{scheduler.Idempotent, scheduler.NonIdempotent} {
--- a/internal/core/fixture_test.go
+++ b/internal/core/fixture_test.go
@@ -12,19 +12,19 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-// fixture is a broker under resharding whose transport, endpoint list, clock and log are the test's. Its backends are a
-// to d.
+// fixture is a broker under resharding, with backends a to d. It is also the broker's transport, endpoint list, clock
+// and log.
 type fixture struct {
-	t           *testing.T
-	shardMap    *shardmap.Map
-	core        *Core
-	now         float64
-	wake        float64
-	inFlight    []*Attempt // in the order in which they were sent
-	attempts    []*Attempt // all that were sent
-	newerEpochs []uint64   // as OnNewerMap told
-	lines       []string   // of the log
-	submitted   int
+	t              *testing.T
+	shardMap       *shardmap.Map
+	core           *Core
+	now            float64
+	wakeAt         float64
+	inFlight       []*Attempt // not ended, in the order in which they were sent
+	attempts       []*Attempt // all that were sent, in the same order
+	newerEpochs    []uint64   // reported to OnNewerMap
+	logLines       []string
+	submittedCount int
 }
 
 // Classes of the fixture.
@@ -36,8 +36,8 @@
 var backendNames = []string{"a", "b", "c", "d"}
 
 func (f *fixture) Now() float64                  { return f.now }
-func (f *fixture) WakeAt(at float64)             { f.wake = min(f.wake, at) }
-func (f *fixture) SchedulerLine(text string)     { f.lines = append(f.lines, text) }
+func (f *fixture) WakeAt(at float64)             { f.wakeAt = min(f.wakeAt, at) }
+func (f *fixture) SchedulerLine(text string)     { f.logLines = append(f.logLines, text) }
 func (f *fixture) RequestEnded(*Request, Answer) {}
 func (f *fixture) Watch()                        {}
 func (f *fixture) Flush()                        {}
@@ -75,10 +75,10 @@
 	return "?"
 }
 
-// newFixture has 8 shards of 10 buckets, each on two of the backends in a ring.
+// newFixture makes a fixture with 8 shards of 10 buckets. Each shard is on two neighbours in the ring of backends.
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	f := &fixture{t: t, now: 1e6, wake: 1e12}
+	f := &fixture{t: t, now: 1e6, wakeAt: 1e12}
 	f.shardMap = shardmap.New(shardmap.Options{
 		MaxVersions:   8,
 		ReplicaNumber: func(backend string) (uint32, bool) { return replicaNumber(backend), true },
@@ -116,7 +116,7 @@
 	return f
 }
 
-// runFor lets so many ms pass, with a scheduling round each.
+// runFor advances the clock by the given number of ms and runs a scheduling round after each.
 func (f *fixture) runFor(ms int) {
 	for range ms {
 		f.now++
@@ -124,17 +124,17 @@
 	}
 }
 
-// recorder is a client that keeps the answers that it gets.
-type recorder struct{ answers []Answer }
+// recordingClient is a client that records the answers that it receives.
+type recordingClient struct{ answers []Answer }
 
-func (r *recorder) Deliver(answer Answer) { r.answers = append(r.answers, answer) }
+func (r *recordingClient) Deliver(answer Answer) { r.answers = append(r.answers, answer) }
 
 // submit submits a request for these shards and runs a round.
-func (f *fixture) submit(class int, epoch uint64, shards ...int) *recorder {
+func (f *fixture) submit(class int, epoch uint64, shards ...int) *recordingClient {
 	f.t.Helper()
-	client := &recorder{}
-	f.submitted++
-	request := &Request{ID: fmt.Sprint("q", f.submitted), Class: class, Deadline: f.now + 2000, Epoch: epoch,
+	client := &recordingClient{}
+	f.submittedCount++
+	request := &Request{ID: fmt.Sprint("q", f.submittedCount), Class: class, Deadline: f.now + 2000, Epoch: epoch,
 		Client: client}
 	for _, shard := range shards {
 		request.Parts = append(request.Parts,
@@ -145,7 +145,7 @@
 	return client
 }
 
-// applyChange takes the next change of the map into use and runs a round.
+// applyChange applies a change to the map, as the next epoch, and runs a round.
 func (f *fixture) applyChange(change shardmap.Change) {
 	f.t.Helper()
 	change.Base = f.core.Epoch()
@@ -154,7 +154,7 @@
 	f.runFor(1)
 }
 
-// splitFirstShard splits shard 0 into 8, of buckets 0 to 3, and 9.
+// splitFirstShard splits shard 0 into shard 8, which has buckets 0 to 3, and shard 9, which has buckets 4 to 9.
 func (f *fixture) splitFirstShard() {
 	f.t.Helper()
 	f.applyChange(shardmap.Change{Kind: shardmap.Split, Shard: 0, At: 4, Into: []int{8, 9}})
@@ -168,32 +168,32 @@
 	f.applyChange(shardmap.Change{Kind: shardmap.Done, Shard: id})
 }
 
-// endAttempt reports how an attempt ended and runs a round. Its value is its buckets.
+// endAttempt reports how an attempt ended and runs a round. The attempt's value is the text of its buckets.
 func (f *fixture) endAttempt(attempt *Attempt, outcome scheduler.Outcome) {
 	f.remove(attempt)
 	f.core.AttemptEnded(attempt, outcome, []byte(fmt.Sprint(attempt.Buckets)))
 	f.runFor(1)
 }
 
-// succeedAll ends all attempts in flight, and those that are sent meanwhile, with success.
+// succeedAll ends all attempts in flight with success, including those that are sent meanwhile.
 func (f *fixture) succeedAll() {
 	for len(f.inFlight) > 0 {
 		f.endAttempt(f.inFlight[0], scheduler.Succeeded)
 	}
 }
 
-// finalAnswer is the one answer that a client got.
-func (f *fixture) finalAnswer(client *recorder) Answer {
+// finalAnswer checks that a client received exactly one answer and returns it.
+func (f *fixture) finalAnswer(client *recordingClient) Answer {
 	f.t.Helper()
 	require.Len(f.t, client.answers, 1)
 	return client.answers[0]
 }
 
-// fixedFixture is a broker with fixed placement, before two backends that hold its one shard. Its transport begins no
-// attempt until the test says so.
+// fixedFixture is a broker with fixed placement and two backends that hold its one shard. Its transport begins an
+// attempt only when the test adds it to begun.
 type fixedFixture struct {
 	*fixture
-	begun map[*Attempt]bool // those that cannot be withdrawn any more
+	begun map[*Attempt]bool // attempts that can no longer be withdrawn
 }
 
 func (f *fixedFixture) Withdraw(attempt *Attempt) bool {
@@ -204,10 +204,10 @@
 	return true
 }
 
-// newFixedFixture has one class. drainGrace is in ms.
-func newFixedFixture(t *testing.T, drainGrace float64, canCancel bool, class scheduler.Class) *fixedFixture {
+// newFixedFixture makes a fixedFixture with one class.
+func newFixedFixture(t *testing.T, drainGraceMs float64, canCancel bool, class scheduler.Class) *fixedFixture {
 	t.Helper()
-	f := &fixedFixture{fixture: &fixture{t: t, now: 1e6, wake: 1e12}, begun: map[*Attempt]bool{}}
+	f := &fixedFixture{fixture: &fixture{t: t, now: 1e6, wakeAt: 1e12}, begun: map[*Attempt]bool{}}
 	class.LatencyObjective = 1000
 	class.Deadline = 2000
 	class.PriorityWeight = 1
@@ -216,7 +216,7 @@
 	settings := scheduler.Settings{
 		BrokerCount: 1, TimerResolution: 5, Shards: 1, Cells: 1, CellsPerShard: 1,
 		Placement: shardmap.NewRingPlacement(1, 1, 1), MaxPartsPerCall: 1, CanCancel: canCancel, MaxAttempts: 4,
-		MaxRetryAfter: 1000, DrainGrace: drainGrace, Classes: []scheduler.Class{class},
+		MaxRetryAfter: 1000, DrainGrace: drainGraceMs, Classes: []scheduler.Class{class},
 	}
 	var err error
 	f.core, err = New(settings, 7, Options{Clock: f, Log: f})
@@ -228,11 +228,11 @@
 	return f
 }
 
-// submitOne submits a request for the one shard and runs a round.
+// submitOne submits a request with one part, for the one shard, and runs a round.
 func (f *fixedFixture) submitOne() *Request {
 	f.t.Helper()
-	f.submitted++
-	request := &Request{ID: fmt.Sprint("q", f.submitted), Deadline: f.now + 2000, Client: &recorder{},
+	f.submittedCount++
+	request := &Request{ID: fmt.Sprint("q", f.submittedCount), Deadline: f.now + 2000, Client: &recordingClient{},
 		Parts: []Part{{Weight: 1, CostHint: 10, HasCostHint: true}}}
 	require.NoError(f.t, f.core.Submit(request))
 	f.runFor(1)
--- a/internal/core/outcomes_test.go
+++ b/internal/core/outcomes_test.go
@@ -12,7 +12,7 @@
 func TestFirstReportOfAnAttemptCounts(t *testing.T) {
 	broker := newFixedFixture(t, 0, true, scheduler.Class{})
 	request := broker.submitOne()
-	client := request.Client.(*recorder)
+	client := request.Client.(*recordingClient)
 	attempt := broker.attempts[0]
 	broker.core.AttemptEnded(attempt, scheduler.Succeeded, []byte("first"))
 	broker.core.AttemptEnded(attempt, scheduler.Failed, nil)
@@ -26,11 +26,11 @@
 	assert.Empty(t, broker.core.deadlines)
 }
 
-// An attempt that its backend does not answer ends at its deadline, and so does its request, once.
+// The backend does not answer an attempt. The attempt ends at its deadline, and its request fails exactly once.
 func TestAttemptEndsAtItsDeadline(t *testing.T) {
 	broker := newFixedFixture(t, 0, true, scheduler.Class{Idempotency: scheduler.NonIdempotent})
 	request := broker.submitOne()
-	client := request.Client.(*recorder)
+	client := request.Client.(*recordingClient)
 	attempt := broker.attempts[0]
 	broker.begun[attempt] = true
 	require.Greater(t, attempt.Deadline, broker.now)
@@ -38,7 +38,7 @@
 	broker.runFor(int(attempt.Deadline-broker.now) - 1)
 	require.Equal(t, []*Attempt{attempt}, broker.inFlight)
 	broker.runFor(1)
-	require.Empty(t, broker.inFlight, "it was abandoned")
+	require.Empty(t, broker.inFlight, "the attempt was abandoned")
 	broker.runFor(3000)
 	assert.Equal(t, Answer{Kind: Failed, TimedOut: true}, broker.finalAnswer(client))
 	assert.Equal(t, Counts{Submitted: 1, Failed: 1}, broker.core.Counts())
--- a/internal/core/resharding_test.go
+++ b/internal/core/resharding_test.go
@@ -10,30 +10,30 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-// A non-idempotent part is in flight when its shard moves: the answer of its former replica counts, nothing else is
-// sent meanwhile, and only a part that provably never ran is sent to the new replica.
+// A non-idempotent part is in flight when its shard moves. The answer of its former replica counts, no other attempt
+// is sent meanwhile, and only a part that provably never ran is sent to the new replica.
 func TestNonIdempotentPartInFlightWhenItsShardMoves(t *testing.T) {
 	for name, test := range map[string]struct {
 		outcome scheduler.Outcome
 		kind    AnswerKind
 		retried bool
 	}{
-		"the former replica answers": {outcome: scheduler.Succeeded, kind: Answered},
-		"it fails":                   {outcome: scheduler.Failed, kind: Failed},
-		"its connection resets":      {outcome: scheduler.ConnectionReset, kind: Failed},
-		"it holds the shard no more": {outcome: scheduler.NotHolder, retried: true},
-		"it rejects the attempt":     {outcome: scheduler.Rejected, retried: true},
-		"its connection is refused":  {outcome: scheduler.ConnectFailed, retried: true},
+		"the former replica answers":  {outcome: scheduler.Succeeded, kind: Answered},
+		"the former replica fails":    {outcome: scheduler.Failed, kind: Failed},
+		"the connection is reset":     {outcome: scheduler.ConnectionReset, kind: Failed},
+		"the shard is no longer held": {outcome: scheduler.NotHolder, retried: true},
+		"the attempt is rejected":     {outcome: scheduler.Rejected, retried: true},
+		"the connection is refused":   {outcome: scheduler.ConnectFailed, retried: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			broker := newFixture(t)
 			client := broker.submit(nonIdempotentClass, 1, 0)
 			require.Len(t, broker.inFlight, 1)
 			first := broker.inFlight[0]
-			former := backendOf(first)
-			broker.moveShard(0, former, "d")
+			formerReplica := backendOf(first)
+			broker.moveShard(0, formerReplica, "d")
 			broker.runFor(50)
-			require.Len(t, broker.attempts, 1, "nothing else is sent while it is in flight")
+			require.Len(t, broker.attempts, 1, "no other attempt is sent while the first is in flight")
 			first.BackendEpoch = 4
 			broker.endAttempt(first, test.outcome)
 			broker.runFor(200)
@@ -43,21 +43,21 @@
 				return
 			}
 			require.Len(t, broker.attempts, 2)
-			require.NotEqual(t, former, backendOf(broker.attempts[1]), "by the map in use another holds it")
+			require.NotEqual(t, formerReplica, backendOf(broker.attempts[1]), "the map in use has another replica")
 			require.EqualValues(t, 4, broker.attempts[1].Epoch)
 			broker.endAttempt(broker.attempts[1], scheduler.Succeeded)
 			require.Equal(t, Answered, broker.finalAnswer(client).Kind)
 		})
 	}
-	t.Run("it times out", func(t *testing.T) {
+	t.Run("the attempt times out", func(t *testing.T) {
 		broker := newFixture(t)
 		client := broker.submit(nonIdempotentClass, 1, 0)
 		broker.moveShard(0, backendOf(broker.inFlight[0]), "d")
 		broker.runFor(2100)
 		require.Equal(t, Failed, broker.finalAnswer(client).Kind)
-		require.Len(t, broker.attempts, 1, "a time-out at the former replica is not retried at the new one")
+		require.Len(t, broker.attempts, 1, "a timeout at the former replica is not retried at the new one")
 	})
-	t.Run("the shard is split and the connection resets", func(t *testing.T) {
+	t.Run("the shard is split and the connection is reset", func(t *testing.T) {
 		broker := newFixture(t)
 		client := broker.submit(nonIdempotentClass, 1, 0)
 		broker.splitFirstShard()
@@ -68,7 +68,7 @@
 	})
 }
 
-// A part whose shard was split goes on as two parts, which count only together.
+// A part whose shard was split is replaced by two parts, which count only together.
 func TestHalfOfASplitPartDoesNotCount(t *testing.T) {
 	broker := newFixture(t)
 	client := broker.submit(idempotentClass, 1, 0, 1, 2, 3)
@@ -88,14 +88,14 @@
 			broker.endAttempt(attempt, scheduler.Succeeded)
 		}
 	}
-	require.Empty(t, client.answers, "three parts and a half are not complete")
+	require.Empty(t, client.answers, "three and a half of four parts are not complete")
 	broker.runFor(2100)
 	answer := broker.finalAnswer(client)
 	require.Equal(t, Answered, answer.Kind)
 	require.False(t, answer.Complete)
 	require.Len(t, answer.Values, 3)
 	for _, value := range answer.Values {
-		require.NotEqual(t, 0, value.Shard, "half a part is not in the answer")
+		require.NotEqual(t, 0, value.Shard, "half of a part is not in the answer")
 	}
 }
 
@@ -109,31 +109,32 @@
 	broker.succeedAll()
 	answer := broker.finalAnswer(client)
 	require.True(t, answer.Complete)
-	require.EqualValues(t, 1, answer.Epoch, "of the map by which the request began")
+	require.EqualValues(t, 1, answer.Epoch, "the epoch in use at the request's start")
 	require.Equal(t, []Value{
 		{Shard: 0, Buckets: shardmap.Range{Start: 0, End: 4}, Doc: []byte("0-4")},
 		{Shard: 0, Buckets: shardmap.Range{Start: 4, End: 10}, Doc: []byte("4-10")},
 		{Shard: 1, Buckets: shardmap.Range{Start: 10, End: 20}, Doc: []byte("10-20")},
 	}, answer.Values)
-	require.Equal(t, 1, broker.shardMap.Stats().RetainedVersions, "its version of the map is released")
+	require.Equal(t, 1, broker.shardMap.Stats().RetainedVersions, "the request's version of the map is released")
 	require.Empty(t, broker.core.partsByShard)
 	require.Empty(t, broker.core.inFlight)
 }
 
-// A merged shard answers for two parts: each asks for its own buckets, so that none counts twice.
+// A merged shard answers two parts of a request. Each attempt requests the buckets of its own part, so that no bucket
+// counts twice.
 func TestMergedShardAnswersForTwoParts(t *testing.T) {
 	broker := newFixture(t)
 	broker.splitFirstShard()
 	client := broker.submit(idempotentClass, 2, 8, 9)
 	require.Len(t, broker.inFlight, 2)
 	broker.applyChange(shardmap.Change{Kind: shardmap.Merge, Shard: 8, Other: 9, Into: []int{10}})
-	former := slices.Clone(broker.inFlight)
-	broker.endAttempt(former[0], scheduler.Failed)
+	formerAttempts := slices.Clone(broker.inFlight)
+	broker.endAttempt(formerAttempts[0], scheduler.Failed)
 	broker.runFor(50)
 	retry := broker.attempts[2]
 	require.Equal(t, 10, retry.Shard)
 	require.Equal(t, shardmap.Range{Start: 0, End: 4}, retry.Buckets)
-	broker.endAttempt(former[1], scheduler.Succeeded) // a replica of the retired shard answers after the merge
+	broker.endAttempt(formerAttempts[1], scheduler.Succeeded) // a replica of the retired shard answers after the merge
 	broker.endAttempt(retry, scheduler.Succeeded)
 	answer := broker.finalAnswer(client)
 	require.True(t, answer.Complete)
@@ -141,24 +142,25 @@
 	require.Zero(t, broker.core.ReshardingStats().Duplicates)
 }
 
-// A shard moves from one backend to another and back while an attempt from its first time there is in flight: its
-// answer counts, once.
-func TestShardMovesThereAndBackWhileInFlight(t *testing.T) {
+// A shard moves from one backend to another and back while an attempt sent before the first move is in flight. The
+// answer to that attempt counts exactly once.
+func TestShardMovesAwayAndBackWhileAttemptInFlight(t *testing.T) {
 	broker := newFixture(t)
 	client := broker.submit(nonIdempotentClass, 1, 0)
 	first := broker.inFlight[0]
-	former := backendOf(first)
-	broker.moveShard(0, former, "d")
-	broker.moveShard(0, "d", former)
+	formerReplica := backendOf(first)
+	broker.moveShard(0, formerReplica, "d")
+	broker.moveShard(0, "d", formerReplica)
 	broker.splitFirstShard()
 	broker.endAttempt(first, scheduler.Succeeded)
 	require.Equal(t, Answered, broker.finalAnswer(client).Kind)
 	require.Len(t, broker.attempts, 1)
 }
 
-// A backend knows a newer map: that map is asked for, the part is retried at the other replica at once, and when all
-// replicas have said so it waits for that epoch and no longer.
-func TestPartWaitsForTheEpochOfABackend(t *testing.T) {
+// A backend does not hold the part's shard and knows a newer map. The broker requests that map and retries the part
+// at the other replica at once. Once all replicas have replied so, the part waits until the map of that epoch is in
+// use.
+func TestPartWaitsForNewerMapOfBackend(t *testing.T) {
 	broker := newFixture(t)
 	client := broker.submit(nonIdempotentClass, 1, 0)
 	for i := range 2 {
@@ -169,12 +171,12 @@
 		broker.runFor(20)
 	}
 	require.NotEqual(t, broker.attempts[0].Backend, broker.attempts[1].Backend)
-	require.Len(t, broker.attempts, 2, "both replicas were asked: it waits")
+	require.Len(t, broker.attempts, 2, "both replicas replied, and the part waits")
 	require.Equal(t, []uint64{4, 4}, broker.newerEpochs)
 	broker.moveShard(0, "a", "c")
 	broker.moveShard(0, "b", "d")
 	broker.runFor(20)
-	require.Len(t, broker.attempts, 3, "the map has come: it waits no more")
+	require.Len(t, broker.attempts, 3, "the map is in use, and the part no longer waits")
 	require.Contains(t, []string{"c", "d"}, backendOf(broker.attempts[2]))
 	broker.endAttempt(broker.attempts[2], scheduler.Succeeded)
 	require.Equal(t, Answered, broker.finalAnswer(client).Kind)
--- a/internal/core/resolve_test.go
+++ b/internal/core/resolve_test.go
@@ -9,27 +9,28 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-// Shards that the client named at an older epoch are translated; those that cannot be are refused with the epoch in
-// use; those of a newer epoch than the broker's are rejected with Retry-After, and the map is asked for.
-func TestShardsNamedAtOtherEpochs(t *testing.T) {
+// Shards that the client named at an older epoch are translated. If that is impossible, Submit returns an error with
+// the epoch in use. A request with shards of a newer epoch than the broker's is rejected with Retry-After, and the
+// broker requests the newer map.
+func TestSubmitShardsOfOtherEpochs(t *testing.T) {
 	broker := newFixture(t)
 	broker.splitFirstShard()
 	client := broker.submit(idempotentClass, 1, 0, 1)
-	require.Len(t, broker.inFlight, 3, "one part has two segments")
+	require.Len(t, broker.inFlight, 3, "one of the two parts has two segments")
 	broker.succeedAll()
 	require.True(t, broker.finalAnswer(client).Complete)
 
-	request := &Request{ID: "old", Class: idempotentClass, Deadline: broker.now + 2000, Epoch: 1, Client: &recorder{},
-		Parts: []Part{{Shard: 77, Weight: 1}}}
+	request := &Request{ID: "old", Class: idempotentClass, Deadline: broker.now + 2000, Epoch: 1,
+		Client: &recordingClient{}, Parts: []Part{{Shard: 77, Weight: 1}}}
 	err := broker.core.Submit(request)
 	var stale *StaleEpochError
 	require.ErrorAs(t, err, &stale)
 	require.ErrorIs(t, err, ErrInvalidRequest)
 	require.EqualValues(t, 2, stale.Epoch)
 
-	request = &Request{ID: "twice", Class: idempotentClass, Deadline: broker.now + 2000, Client: &recorder{},
+	request = &Request{ID: "twice", Class: idempotentClass, Deadline: broker.now + 2000, Client: &recordingClient{},
 		Parts: []Part{{Shard: 0, Weight: 0.5}, {Shard: 9, Weight: 0.5}}}
-	require.ErrorIs(t, broker.core.Submit(request), ErrInvalidRequest, "names of two epochs that mean the same buckets")
+	require.ErrorIs(t, broker.core.Submit(request), ErrInvalidRequest, "names of two epochs for the same buckets")
 
 	client = broker.submit(idempotentClass, 9, 77)
 	answer := broker.finalAnswer(client)
@@ -38,7 +39,7 @@
 	require.Equal(t, []uint64{9}, broker.newerEpochs)
 }
 
-func TestRejectsBeforeTheFirstMap(t *testing.T) {
+func TestSubmitRejectsBeforeFirstMap(t *testing.T) {
 	broker := newFixture(t)
 	shardMap := shardmap.New(shardmap.Options{})
 	settings := scheduler.Settings{
@@ -52,6 +53,6 @@
 	require.NoError(t, err)
 	broker.core.Attach(broker, broker)
 	answer := broker.finalAnswer(broker.submit(0, 0, 3))
-	require.Equal(t, Rejected, answer.Kind, "at once, with Retry-After")
+	require.Equal(t, Rejected, answer.Kind, "rejected at once, with Retry-After")
 	require.Positive(t, answer.RetryAfter)
 }
--- a/internal/core/submission_test.go
+++ b/internal/core/submission_test.go
@@ -10,8 +10,8 @@
 	"ternstage/internal/decision/scheduler"
 )
 
-// The texts go to clients in bodies.
-func TestSubmitRefusesInvalidRequests(t *testing.T) {
+// Clients receive the error texts in response bodies.
+func TestSubmitReturnsErrorForInvalidRequest(t *testing.T) {
 	for name, test := range map[string]struct {
 		parts []Part
 		text  string
@@ -27,32 +27,33 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			broker := newFixedFixture(t, 0, true, scheduler.Class{})
-			client := &recorder{}
+			client := &recordingClient{}
 			err := broker.core.Submit(&Request{ID: "q", Deadline: broker.now + 2000, Client: client, Parts: test.parts})
 			require.ErrorIs(t, err, ErrInvalidRequest)
 			require.EqualError(t, err, "the request breaks its contract: "+test.text)
 			broker.runFor(3000)
-			assert.Empty(t, client.answers, "the front answers it")
+			assert.Empty(t, client.answers, "the front answers the client itself")
 			assert.Zero(t, broker.core.Counts())
 		})
 	}
 }
 
-func TestSubmitRefusesAnIDInUse(t *testing.T) {
+func TestSubmitReturnsErrorForIDInUse(t *testing.T) {
 	broker := newFixedFixture(t, 0, true, scheduler.Class{})
 	request := broker.submitOne()
-	again := &Request{ID: request.ID, Deadline: broker.now + 2000, Client: &recorder{}, Parts: []Part{{Weight: 1}}}
-	require.EqualError(t, broker.core.Submit(again), `the request breaks its contract: request id "q1" is in use`)
+	sameID := &Request{ID: request.ID, Deadline: broker.now + 2000, Client: &recordingClient{},
+		Parts: []Part{{Weight: 1}}}
+	require.EqualError(t, broker.core.Submit(sameID), `the request breaks its contract: request id "q1" is in use`)
 	broker.core.AttemptEnded(broker.attempts[0], scheduler.Succeeded, []byte("v"))
 	broker.runFor(1)
-	require.NoError(t, broker.core.Submit(again), "it is free once the request has ended")
+	require.NoError(t, broker.core.Submit(sameID), "the id is free once the request has ended")
 }
 
 func TestSubmitRejectsBeyondMaxOpen(t *testing.T) {
 	broker := newFixedFixture(t, 0, true, scheduler.Class{})
-	broker.core.maxOpen = 3 // one request with its part, and half of another
+	broker.core.maxOpen = 3 // one request with its part, and one less than a second request needs
 	broker.submitOne()
-	client := &recorder{}
+	client := &recordingClient{}
 	request := &Request{ID: "second", Deadline: broker.now + 2000, Client: client, Parts: []Part{{Weight: 1}}}
 	require.NoError(t, broker.core.Submit(request))
 	answer := broker.finalAnswer(client)
@@ -65,5 +66,5 @@
 	broker := newFixedFixture(t, 0, true, scheduler.Class{})
 	broker.core.SetFinalAnswerDeadline(broker.now + 500)
 	request := broker.submitOne()
-	assert.Equal(t, broker.now-1+500, request.Deadline, "a round later")
+	assert.Equal(t, broker.now-1+500, request.Deadline, "submitOne advanced the clock by 1 ms")
 }
