--- a/internal/contract/answer.go
+++ b/internal/contract/answer.go
@@ -6,22 +6,22 @@
 	"ternstage/internal/core"
 )
 
-// answerHit is the JSON form of a core.Value. Buckets are its first bucket and the one after its last, under
-// resharding only.
+// answerHit is the JSON form of a core.Value. Buckets holds the first bucket and the bucket after the last one; it is
+// set under resharding only.
 type answerHit struct {
 	Shard   int    `json:"shard"`
 	Doc     string `json:"doc"`
 	Buckets []int  `json:"districts,omitempty"`
 }
 
-// answerBody is the JSON form of an answer; Epoch is 0 and left out where placement is fixed.
+// answerBody is the JSON form of an answer. Epoch is 0, and therefore omitted, where placement is fixed.
 type answerBody struct {
 	Complete bool        `json:"complete"`
 	Hits     []answerHit `json:"hits"`
 	Epoch    uint64      `json:"epoch,omitempty"`
 }
 
-// EncodeAnswer makes the JSON body of an answer of kind core.Answered.
+// EncodeAnswer returns the JSON body of an answer of kind core.Answered.
 func EncodeAnswer(answer core.Answer) []byte {
 	out := answerBody{
 		Complete: answer.Complete,
--- a/internal/contract/query.go
+++ b/internal/contract/query.go
@@ -12,22 +12,23 @@
 	"ternstage/internal/core"
 )
 
-// Errors of ParseQuery, which it wraps. Each front maps them to the codes of its wire.
+// ParseQuery's errors wrap one of these. Each front maps them to the codes of its protocol.
 var (
 	ErrMalformed     = errors.New("malformed query")
 	ErrUnknownClass  = errors.New("no contract for this class")
 	ErrUnknownTenant = errors.New("no budget for this tenant")
 )
 
-// body is the JSON body of a query. encoding/json puts the type's name into error texts, which go to clients, and for
-// a part, as it is unnamed, its fields: neither must change.
+// body is the JSON body of a request. encoding/json puts the name of this type into error texts, and for a part,
+// whose type is unnamed, its fields. The error texts go to clients, so neither may change.
 type body struct {
 	Shards []bodyPart      `json:"shards"`
 	Q      *string         `json:"q"`
 	Epoch  json.RawMessage `json:"epoch"`
 }
 
-// bodyPart is a part in a body: shard and weight are required, cost is in microseconds, key is hexadecimal.
+// bodyPart is a part in a body. Shard and weight are required, the cost is in microseconds, and the key is
+// hexadecimal.
 type bodyPart = struct {
 	Shard  *int     `json:"shard"`
 	Weight *float64 `json:"weight"`
@@ -36,34 +37,34 @@
 }
 
 const (
-	// maxIDBytes bounds request ids and idempotency keys, which are in the frame of every call.
+	// maxIDBytes limits request ids and idempotency keys, which are part of the frame of every call to a backend.
 	maxIDBytes = 128
 
-	// keyDigits is the length of the key of a part.
+	// keyDigits is the number of hexadecimal digits in the key of a part.
 	keyDigits = 16
 
 	microsPerMilli = 1000
 )
 
-// Envelope is what travels beside the body of a query.
+// Envelope holds the fields of a request that a front reads from outside the body.
 type Envelope struct {
 	ID             string  // the client's id of the request: 1 to 128 visible ASCII characters
 	Class          string  // name of a Class
 	Tenant         string  // name of a Tenant; "" where there are none
-	ClientTimeout  float64 // ms for which the client waits, from arrival; above 0
-	ClientRetry    bool    // the client says that it asked before
-	IdempotencyKey string  // 1 to 128 visible ASCII characters but commas; "", the default, for none
+	ClientTimeout  float64 // time in ms that the client waits, from arrival; above 0
+	ClientRetry    bool    // the client marked the request as a client retry
+	IdempotencyKey string  // 1 to 128 visible ASCII characters except commas; "", the default, for none
 }
 
-// ParseQuery makes a request of an envelope and a body that arrived at now, in ms of the loop's clock. It counts the
-// request in AcceptedByTenant; that shards and weights are sound is for core to check. An error wraps ErrUnknownClass,
-// ErrUnknownTenant or ErrMalformed.
-func (c *Contracts) ParseQuery(envelope Envelope, text []byte, now float64) (*core.Request, error) {
+// ParseQuery makes a request from an envelope and a JSON body that arrived at time now, in ms of the loop's clock. It
+// counts the request in AcceptedByTenant. It does not check whether shards and weights are valid: core does. An error
+// wraps ErrUnknownClass, ErrUnknownTenant or ErrMalformed.
+func (c *Contracts) ParseQuery(envelope Envelope, jsonBody []byte, now float64) (*core.Request, error) {
 	class, tenant, err := c.checkEnvelope(envelope)
 	if err != nil {
 		return nil, err
 	}
-	query, err := c.parseBody(text)
+	query, err := c.parseBody(jsonBody)
 	if err != nil {
 		return nil, err
 	}
@@ -95,7 +96,7 @@
 	return request, nil
 }
 
-// checkEnvelope checks an envelope and finds the indices of its class and tenant.
+// checkEnvelope checks an envelope and returns the indices of its class and tenant.
 func (c *Contracts) checkEnvelope(envelope Envelope) (class, tenant int, err error) {
 	class, ok := c.classIndex[envelope.Class]
 	if !ok {
@@ -105,56 +106,57 @@
 	if !ok && (len(c.Tenants) > 0 || envelope.Tenant != "") {
 		return 0, 0, fmt.Errorf("%w: %q", ErrUnknownTenant, envelope.Tenant)
 	}
-	if !validID(envelope.ID) {
+	if !isValidID(envelope.ID) {
 		return 0, 0, fmt.Errorf("%w: the request id is missing or not a word", ErrMalformed)
 	}
-	if envelope.IdempotencyKey != "" && !validIdempotencyKey(envelope.IdempotencyKey) {
+	if envelope.IdempotencyKey != "" && !isValidIdempotencyKey(envelope.IdempotencyKey) {
 		return 0, 0, fmt.Errorf("%w: the idempotency key is not a word", ErrMalformed)
 	}
-	if !(envelope.ClientTimeout > 0) || math.IsInf(envelope.ClientTimeout, 0) { // nor a NaN
+	if !(envelope.ClientTimeout > 0) || math.IsInf(envelope.ClientTimeout, 0) { // also true for a NaN
 		return 0, 0, fmt.Errorf("%w: the deadline is missing or not a positive time", ErrMalformed)
 	}
 	return class, tenant, nil
 }
 
-// parseBody reads a body; one that it returns has a query text and at least one part.
-func (c *Contracts) parseBody(text []byte) (*body, error) {
+// parseBody parses a JSON body and checks that it has a query text and at least one part.
+func (c *Contracts) parseBody(jsonBody []byte) (*body, error) {
 	query := &body{}
-	if err := errors.Join(c.checkUnambiguous(text), json.Unmarshal(text, query)); err != nil {
+	if err := errors.Join(c.checkUnambiguous(jsonBody), json.Unmarshal(jsonBody, query)); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
-	// encoding/json reads half a surrogate pair as a replacement character.
+	// encoding/json replaces half of a surrogate pair by the replacement character.
 	if query.Q == nil || strings.ContainsRune(*query.Q, utf8.RuneError) || len(query.Shards) == 0 {
 		return nil, fmt.Errorf("%w: q or shards missing, or q is no text", ErrMalformed)
 	}
 	return query, nil
 }
 
-// parsePart checks a part and makes its cost hint ms.
-func parsePart(given *bodyPart) (core.Part, error) {
-	if given.Shard == nil || given.Weight == nil {
+// parsePart checks a part of a body and converts its cost from microseconds to ms.
+func parsePart(source *bodyPart) (core.Part, error) {
+	if source.Shard == nil || source.Weight == nil {
 		return core.Part{}, fmt.Errorf("%w: a part without shard or weight", ErrMalformed)
 	}
-	part := core.Part{Shard: *given.Shard, Weight: *given.Weight}
-	if given.Cost != nil {
-		if *given.Cost < 0 {
-			return core.Part{}, fmt.Errorf("%w: cost %v", ErrMalformed, *given.Cost)
+	part := core.Part{Shard: *source.Shard, Weight: *source.Weight}
+	if source.Cost != nil {
+		if *source.Cost < 0 {
+			return core.Part{}, fmt.Errorf("%w: cost %v", ErrMalformed, *source.Cost)
 		}
-		part.CostHint = *given.Cost / microsPerMilli
+		part.CostHint = *source.Cost / microsPerMilli
 		part.HasCostHint = true
 	}
-	if given.Key != "" {
-		key, err := strconv.ParseUint(given.Key, 16, 64)
-		if err != nil || len(given.Key) != keyDigits {
-			return core.Part{}, fmt.Errorf("%w: key %q", ErrMalformed, given.Key)
+	if source.Key != "" {
+		key, err := strconv.ParseUint(source.Key, 16, 64)
+		if err != nil || len(source.Key) != keyDigits {
+			return core.Part{}, fmt.Errorf("%w: key %q", ErrMalformed, source.Key)
 		}
 		part.Key = key
 	}
 	return part, nil
 }
 
-// validID reports whether a text may be a request id. Frames hold it in a line whose fields are split at spaces.
-func validID(s string) bool {
+// isValidID reports whether s is a valid request id. A frame holds the id in a line whose fields are separated by
+// spaces.
+func isValidID(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] > '~' {
 			return false
@@ -163,5 +165,6 @@
 	return s != "" && len(s) <= maxIDBytes
 }
 
-// validIdempotencyKey refuses commas too: the keys of a call are a list in its frame.
-func validIdempotencyKey(key string) bool { return validID(key) && !strings.Contains(key, ",") }
+// isValidIdempotencyKey reports whether key is a valid idempotency key. A comma is not allowed, as the frame of a
+// call lists its keys separated by commas.
+func isValidIdempotencyKey(key string) bool { return isValidID(key) && !strings.Contains(key, ",") }
--- a/internal/contract/unambiguous.go
+++ b/internal/contract/unambiguous.go
@@ -10,12 +10,13 @@
 	"unicode/utf8"
 )
 
-// queryNames are the names of a query's body, beside epoch under resharding.
+// queryNames are the names in a request's body, in addition to epoch under resharding.
 var queryNames = []string{"shards", "shard", "weight", "cost", "key", "q"}
 
-// checkUnambiguous refuses a text that readers of JSON may understand differently: one that is not UTF-8, that has a
-// name twice in one object, or that writes a name of a query in other case. It keeps out a query that backends
-// understand otherwise than its client meant. Errors of syntax are left to the reader of the whole text.
+// checkUnambiguous returns an error for a text that JSON parsers may interpret differently: it is not UTF-8, has a
+// name twice in one object, whatever the letter case, or has a name of a request's body in another letter case.
+// Backends might otherwise understand a request differently from what its client meant. Syntax errors are ignored
+// here and left to the parser of the whole text.
 func (c *Contracts) checkUnambiguous(text []byte) error {
 	if !utf8.Valid(text) {
 		return errors.New("not UTF-8")
@@ -32,22 +33,22 @@
 	}
 }
 
-// nameChecker checks the names in a row of tokens.
+// nameChecker checks the names in a sequence of JSON tokens.
 type nameChecker struct {
-	resharding bool
-	open       []container // innermost last
+	resharding     bool
+	openContainers []container // containers that have not ended, innermost last
 }
 
-// container is an object or an array that has begun and not ended.
+// container is a JSON object or array.
 type container struct {
 	names     map[string]bool // in lower case; nil for an array
-	afterName bool            // of an object: the last name has no value yet, or its value is open
+	afterName bool            // for an object: the value of the last name is missing or has not ended
 }
 
-// check takes the next token.
+// check processes the next token and returns an error if the token is an ambiguous name.
 func (n *nameChecker) check(token json.Token) error {
 	if token == json.Delim('}') || token == json.Delim(']') {
-		n.open = n.open[:len(n.open)-1]
+		n.openContainers = n.openContainers[:len(n.openContainers)-1]
 		return nil
 	}
 	if n.advance() {
@@ -56,19 +57,20 @@
 	}
 	switch token {
 	case json.Delim('{'):
-		n.open = append(n.open, container{names: map[string]bool{}})
+		n.openContainers = append(n.openContainers, container{names: map[string]bool{}})
 	case json.Delim('['):
-		n.open = append(n.open, container{})
+		n.openContainers = append(n.openContainers, container{})
 	}
 	return nil
 }
 
-// advance reports whether the next token, which ends no container, is a name. Names and values of an object alternate.
+// advance reports whether the next token is a name. The token must not end a container. Names and values of an object
+// alternate.
 func (n *nameChecker) advance() (isName bool) {
-	if len(n.open) == 0 {
+	if len(n.openContainers) == 0 {
 		return false
 	}
-	innermost := &n.open[len(n.open)-1]
+	innermost := &n.openContainers[len(n.openContainers)-1]
 	if innermost.names == nil {
 		return false
 	}
@@ -76,9 +78,9 @@
 	return innermost.afterName
 }
 
-// checkName takes the next name of the innermost object.
+// checkName checks and records the next name of the innermost object.
 func (n *nameChecker) checkName(name string) error {
-	names := n.open[len(n.open)-1].names
+	names := n.openContainers[len(n.openContainers)-1].names
 	lower := strings.ToLower(name)
 	if names[lower] || lower != name && n.isQueryName(lower) {
 		return fmt.Errorf("name %.40q", name)
@@ -87,6 +89,7 @@
 	return nil
 }
 
+// isQueryName reports whether a name in lower case is one of the names in a request's body.
 func (n *nameChecker) isQueryName(name string) bool {
 	return slices.Contains(queryNames, name) || n.resharding && name == "epoch"
 }
