--- a/internal/contract/query_test.go
+++ b/internal/contract/query_test.go
@@ -43,7 +43,7 @@
 	assert.Equal(t, []uint64{0, 1}, contracts.AcceptedByTenant)
 }
 
-func TestClassBoundsTheDeadline(t *testing.T) {
+func TestClassLimitsTheDeadline(t *testing.T) {
 	contracts := newContracts()
 	for timeout, deadline := range map[float64]float64{2000: 2500, 5000: 3500} {
 		envelope := validEnvelope()
@@ -55,19 +55,19 @@
 	assert.Equal(t, 3000.0, contracts.LongestDeadline())
 }
 
-func TestClientRetryCountsWhereClientsMarkRetries(t *testing.T) {
-	for _, marks := range []bool{true, false} {
+func TestClientRetryIsUsedOnlyIfClientsMarkRetries(t *testing.T) {
+	for _, clientsMarkRetries := range []bool{true, false} {
 		contracts := newContracts()
-		contracts.ClientsMarkRetries = marks
+		contracts.ClientsMarkRetries = clientsMarkRetries
 		envelope := validEnvelope()
 		envelope.ClientRetry = true
 		request, err := contracts.ParseQuery(envelope, []byte(validBody), 0)
 		require.NoError(t, err)
-		assert.Equal(t, marks, request.ClientRetry)
+		assert.Equal(t, clientsMarkRetries, request.ClientRetry)
 	}
 }
 
-// Without tenants a query must not name one.
+// Where there are no tenants, a request that names one is an error.
 func TestNoTenants(t *testing.T) {
 	contracts := New([]Class{{Name: "bind", DeadlineMs: 3000}}, nil, false)
 	envelope := validEnvelope()
@@ -80,36 +80,36 @@
 	assert.Empty(t, contracts.AcceptedByTenant)
 }
 
-// The texts go to clients in bodies.
+// Clients receive the error texts in response bodies.
 func TestEnvelopeErrors(t *testing.T) {
 	for name, test := range map[string]struct {
-		change func(*Envelope)
-		is     error
-		text   string
+		change  func(*Envelope)
+		wantErr error
+		text    string
 	}{
-		"unknown class":      {func(e *Envelope) { e.Class = "x" }, ErrUnknownClass, `no contract for this class: "x"`},
-		"unknown tenant":     {func(e *Envelope) { e.Tenant = "x" }, ErrUnknownTenant, `no budget for this tenant: "x"`},
-		"no tenant":          {func(e *Envelope) { e.Tenant = "" }, ErrUnknownTenant, `no budget for this tenant: ""`},
-		"no id":              {func(e *Envelope) { e.ID = "" }, ErrMalformed, "malformed query: the request id is missing or not a word"},
-		"id with a space":    {func(e *Envelope) { e.ID = "a b" }, ErrMalformed, "malformed query: the request id is missing or not a word"},
-		"id not ASCII":       {func(e *Envelope) { e.ID = "é" }, ErrMalformed, "malformed query: the request id is missing or not a word"},
-		"id too long":        {func(e *Envelope) { e.ID = strings.Repeat("x", 129) }, ErrMalformed, "malformed query: the request id is missing or not a word"},
-		"key with a comma":   {func(e *Envelope) { e.IdempotencyKey = "a,b" }, ErrMalformed, "malformed query: the idempotency key is not a word"},
-		"key with a space":   {func(e *Envelope) { e.IdempotencyKey = "a b" }, ErrMalformed, "malformed query: the idempotency key is not a word"},
-		"no deadline":        {func(e *Envelope) { e.ClientTimeout = 0 }, ErrMalformed, "malformed query: the deadline is missing or not a positive time"},
-		"negative deadline":  {func(e *Envelope) { e.ClientTimeout = -1 }, ErrMalformed, "malformed query: the deadline is missing or not a positive time"},
-		"deadline is a NaN":  {func(e *Envelope) { e.ClientTimeout = math.NaN() }, ErrMalformed, "malformed query: the deadline is missing or not a positive time"},
-		"deadline for ever":  {func(e *Envelope) { e.ClientTimeout = math.Inf(1) }, ErrMalformed, "malformed query: the deadline is missing or not a positive time"},
-		"class before all":   {func(e *Envelope) { *e = Envelope{Class: "x"} }, ErrUnknownClass, `no contract for this class: "x"`},
-		"tenant before id":   {func(e *Envelope) { *e = Envelope{Class: "bind"} }, ErrUnknownTenant, `no budget for this tenant: ""`},
-		"id before deadline": {func(e *Envelope) { *e = Envelope{Class: "bind", Tenant: "a"} }, ErrMalformed, "malformed query: the request id is missing or not a word"},
+		"unknown class":                 {func(e *Envelope) { e.Class = "x" }, ErrUnknownClass, `no contract for this class: "x"`},
+		"unknown tenant":                {func(e *Envelope) { e.Tenant = "x" }, ErrUnknownTenant, `no budget for this tenant: "x"`},
+		"no tenant":                     {func(e *Envelope) { e.Tenant = "" }, ErrUnknownTenant, `no budget for this tenant: ""`},
+		"no id":                         {func(e *Envelope) { e.ID = "" }, ErrMalformed, "malformed query: the request id is missing or not a word"},
+		"id with a space":               {func(e *Envelope) { e.ID = "a b" }, ErrMalformed, "malformed query: the request id is missing or not a word"},
+		"id not ASCII":                  {func(e *Envelope) { e.ID = "é" }, ErrMalformed, "malformed query: the request id is missing or not a word"},
+		"id too long":                   {func(e *Envelope) { e.ID = strings.Repeat("x", 129) }, ErrMalformed, "malformed query: the request id is missing or not a word"},
+		"key with a comma":              {func(e *Envelope) { e.IdempotencyKey = "a,b" }, ErrMalformed, "malformed query: the idempotency key is not a word"},
+		"key with a space":              {func(e *Envelope) { e.IdempotencyKey = "a b" }, ErrMalformed, "malformed query: the idempotency key is not a word"},
+		"no deadline":                   {func(e *Envelope) { e.ClientTimeout = 0 }, ErrMalformed, "malformed query: the deadline is missing or not a positive time"},
+		"negative deadline":             {func(e *Envelope) { e.ClientTimeout = -1 }, ErrMalformed, "malformed query: the deadline is missing or not a positive time"},
+		"deadline is a NaN":             {func(e *Envelope) { e.ClientTimeout = math.NaN() }, ErrMalformed, "malformed query: the deadline is missing or not a positive time"},
+		"infinite deadline":             {func(e *Envelope) { e.ClientTimeout = math.Inf(1) }, ErrMalformed, "malformed query: the deadline is missing or not a positive time"},
+		"class is checked first":        {func(e *Envelope) { *e = Envelope{Class: "x"} }, ErrUnknownClass, `no contract for this class: "x"`},
+		"tenant is checked before id":   {func(e *Envelope) { *e = Envelope{Class: "bind"} }, ErrUnknownTenant, `no budget for this tenant: ""`},
+		"id is checked before deadline": {func(e *Envelope) { *e = Envelope{Class: "bind", Tenant: "a"} }, ErrMalformed, "malformed query: the request id is missing or not a word"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			contracts := newContracts()
 			envelope := validEnvelope()
 			test.change(&envelope)
 			_, err := contracts.ParseQuery(envelope, []byte(validBody), 0)
-			require.ErrorIs(t, err, test.is)
+			require.ErrorIs(t, err, test.wantErr)
 			require.EqualError(t, err, test.text)
 			assert.Equal(t, []uint64{0, 0}, contracts.AcceptedByTenant)
 		})
@@ -120,7 +120,7 @@
 	require.NoError(t, err)
 }
 
-// The texts go to clients in bodies.
+// Clients receive the error texts in response bodies.
 func TestBodyErrors(t *testing.T) {
 	const missing = "q or shards missing, or q is no text"
 	part := func(text string) string { return fmt.Sprintf(`{"shards":[%s],"q":"x"}`, text) }
@@ -128,28 +128,28 @@
 		body string
 		text string
 	}{
-		"empty":                     {"", "unexpected end of JSON input"},
-		"cut off":                   {`{"shards":[{"shard":1}`, "unexpected end of JSON input"},
-		"two values":                {validBody + "{}", "invalid character '{' after top-level value"},
-		"not UTF-8":                 {"{\"q\":\"\xff\",\"shards\":[{\"shard\":1,\"weight\":1}]}", "not UTF-8"},
-		"a list":                    {"[]", "json: cannot unmarshal array into Go value of type contract.body"},
-		"shards no list":            {`{"shards":{},"q":"x"}`, "json: cannot unmarshal object into Go struct field body.shards of type []struct { Shard *int \"json:\\\"shard\\\"\"; Weight *float64 \"json:\\\"weight\\\"\"; Cost *float64 \"json:\\\"cost\\\"\"; Key string \"json:\\\"key\\\"\" }"},
-		"shard no number":           {part(`{"shard":"1","weight":1}`), "json: cannot unmarshal string into Go struct field .shards.shard of type int"},
-		"q no text":                 {`{"shards":[{"shard":1,"weight":1}],"q":1}`, "json: cannot unmarshal number into Go struct field body.q of type string"},
-		"no q":                      {`{"shards":[{"shard":1,"weight":1}]}`, missing},
-		"no shards":                 {`{"q":"x"}`, missing},
-		"empty shards":              {`{"shards":[],"q":"x"}`, missing},
-		"half a surrogate":          {`{"shards":[{"shard":1,"weight":1}],"q":"\ud800"}`, missing},
-		"name twice":                {`{"q":"x","q":"y"}`, `name "q"`},
-		"name twice, in other case": {`{"a":1,"A":2}`, `name "A"`},
-		"name in other case":        {`{"Q":"x"}`, `name "Q"`},
-		"name twice, deep":          {`{"a":[{"b":{"c":1,"c":2}}]}`, `name "c"`},
-		"long name":                 {`{"` + strings.Repeat("x", 50) + `":1,"` + strings.Repeat("x", 50) + `":1}`, `name "` + strings.Repeat("x", 40) + `"`},
-		"no shard":                  {part(`{"weight":1}`), "a part without shard or weight"},
-		"no weight":                 {part(`{"shard":1}`), "a part without shard or weight"},
-		"negative cost":             {part(`{"shard":1,"weight":1,"cost":-1}`), "cost -1"},
-		"short key":                 {part(`{"shard":1,"weight":1,"key":"ff"}`), `key "ff"`},
-		"key not hexadecimal":       {part(`{"shard":1,"weight":1,"key":"000000000000000g"}`), `key "000000000000000g"`},
+		"empty":                              {"", "unexpected end of JSON input"},
+		"cut off":                            {`{"shards":[{"shard":1}`, "unexpected end of JSON input"},
+		"two values":                         {validBody + "{}", "invalid character '{' after top-level value"},
+		"not UTF-8":                          {"{\"q\":\"\xff\",\"shards\":[{\"shard\":1,\"weight\":1}]}", "not UTF-8"},
+		"not an object":                      {"[]", "json: cannot unmarshal array into Go value of type contract.body"},
+		"shards is not a list":               {`{"shards":{},"q":"x"}`, "json: cannot unmarshal object into Go struct field body.shards of type []struct { Shard *int \"json:\\\"shard\\\"\"; Weight *float64 \"json:\\\"weight\\\"\"; Cost *float64 \"json:\\\"cost\\\"\"; Key string \"json:\\\"key\\\"\" }"},
+		"shard is not a number":              {part(`{"shard":"1","weight":1}`), "json: cannot unmarshal string into Go struct field .shards.shard of type int"},
+		"q is not a string":                  {`{"shards":[{"shard":1,"weight":1}],"q":1}`, "json: cannot unmarshal number into Go struct field body.q of type string"},
+		"no q":                               {`{"shards":[{"shard":1,"weight":1}]}`, missing},
+		"no shards":                          {`{"q":"x"}`, missing},
+		"empty shards":                       {`{"shards":[],"q":"x"}`, missing},
+		"half a surrogate":                   {`{"shards":[{"shard":1,"weight":1}],"q":"\ud800"}`, missing},
+		"name twice":                         {`{"q":"x","q":"y"}`, `name "q"`},
+		"name twice, in another letter case": {`{"a":1,"A":2}`, `name "A"`},
+		"name in another letter case":        {`{"Q":"x"}`, `name "Q"`},
+		"name twice in a nested object":      {`{"a":[{"b":{"c":1,"c":2}}]}`, `name "c"`},
+		"long name":                          {`{"` + strings.Repeat("x", 50) + `":1,"` + strings.Repeat("x", 50) + `":1}`, `name "` + strings.Repeat("x", 40) + `"`},
+		"no shard":                           {part(`{"weight":1}`), "a part without shard or weight"},
+		"no weight":                          {part(`{"shard":1}`), "a part without shard or weight"},
+		"negative cost":                      {part(`{"shard":1,"weight":1,"cost":-1}`), "cost -1"},
+		"short key":                          {part(`{"shard":1,"weight":1,"key":"ff"}`), `key "ff"`},
+		"key not hexadecimal":                {part(`{"shard":1,"weight":1,"key":"000000000000000g"}`), `key "000000000000000g"`},
 	} {
 		t.Run(name, func(t *testing.T) {
 			contracts := newContracts()
@@ -161,8 +161,8 @@
 	}
 }
 
-// The epoch is read under resharding only; its name is then one of the query's.
-func TestEpochOfAQuery(t *testing.T) {
+// The epoch is parsed under resharding only. Its name must then have the right letter case.
+func TestParseQueryEpoch(t *testing.T) {
 	body := func(name, epoch string) []byte {
 		return fmt.Appendf(nil, `{"shards":[{"shard":1,"weight":1}],"q":"x","%s":%s}`, name, epoch)
 	}
@@ -172,13 +172,13 @@
 		epoch      uint64
 		text       string
 	}{
-		"epoch":                      {body: body("epoch", "7"), resharding: true, epoch: 7},
-		"no epoch":                   {body: []byte(validBody), resharding: true},
-		"no number":                  {body: body("epoch", `"7"`), resharding: true, text: `malformed query: epoch "7"`},
-		"negative":                   {body: body("epoch", "-1"), resharding: true, text: "malformed query: epoch -1"},
-		"in other case":              {body: body("Epoch", "7"), resharding: true, text: `malformed query: name "Epoch"`},
-		"fixed placement":            {body: body("epoch", `"any"`)},
-		"fixed placement, any cases": {body: body("Epoch", "7")},
+		"epoch":                            {body: body("epoch", "7"), resharding: true, epoch: 7},
+		"no epoch":                         {body: []byte(validBody), resharding: true},
+		"not a number":                     {body: body("epoch", `"7"`), resharding: true, text: `malformed query: epoch "7"`},
+		"negative":                         {body: body("epoch", "-1"), resharding: true, text: "malformed query: epoch -1"},
+		"in another letter case":           {body: body("Epoch", "7"), resharding: true, text: `malformed query: name "Epoch"`},
+		"fixed placement":                  {body: body("epoch", `"any"`)},
+		"fixed placement, any letter case": {body: body("Epoch", "7")},
 	} {
 		t.Run(name, func(t *testing.T) {
 			contracts := newContracts()
