--- a/internal/core/completion.go
+++ b/internal/core/completion.go
@@ -7,34 +7,34 @@
 	"ternstage/internal/decision/scheduler"
 )
 
-// finish gives the final answer of an open request; it does nothing if the request has ended.
-func (c *Core) finish(queryID uint64, answer Answer) {
-	request := c.requests[queryID]
+// endRequest ends an open request with its final answer. It does nothing if the request has ended.
+func (c *Core) endRequest(queryID uint64, answer Answer) {
+	request := c.openRequests[queryID]
 	if request == nil {
 		return
 	}
-	if request.version != nil {
-		answer.Epoch = request.version.Epoch
+	if request.mapVersion != nil {
+		answer.Epoch = request.mapVersion.Epoch
 	}
 	if answer.Kind == Answered {
-		answer.Values = c.values(request)
+		answer.Values = c.arrivedValues(request)
 	}
-	answer.TimedOut = answer.Kind == Failed && request.outOfTime()
-	c.forget(request)
-	c.deliver(request, answer)
+	answer.TimedOut = answer.Kind == Failed && request.hasTimedOut()
+	c.removeRequest(request)
+	c.deliverAnswer(request, answer)
 }
 
-// deliver counts and logs a final answer and gives it to the client.
-func (c *Core) deliver(request *Request, answer Answer) {
+// deliverAnswer counts and logs a final answer, and passes it to the client unless the client has disconnected.
+func (c *Core) deliverAnswer(request *Request, answer Answer) {
 	c.counts.add(answer.Kind)
 	c.log.RequestEnded(request, answer)
 	if !request.disconnected {
-		request.Client.Finish(answer)
+		request.Client.Deliver(answer)
 	}
 }
 
-// values are the values that have arrived for a request.
-func (c *Core) values(request *Request) []Value {
+// arrivedValues returns the values that have arrived for a request and count in its answer.
+func (c *Core) arrivedValues(request *Request) []Value {
 	if c.shardMap != nil {
 		return request.completeValues()
 	}
@@ -47,37 +47,38 @@
 	return values
 }
 
-// completeValues are the values of the client's parts of which all buckets have arrived, in the order of the client's
-// parts and of the buckets. A part of which some have not arrived counts for nothing.
+// completeValues returns the values of the client's parts whose buckets have all arrived, in the order of the
+// client's parts and of the buckets. A part with missing buckets does not count at all.
 func (r *Request) completeValues() []Value {
 	parts := slices.Clone(r.parts)
 	slices.SortFunc(parts, func(x, y *partState) int {
-		return cmp.Or(cmp.Compare(x.segment.asked.number, y.segment.asked.number),
+		return cmp.Or(cmp.Compare(x.segment.clientPart.number, y.segment.clientPart.number),
 			cmp.Compare(x.segment.Start, y.segment.Start))
 	})
 	var values []Value
 	for _, p := range parts {
-		if p.segment.asked.coverage.Complete() {
-			values = append(values, Value{Shard: p.segment.asked.Shard, Buckets: p.segment.Range, Doc: p.value})
+		if p.segment.clientPart.coverage.Complete() {
+			values = append(values, Value{Shard: p.segment.clientPart.Shard, Buckets: p.segment.Range, Doc: p.value})
 		}
 	}
 	return values
 }
 
-// forget drops an open request: nothing of it begins any more, and its version of the shard map is released.
-func (c *Core) forget(request *Request) {
-	delete(c.requests, request.queryID)
-	delete(c.requestIDs, request.ID)
+// removeRequest removes a request from the open ones. It withdraws the request's parts and releases its version of
+// the shard map.
+func (c *Core) removeRequest(request *Request) {
+	delete(c.openRequests, request.queryID)
+	delete(c.openRequestIDs, request.ID)
 	c.withdrawParts(request)
-	if request.version != nil {
-		c.shardMap.Release(request.version)
-		request.version = nil // a front may hold the request for longer, and must not hold the map with it
+	if request.mapVersion != nil {
+		c.shardMap.Release(request.mapVersion)
+		request.mapVersion = nil // a front may keep the request for longer, and must not keep the map in memory with it
 	}
 	c.openCount -= 1 + len(request.parts)
 }
 
-// withdrawParts keeps all parts of a request from beginning: attempts that the back end has not begun are taken back,
-// whether or not the settings allow to cancel those that have begun.
+// withdrawParts prevents any further attempt of a request from beginning, and withdraws the attempts that the
+// transport has not begun. It does so even if the settings forbid cancelling attempts that have begun.
 func (c *Core) withdrawParts(request *Request) {
 	for _, p := range request.parts {
 		delete(c.parts, p.id)
@@ -86,7 +87,7 @@
 			if attempt.ended {
 				continue
 			}
-			withdrawn := c.backend.Withdraw(attempt)
+			withdrawn := c.transport.Withdraw(attempt)
 			if withdrawn {
 				c.AttemptEndedLater(attempt, scheduler.Cancelled)
 			}
--- a/internal/core/resharding.go
+++ b/internal/core/resharding.go
@@ -7,54 +7,56 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-// clientPart is a part as its client named it, under resharding. Its segments are the parts that are dispatched.
+// clientPart is a part as its client named it, under resharding. Core dispatches its segments as separate parts.
 type clientPart struct {
 	Part
-	coverage *shardmap.Coverage // the buckets that it asks for, and which of them have arrived
-	number   int                // in the order of Request.Parts, from 1; the scheduler's atomic group
+	coverage *shardmap.Coverage // the part's buckets, and which of them have arrived
+	number   int                // position in Request.Parts, from 1; also the scheduler's atomic group
 }
 
-// segmentState is what a dispatched part is under resharding: buckets of a client's part that one shard holds. Where
-// they may go, and what of them has arrived, the shard map decides.
+// segmentState describes a dispatched part under resharding: the buckets of a client's part that one shard holds.
+// Package shardmap decides where the segment may be sent, and tracks which buckets have arrived.
 type segmentState struct {
 	shardmap.Segment
-	asked           *clientPart // the client's part that it belongs to
-	notHolderStreak int         // consecutive attempts that ended as NotHolder
-	resumeEpoch     uint64      // the epoch that ends its pause; 0 if it does not wait for one
+	clientPart      *clientPart // the client's part that the segment belongs to
+	notHolderStreak int         // number of consecutive attempts that ended as NotHolder
+	resumeEpoch     uint64      // epoch of the map that ends the pause; 0 if the segment does not wait for one
 }
 
-// admitSegments binds a request to the map in use and hands its segments to the scheduler.
+// admitSegments binds a request to the map in use and passes its segments to the scheduler as parts.
 func (c *Core) admitSegments(now float64, request *Request) {
-	request.version = c.shardMap.Acquire()
-	var buffer [routeBuffer]shardmap.Segment
-	for _, asked := range request.clientParts {
-		for _, segment := range c.shardMap.Route(buffer[:0], asked.Shard, asked.coverage.Range) {
-			part := c.addSegment(request, asked, segment)
+	request.mapVersion = c.shardMap.Acquire()
+	var buffer [routeBufferSize]shardmap.Segment
+	for _, clientPart := range request.clientParts {
+		for _, segment := range c.shardMap.Route(buffer[:0], clientPart.Shard, clientPart.coverage.Range) {
+			part := c.addSegment(request, clientPart, segment)
 			c.scheduler.PartArrived(now, part.schedulerPart())
 		}
 	}
 }
 
-// addSegment adds a segment of a client's part to a request. Weight and cost are shared out by number of buckets.
-func (c *Core) addSegment(request *Request, asked *clientPart, segment shardmap.Segment) *partState {
-	c.nextID++
-	ratio := float64(segment.Size()) / float64(asked.coverage.Size())
+// addSegment adds a segment of a client's part to a request, as a part of its own. Weight and cost hint are divided
+// in proportion to the number of buckets.
+func (c *Core) addSegment(request *Request, clientPart *clientPart, segment shardmap.Segment) *partState {
+	c.lastID++
+	ratio := float64(segment.Size()) / float64(clientPart.coverage.Size())
 	part := &partState{
-		Part:    asked.Part,
-		id:      c.nextID,
+		Part:    clientPart.Part,
+		id:      c.lastID,
 		request: request,
-		segment: &segmentState{Segment: segment, asked: asked},
+		segment: &segmentState{Segment: segment, clientPart: clientPart},
 	}
 	part.Shard = segment.Shard
-	part.Weight = asked.Weight * ratio
-	part.CostHint = asked.CostHint * ratio
+	part.Weight = clientPart.Weight * ratio
+	part.CostHint = clientPart.CostHint * ratio
 	request.parts = append(request.parts, part)
 	c.parts[part.id] = part
 	c.partsByShard[segment.Shard] = append(c.partsByShard[segment.Shard], part)
 	return part
 }
 
-// unlinkSegment removes a part from what changes of the map look at. It does nothing where placement is fixed.
+// unlinkSegment removes a part from the indexes that map changes use: partsByShard and pausedParts. It does nothing
+// where placement is fixed.
 func (c *Core) unlinkSegment(part *partState) {
 	if part.segment == nil {
 		return
@@ -68,24 +70,25 @@
 	}
 	if part.segment.resumeEpoch > 0 {
 		part.segment.resumeEpoch = 0
-		c.paused = slices.DeleteFunc(c.paused, same)
+		c.pausedParts = slices.DeleteFunc(c.pausedParts, same)
 	}
 }
 
-// countArrival counts the buckets of a part that has arrived, each once. It does nothing where placement is fixed.
+// countArrival records the buckets of a part that has arrived, and logs a line if they had arrived before. It does
+// nothing where placement is fixed.
 func (c *Core) countArrival(part *partState) {
 	if part.segment == nil {
 		return
 	}
-	if _, err := part.segment.asked.coverage.Arrived(part.segment.Range); err != nil {
-		c.resharding.Duplicates++
+	if _, err := part.segment.clientPart.coverage.Arrived(part.segment.Range); err != nil {
+		c.reshardingStats.Duplicates++
 		c.log.SchedulerLine(err.Error())
 	}
 }
 
-// handleNotHolder counts how often in a row a part's backends did not hold its shard. After such an outcome it has the
-// shard map read if the backend knows a newer one, and pauses the part until then. It returns the time in ms for which
-// the part is not retried, 0 after any other outcome.
+// handleNotHolder counts the consecutive attempts of a part that ended as NotHolder. After such an outcome the
+// shard map decides whether a newer map is read and whether the part pauses until then. handleNotHolder returns the
+// time in ms for which the part is not retried, which is 0 after any other outcome.
 func (c *Core) handleNotHolder(attempt *Attempt, outcome scheduler.Outcome) float64 {
 	part := attempt.part
 	segment := part.segment
@@ -103,22 +106,22 @@
 	}
 	if wait.UntilEpoch > 0 && segment.resumeEpoch == 0 && c.parts[part.id] == part {
 		segment.resumeEpoch = wait.UntilEpoch
-		c.paused = append(c.paused, part)
+		c.pausedParts = append(c.pausedParts, part)
 	}
 	if wait.DelayMs > 0 {
-		c.resharding.Paused++
+		c.reshardingStats.Paused++
 	}
 	return wait.DelayMs
 }
 
-// reroute replaces a part whose shard no longer holds its buckets by parts of the shards that do, if a retry of it is
-// allowed. A part of which an attempt is in flight is looked at when that ends. It does nothing where placement is
-// fixed.
-func (c *Core) reroute(now float64, part *partState) {
-	if part.segment == nil || part.arrived || c.parts[part.id] != part || part.inFlight() {
+// reroutePart replaces a part whose shard no longer holds its buckets by parts of the shards that do, if a retry is
+// allowed. A part with an attempt in flight is not replaced until the attempt has ended. reroutePart does nothing
+// where placement is fixed.
+func (c *Core) reroutePart(now float64, part *partState) {
+	if part.segment == nil || part.arrived || c.parts[part.id] != part || part.hasAttemptInFlight() {
 		return
 	}
-	var buffer [routeBuffer]shardmap.Segment
+	var buffer [routeBufferSize]shardmap.Segment
 	segments, decision := c.shardMap.Reroute(buffer[:0], part.segment.Segment, part.request.nonIdempotent,
 		part.mayHaveRun())
 	if decision == shardmap.ReplaceSegments {
@@ -126,14 +129,14 @@
 	}
 }
 
-// replacePart puts parts for these segments, which are the same buckets, in the place of a part. What was attempted of
-// it counts for each of them. The part stays if the scheduler does not replace it.
+// replacePart replaces a part by one part for each of the given segments, which make up the same buckets. Each
+// replacement takes over the attempts of the part. The part remains if the scheduler does not replace it.
 func (c *Core) replacePart(now float64, part *partState, segments []shardmap.Segment) {
-	asked := part.segment.asked
+	clientPart := part.segment.clientPart
 	replacements := make([]*partState, 0, len(segments))
 	schedulerParts := make([]scheduler.Part, 0, len(segments))
 	for _, segment := range segments {
-		replacement := c.addSegment(part.request, asked, segment)
+		replacement := c.addSegment(part.request, clientPart, segment)
 		replacement.attempts = slices.Clone(part.attempts)
 		replacements = append(replacements, replacement)
 		schedulerParts = append(schedulerParts, replacement.schedulerPart())
@@ -145,18 +148,18 @@
 		}
 		return
 	}
-	if err := asked.coverage.Replace(part.segment.Range, segments); err != nil {
-		panic(err) // the map has routed the same buckets
+	if err := clientPart.coverage.Replace(part.segment.Range, segments); err != nil {
+		panic(err) // cannot happen: the map routed the same buckets
 	}
 	c.dropPart(part)
 	c.openCount += len(segments) - 1
-	c.resharding.Replaced++
+	c.reshardingStats.Replaced++
 	if len(segments) > 1 {
-		c.resharding.Split++
+		c.reshardingStats.Split++
 	}
 }
 
-// dropPart removes a part from its request.
+// dropPart removes a part from its request and from the indexes of parts.
 func (c *Core) dropPart(part *partState) {
 	delete(c.parts, part.id)
 	c.unlinkSegment(part)
