--- a/internal/decision/scheduler/admission.go
+++ b/internal/decision/scheduler/admission.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	// clientRetryFactor is the fraction of its priority that a query keeps which was asked before: part of its time
+	// clientRetryPriorityFactor is the fraction of its priority that a query keeps which was asked before: part of its time
 	// is gone, and what rejected it may last.
-	clientRetryFactor = 0.25
-	// shortRetryRatio is a share of the mean time that first tries are given. A client's repeat with less time left
+	clientRetryPriorityFactor = 0.25
+	// shortClientRetryRatio is a share of the mean time that first tries are given. A client's repeat with less time left
 	// than that was cut short by its class's deadline, which spans all tries of the client.
-	shortRetryRatio = 0.97
+	shortClientRetryRatio = 0.97
 
 	// A shard counts as congested when calls have waited there for more than a share of the objective:
-	// queueingAtLeast for queries of no priority, and queueingPerPriority more at full priority.
-	queueingAtLeast     = 0.06
-	queueingPerPriority = 0.20
+	// baseQueueWaitShare for queries of no priority, and queueWaitSharePerPriority more at full priority.
+	baseQueueWaitShare        = 0.06
+	queueWaitSharePerPriority = 0.20
 	// queuedWeightFactor is how much a part of a congested shard weighs among what may be missing.
 	queuedWeightFactor = 1.5
-	// unavailableObjectiveShare is the share of the objective for which a part waits for a replica to become
+	// availabilityObjectiveShare is the share of the objective for which a part waits for a replica to become
 	// available.
-	unavailableObjectiveShare = 0.5
-	// limitAtNoPriority is the share of the fleet's limit that queries of no priority may use; each unit of
+	availabilityObjectiveShare = 0.5
+	// baseFleetLimitShare is the share of the fleet's limit that queries of no priority may use; each unit of
 	// priority adds a whole limit.
-	limitAtNoPriority = 0.5
+	baseFleetLimitShare = 0.5
 
 	// weightTolerance allows for rounding in sums of weights, by half of what the platform allows.
 	weightTolerance = 5e-5
@@ -56,7 +56,7 @@
 
 // QueryArrived takes a query. Its parts follow before the next round, which admits or rejects it.
 func (s *Scheduler) QueryArrived(now float64, in Query) {
-	s.noteArrival(now)
+	s.recordArrival(now)
 	if s.queries[in.ID] != nil {
 		return
 	}
@@ -74,7 +74,7 @@
 		priority:        class.PriorityWeight,
 		awaitsAdmission: true,
 	}
-	s.judgeClientRetry(now, q)
+	s.lowerClientRetryPriority(now, q)
 	if !s.tenants.admit(now, in.Tenant) {
 		q.priority *= s.settings.OverQuotaFactor
 	}
@@ -86,7 +86,7 @@
 
 // PartArrived takes a part of an open query; others are ignored.
 func (s *Scheduler) PartArrived(now float64, in Part) {
-	s.noteArrival(now)
+	s.recordArrival(now)
 	q := s.queriesByGroup[in.QueryGroup]
 	if q == nil || s.settings.Placement.Group(in.Shard) < 0 || s.parts[in.ID] != nil {
 		return
@@ -98,8 +98,8 @@
 	}
 }
 
-// noteArrival counts a query or part for the retry and hedge budgets.
-func (s *Scheduler) noteArrival(now float64) {
+// recordArrival counts a query or part for the retry and hedge budgets.
+func (s *Scheduler) recordArrival(now float64) {
 	s.arrivals.add(now, max(s.retryBudget.settings.Window, hedgeWindowMs))
 }
 
@@ -114,18 +114,18 @@
 	return p
 }
 
-// judgeClientRetry lowers the priority of a query that its client has asked before. The class's deadline spans all
+// lowerClientRetryPriority lowers the priority of a query that its client has asked before. The class's deadline spans all
 // tries of a client: a repeat with less time left than first tries have is measured from its first try. This guards
 // against retry storms; it may misjudge a repeat whose client is in a hurry.
-func (s *Scheduler) judgeClientRetry(now float64, q *query) {
-	usualMs := &s.firstTryMs[q.Class]
+func (s *Scheduler) lowerClientRetryPriority(now float64, q *query) {
+	meanFirstMs := &s.firstTryMs[q.Class]
 	remaining := q.Deadline - now
 	if !q.ClientRetry {
-		*usualMs += (remaining - *usualMs) * meanGain
+		*meanFirstMs += (remaining - *meanFirstMs) * meanGain
 		return
 	}
-	q.priority *= clientRetryFactor
-	if remaining >= *usualMs*shortRetryRatio {
+	q.priority *= clientRetryPriorityFactor
+	if remaining >= *meanFirstMs*shortClientRetryRatio {
 		return
 	}
 	q.objectiveAt = min(q.objectiveAt, q.Deadline-q.class.Deadline+q.class.LatencyObjective)
@@ -165,7 +165,7 @@
 		return
 	}
 	s.lastAdmittedAt = now
-	s.enqueue(now, s.chooseAskedParts(q))
+	s.enqueue(now, s.selectInitialParts(q))
 }
 
 // abandonCongestedParts gives up the parts whose shard is congested: the query does not wait for them.
@@ -181,7 +181,7 @@
 // objective allow; above 1 the shard is congested.
 func (s *Scheduler) relativeQueueWait(now float64, p *part) float64 {
 	q := p.query
-	allowedShare := queueingAtLeast + queueingPerPriority*s.relativePriority(q)
+	allowedShare := baseQueueWaitShare + queueWaitSharePerPriority*s.relativePriority(q)
 	return s.queueWaitMs(now, p) / (q.class.LatencyObjective * allowedShare)
 }
 
@@ -191,7 +191,7 @@
 // measureLoad weighs what the replicas of a query's parts are doing.
 func (s *Scheduler) measureLoad(now float64, q *query) admissionLoad {
 	load := admissionLoad{priority: s.relativePriority(q)}
-	availableBy := now + unavailableObjectiveShare*q.class.LatencyObjective
+	availableBy := now + availabilityObjectiveShare*q.class.LatencyObjective
 	for _, p := range q.parts {
 		load.cost += p.cost
 		load.queuedWeight += p.Weight * queuedWeightFactor * min(1, s.relativeQueueWait(now, p))
@@ -199,7 +199,7 @@
 			load.missingWeight += p.Weight
 		}
 	}
-	load.limit = s.fleetLimit.maxCost * (limitAtNoPriority + load.priority)
+	load.limit = s.fleetLimit.maxCost * (baseFleetLimitShare + load.priority)
 	return load
 }
 
@@ -211,15 +211,15 @@
 	if s.deadlines.IsTooLate(remaining, q.expectedLastPartMs) {
 		return rejectedTooLate
 	}
-	mayMiss := 1 - q.class.MinCompleteness + weightTolerance
-	if load.missingWeight > 0 && max(load.missingWeight, load.queuedWeight) > mayMiss {
+	maxMissingWeight := 1 - q.class.MinCompleteness + weightTolerance
+	if load.missingWeight > 0 && max(load.missingWeight, load.queuedWeight) > maxMissingWeight {
 		return rejectedMissingParts
 	}
 	if s.fleetLimit.inFlight > load.limit {
 		return rejectedOverLimit
 	}
 	// A query of n times the limit holds the next one back for n-1 times the median latency of a part.
-	pacingMs := (load.cost/load.limit - 1) * s.latency.overloadMedian * s.latency.partMs
+	pacingMs := (load.cost/load.limit - 1) * s.latency.overloadMedian * s.latency.meanPartBaselineMs
 	if now < s.lastAdmittedAt+pacingMs {
 		return rejectedPacing
 	}
@@ -229,9 +229,9 @@
 	return notRejected
 }
 
-// chooseAskedParts returns the parts that are asked at once. Where less than all makes an answer complete, these are
+// selectInitialParts returns the parts that are asked at once. Where less than all makes an answer complete, these are
 // the cheapest that suffice; the others become their reserve. Parts of an atomic group are asked together.
-func (s *Scheduler) chooseAskedParts(q *query) []*part {
+func (s *Scheduler) selectInitialParts(q *query) []*part {
 	target := q.class.CompletenessTarget
 	candidates := slices.Clone(q.parts)
 	if q.step == 0 && target < 1 {
--- a/internal/decision/scheduler/admission_test.go
+++ b/internal/decision/scheduler/admission_test.go
@@ -76,16 +76,16 @@
 		shards[i] = i
 	}
 	h.scheduler.fleetLimit.maxCost = 8
-	h.decided(h.submit(classDefault, shards...))
+	h.decide(h.submit(classDefault, shards...))
 	h.advance(200, h.replyAfter(5))
 	h.scheduler.fleetLimit.maxCost = 8
-	early := h.decided(h.submit(classDefault, shards...))
+	early := h.decide(h.submit(classDefault, shards...))
 	if early.end != endReject {
 		t.Fatalf("a second query of 40 parts was not rejected after 200 ms: %q", early.end)
 	}
 	h.advance(400, h.replyAfter(5))
 	h.scheduler.fleetLimit.maxCost = 8
-	later := h.decided(h.submit(classDefault, shards...))
+	later := h.decide(h.submit(classDefault, shards...))
 	if later.end != "" {
 		t.Fatalf("a query of 40 parts was still not admitted after 600 ms: %q", later.end)
 	}
@@ -285,15 +285,15 @@
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
 	h.learnBaseline()
-	h.decided(h.submitWithKey(77, 0, 2, 4))
-	h.decided(h.submitWithKey(5, 1, 3, 5))
+	h.decide(h.submitWithKey(77, 0, 2, 4))
+	h.decide(h.submitWithKey(5, 1, 3, 5))
 	h.advance(20, nil)
 	for _, a := range append([]*sentAttempt(nil), h.inFlight...) {
 		h.endAttempt(a, ConnectionReset)
 	}
 	h.runRound()
 	h.advance(400, h.replyAfter(60))
-	q := h.decided(h.submitWithKey(77, 0, 2, 4))
+	q := h.decide(h.submitWithKey(77, 0, 2, 4))
 	if q.end != "" {
 		t.Fatalf("the next query of the key ended at once: %s", q.end)
 	}
@@ -323,7 +323,7 @@
 		settings.BrokerCount = 40
 		h := newHarness(t, settings)
 		s := h.scheduler
-		s.latency.partMs = 100
+		s.latency.meanPartBaselineMs = 100
 		s.lastAdmittedAt = h.now
 		s.fleetLimit.inFlight = test.inFlight
 		s.throttle.RecordResult(test.failedWork, false)
--- a/internal/decision/scheduler/completion_test.go
+++ b/internal/decision/scheduler/completion_test.go
@@ -121,7 +121,7 @@
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, testSettings())
 			h.listFleet(UpdateFull)
-			q := h.decided(h.submit(classTwoSteps, 0, 1))
+			q := h.decide(h.submit(classTwoSteps, 0, 1))
 			h.advance(150, h.replyAfter(100))
 			if q.answers != 1 {
 				t.Fatalf("%d answers to the first step, want 1", q.answers)
--- a/internal/decision/scheduler/concurrency_limit.go
+++ b/internal/decision/scheduler/concurrency_limit.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	initialReplicaMaxCost = 4.0 // cost: a few slots of the smallest backend
-	minReplicaMaxCost     = 1.0 // cost
-	replicaLimitStep      = 0.5 // cost by which a normal answer raises a replica's limit, over the limit itself
-	replicaLimitInUse     = 0.5 // share of its limit that must be in flight for the limit to grow
+	initialReplicaMaxCost      = 4.0 // cost: a few slots of the smallest backend
+	minReplicaMaxCost          = 1.0 // cost
+	replicaLimitStep           = 0.5 // cost by which a normal answer raises a replica's limit, over the limit itself
+	replicaLimitMinUtilization = 0.5 // share of its limit that must be in flight for the limit to grow
 
-	minFleetMaxCost     = 4.0  // cost
-	fleetLimitCut       = 0.85 // factor on what is in flight when the fleet is slow, once per round trip
-	fleetLimitStep      = 0.3  // cost by which the limit grows for each cost answered while the fleet is quick
-	fleetObjectiveShare = 0.5  // share of the shortest objective; a fleet whose median part takes longer is slow
+	minFleetMaxCost         = 4.0  // cost
+	fleetLimitCutFactor     = 0.85 // factor on what is in flight when the fleet is slow, once per round trip
+	fleetLimitStep          = 0.3  // cost by which the limit grows for each cost answered while the fleet is quick
+	slowFleetObjectiveShare = 0.5  // share of the shortest objective; a fleet whose median part takes longer is slow
 )
 
 // replicaLimit is the cost in flight that a replica carries at its normal latency, for this broker. It grows
@@ -41,7 +41,7 @@
 
 // collapse lowers the limit to the minimum, so that a stalled replica does not draw a crowd of attempts each time
 // its bad latency has faded.
-func (l *replicaLimit) collapse(now, sentAt float64) {
+func (l *replicaLimit) lowerToMin(now, sentAt float64) {
 	if l.cutAt < sentAt {
 		l.maxCost = minReplicaMaxCost
 		l.cutAt = now
@@ -54,7 +54,7 @@
 		l.cut(now, a.sentAt)
 		return
 	}
-	if l.inFlight >= l.maxCost*replicaLimitInUse {
+	if l.inFlight >= l.maxCost*replicaLimitMinUtilization {
 		l.maxCost += replicaLimitStep * a.part.cost / l.maxCost
 	}
 }
@@ -77,15 +77,15 @@
 func (s *Scheduler) cutFleetLimit(now, sentAt float64) {
 	limit := &s.fleetLimit
 	if s.isLargeFleet() && limit.cutAt < sentAt {
-		limit.maxCost = max(minFleetMaxCost, fleetLimitCut*min(limit.maxCost, limit.inFlight))
+		limit.maxCost = max(minFleetMaxCost, fleetLimitCutFactor*min(limit.maxCost, limit.inFlight))
 		limit.cutAt = now
 	}
 }
 
 // adaptFleetLimit raises the limit of the fleet while its median part is quick, and cuts it while that is slow.
 func (s *Scheduler) adaptFleetLimit(now float64, a *attempt) {
-	isQuick := s.latency.medianPartMs() <= fleetObjectiveShare*s.latency.minObjectiveMs
-	if !s.isLargeFleet() || isQuick {
+	isFast := s.latency.medianPartMs() <= slowFleetObjectiveShare*s.latency.minObjectiveMs
+	if !s.isLargeFleet() || isFast {
 		s.fleetLimit.maxCost += fleetLimitStep * a.part.cost
 		return
 	}
--- a/internal/decision/scheduler/concurrency_limit_test.go
+++ b/internal/decision/scheduler/concurrency_limit_test.go
@@ -177,7 +177,7 @@
 		assert.InDelta(t, test.want, limit.maxCost, 1e-9, name)
 	}
 	stalled := replicaLimit{inFlight: 5, maxCost: 10}
-	stalled.collapse(200, 150)
+	stalled.lowerToMin(200, 150)
 	assert.Equal(t, minReplicaMaxCost, stalled.maxCost)
 }
 
--- a/internal/decision/scheduler/cost.go
+++ b/internal/decision/scheduler/cost.go
@@ -14,15 +14,15 @@
 	neighborCostShare = 0.3
 	// expensiveCallRatio is the overhead of a call, in parts' work, from which parts had better share calls.
 	expensiveCallRatio = 0.5
-	// floorDistrust is the ratio of the baseline floor to the mean hint above which hints are taken to be too low.
-	floorDistrust = 3
+	// floorDistrustRatio is the ratio of the baseline floor to the mean hint above which hints are taken to be too low.
+	floorDistrustRatio = 3
 )
 
 // costModel turns cost hints into costs. The unit of cost is the mean hint of this broker's own traffic, so that
 // the thresholds of the queues mean the same in every deployment.
 type costModel struct {
-	meanHint float64 // in the hints' unit; 0 before the first hint
-	hints    float64 // number of hints seen
+	meanHint  float64 // in the hints' unit; 0 before the first hint
+	hintCount float64 // number of hints seen
 }
 
 // costOf takes the hint of a part into the mean and returns the part's cost.
@@ -31,8 +31,8 @@
 	if !isUsable {
 		return 1
 	}
-	c.hints++
-	c.meanHint += (part.CostHint - c.meanHint) * max(hintGain, 1/c.hints)
+	c.hintCount++
+	c.meanHint += (part.CostHint - c.meanHint) * max(hintGain, 1/c.hintCount)
 	return min(max(part.CostHint/c.meanHint, minPartCost), maxPartCost)
 }
 
@@ -46,7 +46,7 @@
 // Latencies include queueing there, so hints are believed unless even the baseline floor is far above them.
 func (s *Scheduler) warmupWorkMs(cost float64) float64 {
 	perUnit := s.costs.meanHint
-	if s.latency.baselineFloor > floorDistrust*s.costs.meanHint {
+	if s.latency.baselineFloor > floorDistrustRatio*s.costs.meanHint {
 		perUnit = s.latency.baselineFloor
 	}
 	return cmp.Or(perUnit, unknownPartWorkMs) * max(cost, 1)
@@ -60,7 +60,7 @@
 
 // callCost is the cost against which the latency of an attempt is measured: the part's own, some of what shares its
 // call, and the call's overhead.
-func (s *Scheduler) callCost(a *attempt) float64 {
+func (s *Scheduler) latencyCost(a *attempt) float64 {
 	cost := a.part.cost + neighborCostShare*(a.call.cost-a.part.cost)
 	if s.costs.meanHint > 0 {
 		cost += s.settings.CallOverhead / s.costs.meanHint
@@ -70,5 +70,5 @@
 
 // expectedLatencyMs is the normal latency of an attempt's call at its replica, in ms.
 func (s *Scheduler) expectedLatencyMs(a *attempt) float64 {
-	return cmp.Or(s.latency.baseline, s.meanPartWorkMs()) * s.callCost(a)
+	return cmp.Or(s.latency.baseline, s.meanPartWorkMs()) * s.latencyCost(a)
 }
--- a/internal/decision/scheduler/cost_test.go
+++ b/internal/decision/scheduler/cost_test.go
@@ -102,7 +102,7 @@
 		"tiny":          {Part{CostHint: 1, HasCostHint: true}, minPartCost, 100 - 99*hintGain},
 		"huge":          {Part{CostHint: 1e6, HasCostHint: true}, maxPartCost, 100 + 999900*hintGain},
 	} {
-		costs := costModel{meanHint: 100, hints: 1e6}
+		costs := costModel{meanHint: 100, hintCount: 1e6}
 		assert.InDelta(t, test.wantCost, costs.costOf(&test.part), 1e-9, name)
 		assert.InDelta(t, test.wantMean, costs.meanHint, 1e-9, name)
 	}
--- a/internal/decision/scheduler/endpoint_list.go
+++ b/internal/decision/scheduler/endpoint_list.go
@@ -124,7 +124,7 @@
 		t.byID[e.Replica] = r
 		t.ordered = append(t.ordered, r)
 	} else if e.StartedAt > r.StartedAt {
-		r.restarted(e.StartedAt)
+		r.resetForRestart(e.StartedAt)
 	}
 	r.State = e.State
 	if e.State == Removed {
--- a/internal/decision/scheduler/endpoint_list_test.go
+++ b/internal/decision/scheduler/endpoint_list_test.go
@@ -31,7 +31,7 @@
 		h.runRound()
 		h.advance(20, nil)
 	}
-	if sentTo(1, h.sent[before:]) == 0 {
+	if countSentTo(1, h.sent[before:]) == 0 {
 		t.Fatal("nothing sent to a replica that is ready again")
 	}
 }
@@ -165,7 +165,7 @@
 func TestArbitraryZoneNumbersAreAccepted(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.updateEndpoints(UpdateFull, Endpoint{Replica: 1, State: Ready, Zone: -7}, Endpoint{Replica: 2, State: Ready, Zone: 1 << 40})
-	q := h.decided(h.submit(classDefault, 0))
+	q := h.decide(h.submit(classDefault, 0))
 	h.advance(200, h.replyAfter(100))
 	h.requireEnd(q, endAnswer)
 }
--- a/internal/decision/scheduler/harness_test.go
+++ b/internal/decision/scheduler/harness_test.go
@@ -228,7 +228,7 @@
 func (h *harness) runRound() { h.scheduler.RunRound(h.now) }
 
 // decided runs the round that decides on a query, and returns the query.
-func (h *harness) decided(q *testQuery) *testQuery {
+func (h *harness) decide(q *testQuery) *testQuery {
 	h.runRound()
 	return q
 }
@@ -305,7 +305,7 @@
 }
 
 // sentTo counts the attempts sent to a replica among the given ones.
-func sentTo(replica uint32, attempts []*sentAttempt) int {
+func countSentTo(replica uint32, attempts []*sentAttempt) int {
 	count := 0
 	for _, a := range attempts {
 		if a.replica == replica {
@@ -324,8 +324,8 @@
 	return used
 }
 
-// idleCloses counts how often the scheduler closed idle connections.
-func (h *harness) idleCloses() int {
+// countIdleCloses counts how often the scheduler closed idle connections.
+func (h *harness) countIdleCloses() int {
 	count := 0
 	for _, line := range h.log {
 		if strings.Contains(line, " close ") {
@@ -354,7 +354,7 @@
 		h.t.Fatalf("unknown part %d sent", part)
 	}
 	h.checkDestination(p, replica)
-	h.checkRepeat(p)
+	h.checkFurtherAttempt(p)
 	if len(p.attempts) > 0 && h.settings.RetryBudget.Window > 0 {
 		h.checkRetryBudget()
 	}
@@ -381,8 +381,8 @@
 	}
 }
 
-// checkRepeat requires that the class of a part and the settings allow one more attempt.
-func (h *harness) checkRepeat(p *testPart) {
+// checkFurtherAttempt requires that the class of a part and the settings allow one more attempt.
+func (h *harness) checkFurtherAttempt(p *testPart) {
 	class := h.settings.Classes[p.query.Query.Class]
 	inFlight := 0
 	for _, a := range p.attempts {
--- a/internal/decision/scheduler/hedging.go
+++ b/internal/decision/scheduler/hedging.go
@@ -29,7 +29,7 @@
 
 // isLate reports whether an attempt has taken far longer than expected, as the fleet is now.
 func (s *Scheduler) isLate(now float64, a *attempt) bool {
-	return now-a.sentAt > hedgeDelayFactor*s.latency.fleetLevel*s.expectedLatencyMs(a)
+	return now-a.sentAt > hedgeDelayFactor*s.latency.fleetMedian*s.expectedLatencyMs(a)
 }
 
 // superviseAttempt covers an attempt that is late: with a substitute part, a hedged request, or by
@@ -95,7 +95,7 @@
 	}
 	selected := s.selectReplica(now, p, p.cost, true)
 	r := selected.replica
-	if r == nil || !selected.tierTakesMore || !s.isHealthy(now, r) || p.attemptedAt(r) {
+	if r == nil || !selected.tierHasCapacity || !s.isHealthy(now, r) || p.attemptedAt(r) {
 		return false
 	}
 	if reassignLatencyFactor*s.normalizedLatency(now, r) > s.normalizedLatency(now, a.replica) {
--- a/internal/decision/scheduler/hedging_test.go
+++ b/internal/decision/scheduler/hedging_test.go
@@ -38,7 +38,7 @@
 	}
 	usable := 0
 	for _, r := range h.scheduler.replicas.ordered {
-		if h.scheduler.normalizedLatency(h.now, r) < ejectionLatency*h.scheduler.latency.fleetLevel {
+		if h.scheduler.normalizedLatency(h.now, r) < ejectionLatency*h.scheduler.latency.fleetMedian {
 			usable++
 		}
 	}
--- a/internal/decision/scheduler/idle_connections.go
+++ b/internal/decision/scheduler/idle_connections.go
@@ -53,16 +53,16 @@
 	}
 	outliers := &a.replica.outliers
 	if outcome == Succeeded {
-		outliers.stalledOnIdle = false
+		outliers.hasStalledOnIdle = false
 	}
 	if !isIdle || (!hasReset && !hasStalled) {
 		return false
 	}
 	weight := lossWeight(replicas)
-	if !outliers.stalledOnIdle || weight == 1 || hasReset {
+	if !outliers.hasStalledOnIdle || weight == 1 || hasReset {
 		c.lossRate = decayingAverage{at: now, value: rate + (1-rate)*idleLossGain*weight}
 	}
-	outliers.stalledOnIdle = true
+	outliers.hasStalledOnIdle = true
 	if hasReset {
 		c.lossRate.value = max(c.lossRate.value, weight)
 		a.replica.lastUsedAt = 0
--- a/internal/decision/scheduler/idle_connections_test.go
+++ b/internal/decision/scheduler/idle_connections_test.go
@@ -32,7 +32,7 @@
 		t.Fatalf("%d attempts in flight after the reset, want 1", len(h.inFlight))
 	}
 	r := h.scheduler.replicas.byID[first.replica]
-	if !h.scheduler.isHealthy(h.now, r) || r.outliers.isLost {
+	if !h.scheduler.isHealthy(h.now, r) || r.outliers.isUnreachable {
 		t.Fatal("the replica is blamed for its idle connection")
 	}
 	h.advance(200, h.replyAfter(90))
@@ -40,7 +40,7 @@
 	h.advance(2000, nil)
 	h.submit(classNonIdempotent, 1)
 	h.runRound()
-	if h.idleCloses() == 0 {
+	if h.countIdleCloses() == 0 {
 		t.Fatal("a non-idempotent part was sent on an idle connection that may be lost")
 	}
 }
@@ -65,7 +65,7 @@
 		h.endAttempt(a, ConnectionReset)
 	}
 	r := h.scheduler.replicas.byID[1]
-	if r.outliers.isLost || !h.scheduler.isHealthy(h.now, r) {
+	if r.outliers.isUnreachable || !h.scheduler.isHealthy(h.now, r) {
 		t.Fatal("the replica is blamed for a second attempt on its idle connection")
 	}
 	h.runRound()
@@ -87,12 +87,12 @@
 		h.runRound()
 		// Attempts on idle connections stall; retries, and all attempts once idle connections are closed, do not.
 		h.advance(1500, func(a *sentAttempt) {
-			if h.now >= a.sentAt+90 && (h.idleCloses() > 0 || a.number > 0) {
+			if h.now >= a.sentAt+90 && (h.countIdleCloses() > 0 || a.number > 0) {
 				h.endAttempt(a, Succeeded)
 			}
 		})
 	}
-	if h.idleCloses() == 0 {
+	if h.countIdleCloses() == 0 {
 		t.Fatal("idle connections on which attempts stall are never closed")
 	}
 	h.advance(4000, nil)
@@ -145,7 +145,7 @@
 				}
 			})
 		}
-		closes := h.idleCloses()
+		closes := h.countIdleCloses()
 		if (closes > 0) != test.wantCloses {
 			t.Errorf("%d of 60 replicas stalled: idle connections closed %d times", test.stalled, closes)
 		}
--- a/internal/decision/scheduler/latency_test.go
+++ b/internal/decision/scheduler/latency_test.go
@@ -54,12 +54,12 @@
 // TestQueueingLevelFollowsObjective guarantees that a replica counts as queueing from a share of the shortest
 // objective on, by the mean call, within bounds.
 func TestQueueingLevelFollowsObjective(t *testing.T) {
-	for baseline, want := range map[float64]float64{10: queueingLevelMax, 100: 3.3, 1000: queueingLevelMin} {
+	for baseline, want := range map[float64]float64{10: queueingLatencyMax, 100: 3.3, 1000: queueingLatencyMin} {
 		latency := newLatencyEstimator(1000)
 		latency.baseline = baseline
 		latency.observeCall(0.5, 1)
-		assert.InDelta(t, want, latency.queueingLevel, 1e-9, "baseline %v", baseline)
-		assert.InDelta(t, 0.5*baseline*meanGain, latency.partMs, 1e-9, "baseline %v", baseline)
+		assert.InDelta(t, want, latency.queueingLatency, 1e-9, "baseline %v", baseline)
+		assert.InDelta(t, 0.5*baseline*meanGain, latency.meanPartBaselineMs, 1e-9, "baseline %v", baseline)
 	}
 }
 
@@ -78,9 +78,9 @@
 		"fast, long query": {2, 100, 15, 1.9, 1.95},
 		"at the minimum":   {1, 50, 1, 1, 1},
 	} {
-		latency := latencyEstimator{baseline: 100, fleetLevel: test.before, overloadMedian: test.before}
+		latency := latencyEstimator{baseline: 100, fleetMedian: test.before, overloadMedian: test.before}
 		latency.observeFleet(test.perCost, test.queryParts)
-		assert.InDelta(t, test.wantLevel, latency.fleetLevel, 1e-9, name)
+		assert.InDelta(t, test.wantLevel, latency.fleetMedian, 1e-9, name)
 		assert.InDelta(t, test.wantOverload, latency.overloadMedian, 1e-9, name)
 	}
 }
--- a/internal/decision/scheduler/learning.go
+++ b/internal/decision/scheduler/learning.go
@@ -62,12 +62,12 @@
 		a.replica.lastUsedAt = now // it answers; that it does not hold the shard is no fault of its own
 		return
 	}
-	s.latency.noteResult(now)
+	s.latency.recordResult(now)
 	if result.ConnectionOnly {
 		return
 	}
-	isQuick := now-a.sentAt < resetWithoutWorkParts*s.meanPartWorkMs()
-	if s.blamesIdleConnection(now, a, result.Outcome, isQuick) {
+	isImmediate := now-a.sentAt < immediateFailureParts*s.meanPartWorkMs()
+	if s.learnIdleConnection(now, a, result.Outcome, isImmediate) {
 		return
 	}
 	switch result.Outcome {
@@ -83,13 +83,13 @@
 	case TimedOut, Cancelled, NotSent:
 		s.learnTimeout(now, a)
 	case ConnectFailed, ConnectionReset:
-		s.learnLostConnection(now, a, result.Outcome, isQuick)
+		s.learnLostConnection(now, a, result.Outcome, isImmediate)
 	}
 }
 
-// blamesIdleConnection reports whether an attempt was lost with an idle connection, and learns how common that is.
-func (s *Scheduler) blamesIdleConnection(now float64, a *attempt, outcome Outcome, isQuick bool) bool {
-	hasReset := outcome == ConnectionReset && isQuick
+// learnIdleConnection reports whether an attempt was lost with an idle connection, and learns how common that is.
+func (s *Scheduler) learnIdleConnection(now float64, a *attempt, outcome Outcome, isImmediate bool) bool {
+	hasReset := outcome == ConnectionReset && isImmediate
 	hasStalled := (outcome == TimedOut || outcome == Cancelled) && !a.overtaken && s.isLate(now, a)
 	return s.idle.observe(now, a, outcome, hasReset, hasStalled, len(s.replicas.ordered))
 }
@@ -97,7 +97,7 @@
 // learnSuccess takes the latency of a good answer, in ms, into every estimate.
 func (s *Scheduler) learnSuccess(now float64, a *attempt, latencyMs float64) {
 	r := a.replica
-	attemptCost := s.callCost(a)
+	attemptCost := s.latencyCost(a)
 	perCost := latencyMs / attemptCost
 	if s.slowStart.isWarm(now, r) {
 		s.slowStart.quota.RecordServed(s.warmupWorkMs(a.part.cost))
@@ -110,12 +110,12 @@
 	s.observeSlowness(now, a, normalized)
 	s.latency.observeFleet(perCost, len(a.part.query.parts))
 	r.markOvertaken(a.sentAt)
-	if r.outliers.isLost {
+	if r.outliers.isUnreachable {
 		// It serves again: perhaps a new process that is warming up, which the endpoint list has not shown yet.
-		r.outliers.isLost = false
+		r.outliers.isUnreachable = false
 		r.warmup.startedAt = max(r.warmup.startedAt, r.outliers.failureRate.at)
 	}
-	isQueueing := perCost > s.latency.queueingLevel*s.latency.baseline
+	isQueueing := perCost > s.latency.queueingLatency*s.latency.baseline
 	r.limit.observe(now, a, isQueueing)
 	s.adaptFleetLimit(now, a)
 	if perCost < s.latency.baseline {
@@ -139,7 +139,7 @@
 // learnRejection takes a rejection: overload, not a fault. Its circuit opens for a while, or its quick
 // rejections would draw all parts.
 func (s *Scheduler) learnRejection(now float64, r *replica) {
-	level := max(rejectionLevelFactor*s.latency.queueingLevel, s.normalizedLatency(now, r))
+	level := max(rejectionLatencyFactor*s.latency.queueingLatency, s.normalizedLatency(now, r))
 	s.observeReplicaLatency(now, r, level)
 	s.lastOverloadAt = now
 	s.openCircuit(now, r, rejectionCircuitParts)
@@ -151,11 +151,11 @@
 	r := a.replica
 	normalized := (now - a.sentAt) / s.expectedLatencyMs(a)
 	s.observeReplicaLatency(now, r, max(normalized, s.normalizedLatency(now, r)))
-	if normalized >= ejectionLatency*s.latency.fleetLevel {
+	if normalized >= ejectionLatency*s.latency.fleetMedian {
 		s.observeSlowness(now, a, normalized)
 	}
-	if normalized > s.latency.queueingLevel {
-		r.limit.collapse(now, a.sentAt)
+	if normalized > s.latency.queueingLatency {
+		r.limit.lowerToMin(now, a.sentAt)
 	}
 	if normalized > s.zones.latency(now, r.Zone) {
 		s.zones.observe(now, r, normalized)
@@ -164,11 +164,11 @@
 
 // learnLostConnection takes a connection that broke or could not be made. Dead processes refuse at once; a dial that
 // times out may only be slow, and must fail twice to eject the replica.
-func (s *Scheduler) learnLostConnection(now float64, a *attempt, outcome Outcome, isQuick bool) {
+func (s *Scheduler) learnLostConnection(now float64, a *attempt, outcome Outcome, isImmediate bool) {
 	r := a.replica
 	r.lastUsedAt = 0
-	if outcome == ConnectionReset || isQuick {
-		r.outliers.isLost = true
+	if outcome == ConnectionReset || isImmediate {
+		r.outliers.isUnreachable = true
 		r.outliers.failureRate = decayingAverage{at: now, value: 1}
 		s.openCircuit(now, r, openCircuitParts)
 	} else {
--- a/internal/decision/scheduler/outlier_detection.go
+++ b/internal/decision/scheduler/outlier_detection.go
@@ -3,27 +3,27 @@
 import "math"
 
 const (
-	failureGain      = 0.6 // weight of the newest outcome in a failure rate: one failure ejects, one success halves it
-	ejectionFailures = 0.5 // failure rate from which a replica is ejected
-	ejectionLatency  = 3.5 // times the fleet's level from which a replica is ejected
+	failureGain         = 0.6 // weight of the newest outcome in a failure rate: one failure ejects, one success halves it
+	ejectionFailureRate = 0.5 // failure rate from which a replica is ejected
+	ejectionLatency     = 3.5 // times the fleet's level from which a replica is ejected
 
 	// Non-idempotent parts are lost by one failure, so they avoid replicas sooner.
-	nonIdempotentFailures = 0.1  // failure rate from which they avoid a replica
-	nonIdempotentLatency  = 2.0  // times the fleet's level
-	failureRateWeight     = 30.0 // normalized latency that a failure rate of 1 weighs between avoided replicas
+	nonIdempotentMaxFailureRate = 0.1  // failure rate from which they avoid a replica
+	nonIdempotentMaxLatency     = 2.0  // times the fleet's level
+	failureRateWeight           = 30.0 // normalized latency that a failure rate of 1 weighs between avoided replicas
 
-	// trialRestParts sets how long a slow replica waits for its next trial request: after n slow ones in a row
-	// trialRestParts*(2^(n-1)-1) mean parts' work, so nothing after the first.
-	trialRestParts = 10.0
-	// resetWithoutWorkParts is the mean parts' work before which a reset or refused connection shows that no work
+	// trialBackoffParts sets how long a slow replica waits for its next trial request: after n slow ones in a row
+	// trialBackoffParts*(2^(n-1)-1) mean parts' work, so nothing after the first.
+	trialBackoffParts = 10.0
+	// immediateFailureParts is the mean parts' work before which a reset or refused connection shows that no work
 	// had been done.
-	resetWithoutWorkParts = 0.5
+	immediateFailureParts = 0.5
 	// openCircuitParts is the mean parts' work for which a lost replica gets nothing.
 	openCircuitParts = 3.0
 	// rejectionCircuitParts is the same after a rejection.
 	rejectionCircuitParts = 1.0
-	// rejectionLevelFactor is how many times the queueing level a rejection counts as latency.
-	rejectionLevelFactor = 2.0
+	// rejectionLatencyFactor is how many times the queueing level a rejection counts as latency.
+	rejectionLatencyFactor = 2.0
 )
 
 // outlierState is what marks a replica as an outlier among its peers. Failure rates fade without news, so that an
@@ -33,56 +33,56 @@
 	// nonIdempotentFailureRate is the same for parts that must not run twice. Only their own success lowers it, as
 	// a release may break one class alone.
 	nonIdempotentFailureRate decayingAverage
-	// isLost says that it refused or lost a connection and has not served since.
-	isLost bool
-	// slowTrials is how many trial requests in a row were slow; 0 unless it is slow.
-	slowTrials int
+	// isUnreachable says that it refused or lost a connection and has not served since.
+	isUnreachable bool
+	// consecutiveSlowTrials is how many trial requests in a row were slow; 0 unless it is slow.
+	consecutiveSlowTrials int
 	// lastSlowAt is when an attempt last ended so late that it made the replica an outlier.
 	lastSlowAt float64
 	// trialAllowedAt is the time from which one attempt may go to it although it is an outlier.
 	trialAllowedAt float64
-	// countedAsSlow says that it has been slow, and has not answered at its zone's level since.
-	countedAsSlow bool
-	// stalledOnIdle says that an attempt on an idle connection has stalled there, and nothing has come back since.
-	stalledOnIdle bool
+	// isCountedAsSlow says that it has been slow, and has not answered at its zone's level since.
+	isCountedAsSlow bool
+	// hasStalledOnIdle says that an attempt on an idle connection has stalled there, and nothing has come back since.
+	hasStalledOnIdle bool
 }
 
-// forgetProcess drops what was learned of a process that has been replaced.
-func (o *outlierState) forgetProcess() {
+// resetForNewProcess drops what was learned of a process that has been replaced.
+func (o *outlierState) resetForNewProcess() {
 	o.failureRate = decayingAverage{}
 	o.nonIdempotentFailureRate = decayingAverage{}
-	o.isLost = false
-	o.slowTrials = 0
+	o.isUnreachable = false
+	o.consecutiveSlowTrials = 0
 	o.lastSlowAt = 0
-	o.countedAsSlow = false
+	o.isCountedAsSlow = false
 }
 
 // isHealthy reports whether a replica is ready and no outlier among its peers: it keeps parts away from draining,
 // slow, stalled, failing and unreachable replicas. A sound replica that failed by chance is avoided until its failure
 // rate has faded.
 func (s *Scheduler) isHealthy(now float64, r *replica) bool {
-	if r.State != Ready || s.badness(r.outliers.failureRate, now) >= ejectionFailures {
+	if r.State != Ready || s.decayedEstimate(r.outliers.failureRate, now) >= ejectionFailureRate {
 		return false
 	}
-	if s.zones.latency(now, r.Zone) >= ejectionZoneLatency*s.zones.best {
+	if s.zones.latency(now, r.Zone) >= ejectionZoneLatency*s.zones.bestLatency {
 		return false
 	}
-	if s.normalizedLatency(now, r) < ejectionLatency*s.latency.fleetLevel {
+	if s.normalizedLatency(now, r) < ejectionLatency*s.latency.fleetMedian {
 		return true
 	}
-	return r.mayHaveTrial(now)
+	return r.canHaveTrial(now)
 }
 
-// mayHaveTrial reports whether a slow replica may be sent one attempt to see whether it has recovered.
-func (r *replica) mayHaveTrial(now float64) bool {
-	return len(r.inFlight) == 0 && r.outliers.slowTrials > 0 && now >= r.outliers.trialAllowedAt
+// canHaveTrial reports whether a slow replica may be sent one attempt to see whether it has recovered.
+func (r *replica) canHaveTrial(now float64) bool {
+	return len(r.inFlight) == 0 && r.outliers.consecutiveSlowTrials > 0 && now >= r.outliers.trialAllowedAt
 }
 
-// avoidsNonIdempotent reports whether a replica of a latency level is too doubtful for non-idempotent parts, and its
+// isAvoidedByNonIdempotent reports whether a replica of a latency level is too doubtful for non-idempotent parts, and its
 // failure rate for them.
-func (s *Scheduler) avoidsNonIdempotent(now float64, r *replica, level float64) (avoids bool, failureRate float64) {
-	failureRate = r.outliers.nonIdempotentFailureRate.valueAt(now, badnessHalfLifeMaxMs)
-	avoids = failureRate > nonIdempotentFailures || level > nonIdempotentLatency*s.latency.fleetLevel
+func (s *Scheduler) isAvoidedByNonIdempotent(now float64, r *replica, level float64) (avoids bool, failureRate float64) {
+	failureRate = r.outliers.nonIdempotentFailureRate.valueAt(now, estimateHalfLifeMaxMs)
+	avoids = failureRate > nonIdempotentMaxFailureRate || level > nonIdempotentMaxLatency*s.latency.fleetMedian
 	return avoids, failureRate
 }
 
@@ -93,25 +93,25 @@
 func (s *Scheduler) observeSlowness(now float64, a *attempt, normalized float64) {
 	r := a.replica
 	outliers := &r.outliers
-	if normalized < ejectionLatency*s.latency.fleetLevel {
-		if a.sentAt > outliers.lastSlowAt && normalized <= s.latency.queueingLevel {
-			outliers.slowTrials = 0
-			r.excessLatency.value = min(r.excessLatency.value, max(0, normalized-1))
+	if normalized < ejectionLatency*s.latency.fleetMedian {
+		if a.sentAt > outliers.lastSlowAt && normalized <= s.latency.queueingLatency {
+			outliers.consecutiveSlowTrials = 0
+			r.excessNormalizedLatency.value = min(r.excessNormalizedLatency.value, max(0, normalized-1))
 		}
 		return
 	}
 	// An attempt that was sent before the last slow end and comes late out of a stall that is over counts no trial.
-	if a.sentAt > outliers.lastSlowAt || outliers.slowTrials == 0 {
-		outliers.slowTrials++
+	if a.sentAt > outliers.lastSlowAt || outliers.consecutiveSlowTrials == 0 {
+		outliers.consecutiveSlowTrials++
 	}
-	rest := trialRestParts * s.meanPartWorkMs() * (math.Exp2(float64(outliers.slowTrials-1)) - 1)
+	rest := trialBackoffParts * s.meanPartWorkMs() * (math.Exp2(float64(outliers.consecutiveSlowTrials-1)) - 1)
 	outliers.lastSlowAt = now
-	outliers.trialAllowedAt = now + min(rest, badnessHalfLifeMaxMs)
+	outliers.trialAllowedAt = now + min(rest, estimateHalfLifeMaxMs)
 }
 
 // observeOutcome takes a failure, 1, or a success, 0, into the failure rates of a replica.
 func (s *Scheduler) observeOutcome(now float64, r *replica, class *Class, failure float64) {
-	rate := s.badness(r.outliers.failureRate, now)*(1-failureGain) + failureGain*failure
+	rate := s.decayedEstimate(r.outliers.failureRate, now)*(1-failureGain) + failureGain*failure
 	r.outliers.failureRate = decayingAverage{at: now, value: rate}
 	r.observeNonIdempotent(now, class, failure)
 }
@@ -122,7 +122,7 @@
 	if failure <= 0 && class.Idempotency != NonIdempotent {
 		return
 	}
-	before := r.outliers.nonIdempotentFailureRate.valueAt(now, badnessHalfLifeMaxMs)
+	before := r.outliers.nonIdempotentFailureRate.valueAt(now, estimateHalfLifeMaxMs)
 	after := before*(1-failureGain) + failureGain*failure
 	r.outliers.nonIdempotentFailureRate = decayingAverage{at: now, value: after}
 }
--- a/internal/decision/scheduler/outlier_detection_test.go
+++ b/internal/decision/scheduler/outlier_detection_test.go
@@ -25,7 +25,7 @@
 				}
 			})
 		}
-		return sentTo(1, h.sent[before:])
+		return countSentTo(1, h.sent[before:])
 	}
 	sent := sentToReplica1(true)
 	if sent > 8 {
@@ -89,7 +89,7 @@
 				}
 			})
 		}
-		return float64(sentTo(1, h.sent[before:])) / float64(len(h.sent)-before)
+		return float64(countSentTo(1, h.sent[before:])) / float64(len(h.sent)-before)
 	}
 	share := shareOfReplica1(150, func() bool { return int(h.now/3000)%2 == 0 })
 	if share > 0.15 {
@@ -129,7 +129,7 @@
 					h.replyAfter(latency)(a)
 				})
 			}
-			return float64(sentTo(1, h.sent[before:])) / float64(len(h.sent)-before)
+			return float64(countSentTo(1, h.sent[before:])) / float64(len(h.sent)-before)
 		}
 		shareOfReplica1(20)
 		share := shareOfReplica1(40)
@@ -158,7 +158,7 @@
 	h.advance(5, nil)
 	h.endAttempt(a, ConnectionReset)
 	r := h.scheduler.replicas.byID[a.replica]
-	if h.scheduler.isHealthy(h.now, r) || !r.outliers.isLost {
+	if h.scheduler.isHealthy(h.now, r) || !r.outliers.isUnreachable {
 		t.Fatal("a replica whose process died is still used as healthy")
 	}
 }
@@ -174,7 +174,7 @@
 	r := s.replicas.byID[3]
 	endSlowly := func(sentAt, normalized float64) {
 		s.observeSlowness(h.now, &attempt{replica: r, sentAt: sentAt}, normalized)
-		r.excessLatency = decayingAverage{h.now, max(r.excessLatency.value, normalized-1)}
+		r.excessNormalizedLatency = decayingAverage{h.now, max(r.excessNormalizedLatency.value, normalized-1)}
 	}
 	endSlowly(h.now-900, 30)
 	endSlowly(h.now-700, 25)
@@ -187,8 +187,8 @@
 		t.Fatal("a second request allowed beside a trial")
 	}
 	r.inFlight = nil
-	for rest := trialRestParts; rest < 8*trialRestParts; rest *= 2 {
-		h.now += badnessHalfLifeMaxMs
+	for rest := trialBackoffParts; rest < 8*trialBackoffParts; rest *= 2 {
+		h.now += estimateHalfLifeMaxMs
 		endSlowly(h.now-800, 20)
 		wait := r.outliers.trialAllowedAt - h.now
 		if wait < 0.99*rest*s.meanPartWorkMs() || s.isHealthy(h.now, r) {
@@ -201,8 +201,8 @@
 	}
 	s.observeSlowness(h.now+1, &attempt{replica: r, sentAt: h.now}, 1.2)
 	level := s.normalizedLatency(h.now, r)
-	if r.outliers.slowTrials != 0 || level > 1.3 {
-		t.Fatalf("after a normal trial: normalized latency %v, %d slow trials", level, r.outliers.slowTrials)
+	if r.outliers.consecutiveSlowTrials != 0 || level > 1.3 {
+		t.Fatalf("after a normal trial: normalized latency %v, %d slow trials", level, r.outliers.consecutiveSlowTrials)
 	}
 }
 
@@ -223,14 +223,14 @@
 	}
 	cancelAttempt(h.now - 30*s.latency.baseline)
 	level := s.normalizedLatency(h.now, r)
-	if level < ejectionLatency*s.latency.fleetLevel || !s.isHealthy(h.now, r) {
+	if level < ejectionLatency*s.latency.fleetMedian || !s.isHealthy(h.now, r) {
 		t.Fatalf("normalized latency %v, and no trial", level)
 	}
-	for rest := trialRestParts; rest < 8*trialRestParts; rest *= 2 {
-		h.now += badnessHalfLifeMaxMs
+	for rest := trialBackoffParts; rest < 8*trialBackoffParts; rest *= 2 {
+		h.now += estimateHalfLifeMaxMs
 		cancelAttempt(h.now - 30*s.latency.baseline)
 		wait := r.outliers.trialAllowedAt - h.now
-		if wait < 0.99*rest*s.meanPartWorkMs() || wait > badnessHalfLifeMaxMs || s.isHealthy(h.now, r) {
+		if wait < 0.99*rest*s.meanPartWorkMs() || wait > estimateHalfLifeMaxMs || s.isHealthy(h.now, r) {
 			t.Fatalf("next trial %v ms after a silent one, want %v at least", wait, rest*s.meanPartWorkMs())
 		}
 	}
@@ -238,7 +238,7 @@
 	s.observeSlowness(trialAt+1, &attempt{replica: r, sentAt: trialAt}, 1.2)
 	r.outliers.lastSlowAt = h.now
 	s.observeSlowness(h.now, &attempt{replica: r, sentAt: h.now - 500}, 20)
-	r.excessLatency.value = 19
+	r.excessNormalizedLatency.value = 19
 	if !s.isHealthy(h.now, r) {
 		t.Fatal("an attempt that came late out of a past stall delays the next trial")
 	}
@@ -247,8 +247,8 @@
 	restarted := r.Endpoint
 	restarted.StartedAt = h.now
 	h.updateEndpoints(UpdateDelta, restarted)
-	if r.outliers.slowTrials != 0 || r.outliers.lastSlowAt != 0 || r.outliers.countedAsSlow {
-		t.Fatalf("a new process begins with %d slow trials", r.outliers.slowTrials)
+	if r.outliers.consecutiveSlowTrials != 0 || r.outliers.lastSlowAt != 0 || r.outliers.isCountedAsSlow {
+		t.Fatalf("a new process begins with %d slow trials", r.outliers.consecutiveSlowTrials)
 	}
 }
 
@@ -287,7 +287,7 @@
 						failed++
 					}
 				}
-				return sentTo(3, h.sent[before:]), failed
+				return countSentTo(3, h.sent[before:]), failed
 			}
 			usual, _ := serve(3000, h.replyAfter(100))
 			start := h.now
--- a/internal/decision/scheduler/placement.go
+++ b/internal/decision/scheduler/placement.go
@@ -65,7 +65,7 @@
 // it, in ms.
 func (s *Scheduler) queueWaitMs(now float64, p *part) float64 {
 	longest := 0.0
-	for _, companion := range p.companions() {
+	for _, companion := range p.groupParts() {
 		longest = max(longest, now-s.queuedSince(companion.Shard, now))
 	}
 	return longest
--- a/internal/decision/scheduler/query.go
+++ b/internal/decision/scheduler/query.go
@@ -79,7 +79,7 @@
 }
 
 // companions are the parts that count together with this one, itself included.
-func (p *part) companions() []*part {
+func (p *part) groupParts() []*part {
 	if p.group != nil {
 		return p.group.parts
 	}
--- a/internal/decision/scheduler/queues.go
+++ b/internal/decision/scheduler/queues.go
@@ -55,7 +55,7 @@
 func newQueueTable() queueTable { return queueTable{sparse: map[int]*shardQueues{}} }
 
 // of returns the queues of a shard, or nil if nothing was queued there.
-func (t *queueTable) of(shard int) *shardQueues {
+func (t *queueTable) queuesOf(shard int) *shardQueues {
 	if shard < len(t.dense) {
 		return t.dense[shard]
 	}
@@ -64,7 +64,7 @@
 
 // activate returns the queues of a shard to which a call is about to be added.
 func (t *queueTable) activate(shard int, now float64) *shardQueues {
-	queues := t.of(shard)
+	queues := t.queuesOf(shard)
 	if queues == nil {
 		queues = &shardQueues{shard: shard}
 		t.store(queues)
@@ -159,7 +159,7 @@
 }
 
 // next is the queue that deficit round robin drains next, or -1 if all are empty.
-func (q *shardQueues) next() int {
+func (q *shardQueues) nextQueue() int {
 	waiting := 0
 	for i, calls := range q.fifo {
 		waiting += len(calls)
@@ -280,10 +280,10 @@
 
 // release drains the queues of a shard while some replica of it takes more work.
 func (s *Scheduler) release(now float64, queues *shardQueues) {
-	for queue := queues.next(); queue >= 0; queue = queues.next() {
+	for queue := queues.nextQueue(); queue >= 0; queue = queues.nextQueue() {
 		call := queues.fifo[queue][0]
 		selected := s.selectReplica(now, call.parts[0], call.cost, false)
-		if selected.replica == nil || !selected.tierTakesMore {
+		if selected.replica == nil || !selected.tierHasCapacity {
 			return
 		}
 		for _, p := range call.parts {
--- a/internal/decision/scheduler/queues_test.go
+++ b/internal/decision/scheduler/queues_test.go
@@ -90,7 +90,7 @@
 	}
 	var released [queueCount]float64
 	for range 1000 {
-		i := queues.next()
+		i := queues.nextQueue()
 		queues.deficit[i] -= 1.5
 		queues.fifo[i] = queues.fifo[i][1:]
 		released[i]++
@@ -192,12 +192,12 @@
 		queues.fifo[0] = append(queues.fifo[0], &queuedCall{})
 	}
 	table.sortActive()
-	assert.Equal(t, []*shardQueues{table.of(1), table.of(3), table.of(denseShards)}, table.active)
+	assert.Equal(t, []*shardQueues{table.queuesOf(1), table.queuesOf(3), table.queuesOf(denseShards)}, table.active)
 	for _, queues := range table.active {
 		queues.pop(0)
 	}
 	table.dropIdle()
-	assert.Equal(t, []*shardQueues{table.of(3)}, table.active)
-	assert.NotNil(t, table.of(1))
-	assert.Nil(t, table.of(denseShards))
+	assert.Equal(t, []*shardQueues{table.queuesOf(3)}, table.active)
+	assert.NotNil(t, table.queuesOf(1))
+	assert.Nil(t, table.queuesOf(denseShards))
 }
--- a/internal/decision/scheduler/replica.go
+++ b/internal/decision/scheduler/replica.go
@@ -10,10 +10,10 @@
 	limit    replicaLimit
 	outliers outlierState
 
-	// excessLatency averages the normalized latency above 1.
-	excessLatency decayingAverage
-	inFlight      []*attempt // in the order in which they were sent
-	callsInFlight int
+	// excessNormalizedLatency averages the normalized latency above 1.
+	excessNormalizedLatency decayingAverage
+	inFlight                []*attempt // in the order in which they were sent
+	callsInFlight           int
 	// currentCall takes further parts of the round in which it was begun.
 	currentCall  *callInFlight
 	currentRound int
@@ -35,9 +35,9 @@
 }
 
 // restarted forgets what was learned of the process before; the new one is warming up.
-func (r *replica) restarted(startedAt float64) {
-	r.excessLatency = decayingAverage{}
-	r.outliers.forgetProcess()
+func (r *replica) resetForRestart(startedAt float64) {
+	r.excessNormalizedLatency = decayingAverage{}
+	r.outliers.resetForNewProcess()
 	r.warmup.startedAt = startedAt
 }
 
--- a/internal/decision/scheduler/replica_selection_test.go
+++ b/internal/decision/scheduler/replica_selection_test.go
@@ -96,9 +96,9 @@
 		{tierHealthy, 0, 1},
 		{tierHealthy, 0, 2},
 		{tierHealthy, 1, 0},
-		{tierDoubtful, 0, 0},
+		{tierAvoidedByNonIdempotent, 0, 0},
 		{tierOutlier, 0, 0},
-		{tierHealthy + tierAlreadyUsed, 0, 0},
+		{tierHealthy + tierAlreadyAttempted, 0, 0},
 	}
 	for i, first := range ordered {
 		assert.Zero(t, first.compare(first))
--- a/internal/decision/scheduler/retry.go
+++ b/internal/decision/scheduler/retry.go
@@ -77,10 +77,10 @@
 func (s *Scheduler) selectForExtraAttempt(now float64, p *part) *replica {
 	selected := s.selectReplica(now, p, p.cost, true)
 	r := selected.replica
-	if r == nil || !selected.tierTakesMore || now < r.circuitOpenUntil {
+	if r == nil || !selected.tierHasCapacity || now < r.circuitOpenUntil {
 		return nil
 	}
-	if len(r.inFlight) > 0 && s.normalizedLatency(now, r) > s.latency.queueingLevel {
+	if len(r.inFlight) > 0 && s.normalizedLatency(now, r) > s.latency.queueingLatency {
 		return nil
 	}
 	return r
@@ -93,7 +93,7 @@
 	if i < 0 {
 		return false
 	}
-	companions := q.parts[i].companions()
+	companions := q.parts[i].groupParts()
 	for _, p := range companions {
 		p.reserve = false
 	}
--- a/internal/decision/scheduler/slow_start_test.go
+++ b/internal/decision/scheduler/slow_start_test.go
@@ -41,7 +41,7 @@
 			h.runRound()
 			h.advance(50, h.replyAfter(100))
 		}
-		return sentTo(1, h.sent[before:])
+		return countSentTo(1, h.sent[before:])
 	}
 	sent := sentToWarming(950)
 	if sent > 0 {
--- a/internal/decision/scheduler/zone_latency.go
+++ b/internal/decision/scheduler/zone_latency.go
@@ -9,18 +9,18 @@
 // here, which shows sooner than replica by replica.
 type zoneLatencies struct {
 	// excess is, by zone, the median normalized latency above 1.
-	excess map[int]decayingAverage
+	excessByZone map[int]decayingAverage
 	// best is the normalized latency of the best zone.
-	best float64
+	bestLatency float64
 }
 
 func newZoneLatencies() zoneLatencies {
-	return zoneLatencies{excess: map[int]decayingAverage{}, best: 1}
+	return zoneLatencies{excessByZone: map[int]decayingAverage{}, bestLatency: 1}
 }
 
 // latency is the normalized latency of what comes from a zone.
 func (z *zoneLatencies) latency(now float64, zone int) float64 {
-	return 1 + z.excess[zone].valueAt(now, badnessHalfLifeMaxMs)
+	return 1 + z.excessByZone[zone].valueAt(now, estimateHalfLifeMaxMs)
 }
 
 // observe takes the normalized latency of an attempt at a replica; one that is not below the zone's level raises it.
@@ -28,14 +28,14 @@
 // its zone's level, as late answers out of one stalled replica say nothing of the others there.
 func (z *zoneLatencies) observe(now float64, r *replica, normalized float64) {
 	level := z.latency(now, r.Zone)
-	if r.outliers.countedAsSlow && normalized > level {
+	if r.outliers.isCountedAsSlow && normalized > level {
 		return
 	}
-	r.outliers.countedAsSlow = normalized > ejectionZoneLatency*level
+	r.outliers.isCountedAsSlow = normalized > ejectionZoneLatency*level
 	moved := level * (1 + math.Copysign(medianStep, normalized-level))
-	z.excess[r.Zone] = decayingAverage{at: now, value: max(0, moved-1)}
-	z.best = math.Inf(1)
-	for zone := range z.excess {
-		z.best = min(z.best, z.latency(now, zone))
+	z.excessByZone[r.Zone] = decayingAverage{at: now, value: max(0, moved-1)}
+	z.bestLatency = math.Inf(1)
+	for zone := range z.excessByZone {
+		z.bestLatency = min(z.bestLatency, z.latency(now, zone))
 	}
 }
--- a/internal/decision/scheduler/zone_latency_test.go
+++ b/internal/decision/scheduler/zone_latency_test.go
@@ -81,11 +81,11 @@
 		zones.observe(h.now, r, 30)
 	}
 	latency := zones.latency(h.now, r.Zone)
-	if latency > 1.2 || !r.outliers.countedAsSlow {
+	if latency > 1.2 || !r.outliers.isCountedAsSlow {
 		t.Fatalf("zone latency %v after 40 late answers of one replica, want 1.2 at most", latency)
 	}
 	zones.observe(h.now, r, 1)
-	if r.outliers.countedAsSlow {
+	if r.outliers.isCountedAsSlow {
 		t.Fatal("the replica still counts as slow after a normal answer")
 	}
 }
@@ -127,5 +127,5 @@
 		assert.InDelta(t, wants[i], zones.latency(1000, 0), 1e-9, "answer %d", i)
 	}
 	zones.observe(1000, &replica{Endpoint: Endpoint{Zone: 1}}, 10)
-	assert.InDelta(t, 1, zones.best, 1e-9)
+	assert.InDelta(t, 1, zones.bestLatency, 1e-9)
 }
