--- a/internal/decision/scheduler/admission.go
+++ b/internal/decision/scheduler/admission.go
@@ -8,31 +8,32 @@
 )
 
 const (
-	// clientRetryPriorityFactor is the fraction of its priority that a query keeps which was asked before: part of its time
-	// is gone, and what rejected it may last.
+	// clientRetryPriorityFactor is the fraction of its priority that a client retry keeps. Part of the client's time
+	// has passed, and the cause of the earlier rejection may persist.
 	clientRetryPriorityFactor = 0.25
-	// shortClientRetryRatio is a share of the mean time that first tries are given. A client's repeat with less time left
-	// than that was cut short by its class's deadline, which spans all tries of the client.
+	// shortClientRetryRatio is the fraction of the mean time left of first requests below which a client retry counts
+	// as short of time: its client's earlier requests have used up part of the class's deadline.
 	shortClientRetryRatio = 0.97
 
-	// A shard counts as congested when calls have waited there for more than a share of the objective:
-	// baseQueueWaitShare for queries of no priority, and queueWaitSharePerPriority more at full priority.
+	// A shard counts as congested when its calls have waited longer than a share of the latency objective. That share
+	// is baseQueueWaitShare at priority 0 and grows by queueWaitSharePerPriority up to the highest priority.
 	baseQueueWaitShare        = 0.06
 	queueWaitSharePerPriority = 0.20
-	// queuedWeightFactor is how much a part of a congested shard weighs among what may be missing.
+	// queuedWeightFactor scales the weight of parts of congested shards when it is compared with the weight that an
+	// answer may lack.
 	queuedWeightFactor = 1.5
-	// availabilityObjectiveShare is the share of the objective for which a part waits for a replica to become
-	// available.
+	// availabilityObjectiveShare is the share of the latency objective within which a replica must become available
+	// for a part; otherwise admission counts the part as missing.
 	availabilityObjectiveShare = 0.5
-	// baseFleetLimitShare is the share of the fleet's limit that queries of no priority may use; each unit of
-	// priority adds a whole limit.
+	// baseFleetLimitShare is the share of the fleet's cost limit that queries of priority 0 may use. Each unit of
+	// relative priority adds the whole limit once more.
 	baseFleetLimitShare = 0.5
 
-	// weightTolerance allows for rounding in sums of weights, by half of what the platform allows.
+	// weightTolerance allows for rounding errors in sums of weights. It is half the error that the platform accepts.
 	weightTolerance = 5e-5
 )
 
-// rejection is why a query is rejected at admission.
+// rejection is the reason why admission rejects a query.
 type rejection uint8
 
 // The reasons for a rejection, in the order in which they are checked.
@@ -45,16 +46,17 @@
 	rejectedThrottled
 )
 
-// admissionLoad is what admission weighs against a query.
+// admissionLoad is the load that admission compares with its limits for one query.
 type admissionLoad struct {
-	priority      float64 // of the query, by that of the highest class
-	limit         float64 // cost that the fleet carries for queries of this priority
-	cost          float64 // of the query's parts
-	queuedWeight  float64 // of parts by how long calls wait at their replicas
-	missingWeight float64 // of parts that no replica would take in time
+	priority      float64 // the query's priority divided by the highest of all classes
+	limit         float64 // cost in flight up to which queries of this priority are admitted
+	cost          float64 // total cost of the query's parts
+	queuedWeight  float64 // weight of the parts, scaled by the queue wait at their shards
+	missingWeight float64 // weight of the parts that no replica can take in time
 }
 
-// QueryArrived takes a query. Its parts follow before the next round, which admits or rejects it.
+// QueryArrived registers a query. The caller reports its parts before the next round, which admits or rejects the
+// query.
 func (s *Scheduler) QueryArrived(now float64, in Query) {
 	s.recordArrival(now)
 	if s.queries[in.ID] != nil {
@@ -84,7 +86,7 @@
 	s.queriesByGroup[in.QueryGroup] = q
 }
 
-// PartArrived takes a part of an open query; others are ignored.
+// PartArrived adds a part to an open query. It ignores parts of unknown queries and shards, and duplicates.
 func (s *Scheduler) PartArrived(now float64, in Part) {
 	s.recordArrival(now)
 	q := s.queriesByGroup[in.QueryGroup]
@@ -98,12 +100,12 @@
 	}
 }
 
-// recordArrival counts a query or part for the retry and hedge budgets.
+// recordArrival counts a query or part toward the retry and hedge budgets.
 func (s *Scheduler) recordArrival(now float64) {
 	s.arrivals.add(now, max(s.retryBudget.settings.Window, hedgeWindowMs))
 }
 
-// addPart makes a part of a query.
+// addPart creates a part, assigns its cost and atomic group, and adds it to its query.
 func (s *Scheduler) addPart(q *query, in Part) *part {
 	p := &part{Part: in, query: q, cost: s.costs.costOf(&in)}
 	if in.AtomicGroup > 0 {
@@ -114,9 +116,10 @@
 	return p
 }
 
-// lowerClientRetryPriority lowers the priority of a query that its client has asked before. The class's deadline spans all
-// tries of a client: a repeat with less time left than first tries have is measured from its first try. This guards
-// against retry storms; it may misjudge a repeat whose client is in a hurry.
+// lowerClientRetryPriority lowers the priority of client retries, which protects against retry storms. The class's
+// deadline covers a client's first request and all of its retries, so a retry with less time left than first requests
+// usually have gets its objective from the time of the first request. A retry is misclassified if its client sets a
+// shorter deadline. First requests only update the mean time left.
 func (s *Scheduler) lowerClientRetryPriority(now float64, q *query) {
 	meanFirstMs := &s.firstTryMs[q.Class]
 	remaining := q.Deadline - now
@@ -134,7 +137,7 @@
 	}
 }
 
-// admitNewQueries decides on the queries that arrived since the last round.
+// admitNewQueries admits or rejects the queries that arrived since the last round.
 func (s *Scheduler) admitNewQueries(now float64) {
 	for _, q := range s.newQueries {
 		q.awaitsAdmission = false
@@ -145,7 +148,7 @@
 	s.newQueries = s.newQueries[:0]
 }
 
-// admit rejects a query that would not be answered in time, or queues its parts.
+// admit rejects a query that would not be answered in time; otherwise it queues the query's parts.
 func (s *Scheduler) admit(now float64, q *query) {
 	if q.step == 0 {
 		s.abandonCongestedParts(now, q)
@@ -168,7 +171,7 @@
 	s.enqueue(now, s.selectInitialParts(q))
 }
 
-// abandonCongestedParts gives up the parts whose shard is congested: the query does not wait for them.
+// abandonCongestedParts abandons the parts of congested shards, so that the query does not wait for them.
 func (s *Scheduler) abandonCongestedParts(now float64, q *query) {
 	for _, p := range q.parts {
 		if s.relativeQueueWait(now, p) > 1 {
@@ -177,18 +180,18 @@
 	}
 }
 
-// relativeQueueWait is for how long calls have waited at a part's replicas, relative to what its query's priority and
-// objective allow; above 1 the shard is congested.
+// relativeQueueWait returns how long calls have waited at a part's replicas, divided by the wait that the priority
+// and objective of its query allow. Above 1 the shard is congested.
 func (s *Scheduler) relativeQueueWait(now float64, p *part) float64 {
 	q := p.query
 	allowedShare := baseQueueWaitShare + queueWaitSharePerPriority*s.relativePriority(q)
 	return s.queueWaitMs(now, p) / (q.class.LatencyObjective * allowedShare)
 }
 
-// relativePriority is a query's priority by that of the highest class.
+// relativePriority returns a query's priority divided by the highest of all classes.
 func (s *Scheduler) relativePriority(q *query) float64 { return q.priority / s.maxPriority }
 
-// measureLoad weighs what the replicas of a query's parts are doing.
+// measureLoad sums up the cost of a query's parts and the state of their replicas.
 func (s *Scheduler) measureLoad(now float64, q *query) admissionLoad {
 	load := admissionLoad{priority: s.relativePriority(q)}
 	availableBy := now + availabilityObjectiveShare*q.class.LatencyObjective
@@ -203,9 +206,10 @@
 	return load
 }
 
-// checkAdmission sheds load, lowest priority first. Overload shows in calls that wait at the shards and, in a large
-// fleet, in the cost in flight and in how much of what is sent is accepted. A query larger than the limit is
-// admitted at a pace. Parts that would be missing are fatal unless the class may be answered without them.
+// checkAdmission returns why a query is rejected, if it is. It sheds queries of low priority first. Signs of overload
+// are calls that wait at the shards and, in a large fleet, the cost in flight and the fraction of attempts that
+// backends accept. A query whose cost exceeds the limit is admitted only after a pacing delay. A query with parts
+// missing is rejected unless its class accepts an answer without them.
 func (s *Scheduler) checkAdmission(now float64, q *query, load admissionLoad) rejection {
 	remaining := q.Deadline - s.answerMarginMs - now
 	if s.deadlines.IsTooLate(remaining, q.expectedLastPartMs) {
@@ -218,7 +222,7 @@
 	if s.fleetLimit.inFlight > load.limit {
 		return rejectedOverLimit
 	}
-	// A query of n times the limit holds the next one back for n-1 times the median latency of a part.
+	// A query that costs n times the limit delays the next admission by n-1 times the median latency of a part.
 	pacingMs := (load.cost/load.limit - 1) * s.latency.overloadMedian * s.latency.meanPartBaselineMs
 	if now < s.lastAdmittedAt+pacingMs {
 		return rejectedPacing
@@ -229,8 +233,9 @@
 	return notRejected
 }
 
-// selectInitialParts returns the parts that are asked at once. Where less than all makes an answer complete, these are
-// the cheapest that suffice; the others become their reserve. Parts of an atomic group are asked together.
+// selectInitialParts returns the parts to queue at once. If the class needs less than the whole weight for a complete
+// answer, these are the parts with the lowest cost per weight that suffice, and the others become reserve parts. The
+// parts of an atomic group are queued together.
 func (s *Scheduler) selectInitialParts(q *query) []*part {
 	target := q.class.CompletenessTarget
 	candidates := slices.Clone(q.parts)
--- a/internal/decision/scheduler/availability.go
+++ b/internal/decision/scheduler/availability.go
@@ -2,9 +2,10 @@
 
 import "math"
 
-// availableAt is when the rules of drains and slow start let a part of a cost go to a replica, by what is known
-// now; +Inf if they never do. A replica that is removed or has drained for too long is never available, a warm one
-// now, and one that is warming up when it fits into this broker's quota.
+// availableAt returns the earliest time at which the drain and slow-start rules allow a part of the given cost to go
+// to a replica, as far as is known now. It returns +Inf for a replica that is removed or whose drain grace has
+// passed, and now for a warm one. A replica that is warming up is available once the part fits into this broker's
+// quota of its slow-start allowance.
 func (s *Scheduler) availableAt(now float64, r *replica, cost float64) float64 {
 	if r.State == Removed || !r.drain.mayStillBeSent(now, s.settings.DrainGrace) {
 		return math.Inf(1)
@@ -22,7 +23,7 @@
 	return s.warmingReplicaAvailableAt(now, r, cost)
 }
 
-// isAvailableBy reports whether some replica of a part's shard may be sent the part by a time.
+// isAvailableBy reports whether any replica of a part's shard may receive the part by the given time.
 func (s *Scheduler) isAvailableBy(now float64, p *part, by float64) bool {
 	for _, r := range s.replicasOf(p.Shard) {
 		if s.availableAt(now, r, p.cost) <= by {
--- a/internal/decision/scheduler/concurrency_limit.go
+++ b/internal/decision/scheduler/concurrency_limit.go
@@ -7,26 +7,27 @@
 )
 
 const (
-	initialReplicaMaxCost      = 4.0 // cost: a few slots of the smallest backend
+	initialReplicaMaxCost      = 4.0 // cost; a few slots of the smallest backend
 	minReplicaMaxCost          = 1.0 // cost
-	replicaLimitStep           = 0.5 // cost by which a normal answer raises a replica's limit, over the limit itself
-	replicaLimitMinUtilization = 0.5 // share of its limit that must be in flight for the limit to grow
+	replicaLimitStep           = 0.5 // cost/limit that a normal answer of cost 1 adds to a replica's limit
+	replicaLimitMinUtilization = 0.5 // fraction of the limit that must be in flight for the limit to grow
 
 	minFleetMaxCost         = 4.0  // cost
-	fleetLimitCutFactor     = 0.85 // factor on what is in flight when the fleet is slow, once per round trip
-	fleetLimitStep          = 0.3  // cost by which the limit grows for each cost answered while the fleet is quick
-	slowFleetObjectiveShare = 0.5  // share of the shortest objective; a fleet whose median part takes longer is slow
+	fleetLimitCutFactor     = 0.85 // factor on the cost in flight when the fleet is slow, at most once per round trip
+	fleetLimitStep          = 0.3  // cost that the limit grows by for each unit of cost answered while the fleet is fast
+	slowFleetObjectiveShare = 0.5  // share of the shortest objective; the fleet is slow if its median part takes longer
 )
 
-// replicaLimit is the cost in flight that a replica carries at its normal latency, for this broker. It grows
-// additively with normal answers and shrinks to what was in flight with slow ones, once per round trip.
+// replicaLimit limits this broker's cost in flight at a replica to what the replica serves at its normal latency. It
+// grows additively with answers at normal latency. A slow answer lowers it to the cost in flight, at most once per
+// round trip.
 type replicaLimit struct {
-	inFlight float64 // cost of this broker's attempts at the replica
+	inFlight float64 // cost of this broker's attempts in flight at the replica
 	maxCost  float64
-	cutAt    float64 // attempts sent before do not cut it again
+	cutAt    float64 // time of the last cut; attempts sent before it do not cut the limit again
 }
 
-// cut lowers the limit to what is in flight, unless that was done after the attempt had been sent.
+// cut lowers the limit to the cost in flight unless the limit was cut after the attempt had been sent.
 func (l *replicaLimit) cut(now, sentAt float64) {
 	if l.cutAt < sentAt {
 		l.lowerToInFlight()
@@ -34,13 +35,13 @@
 	}
 }
 
-// lowerToInFlight lowers the limit to what is in flight.
+// lowerToInFlight lowers the limit to the cost in flight, but not below the minimum.
 func (l *replicaLimit) lowerToInFlight() {
 	l.maxCost = max(minReplicaMaxCost, min(l.maxCost, l.inFlight))
 }
 
-// collapse lowers the limit to the minimum, so that a stalled replica does not draw a crowd of attempts each time
-// its bad latency has faded.
+// lowerToMin lowers the limit to the minimum unless it was cut after the attempt had been sent. Otherwise a stalled
+// replica would receive many attempts each time its recorded latency has decayed.
 func (l *replicaLimit) lowerToMin(now, sentAt float64) {
 	if l.cutAt < sentAt {
 		l.maxCost = minReplicaMaxCost
@@ -48,7 +49,8 @@
 	}
 }
 
-// observe adapts the limit to an answer: waiting queues must not burst onto a replica that has just become normal.
+// observe adapts the limit to an answer. It grows in small steps, so that queued parts do not reach a replica in one
+// burst as soon as its latency is normal again.
 func (l *replicaLimit) observe(now float64, a *attempt, isQueueing bool) {
 	if isQueueing {
 		l.cut(now, a.sentAt)
@@ -59,8 +61,8 @@
 	}
 }
 
-// fleetLimit is the cost in flight that the whole fleet carries for this broker at a useful latency. Only brokers
-// of large fleets have one; others go by what is queued at each shard.
+// fleetLimit limits this broker's cost in flight over all replicas to what the fleet serves at a useful latency. Only
+// brokers of large fleets cut it; others detect overload by the queues of each shard.
 type fleetLimit struct {
 	inFlight float64 // cost of all attempts in flight
 	maxCost  float64 // +Inf until it is cut for the first time
@@ -69,11 +71,11 @@
 
 func newFleetLimit() fleetLimit { return fleetLimit{maxCost: math.Inf(1)} }
 
-// isLargeFleet reports whether there are too many brokers for one to see, by its own attempts in flight, how long the
-// queues of the replicas are.
+// isLargeFleet reports whether there are so many brokers that a broker cannot estimate the queue lengths of the
+// replicas from its own attempts in flight.
 func (s *Scheduler) isLargeFleet() bool { return s.settings.BrokerCount > fleetshare.SmallFleetBrokers }
 
-// cutFleetLimit lowers the limit of the fleet once for what was sent since the last time.
+// cutFleetLimit lowers the fleet's limit unless it was cut after the given send time.
 func (s *Scheduler) cutFleetLimit(now, sentAt float64) {
 	limit := &s.fleetLimit
 	if s.isLargeFleet() && limit.cutAt < sentAt {
@@ -82,7 +84,7 @@
 	}
 }
 
-// adaptFleetLimit raises the limit of the fleet while its median part is quick, and cuts it while that is slow.
+// adaptFleetLimit raises the fleet's limit while its median part is fast, and cuts it while the median part is slow.
 func (s *Scheduler) adaptFleetLimit(now float64, a *attempt) {
 	isFast := s.latency.medianPartMs() <= slowFleetObjectiveShare*s.latency.minObjectiveMs
 	if !s.isLargeFleet() || isFast {
