--- a/internal/decision/scheduler/latency.go
+++ b/internal/decision/scheduler/latency.go
@@ -7,49 +7,50 @@
 )
 
 const (
-	// baselineQuantile is the quantile of latency called the baseline. It is low, so that queueing moves it little.
+	// baselineQuantile is the quantile of the latency per unit of cost that serves as the baseline. It is low so that
+	// queueing hardly moves it.
 	baselineQuantile = 0.35
-	// baselineStep is the fraction by which one sample moves the baseline at most.
+	// baselineStep is the largest fraction by which one sample moves the baseline.
 	baselineStep = 0.01
-	// baselineSamples is how many samples are kept after a start; the baseline is their own quantile at first, as
-	// the parts of a long query come back sorted by latency.
+	// baselineSamples is the number of samples kept after a start. Until then the baseline is their exact quantile,
+	// as the parts of a query with many parts return in order of latency, which would bias a step estimate.
 	baselineSamples = 64
-	// baselineFloorGain is the weight of the newest baseline in the floor while it is above the floor.
+	// baselineFloorGain is the weight of the newest baseline in the floor while the baseline is above the floor.
 	baselineFloorGain = 5e-4
 
 	meanGain           = 0.03 // weight of the newest sample in slow means
-	replicaLatencyGain = 0.35 // weight of the newest latency of a replica: two or three samples suffice
-	medianStep         = 0.05 // fraction by which one latency moves a median; it doubles in 15 samples
-	// overloadMedianParts is how many parts of one query may move the overload median, as those of a long query come back
-	// sorted.
+	replicaLatencyGain = 0.35 // weight of the newest latency of a replica; two or three samples suffice
+	medianStep         = 0.05 // fraction by which one latency moves a median; 15 higher latencies in a row double it
+	// overloadMedianParts is the number of parts per query that may move the overload median by a full step. Each
+	// part of a larger query moves it less, as the parts of such a query return in order of latency.
 	overloadMedianParts = 8.0
 
-	// estimateHalfLifeMinMs is the half-life of an observed decayedEstimate with much traffic. With little it grows up to
-	// estimateHalfLifeMaxMs, or it would be gone before the next sample.
+	// estimateHalfLifeMinMs is the half-life of a replica's estimates under high traffic. With less traffic it grows
+	// up to estimateHalfLifeMaxMs; otherwise an estimate would decay before the next sample.
 	estimateHalfLifeMinMs = 1500
 	estimateHalfLifeMaxMs = 8000
 
-	// queueingObjectiveShare is the share of the shortest latency objective that a normal call may take before its
+	// queueingObjectiveShare is the share of the shortest latency objective that a mean call may take before its
 	// replica counts as queueing.
 	queueingObjectiveShare = 0.33
-	// queueingLatencyMin and queueingLatencyMax bound that level in normalized latency. Below the first, chance alone
-	// would hold parts back; above the second it is a queue whatever the objective.
+	// queueingLatencyMin and queueingLatencyMax bound that threshold, in normalized latency. A lower threshold would
+	// queue parts because of random variation; above the upper one a replica is queueing whatever the objective.
 	queueingLatencyMin = 1.6
 	queueingLatencyMax = 5.0
 )
 
-// latencyEstimator learns what latencies are normal and how those of the fleet compare with it. The baseline is per
-// unit of cost; levels are normalized latencies, 1 at least.
+// latencyEstimator estimates the normal latency and compares the latencies of the fleet with it. The baseline is in
+// ms per unit of cost. The medians are normalized latencies and at least 1.
 type latencyEstimator struct {
 	baseline      float64 // ms per unit of cost; 0 before the first sample
-	baselineFloor float64 // slowly rising minimum of the baseline, free of queueing
+	baselineFloor float64 // minimum of the baseline, which rises slowly and excludes queueing
 	firstSamples  []float64
 
-	fleetMedian     float64 // median over all results
-	overloadMedian  float64 // the same, moved less by long queries: it shows overload
-	queueingLatency float64 // from which a replica counts as queueing
+	fleetMedian     float64 // median normalized latency of all successful attempts
+	overloadMedian  float64 // the same median, moved less by queries with many parts; it indicates overload
+	queueingLatency float64 // normalized latency above which a replica counts as queueing
 
-	meanPartBaselineMs float64 // mean baseline latency of a part in its call, free of the present load
+	meanPartBaselineMs float64 // mean baseline latency of a part in its call, without the effect of the present load
 	meanCallBaselineMs float64 // mean baseline latency of a call
 
 	lastResultAt     float64
@@ -67,23 +68,23 @@
 	}
 }
 
-// recordResult records that a result came in, for the mean time between them.
+// recordResult updates the mean time between results.
 func (l *latencyEstimator) recordResult(now float64) {
 	interval := now - max(l.lastResultAt, now-estimateHalfLifeMaxMs)
 	l.resultIntervalMs += (interval - l.resultIntervalMs) * meanGain
 	l.lastResultAt = now
 }
 
-// observeBaseline takes a latency per unit of cost into the baseline and its floor.
+// observeBaseline updates the baseline and its floor with a latency per unit of cost.
 func (l *latencyEstimator) observeBaseline(perCost float64) {
 	l.baseline = l.nextBaseline(perCost)
 	l.baselineFloor += (l.baseline - l.baselineFloor) * baselineFloorGain
 	if l.baseline < l.baselineFloor || len(l.firstSamples) < baselineSamples {
-		l.baselineFloor = l.baseline // the floor of the first few samples may be far too low
+		l.baselineFloor = l.baseline // a floor from the first few samples may be far too low
 	}
 }
 
-// nextBaseline is the baseline quantile with one more sample.
+// nextBaseline returns the baseline after one more sample.
 func (l *latencyEstimator) nextBaseline(perCost float64) float64 {
 	if len(l.firstSamples) < baselineSamples {
 		i, _ := slices.BinarySearch(l.firstSamples, perCost)
@@ -96,54 +97,57 @@
 	return l.baseline * (1 - (1-baselineQuantile)*baselineStep)
 }
 
-// observeCall takes the costs of an attempt and of its whole call into the mean latencies of parts and calls, and
-// derives the level from which replicas count as queueing.
+// observeCall updates the mean baseline latencies of parts and calls with the costs of an attempt and of its whole
+// call, and derives the latency above which replicas count as queueing.
 func (l *latencyEstimator) observeCall(attemptCost, callCost float64) {
 	call := l.baseline * callCost
 	l.meanPartBaselineMs += (l.baseline*attemptCost - l.meanPartBaselineMs) * meanGain
 	l.meanCallBaselineMs = (1-meanGain)*cmp.Or(l.meanCallBaselineMs, call) + meanGain*call
-	level := queueingObjectiveShare * l.minObjectiveMs / l.meanCallBaselineMs
-	l.queueingLatency = min(max(level, queueingLatencyMin), queueingLatencyMax)
+	threshold := queueingObjectiveShare * l.minObjectiveMs / l.meanCallBaselineMs
+	l.queueingLatency = min(max(threshold, queueingLatencyMin), queueingLatencyMax)
 }
 
-// observeFleet moves the medians of the fleet toward a latency per unit of cost of a query with so many parts.
+// observeFleet moves the medians of the fleet one step toward a latency per unit of cost. queryParts is the number of
+// parts of the attempt's query.
 func (l *latencyEstimator) observeFleet(perCost float64, queryParts int) {
 	l.fleetMedian = stepMedian(l.fleetMedian, perCost-l.fleetMedian*l.baseline, medianStep)
 	step := medianStep * min(1, overloadMedianParts/float64(queryParts+1))
 	l.overloadMedian = stepMedian(l.overloadMedian, perCost-l.overloadMedian*l.baseline, step)
 }
 
-// medianPartMs is the median latency of a part under the present load, in ms.
+// medianPartMs returns the median latency of a part under the present load, in ms.
 func (l *latencyEstimator) medianPartMs() float64 { return l.overloadMedian * l.meanPartBaselineMs }
 
-// decayedEstimate is what is left of an observed decayedEstimate of a replica. Without news it halves in the time in which as many
-// results come in as there are replicas, so that a broker with little traffic does not forget before the next sample.
+// decayedEstimate returns the present value of a replica's excess latency or failure rate. Without new samples the
+// estimate halves in the time in which as many results arrive as there are replicas, so that a broker with little
+// traffic keeps it until the next sample.
 func (s *Scheduler) decayedEstimate(average decayingAverage, now float64) float64 {
 	halfLife := s.latency.resultIntervalMs * float64(len(s.replicas.ordered))
 	return average.valueAt(now, min(max(estimateHalfLifeMinMs, halfLife), estimateHalfLifeMaxMs))
 }
 
-// observeReplicaLatency takes a normalized latency into a replica's average.
+// observeReplicaLatency updates a replica's average with a normalized latency.
 func (s *Scheduler) observeReplicaLatency(now float64, r *replica, normalized float64) {
 	before := s.decayedEstimate(r.excessNormalizedLatency, now)
 	after := max(0, before+replicaLatencyGain*(normalized-1-before))
 	r.excessNormalizedLatency = decayingAverage{at: now, value: after}
 }
 
-// normalizedLatency is a replica's latency by the baseline: the recent average or, if that is more, the age of its
-// oldest attempt in flight that no later one has overtaken.
+// normalizedLatency returns the normalized latency of a replica: its recent average or, if higher, the age of its
+// oldest attempt in flight that has not been overtaken, divided by that attempt's expected latency.
 func (s *Scheduler) normalizedLatency(now float64, r *replica) float64 {
-	level := 1 + s.decayedEstimate(r.excessNormalizedLatency, now)
+	latency := 1 + s.decayedEstimate(r.excessNormalizedLatency, now)
 	for _, a := range r.inFlight {
 		if a.overtaken {
 			continue
 		}
-		return max(level, (now-a.sentAt)/s.expectedLatencyMs(a))
+		return max(latency, (now-a.sentAt)/s.expectedLatencyMs(a))
 	}
-	return level
+	return latency
 }
 
-// stepMedian moves a median: up by a fraction of itself if the sample is not below it, else down, and not below 1.
+// stepMedian moves a median by a fraction of itself: down if the sample is below it, otherwise up. The result is at
+// least 1.
 func stepMedian(median, sampleMinusMedian, fraction float64) float64 {
 	return max(1, median*(1+math.Copysign(fraction, sampleMinusMedian)))
 }
--- a/internal/decision/scheduler/learning.go
+++ b/internal/decision/scheduler/learning.go
@@ -1,6 +1,6 @@
 package scheduler
 
-// AttemptEnded takes the outcome of an attempt. Unknown attempts are ignored.
+// AttemptEnded reports the end of an attempt. Unknown attempts are ignored.
 func (s *Scheduler) AttemptEnded(now float64, result AttemptResult) {
 	key := attemptKey{part: result.Part, number: result.Attempt}
 	a := s.attempts[key]
@@ -13,8 +13,9 @@
 	s.fleetLimit.inFlight -= a.part.cost
 }
 
-// endAttempt learns from the outcome and decides what becomes of the attempt's part and query. The cost of the
-// attempt still counts as in flight.
+// endAttempt updates the estimates with the result of an attempt. It then marks the part as arrived, queues a
+// substitute or leaves the part to a retry, and ends the query if that decides it. The cost of the attempt still
+// counts as in flight meanwhile.
 func (s *Scheduler) endAttempt(now float64, a *attempt, result AttemptResult) {
 	p := a.part
 	a.ended = true
@@ -43,7 +44,7 @@
 	if p.attemptsInFlight > 0 {
 		return
 	}
-	// A failed part that has a substitute becomes a reserve part itself; others wait for their retry.
+	// If a substitute part was queued, the failed part becomes a reserve part. Otherwise it waits for its retry.
 	hasSubstitute := s.askSubstitute(now, p.query)
 	p.reserve = hasSubstitute
 	if !hasSubstitute {
@@ -51,7 +52,7 @@
 	}
 }
 
-// learn takes what the end of an attempt says about its replica, the fleet and the network.
+// learn updates the estimates for the replica, the fleet and the network with the result of an attempt.
 func (s *Scheduler) learn(now float64, a *attempt, result AttemptResult) {
 	loadSample := a.part.cost
 	if !result.reflectsLoad() {
@@ -59,7 +60,7 @@
 	}
 	s.throttle.RecordResult(loadSample, result.Outcome != Rejected)
 	if result.Outcome == NotHolder {
-		a.replica.lastUsedAt = now // it answers; that it does not hold the shard is no fault of its own
+		a.replica.lastUsedAt = now // it answered; that it does not hold the shard is not its fault
 		return
 	}
 	s.latency.recordResult(now)
@@ -87,14 +88,15 @@
 	}
 }
 
-// learnIdleConnection reports whether an attempt was lost with an idle connection, and learns how common that is.
+// learnIdleConnection updates the loss rate of idle connections and reports whether the attempt was lost because its
+// connection had been idle.
 func (s *Scheduler) learnIdleConnection(now float64, a *attempt, outcome Outcome, isImmediate bool) bool {
 	hasReset := outcome == ConnectionReset && isImmediate
 	hasStalled := (outcome == TimedOut || outcome == Cancelled) && !a.overtaken && s.isLate(now, a)
 	return s.idle.observe(now, a, outcome, hasReset, hasStalled, len(s.replicas.ordered))
 }
 
-// learnSuccess takes the latency of a good answer, in ms, into every estimate.
+// learnSuccess updates every estimate with the latency of a successful attempt.
 func (s *Scheduler) learnSuccess(now float64, a *attempt, latencyMs float64) {
 	r := a.replica
 	attemptCost := s.latencyCost(a)
@@ -111,7 +113,8 @@
 	s.latency.observeFleet(perCost, len(a.part.query.parts))
 	r.markOvertaken(a.sentAt)
 	if r.outliers.isUnreachable {
-		// It serves again: perhaps a new process that is warming up, which the endpoint list has not shown yet.
+		// The replica serves again. It may be a new process that is warming up and that no endpoint list update has
+		// reported yet.
 		r.outliers.isUnreachable = false
 		r.warmup.startedAt = max(r.warmup.startedAt, r.outliers.failureRate.at)
 	}
@@ -124,8 +127,9 @@
 	s.observeOutcome(now, r, a.part.query.class, 0)
 }
 
-// markOvertaken takes attempts sent before a time off the replica's limit: a later one has come back, so they are
-// stuck by themselves. One lost message must not block a healthy replica.
+// markOvertaken marks the attempts in flight that were sent before the given time and removes their cost from the
+// replica's limit. A later attempt has succeeded, so the replica is not the reason why they are stuck. Otherwise one
+// lost message could block a healthy replica.
 func (r *replica) markOvertaken(sentAt float64) {
 	for _, a := range r.inFlight {
 		if a.sentAt < sentAt {
@@ -136,17 +140,17 @@
 	}
 }
 
-// learnRejection takes a rejection: overload, not a fault. Its circuit opens for a while, or its quick
-// rejections would draw all parts.
+// learnRejection handles a rejection, which is a sign of overload and not a fault. It opens the replica's circuit for
+// a while; otherwise its fast rejections would attract all parts.
 func (s *Scheduler) learnRejection(now float64, r *replica) {
-	level := max(rejectionLatencyFactor*s.latency.queueingLatency, s.normalizedLatency(now, r))
-	s.observeReplicaLatency(now, r, level)
+	latency := max(rejectionLatencyFactor*s.latency.queueingLatency, s.normalizedLatency(now, r))
+	s.observeReplicaLatency(now, r, latency)
 	s.lastOverloadAt = now
 	s.openCircuit(now, r, rejectionCircuitParts)
 	r.limit.lowerToInFlight()
 }
 
-// learnTimeout takes an attempt that was given up: its age is a lower bound of its latency.
+// learnTimeout handles an attempt that was given up. Its age is a lower bound of its latency.
 func (s *Scheduler) learnTimeout(now float64, a *attempt) {
 	r := a.replica
 	normalized := (now - a.sentAt) / s.expectedLatencyMs(a)
@@ -162,8 +166,9 @@
 	}
 }
 
-// learnLostConnection takes a connection that broke or could not be made. Dead processes refuse at once; a dial that
-// times out may only be slow, and must fail twice to eject the replica.
+// learnLostConnection handles a connection that broke or could not be made. The host of a dead process refuses
+// connections at once, so a reset or an immediate failure marks the replica as unreachable. A dial that times out may
+// only be slow, so it counts as one ordinary failure.
 func (s *Scheduler) learnLostConnection(now float64, a *attempt, outcome Outcome, isImmediate bool) {
 	r := a.replica
 	r.lastUsedAt = 0
--- a/internal/decision/scheduler/outlier_detection.go
+++ b/internal/decision/scheduler/outlier_detection.go
@@ -3,51 +3,54 @@
 import "math"
 
 const (
-	failureGain         = 0.6 // weight of the newest outcome in a failure rate: one failure ejects, one success halves it
+	failureGain         = 0.6 // weight of the newest outcome: one failure ejects, one success more than halves the rate
 	ejectionFailureRate = 0.5 // failure rate from which a replica is ejected
-	ejectionLatency     = 3.5 // times the fleet's level from which a replica is ejected
+	ejectionLatency     = 3.5 // multiple of the fleet's median latency from which a replica is ejected
 
-	// Non-idempotent parts are lost by one failure, so they avoid replicas sooner.
-	nonIdempotentMaxFailureRate = 0.1  // failure rate from which they avoid a replica
-	nonIdempotentMaxLatency     = 2.0  // times the fleet's level
-	failureRateWeight           = 30.0 // normalized latency that a failure rate of 1 weighs between avoided replicas
+	// Non-idempotent parts cannot be retried after a failure, so they avoid replicas sooner.
+	nonIdempotentMaxFailureRate = 0.1  // failure rate above which they avoid a replica
+	nonIdempotentMaxLatency     = 2.0  // multiple of the fleet's median latency above which they avoid a replica
+	failureRateWeight           = 30.0 // normalized latency that a failure rate of 1 adds between avoided replicas
 
-	// trialBackoffParts sets how long a slow replica waits for its next trial request: after n slow ones in a row
-	// trialBackoffParts*(2^(n-1)-1) mean parts' work, so nothing after the first.
+	// trialBackoffParts sets how long a slow replica waits for its next trial request. After n slow trials in a row
+	// the backoff is trialBackoffParts*(2^(n-1)-1) times the work of a mean part, so there is none after the first.
 	trialBackoffParts = 10.0
-	// immediateFailureParts is the mean parts' work before which a reset or refused connection shows that no work
-	// had been done.
+	// immediateFailureParts is the time, in units of a mean part's work, within which a reset or refused connection
+	// shows that the replica had done no work.
 	immediateFailureParts = 0.5
-	// openCircuitParts is the mean parts' work for which a lost replica gets nothing.
+	// openCircuitParts is the time, in units of a mean part's work, for which a replica's circuit stays open after a
+	// lost connection.
 	openCircuitParts = 3.0
-	// rejectionCircuitParts is the same after a rejection.
+	// rejectionCircuitParts is the same time after a rejection.
 	rejectionCircuitParts = 1.0
-	// rejectionLatencyFactor is how many times the queueing level a rejection counts as latency.
+	// rejectionLatencyFactor is the multiple of the queueing threshold that a rejection counts as normalized latency.
 	rejectionLatencyFactor = 2.0
 )
 
-// outlierState is what marks a replica as an outlier among its peers. Failure rates fade without news, so that an
-// ejected replica is tried again.
+// outlierState holds the estimates that decide whether a replica is an outlier. Failure rates decay without new
+// outcomes, so an ejected replica is eventually sent parts again.
 type outlierState struct {
 	failureRate decayingAverage
-	// nonIdempotentFailureRate is the same for parts that must not run twice. Only their own success lowers it, as
-	// a release may break one class alone.
+	// nonIdempotentFailureRate is the failure rate that non-idempotent parts consider. Only successes of such parts
+	// lower it, as a faulty release may fail a single class.
 	nonIdempotentFailureRate decayingAverage
-	// isUnreachable says that it refused or lost a connection and has not served since.
+	// isUnreachable is set once the replica has refused or lost a connection, until it next answers a part.
 	isUnreachable bool
-	// consecutiveSlowTrials is how many trial requests in a row were slow; 0 unless it is slow.
+	// consecutiveSlowTrials is the number of slow trial requests in a row; 0 unless the replica is slow.
 	consecutiveSlowTrials int
-	// lastSlowAt is when an attempt last ended so late that it made the replica an outlier.
+	// lastSlowAt is the time when an attempt last ended with a latency at which replicas are ejected.
 	lastSlowAt float64
-	// trialAllowedAt is the time from which one attempt may go to it although it is an outlier.
+	// trialAllowedAt is the time from which the ejected replica may be sent one trial request.
 	trialAllowedAt float64
-	// isCountedAsSlow says that it has been slow, and has not answered at its zone's level since.
+	// isCountedAsSlow is set while a slow answer of the replica has raised its zone's latency and no answer at the
+	// zone's latency has followed.
 	isCountedAsSlow bool
-	// hasStalledOnIdle says that an attempt on an idle connection has stalled there, and nothing has come back since.
+	// hasStalledOnIdle is set while an attempt on an idle connection to the replica has stalled and none has
+	// succeeded since.
 	hasStalledOnIdle bool
 }
 
-// resetForNewProcess drops what was learned of a process that has been replaced.
+// resetForNewProcess discards the estimates of a process that has been replaced.
 func (o *outlierState) resetForNewProcess() {
 	o.failureRate = decayingAverage{}
 	o.nonIdempotentFailureRate = decayingAverage{}
@@ -57,9 +60,9 @@
 	o.isCountedAsSlow = false
 }
 
-// isHealthy reports whether a replica is ready and no outlier among its peers: it keeps parts away from draining,
-// slow, stalled, failing and unreachable replicas. A sound replica that failed by chance is avoided until its failure
-// rate has faded.
+// isHealthy reports whether a replica is ready and not an outlier. It excludes draining, slow, stalled, failing and
+// unreachable replicas. A replica without a fault that failed by chance is avoided until its failure rate has
+// decayed.
 func (s *Scheduler) isHealthy(now float64, r *replica) bool {
 	if r.State != Ready || s.decayedEstimate(r.outliers.failureRate, now) >= ejectionFailureRate {
 		return false
@@ -73,23 +76,24 @@
 	return r.canHaveTrial(now)
 }
 
-// canHaveTrial reports whether a slow replica may be sent one attempt to see whether it has recovered.
+// canHaveTrial reports whether a slow replica may be sent one attempt that shows whether it has recovered.
 func (r *replica) canHaveTrial(now float64) bool {
 	return len(r.inFlight) == 0 && r.outliers.consecutiveSlowTrials > 0 && now >= r.outliers.trialAllowedAt
 }
 
-// isAvoidedByNonIdempotent reports whether a replica of a latency level is too doubtful for non-idempotent parts, and its
-// failure rate for them.
-func (s *Scheduler) isAvoidedByNonIdempotent(now float64, r *replica, level float64) (avoids bool, failureRate float64) {
+// isAvoidedByNonIdempotent reports whether non-idempotent parts avoid a replica with the given normalized latency. It
+// also returns the replica's failure rate for such parts.
+func (s *Scheduler) isAvoidedByNonIdempotent(now float64, r *replica, latency float64) (isAvoided bool,
+	failureRate float64) {
 	failureRate = r.outliers.nonIdempotentFailureRate.valueAt(now, estimateHalfLifeMaxMs)
-	avoids = failureRate > nonIdempotentMaxFailureRate || level > nonIdempotentMaxLatency*s.latency.fleetMedian
-	return avoids, failureRate
+	isAvoided = failureRate > nonIdempotentMaxFailureRate || latency > nonIdempotentMaxLatency*s.latency.fleetMedian
+	return isAvoided, failureRate
 }
 
-// observeSlowness learns from an attempt that ended at a normalized latency whether its replica is stalled or slow.
-// Attempts that a stalled replica held back come late all at once, or are cancelled; one that was sent after that is
-// a trial request. A trial at normal latency ends the ejection at once. After each slow one the next waits twice as
-// long, so that a short pause does not eject a replica for long and a slow one gets little.
+// observeSlowness detects slow and stalled replicas by the normalized latency of an attempt that has ended. The
+// attempts that were in flight during a stall end late together or are cancelled. An attempt sent after their end is
+// a trial request. One trial at normal latency ends the ejection. After each slow trial the replica waits twice as
+// long for the next one, so that a short pause ejects it only briefly and a slow replica receives few parts.
 func (s *Scheduler) observeSlowness(now float64, a *attempt, normalized float64) {
 	r := a.replica
 	outliers := &r.outliers
@@ -100,24 +104,24 @@
 		}
 		return
 	}
-	// An attempt that was sent before the last slow end and comes late out of a stall that is over counts no trial.
+	// An attempt that was sent before the last slow end was delayed by the same stall; it does not count as a trial.
 	if a.sentAt > outliers.lastSlowAt || outliers.consecutiveSlowTrials == 0 {
 		outliers.consecutiveSlowTrials++
 	}
-	rest := trialBackoffParts * s.meanPartWorkMs() * (math.Exp2(float64(outliers.consecutiveSlowTrials-1)) - 1)
+	backoff := trialBackoffParts * s.meanPartWorkMs() * (math.Exp2(float64(outliers.consecutiveSlowTrials-1)) - 1)
 	outliers.lastSlowAt = now
-	outliers.trialAllowedAt = now + min(rest, estimateHalfLifeMaxMs)
+	outliers.trialAllowedAt = now + min(backoff, estimateHalfLifeMaxMs)
 }
 
-// observeOutcome takes a failure, 1, or a success, 0, into the failure rates of a replica.
+// observeOutcome updates the failure rates of a replica. failure is 1 for a failure and 0 for a success.
 func (s *Scheduler) observeOutcome(now float64, r *replica, class *Class, failure float64) {
 	rate := s.decayedEstimate(r.outliers.failureRate, now)*(1-failureGain) + failureGain*failure
 	r.outliers.failureRate = decayingAverage{at: now, value: rate}
 	r.observeNonIdempotent(now, class, failure)
 }
 
-// observeNonIdempotent does the same for the failure rate that non-idempotent parts go by. Successes of other
-// classes do not count.
+// observeNonIdempotent updates the failure rate that non-idempotent parts consider. Successes of other classes do not
+// count.
 func (r *replica) observeNonIdempotent(now float64, class *Class, failure float64) {
 	if failure <= 0 && class.Idempotency != NonIdempotent {
 		return
@@ -127,7 +131,7 @@
 	r.outliers.nonIdempotentFailureRate = decayingAverage{at: now, value: after}
 }
 
-// openCircuit keeps new attempts from a replica for the time of so many mean parts.
+// openCircuit keeps new attempts from a replica for the time that the given number of mean parts takes.
 func (s *Scheduler) openCircuit(now float64, r *replica, meanParts float64) {
 	r.circuitOpenUntil = now + meanParts*s.meanPartWorkMs()
 }
--- a/internal/decision/scheduler/query.go
+++ b/internal/decision/scheduler/query.go
@@ -2,30 +2,30 @@
 
 import "slices"
 
-// query is a query that has not ended.
+// query is an open query and its progress.
 type query struct {
 	Query
 	class     *Class
 	arrivedAt float64
-	// objectiveAt is the time until which an answer has its full worth.
+	// objectiveAt is the time until which an answer has its full value.
 	objectiveAt float64
-	// priority is the query's worth for admission; it starts as the class's PriorityWeight.
+	// priority is the query's priority at admission. It starts as the class's PriorityWeight.
 	priority      float64
 	parts         []*part
 	arrivedWeight float64 // of the parts that have arrived
-	// expectedLastPartMs is the time that its last part was expected to take at admission.
+	// expectedLastPartMs is the latency of the query's last part that was expected at admission.
 	expectedLastPartMs float64
 	step               int  // 0, or 1 after the first answer of a class with two steps
 	firstStepComplete  bool // the answer of the first step was complete
-	awaitsAdmission    bool // it is decided on in the next round
+	awaitsAdmission    bool // the next round decides on the query's admission
 	ended              bool
 }
 
-// part is a part of a query that has not ended.
+// part is a part of an open query and its progress.
 type part struct {
 	Part
 	query            *query
-	group            *atomicGroup // nil if it counts by itself
+	group            *atomicGroup // nil if the part is in no atomic group
 	cost             float64
 	attempts         []*attempt
 	attemptsInFlight int
@@ -43,22 +43,23 @@
 	replica *replica
 	call    *callInFlight
 	sentAt  float64
-	// replicaCost is the cost in flight at the replica with this attempt.
+	// replicaCost is this broker's cost in flight at the replica when the attempt was sent, with the attempt's own.
 	replicaCost float64
-	// limitCost is what the attempt counts toward the replica's limit; 0 once it has been overtaken.
+	// limitCost is the cost that the attempt counts toward the replica's limit; 0 once it has been overtaken.
 	limitCost float64
-	// idleMs is for how long its connection had not been used when it was sent; 0 if it was new or in use.
+	// idleMs is how long the connection had been unused when the attempt was sent; 0 if it was new or in use.
 	idleMs float64
-	// overtaken says that a later attempt at the replica has ended well: this one is stuck by itself.
+	// overtaken is set once an attempt that was sent later has succeeded at the same replica: the replica is not the
+	// reason why this one is stuck.
 	overtaken bool
-	late      bool // it was late once
-	covered   bool // a hedged request, a reassignment or a substitute part takes its place
+	late      bool // it has been late at some time
+	covered   bool // a hedged request, a reassignment or a substitute part covers the late attempt
 	ended     bool
 	endedAt   float64
 	outcome   Outcome
 }
 
-// callInFlight is a call that carries attempts to a replica. A replica's load is counted in calls.
+// callInFlight is a call to a replica and the attempts that it carries. The load of a replica is counted in calls.
 type callInFlight struct {
 	partsInFlight int
 	parts         int
@@ -69,16 +70,17 @@
 
 func (p *part) mayHaveRun() bool { return slices.ContainsFunc(p.attempts, (*attempt).mayHaveRun) }
 
-// atomicGroup is parts that count only together: what was one part for the client and several shards hold.
+// atomicGroup is a set of parts that count only when all of them have arrived: the client asked for one part, whose
+// data several shards hold.
 type atomicGroup struct {
 	number  int
 	parts   []*part
 	weight  float64
 	missing int  // parts that have not arrived
-	asked   bool // none of them is a reserve part
+	asked   bool // no part of the group is a reserve part
 }
 
-// companions are the parts that count together with this one, itself included.
+// groupParts returns the parts of the part's atomic group, or the part alone if it is in none.
 func (p *part) groupParts() []*part {
 	if p.group != nil {
 		return p.group.parts
@@ -86,8 +88,9 @@
 	return []*part{p}
 }
 
-// weightIf is what a part adds to a sum over its query's parts if all that count together satisfy a condition. The
-// weight of an atomic group is added once, with its first part.
+// weightIf returns the part's weight if the condition holds for it and for all parts of its atomic group, otherwise
+// 0. The whole weight of an atomic group is returned for its first part and 0 for the others, so that a sum over all
+// parts counts the group once.
 func (p *part) weightIf(condition func(*part) bool) float64 {
 	if p.group == nil {
 		if condition(p) {
@@ -98,15 +101,15 @@
 	if p.group.parts[0] != p {
 		return 0
 	}
-	for _, companion := range p.group.parts {
-		if !condition(companion) {
+	for _, other := range p.group.parts {
+		if !condition(other) {
 			return 0
 		}
 	}
 	return p.group.weight
 }
 
-// markArrived notes that a part has arrived and returns the weight that has arrived with it.
+// markArrived marks a part as arrived and returns the weight that this adds to the query's arrived weight.
 func (p *part) markArrived() float64 {
 	p.arrived = true
 	if p.group == nil {
@@ -119,7 +122,7 @@
 	return p.group.weight
 }
 
-// joinGroup puts a part of a query into its atomic group.
+// joinGroup adds a part to its atomic group, which it creates for the first part.
 func (q *query) joinGroup(p *part) {
 	for _, other := range q.parts {
 		if other.group != nil && other.group.number == p.AtomicGroup {
@@ -135,10 +138,10 @@
 	p.group.missing++
 }
 
-// hasQueuedPart reports whether some part waits in a queue.
+// hasQueuedPart reports whether any part waits in a queue.
 func (q *query) hasQueuedPart() bool {
 	return slices.ContainsFunc(q.parts, func(p *part) bool { return p.queued })
 }
 
-// mayHaveRun reports whether some part may have been executed.
+// mayHaveRun reports whether any part of the query may have been executed.
 func (q *query) mayHaveRun() bool { return slices.ContainsFunc(q.parts, (*part).mayHaveRun) }
--- a/internal/decision/scheduler/queues.go
+++ b/internal/decision/scheduler/queues.go
@@ -7,19 +7,20 @@
 )
 
 const (
-	// queueThresholdRatio is R of Rein (Reda et al., "Rein: Taming Tail Latency in Key-Value Stores via Multiget
-	// Scheduling", EuroSys 2017): the threshold of queue i is R to the power of i, in cost.
+	// queueThresholdRatio is the constant R of Rein (Reda et al., "Rein: Taming Tail Latency in Key-Value Stores via
+	// Multiget Scheduling", EuroSys 2017). The threshold of queue i, in cost, is R to the power of i.
 	queueThresholdRatio = 1.5
-	// promotionObjectiveShare is the share of its class's objective after which a queued call jumps to the fastest
-	// queue.
+	// promotionObjectiveShare is the share of the class's latency objective after which a queued call is promoted to
+	// the fastest queue.
 	promotionObjectiveShare = 0.5
-	// denseShards bounds the ids of shards that keep their place in the round robin while nothing is queued.
+	// denseShards is the number of shard ids, from 0, whose queues are kept while empty, with their position in the
+	// round robin.
 	denseShards = 4096
-	// callBufferSize is the number of calls of a query that are grouped without allocation.
+	// callBufferSize is the number of calls per query that are built without allocating a slice.
 	callBufferSize = 16
 )
 
-// queueRates are the rates of deficit round robin, in cost per round, from the fastest queue on.
+// queueRates are the quanta of deficit round robin, in cost per visit, from the fastest queue to the slowest.
 var queueRates = [...]float64{5, 4, 3, 2}
 
 const queueCount = len(queueRates)
@@ -31,30 +32,30 @@
 	queuedAt float64
 }
 
-// shardQueues are the queues of one shard. Rein assigns a call to a queue by the cost of its query's bottleneck;
-// deficit round robin drains them in proportion to their rates.
+// shardQueues holds the queues of one shard. Rein assigns a call to a queue by the cost of its query's bottleneck.
+// Deficit round robin drains the queues in proportion to their rates.
 type shardQueues struct {
 	shard        int
 	fifo         [queueCount][]*queuedCall
 	deficit      [queueCount]float64
 	currentQueue int
-	// oldestQueuedAt is since when its oldest call has been waiting, as of the beginning of the round.
+	// oldestQueuedAt is the time when the oldest queued call was queued, as of the beginning of the round.
 	oldestQueuedAt float64
-	isActive       bool // it is among the active ones
+	isActive       bool // whether queueTable.active contains it
 }
 
-// queueTable holds the queues of all shards at which something is or was queued. The work of a round goes by the
-// number of active shards, not by that of all.
+// queueTable holds the queues of all shards with queued calls. The work of a round is proportional to the number of
+// active shards, not of all shards.
 type queueTable struct {
-	dense    []*shardQueues       // by shard, below denseShards
-	sparse   map[int]*shardQueues // the others, while something is queued there
-	active   []*shardQueues       // those with something queued
-	isSorted bool                 // active is in order of shards
+	dense    []*shardQueues       // by shard id, below denseShards
+	sparse   map[int]*shardQueues // the other shards, while they have queued calls
+	active   []*shardQueues       // shards with queued calls
+	isSorted bool                 // whether active is sorted by shard id
 }
 
 func newQueueTable() queueTable { return queueTable{sparse: map[int]*shardQueues{}} }
 
-// of returns the queues of a shard, or nil if nothing was queued there.
+// queuesOf returns the queues of a shard, or nil if it has none.
 func (t *queueTable) queuesOf(shard int) *shardQueues {
 	if shard < len(t.dense) {
 		return t.dense[shard]
@@ -62,7 +63,7 @@
 	return t.sparse[shard]
 }
 
-// activate returns the queues of a shard to which a call is about to be added.
+// activate returns the queues of a shard and adds them to the active ones. The caller then queues a call there.
 func (t *queueTable) activate(shard int, now float64) *shardQueues {
 	queues := t.queuesOf(shard)
 	if queues == nil {
@@ -89,7 +90,7 @@
 	t.dense[queues.shard] = queues
 }
 
-// sortActive puts the active shards in order, so that a round does the same whatever came first.
+// sortActive sorts the active shards by id, so that a round does not depend on the order in which they became active.
 func (t *queueTable) sortActive() {
 	if t.isSorted {
 		return
@@ -98,7 +99,7 @@
 	t.isSorted = true
 }
 
-// dropIdle takes the shards at which nothing is queued off the active ones.
+// dropIdle removes the shards without queued calls from the active ones.
 func (t *queueTable) dropIdle() {
 	t.active = slices.DeleteFunc(t.active, func(queues *shardQueues) bool {
 		if !queues.isEmpty() {
@@ -121,8 +122,8 @@
 	return true
 }
 
-// refresh drops calls of which no part is wanted any more, promotes those that have waited too long to the fastest
-// queue, and notes since when the oldest one has waited.
+// refresh drops calls without parts that are still queued, promotes those that have waited too long to the fastest
+// queue, and updates oldestQueuedAt.
 func (q *shardQueues) refresh(now float64) {
 	q.oldestQueuedAt = now
 	for queue := range q.fifo {
@@ -130,7 +131,7 @@
 	}
 }
 
-// refreshQueue returns the calls that stay in a queue.
+// refreshQueue returns the calls that stay in the given queue.
 func (q *shardQueues) refreshQueue(now float64, queue int) []*queuedCall {
 	calls := q.fifo[queue]
 	staying := calls[:0]
@@ -158,7 +159,7 @@
 	return now-q.arrivedAt > promotionObjectiveShare*q.class.LatencyObjective
 }
 
-// next is the queue that deficit round robin drains next, or -1 if all are empty.
+// nextQueue returns the queue whose first call deficit round robin releases next, or -1 if all queues are empty.
 func (q *shardQueues) nextQueue() int {
 	waiting := 0
 	for i, calls := range q.fifo {
@@ -180,15 +181,16 @@
 	return -1
 }
 
-// pop removes the first call of a queue and charges its cost.
+// pop removes the first call of a queue and subtracts its cost from the queue's deficit.
 func (q *shardQueues) pop(queue int) {
 	calls := q.fifo[queue]
 	q.deficit[queue] -= calls[0].cost
-	calls[0] = nil // an idle shard must not keep its last queries in memory
+	calls[0] = nil // otherwise an idle shard would keep its last queries in memory
 	q.fifo[queue] = calls[1:]
 }
 
-// bottleneckQueue is the queue of a query's most expensive call: the first whose threshold is above the cost.
+// bottleneckQueue returns the queue for a query's most expensive call: the first queue whose threshold exceeds the
+// cost.
 func bottleneckQueue(cost float64) int {
 	queue := 0
 	for threshold := queueThresholdRatio; cost >= threshold && queue < queueCount-1; threshold *= queueThresholdRatio {
@@ -197,8 +199,9 @@
 	return queue
 }
 
-// slackQueue is the queue of a call that costs a ratio of the bottleneck: the one whose rate relative to the
-// bottleneck's is nearest to the ratio, so that both finish together. It is never faster than the bottleneck's.
+// slackQueue returns the queue for a call whose cost is the given ratio of the bottleneck's. It chooses the queue
+// whose rate, relative to that of the bottleneck's queue, is nearest to the ratio, so that both calls finish
+// together. The queue is never faster than the bottleneck's.
 func slackQueue(bottleneck int, ratio float64) int {
 	best := bottleneck
 	smallestGap := 1.0
@@ -227,8 +230,9 @@
 	}
 }
 
-// groupIntoCalls groups parts into calls, which it appends to calls. In a large fleet parts share a call only where
-// calls are expensive: a batch lands on a queue that this broker's own counts do not show.
+// groupIntoCalls groups parts into calls, which it appends to calls. In a large fleet parts share a call only if
+// calls are expensive, because a broker cannot see from its own attempts how long the queue is that a large call
+// would join.
 func (s *Scheduler) groupIntoCalls(calls []*queuedCall, now float64, parts []*part) []*queuedCall {
 	maxParts := s.settings.MaxPartsPerCall
 	if s.isLargeFleet() && !s.callsAreExpensive() {
@@ -247,7 +251,8 @@
 	return calls
 }
 
-// mostExpensive is the call with the highest cost, the first of equals; nil if there is none.
+// mostExpensive returns the call with the highest cost, the first of several equal ones, or nil if there are no
+// calls.
 func mostExpensive(calls []*queuedCall) *queuedCall {
 	var most *queuedCall
 	for _, call := range calls {
@@ -258,7 +263,7 @@
 	return most
 }
 
-// findCall is the first call that a part can join, or nil.
+// findCall returns the first call that a part can join, or nil.
 func (s *Scheduler) findCall(calls []*queuedCall, p *part, maxParts int) *queuedCall {
 	placement := s.settings.Placement
 	for _, call := range calls {
@@ -269,7 +274,7 @@
 	return nil
 }
 
-// releaseQueues sends what the replicas of the active shards take.
+// releaseQueues sends the queued calls of the active shards for which replicas have capacity.
 func (s *Scheduler) releaseQueues(now float64) {
 	s.queues.sortActive()
 	for _, queues := range s.queues.active {
@@ -278,7 +283,7 @@
 	s.queues.dropIdle()
 }
 
-// release drains the queues of a shard while some replica of it takes more work.
+// release sends queued calls of a shard as long as a replica of the best tier has capacity.
 func (s *Scheduler) release(now float64, queues *shardQueues) {
 	for queue := queues.nextQueue(); queue >= 0; queue = queues.nextQueue() {
 		call := queues.fifo[queue][0]
@@ -288,7 +293,7 @@
 		}
 		for _, p := range call.parts {
 			if p.queued && !s.dispatch(now, p, selected.replica) {
-				return // the rules do not let it go yet
+				return // the rules on sending do not allow it yet
 			}
 		}
 		queues.pop(queue)
--- a/internal/decision/scheduler/replica.go
+++ b/internal/decision/scheduler/replica.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// replica is what the scheduler knows of one replica.
+// replica is the state that the scheduler keeps for one replica.
 type replica struct {
 	Endpoint
 	drain    drainState
@@ -10,21 +10,21 @@
 	limit    replicaLimit
 	outliers outlierState
 
-	// excessNormalizedLatency averages the normalized latency above 1.
+	// excessNormalizedLatency is the average of the normalized latency minus 1.
 	excessNormalizedLatency decayingAverage
-	inFlight                []*attempt // in the order in which they were sent
+	inFlight                []*attempt // in the order of sending
 	callsInFlight           int
-	// currentCall takes further parts of the round in which it was begun.
+	// currentCall is the call that attempts of round currentRound may join.
 	currentCall  *callInFlight
 	currentRound int
-	// lastUsedAt is when a connection to it last carried something; 0 if there is none.
+	// lastUsedAt is when a connection to the replica was last used; 0 if there is no connection.
 	lastUsedAt float64
-	// circuitOpenUntil is the time before which it gets nothing, after a rejection or a lost connection.
+	// circuitOpenUntil is the time before which the replica is sent nothing, after a rejection or a lost connection.
 	circuitOpenUntil float64
 }
 
-// newReplica makes the state of a replica that was not known. Unless it is ready it may be one that was reported
-// removed and has been forgotten, so the grace of its drain counts as over.
+// newReplica creates the state of a replica that was not known. If it is not ready, it may be a replica that was
+// reported removed and then forgotten, so the grace of its drain counts as over.
 func newReplica(e Endpoint) *replica {
 	return &replica{
 		Endpoint: e,
@@ -34,14 +34,14 @@
 	}
 }
 
-// restarted forgets what was learned of the process before; the new one is warming up.
+// resetForRestart discards the estimates of the replica's previous process and begins the slow start of the new one.
 func (r *replica) resetForRestart(startedAt float64) {
 	r.excessNormalizedLatency = decayingAverage{}
 	r.outliers.resetForNewProcess()
 	r.warmup.startedAt = startedAt
 }
 
-// attemptedAt reports whether the part was sent to the replica before.
+// attemptedAt reports whether the part has been sent to the replica before.
 func (p *part) attemptedAt(r *replica) bool {
 	for _, a := range p.attempts {
 		if a.replica == r {
@@ -51,7 +51,7 @@
 	return false
 }
 
-// removeInFlight takes an attempt off the replica.
+// removeInFlight removes an attempt from the replica's attempts in flight.
 func (r *replica) removeInFlight(ended *attempt) {
 	for i, a := range r.inFlight {
 		if a == ended {
--- a/internal/decision/scheduler/replica_selection.go
+++ b/internal/decision/scheduler/replica_selection.go
@@ -3,36 +3,38 @@
 import "cmp"
 
 const (
-	// failureTieWeight is the normalized latency that a failure rate of 1 weighs in a tie.
+	// failureTieWeight is the normalized latency that a failure rate of 1 equals in a tie break.
 	failureTieWeight = 2
-	// otherZonePenalty is the normalized latency that another zone weighs in a tie.
+	// otherZonePenalty is the normalized latency that another zone adds in a tie break.
 	otherZonePenalty = 0.5
-	// tieNoise is the random part of a tie, so that brokers do not move in step.
+	// tieNoise is the range of the random term of a tie break, which keeps brokers from choosing in lockstep.
 	tieNoise = 0.15
-	// pacedReplicaLatency is how many times the fleet's level makes a replica that holds parts back get them at a pace.
+	// pacedReplicaLatency is the multiple of the fleet's median latency above which a replica is sent attempts at a
+	// pace.
 	pacedReplicaLatency = 1.8
-	// assumedConcurrency is how many parts a replica is taken to serve side by side for that pace.
+	// assumedConcurrency is the number of parts that a replica is assumed to serve concurrently, for that pace.
 	assumedConcurrency = 2.0
 )
 
-// The tiers of eligibility, best first. A replica that the part was sent to before comes after all others.
+// The tiers of eligibility, best first. tierAlreadyAttempted is added to the tier of a replica that the part was sent
+// to before, so that it ranks after all others.
 const (
 	tierHealthy                = 0
-	tierAvoidedByNonIdempotent = 0.5 // healthy, but avoided by non-idempotent parts
+	tierAvoidedByNonIdempotent = 0.5 // healthy, but with a failure rate or latency that non-idempotent parts avoid
 	tierOutlier                = 1
-	tierAlreadyAttempted       = 2 // added to the others
+	tierAlreadyAttempted       = 2 // added to one of the others
 )
 
-// selection is the replica chosen for a part, and whether some replica of its tier takes more work now.
+// selection is the replica selected for a part, and whether any replica of its tier has capacity.
 type selection struct {
 	replica         *replica
 	tierHasCapacity bool
 }
 
-// rank orders the candidates for a part; the least is chosen.
+// rank orders the candidates for a part; the lowest is selected.
 type rank struct {
 	tier     float64
-	calls    float64 // of this broker in flight at the replica
+	calls    float64 // this broker's calls in flight at the replica
 	tieBreak float64
 }
 
@@ -46,9 +48,9 @@
 	return cmp.Compare(r.tieBreak, other.tieBreak)
 }
 
-// selectReplica chooses the replica of a shard with the fewest calls of this broker in flight; ties go by latency,
-// failures and zone. Outliers are chosen only if nothing else is allowed and, with avoidAttempted, replicas that the part
-// was sent to before come last. cost is that of the part or of the call that it shares.
+// selectReplica selects the replica of a shard with the fewest of this broker's calls in flight. Latency, failures
+// and zone break ties. Outliers are selected only if no other replica is available. With avoidAttempted, replicas
+// that the part was sent to before rank last. cost is the cost of the part or of its whole call.
 func (s *Scheduler) selectReplica(now float64, p *part, cost float64, avoidAttempted bool) selection {
 	var best selection
 	var bestRank rank
@@ -57,8 +59,8 @@
 		if s.availableAt(now, r, cost) > now {
 			continue
 		}
-		level := s.normalizedLatency(now, r)
-		candidate := s.rankReplica(now, r, p, level, isExpensive)
+		latency := s.normalizedLatency(now, r)
+		candidate := s.rankReplica(now, r, p, latency, isExpensive)
 		if avoidAttempted && p.attemptedAt(r) {
 			candidate.tier += tierAlreadyAttempted
 		}
@@ -67,7 +69,7 @@
 			best.tierHasCapacity = false
 		}
 		if isBetterTier || candidate.tier == bestRank.tier {
-			best.tierHasCapacity = best.tierHasCapacity || s.hasCapacity(now, r, level)
+			best.tierHasCapacity = best.tierHasCapacity || s.hasCapacity(now, r, latency)
 		}
 		if best.replica == nil || candidate.compare(bestRank) < 0 {
 			best.replica = r
@@ -77,12 +79,12 @@
 	return best
 }
 
-// rankReplica ranks a replica for a part. It draws one random number.
-func (s *Scheduler) rankReplica(now float64, r *replica, p *part, level float64, isExpensive bool) rank {
+// rankReplica returns the rank of a replica for a part. It draws exactly one random number.
+func (s *Scheduler) rankReplica(now float64, r *replica, p *part, latency float64, isExpensive bool) rank {
 	result := rank{
 		tier:     tierHealthy,
 		calls:    float64(r.callsInFlight),
-		tieBreak: level + failureTieWeight*s.decayedEstimate(r.outliers.failureRate, now) + tieNoise*s.random.Float64(),
+		tieBreak: latency + failureTieWeight*s.decayedEstimate(r.outliers.failureRate, now) + tieNoise*s.random.Float64(),
 	}
 	if isExpensive && s.canJoinCall(r) {
 		result.calls-- // joining a call of this round adds none
@@ -99,9 +101,10 @@
 	if p.query.class.Idempotency != NonIdempotent {
 		return result
 	}
-	// One failure loses a non-idempotent part, so others test a doubtful replica. Slow is better than failing.
-	avoids, failureRate := s.isAvoidedByNonIdempotent(now, r, level)
-	if avoids {
+	// A non-idempotent part is lost by one failure, so parts of other classes probe doubtful replicas. A slow replica
+	// is preferred to a failing one.
+	isAvoided, failureRate := s.isAvoidedByNonIdempotent(now, r, latency)
+	if isAvoided {
 		result.tier = tierAvoidedByNonIdempotent
 		result.calls = 0
 		result.tieBreak += failureRateWeight * failureRate
@@ -109,30 +112,31 @@
 	return result
 }
 
-// canJoinCall reports whether a part can join a call that was begun to the replica in this round.
+// canJoinCall reports whether a part can join the call to a replica that was begun in this round.
 func (s *Scheduler) canJoinCall(r *replica) bool {
 	call := r.currentCall
 	return r.currentRound == s.round && call.partsInFlight > 0 && call.parts < s.settings.MaxPartsPerCall
 }
 
-// hasCapacity reports whether a replica takes more work now: it is not queueing and below its limit. One with nothing
-// of this broker in flight takes an attempt whatever its latency, so that holding back cannot deadlock.
-func (s *Scheduler) hasCapacity(now float64, r *replica, level float64) bool {
+// hasCapacity reports whether a replica can be sent more work now: it is not queueing and below its limit. A replica
+// without attempts of this broker in flight accepts one at any latency, so that queued parts cannot deadlock.
+func (s *Scheduler) hasCapacity(now float64, r *replica, latency float64) bool {
 	if now < r.circuitOpenUntil {
 		return false
 	}
 	hasNothingInFlight := len(r.inFlight) == 0
-	if hasNothingInFlight && s.isAllowedByPacing(now, r, level) {
+	if hasNothingInFlight && s.isAllowedByPacing(now, r, latency) {
 		return true
 	}
-	return level <= s.latency.queueingLatency && (hasNothingInFlight || r.limit.inFlight < r.limit.maxCost)
+	return latency <= s.latency.queueingLatency && (hasNothingInFlight || r.limit.inFlight < r.limit.maxCost)
 }
 
-// isAllowedByPacing reports whether an attempt may go to a replica that has nothing of this broker in flight. In a large fleet
-// one attempt of each broker would keep a congested replica's queue full, so each sends one in the time in which the
-// replica serves one of every broker's. That may hold back the broker with the most traffic.
-func (s *Scheduler) isAllowedByPacing(now float64, r *replica, level float64) bool {
-	if !s.isLargeFleet() || level <= pacedReplicaLatency*s.latency.fleetMedian {
+// isAllowedByPacing reports whether an attempt may go to a replica at which this broker has none in flight. In a
+// large fleet one attempt of each broker would keep the queue of a congested replica full. So each broker sends one
+// attempt in the time in which the replica serves one attempt of every broker. This may limit the broker with the
+// most traffic more than necessary.
+func (s *Scheduler) isAllowedByPacing(now float64, r *replica, latency float64) bool {
+	if !s.isLargeFleet() || latency <= pacedReplicaLatency*s.latency.fleetMedian {
 		return true
 	}
 	return now >= r.lastUsedAt+s.latency.baseline*float64(s.settings.BrokerCount)/assumedConcurrency
--- a/internal/decision/scheduler/tenant_quota.go
+++ b/internal/decision/scheduler/tenant_quota.go
@@ -1,12 +1,12 @@
 package scheduler
 
-// tokenBucket holds up to one second's worth of tokens, and one token at least.
+// tokenBucket is a token bucket that holds at most the tokens of one second, but at least one.
 type tokenBucket struct {
 	refilledAt float64
 	tokens     float64
 }
 
-// take refills the bucket at a rate in tokens per second and takes one token. It is false if there is none.
+// take refills the bucket at a rate in tokens per second and takes one token. It reports whether there was one.
 func (b *tokenBucket) take(now, ratePerSecond float64) bool {
 	refilled := b.tokens + (now-b.refilledAt)/1000*ratePerSecond
 	b.tokens = min(refilled, max(ratePerSecond, 1))
@@ -20,7 +20,7 @@
 }
 
 // tenantQuotas limits how many queries of each tenant keep their full priority. The quota of a tenant is divided
-// evenly among the brokers, as none of them sees the traffic of the others.
+// evenly among the brokers, as no broker sees the traffic of the others.
 type tenantQuotas struct {
 	ratesPerSecond []float64 // by tenant, over all brokers
 	brokers        float64
