--- a/internal/decision/scheduler/admission_test.go
+++ b/internal/decision/scheduler/admission_test.go
@@ -8,8 +8,8 @@
 	"ternstage/internal/decision/fleetshare"
 )
 
-// TestOverloadShedsLowPriorityFirst guarantees that an overloaded broker answers more queries of high priority than
-// of low, and that every rejection carries a retry-after within bounds.
+// TestOverloadShedsLowPriorityFirst checks that an overloaded broker answers more queries of high priority than of
+// low priority and that the retry-after of every rejection is within bounds.
 func TestOverloadShedsLowPriorityFirst(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
@@ -43,27 +43,28 @@
 	}
 }
 
-// TestLateClientRetryHasLowPriority guarantees that a repeat of a query whose objective has passed since its first
-// try is shed first, and that nothing is left of it once its client has left.
+// TestLateClientRetryHasLowPriority checks that a client retry has a low priority if the objective has passed since
+// the client's first request, and that no state remains after its client has disconnected.
 func TestLateClientRetryHasLowPriority(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
 	h.learnBaseline()
-	q := Query{ID: 900000, QueryGroup: 900000, Deadline: h.now + 1500, ClientRetry: true} // half of its time is gone
+	// Half of the client's time has passed.
+	q := Query{ID: 900000, QueryGroup: 900000, Deadline: h.now + 1500, ClientRetry: true}
 	h.scheduler.QueryArrived(h.now, q)
 	priority := h.scheduler.queries[q.ID].priority
 	if priority >= 0.3 {
-		t.Fatalf("a repeat past its objective has priority %v, want below 0.3", priority)
+		t.Fatalf("a client retry past its objective has priority %v, want below 0.3", priority)
 	}
 	delete(h.queries, q.ID)
 	h.scheduler.ClientDisconnected(h.now, q.ID)
 	if len(h.scheduler.queries) != 0 {
-		t.Fatal("a query is left behind after its client disconnected")
+		t.Fatal("a query is still open after its client disconnected")
 	}
 }
 
-// TestQueryLargerThanFleetLimitIsPaced guarantees that a query that costs more than the fleet's limit is not
-// rejected for good: one is admitted in the time in which the limit could have carried it.
+// TestQueryLargerThanFleetLimitIsPaced checks that queries that cost more than the fleet's limit are not always
+// rejected: one is admitted in each period in which the limit could have carried it.
 func TestQueryLargerThanFleetLimitIsPaced(t *testing.T) {
 	settings := testSettings()
 	settings.BrokerCount = 40
@@ -91,8 +92,8 @@
 	}
 }
 
-// TestShardWithoutReplicasIsRejectedAtOnce guarantees that a query whose shard has no replica in the endpoint list is
-// rejected at once, with a retry-after; one of which enough is held is answered partially.
+// TestShardWithoutReplicasIsRejectedAtOnce checks that a query to a shard without replicas in the endpoint list is
+// rejected at once with a retry-after. A query whose other shards hold enough weight is answered partially.
 func TestShardWithoutReplicasIsRejectedAtOnce(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.updateEndpoints(UpdateFull, Endpoint{Replica: 4, Cell: 3, State: Ready})
@@ -111,10 +112,10 @@
 	}
 }
 
-// TestQueryWithTooLittleTimeIsRejected guarantees that brokers of large fleets reject at once what would not be
-// answered in time, although they have nothing queued that would show it; parts take 160 ms. The more brokers there
-// are, the more time is asked for, as each sees too few queries to learn how long they take. With time enough all
-// are admitted, and one of three brokers rejects none for the time left.
+// TestQueryWithTooLittleTimeIsRejected checks that brokers of large fleets reject queries at once that cannot be
+// answered in time, although no queue shows it; parts take 160 ms. The required time grows with the number of
+// brokers, as each broker then sees fewer queries to learn from. A broker of a fleet of three rejects none for lack
+// of time.
 func TestQueryWithTooLittleTimeIsRejected(t *testing.T) {
 	for _, brokers := range []int{3, 6, 300} {
 		settings := testSettings()
@@ -141,17 +142,18 @@
 			h.advance(500, h.replyAfter(160))
 			return endAtOnce == ""
 		}
-		six := []int{0, 1, 2, 3, 4, 5}
-		twelve := append(six, six...)
+		sixShards := []int{0, 1, 2, 3, 4, 5}
+		twelveParts := append(sixShards, sixShards...)
 		assert.Equal(t, brokers == 3, isAdmitted(90, 0), "%d brokers, 90 ms left", brokers)
-		assert.Equal(t, brokers == 3, isAdmitted(220, twelve...), "%d brokers, 220 ms left for twelve parts", brokers)
+		assert.Equal(t, brokers == 3, isAdmitted(220, twelveParts...), "%d brokers, 220 ms left for twelve parts", brokers)
 		assert.Equal(t, brokers == 3, isAdmitted(150, 0) && brokers != 6, "%d brokers, 150 ms left", brokers)
-		assert.Equal(t, brokers == 3, isAdmitted(400, twelve...) && brokers != 6, "%d brokers, 400 ms left for twelve parts", brokers)
+		assert.Equal(t, brokers == 3, isAdmitted(400, twelveParts...) && brokers != 6,
+			"%d brokers, 400 ms left for twelve parts", brokers)
 		assert.Equal(t, brokers != 300, isAdmitted(220, 0), "%d brokers, 220 ms left", brokers)
-		assert.True(t, isAdmitted(700, twelve...), "%d brokers, 700 ms left for twelve parts", brokers)
+		assert.True(t, isAdmitted(700, twelveParts...), "%d brokers, 700 ms left for twelve parts", brokers)
 		assert.True(t, isAdmitted(3000, 0), "%d brokers, 3 s left", brokers)
-		assert.True(t, isAdmitted(3000, six...), "%d brokers, 3 s left for six parts", brokers)
-		for range 40 { // the last part of queries takes 480 ms, which hardly moves the median
+		assert.True(t, isAdmitted(3000, sixShards...), "%d brokers, 3 s left for six parts", brokers)
+		for range 40 { // the last part of each query takes 480 ms, which hardly moves the median
 			h.submit(classDefault, 0, 3)
 			h.runRound()
 			h.advance(600, func(a *sentAttempt) {
@@ -166,9 +168,8 @@
 	}
 }
 
-// TestShardWithoutWarmupQuotaIsRejectedAtOnce guarantees that, where all replicas of a shard are warming up, brokers
-// whose quota of them is nothing reject its queries at once with a retry-after and serve others; brokers with a slot
-// have them answered.
+// TestShardWithoutWarmupQuotaIsRejectedAtOnce checks queries to a shard of which all replicas are warming up. Brokers
+// with a quota of 0 reject them at once with a retry-after and serve other shards. Brokers with a slot answer them.
 func TestShardWithoutWarmupQuotaIsRejectedAtOnce(t *testing.T) {
 	ends := map[string]int{}
 	for broker := range 300 {
@@ -180,7 +181,7 @@
 		h.listFleet(UpdateFull)
 		h.learnBaseline()
 		h.advance(2000, h.replyAfter(40))
-		h.scheduler.slowStart.quota = fleetshare.NewSlowStartQuota(300) // the even share: under a tenth of a part
+		h.scheduler.slowStart.quota = fleetshare.NewSlowStartQuota(300) // the even share: less than a tenth of a part
 		for i := 1; i <= 3; i++ {
 			h.updateEndpoints(UpdateDelta, Endpoint{Replica: uint32(i), Cell: i - 1, State: Ready, StartedAt: h.now})
 		}
@@ -196,12 +197,11 @@
 	}
 	assert.Greater(t, ends[endReject], 150, ends)
 	assert.Greater(t, ends[endAnswer], 10, ends)
-	assert.Equal(t, 300, ends[endReject]+ends[endAnswer], "some query waits: %v", ends)
+	assert.Equal(t, 300, ends[endReject]+ends[endAnswer], "some queries have not ended: %v", ends)
 }
 
-// TestRejectedConnectionsDoNotThrottleClients guarantees that parts rejected because replicas hold no more
-// connections, which says nothing of what the fleet serves, do not make the broker reject queries. As many
-// rejections by full queues do.
+// TestRejectedConnectionsDoNotThrottleClients checks that a broker does not reject queries because replicas reject
+// connections, which says nothing about the load of the fleet. As many rejections of parts do make it reject queries.
 func TestRejectedConnectionsDoNotThrottleClients(t *testing.T) {
 	for _, connectionOnly := range []bool{true, false} {
 		settings := testSettings()
@@ -225,13 +225,14 @@
 			n++
 		}
 		rejectedShare := h.scheduler.throttle.RejectedShare()
-		assert.Equal(t, connectionOnly, rejectedShare == 0, "rejected share %v, connection only: %v", rejectedShare, connectionOnly)
+		assert.Equal(t, connectionOnly, rejectedShare == 0,
+			"rejected share %v, connection only: %v", rejectedShare, connectionOnly)
 	}
 }
 
-// TestCongestedShardIsOmittedFromPartialQueries guarantees that a query whose answer may lack some parts is admitted
-// without those of a congested shard and answered as soon as the others are in; one that must be complete is
-// rejected, and so is the first where too many of the other shards are congested too.
+// TestCongestedShardIsOmittedFromPartialQueries checks that a query of a class with partial answers is admitted
+// without its part at a congested shard and answered as soon as the other parts have arrived. A query that needs all
+// parts is rejected, and so is the first one if too many of the other shards are congested too.
 func TestCongestedShardIsOmittedFromPartialQueries(t *testing.T) {
 	settings := testSettings()
 	settings.Shards = 12
@@ -257,15 +258,15 @@
 	complete := h.submit(classDefault, 0, 1)
 	h.runRound()
 	assert.Equal(t, endReject, complete.end)
-	assert.Empty(t, partial.parts[0].attempts, "the congested shard is asked")
+	assert.Empty(t, partial.parts[0].attempts, "an attempt was sent to the congested shard")
 	assert.Empty(t, partial.end)
-	begin := h.now
+	submittedAt := h.now
 	h.advance(200, reply)
 	assert.Equal(t, endAnswer, partial.end)
 	assert.False(t, partial.complete)
-	assert.Less(t, partial.endedAt-begin, 150.0, "the answer waited for what was not asked")
+	assert.Less(t, partial.endedAt-submittedAt, 150.0, "the answer waited for the part that was not sent")
 
-	// Nearly half of the other shards become congested, each less than the bound for one.
+	// Nearly half of the other shards become congested, each of them below the threshold for a single shard.
 	for _, replica := range []uint32{3, 5, 7, 9, 11} {
 		stalled[replica] = true
 		for range 6 {
@@ -279,8 +280,8 @@
 	assert.Equal(t, endReject, overloaded.end)
 }
 
-// TestMassResetDoesNotBlockQueriesOfSameKey guarantees that a key is not blamed for replicas that were lost at one
-// moment with parts of it in flight: its next query is admitted.
+// TestMassResetDoesNotBlockQueriesOfSameKey checks that the next query of a key is admitted after several replicas
+// lost their connections at the same time with parts of that key in flight.
 func TestMassResetDoesNotBlockQueriesOfSameKey(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
@@ -299,7 +300,7 @@
 	}
 }
 
-// TestRejectionReasons guarantees why a query is rejected, and that too little time is the first reason.
+// TestRejectionReasons checks the reason for each rejection, and that too little time left is checked first.
 func TestRejectionReasons(t *testing.T) {
 	for name, test := range map[string]struct {
 		class       int
--- a/internal/decision/scheduler/concurrency_limit_test.go
+++ b/internal/decision/scheduler/concurrency_limit_test.go
@@ -9,8 +9,8 @@
 	"ternstage/internal/decision/fleetshare"
 )
 
-// TestStalledPartDoesNotBlockItsReplica guarantees that parts stalled by themselves, which may not be hedged, do not
-// keep others from their replicas: here one at each replica of a shard.
+// TestStalledPartDoesNotBlockItsReplica checks that other parts are still sent to replicas at which one part has
+// stalled. Each replica of a shard has one stalled part that must not be hedged.
 func TestStalledPartDoesNotBlockItsReplica(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
@@ -35,12 +35,12 @@
 		}
 	}
 	if answered < 28 {
-		t.Fatalf("%d of 30 queries answered beside three stalled parts, want 28 at least", answered)
+		t.Fatalf("%d of 30 queries answered while three parts are stalled, want 28 at least", answered)
 	}
 }
 
-// TestOvertakenAttemptLeavesReplicaLimit guarantees that an attempt that a later one has overtaken no longer counts
-// toward the limit of its replica, and is taken off it only once.
+// TestOvertakenAttemptLeavesReplicaLimit checks that an overtaken attempt no longer counts toward its replica's limit
+// and that its cost is subtracted only once.
 func TestOvertakenAttemptLeavesReplicaLimit(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
@@ -68,12 +68,12 @@
 	}
 	h.scheduler.learn(h.now, next, AttemptResult{Outcome: Succeeded, Latency: 60})
 	if r.limit.inFlight != 1 {
-		t.Fatalf("cost in flight %v after a second success, want 1: taken off twice", r.limit.inFlight)
+		t.Fatalf("cost in flight %v after a second success, want 1: subtracted twice", r.limit.inFlight)
 	}
 }
 
-// TestFleetLimitShedsLoadAndRecovers guarantees that one of many brokers, which has little in flight itself, sheds
-// load by the latency of the fleet, and admits everything again once that is normal.
+// TestFleetLimitShedsLoadAndRecovers checks that a broker of a large fleet, which has few attempts in flight itself,
+// sheds load when the latency of the fleet rises, and admits all queries again once the latency is normal.
 func TestFleetLimitShedsLoadAndRecovers(t *testing.T) {
 	settings := testSettings()
 	settings.BrokerCount = 60
@@ -108,9 +108,9 @@
 	}
 }
 
-// TestWastedLongQueriesCutFleetLimit guarantees that fewer queries are admitted where long ones end at their
-// objective with a part missing, which wastes all that was done for them, also if each broker has only one at a time;
-// and that normal answers raise the limit again.
+// TestWastedLongQueriesCutFleetLimit checks that fewer queries are admitted while queries with many parts end at
+// their objective with one part missing, which wastes the work of all others. This must also hold if each broker has
+// only one such query at a time. Answers at normal latency raise the limit again.
 func TestWastedLongQueriesCutFleetLimit(t *testing.T) {
 	settings := testSettings()
 	settings.BrokerCount = 40
@@ -157,8 +157,8 @@
 	}
 }
 
-// TestReplicaLimitAdapts guarantees that the limit grows while it is in use and answers are normal, shrinks to what is
-// in flight with slow ones, once for all attempts sent before, and collapses with a stall.
+// TestReplicaLimitAdapts checks that a replica's limit grows with normal answers while it is in use. Slow answers
+// lower it to the cost in flight, once for all attempts sent before, and a stall lowers it to the minimum.
 func TestReplicaLimitAdapts(t *testing.T) {
 	for name, test := range map[string]struct {
 		limit      replicaLimit
@@ -181,8 +181,8 @@
 	assert.Equal(t, minReplicaMaxCost, stalled.maxCost)
 }
 
-// TestFleetLimitIsForLargeFleets guarantees that only brokers of large fleets cut the fleet's limit: by a factor of
-// what is in flight, once for what was sent before, and not below the minimum.
+// TestFleetLimitIsForLargeFleets checks that only brokers of large fleets cut the fleet's limit: to a fraction of the
+// cost in flight, once for all attempts sent before, and not below the minimum.
 func TestFleetLimitIsForLargeFleets(t *testing.T) {
 	for brokers, wants := range map[int][]float64{
 		fleetshare.SmallFleetBrokers:     {math.Inf(1), math.Inf(1), math.Inf(1)},
--- a/internal/decision/scheduler/cost_test.go
+++ b/internal/decision/scheduler/cost_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestMeanHintIsUnbiasedFromTheStart guarantees that the mean hint does not lean on the very first hint.
+// TestMeanHintIsUnbiasedFromTheStart checks that the first hint has no more weight in the mean than the following
+// ones.
 func TestMeanHintIsUnbiasedFromTheStart(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.submitWithHint(classDefault, 10, 0)
@@ -17,9 +18,9 @@
 	}
 }
 
-// TestUnderstatedHintsYieldToMeasuredLatency guarantees that hints which say 1 ms for parts that take 100 ms are not
-// believed, or warming replicas would be sent far more than their allowance.
-func TestUnderstatedHintsYieldToMeasuredLatency(t *testing.T) {
+// TestUnderstatedHintsAreOverriddenByLatency checks that hints of 1 ms for parts that take 100 ms are not used.
+// Otherwise warming replicas would be sent far more than their allowance.
+func TestUnderstatedHintsAreOverriddenByLatency(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
 	for range 60 {
@@ -33,9 +34,8 @@
 	}
 }
 
-// TestExpensivePartsAndFirstSamplesDoNotWidenAllowance guarantees that in a small fleet, which shares allowances by
-// work, a part of ten mean parts needs all of its work from the quota; and that one quick sample at first does not
-// settle what parts are expected to take from then on.
+// TestExpensivePartsAndFirstSamplesDoNotWidenAllowance checks that a part with the cost of ten mean parts needs its
+// full work from the quota of a small fleet, and that one fast first sample does not fix the expected work of parts.
 func TestExpensivePartsAndFirstSamplesDoNotWidenAllowance(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
@@ -64,8 +64,9 @@
 	}
 }
 
-// TestQueueingTimeIsNotCountedAsWarmupWork guarantees that congestion, which multiplies baseline latencies, does not
-// make parts look more expensive: the allowance of a replica that starts meanwhile is counted in what they took before.
+// TestQueueingTimeIsNotCountedAsWarmupWork checks that congestion, which raises the baseline latency, does not raise
+// the expected work of a part. The allowance of a replica that starts meanwhile is counted in the work expected
+// before.
 func TestQueueingTimeIsNotCountedAsWarmupWork(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
@@ -87,8 +88,8 @@
 	}
 }
 
-// TestCostIsRelativeToMeanHint guarantees that cost is the hint divided by the mean hint, within bounds, and that
-// parts without a usable hint cost 1 and leave the mean as it is.
+// TestCostIsRelativeToMeanHint checks that the cost of a part is its hint divided by the mean hint, within bounds.
+// Parts without a usable hint cost 1 and do not change the mean.
 func TestCostIsRelativeToMeanHint(t *testing.T) {
 	for name, test := range map[string]struct {
 		part               Part
--- a/internal/decision/scheduler/event_window_test.go
+++ b/internal/decision/scheduler/event_window_test.go
@@ -6,9 +6,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestEventWindowForgetsOldEvents guarantees that events count from their time on and are dropped once they are older
-// than the window and the rounding of a timer tick.
-func TestEventWindowForgetsOldEvents(t *testing.T) {
+// TestEventWindowDropsOldEvents checks that events are counted from their own time on and dropped once they are older
+// than the window plus the rounding of a timer tick.
+func TestEventWindowDropsOldEvents(t *testing.T) {
 	var window eventWindow
 	for _, at := range []float64{0, 50, 101} {
 		window.add(at, 100)
--- a/internal/decision/scheduler/harness_test.go
+++ b/internal/decision/scheduler/harness_test.go
@@ -27,8 +27,8 @@
 	classTwoSteps
 )
 
-// harness drives one scheduler on virtual time and implements its Actions. It records every action and fails the
-// test at the first one that breaks an invariant of the package.
+// harness drives one scheduler on virtual time and implements its Actions. It records every action and fails the test
+// at the first action that violates an invariant of the package.
 type harness struct {
 	t         *testing.T
 	settings  Settings
@@ -48,9 +48,9 @@
 	cellOf            map[uint32]int
 
 	arrivals []float64          // times of queries and parts
-	retries  []float64          // times of attempts beyond the first of a part
+	retries  []float64          // times of attempts after the first of a part
 	rejected map[uint64]float64 // retry-after of rejected queries, in ms
-	timers   []float64          // when timers are due
+	timers   []float64          // when the timers are due
 	polls    int                // of the endpoint list
 }
 
@@ -59,7 +59,7 @@
 	parts        []*testPart
 	answers      int
 	complete     bool
-	end          string // its final answer; empty while it is open
+	end          string // final answer; empty while the query is open
 	disconnected bool
 	endedAt      float64
 }
@@ -84,7 +84,8 @@
 
 func (a *sentAttempt) mayHaveRun() bool { return !a.ended || a.outcome.mayHaveRun() }
 
-// testSettings describes two brokers before a ring of six cells; each shard is held by three of them.
+// testSettings returns the settings of one of two brokers with a ring of six cells. Each shard is placed on three
+// cells.
 func testSettings() Settings {
 	base := Class{LatencyObjective: 1000, Deadline: 3000, PriorityWeight: 1, LateFactor: 0.3,
 		Idempotency: Idempotent, MinCompleteness: 1, CompletenessTarget: 1}
@@ -150,7 +151,7 @@
 	return h
 }
 
-// listFleet lists one warm replica for each cell, numbered from 1, and runs a round.
+// listFleet lists one warm replica per cell, numbered from 1, and runs a round.
 func (h *harness) listFleet(kind UpdateKind) {
 	var endpoints []Endpoint
 	for i := 0; i < h.settings.Cells; i++ {
@@ -160,12 +161,12 @@
 	h.runRound()
 }
 
-// updateEndpoints delivers an update of the endpoint list and notes what the rules on drains and slow start need.
+// updateEndpoints delivers an update of the endpoint list and records what the checks of drains and slow start need.
 func (h *harness) updateEndpoints(kind UpdateKind, endpoints ...Endpoint) {
 	for _, e := range endpoints {
 		h.cellOf[e.Replica] = e.Cell
 		if e.State != Ready {
-			if _, known := h.informedAt[e.Replica]; !known {
+			if _, isKnown := h.informedAt[e.Replica]; !isKnown {
 				h.informedAt[e.Replica] = h.now
 			}
 			continue
@@ -179,7 +180,7 @@
 	h.scheduler.EndpointsChanged(h.now, kind, endpoints)
 }
 
-// submit submits a query of a class with a part at each of the given shards, all with the same cost hint.
+// submit submits a query of a class with one part at each of the given shards, all with the same cost hint.
 func (h *harness) submit(class int, shards ...int) *testQuery {
 	return h.submitWithHint(class, 100, shards...)
 }
@@ -188,12 +189,12 @@
 	return h.submitQuery(Query{Class: class}, hint, shards...)
 }
 
-// submitWithKey submits a query of the default class about a key.
+// submitWithKey submits a query of the default class with a key.
 func (h *harness) submitWithKey(key uint64, shards ...int) *testQuery {
 	return h.submitQuery(Query{Key: key}, 100, shards...)
 }
 
-// submitQuery numbers a query, gives it the deadline of its class, and submits it with a part at each shard.
+// submitQuery assigns a query its number and the deadline of its class, and submits it with one part at each shard.
 func (h *harness) submitQuery(in Query, hint float64, shards ...int) *testQuery {
 	h.nextID++
 	in.ID = h.nextID
@@ -227,14 +228,14 @@
 
 func (h *harness) runRound() { h.scheduler.RunRound(h.now) }
 
-// decided runs the round that decides on a query, and returns the query.
+// decide runs the round that admits or rejects a query, and returns the query.
 func (h *harness) decide(q *testQuery) *testQuery {
 	h.runRound()
 	return q
 }
 
-// advance lets virtual time pass in ticks: due timers fire, cancelled attempts and timeouts end, reply may end the
-// other attempts in flight (nil for no reply), and a round follows.
+// advance advances virtual time in ticks of the timer resolution. In each tick it fires due timers, ends cancelled
+// and timed-out attempts, calls reply for the other attempts in flight (nil for no replies), and runs a round.
 func (h *harness) advance(ms float64, reply func(*sentAttempt)) {
 	for end := h.now + ms; h.now < end; {
 		h.now += h.settings.TimerResolution
@@ -257,7 +258,7 @@
 	}
 }
 
-// replyAfter is a reply for advance: every attempt succeeds once it is so many ms old.
+// replyAfter returns a reply function for advance with which every attempt succeeds after the given latency.
 func (h *harness) replyAfter(ms float64) func(*sentAttempt) {
 	return func(a *sentAttempt) {
 		if h.now >= a.sentAt+ms {
@@ -266,12 +267,13 @@
 	}
 }
 
-// endAttempt ends an attempt in flight now.
+// endAttempt ends an attempt in flight with an outcome.
 func (h *harness) endAttempt(a *sentAttempt, outcome Outcome) {
 	h.endAttemptWith(a, AttemptResult{Outcome: outcome})
 }
 
-// endAttemptWith ends an attempt in flight now; result says how, without what the harness knows itself.
+// endAttemptWith ends an attempt in flight. The harness fills in the fields of result that name the attempt, and its
+// latency.
 func (h *harness) endAttemptWith(a *sentAttempt, result AttemptResult) {
 	a.ended = true
 	a.outcome = result.Outcome
@@ -286,7 +288,7 @@
 	h.scheduler.AttemptEnded(h.now, result)
 }
 
-// learnBaseline serves traffic at 100 ms a part, so that baseline latencies are known.
+// learnBaseline serves queries at 100 ms per part, so that the scheduler learns the baseline latency.
 func (h *harness) learnBaseline() {
 	for range 60 {
 		h.submit(classDefault, 0, 2, 4)
@@ -304,7 +306,7 @@
 	}
 }
 
-// sentTo counts the attempts sent to a replica among the given ones.
+// countSentTo returns how many of the given attempts were sent to a replica.
 func countSentTo(replica uint32, attempts []*sentAttempt) int {
 	count := 0
 	for _, a := range attempts {
@@ -315,7 +317,7 @@
 	return count
 }
 
-// replicasUsed is the set of replicas that the given attempts were sent to.
+// replicasUsed returns the set of replicas that the given attempts were sent to.
 func replicasUsed(attempts []*sentAttempt) map[uint32]bool {
 	used := map[uint32]bool{}
 	for _, a := range attempts {
@@ -324,7 +326,7 @@
 	return used
 }
 
-// countIdleCloses counts how often the scheduler closed idle connections.
+// countIdleCloses returns how often the scheduler closed idle connections.
 func (h *harness) countIdleCloses() int {
 	count := 0
 	for _, line := range h.log {
@@ -335,7 +337,7 @@
 	return count
 }
 
-// countAfter counts the times after from.
+// countAfter returns the number of times after from.
 func countAfter(times []float64, from float64) int {
 	count := 0
 	for _, at := range times {
@@ -365,7 +367,8 @@
 	h.checkSlowStart(replica)
 }
 
-// checkDestination requires that a part's query is open and that the replica holds its shard and is not drained.
+// checkDestination requires that the part's query is open, that the replica holds its shard and that the grace of the
+// replica's drain has not passed.
 func (h *harness) checkDestination(p *testPart, replica uint32) {
 	if p.query.endedAt > 0 || h.now >= p.query.Query.Deadline {
 		h.t.Fatalf("part %d sent after the end of its query", p.Part.ID)
@@ -391,7 +394,7 @@
 		}
 		isPastDedup := class.Idempotency == IdempotentWithKey && h.now > a.sentAt+class.DedupWindow
 		if a.mayHaveRun() && (class.Idempotency == NonIdempotent || isPastDedup) {
-			h.t.Fatalf("part %d repeated although it is not idempotent", p.Part.ID)
+			h.t.Fatalf("part %d sent again although it may have run", p.Part.ID)
 		}
 	}
 	if inFlight > 0 && !h.settings.AllowHedging || inFlight > 1 {
@@ -399,7 +402,7 @@
 	}
 }
 
-// checkRetryBudget counts a retry and requires that the retry budget allows it.
+// checkRetryBudget records a retry and requires that the retry budget allows it.
 func (h *harness) checkRetryBudget() {
 	budget := h.settings.RetryBudget
 	from := h.now - budget.Window
@@ -411,8 +414,8 @@
 	}
 }
 
-// checkSlowStart requires that the work sent to a warming replica in the window is within this broker's even share
-// of the allowance. In large fleets quotas are not even, so the sum over brokers is checked elsewhere.
+// checkSlowStart requires that the work sent to a warming replica in the window is within this broker's even share of
+// the allowance. In large fleets the quotas are not even, so the sum over all brokers is checked elsewhere.
 func (h *harness) checkSlowStart(replica uint32) {
 	slowStart := h.settings.SlowStart
 	startedAt := h.startedAt[replica]
@@ -427,7 +430,7 @@
 			work += a.part.Part.CostHint
 		}
 	}
-	// The replica has two cores, as it serves parts side by side.
+	// The replica has two cores and serves parts concurrently.
 	ramp := math.Max(0, h.now-startedAt) / slowStart.Duration
 	capacity := 2 * (slowStart.InitialCapacity + (1-slowStart.InitialCapacity)*ramp)
 	if work > slowStart.WorkMultiple*capacity*slowStart.Window/float64(h.settings.BrokerCount) {
@@ -435,7 +438,7 @@
 	}
 }
 
-// Cancel notes that an attempt is cancelled; advance ends it.
+// Cancel marks an attempt as cancelled; advance ends it.
 func (h *harness) Cancel(part uint64, attempt int) {
 	h.log = append(h.log, fmt.Sprintf("%v cancel %d %d", h.now, part, attempt))
 	p := h.parts[part]
@@ -445,7 +448,7 @@
 	p.attempts[attempt].cancelled = true
 }
 
-// Answer requires that enough has arrived for the answer. The first answer of two does not end the query.
+// Answer requires that enough weight has arrived for the answer. The first of two answers does not end the query.
 func (h *harness) Answer(id uint64, complete bool) {
 	q := h.queries[id]
 	class := h.settings.Classes[q.Query.Class]
@@ -455,8 +458,8 @@
 			weight += p.Part.Weight
 		}
 	}
-	isTooLittle := weight < class.MinCompleteness-1e-4 || complete && weight < class.CompletenessTarget-1e-4
-	if isTooLittle || len(q.parts) == 0 {
+	hasTooLittleWeight := weight < class.MinCompleteness-1e-4 || complete && weight < class.CompletenessTarget-1e-4
+	if hasTooLittleWeight || len(q.parts) == 0 {
 		h.t.Fatalf("query %d answered (complete: %v) with a weight of %v", id, complete, weight)
 	}
 	q.answers++
@@ -468,7 +471,7 @@
 	h.endQuery(id, endAnswer)
 }
 
-// Reject requires that no non-idempotent part may have run: the client is told that asking again is harmless.
+// Reject requires that no non-idempotent part may have run, as a rejection tells the client that a retry is safe.
 func (h *harness) Reject(id uint64, retryAfterMs float64) {
 	q := h.endQuery(id, endReject)
 	h.rejected[id] = retryAfterMs
@@ -481,10 +484,10 @@
 	}
 }
 
-// Fail ends a query without any promise.
+// Fail ends a query. It requires nothing of its parts.
 func (h *harness) Fail(id uint64) { h.endQuery(id, endFail) }
 
-// endQuery requires that the query is open and in time, and records its final answer.
+// endQuery requires that the query is open and before its deadline, and records its final answer.
 func (h *harness) endQuery(id uint64, end string) *testQuery {
 	h.log = append(h.log, fmt.Sprintf("%v %s %d", h.now, end, id))
 	q := h.queries[id]
--- a/internal/decision/scheduler/latency_test.go
+++ b/internal/decision/scheduler/latency_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestBaselineOfSortedLatencies guarantees that the baseline is a quantile of all latencies although the parts of a
-// long query come back sorted by latency, the fastest first.
+// TestBaselineOfSortedLatencies checks that the baseline is a quantile of all latencies although the parts of a query
+// with many parts return in order of latency.
 func TestBaselineOfSortedLatencies(t *testing.T) {
 	settings := testSettings()
 	settings.Shards = 60
@@ -34,14 +34,14 @@
 	}
 }
 
-// TestBaselineFollowsLowQuantile guarantees that the baseline is the quantile of the first samples, and then moves by
-// a small step with each; and that its floor hardly rises while latencies include queueing, and falls with it at once.
+// TestBaselineFollowsLowQuantile checks that the baseline is the quantile of the first samples and then moves by a
+// small step with each sample. Its floor hardly rises with slow samples and follows the baseline down at once.
 func TestBaselineFollowsLowQuantile(t *testing.T) {
 	var latency latencyEstimator
 	for i := range baselineSamples {
 		latency.observeBaseline(float64(i + 1))
 	}
-	assert.Equal(t, 23.0, latency.baseline) // of 1 to 64
+	assert.Equal(t, 23.0, latency.baseline) // quantile of 1 to 64
 	floor := latency.baselineFloor
 	latency.observeBaseline(1000)
 	assert.InDelta(t, 23*1.0035, latency.baseline, 1e-9)
@@ -51,9 +51,9 @@
 	assert.Equal(t, latency.baseline, latency.baselineFloor)
 }
 
-// TestQueueingLevelFollowsObjective guarantees that a replica counts as queueing from a share of the shortest
-// objective on, by the mean call, within bounds.
-func TestQueueingLevelFollowsObjective(t *testing.T) {
+// TestQueueingLatencyFollowsObjective checks that the latency above which a replica counts as queueing follows from
+// the shortest objective and the mean call, within bounds.
+func TestQueueingLatencyFollowsObjective(t *testing.T) {
 	for baseline, want := range map[float64]float64{10: queueingLatencyMax, 100: 3.3, 1000: queueingLatencyMin} {
 		latency := newLatencyEstimator(1000)
 		latency.baseline = baseline
@@ -63,13 +63,13 @@
 	}
 }
 
-// TestFleetMediansMoveByFixedSteps guarantees that one latency, however long, moves the medians by one step, the
-// overload median by less for parts of a long query, and that they do not fall below 1.
+// TestFleetMediansMoveByFixedSteps checks that one latency moves the medians by one step however high it is, that
+// parts of a query with many parts move the overload median less, and that the medians stay at 1 or above.
 func TestFleetMediansMoveByFixedSteps(t *testing.T) {
 	for name, test := range map[string]struct {
 		before, perCost         float64
 		queryParts              int
-		wantLevel, wantOverload float64
+		wantFleet, wantOverload float64
 	}{
 		"slow":             {2, 300, 1, 2.1, 2.1},
 		"stalled":          {2, 30000, 1, 2.1, 2.1},
@@ -80,7 +80,7 @@
 	} {
 		latency := latencyEstimator{baseline: 100, fleetMedian: test.before, overloadMedian: test.before}
 		latency.observeFleet(test.perCost, test.queryParts)
-		assert.InDelta(t, test.wantLevel, latency.fleetMedian, 1e-9, name)
+		assert.InDelta(t, test.wantFleet, latency.fleetMedian, 1e-9, name)
 		assert.InDelta(t, test.wantOverload, latency.overloadMedian, 1e-9, name)
 	}
 }
--- a/internal/decision/scheduler/outlier_detection_test.go
+++ b/internal/decision/scheduler/outlier_detection_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestFailingReplicaIsEjectedAndReadmitted guarantees that a replica that fails all its parts gets few of them, and
-// its share again once it is sound.
+// TestFailingReplicaIsEjectedAndReadmitted checks that a replica that fails all its parts is sent few of them, and
+// its normal share again after its recovery.
 func TestFailingReplicaIsEjectedAndReadmitted(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestNonIdempotentFailuresAreNotClearedByOtherClasses guarantees that a replica that fails one class alone is
-// avoided by it. One failure loses a non-idempotent part, and successes of other classes say nothing about it.
+// TestNonIdempotentFailuresAreNotClearedByOtherClasses checks that a non-idempotent class avoids a replica that fails
+// only this class. One failure loses a non-idempotent part, and successes of other classes must not hide it.
 func TestNonIdempotentFailuresAreNotClearedByOtherClasses(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
@@ -68,14 +68,14 @@
 	}
 }
 
-// TestFlappingReplicaCostsNoAnswers guarantees that a replica that fails and recovers every few seconds costs no
-// query its answer, and is back in full use once it stays sound.
+// TestFlappingReplicaCostsNoAnswers checks that every query is answered while one replica alternates between failing
+// and serving every few seconds, and that the replica is fully used again once it keeps serving.
 func TestFlappingReplicaCostsNoAnswers(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
 	h.learnBaseline()
 	var queries []*testQuery
-	// shareOfReplica1 is its share of the parts that are sent for so many queries.
+	// shareOfReplica1 submits count queries and returns the share of their attempts that is sent to replica 1.
 	shareOfReplica1 := func(count int, isFailing func() bool) float64 {
 		before := len(h.sent)
 		for range count {
@@ -106,8 +106,8 @@
 	}
 }
 
-// TestSlowReplicaIsEjectedAtAnyTrafficRate guarantees that a slow replica is avoided by a busy broker and by one that
-// gets a query every two seconds alike, and that both use it again once it is fast.
+// TestSlowReplicaIsEjectedAtAnyTrafficRate checks that brokers with much traffic and with one query every two seconds
+// avoid a slow replica, and that both use it again once it is fast.
 func TestSlowReplicaIsEjectedAtAnyTrafficRate(t *testing.T) {
 	for _, intervalMs := range []float64{50, 2000} {
 		settings := testSettings()
@@ -146,9 +146,9 @@
 	}
 }
 
-// TestResetOfBusyConnectionMarksReplicaLost guarantees that the reset of a connection in use counts against the
-// replica: its process has died, and a new one will be warming up.
-func TestResetOfBusyConnectionMarksReplicaLost(t *testing.T) {
+// TestResetOfBusyConnectionMarksReplicaUnreachable checks that the reset of a connection in use counts against the
+// replica: its process has died, and the next one will be warming up.
+func TestResetOfBusyConnectionMarksReplicaUnreachable(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
 	h.learnBaseline()
@@ -159,13 +159,13 @@
 	h.endAttempt(a, ConnectionReset)
 	r := h.scheduler.replicas.byID[a.replica]
 	if h.scheduler.isHealthy(h.now, r) || !r.outliers.isUnreachable {
-		t.Fatal("a replica whose process died is still used as healthy")
+		t.Fatal("a replica whose process died is still considered healthy")
 	}
 }
 
-// TestSuccessfulTrialEndsEjection guarantees that a replica that stalled for a moment may have one trial request as
-// soon as the attempts it held back have ended, and is used as before once that succeeds at normal latency. After
-// each slow trial the next one waits longer.
+// TestSuccessfulTrialEndsEjection checks that a replica that stalled briefly may be sent one trial request as soon as
+// its delayed attempts have ended, and is fully used again once the trial succeeds at normal latency. The time before
+// the next trial grows with each slow one.
 func TestSuccessfulTrialEndsEjection(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
@@ -187,29 +187,29 @@
 		t.Fatal("a second request allowed beside a trial")
 	}
 	r.inFlight = nil
-	for rest := trialBackoffParts; rest < 8*trialBackoffParts; rest *= 2 {
+	for backoff := trialBackoffParts; backoff < 8*trialBackoffParts; backoff *= 2 {
 		h.now += estimateHalfLifeMaxMs
 		endSlowly(h.now-800, 20)
 		wait := r.outliers.trialAllowedAt - h.now
-		if wait < 0.99*rest*s.meanPartWorkMs() || s.isHealthy(h.now, r) {
-			t.Fatalf("next trial %v ms after a slow one, want %v at least", wait, rest*s.meanPartWorkMs())
+		if wait < 0.99*backoff*s.meanPartWorkMs() || s.isHealthy(h.now, r) {
+			t.Fatalf("next trial %v ms after a slow one, want %v at least", wait, backoff*s.meanPartWorkMs())
 		}
 	}
 	h.now = r.outliers.trialAllowedAt
 	if !s.isHealthy(h.now, r) {
-		t.Fatal("no trial after the rest")
+		t.Fatal("no trial after the backoff")
 	}
 	s.observeSlowness(h.now+1, &attempt{replica: r, sentAt: h.now}, 1.2)
-	level := s.normalizedLatency(h.now, r)
-	if r.outliers.consecutiveSlowTrials != 0 || level > 1.3 {
-		t.Fatalf("after a normal trial: normalized latency %v, %d slow trials", level, r.outliers.consecutiveSlowTrials)
+	latency := s.normalizedLatency(h.now, r)
+	if r.outliers.consecutiveSlowTrials != 0 || latency > 1.3 {
+		t.Fatalf("after a normal trial: normalized latency %v, %d slow trials", latency, r.outliers.consecutiveSlowTrials)
 	}
 }
 
-// TestCancelledAttemptsLeadToTrial guarantees a trial where stalled attempts are cancelled before they can come
-// back, because their hedged requests have answered. While the replica stays silent the rests double. An attempt
-// that comes late out of a stall that a trial has ended does not delay the next one, and a new process inherits
-// neither trials nor rest.
+// TestCancelledAttemptsLeadToTrial checks that a replica gets a trial request although its stalled attempts are
+// cancelled, because their hedged requests succeeded, and never return. While the replica does not respond, the time
+// between trials doubles. An attempt from a stall that a trial has ended does not delay the next trial, and a new
+// process starts without slow trials.
 func TestCancelledAttemptsLeadToTrial(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
@@ -222,16 +222,16 @@
 		s.learn(h.now, a, AttemptResult{Outcome: Cancelled})
 	}
 	cancelAttempt(h.now - 30*s.latency.baseline)
-	level := s.normalizedLatency(h.now, r)
-	if level < ejectionLatency*s.latency.fleetMedian || !s.isHealthy(h.now, r) {
-		t.Fatalf("normalized latency %v, and no trial", level)
+	latency := s.normalizedLatency(h.now, r)
+	if latency < ejectionLatency*s.latency.fleetMedian || !s.isHealthy(h.now, r) {
+		t.Fatalf("normalized latency %v, and no trial", latency)
 	}
-	for rest := trialBackoffParts; rest < 8*trialBackoffParts; rest *= 2 {
+	for backoff := trialBackoffParts; backoff < 8*trialBackoffParts; backoff *= 2 {
 		h.now += estimateHalfLifeMaxMs
 		cancelAttempt(h.now - 30*s.latency.baseline)
 		wait := r.outliers.trialAllowedAt - h.now
-		if wait < 0.99*rest*s.meanPartWorkMs() || wait > estimateHalfLifeMaxMs || s.isHealthy(h.now, r) {
-			t.Fatalf("next trial %v ms after a silent one, want %v at least", wait, rest*s.meanPartWorkMs())
+		if wait < 0.99*backoff*s.meanPartWorkMs() || wait > estimateHalfLifeMaxMs || s.isHealthy(h.now, r) {
+			t.Fatalf("next trial %v ms after an unanswered attempt, want %v at least", wait, backoff*s.meanPartWorkMs())
 		}
 	}
 	trialAt := r.outliers.trialAllowedAt
@@ -240,7 +240,7 @@
 	s.observeSlowness(h.now, &attempt{replica: r, sentAt: h.now - 500}, 20)
 	r.excessNormalizedLatency.value = 19
 	if !s.isHealthy(h.now, r) {
-		t.Fatal("an attempt that came late out of a past stall delays the next trial")
+		t.Fatal("an attempt delayed by a past stall delays the next trial")
 	}
 	cancelAttempt(h.now + 1)
 	cancelAttempt(h.now + 1)
@@ -252,9 +252,9 @@
 	}
 }
 
-// TestUnresponsiveAndDegradingReplicasAreReadmitted guarantees that a broker goes by what it sees itself: a replica
-// that answers nothing to it alone is avoided, and back in full use soon after it answers again. So is one that
-// grows slower and slower, dies once and comes back.
+// TestUnresponsiveAndDegradingReplicasAreReadmitted checks that a broker avoids a replica that does not respond to
+// this broker alone, or that becomes slower and slower and finally dies. The replica is fully used again soon after
+// it recovers.
 func TestUnresponsiveAndDegradingReplicasAreReadmitted(t *testing.T) {
 	for name, reply := range map[string]func(h *harness, a *sentAttempt, since float64){
 		"unresponsive": func(*harness, *sentAttempt, float64) {},
@@ -272,7 +272,7 @@
 			h := newHarness(t, settings)
 			h.listFleet(UpdateFull)
 			h.learnBaseline()
-			// serve counts the parts sent to replica 3 and the queries that ended without an answer.
+			// serve returns the number of parts sent to replica 3 and of queries that ended without an answer.
 			serve := func(ms float64, reply func(*sentAttempt)) (sent, failed int) {
 				before := len(h.sent)
 				start := h.now
@@ -289,31 +289,31 @@
 				}
 				return countSentTo(3, h.sent[before:]), failed
 			}
-			usual, _ := serve(3000, h.replyAfter(100))
+			sentBefore, _ := serve(3000, h.replyAfter(100))
 			start := h.now
-			replyBadly := func(a *sentAttempt) {
+			replyWithFault := func(a *sentAttempt) {
 				if a.replica == 3 {
 					reply(h, a, h.now-start)
 				} else if h.now >= a.sentAt+100 {
 					h.endAttempt(a, Succeeded)
 				}
 			}
-			serve(5000, replyBadly)
-			sent, failed := serve(3000, replyBadly)
-			if sent > usual/3 || failed > 6 {
-				t.Errorf("%d parts sent to the replica (%d before), %d of 120 queries failed", sent, usual, failed)
+			serve(5000, replyWithFault)
+			sent, failed := serve(3000, replyWithFault)
+			if sent > sentBefore/3 || failed > 6 {
+				t.Errorf("%d parts sent to the replica (%d before), %d of 120 queries failed", sent, sentBefore, failed)
 			}
-			serve(20000, h.replyAfter(100)) // it may be a new process, warming up for 15 s
+			serve(20000, h.replyAfter(100)) // the replica may be a new process that warms up for 15 s
 			sent, failed = serve(3000, h.replyAfter(100))
-			if sent < usual/2 || failed > 0 {
-				t.Errorf("%d parts sent to the replica 20 s later (%d before), %d queries failed", sent, usual, failed)
+			if sent < sentBefore/2 || failed > 0 {
+				t.Errorf("%d parts sent to the replica 20 s later (%d before), %d queries failed", sent, sentBefore, failed)
 			}
 		})
 	}
 }
 
-// TestSimultaneousEjectionDoesNotSynchronizeBrokers guarantees that, where 80 brokers see one sound replica stall
-// for 400 ms at the same moment, they use it again soon and do not all return to it at once.
+// TestSimultaneousEjectionDoesNotSynchronizeBrokers checks that 80 brokers that see the same replica stall for 400 ms
+// use it again soon, but do not all return to it at once.
 func TestSimultaneousEjectionDoesNotSynchronizeBrokers(t *testing.T) {
 	f := newFleetModel(t, 80)
 	f.run(5000, 60, 6)
@@ -328,7 +328,7 @@
 	before := relativeLoad(2000)
 	stalled.busyUntil = f.now + 400
 	_ = relativeLoad(1000)
-	recoveredAfter := -1 // half seconds
+	recoveredAfter := -1 // in units of 500 ms
 	peak := 0.0
 	for i := range 12 {
 		load := relativeLoad(500)
@@ -337,7 +337,8 @@
 			recoveredAfter = i
 		}
 	}
-	t.Logf("%.2f of a neighbor's load before, half of that %d ms after, %.2f at most", before, recoveredAfter*500, peak)
+	t.Logf("load relative to a neighbor: %.2f before, half of that %d ms after the stall, %.2f at most",
+		before, recoveredAfter*500, peak)
 	assert.True(t, recoveredAfter >= 0 && recoveredAfter <= 6, "avoided for %d half seconds", recoveredAfter)
 	assert.Less(t, peak, 2.5*before, "all brokers returned at once")
 }
--- a/internal/decision/scheduler/queues_test.go
+++ b/internal/decision/scheduler/queues_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestBottleneckQueueIsIndependentOfHintUnit guarantees that cheap and expensive queries land in different queues
-// whatever unit the cost hints are in, as the unit of cost is the mean hint.
+// TestBottleneckQueueIsIndependentOfHintUnit checks that cheap and expensive queries are assigned to different queues
+// in any unit of the cost hints, as the unit of cost is the mean hint.
 func TestBottleneckQueueIsIndependentOfHintUnit(t *testing.T) {
 	for _, unit := range []float64{0.001, 1, 5000} {
 		h := newHarness(t, testSettings())
@@ -28,13 +28,14 @@
 			t.Fatalf("unit %v: cheap query in queue %d, expensive one in %d", unit, cheapQueue, expensiveQueue)
 		}
 	}
-	if bottleneckQueue(1) != 0 || bottleneckQueue(queueThresholdRatio) != 1 || bottleneckQueue(0.2) != 0 || bottleneckQueue(1e9) != queueCount-1 {
+	if bottleneckQueue(1) != 0 || bottleneckQueue(queueThresholdRatio) != 1 ||
+		bottleneckQueue(0.2) != 0 || bottleneckQueue(1e9) != queueCount-1 {
 		t.Fatal("the thresholds of the queues are not the powers of their ratio")
 	}
 }
 
-// TestCallSizeSelectsQueueWithoutHints guarantees that, where all parts cost the same, the number of parts in a call
-// decides on its queue.
+// TestCallSizeSelectsQueueWithoutHints checks that the number of parts in a call determines its queue if all parts
+// cost the same.
 func TestCallSizeSelectsQueueWithoutHints(t *testing.T) {
 	settings := testSettings()
 	settings.MaxPartsPerCall = 16
@@ -56,8 +57,8 @@
 	}
 }
 
-// TestSlackQueueMatchesCostRatio guarantees that a call that costs less than its query's bottleneck goes to a slower
-// queue, so that both finish together, and never to a faster one.
+// TestSlackQueueMatchesCostRatio checks that a call that costs less than its query's bottleneck is assigned to a
+// slower queue, so that both finish together, and never to a faster one.
 func TestSlackQueueMatchesCostRatio(t *testing.T) {
 	for _, test := range []struct {
 		bottleneck int
@@ -79,8 +80,8 @@
 	}
 }
 
-// TestDeficitRoundRobinFollowsQueueRates guarantees that no queue starves: full queues are drained in proportion to
-// their rates.
+// TestDeficitRoundRobinFollowsQueueRates checks that full queues are drained in proportion to their rates, so that
+// none starves.
 func TestDeficitRoundRobinFollowsQueueRates(t *testing.T) {
 	queues := &shardQueues{}
 	for i := range queues.fifo {
@@ -103,8 +104,8 @@
 	}
 }
 
-// TestPartsAreQueuedOnlyWhileEveryReplicaIsBusy guarantees that parts wait at the broker instead of at replicas that
-// are at their limit or stalled, but not for a replica with nothing in flight: queueing cannot deadlock.
+// TestPartsAreQueuedOnlyWhileEveryReplicaIsBusy checks that parts wait at the broker while their replicas are stalled
+// or at their limit. They do not wait for a replica with nothing in flight, so queueing cannot deadlock.
 func TestPartsAreQueuedOnlyWhileEveryReplicaIsBusy(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
@@ -140,8 +141,8 @@
 	}
 }
 
-// TestCallIsPromotedAfterHalfTheObjective guarantees that an expensive call does not miss its objective behind a
-// steady flow of cheap ones: it jumps to the fastest queue once half of the objective has passed.
+// TestCallIsPromotedAfterHalfTheObjective checks that an expensive call is promoted to the fastest queue once half of
+// the objective has passed. Otherwise a steady flow of cheap calls could make it miss its objective.
 func TestCallIsPromotedAfterHalfTheObjective(t *testing.T) {
 	queues := &shardQueues{}
 	class := testSettings().Classes[classDefault]
@@ -158,8 +159,8 @@
 	}
 }
 
-// TestLargeFleetDoesNotBatchCheapCalls guarantees that one of many brokers spreads a query's parts over the replicas
-// of a shard: its own counts do not show the queue that a batch would land on.
+// TestLargeFleetDoesNotBatchCheapCalls checks that a broker of a large fleet spreads the parts of a query over the
+// replicas of a shard: it cannot see from its own attempts how long the queue is that a large call would join.
 func TestLargeFleetDoesNotBatchCheapCalls(t *testing.T) {
 	for _, test := range []struct{ brokers, wantReplicas int }{
 		{brokers: 2, wantReplicas: 1},
@@ -172,7 +173,8 @@
 		settings.Cells = 1
 		settings.CellsPerShard = 1
 		h := newHarness(t, settings)
-		h.updateEndpoints(UpdateFull, Endpoint{Replica: 1, State: Ready}, Endpoint{Replica: 2, State: Ready}, Endpoint{Replica: 3, State: Ready})
+		h.updateEndpoints(UpdateFull, Endpoint{Replica: 1, State: Ready}, Endpoint{Replica: 2, State: Ready},
+			Endpoint{Replica: 3, State: Ready})
 		h.runRound()
 		h.submit(classDefault, 0, 1, 2)
 		h.runRound()
@@ -183,8 +185,8 @@
 	}
 }
 
-// TestQueueTableKeepsActiveShardsInOrder guarantees that rounds visit active shards in order whatever came first, and
-// that a shard at which nothing is queued is no longer active; beyond the dense ids it is forgotten.
+// TestQueueTableKeepsActiveShardsInOrder checks that rounds visit the active shards in order of their ids and that a
+// shard without queued calls is no longer active. The queues of shards beyond the dense ids are then deleted.
 func TestQueueTableKeepsActiveShardsInOrder(t *testing.T) {
 	table := newQueueTable()
 	for _, shard := range []int{denseShards, 3, 1, 3} {
--- a/internal/decision/scheduler/replica_selection_test.go
+++ b/internal/decision/scheduler/replica_selection_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestSelectsReplicaWithFewestCallsInFlight guarantees that load is spread over the replicas of a shard.
+// TestSelectsReplicaWithFewestCallsInFlight checks that parts are spread over the replicas of a shard.
 func TestSelectsReplicaWithFewestCallsInFlight(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
@@ -20,9 +20,9 @@
 	}
 }
 
-// TestExpensiveCallsAreSharedAcrossNeighboringShards guarantees that parts of neighboring shards of a ring, which
-// have replicas in common, share calls where a call costs nearly as much as a part, also among many brokers, and do
-// not where it costs little.
+// TestExpensiveCallsAreSharedAcrossNeighboringShards checks that parts of neighboring shards of a ring, which have
+// replicas in common, share calls if the overhead of a call is nearly the work of a part, even in a large fleet. With
+// a low overhead they do not.
 func TestExpensiveCallsAreSharedAcrossNeighboringShards(t *testing.T) {
 	for _, isExpensive := range []bool{false, true} {
 		settings := testSettings()
@@ -43,9 +43,9 @@
 	}
 }
 
-// TestCongestedShardIsSentPartsAtAPace guarantees that the rule that a replica with nothing in flight takes an
-// attempt does not undo congestion control. One of many brokers seldom has anything in flight at a replica, so it
-// sends to a congested shard at a pace, and freely again once the replicas are fast.
+// TestCongestedShardIsSentPartsAtAPace checks that congestion control still holds although a replica with nothing in
+// flight accepts any attempt. A broker of a large fleet seldom has attempts in flight at a replica, so it paces its
+// attempts to a congested shard. It stops pacing once the replicas are fast.
 func TestCongestedShardIsSentPartsAtAPace(t *testing.T) {
 	settings := testSettings()
 	settings.BrokerCount = 40
@@ -59,7 +59,7 @@
 			h.endAttempt(a, Succeeded)
 		}
 	}
-	// sentToShard0 submits a query in four to shard 0 and counts what is sent there.
+	// sentToShard0 submits a query to shard 0 in every fourth round and returns the number of attempts sent there.
 	sentToShard0 := func(rounds int, reply func(*sentAttempt)) int {
 		before := len(h.sent)
 		for i := range rounds {
@@ -90,7 +90,7 @@
 	}
 }
 
-// TestRankOrder guarantees that the tier decides first, then the calls in flight, then the tie break.
+// TestRankOrder checks that ranks are compared by tier, then by calls in flight, then by the tie break.
 func TestRankOrder(t *testing.T) {
 	ordered := []rank{
 		{tierHealthy, 0, 1},
--- a/internal/decision/scheduler/replica_test.go
+++ b/internal/decision/scheduler/replica_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestDrainIsTimedFromFirstReport guarantees that the grace of a drain runs from the first report that a replica
-// leaves, that being ready ends the drain, and that a replica first seen leaving has no grace left.
+// TestDrainIsTimedFromFirstReport checks that the grace of a drain begins with the first report that the replica is
+// draining or removed, that a ready state ends the drain, and that a new replica that is not ready has no grace left.
 func TestDrainIsTimedFromFirstReport(t *testing.T) {
 	drain := newReplica(Endpoint{}).drain
 	wants := []float64{math.Inf(-1), math.Inf(1), 200, 200, math.Inf(1), 500}
--- a/internal/decision/scheduler/tenant_quota_test.go
+++ b/internal/decision/scheduler/tenant_quota_test.go
@@ -6,18 +6,18 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestTenantOverQuotaIsRejectedFirst guarantees that, where something must be rejected, a tenant's surge is rejected
-// before the queries of a tenant within its quota.
+// TestTenantOverQuotaIsRejectedFirst checks that an overloaded broker rejects queries of a tenant beyond its quota
+// before those of a tenant within its quota.
 func TestTenantOverQuotaIsRejectedFirst(t *testing.T) {
-	without := runTenantSurge(t, 1)
-	with := runTenantSurge(t, 0.1)
-	if without[1] < 8 || float64(with[1]) > 0.7*float64(without[1]) || with[0] < with[1] {
-		t.Fatalf("rejected queries of the surging tenant and of the other: %v, without quotas %v", with, without)
+	withoutQuotas := runTenantSurge(t, 1)
+	withQuotas := runTenantSurge(t, 0.1)
+	if withoutQuotas[1] < 8 || float64(withQuotas[1]) > 0.7*float64(withoutQuotas[1]) || withQuotas[0] < withQuotas[1] {
+		t.Fatalf("rejected queries of the surging tenant and of the other: %v, without quotas %v", withQuotas, withoutQuotas)
 	}
 }
 
-// runTenantSurge has tenant 0 submit seven times as many queries as tenant 1 to a fleet that becomes slow, and counts
-// the rejected queries by tenant. Nothing may be rejected while the fleet is fast.
+// runTenantSurge submits seven queries of tenant 0 for each query of tenant 1, first while the fleet is fast and then
+// while it is slow. It returns the rejected queries by tenant while the fleet is slow. None may be rejected before.
 func runTenantSurge(t *testing.T, overQuotaFactor float64) [2]int {
 	t.Helper()
 	settings := testSettings()
@@ -55,8 +55,8 @@
 	return countRejected(50, 350)
 }
 
-// TestTokenBucketHoldsOneSecond guarantees that a bucket saves up one second's worth of tokens at most, and one at
-// least, so that slow rates are served too; a refusal costs nothing.
+// TestTokenBucketHoldsOneSecond checks that a bucket holds at most the tokens of one second, but at least one, so
+// that rates below one per second are served too. A failed take costs no token.
 func TestTokenBucketHoldsOneSecond(t *testing.T) {
 	for rate, wants := range map[float64][]bool{
 		0:   {false, false, false, false, false},
@@ -70,7 +70,7 @@
 	}
 }
 
-// TestTenantQuotaIsDividedAmongBrokers guarantees that each broker admits its even part of a tenant's rate, and that
+// TestTenantQuotaIsDividedAmongBrokers checks that each broker admits an equal part of a tenant's rate and that
 // unknown tenants have no quota.
 func TestTenantQuotaIsDividedAmongBrokers(t *testing.T) {
 	quotas := newTenantQuotas([]float64{10, 100}, 2)
--- a/internal/decision/scheduler/zone_latency_test.go
+++ b/internal/decision/scheduler/zone_latency_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// newTwoZoneHarness is the harness of one of 40 brokers, in a third zone, before 200 replicas in zones 0 and 1 that
-// are equally good. Each of ten shards has ten replicas in each zone.
+// newTwoZoneHarness returns the harness of one of 40 brokers, in zone 2, with 200 replicas of equal speed in zones 0
+// and 1. Each of ten shards has ten replicas in each zone.
 func newTwoZoneHarness(t *testing.T, settings Settings) *harness {
 	t.Helper()
 	settings.BrokerCount = 40
@@ -27,7 +27,7 @@
 
 func isInZone1(a *sentAttempt) bool { return (a.replica-1)/10%2 == 1 }
 
-// sentToZone1 submits queries of two parts at an interval and counts the parts that are sent to zone 1.
+// sentToZone1 submits queries of two parts at an interval and returns the number of attempts sent to zone 1.
 func (h *harness) sentToZone1(queries int, intervalMs float64, reply func(*sentAttempt)) int {
 	before := len(h.sent)
 	for i := range queries {
@@ -44,9 +44,9 @@
 	return sent
 }
 
-// TestSlowZoneIsAvoidedAndReadmitted guarantees that a slow network path to a zone is told from slow replicas: all
-// replicas of the zone are avoided within seconds, though each has had but a few parts, and used again once the path
-// is fast.
+// TestSlowZoneIsAvoidedAndReadmitted checks that a slow network path to a zone is distinguished from slow replicas.
+// All replicas of the zone are avoided within seconds, although each of them was sent only a few parts, and used
+// again once the path is fast.
 func TestSlowZoneIsAvoidedAndReadmitted(t *testing.T) {
 	h := newTwoZoneHarness(t, testSettings())
 	replyWithZone1 := func(ms float64) func(*sentAttempt) {
@@ -57,7 +57,7 @@
 		}
 	}
 	h.sentToZone1(100, 50, replyWithZone1(110))
-	h.sentToZone1(60, 50, replyWithZone1(700)) // 3 s: about one part at each tenth replica of the zone
+	h.sentToZone1(60, 50, replyWithZone1(700)) // 3 s: about one part for every tenth replica of the zone
 	sent := h.sentToZone1(60, 50, replyWithZone1(700))
 	if sent > 10 {
 		t.Fatalf("%d of 120 parts sent to the slow zone, want 10 at most", sent)
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestStalledReplicaDoesNotSlowItsZone guarantees that many late answers out of one stalled replica count once for
-// its zone, as they say nothing of the other replicas there.
+// TestStalledReplicaDoesNotSlowItsZone checks that the late answers of one stalled replica count only once for its
+// zone, as they say nothing about the other replicas there.
 func TestStalledReplicaDoesNotSlowItsZone(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
@@ -90,9 +90,9 @@
 	}
 }
 
-// TestSilentZoneIsAvoidedBeforeTimeouts guarantees that a zone that answers nothing any more shows in what is late
-// there, long before attempts time out.
-func TestSilentZoneIsAvoidedBeforeTimeouts(t *testing.T) {
+// TestUnresponsiveZoneIsAvoidedBeforeTimeouts checks that a zone that no longer responds is detected by its late
+// attempts, long before attempts time out.
+func TestUnresponsiveZoneIsAvoidedBeforeTimeouts(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[classDefault].LatencyObjective = 2900
 	settings.Classes[classDefault].Deadline = 3000
@@ -104,15 +104,15 @@
 		}
 	}
 	h.sentToZone1(200, 25, h.replyAfter(100))
-	atFirst := h.sentToZone1(30, 25, replyFromZone0) // less than a second
+	sentAtFirst := h.sentToZone1(30, 25, replyFromZone0) // less than a second
 	sent := h.sentToZone1(30, 25, replyFromZone0)
-	if atFirst < 8 || sent > atFirst/3 {
-		t.Fatalf("%d parts sent to the silent zone at first, then %d", atFirst, sent)
+	if sentAtFirst < 8 || sent > sentAtFirst/3 {
+		t.Fatalf("%d parts sent to the unresponsive zone at first, then %d", sentAtFirst, sent)
 	}
 }
 
-// TestZoneLatencyIsMedianOverReplicas guarantees that each slow replica moves its zone's latency by one step, once,
-// that faster answers move it down again, not below 1, and that the best zone is known.
+// TestZoneLatencyIsMedianOverReplicas checks that each slow replica raises its zone's latency by one step once, that
+// faster answers lower it again, but not below 1, and that the best latency of all zones is updated.
 func TestZoneLatencyIsMedianOverReplicas(t *testing.T) {
 	zones := newZoneLatencies()
 	slow := &replica{}
