--- a/internal/decision/scheduler/admission.go
+++ b/internal/decision/scheduler/admission.go
@@ -117,18 +117,19 @@
 }
 
 // lowerClientRetryPriority lowers the priority of client retries, which protects against retry storms. The class's
-// deadline covers a client's first request and all of its retries, so a retry with less time left than first requests
-// usually have gets its objective from the time of the first request. A retry is misclassified if its client sets a
-// shorter deadline. First requests only update the mean time left.
+// deadline covers a client's first request and all of its retries. If a retry has less time left than first requests
+// usually have, its latency objective is counted from the first request; its priority falls further if the objective
+// cannot be met any more. A retry may be misclassified if its client sets a shorter deadline. First requests only
+// update the mean time left.
 func (s *Scheduler) lowerClientRetryPriority(now float64, q *query) {
-	meanFirstMs := &s.firstTryMs[q.Class]
+	meanFirstRequestMs := &s.firstTryMs[q.Class]
 	remaining := q.Deadline - now
 	if !q.ClientRetry {
-		*meanFirstMs += (remaining - *meanFirstMs) * meanGain
+		*meanFirstRequestMs += (remaining - *meanFirstRequestMs) * meanGain
 		return
 	}
 	q.priority *= clientRetryPriorityFactor
-	if remaining >= *meanFirstMs*shortClientRetryRatio {
+	if remaining >= *meanFirstRequestMs*shortClientRetryRatio {
 		return
 	}
 	q.objectiveAt = min(q.objectiveAt, q.Deadline-q.class.Deadline+q.class.LatencyObjective)
