--- a/internal/control/adminops/handover.go
+++ b/internal/control/adminops/handover.go
@@ -131,7 +131,7 @@
 		}
 		h.waitLogged = true
 	case handover.Apply:
-		sends := handover.AgeSends(h.pending, nowUnixMs, h.config.WindowMs)
+		sends := handover.AgeAttempts(h.pending, nowUnixMs, h.config.WindowMs)
 		h.config.Core.TakeOver(sends)
 		h.settled = true
 		h.pending = nil
