--- a/internal/decision/shardmap/apply.go
+++ b/internal/decision/shardmap/apply.go
@@ -2,9 +2,10 @@
 
 import "fmt"
 
-// Apply applies changes in order, all or none. Changes up to the epoch in use are skipped, as a source may deliver
-// them twice. backends are the ids that may hold shards; none allows any. It returns the ids of the shards that were
-// retired, in the order of their retirement. The error of a change that cannot be applied wraps a *ValidationError.
+// Apply applies all changes in order, or none if one of them is invalid. It skips changes up to the epoch in use, as
+// a source may deliver a change twice. backends are the ids that may hold shards; an empty list allows any. Apply
+// returns the ids of the retired shards, in the order of their retirement. The error for an invalid change wraps a
+// *ValidationError.
 func (m *Map) Apply(changes []Change, backends []string) ([]ShardID, error) {
 	e := newEdit(m.current, m.highestID, newBackendSet(backends))
 	applied := 0
@@ -19,7 +20,7 @@
 		applied++
 		if e.version.Len() > m.options.MaxShards {
 			m.stats.Rejected++
-			return nil, invalid(noShard, ErrTooMany, "%d of %d", e.version.Len(), m.options.MaxShards)
+			return nil, invalid(noShard, ErrTooMany, "%d shards, at most %d", e.version.Len(), m.options.MaxShards)
 		}
 	}
 	if applied == 0 {
@@ -30,11 +31,11 @@
 	return retired, nil
 }
 
-// commit puts the version of an edit into use.
+// commit puts the version that an edit has built into use. It returns the ids of the retired shards.
 func (m *Map) commit(e *edit) []ShardID {
 	previous := m.current
 	for _, shard := range e.changed {
-		if e.version.Shard(shard.ID) == shard { // else a later change of the batch has replaced it
+		if e.version.Shard(shard.ID) == shard { // skip a shard that a later change of the batch replaced
 			m.groups.join(shard)
 			m.put(shard)
 		}
@@ -54,8 +55,8 @@
 	return retired
 }
 
-// leaveGroup takes a shard of the previous version out of its group, once. It does nothing for nil: the shard was
-// made by the batch itself.
+// leaveGroup removes a shard of the previous version from its group, at most once. It does nothing if shard is nil:
+// then the batch itself created the shard, and the previous version does not have it.
 func (m *Map) leaveGroup(shard *Shard, departed map[ShardID]bool) {
 	if shard == nil || departed[shard.ID] {
 		return
--- a/internal/decision/shardmap/coverage.go
+++ b/internal/decision/shardmap/coverage.go
@@ -5,24 +5,25 @@
 	"slices"
 )
 
-// Coverage tracks which buckets of one part have been answered. The part counts only when all of them have, and no
-// bucket counts twice.
+// Coverage tracks which buckets of one part have been answered. The part counts only when all of them have been, and
+// no bucket counts twice.
 //
-// The pending segments and the buckets that have been answered make up the Range of the part, without overlap.
+// Invariant: every bucket of the Range is either answered or in exactly one pending segment.
 type Coverage struct {
 	Range
 	pending []Range
 }
 
-// NewCoverage is the coverage of a part that is sent as the given segments, which must make up its range.
+// NewCoverage returns the coverage of a part that is sent as the given segments. They must cover its range without
+// overlap.
 func NewCoverage(part Range, segments []Segment) *Coverage {
 	coverage := &Coverage{Range: part}
 	coverage.add(segments)
 	return coverage
 }
 
-// Arrived records the answer to a segment and reports whether the part is complete. It fails if no such segment is
-// pending: its buckets would count twice.
+// Arrived records the answer to a segment and reports whether the part is complete. It fails if the segment is not
+// pending, as its buckets would count twice.
 func (c *Coverage) Arrived(segment Range) (complete bool, err error) {
 	if err := c.remove(segment); err != nil {
 		return false, err
@@ -30,18 +31,18 @@
 	return c.Complete(), nil
 }
 
-// Replace puts other segments in the place of a pending one. It fails, and changes nothing, if there is no such
-// pending segment or if the others do not make up the same buckets, in order.
+// Replace replaces a pending segment by others. It fails, and changes nothing, if the segment is not pending or if
+// the replacements, in their order, do not exactly cover its buckets.
 func (c *Coverage) Replace(segment Range, replacements []Segment) error {
 	nextBucket := segment.Start
 	for _, replacement := range replacements {
 		if replacement.Start != nextBucket {
-			return fmt.Errorf("segments %v do not make up %v", replacements, segment)
+			return fmt.Errorf("segments %v do not exactly cover buckets %v", replacements, segment)
 		}
 		nextBucket = replacement.End
 	}
 	if nextBucket != segment.End {
-		return fmt.Errorf("segments %v do not make up %v", replacements, segment)
+		return fmt.Errorf("segments %v do not exactly cover buckets %v", replacements, segment)
 	}
 	if err := c.remove(segment); err != nil {
 		return err
--- a/internal/decision/shardmap/edit.go
+++ b/internal/decision/shardmap/edit.go
@@ -2,26 +2,26 @@
 
 import "slices"
 
-// edit is a version in the making: the version in use with changes applied. The version in use is not touched. After
-// an error an edit must not be used.
+// edit builds the next version: it applies changes to a copy of the version in use. An edit must not be used after an
+// error.
 type edit struct {
 	version   *Version
 	allowed   backendSet
 	highestID ShardID  // the highest id ever used
-	changed   []*Shard // shards that changes have put, without those retired since; an id may occur more than once
+	changed   []*Shard // added or replaced and not retired since; may repeat an id
 	retired   []*Shard
 }
 
 func newEdit(base *Version, highestID ShardID, allowed backendSet) *edit {
 	version := *base
-	version.queries = 0
+	version.activeQueries = 0
 	return &edit{version: &version, allowed: allowed, highestID: highestID}
 }
 
-// apply applies one change, or fails with a *ValidationError.
+// apply applies one change. Its error is a *ValidationError.
 func (e *edit) apply(change Change) error {
 	if change.Base != e.version.Epoch {
-		return invalid(noShard, ErrBase, "onto %d, at %d", change.Base, e.version.Epoch)
+		return invalid(noShard, ErrBase, "base epoch %d, current epoch %d", change.Base, e.version.Epoch)
 	}
 	if change.Epoch <= change.Base {
 		return invalid(noShard, ErrEpoch, "from %d to %d", change.Base, change.Epoch)
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// transition applies a change of one shard's state or replicas.
+// transition applies a change to the state or the replicas of one shard.
 func (e *edit) transition(change Change, shard *Shard) error {
 	if !canApply(change.Kind, shard.State) {
 		return invalid(shard.ID, ErrState, "%v while %v", change.Kind, shard.State)
@@ -74,7 +74,8 @@
 	return nil
 }
 
-// canApply reports whether a kind of change is possible in a state. Split and Merge have their own rules.
+// canApply reports whether a kind of change is possible in a state. It is false for Split and Merge, which split and
+// merge check themselves.
 func canApply(kind Kind, state State) bool {
 	switch kind {
 	case Move, Assign:
@@ -90,7 +91,7 @@
 	}
 }
 
-// split divides a shard in two. A move in progress goes on for both halves, as its data is copied by bucket.
+// split divides a shard in two. A move in progress continues for both halves, as data is copied by bucket.
 func (e *edit) split(change Change, shard *Shard) error {
 	if change.At <= shard.Start || change.At >= shard.End {
 		return invalid(shard.ID, ErrRange, "split of %v at %d", shard.Range, change.At)
@@ -110,8 +111,8 @@
 	return nil
 }
 
-// merge joins two neighbours. Both must be Serving from the same replicas: otherwise the merged shard would name
-// replicas to which some of its buckets were never copied.
+// merge joins two adjacent shards. Both must be Serving and have the same replicas: otherwise the merged shard would
+// name replicas to which some of its buckets were never copied.
 func (e *edit) merge(change Change, shard *Shard) error {
 	other, err := e.shard(change.Other)
 	if err != nil {
@@ -122,7 +123,7 @@
 		left, right = right, left
 	}
 	if left.End != right.Start {
-		return invalid(left.ID, ErrRange, "%v and %v are not neighbours", left.Range, right.Range)
+		return invalid(left.ID, ErrRange, "%v and %v are not adjacent", left.Range, right.Range)
 	}
 	if left.State != Serving || right.State != Serving {
 		return invalid(left.ID, ErrState, "merge of %v and %v shards", left.State, right.State)
@@ -155,7 +156,7 @@
 	return shard, nil
 }
 
-// validateNewIDs checks that there are count ids, none of which was ever used.
+// validateNewIDs checks that ids has count ids and that none of them was ever used.
 func (e *edit) validateNewIDs(ids []ShardID, count int) error {
 	if len(ids) != count {
 		return invalid(noShard, ErrShard, "%d new ids instead of %d", len(ids), count)
@@ -170,7 +171,7 @@
 	return nil
 }
 
-// put adds or replaces a shard, whose last change is at the epoch of the edit.
+// put adds or replaces a shard and sets its Since to the epoch of the edit.
 func (e *edit) put(shard *Shard) {
 	shard.Since = e.version.Epoch
 	e.version.byID = e.version.byID.Set(shard.ID, shard)
--- a/internal/decision/shardmap/edit_test.go
+++ b/internal/decision/shardmap/edit_test.go
@@ -26,7 +26,7 @@
 	require.Equal(t, []string{"a", "e", "c"}, m.Current().Shard(0).Replicas)
 
 	apply(t, m, Change{Kind: Move, From: "e", To: "b"}, Change{Kind: Handover}, Change{Kind: Done})
-	require.Equal(t, []string{"a", "b", "c"}, m.Current().Shard(0).Replicas, "moved back")
+	require.Equal(t, []string{"a", "b", "c"}, m.Current().Shard(0).Replicas, "the shard is moved back")
 }
 
 func TestSplitDuringMove(t *testing.T) {
@@ -36,7 +36,7 @@
 	require.Equal(t, []ShardID{0}, retired)
 	for _, id := range []ShardID{4, 5} {
 		shard := m.Current().Shard(id)
-		require.Equal(t, Preparing, shard.State, "the move goes on for both halves")
+		require.Equal(t, Preparing, shard.State, "the move continues for both halves")
 		require.Equal(t, []ShardID{0}, shard.Parents)
 	}
 	err := tryApply(m, Change{Kind: Merge, Shard: 4, Other: 5, Into: []ShardID{6}})
@@ -47,7 +47,7 @@
 	require.Equal(t, []string{"a", "b", "c"}, m.Current().Shard(5).Executors())
 
 	buckets, err := m.Resolve(0)
-	require.NoError(t, err, "the retired id can be resolved")
+	require.NoError(t, err, "the id of the retired shard can be resolved")
 	segments := m.Current().Route(nil, 0, buckets)
 	require.Equal(t, []Segment{{4, Range{0, 4}}, {5, Range{4, 10}}}, segments)
 }
--- a/internal/decision/shardmap/errors.go
+++ b/internal/decision/shardmap/errors.go
@@ -18,21 +18,21 @@
 	ErrTooMany = errors.New("more shards than the bound")
 )
 
-// ErrStale is matched by the error of Map.Resolve for an id that cannot be translated to buckets. Such an error
-// matches ErrShard too.
+// ErrStale matches the error of Map.Resolve for an id that cannot be translated to buckets. Such an error matches
+// ErrShard too.
 var ErrStale = errors.New("shard is unknown or was retired too long ago")
 
-// noShard is ValidationError.Shard where the error does not concern a particular shard.
+// noShard is the ValidationError.Shard of an error that does not concern a particular shard.
 const noShard ShardID = -1
 
-// ValidationError is the first error that was found in a snapshot or a change.
+// ValidationError reports the first error that was found in a snapshot or a change.
 type ValidationError struct {
 	Shard  ShardID // the invalid shard; -1 if the error does not concern a particular one
 	Detail string  // the invalid values
 	Err    error   // the kind of error: one of the Err variables of this package
 }
 
-// Error names the shard, the kind of error and its detail.
+// Error returns the shard, the kind of error and the detail.
 func (e *ValidationError) Error() string {
 	if e.Shard < 0 {
 		return fmt.Sprintf("%v: %s", e.Err, e.Detail)
@@ -40,16 +40,16 @@
 	return fmt.Sprintf("shard %d: %v: %s", e.Shard, e.Err, e.Detail)
 }
 
-// Unwrap is the kind of error.
+// Unwrap returns the kind of error.
 func (e *ValidationError) Unwrap() error { return e.Err }
 
-// invalid makes a *ValidationError. It returns the interface type, so that callers can return it as it is.
+// invalid returns a *ValidationError as an error, so that callers can return its result directly.
 func invalid(id ShardID, kind error, format string, args ...any) error {
 	return &ValidationError{Shard: id, Detail: fmt.Sprintf(format, args...), Err: kind}
 }
 
-// unresolvedError is Map.Resolve's error. Its text is part of answers to clients, so it is fixed and uses the terms
-// of the wire.
+// unresolvedError is the error of Map.Resolve. Its text is part of answers to clients, so it must not change, and it
+// uses the terms of the client protocol.
 type unresolvedError struct {
 	shard ShardID
 	epoch uint64 // of the version in use
--- a/internal/decision/shardmap/helpers_test.go
+++ b/internal/decision/shardmap/helpers_test.go
@@ -7,17 +7,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Property tests draw the same histories in every run; -rapid.seed=0 on the command line draws new ones.
+// init makes property tests draw the same histories in every run. The flag -rapid.seed=0 draws new ones.
 func init() { _ = flag.Set("rapid.seed", "20261201") }
 
-// backendNumber lists every backend, under the hash of its id.
+// backendNumber is an Options.ReplicaNumber for an endpoint list that has every backend. The number is the hash of
+// the id.
 func backendNumber(backend string) (uint32, bool) {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(backend))
 	return hash.Sum32(), true
 }
 
-// ringSnapshot has shards of size buckets each, on three of the backends a to e in a ring.
+// ringSnapshot returns a snapshot with shards of size buckets each. Shard i is on three adjacent backends of a ring
+// of five, a to e, from the backend i mod 5 on.
 func ringSnapshot(epoch uint64, shards, size int) Snapshot {
 	snapshot := Snapshot{Epoch: epoch, Buckets: shards * size}
 	for i := range shards {
@@ -30,7 +32,7 @@
 	return snapshot
 }
 
-// newRingMap is a map at epoch 1 with the shards of ringSnapshot.
+// newRingMap returns a map at epoch 1 with the shards of ringSnapshot.
 func newRingMap(t require.TestingT, shards, size int) *Map {
 	m := New(Options{ReplicaNumber: backendNumber})
 	_, err := m.Reset(ringSnapshot(1, shards, size))
@@ -38,24 +40,24 @@
 	return m
 }
 
-// next is a change from the epoch in use to the one after it.
-func next(m *Map, change Change) Change {
+// withNextEpoch returns the change from the epoch in use to the epoch after it.
+func withNextEpoch(m *Map, change Change) Change {
 	change.Base = m.Current().Epoch
 	change.Epoch = change.Base + 1
 	return change
 }
 
-// tryApply applies a change to the epoch in use, and returns its error.
+// tryApply applies a change to the epoch in use and returns the error of Apply.
 func tryApply(m *Map, change Change, backends ...string) error {
-	_, err := m.Apply([]Change{next(m, change)}, backends)
+	_, err := m.Apply([]Change{withNextEpoch(m, change)}, backends)
 	return err
 }
 
-// apply applies changes, each to the epoch before it, and returns the ids that the last one retired.
+// apply applies changes one by one and returns the ids of the shards that the last one retired.
 func apply(t require.TestingT, m *Map, changes ...Change) (retired []ShardID) {
 	for _, change := range changes {
 		var err error
-		retired, err = m.Apply([]Change{next(m, change)}, nil)
+		retired, err = m.Apply([]Change{withNextEpoch(m, change)}, nil)
 		require.NoError(t, err)
 	}
 	return retired
--- a/internal/decision/shardmap/lineage.go
+++ b/internal/decision/shardmap/lineage.go
@@ -6,20 +6,20 @@
 	Range
 }
 
-// lineage remembers which buckets retired shards had, so that clients may still name them. Ids are never reused, so
-// an entry never becomes wrong. At the limit the oldest entry is dropped.
+// lineage records which buckets retired shards had, so that clients may still name those shards. An entry stays valid
+// forever, as ids are never reused. At the limit the oldest entry is dropped.
 type lineage struct {
 	limit     int
 	ranges    map[ShardID]Range
 	order     []ShardID // keys of ranges, oldest first
-	forgotten uint64    // entries dropped at the limit
+	forgotten uint64    // number of entries dropped at the limit
 }
 
 func newLineage(limit int) lineage { return lineage{limit: limit, ranges: map[ShardID]Range{}} }
 
 func (l *lineage) len() int { return len(l.ranges) }
 
-// remember adds a retired shard; one that is already recorded keeps its place.
+// remember adds a retired shard. A shard that is already recorded keeps its place in the order.
 func (l *lineage) remember(id ShardID, buckets Range) {
 	if _, known := l.ranges[id]; known {
 		return
@@ -33,7 +33,8 @@
 	}
 }
 
-// Retired are the last limit retired shards that can still be resolved, the latest last.
+// Retired returns at most limit of the latest retired shards that can still be resolved, in the order of their
+// retirement.
 func (m *Map) Retired(limit int) []RetiredShard {
 	order := m.lineage.order
 	first := max(0, len(order)-limit)
--- a/internal/decision/shardmap/lineage_test.go
+++ b/internal/decision/shardmap/lineage_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// splitFirstBuckets splits the shard with bucket 0 three times, which retires the shards 0, 4 and 6.
+// splitFirstBuckets splits the shard with bucket 0 three times, which retires shards 0, 4 and 6.
 func splitFirstBuckets(t *testing.T, m *Map) {
 	t.Helper()
 	for i := range 3 {
@@ -21,9 +21,9 @@
 	require.NoError(t, err)
 	splitFirstBuckets(t, m)
 	_, err = m.Resolve(0)
-	require.ErrorIs(t, err, ErrStale, "the third retired shard displaces the first")
+	require.ErrorIs(t, err, ErrStale, "the entry of the third retired shard replaces that of the first")
 	_, err = m.Resolve(6)
 	require.NoError(t, err)
-	require.Equal(t, []RetiredShard{{6, Range{0, 25}}}, m.Retired(1), "the latest")
+	require.Equal(t, []RetiredShard{{6, Range{0, 25}}}, m.Retired(1), "the latest retired shard")
 	require.EqualValues(t, 1, m.Stats().ForgottenShards)
 }
--- a/internal/decision/shardmap/map_test.go
+++ b/internal/decision/shardmap/map_test.go
@@ -12,7 +12,7 @@
 
 const modelBuckets = 64
 
-// mapModel draws histories of valid and invalid changes and compares the map with a table of executors by bucket.
+// mapModel applies random valid and invalid changes to a map and compares it with a table of executors by bucket.
 type mapModel struct {
 	m         *Map
 	executors [][]string // by bucket, sorted
@@ -20,10 +20,10 @@
 	acquired  []acquiredVersion
 }
 
-// acquiredVersion is a version with a query on it, and how it looked when the query started.
+// acquiredVersion is a version with a query on it, and the description of the version when the query started.
 type acquiredVersion struct {
-	version *Version
-	text    string
+	version     *Version
+	description string
 }
 
 func TestMapAgainstModel(t *testing.T) {
@@ -72,10 +72,10 @@
 	second := model.drawShard(t, "second")
 	into := []ShardID{model.nextID}
 	err := tryApply(model.m, Change{Kind: Merge, Shard: first.ID, Other: second.ID, Into: into})
-	neighbours := first.End == second.Start || second.End == first.Start
+	adjacent := first.End == second.Start || second.End == first.Start
 	serving := first.State == Serving && second.State == Serving
 	sameExecutors := slices.Equal(model.executors[first.Start], model.executors[second.Start])
-	require.Equal(t, neighbours && serving && sameExecutors, err == nil)
+	require.Equal(t, adjacent && serving && sameExecutors, err == nil)
 	model.nextID++
 }
 
@@ -85,8 +85,8 @@
 	from := rapid.SampledFrom(backends).Draw(t, "from")
 	to := rapid.SampledFrom(backends).Draw(t, "to")
 	err := tryApply(model.m, Change{Kind: Move, Shard: shard.ID, From: from, To: to}, backends...)
-	possible := shard.State == Serving && slices.Contains(shard.Replicas, from) && !slices.Contains(shard.Replicas, to)
-	require.Equal(t, possible, err == nil)
+	isValid := shard.State == Serving && slices.Contains(shard.Replicas, from) && !slices.Contains(shard.Replicas, to)
+	require.Equal(t, isValid, err == nil)
 }
 
 func (model *mapModel) handover(t *rapid.T) {
@@ -146,13 +146,13 @@
 	require.Empty(t, retired)
 }
 
-// check compares everything that the map says with the model.
+// check compares the state of the map with the model.
 func (model *mapModel) check(t *rapid.T) {
 	model.checkShards(t)
 	model.checkShardsInMotion(t)
 	model.checkLineage(t)
 	for _, acquired := range model.acquired {
-		require.Equal(t, acquired.text, describe(acquired.version), "a version never changes")
+		require.Equal(t, acquired.description, describe(acquired.version), "a version never changes")
 	}
 }
 
@@ -171,14 +171,14 @@
 			require.Same(t, shard, version.ShardAt(nextBucket))
 		}
 		key := fmt.Sprint(executors)
-		group, known := groups[key]
-		require.True(t, !known || group == m.Group(shard.ID), "one group for one set of executors")
+		group, isKnown := groups[key]
+		require.True(t, !isKnown || group == m.Group(shard.ID), "shards with the same executors are in one group")
 		groups[key] = m.Group(shard.ID)
 		require.Len(t, m.Replicas(m.Group(shard.ID)), len(executors))
 	}
 	require.Equal(t, modelBuckets, nextBucket)
 	require.Equal(t, version.Len(), len(m.shards))
-	require.Equal(t, len(groups), m.Stats().Groups, "a group ends with its last shard")
+	require.Equal(t, len(groups), m.Stats().Groups, "a group is deleted with its last shard")
 }
 
 func (model *mapModel) checkShardsInMotion(t *rapid.T) {
@@ -189,7 +189,7 @@
 	require.Equal(t, len(inMotion), model.m.Stats().ShardsInMotion)
 }
 
-// checkLineage routes every id that can be resolved: the segments make up its buckets.
+// checkLineage checks, for every id that can be resolved, that its segments cover exactly its buckets.
 func (model *mapModel) checkLineage(t *rapid.T) {
 	for id := range model.nextID {
 		buckets, err := model.m.Resolve(id)
@@ -202,7 +202,7 @@
 	}
 }
 
-// describe formats everything that a version says.
+// describe formats all shards of a version.
 func describe(version *Version) string {
 	var text strings.Builder
 	for shard := range version.All {
--- a/internal/decision/shardmap/not_holder.go
+++ b/internal/decision/shardmap/not_holder.go
@@ -1,22 +1,23 @@
 package shardmap
 
-// The delays before a segment is sent again, once every replica of its shard has replied not-holder.
+// The delays before the next attempt of a segment, once every replica of its shard has replied not-holder.
 const (
-	newerEpochWaitMs    = 400.0 // at most, for the newer epoch that a backend named
-	notHolderDelayMinMs = 10.0  // where no newer epoch was named; it doubles with each further reply
-	notHolderDelayMaxMs = 160.0
+	newerEpochWaitMs    = 400.0 // longest wait for the newer epoch that a backend reported
+	notHolderDelayMinMs = 10.0  // first delay if no newer epoch was reported; it doubles with each further reply
+	notHolderDelayMaxMs = 160.0 // limit of the doubled delay
 )
 
-// RetryWait is what follows from a backend's reply that it does not hold the buckets of a segment.
+// RetryWait says what to do before the next attempt of a segment, after a backend replied that it does not hold the
+// segment's buckets.
 type RetryWait struct {
-	DelayMs    float64 // ms in which the segment is not sent again; 0: it may be sent at once
-	UntilEpoch uint64  // version of the map that ends the delay early; 0 for none
-	ReadEpoch  uint64  // the source has a version as new as this, which should be read; 0 for none
+	DelayMs    float64 // delay before the segment may be sent again; 0 for none
+	UntilEpoch uint64  // epoch of the map that ends the delay early; 0 for none
+	ReadEpoch  uint64  // the source has this epoch or a newer one and should be polled; 0 for none
 }
 
-// RoutingEpoch is the epoch with which a segment is sent: that of its shard's last change. A backend rejects a segment
-// if its own map is older; with the epoch of the map itself it would also reject segments because of changes to other
-// shards.
+// RoutingEpoch returns the epoch with which a segment is sent: the epoch of the last change to its shard. A backend
+// rejects a segment if its own map is older than that. If segments were sent with the epoch of the map, backends
+// would also reject them because of changes to other shards.
 func (m *Map) RoutingEpoch(segment Segment) uint64 {
 	if shard := m.shards[segment.Shard]; shard != nil {
 		return shard.Since
@@ -24,32 +25,33 @@
 	return m.current.Epoch
 }
 
-// OnNotHolder decides on a not-holder reply to a segment that was sent with epoch routed, from a backend whose map is
-// at epoch backend. consecutive counts the not-holder replies to the segment in a row, this one included.
+// OnNotHolder handles a not-holder reply to a segment that was sent with routedEpoch, from a backend whose map is at
+// backendEpoch. consecutiveReplies counts the not-holder replies to the segment in a row, this one included.
 //
-// A move takes one of several replicas, so the others are asked without delay: only after as many replies as the
-// shard has replicas is there something to wait for. The scheduler puts a replica that was just tried last.
-func (m *Map) OnNotHolder(segment Segment, routed, backend uint64, consecutive int) RetryWait {
+// A move replaces only one of several replicas, so the others are asked without delay. A delay follows only after as
+// many replies as the shard has replicas. By then all have been asked, as the scheduler puts the replica of the last
+// attempt at the end of its order.
+func (m *Map) OnNotHolder(segment Segment, routedEpoch, backendEpoch uint64, consecutiveReplies int) RetryWait {
 	m.stats.NotHolder++
 	shard := m.shards[segment.Shard]
-	if shard == nil || shard.Since != routed {
-		return RetryWait{} // the shard has changed since: the next attempt goes by its new state
+	if shard == nil || shard.Since != routedEpoch {
+		return RetryWait{} // the shard has changed since: the next attempt uses its new state
 	}
-	excess := consecutive - len(shard.Replicas)
-	allAsked := excess >= 0
+	extraReplies := consecutiveReplies - len(shard.Replicas)
+	allReplicasAsked := extraReplies >= 0
 	wait := RetryWait{}
-	if allAsked {
-		wait.DelayMs = min(notHolderDelayMinMs*float64(int(1)<<min(excess, maxDoublings)), notHolderDelayMaxMs)
+	if allReplicasAsked {
+		wait.DelayMs = min(notHolderDelayMinMs*float64(int(1)<<min(extraReplies, maxDoublings)), notHolderDelayMaxMs)
 	}
 	switch {
-	case backend > m.current.Epoch:
+	case backendEpoch > m.current.Epoch:
 		m.stats.MapBehind++
-		wait.ReadEpoch = backend
-		if allAsked { // attempts by the old map would only be rejected again
+		wait.ReadEpoch = backendEpoch
+		if allReplicasAsked { // attempts by the old map would only be rejected again
 			wait.DelayMs = newerEpochWaitMs
-			wait.UntilEpoch = backend
+			wait.UntilEpoch = backendEpoch
 		}
-	case backend < routed:
+	case backendEpoch < routedEpoch:
 		m.stats.BackendBehind++
 	default:
 		m.stats.SameEpoch++
--- a/internal/decision/shardmap/not_holder_test.go
+++ b/internal/decision/shardmap/not_holder_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// mapAtEpoch4 has shard 1 changed last at epoch 4, and the other shards at epoch 1.
+// mapAtEpoch4 returns a map whose shard 1 was last changed at epoch 4, and the other shards at epoch 1.
 func mapAtEpoch4(t *testing.T) *Map {
 	t.Helper()
 	m := newRingMap(t, 4, 10)
@@ -16,35 +16,36 @@
 	return m
 }
 
-func TestRoutingEpochIsThatOfTheShard(t *testing.T) {
+func TestRoutingEpochIsTheEpochOfTheLastChange(t *testing.T) {
 	m := mapAtEpoch4(t)
 	require.EqualValues(t, 4, m.RoutingEpoch(Segment{1, Range{10, 20}}))
-	require.EqualValues(t, 1, m.RoutingEpoch(Segment{2, Range{20, 30}}), "changes of other shards do not count")
+	require.EqualValues(t, 1, m.RoutingEpoch(Segment{2, Range{20, 30}}), "changes to other shards do not count")
 }
 
 func TestOnNotHolder(t *testing.T) {
 	m := mapAtEpoch4(t)
-	changed := Segment{1, Range{10, 20}}
-	unchanged := Segment{2, Range{20, 30}}
+	changedSegment := Segment{1, Range{10, 20}}
+	unchangedSegment := Segment{2, Range{20, 30}}
 	for _, test := range []struct {
-		name        string
-		segment     Segment
-		routed      uint64
-		backend     uint64
-		consecutive int
-		want        RetryWait
+		name               string
+		segment            Segment
+		routedEpoch        uint64
+		backendEpoch       uint64
+		consecutiveReplies int
+		want               RetryWait
 	}{
-		{"map behind, replicas left", changed, 4, 8, 1, RetryWait{ReadEpoch: 8}},
-		{"map behind, all asked", changed, 4, 8, 3,
+		{"map behind, replicas not asked yet", changedSegment, 4, 8, 1, RetryWait{ReadEpoch: 8}},
+		{"map behind, all replicas asked", changedSegment, 4, 8, 3,
 			RetryWait{DelayMs: newerEpochWaitMs, UntilEpoch: 8, ReadEpoch: 8}},
-		{"backend behind, replicas left", changed, 4, 3, 2, RetryWait{}},
-		{"backend behind, all asked", changed, 4, 3, 3, RetryWait{DelayMs: notHolderDelayMinMs}},
-		{"shard changed since", changed, 3, 8, 1, RetryWait{}},
-		{"delay doubles", unchanged, 1, 4, 5, RetryWait{DelayMs: 4 * notHolderDelayMinMs}},
-		{"delay is bounded", unchanged, 1, 4, 99, RetryWait{DelayMs: notHolderDelayMaxMs}},
+		{"backend behind, replicas not asked yet", changedSegment, 4, 3, 2, RetryWait{}},
+		{"backend behind, all replicas asked", changedSegment, 4, 3, 3, RetryWait{DelayMs: notHolderDelayMinMs}},
+		{"shard changed since", changedSegment, 3, 8, 1, RetryWait{}},
+		{"delay doubles", unchangedSegment, 1, 4, 5, RetryWait{DelayMs: 4 * notHolderDelayMinMs}},
+		{"delay is bounded", unchangedSegment, 1, 4, 99, RetryWait{DelayMs: notHolderDelayMaxMs}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			require.Equal(t, test.want, m.OnNotHolder(test.segment, test.routed, test.backend, test.consecutive))
+			wait := m.OnNotHolder(test.segment, test.routedEpoch, test.backendEpoch, test.consecutiveReplies)
+			require.Equal(t, test.want, wait)
 		})
 	}
 }
--- a/internal/decision/shardmap/options.go
+++ b/internal/decision/shardmap/options.go
@@ -1,27 +1,27 @@
 package shardmap
 
-// The bounds of a Map where its Options give none.
+// The default bounds of a Map.
 const (
 	DefaultMaxShards   = 1 << 20
 	DefaultMaxVersions = 256
 	DefaultMaxRetired  = 1 << 16
 )
 
-// minVersions is the least MaxVersions: the version in use and one that queries still hold.
+// minVersions is the smallest MaxVersions: the version in use and one that queries still hold.
 const minVersions = 2
 
 // Options configure a Map.
 type Options struct {
-	// MaxShards is the largest number of shards in one version; DefaultMaxShards if 0 or less.
+	// MaxShards limits the number of shards in one version; 0 or less means DefaultMaxShards.
 	MaxShards int
-	// MaxVersions is how many versions are retained for the queries that were started on them, the version in use
-	// included; DefaultMaxVersions if 0 or less, and 2 at least.
+	// MaxVersions limits how many versions are retained for the queries that were started on them, the version in use
+	// included. 0 or less means DefaultMaxVersions, and 1 means 2.
 	MaxVersions int
-	// MaxRetired is how many retired shards are remembered, so that their ids can be resolved; DefaultMaxRetired if 0
-	// or less.
+	// MaxRetired limits how many retired shards are recorded, so that their ids can be resolved; 0 or less means
+	// DefaultMaxRetired.
 	MaxRetired int
-	// ReplicaNumber is the scheduler's number for a backend id; false if the endpoint list does not have it. Without
-	// it no group has replicas.
+	// ReplicaNumber returns the scheduler's number for a backend id, or false if the id is not in the endpoint list.
+	// If ReplicaNumber is nil, no group has replicas.
 	ReplicaNumber func(backend string) (uint32, bool)
 }
 
@@ -32,9 +32,9 @@
 	return o
 }
 
-func positiveOr(value, otherwise int) int {
+func positiveOr(value, fallback int) int {
 	if value > 0 {
 		return value
 	}
-	return otherwise
+	return fallback
 }
--- a/internal/decision/shardmap/options_test.go
+++ b/internal/decision/shardmap/options_test.go
@@ -14,7 +14,7 @@
 
 	options := Options{MaxShards: 3, MaxVersions: 1, MaxRetired: -1}.withDefaults()
 	require.Equal(t, 3, options.MaxShards)
-	require.Equal(t, 2, options.MaxVersions, "the version in use and one that queries hold")
+	require.Equal(t, 2, options.MaxVersions, "the version in use and one that queries still hold")
 	require.Equal(t, DefaultMaxRetired, options.MaxRetired)
 }
 
--- a/internal/decision/shardmap/poll_request.go
+++ b/internal/decision/shardmap/poll_request.go
@@ -1,10 +1,10 @@
 package shardmap
 
-// PollRequest is a call that is to be made to the source of the shard map.
+// PollRequest describes a call that the caller must make to the source of the shard map.
 type PollRequest struct {
-	FullSnapshot   bool    // ask for a snapshot; otherwise for what changed after SinceEpoch
+	FullSnapshot   bool    // request a snapshot instead of the changes after SinceEpoch
 	SinceEpoch     uint64  // the epoch in use
-	WaitMs         float64 // ms that the source may wait for a change before it answers; 0: it answers at once
-	TimeoutMs      float64 // ms after which the call has failed
-	CancelsPending bool    // a call is in flight and must be cancelled for this one
+	WaitMs         float64 // how long the source may delay its answer while nothing changes; 0 means not at all
+	TimeoutMs      float64 // how long after its start a call without an answer has failed
+	CancelsPending bool    // a call is in flight and must be cancelled first
 }
--- a/internal/decision/shardmap/poller.go
+++ b/internal/decision/shardmap/poller.go
@@ -7,64 +7,65 @@
 )
 
 const (
-	snapshotTimeoutMs = 5000.0 // for a snapshot
-	changesTimeoutMs  = 1000.0 // for changes, beyond the time that the source may wait
+	snapshotTimeoutMs = 5000.0 // timeout of a request for a snapshot
+	changesTimeoutMs  = 1000.0 // timeout of a request for changes, in addition to its WaitMs
 )
 
-// maxDoublings bounds the exponent of a delay that doubles, so that the shift cannot overflow.
+// maxDoublings limits the exponent of a delay that doubles, so that the shift cannot overflow.
 const maxDoublings = 10
 
-// Poller decides when the source of the shard map is called, and for what. It keeps one watch call in flight; asks for
-// a snapshot first and after an update that could not be applied; backs off after failures; and polls at once, a
-// single time for all who report it, when a newer epoch has been seen.
+// Poller decides when to call the source of the shard map and what to request. It keeps one watch call in flight, and
+// backs off after failures. It requests a snapshot first, and again after an update that could not be applied. When a
+// newer epoch is reported, it polls without waiting for the watch, once for all reports of that epoch: a hinted poll.
 //
-// It is a state machine without a clock or I/O: the caller passes the time, in ms of any monotonic clock, makes the
-// calls that Next returns and reports how each ended with Succeeded, Rejected or Failed. At most one call is in flight.
+// It is a state machine without a clock or I/O. The caller passes the time, in ms of any monotonic clock, makes the
+// calls that Next returns, and reports how each ended with Succeeded, Rejected or Failed. At most one call is in
+// flight.
 type Poller struct {
 	options PollerOptions
 	random  splitmix.Source
 
 	epoch         uint64 // in use
-	needsSnapshot bool   // the next call asks for a snapshot
-
-	inFlight    bool
-	callWaits   bool    // the call in flight, or the last one, is a watch: the source may delay its answer
-	nextCallAt  float64 // ms; when the next regular call is due
-	backoffMs   float64 // nominal delay after the last failure; 0 after a success
-	hintedEpoch uint64  // the newest epoch that was reported
-	hintedAt    float64 // ms; when the poll for hintedEpoch is due; infinite if none is
-	lastHinted  float64 // ms; when the last such poll was made
-	fruitless   int     // such polls in a row that brought no newer epoch
-	hintedPolls uint64
+	needsSnapshot bool   // the next call requests a snapshot
+
+	inFlight         bool    // a call is in flight
+	callIsWatch      bool    // the call in flight, or the last one, is a watch: the source may delay its answer
+	nextCallAt       float64 // ms; when the next call other than a hinted poll is due
+	backoffMs        float64 // nominal delay after the last failure; 0 after a success
+	hintedEpoch      uint64  // newest epoch that was reported
+	hintedPollAt     float64 // ms; when the hinted poll is due; infinite if none is scheduled
+	lastHintedPollAt float64 // ms; when the last hinted poll was made
+	fruitlessPolls   int     // number of hinted polls in a row that brought no newer epoch
+	hintedPolls      uint64  // number of all hinted polls
 }
 
-// NewPoller makes a poller whose first call is due at once. seed determines all its random delays.
+// NewPoller returns a poller whose first call is due at once. seed determines all its random delays.
 func NewPoller(options PollerOptions, seed uint64) *Poller {
 	return &Poller{
-		options:       options,
-		random:        splitmix.New(seed),
-		needsSnapshot: true,
-		hintedAt:      math.Inf(1),
-		lastHinted:    math.Inf(-1),
+		options:          options,
+		random:           splitmix.New(seed),
+		needsSnapshot:    true,
+		hintedPollAt:     math.Inf(1),
+		lastHintedPollAt: math.Inf(-1),
 	}
 }
 
-// NextAt is when Next should be called again, in ms; infinite while there is nothing to do but wait for the call in
-// flight.
+// NextAt returns when Next should be called again, in ms. It is infinite while there is nothing to do before the call
+// in flight ends.
 func (p *Poller) NextAt() float64 {
 	if p.inFlight {
-		return p.hintedAt
+		return p.hintedPollAt
 	}
-	return min(p.nextCallAt, p.hintedAt)
+	return min(p.nextCallAt, p.hintedPollAt)
 }
 
-// Next returns the call that is due, if there is one, and regards it as in flight.
+// Next returns the call that is due, if there is one, and counts it as in flight.
 func (p *Poller) Next(now float64) (request PollRequest, due bool) {
-	hinted := now >= p.hintedAt && p.hintedEpoch > p.epoch
-	if now >= p.hintedAt {
-		p.hintedAt = math.Inf(1)
+	isHinted := now >= p.hintedPollAt && p.hintedEpoch > p.epoch
+	if now >= p.hintedPollAt {
+		p.hintedPollAt = math.Inf(1)
 	}
-	if !p.isDue(now, hinted) {
+	if !p.isDue(now, isHinted) {
 		return PollRequest{}, false
 	}
 	request = PollRequest{
@@ -73,9 +74,9 @@
 		WaitMs:         p.options.WatchTimeoutMs,
 		CancelsPending: p.inFlight,
 	}
-	if hinted { // the source has the newer epoch, so a watch that has not delivered it may be dead
+	if isHinted { // the source has the newer epoch, so a watch that has not delivered it may be dead
 		request.WaitMs = 0
-		p.lastHinted = now
+		p.lastHintedPollAt = now
 		p.hintedPolls++
 	}
 	request.TimeoutMs = request.WaitMs + changesTimeoutMs
@@ -84,39 +85,40 @@
 		request.TimeoutMs = snapshotTimeoutMs
 	}
 	p.inFlight = true
-	p.callWaits = request.WaitMs > 0
+	p.callIsWatch = request.WaitMs > 0
 	return request, true
 }
 
-// isDue reports whether a call is to be made. Only a watch is cancelled for another call.
-func (p *Poller) isDue(now float64, hinted bool) bool {
+// isDue reports whether a call is due; isHinted says whether a hinted poll is. Only a watch in flight is cancelled
+// for another call.
+func (p *Poller) isDue(now float64, isHinted bool) bool {
 	if p.inFlight {
-		return hinted && p.callWaits
+		return isHinted && p.callIsWatch
 	}
-	return hinted || now >= p.nextCallAt
+	return isHinted || now >= p.nextCallAt
 }
 
-// NewerEpochSeen reports that a backend or client has a map of this epoch. Epochs that are in use or were reported
-// already are ignored.
+// NewerEpochSeen records that a backend or client has a map of this epoch, and schedules a hinted poll. It ignores
+// epochs up to the one in use, and epochs for which a hinted poll is scheduled already.
 func (p *Poller) NewerEpochSeen(now float64, epoch uint64) {
-	pollPlanned := !math.IsInf(p.hintedAt, 1)
-	if epoch <= p.epoch || epoch <= p.hintedEpoch && pollPlanned {
+	isPollScheduled := !math.IsInf(p.hintedPollAt, 1)
+	if epoch <= p.epoch || epoch <= p.hintedEpoch && isPollScheduled {
 		return
 	}
 	p.hintedEpoch = max(p.hintedEpoch, epoch)
-	answerIsNear := p.inFlight && !p.callWaits
-	if !pollPlanned && !answerIsNear {
-		p.hintedAt = max(now+p.options.JitterMs*p.random.Float64(), p.lastHinted+p.hintedIntervalMs())
+	hasPromptCall := p.inFlight && !p.callIsWatch
+	if !isPollScheduled && !hasPromptCall {
+		p.hintedPollAt = max(now+p.options.JitterMs*p.random.Float64(), p.lastHintedPollAt+p.hintedPollIntervalMs())
 	}
 }
 
-// Succeeded says that the call's answer was applied, and the epoch that is now in use.
+// Succeeded records that the answer to the call was applied. epoch is the epoch now in use.
 func (p *Poller) Succeeded(now float64, epoch uint64) {
-	fruitless := !p.callWaits && epoch == p.epoch && p.hintedEpoch > epoch
-	if fruitless {
-		p.fruitless++
+	isFruitless := !p.callIsWatch && epoch == p.epoch && p.hintedEpoch > epoch
+	if isFruitless {
+		p.fruitlessPolls++
 	} else if epoch > p.epoch {
-		p.fruitless = 0
+		p.fruitlessPolls = 0
 	}
 	p.epoch = epoch
 	p.needsSnapshot = false
@@ -124,48 +126,48 @@
 	p.backoffMs = 0
 	p.nextCallAt = now
 	if p.hintedEpoch <= epoch {
-		p.hintedAt = math.Inf(1)
+		p.hintedPollAt = math.Inf(1)
 	}
-	if fruitless { // the source is behind whoever reported the epoch
-		p.nextCallAt = now + p.hintedIntervalMs()*p.jitter()
+	if isFruitless { // the source does not have the reported epoch yet
+		p.nextCallAt = now + p.hintedPollIntervalMs()*p.jitter()
 	}
 }
 
-// Rejected says that the call's answer was invalid. A snapshot is asked for next: at once, unless it was a snapshot
-// that was invalid.
+// Rejected records that the answer to the call was invalid. The next call requests a snapshot. It is due at once
+// after invalid changes, and after a backoff if it was a snapshot that was invalid.
 func (p *Poller) Rejected(now float64) {
-	snapshotRejected := p.needsSnapshot
+	wasSnapshot := p.needsSnapshot
 	p.needsSnapshot = true
 	p.inFlight = false
-	if snapshotRejected {
+	if wasSnapshot {
 		p.backOff(now)
 		return
 	}
 	p.nextCallAt = now
 }
 
-// Failed says that the call brought no answer.
+// Failed records that the call ended without an answer.
 func (p *Poller) Failed(now float64) {
 	p.inFlight = false
 	p.backOff(now)
 }
 
-// HintedPolls is how many calls were made because a newer epoch had been seen.
+// HintedPolls returns how many calls were made because a newer epoch had been reported.
 func (p *Poller) HintedPolls() uint64 { return p.hintedPolls }
 
-// hintedIntervalMs is the least time between two polls for reported epochs, in ms. It doubles while they bring nothing
-// new, so that a client that names an epoch which does not exist cannot load the source.
-func (p *Poller) hintedIntervalMs() float64 {
-	least := p.options.MinIntervalMs
-	doubled := least * float64(int(1)<<min(p.fruitless, maxDoublings))
-	return min(doubled, max(least, p.options.BackoffMaxMs))
+// hintedPollIntervalMs returns the shortest interval between two hinted polls, in ms. It doubles while they bring
+// nothing new, so that a client that names an epoch which does not exist cannot overload the source.
+func (p *Poller) hintedPollIntervalMs() float64 {
+	intervalMs := p.options.MinIntervalMs
+	doubledMs := intervalMs * float64(int(1)<<min(p.fruitlessPolls, maxDoublings))
+	return min(doubledMs, max(intervalMs, p.options.BackoffMaxMs))
 }
 
-// backOff delays the next call after a failure: exponentially, with jitter.
+// backOff delays the next call after a failure, with exponential backoff and jitter.
 func (p *Poller) backOff(now float64) {
 	p.backoffMs = min(max(2*p.backoffMs, p.options.BackoffMinMs), p.options.BackoffMaxMs)
 	p.nextCallAt = now + p.backoffMs*p.jitter()
 }
 
-// jitter is a random factor from 0.5 up to 1.
+// jitter returns a random factor from 0.5 to 1.
 func (p *Poller) jitter() float64 { return 0.5 + 0.5*p.random.Float64() }
--- a/internal/decision/shardmap/poller_test.go
+++ b/internal/decision/shardmap/poller_test.go
@@ -7,12 +7,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestPollerWatchesAndAsksForASnapshotAfterAnInvalidUpdate(t *testing.T) {
+func TestPollerRequestsASnapshotAfterAnInvalidUpdate(t *testing.T) {
 	poller := NewPoller(DefaultPollerOptions, 7)
 	request, due := poller.Next(0)
-	require.True(t, due && request.FullSnapshot && request.WaitMs == 0, "a snapshot first")
+	require.True(t, due && request.FullSnapshot && request.WaitMs == 0, "the first call requests a snapshot")
 	_, due = poller.Next(1)
-	require.False(t, due, "one call at a time")
+	require.False(t, due, "only one call is in flight at a time")
 	poller.Succeeded(2, 41)
 
 	request, due = poller.Next(2)
@@ -26,10 +26,10 @@
 
 	poller.Rejected(5)
 	request, due = poller.Next(5)
-	require.True(t, due && request.FullSnapshot, "a snapshot at once after an invalid update")
+	require.True(t, due && request.FullSnapshot, "after invalid changes a snapshot is requested at once")
 	poller.Rejected(6)
 	_, due = poller.Next(6)
-	require.False(t, due, "not at once after an invalid snapshot")
+	require.False(t, due, "after an invalid snapshot the next call is delayed")
 	require.GreaterOrEqual(t, poller.NextAt(), 6+DefaultPollerOptions.BackoffMinMs/2)
 }
 
@@ -46,7 +46,7 @@
 		require.LessOrEqual(t, poller.NextAt(), now+DefaultPollerOptions.BackoffMaxMs)
 		now = poller.NextAt()
 	}
-	require.Less(t, calls, 25, "calls in 30 s without a source")
+	require.Less(t, calls, 25, "number of calls in 30 s while all fail")
 	require.Greater(t, calls, 7)
 }
 
@@ -57,11 +57,11 @@
 	poller.Next(0) // the watch
 	now := 100.0
 	polls := 0
-	for range 500 { // not-holder replies, one each ms
+	for range 500 { // one not-holder reply per ms
 		poller.NewerEpochSeen(now, 50)
 		if request, due := poller.Next(now); due {
-			atOnce := PollRequest{SinceEpoch: 41, TimeoutMs: changesTimeoutMs, CancelsPending: true}
-			require.Equal(t, atOnce, request, "the watch is cancelled, and the source answers at once")
+			wantRequest := PollRequest{SinceEpoch: 41, TimeoutMs: changesTimeoutMs, CancelsPending: true}
+			require.Equal(t, wantRequest, request, "the watch is cancelled, and the source must answer at once")
 			polls++
 		}
 		now++
@@ -70,7 +70,7 @@
 	poller.NewerEpochSeen(now, 40)
 	require.True(t, math.IsInf(poller.NextAt(), 1), "an older epoch is ignored")
 
-	// The source is behind the backends: it is polled again, ever more slowly.
+	// While the source is behind the backends, it is polled again at growing intervals.
 	for now < 2600 {
 		if _, due := poller.Next(now); due {
 			polls++
@@ -79,9 +79,9 @@
 		poller.NewerEpochSeen(now, 50)
 		now += 10
 	}
-	require.Less(t, polls, 6, "polls for an epoch that the source does not know")
+	require.Less(t, polls, 6, "number of polls while the source does not have the epoch")
 	poller.Succeeded(now, 50)
 	poller.Next(now)
 	poller.NewerEpochSeen(now, 50)
-	require.True(t, math.IsInf(poller.NextAt(), 1), "the epoch is in use now")
+	require.True(t, math.IsInf(poller.NextAt(), 1), "the epoch is already in use")
 }
--- a/internal/decision/shardmap/range.go
+++ b/internal/decision/shardmap/range.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Range is the half-open interval of buckets from Start to End; End is not included.
+// Range is the half-open interval of buckets [Start, End).
 type Range struct {
 	Start int `json:"lo"` // first bucket
 	End   int `json:"hi"` // first bucket after the range
@@ -14,7 +14,7 @@
 // Overlaps reports whether r and other have a bucket in common.
 func (r Range) Overlaps(other Range) bool { return r.Start < other.End && other.Start < r.End }
 
-// Size is the number of buckets in r.
+// Size returns the number of buckets in r.
 func (r Range) Size() int { return r.End - r.Start }
 
 // String formats r as Start-End, the form that backend frames and messages use.
--- a/internal/decision/shardmap/replica_groups.go
+++ b/internal/decision/shardmap/replica_groups.go
@@ -10,17 +10,17 @@
 
 // replicaGroup is a set of executors that several shards share.
 type replicaGroup struct {
-	key      string
-	backends []string // sorted
-	shards   int      // how many shards are in the group
+	key        string
+	backends   []string // sorted
+	shardCount int
 }
 
-// replicaGroups numbers the sets of executors of the shards in use. The scheduler keeps state by group number, so the
-// numbers of groups that have no shards any more are reused.
+// replicaGroups numbers the sets of executors of the shards in use. The scheduler keeps state by group number, so
+// numbers of groups that no longer have shards are reused.
 type replicaGroups struct {
 	numbers     map[string]int // by key
 	groups      map[int]*replicaGroup
-	freeNumbers []int // used before and in no group now
+	freeNumbers []int // used before, and without a group now
 }
 
 func newReplicaGroups() replicaGroups {
@@ -29,7 +29,7 @@
 
 func (g *replicaGroups) len() int { return len(g.groups) }
 
-// join puts a shard into the group of its executors.
+// join adds a shard to the group of its executors, which it creates if necessary.
 func (g *replicaGroups) join(shard *Shard) {
 	backends := slices.Sorted(slices.Values(shard.Executors()))
 	key := strings.Join(backends, keySeparator)
@@ -39,11 +39,11 @@
 		g.numbers[key] = number
 		g.groups[number] = &replicaGroup{key: key, backends: backends}
 	}
-	g.groups[number].shards++
+	g.groups[number].shardCount++
 	shard.group = number
 }
 
-// takeNumber is the number that was freed last, else the first that was never used.
+// takeNumber returns the number for a new group: the one that was freed last, or else the lowest that was never used.
 func (g *replicaGroups) takeNumber() int {
 	last := len(g.freeNumbers) - 1
 	if last < 0 {
@@ -54,14 +54,14 @@
 	return number
 }
 
-// leave takes a shard out of its group, which ends with its last shard.
+// leave removes a shard from its group. It deletes a group without shards.
 func (g *replicaGroups) leave(shard *Shard) {
 	group := g.groups[shard.group]
 	if group == nil {
 		return
 	}
-	group.shards--
-	if group.shards > 0 {
+	group.shardCount--
+	if group.shardCount > 0 {
 		return
 	}
 	delete(g.numbers, group.key)
@@ -69,8 +69,8 @@
 	g.freeNumbers = append(g.freeNumbers, shard.group)
 }
 
-// Group is the number of the set of backends that may execute a shard's parts; -1 if there is no such shard. With
-// Cells and Replicas it makes a Map a placement of the scheduler.
+// Group returns the number of the set of backends that may execute a shard's parts, or -1 if there is no such shard.
+// Group, Cells and Replicas implement the scheduler's placement interface.
 func (m *Map) Group(id ShardID) int {
 	if shard := m.shards[id]; shard != nil {
 		return shard.group
@@ -78,10 +78,10 @@
 	return -1
 }
 
-// Cells is always nil: the replicas of a Map are given one by one.
+// Cells always returns nil: Replicas lists the replicas of a Map one by one.
 func (m *Map) Cells(int) []int { return nil }
 
-// Replicas are the scheduler's numbers of a group's backends, without those that the endpoint list does not have.
+// Replicas returns the scheduler's numbers of a group's backends, without those that are not in the endpoint list.
 func (m *Map) Replicas(group int) []uint32 {
 	members := m.groups.groups[group]
 	if members == nil || m.options.ReplicaNumber == nil {
--- a/internal/decision/shardmap/reroute.go
+++ b/internal/decision/shardmap/reroute.go
@@ -1,18 +1,18 @@
 package shardmap
 
-// RerouteDecision is what may be done with a segment that has not been answered and of which no attempt is in flight.
+// RerouteDecision says what to do with a segment that is not answered and has no attempt in flight.
 type RerouteDecision uint8
 
 // The decisions of Map.Reroute.
 const (
 	KeepShard       RerouteDecision = iota // its shard still holds it and may be asked again
-	ReplaceSegments                        // its buckets belong to other shards, which may be asked instead
-	NeverRetry                             // it may have run and must not run twice: nothing of it may be sent again
+	ReplaceSegments                        // its buckets now belong to other shards, which may be asked instead
+	NeverRetry                             // it may have run and must not run twice: no retry of any of its buckets
 )
 
-// Reroute decides whether a segment may be asked for again, and of which shards of the version in use. mayHaveRun is
-// true unless every attempt so far is proved never to have run. With ReplaceSegments the segments that take its place
-// are appended to dst; otherwise dst is returned as it is.
+// Reroute decides whether a segment may be sent again, and to which shards of the version in use. mayHaveRun is false
+// only if none of the attempts so far can have run. With the decision ReplaceSegments, Reroute appends the segments
+// that replace this one to dst; otherwise it returns dst unchanged.
 func (m *Map) Reroute(dst []Segment, segment Segment, nonIdempotent, mayHaveRun bool) ([]Segment, RerouteDecision) {
 	if nonIdempotent && mayHaveRun {
 		return dst, NeverRetry
--- a/internal/decision/shardmap/reroute_test.go
+++ b/internal/decision/shardmap/reroute_test.go
@@ -16,7 +16,7 @@
 
 	apply(t, m, Change{Kind: Split, Shard: 0, At: 5, Into: []ShardID{4, 5}})
 	_, decision = m.Reroute(nil, segment, true, true)
-	require.Equal(t, NeverRetry, decision, "a split does not prove that it has not run")
+	require.Equal(t, NeverRetry, decision, "a split does not prove that the segment has not run")
 	segments, decision := m.Reroute(nil, segment, true, false)
 	require.Equal(t, ReplaceSegments, decision)
 	require.Equal(t, []Segment{{4, Range{2, 5}}, {5, Range{5, 8}}}, segments)
--- a/internal/decision/shardmap/ring_placement.go
+++ b/internal/decision/shardmap/ring_placement.go
@@ -1,14 +1,14 @@
 package shardmap
 
-// RingPlacement is the placement of a deployment whose shards never move: with reach r, shard s is held by the cells
-// (s+j) mod cells for 0 <= j < r. Shards that begin at the same cell form a group, numbered as that cell.
+// RingPlacement is the placement of a deployment whose shards never move. With c cells and reach r, shard s is held
+// by the cells (s+j) mod c for 0 <= j < r. Shards whose first cell is the same form a group; its number is that cell.
 type RingPlacement struct {
 	shards       int
 	cellsByGroup [][]int
 }
 
-// NewRingPlacement makes the placement of shards on a ring of cells, each shard held by reach cells in a row. If cells
-// or reach is below 1, or reach exceeds cells, the placement has no shard.
+// NewRingPlacement returns the placement of shards on a ring of cells, where reach adjacent cells hold each shard. If
+// cells or reach is below 1, or reach exceeds cells, the placement has no shards.
 func NewRingPlacement(shards, cells, reach int) *RingPlacement {
 	if cells < 1 || reach < 1 || reach > cells {
 		return &RingPlacement{}
@@ -24,7 +24,7 @@
 	return placement
 }
 
-// Group is the number of a shard's group; -1 if there is no such shard.
+// Group returns the number of a shard's group, or -1 if there is no such shard.
 func (p *RingPlacement) Group(shard int) int {
 	if shard < 0 || shard >= p.shards {
 		return -1
@@ -32,8 +32,8 @@
 	return shard % len(p.cellsByGroup)
 }
 
-// Cells are the cells that hold the shards of a group, which must exist. The result must not be modified.
+// Cells returns the cells that hold the shards of a group, which must exist. The caller must not modify the result.
 func (p *RingPlacement) Cells(group int) []int { return p.cellsByGroup[group] }
 
-// Replicas is always nil: the replicas of a RingPlacement are given by cell.
+// Replicas always returns nil: Cells lists the replicas of a RingPlacement by cell.
 func (p *RingPlacement) Replicas(int) []uint32 { return nil }
--- a/internal/decision/shardmap/routing.go
+++ b/internal/decision/shardmap/routing.go
@@ -1,13 +1,13 @@
 package shardmap
 
-// Segment is the buckets of a part that one shard holds; one call asks for one segment.
+// Segment is the buckets of a part that one shard holds. One call to a backend asks for one segment.
 type Segment struct {
 	Shard ShardID
 	Range
 }
 
-// Resolve is the range of buckets that an id names, whatever the epoch of the client that names it. The id of a
-// retired shard is translated by its lineage. An id that is unknown or forgotten is an error that matches ErrStale.
+// Resolve returns the range of buckets that an id names, at whatever epoch the client learned the id. Retired shards
+// are looked up in the lineage. The error for an id that is unknown or no longer recorded matches ErrStale.
 func (m *Map) Resolve(id ShardID) (Range, error) {
 	if shard := m.shards[id]; shard != nil {
 		return shard.Range, nil
@@ -18,7 +18,7 @@
 	return Range{}, &unresolvedError{shard: id, epoch: m.current.Epoch}
 }
 
-// Route is Version.Route for the version in use, and faster.
+// Route returns the same as Version.Route of the version in use, with a faster lookup of id.
 func (m *Map) Route(segments []Segment, id ShardID, buckets Range) []Segment {
 	if shard := m.shards[id]; shard != nil && shard.Contains(buckets) {
 		return append(segments, Segment{Shard: id, Range: buckets})
@@ -26,8 +26,8 @@
 	return m.current.Route(segments, id, buckets)
 }
 
-// Route appends the segments that make up a range of buckets at this version: a single one if shard id has the whole
-// range, else one for each shard that has some of it, in the order of the buckets. The first case allocates nothing
+// Route appends the segments that cover a range of buckets at this version: a single one if shard id has the whole
+// range, otherwise one for each shard that has some of the buckets, in their order. The first case does not allocate
 // if segments has spare capacity.
 func (v *Version) Route(segments []Segment, id ShardID, buckets Range) []Segment {
 	if shard, ok := v.byID.Get(id); ok && shard.Contains(buckets) {
--- a/internal/decision/shardmap/shard.go
+++ b/internal/decision/shardmap/shard.go
@@ -5,20 +5,20 @@
 // ShardID identifies a shard; valid ids are 0 and above. Queries and the scheduler use it as the shard number.
 type ShardID = int
 
-// State is the phase of a shard's life at one epoch.
+// State is the state of a shard at one epoch.
 type State uint8
 
 // The states of a shard.
 const (
-	Serving     State = iota // its replicas execute
+	Serving     State = iota // its replicas execute its parts
 	Preparing                // its data is being copied from From to To; From still executes
-	HandingOver              // To executes in From's place; From keeps the data until the move is done or aborted
+	HandingOver              // To executes instead of From, which keeps the data until the move is done or aborted
 	Retired                  // split or merged: its buckets belong to other shards
 )
 
 var stateNames = [...]string{"serving", "preparing", "handing-over", "retired"}
 
-// String is the state's name, for messages.
+// String returns the state's name, for messages.
 func (s State) String() string { return stateNames[s] }
 
 // Shard is one shard at one epoch. It is immutable once it belongs to a Version.
@@ -31,14 +31,14 @@
 	State    State
 	From, To string    // source and destination of the move in progress; empty while Serving
 	Since    uint64    // epoch of the shard's last change
-	Parents  []ShardID // the shards that it was split from or merged of
+	Parents  []ShardID // the shards from which it was split or merged
 
-	group int // its replica group in the Map that holds it
+	group int // number of its replica group in the Map that holds it
 }
 
-// Executors are the ids of the backends that may execute the shard's parts at its epoch: its replicas, with To in
-// From's place once the handover has begun. Exactly one of From and To is among them. The result must not be
-// modified.
+// Executors returns the ids of the backends that may execute the shard's parts at its epoch. These are its replicas,
+// with To in place of From once the handover has begun: during a move exactly one of From and To is an executor. The
+// caller must not modify the result.
 func (s *Shard) Executors() []string {
 	if s.State != HandingOver {
 		return s.Replicas
@@ -48,7 +48,7 @@
 	return executors
 }
 
-// Executes reports whether a backend is among Executors.
+// Executes reports whether a backend is among the Executors.
 func (s *Shard) Executes(backend string) bool {
 	if s.State == HandingOver && (backend == s.From || backend == s.To) {
 		return backend == s.To
--- a/internal/decision/shardmap/snapshot_test.go
+++ b/internal/decision/shardmap/snapshot_test.go
@@ -11,20 +11,20 @@
 		corrupt func(*Snapshot)
 		want    error
 	}{
-		"gap":                {func(s *Snapshot) { s.Shards[1].Start++ }, ErrGap},
-		"gap at the end":     {func(s *Snapshot) { s.Shards = s.Shards[:3] }, ErrGap},
-		"overlap":            {func(s *Snapshot) { s.Shards[1].Start-- }, ErrOverlap},
-		"unknown replica":    {func(s *Snapshot) { s.Shards[2].Replicas[0] = "z" }, ErrReplica},
-		"no replica":         {func(s *Snapshot) { s.Shards[2].Replicas = nil }, ErrReplica},
-		"repeated replica":   {func(s *Snapshot) { s.Shards[2].Replicas[0] = s.Shards[2].Replicas[1] }, ErrReplica},
-		"epoch goes back":    {func(s *Snapshot) { s.Epoch = 4 }, ErrEpoch},
-		"repeated id":        {func(s *Snapshot) { s.Shards[3].ID = 2 }, ErrShard},
-		"id below 0":         {func(s *Snapshot) { s.Shards[3].ID = -2 }, ErrShard},
-		"number of buckets":  {func(s *Snapshot) { s.Buckets++ }, ErrRange},
-		"empty shard":        {func(s *Snapshot) { s.Shards[3].End = s.Shards[3].Start }, ErrRange},
-		"retired shard":      {func(s *Snapshot) { s.Shards[3].State = Retired }, ErrState},
-		"move without sides": {func(s *Snapshot) { s.Shards[3].State = Preparing }, ErrReplica},
-		"id with other buckets": {func(s *Snapshot) {
+		"gap":                   {func(s *Snapshot) { s.Shards[1].Start++ }, ErrGap},
+		"gap at the end":        {func(s *Snapshot) { s.Shards = s.Shards[:3] }, ErrGap},
+		"overlap":               {func(s *Snapshot) { s.Shards[1].Start-- }, ErrOverlap},
+		"unknown replica":       {func(s *Snapshot) { s.Shards[2].Replicas[0] = "z" }, ErrReplica},
+		"no replica":            {func(s *Snapshot) { s.Shards[2].Replicas = nil }, ErrReplica},
+		"repeated replica":      {func(s *Snapshot) { s.Shards[2].Replicas[0] = s.Shards[2].Replicas[1] }, ErrReplica},
+		"epoch decreases":       {func(s *Snapshot) { s.Epoch = 4 }, ErrEpoch},
+		"repeated id":           {func(s *Snapshot) { s.Shards[3].ID = 2 }, ErrShard},
+		"id below 0":            {func(s *Snapshot) { s.Shards[3].ID = -2 }, ErrShard},
+		"number of buckets":     {func(s *Snapshot) { s.Buckets++ }, ErrRange},
+		"empty shard":           {func(s *Snapshot) { s.Shards[3].End = s.Shards[3].Start }, ErrRange},
+		"retired shard":         {func(s *Snapshot) { s.Shards[3].State = Retired }, ErrState},
+		"move without backends": {func(s *Snapshot) { s.Shards[3].State = Preparing }, ErrReplica},
+		"id of other buckets": {func(s *Snapshot) {
 			s.Shards[0].End = 5
 			s.Shards[1].Start = 5
 		}, ErrShard},
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestResetRetiresWhatTheSnapshotDoesNotHave(t *testing.T) {
+func TestResetRetiresShardsMissingFromTheSnapshot(t *testing.T) {
 	m := newRingMap(t, 4, 10)
 	snapshot := ringSnapshot(3, 2, 20)
 	for i, shard := range snapshot.Shards {
@@ -60,7 +60,7 @@
 	retired, err := m.Reset(snapshot)
 	require.NoError(t, err)
 	require.Equal(t, []ShardID{0, 1, 2, 3}, retired, "in the order of their buckets")
-	require.EqualValues(t, 3, m.Shard(6).Since, "the epoch of the snapshot where it gives none")
+	require.EqualValues(t, 3, m.Shard(6).Since, "a shard without Since gets the epoch of the snapshot")
 	require.EqualValues(t, 2, m.Shard(7).Since)
 	for id, buckets := range map[ShardID]Range{3: {30, 40}, 4: {0, 10}, 7: {20, 40}} {
 		resolved, err := m.Resolve(id)
@@ -70,7 +70,7 @@
 
 	before := m.Current()
 	retired, err = m.Reset(ringSnapshot(3, 9, 1))
-	require.NoError(t, err, "a snapshot of the epoch in use is ignored, whatever it has")
+	require.NoError(t, err, "a snapshot of the epoch in use is ignored, whatever its content")
 	require.Empty(t, retired)
 	require.Same(t, before, m.Current())
 
@@ -80,5 +80,5 @@
 	snapshot.Shards[0].ID = 8
 	snapshot.Retired = []RetiredShard{{ID: 8, Range: Range{0, 10}}}
 	_, err = m.Reset(snapshot)
-	require.ErrorIs(t, err, ErrRange, "a shard cannot be retired and in use")
+	require.ErrorIs(t, err, ErrRange, "a shard cannot be both retired and in use")
 }
--- a/internal/decision/shardmap/source.go
+++ b/internal/decision/shardmap/source.go
@@ -1,13 +1,13 @@
 package shardmap
 
-// Source delivers snapshots and changes of the shard map from somewhere outside. All its methods are called on the
-// event loop, and it delivers there.
+// Source delivers snapshots and changes of the shard map from outside the process. Its methods must be called on the
+// event loop, and it delivers on the event loop.
 type Source interface {
-	// Start begins to poll.
+	// Start starts polling.
 	Start()
-	// NewerEpochSeen reports that a backend or client has a map of this epoch. Calls in quick succession lead to one
-	// poll.
+	// NewerEpochSeen tells the source that a backend or client has a map of this epoch. Several calls in quick
+	// succession lead to a single poll.
 	NewerEpochSeen(epoch uint64)
-	// Close ends polling; nothing is delivered after it.
+	// Close stops polling. Nothing is delivered after it.
 	Close()
 }
--- a/internal/decision/shardmap/validation.go
+++ b/internal/decision/shardmap/validation.go
@@ -6,10 +6,10 @@
 	"github.com/benbjohnson/immutable"
 )
 
-// backendSet are the backends that may hold shards; nil allows any.
+// backendSet is the set of backends that may hold shards; nil allows any.
 type backendSet map[string]bool
 
-// newBackendSet makes a set of ids; none allows any.
+// newBackendSet returns the set of ids; if there are none, it allows any backend.
 func newBackendSet(ids []string) backendSet {
 	if len(ids) == 0 {
 		return nil
@@ -23,7 +23,7 @@
 
 func (b backendSet) allows(id string) bool { return b == nil || b[id] }
 
-// validate finds the first error of a shard by itself, whatever the other shards are.
+// validate returns the first error of a shard, regardless of the other shards.
 func (s *Shard) validate(buckets int, allowed backendSet) error {
 	if s.ID < 0 {
 		return invalid(s.ID, ErrShard, "id below 0")
@@ -32,7 +32,7 @@
 		return invalid(s.ID, ErrRange, "%v of %d buckets", s.Range, buckets)
 	}
 	if len(s.Replicas) == 0 {
-		return invalid(s.ID, ErrReplica, "none")
+		return invalid(s.ID, ErrReplica, "no replicas")
 	}
 	for i, replica := range s.Replicas {
 		if replica == "" || slices.Contains(s.Replicas[:i], replica) || !allowed.allows(replica) {
@@ -50,9 +50,9 @@
 			return invalid(s.ID, ErrState, "serving, with a move from %q to %q", s.From, s.To)
 		}
 	case Preparing, HandingOver:
-		fromHolds := slices.Contains(s.Replicas, s.From)
+		fromIsReplica := slices.Contains(s.Replicas, s.From)
 		toIsNew := s.To != "" && !slices.Contains(s.Replicas, s.To) && allowed.allows(s.To)
-		if !fromHolds || !toIsNew {
+		if !fromIsReplica || !toIsNew {
 			return invalid(s.ID, ErrReplica, "move from %q to %q", s.From, s.To)
 		}
 	default:
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// buildVersion makes a version of shards and takes ownership of them. It fails with a *ValidationError unless every
-// bucket is in exactly one valid shard and no id is repeated.
+// buildVersion returns a version with shards, of which it takes ownership. It fails with a *ValidationError unless
+// every bucket is in exactly one valid shard and no id is repeated.
 func buildVersion(epoch uint64, buckets int, shards []*Shard, allowed backendSet) (*Version, error) {
 	if buckets < 1 {
 		return nil, invalid(noShard, ErrRange, "%d buckets", buckets)
--- a/internal/decision/shardmap/version.go
+++ b/internal/decision/shardmap/version.go
@@ -3,22 +3,22 @@
 import "github.com/benbjohnson/immutable"
 
 // Version is the shard map at one epoch. It is immutable and may be read by any goroutine. Consecutive versions share
-// all but the changed paths of their tries.
+// their tries, except for the changed paths.
 //
 // Every bucket from 0 to Buckets-1 is in exactly one shard.
 type Version struct {
 	Epoch   uint64 // 0 before the first snapshot
-	Buckets int    // number of buckets; it never changes after the first snapshot
+	Buckets int    // number of buckets, which never changes after the first snapshot
 
 	byID         *immutable.Map[ShardID, *Shard]
 	byLastBucket *immutable.SortedMap[int, *Shard]
 
-	// queries counts the queries that were started on this version and have not ended. It belongs to the Map and is
-	// the only field that changes; negative once the version has been dropped.
-	queries int
+	// activeQueries counts the queries that were started on this version and have not ended. It is negative once the
+	// version has been dropped. It belongs to the Map and is the only field that changes.
+	activeQueries int
 }
 
-// idHasher uses ids as their own hash: they are dense, so they fill the trie evenly.
+// idHasher uses an id as its own hash: ids are dense, so they fill the trie evenly.
 type idHasher struct{}
 
 // Hash implements immutable.Hasher.
@@ -34,13 +34,13 @@
 	}
 }
 
-// Shard is the shard with an id; nil if this version has none.
+// Shard returns the shard with an id, or nil if this version has none.
 func (v *Version) Shard(id ShardID) *Shard {
 	shard, _ := v.byID.Get(id)
 	return shard
 }
 
-// ShardAt is the shard that has a bucket; nil if the bucket is out of range.
+// ShardAt returns the shard that has a bucket, or nil if the bucket is out of range.
 func (v *Version) ShardAt(bucket int) *Shard {
 	if bucket < 0 || bucket >= v.Buckets {
 		return nil
@@ -51,7 +51,7 @@
 	return shard
 }
 
-// Len is the number of shards.
+// Len returns the number of shards.
 func (v *Version) Len() int { return v.byID.Len() }
 
 // All is an iterator over the shards in the order of their buckets.
--- a/test/slices_test.go
+++ b/test/slices_test.go
@@ -138,7 +138,7 @@
 	p.waitLog(`"code":"M10"`)
 	require.EqualValues(t, 5, p.slices().Epoch)
 	c.say(shardcatalog.Document{Epoch: 9, Changes: []shardcatalog.Change{{Base: 7, Epoch: 9, Kind: "handover"}}})
-	p.waitLog("change is based on another epoch: onto 7, at 5")
+	p.waitLog("change is based on another epoch: base epoch 7, current epoch 5")
 	c.say("{")
 	p.waitLog("malformed document of the shard catalogue")
 	c.say(ring(7))
