--- a/internal/decision/fleetshare/client_throttle_test.go
+++ b/internal/decision/fleetshare/client_throttle_test.go
@@ -1,6 +1,7 @@
 package fleetshare
 
 import (
+	"fmt"
 	"math"
 	"math/rand/v2"
 	"testing"
@@ -12,109 +13,112 @@
 const (
 	partsPerQuery = 10
 	stepSeconds   = 0.1
-	queueSeconds  = 0.4 // how much of its work the fleet queues
+	queueSeconds  = 0.4 // capacity of the fleet's queue, in seconds of its work
 )
 
-// throttledFleet is a number of brokers before a fleet that serves so much work a second and queues some of it. What
-// is sent beyond that is rejected, the same share of each broker's parts.
+// throttledFleet simulates brokers that send to a fleet with a fixed capacity and a bounded queue. The fleet rejects
+// what exceeds both, the same share of each broker's parts.
 type throttledFleet struct {
-	brokers []ClientThrottle
-	random  *rand.Rand
-	serves  float64 // work a second
-	queued  float64 // work
+	brokers       []ClientThrottle
+	random        *rand.Rand
+	workPerSecond float64 // capacity
+	queuedWork    float64
 }
 
-func newThrottledFleet(brokers int, serves float64) *throttledFleet {
+func newThrottledFleet(brokerCount int, workPerSecond float64) *throttledFleet {
 	f := &throttledFleet{
-		brokers: make([]ClientThrottle, brokers),
-		random:  rand.New(rand.NewPCG(uint64(brokers), 1)),
-		serves:  serves,
+		brokers:       make([]ClientThrottle, brokerCount),
+		random:        rand.New(rand.NewPCG(uint64(brokerCount), 1)),
+		workPerSecond: workPerSecond,
 	}
 	for i := range f.brokers {
-		f.brokers[i] = NewClientThrottle(brokers)
+		f.brokers[i] = NewClientThrottle(brokerCount)
 	}
 	return f
 }
 
-// step lets the brokers send for one step, at a rate of work a second for each, and returns the work that was sent and
-// served.
-func (f *throttledFleet) step(rate func(broker int) float64) (sent, served float64) {
-	queries := make([]int, len(f.brokers))
+// step lets the brokers send for one step. rate returns the work per second that clients ask a broker for. step
+// returns the work that was sent and the work that was accepted.
+func (f *throttledFleet) step(rate func(broker int) float64) (sent, accepted float64) {
+	queryCounts := make([]int, len(f.brokers))
 	for i := range f.brokers {
-		for due := rate(i) * stepSeconds / partsPerQuery; due > f.random.Float64(); due-- {
+		for dueQueries := rate(i) * stepSeconds / partsPerQuery; dueQueries > f.random.Float64(); dueQueries-- {
 			if !f.brokers[i].ShouldReject(0.5, f.random.Float64) {
-				queries[i]++
+				queryCounts[i]++
 				sent += partsPerQuery
 			}
 		}
 	}
-	f.queued = math.Max(0, f.queued-f.serves*stepSeconds)
-	acceptedShare := math.Min(1, (queueSeconds*f.serves-f.queued)/math.Max(sent, 1e-9))
-	f.queued += sent * acceptedShare
+	f.queuedWork = math.Max(0, f.queuedWork-f.workPerSecond*stepSeconds)
+	acceptedShare := math.Min(1, (queueSeconds*f.workPerSecond-f.queuedWork)/math.Max(sent, 1e-9))
+	f.queuedWork += sent * acceptedShare
 	for i := range f.brokers {
-		for range queries[i] * partsPerQuery {
+		for range queryCounts[i] * partsPerQuery {
 			f.brokers[i].RecordResult(1, f.random.Float64() < acceptedShare)
 		}
 	}
 	return sent, sent * acceptedShare
 }
 
-// runThrottledFleet returns the work that is sent and served in the last half of a run, as shares of what the fleet
-// can serve.
-func runThrottledFleet(brokers int, rate func(broker int) float64, serves float64, seconds int) (sent, served float64) {
-	f := newThrottledFleet(brokers, serves)
+// runThrottledFleet returns the work that is sent and accepted in the second half of a run, as shares of the capacity
+// of the fleet.
+func runThrottledFleet(
+	brokerCount int, rate func(broker int) float64, workPerSecond float64, seconds int,
+) (sent, accepted float64) {
+	f := newThrottledFleet(brokerCount, workPerSecond)
 	steps := int(float64(seconds) / stepSeconds)
-	half := int(float64(seconds) / stepSeconds / 2)
+	firstCountedStep := int(float64(seconds) / stepSeconds / 2)
 	for i := range steps {
-		stepSent, stepServed := f.step(rate)
-		if i >= half {
+		stepSent, stepAccepted := f.step(rate)
+		if i >= firstCountedStep {
 			sent += stepSent
-			served += stepServed
+			accepted += stepAccepted
 		}
 	}
-	capacity := serves * float64(seconds) / 2
-	return sent / capacity, served / capacity
+	capacity := workPerSecond * float64(seconds) / 2
+	return sent / capacity, accepted / capacity
 }
 
-// TestThrottledBrokersSendWhatIsServed guarantees that, whatever the number of brokers and however their traffic is
-// split, what they send together stays near what the fleet serves, and that most of the fleet is used.
-func TestThrottledBrokersSendWhatIsServed(t *testing.T) {
+// TestThrottledBrokersSendNearCapacity checks, for fleets with many brokers and for even and uneven traffic, that the
+// brokers together send little more than the fleet accepts, and that most of the fleet's capacity is used.
+func TestThrottledBrokersSendNearCapacity(t *testing.T) {
 	rates := map[string]func(broker int) float64{
 		"even": func(int) float64 { return 30 },
-		"a tenth has most": func(broker int) float64 {
+		"mostly from a tenth of the brokers": func(broker int) float64 {
 			if broker%10 == 0 {
 				return 240
 			}
 			return 20.0 / 3
 		},
 	}
-	for _, brokers := range []int{30, 300, 1000} {
+	for _, brokerCount := range []int{30, 300, 1000} {
 		for name, rate := range rates {
 			for _, overload := range []float64{0.8, 1.5, 2.5} {
-				serves := 30 * float64(brokers) / overload
-				sent, served := runThrottledFleet(brokers, rate, serves, 120)
-				assert.LessOrEqual(t, sent, 1.5, "%d brokers, traffic %s, overload %v", brokers, name, overload)
-				assert.GreaterOrEqual(t, served, 0.93*math.Min(1, overload), "%d brokers, traffic %s, overload %v", brokers, name, overload)
+				workPerSecond := 30 * float64(brokerCount) / overload
+				sent, accepted := runThrottledFleet(brokerCount, rate, workPerSecond, 120)
+				run := fmt.Sprintf("%d brokers, traffic %s, overload %v", brokerCount, name, overload)
+				assert.LessOrEqual(t, sent, 1.5, run)
+				assert.GreaterOrEqual(t, accepted, 0.93*math.Min(1, overload), run)
 			}
 		}
 	}
 }
 
-// TestSmallFleetIsNotThrottled guarantees that brokers of small fleets reject nothing by this rule: their own results
-// by backend tell more.
+// TestSmallFleetIsNotThrottled checks that the throttle of a broker in a small fleet rejects nothing. There the
+// broker decides by its own results of each backend.
 func TestSmallFleetIsNotThrottled(t *testing.T) {
-	for brokers := range 5 {
-		throttle := NewClientThrottle(brokers)
+	for brokerCount := range 5 {
+		throttle := NewClientThrottle(brokerCount)
 		for range 1000 {
 			throttle.RecordResult(5, false)
 		}
-		assert.Zero(t, throttle.RejectedShare(), "%d brokers", brokers)
+		assert.Zero(t, throttle.RejectedShare(), "%d brokers", brokerCount)
 	}
 }
 
-// TestThrottleIsBoundedAndRecovers guarantees, whatever the results, that a share of queries is always admitted, that
-// a higher priority is not rejected sooner, and that nothing is rejected once so much work has been accepted in a row;
-// then no random number is drawn.
+// TestThrottleIsBoundedAndRecovers checks, for any sequence of results, that minAdmittedShare is always admitted and
+// that a query of lower priority is rejected whenever one of higher priority is. It also checks that nothing is
+// rejected after enough work has been accepted in a row, and that no random number is drawn then.
 func TestThrottleIsBoundedAndRecovers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		throttle := NewClientThrottle(rapid.IntRange(0, 2000).Draw(t, "brokers"))
@@ -125,15 +129,15 @@
 			number := rapid.Float64Range(0, 1).Draw(t, "random number")
 			random := func() float64 { return number }
 			if throttle.ShouldReject(1, random) {
-				assert.True(t, throttle.ShouldReject(0.2, random), "the higher priority was rejected first")
+				assert.True(t, throttle.ShouldReject(0.2, random), "only the query of higher priority was rejected")
 			}
 		}
-		for range 100 * int(math.Ceil(-math.Log(minAdmittedShare)/throttleRise/100)) {
+		for range 100 * int(math.Ceil(-math.Log(minAdmittedShare)/logShareRise/100)) {
 			throttle.RecordResult(1, true)
 		}
 		assert.Zero(t, throttle.RejectedShare())
 		noRandom := func() float64 {
-			t.Fatal("random number drawn although nothing is rejected")
+			t.Fatal("a random number is drawn although nothing is rejected")
 			return 0
 		}
 		assert.False(t, throttle.ShouldReject(0, noRandom))
--- a/internal/decision/fleetshare/doc.go
+++ b/internal/decision/fleetshare/doc.go
@@ -1,8 +1,9 @@
-// Package fleetshare decides what one of many brokers takes of a sum that none of them sees: of what the fleet
-// accepts (ClientThrottle), of the time that queries need (DeadlineAdmission) and of what a warming backend may be
-// sent (SlowStartQuota).
+// Package fleetshare holds decisions that each of many brokers makes alone although their effect is the sum over all
+// brokers, which none of them sees. ClientThrottle limits what a broker sends to its share of what the fleet accepts.
+// DeadlineAdmission rejects queries that arrive with less time left than queries need. SlowStartQuota limits what a
+// broker sends to a backend that is warming up.
 //
-// No messages pass between the brokers. Each knows how many there are, which one it is, and what became of its own
-// parts. The package does no I/O and reads no clock. Times are milliseconds; work is in mean parts unless a name
-// says ms. docs/design/adding-up.md derives the rules and has the measurements.
+// The brokers exchange no messages. Each knows the number of brokers, its own index, and the results of its own
+// parts. The package does no I/O and reads no clock. Times are in ms. Work is in mean parts, or in ms where a name
+// says so. docs/design/adding-up.md derives the rules and has the measurements.
 package fleetshare
--- a/internal/decision/splitmix/splitmix.go
+++ b/internal/decision/splitmix/splitmix.go
@@ -1,14 +1,14 @@
-// Package splitmix is the SplitMix64 generator of Steele, Lea and Flood. The same seed gives the same numbers, so that
-// decisions that draw from it can be replayed.
+// Package splitmix implements the SplitMix64 pseudorandom number generator of Steele, Lea and Flood. The same seed
+// gives the same numbers, so that decisions that depend on them can be replayed.
 package splitmix
 
-// Source is a generator. Its zero value is that of seed 0. It is not safe for concurrent use.
+// Source is a generator. Its zero value is the generator of seed 0. It is not safe for concurrent use.
 type Source struct{ state uint64 }
 
-// New makes the generator of a seed.
+// New returns the generator of a seed.
 func New(seed uint64) Source { return Source{state: seed} }
 
-// Float64 is the next number, in [0, 1).
+// Float64 returns the next number, in [0, 1).
 func (s *Source) Float64() float64 {
 	s.state += 0x9e3779b97f4a7c15
 	bits := s.state
