--- a/internal/decision/endpointpoll/doc.go
+++ b/internal/decision/endpointpoll/doc.go
@@ -1,17 +1,18 @@
-// Package endpointpoll decides when a broker polls its endpoint list and what a response, or its absence, means.
+// Package endpointpoll decides when a broker polls its endpoint list, and what follows from a response or a failure.
 //
-// It is a state machine without I/O and without a clock. Every time is a float64 in ms on one monotonic clock that
-// the caller passes in, and no method blocks. A Poller is not safe for concurrent use.
+// It is a state machine without I/O and without a clock. The caller passes every time, as a float64 in ms of a
+// monotonic clock. No method blocks. A Poller is not safe for concurrent use.
 //
 // # Modes
 //
 // An endpoint list reaches a broker in one of two ways.
 //
 //   - Polled: one discovery service serves all brokers. A broker holds a long poll (a watch) open, and the scheduler
-//     decides when a watch that failed starts again.
-//   - Pushed: a discovery agent on the broker's own machine is sent the list and answers each call at once. The
-//     broker counts as notified of everything that the agent holds, read or not, so the Poller reads the agent at a
-//     steady period that follows from the drain grace, and the scheduler is not involved in the timing.
+//     decides when to restart a failed watch.
+//   - Pushed: the list is pushed to a discovery agent on the broker's own machine, which answers each call at once.
+//     The broker counts as notified of everything that the agent has received, even before the broker reads it. The
+//     Poller therefore reads the agent at a steady period, which is derived from the drain grace. The scheduler is
+//     not involved in the timing.
 //
 // # Usage
 //
@@ -22,8 +23,8 @@
 //		// Send call; then exactly one of:
 //		next := poller.HandleResponse(now, response)
 //		next := poller.HandleFailure(now, timedOut)
-//		// Obey next: apply the list, notify the scheduler, and call again at next.At.
+//		// Do what next says: apply the list, notify the scheduler, or call again at next.At.
 //	}
 //
-// AddressChanged precedes BeginCall after the caller has abandoned a call to connect elsewhere.
+// When the caller abandons a call to connect to another service, it calls AddressChanged before the next BeginCall.
 package endpointpoll
--- a/internal/decision/endpointpoll/poller_test.go
+++ b/internal/decision/endpointpoll/poller_test.go
@@ -14,8 +14,9 @@
 	neverCalledMs     = -1e9
 )
 
-// TestPushedListIsReadInTime: whatever the agent does, a list that it holds and serves is read within the half of the
-// drain grace that the scheduler leaves, and calls keep at least the period between them.
+// TestPushedListIsReadInTime checks, for any sequence of responses and failures, that the next call to the agent is
+// due within half of the drain grace, and that calls are at least one period apart. Otherwise the broker would send
+// work to a draining backend after its grace, or overload the agent.
 func TestPushedListIsReadInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		drainGraceMs := rapid.Float64Range(200, 5000).Draw(t, "drain grace")
@@ -25,24 +26,24 @@
 		lastCallAt := neverCalledMs
 		for range 200 {
 			call := poller.BeginCall(now)
-			assert.GreaterOrEqual(t, now-lastCallAt, poller.Period()-1e-9, "calls are no closer than the period")
+			assert.GreaterOrEqual(t, now-lastCallAt, poller.Period()-1e-9, "calls are at least one period apart")
 			assert.LessOrEqual(t, call.Wait, call.Timeout/2)
 			lastCallAt = now
 			next, endedAt := drawPushedOutcome(t, poller, now, call)
-			assert.False(t, next.NotifyFailure, "the scheduler does not time the calls")
-			assert.LessOrEqual(t, next.At-now, drainGraceMs/2, "a change since this call is read by then")
+			assert.False(t, next.NotifyFailure, "the scheduler is not involved in the timing")
+			assert.LessOrEqual(t, next.At-now, drainGraceMs/2, "a later change is read within half of the grace")
 			now = max(next.At, endedAt)
 		}
 	})
 }
 
-// drawPushedOutcome ends a call to an agent in one of the ways in which it can end, and returns when it did.
+// drawPushedOutcome ends a call to an agent with a random outcome and returns when it ended.
 func drawPushedOutcome(t *rapid.T, poller *Poller, now float64, call Call) (next Next, endedAt float64) {
 	t.Helper()
 	const (
 		unresponsive = 0
 		refused      = 1
-		lastOutcome  = 4 // refused+1 to lastOutcome: a response
+		lastOutcome  = 4 // all outcomes above refused are a response
 	)
 	switch rapid.IntRange(unresponsive, lastOutcome).Draw(t, "outcome") {
 	case unresponsive:
@@ -59,7 +60,8 @@
 	}), endedAt
 }
 
-// TestStaleRevision: a change that does not extend the cached list is rejected, and the full list comes next.
+// TestStaleRevision checks that an incremental response of an older revision is rejected, and that the next call
+// requests the full list. A service that restarted sends such a response.
 func TestStaleRevision(t *testing.T) {
 	for name, pushed := range map[string]bool{"polled": false, "pushed": true} {
 		t.Run(name, func(t *testing.T) {
@@ -75,7 +77,7 @@
 
 			assert.True(t, poller.BeginCall(next.At).FullList)
 			full.Revision = 7
-			assert.True(t, poller.HandleResponse(next.At, full).Apply, "a restarted service counts from elsewhere")
+			assert.True(t, poller.HandleResponse(next.At, full).Apply, "the full list may have an older revision")
 			call := poller.BeginCall(next.At + 200)
 			assert.False(t, call.FullList)
 			assert.EqualValues(t, 7, call.SinceRevision)
@@ -83,7 +85,8 @@
 	}
 }
 
-// TestEmptyList: an empty full list does not replace one with endpoints, and is requested again at the period.
+// TestEmptyList checks that an empty full list does not replace one with endpoints, and that the list is requested
+// again at the earliest one period later.
 func TestEmptyList(t *testing.T) {
 	poller := NewPoller(Options{Pushed: true, DrainGrace: testDrainGraceMs})
 	poller.SetCached(0, 12)
@@ -99,8 +102,8 @@
 	assert.True(t, uncached.HandleResponse(0, Response{Complete: true}).Apply, "no list is cached yet")
 }
 
-// TestPolledWatchDoesNotSpin: a watch continues at once after a change, and without one as soon as discovery held the
-// call open; a service that answers at once without a change is called at most 50 times per second.
+// TestPolledWatchDoesNotSpin checks that a service that answers at once without a change is called at most 50 times
+// per second, and that the next call is due at once after a change.
 func TestPolledWatchDoesNotSpin(t *testing.T) {
 	poller := NewPoller(Options{DrainGrace: testDrainGraceMs})
 	poller.SetCached(testRevision, testEndpointCount)
@@ -117,9 +120,9 @@
 	assert.True(t, poller.HandleFailure(now, false).NotifyFailure, "the scheduler paces retries after a refusal")
 }
 
-// TestTimedOutWatchIsReopened: each of any number of brokers reopens a polled watch that timed out so soon that what it
-// missed is read within half of the drain grace after it counts as notified, 6 s after the start of the call. All of
-// them together call less often than with healthy watches.
+// TestTimedOutWatchIsReopened checks that every broker reopens a polled watch that timed out in time: it reads a
+// missed change within half of the drain grace after it counts as notified, which is 6 s after the start of the call.
+// It also checks that all brokers together call less often than with healthy watches.
 func TestTimedOutWatchIsReopened(t *testing.T) {
 	const (
 		notifiedAfterMs     = 6000
@@ -136,10 +139,10 @@
 			call := poller.BeginCall(now)
 			assert.False(t, call.FullList)
 			next := poller.HandleFailure(now+call.Timeout, true)
-			assert.False(t, next.NotifyFailure, "it does not wait for the scheduler's backoff")
+			assert.False(t, next.NotifyFailure, "the scheduler's backoff does not delay the call")
 			assert.LessOrEqual(t, next.At, now+notifiedAfterMs+halfDrainGraceMs-responseAllowanceMs,
-				"the response has a second")
-			assert.Greater(t, next.At-now, call.Wait, "no more often than the watch itself")
+				"one second is left for the response")
+			assert.Greater(t, next.At-now, call.Wait, "calls are less frequent than those of a healthy watch")
 			now = next.At
 		}
 	})
--- a/internal/decision/endpointpoll/timing_test.go
+++ b/internal/decision/endpointpoll/timing_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestPeriodAndTimeout(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		options             Options
 		periodMs, timeoutMs float64
 	}{
@@ -20,18 +20,18 @@
 		"pushed, grace at the limit": {Options{Pushed: true, DrainGrace: 200}, 20, 50},
 	} {
 		t.Run(name, func(t *testing.T) {
-			poller := NewPoller(c.options)
-			assert.InDelta(t, c.periodMs, poller.Period(), 1e-9)
-			assert.InDelta(t, c.timeoutMs, poller.Timeout(), 1e-9)
-			assert.Equal(t, c.options.Pushed, poller.Pushed())
+			poller := NewPoller(test.options)
+			assert.InDelta(t, test.periodMs, poller.Period(), 1e-9)
+			assert.InDelta(t, test.timeoutMs, poller.Timeout(), 1e-9)
+			assert.Equal(t, test.options.Pushed, poller.Pushed())
 		})
 	}
 }
 
-// TestReopenDelay: the brokers of a fleet are spread evenly over the interval.
+// TestReopenDelay checks that the delays of the brokers are spread evenly over the interval.
 func TestReopenDelay(t *testing.T) {
-	assert.Zero(t, Options{}.reopenDelay(), "a single broker does not wait")
-	assert.Zero(t, Options{BrokerIndex: 0, BrokerCount: 4}.reopenDelay())
-	assert.Equal(t, reopenSpreadMs/4, Options{BrokerIndex: 1, BrokerCount: 4}.reopenDelay())
-	assert.Equal(t, 3*reopenSpreadMs/4, Options{BrokerIndex: 3, BrokerCount: 4}.reopenDelay())
+	assert.Zero(t, Options{}.reopenDelayMs(), "a single broker reopens at once")
+	assert.Zero(t, Options{BrokerIndex: 0, BrokerCount: 4}.reopenDelayMs())
+	assert.Equal(t, reopenSpreadMs/4, Options{BrokerIndex: 1, BrokerCount: 4}.reopenDelayMs())
+	assert.Equal(t, 3*reopenSpreadMs/4, Options{BrokerIndex: 3, BrokerCount: 4}.reopenDelayMs())
 }
--- a/internal/decision/handover/golden_test.go
+++ b/internal/decision/handover/golden_test.go
@@ -12,8 +12,8 @@
 	"ternstage/internal/decision/scheduler"
 )
 
-// readGolden returns the content of a file in testdata/golden. Those files were written by the code of commit aa8ad37.
-// Deployed programs have such files in $TMPDIR, so the golden files are never regenerated. The files in
+// readGolden returns the content of a file in testdata/golden. Those files were written by the code of commit
+// aa8ad37. Deployed programs have such files in $TMPDIR, so the golden files are never regenerated. The files in
 // testdata/golden/refused are copies that were corrupted by hand.
 func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
@@ -26,7 +26,8 @@
 // applied. Otherwise an upgrade would lose the attempts that the older process handed over.
 func TestGoldenRecords(t *testing.T) {
 	for name, want := range map[string]handover.Record{
-		"ternstage-cold-sent.json": {Form: "ternstage cold sent", Version: 1, WrittenUnixMs: 1796285471860.254, BrokerCount: 8,
+		"ternstage-cold-sent.json": {Form: "ternstage cold sent", Version: 1, WrittenUnixMs: 1796285471860.254,
+			BrokerCount: 8,
 			Attempts: []scheduler.WarmupSend{
 				{Replica: 3, AgeMs: 12.406, WorkMs: 14.25}, {Replica: 3, AgeMs: 371.5, WorkMs: 16},
 				{Replica: 4294967295, AgeMs: 0, WorkMs: 0.125}, {Replica: 12, AgeMs: 1499.875, WorkMs: 80}},
--- a/internal/decision/handover/takeover.go
+++ b/internal/decision/handover/takeover.go
@@ -9,8 +9,8 @@
 	// Ignore discards a record that was written before this process started. The record is from an earlier handover,
 	// and the process that still serves beside this one keeps sending to warming backends.
 	Ignore Decision = iota
-	// DifferentFleet discards a record of a process whose settings name another number of brokers, as that process had
-	// another quota.
+	// DifferentFleet discards a record of a process whose settings name another number of brokers, as that process
+	// had another quota.
 	DifferentFleet
 	// Wait keeps the record for a later decision: it names backends that this process does not know yet.
 	Wait
@@ -31,7 +31,8 @@
 }
 
 // Decide returns what to do with record at nowUnixMs. It returns Wait for at most one window after the record was
-// written. After that none of its attempts counts any more, so it returns Apply whether or not all backends are known.
+// written. After that none of its attempts counts any more, so it returns Apply whether or not all backends are
+// known.
 func (s *Successor) Decide(record *Record, nowUnixMs float64) Decision {
 	switch {
 	case record.WrittenUnixMs < s.StartedUnixMs:
--- a/internal/decision/maintenance/call_test.go
+++ b/internal/decision/maintenance/call_test.go
@@ -7,7 +7,9 @@
 )
 
 func TestCallResultOK(t *testing.T) {
-	for status, ok := range map[int]bool{199: false, 200: true, 204: true, 299: true, 300: false, 404: false, 507: false} {
-		assert.Equal(t, ok, CallResult{Status: status}.OK(), "status %d", status)
+	for status, want := range map[int]bool{
+		199: false, 200: true, 204: true, 299: true, 300: false, 404: false, 507: false,
+	} {
+		assert.Equal(t, want, CallResult{Status: status}.OK(), "status %d", status)
 	}
 }
--- a/internal/decision/maintenance/drain_file.go
+++ b/internal/decision/maintenance/drain_file.go
@@ -10,12 +10,14 @@
 	// DrainFileVersion is the version of the drain file that this build writes, and the only one that it reads.
 	DrainFileVersion = 1
 
+	// drainForm distinguishes this file from the broker's other files. It is part of the file format.
 	drainForm = "ternstage drain"
 )
 
 // ErrDrainFile is wrapped by the errors of DecodeDrain.
 var ErrDrainFile = errors.New("drain file")
 
+// drainFile is the stored form of a drain.
 type drainFile struct {
 	Form        string  `json:"form"`
 	Version     int     `json:"version"`
@@ -30,7 +32,7 @@
 }
 
 // DecodeDrain returns when the stored drain began, in milliseconds of Unix time. It returns an error that wraps
-// ErrDrainFile when the content is torn, or of another form or version.
+// ErrDrainFile if the content is torn, or is of another form or version.
 func DecodeDrain(text []byte) (sinceUnixMs float64, err error) {
 	var stored drainFile
 	if err := json.Unmarshal(text, &stored); err != nil {
--- a/internal/decision/maintenance/golden_test.go
+++ b/internal/decision/maintenance/golden_test.go
@@ -11,56 +11,62 @@
 	"ternstage/internal/decision/maintenance"
 )
 
-// The files of testdata/golden were written by the code of commit aa8ad37 and stand in $TMPDIR of programs that
-// run: they are never written anew. Those of testdata/golden/refused are copies of them, spoilt by hand.
-
-func golden(t *testing.T, name string) []byte {
+// readGolden returns the content of a file in testdata/golden. Those files were written by the code of commit
+// aa8ad37. Deployed programs have such files in $TMPDIR, so the golden files are never regenerated. The files in
+// testdata/golden/refused are copies that were corrupted by hand.
+func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "golden", name))
 	require.NoError(t, err)
 	return text
 }
 
-// TestGoldenSuspended: what an earlier build wrote of suspended backends is read whole, and written the same.
-func TestGoldenSuspended(t *testing.T) {
+// TestGoldenSuspensionFiles checks that the suspension files of an earlier build are decoded in full, encoded to the
+// same bytes, and taken over by a process. Otherwise an upgrade would resume suspended backends.
+func TestGoldenSuspensionFiles(t *testing.T) {
 	for name, want := range map[string][]string{
 		"ternstage-held-leafs.json": {"S_c9f39196", "s-11", "s-2", "salt-lake.leaf:7"},
 		"none-held.json":            {},
 	} {
 		t.Run(name, func(t *testing.T) {
-			text := golden(t, name)
+			text := readGolden(t, name)
 			ids, err := maintenance.DecodeSuspensions(text)
 			require.NoError(t, err)
 			assert.Equal(t, want, ids)
-			assert.Equal(t, string(text), string(maintenance.EncodeSuspensions(ids)), "the ids that were read")
-			assert.Equal(t, string(text), string(maintenance.EncodeSuspensions(want)), "the ids that are in it")
+			assert.Equal(t, string(text), string(maintenance.EncodeSuspensions(ids)),
+				"the decoded ids are encoded to the same bytes")
+			assert.Equal(t, string(text), string(maintenance.EncodeSuspensions(want)),
+				"the expected ids are encoded to the same bytes")
 
 			s := maintenance.NewSuspensions()
-			added, freed := s.Replace(ids)
+			added, resumed := s.Replace(ids)
 			assert.ElementsMatch(t, want, added)
-			assert.Empty(t, freed)
-			assert.Equal(t, string(text), string(maintenance.EncodeSuspensions(s.IDs())), "by the tables of a process")
+			assert.Empty(t, resumed)
+			assert.Equal(t, string(text), string(maintenance.EncodeSuspensions(s.IDs())),
+				"the ids of a process are encoded to the same bytes")
 			for _, id := range want {
 				assert.True(t, s.Suspended(id), id)
-				assert.Equal(t, 200, s.Resume(id).Status, "%s can be resumed though no list named it", id)
+				assert.Equal(t, 200, s.Resume(id).Status, "%s can be resumed although no endpoint list named it", id)
 			}
-			assert.Equal(t, string(golden(t, "none-held.json")), string(maintenance.EncodeSuspensions(s.IDs())))
+			assert.Equal(t, string(readGolden(t, "none-held.json")), string(maintenance.EncodeSuspensions(s.IDs())))
 		})
 	}
 }
 
-// TestGoldenDrain: what an earlier build wrote of a drain is read to the microsecond, and written the same.
-func TestGoldenDrain(t *testing.T) {
-	text := golden(t, "ternstage-held-leafs.json.drain")
-	since, err := maintenance.DecodeDrain(text)
+// TestGoldenDrainFile checks that the drain file of an earlier build is decoded to the microsecond and encoded to the
+// same bytes. Otherwise an upgrade would end or restart a drain.
+func TestGoldenDrainFile(t *testing.T) {
+	text := readGolden(t, "ternstage-held-leafs.json.drain")
+	sinceUnixMs, err := maintenance.DecodeDrain(text)
 	require.NoError(t, err)
-	assert.Equal(t, 1796285471204.617, since)
-	assert.Equal(t, string(text), string(maintenance.EncodeDrain(since)))
+	assert.Equal(t, 1796285471204.617, sinceUnixMs)
+	assert.Equal(t, string(text), string(maintenance.EncodeDrain(sinceUnixMs)))
 }
 
-// TestGoldenRefused: a file that is torn, empty, altered, of another form or of another version is refused.
-func TestGoldenRefused(t *testing.T) {
-	for name, says := range map[string]string{
+// TestMalformedGoldenFiles checks that a file that is torn, empty, altered, or of another form or version is rejected
+// with an error that says why.
+func TestMalformedGoldenFiles(t *testing.T) {
+	for name, wantText := range map[string]string{
 		"held-torn.json":         "torn",
 		"held-empty.json":        "torn",
 		"held-wrong-sum.json":    "3358982349",
@@ -68,24 +74,24 @@
 		"held-version-2.json":    "version 2",
 		"held-another-form.json": `"ternstage drain"`,
 	} {
-		ids, err := maintenance.DecodeSuspensions(golden(t, "refused/"+name))
+		ids, err := maintenance.DecodeSuspensions(readGolden(t, "refused/"+name))
 		require.ErrorIs(t, err, maintenance.ErrSuspensionFile, name)
-		assert.ErrorContains(t, err, says, name)
+		assert.ErrorContains(t, err, wantText, name)
 		assert.Nil(t, ids, name)
 	}
-	for name, says := range map[string]string{
+	for name, wantText := range map[string]string{
 		"drain-torn.json":         "torn",
 		"drain-empty.json":        "torn",
 		"drain-version-2.json":    "version 2",
 		"drain-another-form.json": `"ternstage held leafs"`,
 	} {
-		since, err := maintenance.DecodeDrain(golden(t, "refused/"+name))
+		sinceUnixMs, err := maintenance.DecodeDrain(readGolden(t, "refused/"+name))
 		require.ErrorIs(t, err, maintenance.ErrDrainFile, name)
-		assert.ErrorContains(t, err, says, name)
-		assert.Zero(t, since, name)
+		assert.ErrorContains(t, err, wantText, name)
+		assert.Zero(t, sinceUnixMs, name)
 	}
-	_, err := maintenance.DecodeSuspensions(golden(t, "ternstage-held-leafs.json.drain"))
-	require.ErrorIs(t, err, maintenance.ErrSuspensionFile, "a drain is no list of suspended backends")
-	_, err = maintenance.DecodeDrain(golden(t, "ternstage-held-leafs.json"))
-	require.ErrorIs(t, err, maintenance.ErrDrainFile, "nor the other way")
+	_, err := maintenance.DecodeSuspensions(readGolden(t, "ternstage-held-leafs.json.drain"))
+	require.ErrorIs(t, err, maintenance.ErrSuspensionFile, "a drain file is not a suspension file")
+	_, err = maintenance.DecodeDrain(readGolden(t, "ternstage-held-leafs.json"))
+	require.ErrorIs(t, err, maintenance.ErrDrainFile, "a suspension file is not a drain file")
 }
--- a/internal/decision/maintenance/suspension_file.go
+++ b/internal/decision/maintenance/suspension_file.go
@@ -15,14 +15,14 @@
 	// MaxSuspensionFileBytes is the maximum size in bytes of a file of suspended backends that is read.
 	MaxSuspensionFileBytes = MaxSuspended*(MaxIDBytes+4) + 256
 
-	// suspensionForm distinguishes this file from the broker's other files. It is stored, and so keeps the old words.
+	// suspensionForm distinguishes this file from the broker's other files. It is part of the file format.
 	suspensionForm = "ternstage held leafs"
 )
 
 // ErrSuspensionFile is wrapped by the errors of DecodeSuspensions.
 var ErrSuspensionFile = errors.New("file of suspended backends")
 
-// suspensionFile is the stored form, with the platform's words for its fields.
+// suspensionFile is the stored form of the suspended backends. Its JSON names are the platform's terms.
 type suspensionFile struct {
 	Form      string   `json:"form"`
 	Version   int      `json:"version"`
@@ -30,9 +30,9 @@
 	Checksum  uint32   `json:"sum"` // see idChecksum
 }
 
-// EncodeSuspensions returns the content of the file that stores ids as the suspended backends.
+// EncodeSuspensions returns the content of the file that stores the ids of the suspended backends.
 func EncodeSuspensions(ids []string) []byte {
-	text, _ := json.Marshal(suspensionFile{ // strings and numbers always encode
+	text, _ := json.Marshal(suspensionFile{ // strings and numbers can always be encoded
 		Form:      suspensionForm,
 		Version:   SuspensionFileVersion,
 		Suspended: ids,
@@ -41,11 +41,12 @@
 	return append(text, '\n')
 }
 
-// DecodeSuspensions returns the suspended backends that a file stores. It returns an error that wraps
-// ErrSuspensionFile when the content is torn, altered, too large, or of another form or version.
+// DecodeSuspensions returns the ids of the suspended backends from the content of a file. It returns an error that
+// wraps ErrSuspensionFile if the content is torn, altered or too large, or is of another form or version.
 func DecodeSuspensions(text []byte) ([]string, error) {
 	if len(text) > MaxSuspensionFileBytes {
-		return nil, fmt.Errorf("%w: %d bytes, over %d", ErrSuspensionFile, len(text), MaxSuspensionFileBytes)
+		return nil, fmt.Errorf("%w: %d bytes, over the maximum of %d", ErrSuspensionFile,
+			len(text), MaxSuspensionFileBytes)
 	}
 	var stored suspensionFile
 	if err := json.Unmarshal(text, &stored); err != nil {
@@ -57,7 +58,7 @@
 	return stored.Suspended, nil
 }
 
-// validate names the fields in its errors as they are stored.
+// validate checks everything but the size and the JSON syntax. Its errors name fields as they are stored.
 func (f *suspensionFile) validate() error {
 	checksum := idChecksum(f.Suspended)
 	switch {
@@ -66,9 +67,9 @@
 	case f.Version != SuspensionFileVersion:
 		return fmt.Errorf("version %d, this build reads %d", f.Version, SuspensionFileVersion)
 	case f.Checksum != checksum:
-		return fmt.Errorf("field sum: %d, the ids sum to %d", f.Checksum, checksum)
+		return fmt.Errorf("field sum: %d, the checksum of the ids is %d", f.Checksum, checksum)
 	case len(f.Suspended) > MaxSuspended:
-		return fmt.Errorf("field held: %d ids, over %d", len(f.Suspended), MaxSuspended)
+		return fmt.Errorf("field held: %d ids, over the maximum of %d", len(f.Suspended), MaxSuspended)
 	}
 	for i, id := range f.Suspended {
 		if !ValidID(id) {
@@ -78,7 +79,7 @@
 	return nil
 }
 
-// idChecksum is the CRC-32 (IEEE) of the ids, each followed by a newline.
+// idChecksum returns the CRC-32 (IEEE) of the ids, each followed by a newline.
 func idChecksum(ids []string) uint32 {
 	var lines strings.Builder
 	for _, id := range ids {
--- a/internal/decision/maintenance/suspension_file_test.go
+++ b/internal/decision/maintenance/suspension_file_test.go
@@ -21,17 +21,18 @@
 	assert.Empty(t, decoded)
 }
 
-// TestSuspensionFileTorn checks that no prefix of a file is read as another set.
-func TestSuspensionFileTorn(t *testing.T) {
+// TestTornSuspensionFileIsRejected checks that no prefix of a file is read as another set. A crash during a write
+// leaves such a file.
+func TestTornSuspensionFileIsRejected(t *testing.T) {
 	text := EncodeSuspensions([]string{"s-1", "s-2", "s-c9f39196"})
-	for n := range len(text) - 1 {
-		_, err := DecodeSuspensions(text[:n])
-		assert.ErrorIs(t, err, ErrSuspensionFile, "torn at %d", n)
+	for length := range len(text) - 1 {
+		_, err := DecodeSuspensions(text[:length])
+		assert.ErrorIs(t, err, ErrSuspensionFile, "torn after %d bytes", length)
 	}
 }
 
-func TestSuspensionFileRejected(t *testing.T) {
-	for _, c := range []struct{ name, text, contains string }{
+func TestMalformedSuspensionFileIsRejected(t *testing.T) {
+	for _, test := range []struct{ name, text, wantText string }{
 		{"version", `{"form":"ternstage held leafs","version":2,"held":[],"sum":0}`, "version 2"},
 		{"form", `{"form":"another","version":1,"held":[],"sum":0}`, "form"},
 		{"checksum", `{"form":"ternstage held leafs","version":1,"held":["s-1"],"sum":7}`, "field sum"},
@@ -39,17 +40,17 @@
 			idChecksum([]string{"a b"})), "field held[0]"},
 		{"size", string(make([]byte, MaxSuspensionFileBytes+1)), "bytes, over"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			_, err := DecodeSuspensions([]byte(c.text))
+		t.Run(test.name, func(t *testing.T) {
+			_, err := DecodeSuspensions([]byte(test.text))
 			assert.ErrorIs(t, err, ErrSuspensionFile)
-			assert.ErrorContains(t, err, c.contains)
+			assert.ErrorContains(t, err, test.wantText)
 		})
 	}
 }
 
-// TestSuspensionFileAltered checks that a file with an altered byte is rejected or read as the same set, and never as
-// another one.
-func TestSuspensionFileAltered(t *testing.T) {
+// TestAlteredSuspensionFileIsNotReadAsAnotherSet checks that a file with an altered byte is rejected or read as the
+// same set, and never as another one.
+func TestAlteredSuspensionFileIsNotReadAsAnotherSet(t *testing.T) {
 	ids := []string{"s-1", "s-2", "s-3"}
 	text := EncodeSuspensions(ids)
 	random := rand.New(rand.NewPCG(1, 2))
--- a/internal/decision/maintenance/suspensions.go
+++ b/internal/decision/maintenance/suspensions.go
@@ -3,19 +3,19 @@
 import "slices"
 
 const (
-	// MaxSuspended is the maximum number of backends suspended at once. Suspend answers 507 beyond it.
+	// MaxSuspended is the maximum number of backends that are suspended at once. Beyond it, Suspend answers 507.
 	MaxSuspended = 1024
-	// MaxKnownIDs is the maximum number of ids remembered from endpoint lists. Beyond it the oldest is forgotten.
+	// MaxKnownIDs is the maximum number of known ids from endpoint lists. Beyond it, the oldest is forgotten.
 	MaxKnownIDs = 16384
 )
 
-// Suspensions is the set of suspended backends, together with the ids that were ever listed: these tell a backend
-// that is absent for a while, which can be suspended, from a mistyped id.
+// Suspensions is the set of suspended backends, together with the known ids: those that an endpoint list ever named.
+// A backend that is missing from the list for a while can be suspended; an unknown id is taken for a mistyped one.
 //
-// Invariants: at most MaxSuspended ids are suspended and at most MaxKnownIDs are known; each is valid (see ValidID);
-// and an id stays suspended when it is forgotten.
+// Invariants: at most MaxSuspended ids are suspended and at most MaxKnownIDs are known; each id is valid (see
+// ValidID); an id stays suspended even if it is forgotten.
 type Suspensions struct {
-	// ForgottenIDs counts the known ids that were forgotten at the bound.
+	// ForgottenIDs counts the known ids that were forgotten because of MaxKnownIDs.
 	ForgottenIDs uint64
 
 	suspended  map[string]struct{}
@@ -28,7 +28,7 @@
 	return &Suspensions{suspended: map[string]struct{}{}, known: map[string]struct{}{}}
 }
 
-// EndpointListed notes that the endpoint list names the backend id. An invalid id is ignored.
+// EndpointListed records that the endpoint list names the backend id. It ignores an invalid id.
 func (s *Suspensions) EndpointListed(id string) {
 	if s.isKnown(id) || !ValidID(id) {
 		return
@@ -54,7 +54,7 @@
 	return ok
 }
 
-// Suspend suspends the backend id. It answers 400 to an invalid id, 404 to one that was never listed and 507 when
+// Suspend suspends the backend id. It answers 400 to an invalid id, 404 to an id that was never listed, and 507 if
 // MaxSuspended backends are suspended.
 func (s *Suspensions) Suspend(id string) CallResult {
 	switch {
@@ -71,8 +71,8 @@
 	return resultDone
 }
 
-// Resume ends the suspension of the backend id. It answers 400 to an invalid id and 404 to one that is not suspended
-// and was never listed.
+// Resume ends the suspension of the backend id. It answers 400 to an invalid id, and 404 to an id that is not
+// suspended and was never listed.
 func (s *Suspensions) Resume(id string) CallResult {
 	switch {
 	case !ValidID(id):
@@ -86,7 +86,7 @@
 	return resultAlready
 }
 
-// IDs returns the suspended backends, sorted.
+// IDs returns the ids of the suspended backends, sorted.
 func (s *Suspensions) IDs() []string {
 	ids := make([]string, 0, len(s.suspended))
 	for id := range s.suspended {
@@ -96,9 +96,9 @@
 	return ids
 }
 
-// Replace makes ids the suspended backends, as another process of the broker has stored them. It returns which were
-// added and which were resumed by that, each sorted. Invalid ids and those beyond MaxSuspended are left out. An added
-// id becomes known: only a listed backend can have been suspended.
+// Replace replaces the set of suspended backends by ids, which another process of the broker has stored. It returns
+// the ids that this adds and those that it resumes, both sorted. It ignores invalid ids and those beyond
+// MaxSuspended. An added id becomes known, as only a listed backend can have been suspended.
 func (s *Suspensions) Replace(ids []string) (added, resumed []string) {
 	target := map[string]struct{}{}
 	for _, id := range ids {
--- a/internal/decision/maintenance/suspensions_test.go
+++ b/internal/decision/maintenance/suspensions_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// listed returns an empty set that knows the ids.
-func listed(ids ...string) *Suspensions {
+// newSuspensionsWithListed returns a set that knows the ids and has none suspended.
+func newSuspensionsWithListed(ids ...string) *Suspensions {
 	s := NewSuspensions()
 	for _, id := range ids {
 		s.EndpointListed(id)
@@ -17,10 +17,10 @@
 	return s
 }
 
-// TestSuspendResume makes the calls one after the other on the same set.
+// TestSuspendResume makes the calls of the table one after the other on the same set.
 func TestSuspendResume(t *testing.T) {
-	s := listed("s-1", "s-2")
-	for _, c := range []struct {
+	s := newSuspensionsWithListed("s-1", "s-2")
+	for _, test := range []struct {
 		name      string
 		call      func(string) CallResult
 		id        string
@@ -38,10 +38,10 @@
 		{"resume", s.Resume, "s-1", 200, true, []string{}},
 		{"resume again", s.Resume, "s-1", 200, false, []string{}},
 	} {
-		result := c.call(c.id)
-		assert.Equal(t, c.status, result.Status, c.name)
-		assert.Equal(t, c.changed, result.Changed, c.name)
-		assert.Equal(t, c.suspended, s.IDs(), c.name)
+		result := test.call(test.id)
+		assert.Equal(t, test.status, result.Status, test.name)
+		assert.Equal(t, test.changed, result.Changed, test.name)
+		assert.Equal(t, test.suspended, s.IDs(), test.name)
 	}
 }
 
@@ -55,7 +55,7 @@
 	}
 	result := s.Suspend(fmt.Sprint("s-", MaxSuspended))
 	assert.Equal(t, 507, result.Status, "over the maximum of suspended backends")
-	assert.True(t, s.Suspend("s-0").OK(), "a suspended backend is still answered yes")
+	assert.True(t, s.Suspend("s-0").OK(), "a repeated call for a suspended backend succeeds at the maximum")
 
 	for i := range MaxKnownIDs + 10 {
 		s.EndpointListed(fmt.Sprint("t-", i))
@@ -67,14 +67,14 @@
 }
 
 func TestReplace(t *testing.T) {
-	s := listed("a", "b")
+	s := newSuspensionsWithListed("a", "b")
 	s.Suspend("a")
 	added, resumed := s.Replace([]string{"b", "c", "bad id"})
 	assert.Equal(t, []string{"b", "c"}, added)
 	assert.Equal(t, []string{"a"}, resumed)
 	assert.Equal(t, []string{"b", "c"}, s.IDs())
-	assert.True(t, s.Resume("c").Changed, "an id from the file counts as listed")
+	assert.True(t, s.Resume("c").Changed, "an added id counts as listed")
 	added, resumed = s.Replace([]string{"b"})
 	assert.Empty(t, added)
-	assert.Empty(t, resumed, "a suspension in force is not a change")
+	assert.Empty(t, resumed, "a backend that stays suspended is not reported")
 }
