--- a/internal/decision/shardmap/poller.go
+++ b/internal/decision/shardmap/poller.go
@@ -98,8 +98,9 @@
 	return isHinted || now >= p.nextCallAt
 }
 
-// NewerEpochSeen records that a backend or client has a map of this epoch, and schedules a hinted poll. It ignores
-// epochs up to the one in use, and epochs for which a hinted poll is scheduled already.
+// NewerEpochSeen records that a backend or client has a map of this epoch. It schedules a hinted poll, unless a call
+// other than a watch is in flight, whose answer comes soon. It ignores epochs up to the one in use, and epochs for
+// which a hinted poll is scheduled already.
 func (p *Poller) NewerEpochSeen(now float64, epoch uint64) {
 	isPollScheduled := !math.IsInf(p.hintedPollAt, 1)
 	if epoch <= p.epoch || epoch <= p.hintedEpoch && isPollScheduled {
