--- a/internal/transport/loop/listener.go
+++ b/internal/transport/loop/listener.go
@@ -41,7 +41,7 @@
 func Accept(listener int) (fd int, err error) {
 	fd, _, err = unix.Accept4(listener, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 	if err == nil {
-		disableDelay(fd)
+		disableNagle(fd)
 	}
 	return fd, err
 }
--- a/internal/transport/loop/loop.go
+++ b/internal/transport/loop/loop.go
@@ -16,13 +16,13 @@
 const (
 	// eventsPerBatch is the number of events that one epoll_wait returns at most.
 	eventsPerBatch = 128
-	// maxBatches bounds the batches that one gather handles, so that a flood of events cannot defer the round for ever.
+	// maxBatches bounds the batches that one poll handles, so that a flood of events cannot defer the round for ever.
 	maxBatches = 16
-	// maxGathers bounds the gathers before a scheduling round, for the same reason.
-	maxGathers = 16
-	// maxRoundAgeMs is how old the loop's time may be when the scheduling round starts. Where handlers took longer, what
+	// maxPolls bounds the polls before a scheduling round, for the same reason.
+	maxPolls = 16
+	// maxClockAgeMs is how old the loop's time may be when the scheduling round starts. Where handlers took longer, what
 	// has happened meanwhile is gathered first.
-	maxRoundAgeMs = 20.0
+	maxClockAgeMs = 20.0
 )
 
 // Loop is an epoll loop. Only Post may be called from other threads.
@@ -49,7 +49,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("epoll: %w", err)
 	}
-	posts, err := newWakeup()
+	wake, err := newWakeup()
 	if err != nil {
 		return nil, err
 	}
@@ -58,9 +58,9 @@
 		startedAt:     time.Now(),
 		now:           ClockStart,
 		registrations: map[int32]registration{},
-		wakeup:        posts,
+		wakeup:        wake,
 	}
-	if err := l.Add(posts.fd, unix.EPOLLIN, posts); err != nil {
+	if err := l.Add(wake.fd, unix.EPOLLIN, wake); err != nil {
 		return nil, err
 	}
 	return l, nil
@@ -81,7 +81,7 @@
 // Run handles events until Stop. It returns an error only if epoll fails.
 func (l *Loop) Run() error {
 	for !l.stopped {
-		if err := l.gatherUntilFresh(); err != nil {
+		if err := l.pollUntilCurrent(); err != nil {
 			return err
 		}
 		if l.onRoundEnd != nil {
@@ -91,25 +91,25 @@
 	return nil
 }
 
-// gatherUntilFresh waits for something to happen and gathers until the loop's time is recent enough for a round.
-func (l *Loop) gatherUntilFresh() error {
-	sleepMs := l.sleepMs()
-	for range maxGathers {
-		if err := l.gather(sleepMs); err != nil {
+// pollUntilCurrent waits for something to happen and polls until the loop's time is recent enough for a round.
+func (l *Loop) pollUntilCurrent() error {
+	timeoutMs := l.pollTimeoutMs()
+	for range maxPolls {
+		if err := l.poll(timeoutMs); err != nil {
 			return err
 		}
-		if l.ReadClock()-l.now < maxRoundAgeMs {
+		if l.ReadClock()-l.now < maxClockAgeMs {
 			return nil
 		}
-		sleepMs = 0
+		timeoutMs = 0
 	}
 	return nil
 }
 
-// gather waits up to sleepMs for events and handles all that has happened: every event that the kernel holds, then the
+// poll waits up to timeoutMs for events and handles all that has happened: every event that the kernel holds, then the
 // posted work, then the timers that are due.
-func (l *Loop) gather(sleepMs int) error {
-	if err := l.handleEvents(sleepMs); err != nil {
+func (l *Loop) poll(timeoutMs int) error {
+	if err := l.handleEvents(timeoutMs); err != nil {
 		return err
 	}
 	l.runPosted()
@@ -117,11 +117,11 @@
 	return nil
 }
 
-// handleEvents waits up to sleepMs and calls the handlers of all ready descriptors.
-func (l *Loop) handleEvents(sleepMs int) error {
+// handleEvents waits up to timeoutMs and calls the handlers of all ready descriptors.
+func (l *Loop) handleEvents(timeoutMs int) error {
 	var events [eventsPerBatch]unix.EpollEvent
 	for range maxBatches {
-		count, err := unix.EpollWait(l.epollFD, events[:], sleepMs)
+		count, err := unix.EpollWait(l.epollFD, events[:], timeoutMs)
 		if err != nil && !errors.Is(err, unix.EINTR) {
 			return fmt.Errorf("epoll wait: %w", err)
 		}
@@ -134,7 +134,7 @@
 		if err == nil && count < eventsPerBatch {
 			return nil
 		}
-		sleepMs = 0
+		timeoutMs = 0
 	}
 	return nil
 }
--- a/internal/transport/loop/loop_test.go
+++ b/internal/transport/loop/loop_test.go
@@ -38,9 +38,9 @@
 	require.NoError(t, err)
 }
 
-// TestAllEventsBeforeTheRound: more connections are ready than one batch holds, and the last of them says that its
+// TestAllEventsHandledBeforeRound: more connections are ready than one batch holds, and the last of them says that its
 // client has disconnected. The one round of the wake-up comes after all of them.
-func TestAllEventsBeforeTheRound(t *testing.T) {
+func TestAllEventsHandledBeforeRound(t *testing.T) {
 	l := newLoop(t)
 	const connections = 3*eventsPerBatch + 5
 	handled := map[int]bool{}
@@ -62,9 +62,9 @@
 	assert.Equal(t, 1, rounds)
 }
 
-// TestEventsDuringTheWakeUp: handling one event takes long, and meanwhile a client disconnects. That is handled before
+// TestEventDuringSlowHandler: handling one event takes long, and meanwhile a client disconnects. That is handled before
 // the round.
-func TestEventsDuringTheWakeUp(t *testing.T) {
+func TestEventDuringSlowHandler(t *testing.T) {
 	l := newLoop(t)
 	slow, slowRemote := connectedPair(t)
 	disconnecting, client := connectedPair(t)
@@ -75,7 +75,7 @@
 	})))
 	require.NoError(t, l.Add(slow, unix.EPOLLIN, handlerFunc(func(uint32) {
 		l.Close(slow)
-		busyUntil := l.ReadClock() + 1.5*maxRoundAgeMs
+		busyUntil := l.ReadClock() + 1.5*maxClockAgeMs
 		for l.ReadClock() < busyUntil {
 			continue
 		}
--- a/internal/transport/loop/post.go
+++ b/internal/transport/loop/post.go
@@ -33,14 +33,14 @@
 func (l *Loop) Post(work func()) {
 	l.mu.Lock()
 	l.posted = append(l.posted, work)
-	first := len(l.posted) == 1
+	wasEmpty := len(l.posted) == 1
 	l.mu.Unlock()
-	if first {
+	if wasEmpty {
 		l.wakeup.signal()
 	}
 }
 
-// runPosted runs what has been posted; what that posts in turn waits for the next gather.
+// runPosted runs what has been posted; what that posts in turn waits for the next poll.
 func (l *Loop) runPosted() {
 	l.mu.Lock()
 	posted := l.posted
--- a/internal/transport/loop/post_test.go
+++ b/internal/transport/loop/post_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestPostFromAnotherThread: posted work wakes the loop, and runs in order before the round.
-func TestPostFromAnotherThread(t *testing.T) {
+// TestPostFromOtherThread: posted work wakes the loop, and runs in order before the round.
+func TestPostFromOtherThread(t *testing.T) {
 	l := newLoop(t)
 	const count = 100
 	ran := []int{}
@@ -23,8 +23,8 @@
 	assert.IsIncreasing(t, ran)
 }
 
-// TestPostFromTheLoop: what posted work posts runs in the next gather, which does not wait.
-func TestPostFromTheLoop(t *testing.T) {
+// TestPostFromLoop: what posted work posts runs in the next poll, which does not wait.
+func TestPostFromLoop(t *testing.T) {
 	l := newLoop(t)
 	rounds := 0
 	ranInRound := -1
--- a/internal/transport/loop/registration_test.go
+++ b/internal/transport/loop/registration_test.go
@@ -8,9 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestEventsOfAClosedDescriptor: of two connections that are ready in one wake-up, the first handler closes the other
+// TestStaleEventOfReusedDescriptor: of two connections that are ready in one wake-up, the first handler closes the other
 // and registers a new one under the same number. The new one is not called with the event of the old one.
-func TestEventsOfAClosedDescriptor(t *testing.T) {
+func TestStaleEventOfReusedDescriptor(t *testing.T) {
 	l := newLoop(t)
 	first, firstRemote := connectedPair(t)
 	second, secondRemote := connectedPair(t)
@@ -32,6 +32,6 @@
 	require.NoError(t, l.Add(second, unix.EPOLLIN, replace(first)))
 	writeByte(t, firstRemote)
 	writeByte(t, secondRemote)
-	require.NoError(t, l.gather(0))
+	require.NoError(t, l.poll(0))
 	assert.Equal(t, 1, calls)
 }
--- a/internal/transport/loop/socket.go
+++ b/internal/transport/loop/socket.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		return -1, err
 	}
-	disableDelay(fd)
+	disableNagle(fd)
 	if err := unix.Connect(fd, socketAddress); err != nil && !errors.Is(err, unix.EINPROGRESS) {
 		_ = unix.Close(fd)
 		return -1, fmt.Errorf("connect to %s: %w", address, err)
@@ -32,13 +32,13 @@
 // be nil.
 func ConnectFreeing(address string, freeDescriptor func() bool) (fd int, err error) {
 	fd, err = Connect(address)
-	if outOfDescriptors(err) && freeDescriptor != nil && freeDescriptor() {
+	if isOutOfDescriptors(err) && freeDescriptor != nil && freeDescriptor() {
 		return Connect(address)
 	}
 	return fd, err
 }
 
-func outOfDescriptors(err error) bool {
+func isOutOfDescriptors(err error) bool {
 	return errors.Is(err, unix.EMFILE) || errors.Is(err, unix.ENFILE)
 }
 
@@ -63,8 +63,8 @@
 	return fd, nil
 }
 
-// disableDelay switches Nagle's algorithm off: messages are small and latency counts.
-func disableDelay(fd int) {
+// disableNagle switches Nagle's algorithm off: messages are small and latency counts.
+func disableNagle(fd int) {
 	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 }
 
--- a/internal/transport/loop/socket_test.go
+++ b/internal/transport/loop/socket_test.go
@@ -12,8 +12,8 @@
 	"ternstage/internal/lab/loopback"
 )
 
-// TestConnectWithoutDescriptors: a connection that finds no descriptor asks once for one to be freed, and gets it.
-func TestConnectWithoutDescriptors(t *testing.T) {
+// TestConnectFreeingOutOfDescriptors: a connection that finds no descriptor asks once for one to be freed, and gets it.
+func TestConnectFreeingOutOfDescriptors(t *testing.T) {
 	listener, err := net.Listen("tcp", loopback.Own())
 	require.NoError(t, err)
 	defer func() { _ = listener.Close() }()
--- a/internal/transport/loop/timer.go
+++ b/internal/transport/loop/timer.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// maxSleepMs bounds one wait for events, and with it the delay that a fault in a timer could cause.
-const maxSleepMs = 60_000.0
+// maxPollTimeoutMs bounds one wait for events, and with it the delay that a fault in a timer could cause.
+const maxPollTimeoutMs = 60_000.0
 
 // Timer fires once at a time of the loop's clock. Components make a few that live as long as they do: a loop never
 // drops a timer, and no timer belongs to a single request.
@@ -38,13 +38,13 @@
 	}
 }
 
-// sleepMs returns how long epoll may wait until the next timer is due. It is rounded up, so that the timer is due when
+// timeoutMs returns how long epoll may wait until the next timer is due. It is rounded up, so that the timer is due when
 // the wait ends.
-func (l *Loop) sleepMs() int {
+func (l *Loop) pollTimeoutMs() int {
 	nextDueAt := math.Inf(1)
 	now := l.ReadClock()
 	for _, timer := range l.timers {
 		nextDueAt = min(nextDueAt, timer.dueAt)
 	}
-	return int(math.Ceil(min(max(nextDueAt-now, 0), maxSleepMs)))
+	return int(math.Ceil(min(max(nextDueAt-now, 0), maxPollTimeoutMs)))
 }
--- a/internal/transport/loop/timer_test.go
+++ b/internal/transport/loop/timer_test.go
@@ -14,7 +14,7 @@
 	second := l.NewTimer(func() { fired = append(fired, "second") })
 	stopped := l.NewTimer(func() { fired = append(fired, "stopped") })
 
-	require.NoError(t, l.gather(0))
+	require.NoError(t, l.poll(0))
 	assert.Empty(t, fired, "a new timer is stopped")
 
 	stopped.Set(l.Now())
@@ -23,27 +23,27 @@
 	first.Set(l.Now() + 1e6)
 	first.SetEarlier(l.Now())
 	first.SetEarlier(l.Now() + 2e6)
-	require.NoError(t, l.gather(0))
+	require.NoError(t, l.poll(0))
 	assert.Equal(t, []string{"first", "second"}, fired, "in the order in which they were made")
 
-	require.NoError(t, l.gather(0))
+	require.NoError(t, l.poll(0))
 	assert.Len(t, fired, 2, "a timer fires once")
 }
 
-func TestSleepMs(t *testing.T) {
+func TestPollTimeoutMs(t *testing.T) {
 	l := newLoop(t)
 	timer := l.NewTimer(func() {})
-	assert.Equal(t, int(maxSleepMs), l.sleepMs(), "no timer is set")
+	assert.Equal(t, int(maxPollTimeoutMs), l.pollTimeoutMs(), "no timer is set")
 	timer.Set(l.ReadClock() - 1)
-	assert.Zero(t, l.sleepMs(), "a timer is due")
+	assert.Zero(t, l.pollTimeoutMs(), "a timer is due")
 	timer.Set(l.ReadClock() + 1000)
-	assert.InDelta(t, 1000, l.sleepMs(), 500)
-	timer.Set(l.ReadClock() + 2*maxSleepMs)
-	assert.Equal(t, int(maxSleepMs), l.sleepMs())
+	assert.InDelta(t, 1000, l.pollTimeoutMs(), 500)
+	timer.Set(l.ReadClock() + 2*maxPollTimeoutMs)
+	assert.Equal(t, int(maxPollTimeoutMs), l.pollTimeoutMs())
 }
 
-// TestTimerEndsTheWait: the loop wakes up for a timer by itself, and not before it is due.
-func TestTimerEndsTheWait(t *testing.T) {
+// TestTimerWakesLoop: the loop wakes up for a timer by itself, and not before it is due.
+func TestTimerWakesLoop(t *testing.T) {
 	l := newLoop(t)
 	dueAt := l.ReadClock() + 5.5
 	firedAt := 0.0
