--- a/internal/transport/loop/doc.go
+++ b/internal/transport/loop/doc.go
@@ -1,11 +1,11 @@
-// Package loop is the event loop on whose single thread the broker takes all its decisions.
+// Package loop implements the event loop. The broker makes all its decisions on the loop's single thread.
 //
-// A Loop owns an epoll instance, the sockets that are registered with it, and timers. Handlers are called when their
-// descriptors are ready; they share state without locks and must not block. No goroutine and no timer is made for a
-// request. Other threads reach the loop through Post only.
+// A Loop owns an epoll instance, the sockets registered with it, and timers. It calls a handler when the handler's
+// descriptor is ready. Handlers share state without locks and must not block. No goroutine or timer is created per
+// request. Other threads access the loop only through Post.
 //
-// After each wake-up, once all that has happened is handled, the function given to OnRoundEnd runs: the scheduling
-// round.
+// At the end of each wake-up, after all pending events have been handled, the loop calls the function set with
+// OnRoundEnd, which runs the scheduling round.
 //
-// Times are float64 in ms on the loop's monotonic clock, which reads ClockStart when the loop is made.
+// Times are float64 milliseconds on the loop's monotonic clock. The clock reads ClockStart when the loop is created.
 package loop
--- a/internal/transport/loop/listener.go
+++ b/internal/transport/loop/listener.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// listenBacklog is the number of established connections that the kernel queues until they are accepted.
+// listenBacklog is the maximum number of established connections that the kernel queues until they are accepted.
 const listenBacklog = 512
 
 // Listen opens a non-blocking TCP listener on one IP address and port.
@@ -29,7 +29,7 @@
 }
 
 func bindAndListen(fd int, address unix.Sockaddr) error {
-	// A restarted process takes the address while old connections are in TIME_WAIT.
+	// Lets a restarted process bind the address while connections of the old process are in TIME_WAIT.
 	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
 	if err := unix.Bind(fd, address); err != nil {
 		return err
@@ -37,7 +37,7 @@
 	return unix.Listen(fd, listenBacklog)
 }
 
-// Accept accepts one connection as a non-blocking descriptor. The error is unix.EAGAIN where none is queued.
+// Accept accepts one connection as a non-blocking descriptor. The error is unix.EAGAIN if no connection is queued.
 func Accept(listener int) (fd int, err error) {
 	fd, _, err = unix.Accept4(listener, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 	if err == nil {
@@ -46,9 +46,9 @@
 	return fd, err
 }
 
-// Inherit prepares a listener that the process was started with, as descriptor fd: it becomes non-blocking and closed
-// on exec. It returns the listener's address and port. A descriptor that is no listening TCP socket over IPv4 is an
-// error that says what it is instead.
+// Inherit prepares a listener that the process inherited as descriptor fd: it makes the descriptor non-blocking and
+// close-on-exec, and returns the listener's address and port. If fd is not a listening TCP socket over IPv4, the
+// error says what it is instead.
 func Inherit(fd int) (address string, err error) {
 	if fd < 0 {
 		return "", fmt.Errorf("descriptor %d: not a descriptor", fd)
@@ -64,7 +64,8 @@
 	return listening.String(), nil
 }
 
-// inspectListener returns the address and port of a listening TCP socket over IPv4, or why a descriptor is none.
+// inspectListener returns the address and port of a listening TCP socket over IPv4. The error says why a descriptor
+// is not such a socket.
 func inspectListener(fd int) (netip.AddrPort, error) {
 	socketType, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_TYPE)
 	if err != nil {
@@ -72,11 +73,11 @@
 	}
 	listening, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN)
 	if err != nil {
-		return netip.AddrPort{}, err
+		return netip.AddrPort{}, fmt.Errorf("read SO_ACCEPTCONN: %w", err)
 	}
 	socketAddress, err := unix.Getsockname(fd)
 	if err != nil {
-		return netip.AddrPort{}, err
+		return netip.AddrPort{}, fmt.Errorf("read the socket's address: %w", err)
 	}
 	inet4, isInet4 := socketAddress.(*unix.SockaddrInet4)
 	switch {
--- a/internal/transport/loop/listener_test.go
+++ b/internal/transport/loop/listener_test.go
@@ -13,7 +13,7 @@
 	"ternstage/internal/lab/loopback"
 )
 
-// TestListenConnectAccept: a connection is established, and errors of a socket are reported.
+// TestListenConnectAccept checks that Connect and Accept establish a connection. Accept returns EAGAIN before.
 func TestListenConnectAccept(t *testing.T) {
 	address, err := loopback.Free()
 	require.NoError(t, err)
@@ -21,7 +21,7 @@
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = unix.Close(listener) })
 	_, err = Accept(listener)
-	require.ErrorIs(t, err, unix.EAGAIN, "no connection is queued")
+	require.ErrorIs(t, err, unix.EAGAIN, "no connection queued")
 
 	client, err := Connect(address)
 	require.NoError(t, err)
@@ -61,17 +61,17 @@
 		open func(t *testing.T) int
 		want string
 	}{
-		"no descriptor": {func(*testing.T) int { return -1 }, "not a descriptor"},
-		"a file": {func(t *testing.T) int {
+		"negative": {func(*testing.T) int { return -1 }, "not a descriptor"},
+		"file": {func(t *testing.T) int {
 			t.Helper()
 			file, err := os.Open(os.DevNull)
 			require.NoError(t, err)
 			t.Cleanup(func() { _ = file.Close() })
 			return int(file.Fd())
 		}, "not a socket"},
-		"UDP":         {openSocketOf(unix.AF_INET, unix.SOCK_DGRAM), "a socket of type 2, not TCP"},
-		"Unix domain": {openSocketOf(unix.AF_UNIX, unix.SOCK_STREAM), "not an IPv4 socket"},
-		"no listener": {openSocketOf(unix.AF_INET, unix.SOCK_STREAM), "a TCP socket that does not listen"},
+		"UDP":           {openSocketOf(unix.AF_INET, unix.SOCK_DGRAM), "a socket of type 2, not TCP"},
+		"Unix domain":   {openSocketOf(unix.AF_UNIX, unix.SOCK_STREAM), "not an IPv4 socket"},
+		"not listening": {openSocketOf(unix.AF_INET, unix.SOCK_STREAM), "a TCP socket that does not listen"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := Inherit(c.open(t))
--- a/internal/transport/loop/loop.go
+++ b/internal/transport/loop/loop.go
@@ -9,29 +9,31 @@
 	"golang.org/x/sys/unix"
 )
 
-// ClockStart is the reading, in ms, of a loop's clock when the loop is made. It is one day: 0 can then stand for "long
-// ago", and times up to a day before the start of the process are positive.
+// ClockStart is the reading of a loop's clock, in ms, when the loop is created. It is one day, so that 0 can stand
+// for "long ago" and times up to a day before the start of the process are positive.
 const ClockStart = 24 * 3600 * 1000.0
 
 const (
-	// eventsPerBatch is the number of events that one epoll_wait returns at most.
+	// eventsPerBatch is the maximum number of events that one epoll_wait returns.
 	eventsPerBatch = 128
-	// maxBatches bounds the batches that one poll handles, so that a flood of events cannot defer the round for ever.
+	// maxBatches limits the batches of events that one poll handles, so that a flood of events cannot delay the
+	// scheduling round indefinitely.
 	maxBatches = 16
-	// maxPolls bounds the polls before a scheduling round, for the same reason.
+	// maxPolls limits the polls before a scheduling round, for the same reason.
 	maxPolls = 16
-	// maxClockAgeMs is how old the loop's time may be when the scheduling round starts. Where handlers took longer, what
-	// has happened meanwhile is gathered first.
+	// maxClockAgeMs is the maximum age of the loop's time when the scheduling round starts. If handlers took longer,
+	// the loop polls again first, so that the round also sees the events that arrived meanwhile.
 	maxClockAgeMs = 20.0
 )
 
-// Loop is an epoll loop. Only Post may be called from other threads.
+// Loop is an event loop on top of epoll. Post is the only method that other threads may call.
 //
-// Invariant: onRoundEnd runs once per wake-up, after all events, posted work and due timers that were gathered.
+// Invariant: onRoundEnd runs once per wake-up, after the handlers of all events, the posted functions and the due
+// timers of the wake-up.
 type Loop struct {
 	epollFD       int
 	startedAt     time.Time
-	now           float64
+	now           float64                // clock reading of the last poll, in ms
 	registrations map[int32]registration // by descriptor
 	lastSerial    int32
 	timers        []*Timer
@@ -43,11 +45,11 @@
 	posted []func()
 }
 
-// New returns a loop without timers and with no registration but its own.
+// New returns a loop without timers. Its only registration is the eventfd for Post.
 func New() (*Loop, error) {
 	epollFD, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
-		return nil, fmt.Errorf("epoll: %w", err)
+		return nil, fmt.Errorf("create epoll instance: %w", err)
 	}
 	wake, err := newWakeup()
 	if err != nil {
@@ -66,19 +68,20 @@
 	return l, nil
 }
 
-// Now returns the monotonic time, in ms, at which the events that are being handled were gathered.
+// Now returns the monotonic time, in ms, at which epoll returned the events that are being handled. It does not
+// advance while handlers run.
 func (l *Loop) Now() float64 { return l.now }
 
-// ReadClock returns the present monotonic time in ms.
+// ReadClock reads the monotonic clock and returns the current time in ms.
 func (l *Loop) ReadClock() float64 { return ClockStart + float64(time.Since(l.startedAt))/1e6 }
 
-// OnRoundEnd sets the function that runs at the end of each wake-up; by default none does.
+// OnRoundEnd sets the function that the loop calls at the end of each wake-up. By default there is none.
 func (l *Loop) OnRoundEnd(runRound func()) { l.onRoundEnd = runRound }
 
-// Stop makes Run return at the end of the present wake-up.
+// Stop makes Run return at the end of the current wake-up.
 func (l *Loop) Stop() { l.stopped = true }
 
-// Run handles events until Stop. It returns an error only if epoll fails.
+// Run handles events until Stop is called. It returns an error only if epoll fails.
 func (l *Loop) Run() error {
 	for !l.stopped {
 		if err := l.pollUntilCurrent(); err != nil {
@@ -91,7 +94,8 @@
 	return nil
 }
 
-// pollUntilCurrent waits for something to happen and polls until the loop's time is recent enough for a round.
+// pollUntilCurrent waits for an event, posted work or a due timer. It polls again until the loop's time is less than
+// maxClockAgeMs old, up to maxPolls times in all.
 func (l *Loop) pollUntilCurrent() error {
 	timeoutMs := l.pollTimeoutMs()
 	for range maxPolls {
@@ -106,8 +110,8 @@
 	return nil
 }
 
-// poll waits up to timeoutMs for events and handles all that has happened: every event that the kernel holds, then the
-// posted work, then the timers that are due.
+// poll waits up to timeoutMs for events. It then handles all events that the kernel has pending, runs the posted work
+// and fires the due timers, in this order.
 func (l *Loop) poll(timeoutMs int) error {
 	if err := l.handleEvents(timeoutMs); err != nil {
 		return err
@@ -117,7 +121,7 @@
 	return nil
 }
 
-// handleEvents waits up to timeoutMs and calls the handlers of all ready descriptors.
+// handleEvents waits up to timeoutMs for events and calls the handlers of all ready descriptors.
 func (l *Loop) handleEvents(timeoutMs int) error {
 	var events [eventsPerBatch]unix.EpollEvent
 	for range maxBatches {
@@ -129,8 +133,8 @@
 		for _, event := range events[:max(count, 0)] {
 			l.dispatch(event)
 		}
-		// A signal, also the one that resumes a stopped process, ends the wait without events, and a full batch leaves
-		// events behind.
+		// Continues without waiting in two cases. A signal, including the SIGCONT that resumes a stopped process,
+		// interrupts the wait before any event is returned. A full batch may leave more events pending.
 		if err == nil && count < eventsPerBatch {
 			return nil
 		}
--- a/internal/transport/loop/loop_test.go
+++ b/internal/transport/loop/loop_test.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// handlerFunc is a Handler made of a function.
+// handlerFunc adapts a function to Handler.
 type handlerFunc func(events uint32)
 
 func (f handlerFunc) Ready(events uint32) { f(events) }
@@ -20,7 +20,7 @@
 	return l
 }
 
-// connectedPair returns the two ends of a connection. They are closed when the test ends.
+// connectedPair returns the two ends of a socket pair, which are closed when the test ends.
 func connectedPair(t *testing.T) (local, remote int) {
 	t.Helper()
 	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
@@ -38,8 +38,8 @@
 	require.NoError(t, err)
 }
 
-// TestAllEventsHandledBeforeRound: more connections are ready than one batch holds, and the last of them says that its
-// client has disconnected. The one round of the wake-up comes after all of them.
+// TestAllEventsHandledBeforeRound checks that the single round of a wake-up runs after all ready descriptors have
+// been handled, even if there are more of them than one batch holds. Every peer has disconnected.
 func TestAllEventsHandledBeforeRound(t *testing.T) {
 	l := newLoop(t)
 	const connections = 3*eventsPerBatch + 5
@@ -62,8 +62,8 @@
 	assert.Equal(t, 1, rounds)
 }
 
-// TestEventDuringSlowHandler: handling one event takes long, and meanwhile a client disconnects. That is handled before
-// the round.
+// TestEventDuringSlowHandler checks that the loop polls again before the round if a handler was slow: a client
+// disconnects while the handler of another connection runs for longer than maxClockAgeMs.
 func TestEventDuringSlowHandler(t *testing.T) {
 	l := newLoop(t)
 	slow, slowRemote := connectedPair(t)
--- a/internal/transport/loop/post.go
+++ b/internal/transport/loop/post.go
@@ -6,13 +6,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// wakeup is an eventfd that ends a wait for events.
+// wakeup is an eventfd that interrupts the loop's wait for events.
 type wakeup struct{ fd int }
 
 func newWakeup() (wakeup, error) {
 	fd, err := unix.Eventfd(0, unix.EFD_CLOEXEC|unix.EFD_NONBLOCK)
 	if err != nil {
-		return wakeup{}, fmt.Errorf("eventfd: %w", err)
+		return wakeup{}, fmt.Errorf("create eventfd: %w", err)
 	}
 	return wakeup{fd}, nil
 }
@@ -22,14 +22,14 @@
 	_, _ = unix.Write(w.fd, []byte{1, 0, 0, 0, 0, 0, 0, 0})
 }
 
-// Ready resets the eventfd. The posted work is run by runPosted.
+// Ready resets the eventfd. runPosted runs the posted work.
 func (w wakeup) Ready(uint32) {
 	var counter [8]byte
 	_, _ = unix.Read(w.fd, counter[:])
 }
 
-// Post queues work for the loop and wakes it. It may be called from any thread, the loop's included, and does not wait
-// for the work. Work runs in the order in which it was posted.
+// Post queues work for the loop and wakes the loop up. Any thread may call it, including the loop's own. Post does
+// not wait until the work has run. Work runs in the order in which it was posted.
 func (l *Loop) Post(work func()) {
 	l.mu.Lock()
 	l.posted = append(l.posted, work)
@@ -40,7 +40,7 @@
 	}
 }
 
-// runPosted runs what has been posted; what that posts in turn waits for the next poll.
+// runPosted runs the posted work. Work that is posted meanwhile runs in the next poll.
 func (l *Loop) runPosted() {
 	l.mu.Lock()
 	posted := l.posted
--- a/internal/transport/loop/post_test.go
+++ b/internal/transport/loop/post_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestPostFromOtherThread: posted work wakes the loop, and runs in order before the round.
+// TestPostFromOtherThread checks that Post wakes the loop from another thread and that the work runs in order.
 func TestPostFromOtherThread(t *testing.T) {
 	l := newLoop(t)
 	const count = 100
@@ -23,7 +23,8 @@
 	assert.IsIncreasing(t, ran)
 }
 
-// TestPostFromLoop: what posted work posts runs in the next poll, which does not wait.
+// TestPostFromLoop checks that work which is posted by posted work runs in the next poll, and that this poll does not
+// wait.
 func TestPostFromLoop(t *testing.T) {
 	l := newLoop(t)
 	rounds := 0
--- a/internal/transport/loop/registration_test.go
+++ b/internal/transport/loop/registration_test.go
@@ -8,15 +8,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestStaleEventOfReusedDescriptor: of two connections that are ready in one wake-up, the first handler closes the other
-// and registers a new one under the same number. The new one is not called with the event of the old one.
+// TestStaleEventOfReusedDescriptor checks that a handler is not called with an event of the descriptor that had its
+// number before. Two connections are ready in one wake-up; the handler of the first closes the other connection and
+// registers a new one under the same descriptor number.
 func TestStaleEventOfReusedDescriptor(t *testing.T) {
 	l := newLoop(t)
 	first, firstRemote := connectedPair(t)
 	second, secondRemote := connectedPair(t)
 	fresh, _ := connectedPair(t)
 	calls := 0
-	mustNotBeCalled := handlerFunc(func(uint32) { assert.Fail(t, "it is called with the event of the old one") })
+	mustNotBeCalled := handlerFunc(func(uint32) { assert.Fail(t, "called with an event of the closed descriptor") })
 	replace := func(other int) handlerFunc {
 		return func(uint32) {
 			calls++
--- a/internal/transport/loop/socket.go
+++ b/internal/transport/loop/socket.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Connect starts a non-blocking TCP connection to an IP address and port. The descriptor becomes writable once the
-// connection is established or has failed; SocketError tells which.
+// Connect starts to open a non-blocking TCP connection to an IP address and port. The descriptor becomes writable
+// when the connection is established or has failed. SocketError returns nil in the first case.
 func Connect(address string) (fd int, err error) {
 	socketAddress, family, err := resolve(address)
 	if err != nil {
@@ -27,9 +27,9 @@
 	return fd, nil
 }
 
-// ConnectFreeing is Connect for a process that may be out of descriptors. In that case it calls freeDescriptor once,
-// which closes a descriptor that can be spared and reports whether it did, and then tries once more. freeDescriptor may
-// be nil.
+// ConnectFreeing calls Connect and, if the process or the system is out of file descriptors, frees one and calls
+// Connect once more. freeDescriptor closes a descriptor that is not needed and reports whether it did. It is called
+// at most once and may be nil.
 func ConnectFreeing(address string, freeDescriptor func() bool) (fd int, err error) {
 	fd, err = Connect(address)
 	if isOutOfDescriptors(err) && freeDescriptor != nil && freeDescriptor() {
@@ -42,7 +42,7 @@
 	return errors.Is(err, unix.EMFILE) || errors.Is(err, unix.ENFILE)
 }
 
-// SocketError returns and clears the pending error of a socket; nil if there is none.
+// SocketError returns and clears the pending error of a socket. It returns nil if there is none.
 func SocketError(fd int) error {
 	code, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err != nil {
@@ -54,21 +54,22 @@
 	return nil
 }
 
-// openSocket opens a non-blocking TCP socket that is closed on exec.
+// openSocket opens a non-blocking, close-on-exec TCP socket.
 func openSocket(family int) (fd int, err error) {
 	fd, err = unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return -1, fmt.Errorf("socket: %w", err)
+		return -1, fmt.Errorf("open socket: %w", err)
 	}
 	return fd, nil
 }
 
-// disableNagle switches Nagle's algorithm off: messages are small and latency counts.
+// disableNagle disables Nagle's algorithm, which would delay small messages.
 func disableNagle(fd int) {
 	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 }
 
-// resolve parses an IP address and port; host names are not supported. An IPv4 address in IPv6 form counts as IPv4.
+// resolve parses an IP address and port. Host names are not supported. An IPv4-mapped IPv6 address is treated as
+// IPv4.
 func resolve(address string) (socketAddress unix.Sockaddr, family int, err error) {
 	addrPort, err := netip.ParseAddrPort(address)
 	if err != nil {
--- a/internal/transport/loop/socket_test.go
+++ b/internal/transport/loop/socket_test.go
@@ -12,14 +12,15 @@
 	"ternstage/internal/lab/loopback"
 )
 
-// TestConnectFreeingOutOfDescriptors: a connection that finds no descriptor asks once for one to be freed, and gets it.
+// TestConnectFreeingOutOfDescriptors checks that ConnectFreeing asks once for a descriptor to be freed when the
+// process is out of descriptors, and that it connects if one was freed.
 func TestConnectFreeingOutOfDescriptors(t *testing.T) {
 	listener, err := net.Listen("tcp", loopback.Own())
 	require.NoError(t, err)
 	defer func() { _ = listener.Close() }()
 	var before unix.Rlimit
 	require.NoError(t, unix.Getrlimit(unix.RLIMIT_NOFILE, &before))
-	spare, err := os.Open(os.DevNull) // the lowest free number: with the limit right above it none is free
+	spare, err := os.Open(os.DevNull) // takes the lowest free number, so a limit right above it leaves none free
 	require.NoError(t, err)
 	limit := unix.Rlimit{Cur: uint64(spare.Fd()) + 1, Max: before.Max}
 	require.NoError(t, unix.Setrlimit(unix.RLIMIT_NOFILE, &limit))
--- a/internal/transport/loop/stream.go
+++ b/internal/transport/loop/stream.go
@@ -8,33 +8,35 @@
 )
 
 const (
-	// readBytes is the size of one read.
+	// readBytes is the maximum size of one read.
 	readBytes = 16 << 10
-	// maxDiscardReads bounds the reads of one DiscardInput, so that a peer that sends without end does not hold the loop.
+	// maxDiscardReads limits the reads of one DiscardInput, so that a peer that sends continuously does not block the
+	// loop.
 	maxDiscardReads = 4
-	// maxIdleBufferBytes is the largest input buffer that a connection keeps while it has no input.
+	// maxIdleBufferBytes is the maximum capacity of an input buffer that a connection keeps while the buffer is
+	// empty.
 	maxIdleBufferBytes = 4 * readBytes
 )
 
-// readBuffer is shared by all streams: they run on the loop's thread and keep no reference to it.
+// readBuffer is shared by all streams. They run on the loop's thread and keep no reference to the buffer.
 var readBuffer [readBytes]byte
 
-// Stream buffers the input and output of a non-blocking connection.
+// Stream is a non-blocking connection with buffered input and output.
 type Stream struct {
 	// FD is the descriptor of the connection.
 	FD int
-	// In holds the bytes that were read and not consumed.
+	// In holds the bytes that were read and have not been consumed.
 	In []byte
-	// Out holds the bytes that are to be written. Callers append to it and call Flush.
+	// Out holds the bytes that have not been written yet. Callers append to it and call Flush.
 	Out []byte
-	// BytesWritten counts the bytes that the kernel has accepted since the stream was made.
+	// BytesWritten is the number of bytes that the kernel has accepted since the stream was created.
 	BytesWritten uint64
 
 	loop   *Loop
-	events uint32
+	events uint32 // for which the connection is registered
 }
 
-// NewStream registers a connection with the loop. On an error it closes fd.
+// NewStream registers a connection with the loop. If that fails, it closes fd.
 func NewStream(l *Loop, fd int, events uint32, handler Handler) (*Stream, error) {
 	if err := l.Add(fd, events, handler); err != nil {
 		_ = unix.Close(fd)
@@ -43,8 +45,8 @@
 	return &Stream{FD: fd, loop: l, events: events}, nil
 }
 
-// Read appends to In what has arrived, until In holds limit bytes. eof says that the peer has closed its side and
-// nothing is left to read. A reset is an error; what arrived before it is in In.
+// Read appends the input that has arrived to In, until In holds limit bytes. eof reports that the peer has closed its
+// side and nothing is left to read. A reset is returned as an error; In then holds the input that arrived before it.
 func (s *Stream) Read(limit int) (eof bool, err error) {
 	for len(s.In) < limit {
 		count, err := unix.Read(s.FD, readBuffer[:min(readBytes, limit-len(s.In))])
@@ -63,28 +65,29 @@
 	return false, nil
 }
 
-// PeerOpen reports whether, as far as has arrived, the peer has neither closed nor reset the connection. Unread input
-// counts as open.
+// PeerOpen reports whether the peer, as far as is known here, has neither closed nor reset the connection. A
+// connection with unread input counts as open.
 func (s *Stream) PeerOpen() bool {
 	count, err := s.peek()
 	return count > 0 || errors.Is(err, unix.EAGAIN)
 }
 
-// HasUnread reports whether input has arrived that was not read.
+// HasUnread reports whether input has arrived that has not been read.
 func (s *Stream) HasUnread() bool {
 	count, _ := s.peek()
 	return count > 0
 }
 
-// peek returns 1 where input has arrived, without reading it, and otherwise 0 or less with the error of the socket.
+// peek checks for input without consuming it. It returns 1 if there is any; otherwise it returns 0 or less and the
+// socket's error.
 func (s *Stream) peek() (int, error) {
 	var next [1]byte
 	count, _, err := unix.Recvfrom(s.FD, next[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	return count, err
 }
 
-// DiscardInput reads and drops what has arrived, in maxDiscardReads reads at most. It returns the number of bytes
-// dropped, and eof and err as Read does. In is not touched.
+// DiscardInput reads and drops the input that has arrived, in at most maxDiscardReads reads. It returns the number of
+// bytes dropped, and eof and err as Read does. It does not change In.
 func (s *Stream) DiscardInput() (dropped int, eof bool, err error) {
 	for range maxDiscardReads {
 		count, err := unix.Read(s.FD, readBuffer[:])
@@ -110,7 +113,8 @@
 	}
 }
 
-// Flush writes what the kernel accepts of Out; the rest stays in Out. An error means that the connection is unusable.
+// Flush writes as much of Out as the kernel accepts and leaves the rest in Out. After an error the connection is
+// unusable.
 func (s *Stream) Flush() error {
 	for len(s.Out) > 0 {
 		count, err := unix.Write(s.FD, s.Out)
@@ -133,7 +137,7 @@
 	return nil
 }
 
-// SetEvents replaces the epoll events for which the connection is watched.
+// SetEvents replaces the epoll events for which the connection is registered.
 func (s *Stream) SetEvents(events uint32) {
 	if s.events == events {
 		return
--- a/internal/transport/loop/stream_test.go
+++ b/internal/transport/loop/stream_test.go
@@ -29,7 +29,7 @@
 	eof, err := stream.Read(3)
 	require.NoError(t, err)
 	assert.False(t, eof)
-	assert.Equal(t, "hel", string(stream.In), "up to the limit")
+	assert.Equal(t, "hel", string(stream.In), "limited to 3 bytes")
 	eof, err = stream.Read(100)
 	require.NoError(t, err)
 	assert.False(t, eof)
@@ -74,10 +74,10 @@
 
 func TestStreamFlush(t *testing.T) {
 	stream, remote := newStreamPair(t)
-	const outBytes = 8 << 20 // more than the kernel buffers
+	const outBytes = 8 << 20 // larger than the kernel's send buffer
 	stream.Out = bytes.Repeat([]byte("x"), outBytes)
 	require.NoError(t, stream.Flush())
-	require.NotEmpty(t, stream.Out, "the rest stays")
+	require.NotEmpty(t, stream.Out, "the unwritten rest stays in Out")
 	assert.EqualValues(t, outBytes-len(stream.Out), stream.BytesWritten)
 
 	input := make([]byte, 1<<20)
--- a/internal/transport/loop/timer_test.go
+++ b/internal/transport/loop/timer_test.go
@@ -24,7 +24,7 @@
 	first.SetEarlier(l.Now())
 	first.SetEarlier(l.Now() + 2e6)
 	require.NoError(t, l.poll(0))
-	assert.Equal(t, []string{"first", "second"}, fired, "in the order in which they were made")
+	assert.Equal(t, []string{"first", "second"}, fired, "in the order of their creation")
 
 	require.NoError(t, l.poll(0))
 	assert.Len(t, fired, 2, "a timer fires once")
@@ -33,7 +33,7 @@
 func TestPollTimeoutMs(t *testing.T) {
 	l := newLoop(t)
 	timer := l.NewTimer(func() {})
-	assert.Equal(t, int(maxPollTimeoutMs), l.pollTimeoutMs(), "no timer is set")
+	assert.Equal(t, int(maxPollTimeoutMs), l.pollTimeoutMs(), "no timer is armed")
 	timer.Set(l.ReadClock() - 1)
 	assert.Zero(t, l.pollTimeoutMs(), "a timer is due")
 	timer.Set(l.ReadClock() + 1000)
@@ -42,7 +42,7 @@
 	assert.Equal(t, int(maxPollTimeoutMs), l.pollTimeoutMs())
 }
 
-// TestTimerWakesLoop: the loop wakes up for a timer by itself, and not before it is due.
+// TestTimerWakesLoop checks that a timer wakes a loop without any other event, and not before it is due.
 func TestTimerWakesLoop(t *testing.T) {
 	l := newLoop(t)
 	dueAt := l.ReadClock() + 5.5
