--- a/internal/transport/backendpool/abandon.go
+++ b/internal/transport/backendpool/abandon.go
@@ -19,7 +19,7 @@
 		}
 	}
 	part, _ := attempt.Handle.(*part)
-	if part == nil || part.ended || part.call.encoded() {
+	if part == nil || part.ended || part.call.isEncoded() {
 		return false
 	}
 	part.ended = true
--- a/internal/transport/backendpool/answers.go
+++ b/internal/transport/backendpool/answers.go
@@ -23,7 +23,7 @@
 		delete(c.abandoned, answer.partID)
 		return nil, nil
 	}
-	if part == nil || !part.call.encoded() || part == c.pendingRejection {
+	if part == nil || !part.call.isEncoded() || part == c.pendingRejection {
 		// A duplicate, or an answer to another broker: the part that it was meant for will not be answered here.
 		return nil, fmt.Errorf("%w: part %.100q is not in flight", errMalformedFrame, answer.partID)
 	}
@@ -37,7 +37,7 @@
 		// One more answer after the rejection: the backend keeps the connection.
 		c.reportPendingRejection()
 	}
-	if answer.status == statusRejected && c.partsServed == 0 && !c.peerEnded {
+	if answer.status == statusRejected && c.partsAnswered == 0 && !c.peerClosed {
 		c.pendingRejection = part
 		c.rejectionDueAt = c.lastReceivedAt + immediateLossMs
 		return
@@ -47,14 +47,14 @@
 		c.pool.idleRisk.record(c.lastReceivedAt, part.call.idleBeforeMs, false)
 	}
 	c.removePart(part)
-	c.partsServed++
+	c.partsAnswered++
 	switch answer.status {
 	case statusOK:
 		c.pool.core.AttemptEnded(part.attempt, scheduler.Succeeded, slices.Clone(answer.value))
 	case statusFailed:
 		c.pool.core.AttemptEnded(part.attempt, scheduler.Failed, nil)
 	case statusRejected:
-		if c.partsServed == 1 && c.peerEnded {
+		if c.partsAnswered == 1 && c.peerClosed {
 			c.attributeToConnectionLimit(part)
 		}
 		c.pool.core.AttemptEnded(part.attempt, scheduler.Rejected, nil)
@@ -67,7 +67,7 @@
 // attributeToConnectionLimit notes that the backend is at its limit of connections: it rejected the first part on
 // this one and ended it. That says nothing about its load.
 func (c *connection) attributeToConnectionLimit(part *part) {
-	c.pool.connectionLimit.connectionRejected(c.pool.loop.Now(), c.openedAt)
+	c.pool.connectionLimit.recordRejection(c.pool.loop.Now(), c.openedAt)
 	part.attempt.ConnectionOnly = true
 }
 
@@ -75,7 +75,7 @@
 func (c *connection) reportPendingRejection() {
 	part := c.pendingRejection
 	c.pendingRejection = nil
-	c.partsServed++
+	c.partsAnswered++
 	if part.ended {
 		return
 	}
--- a/internal/transport/backendpool/call.go
+++ b/internal/transport/backendpool/call.go
@@ -30,8 +30,8 @@
 	ended   bool // its outcome is reported, or no longer wanted
 }
 
-// encoded reports whether the call's frame is in the connection's output: from then on nothing can be left out of it.
-func (c *call) encoded() bool { return c.endOffset > 0 }
+// isEncoded reports whether the call's frame is in the connection's output: from then on nothing can be left out of it.
+func (c *call) isEncoded() bool { return c.endOffset > 0 }
 
 // equals reports whether other is the same call.
 func (c *call) equals(other *call) bool { return c == other }
--- a/internal/transport/backendpool/connection.go
+++ b/internal/transport/backendpool/connection.go
@@ -19,17 +19,17 @@
 	backend *backendState
 	stream  *loop.Stream
 
-	established bool
-	closed      bool
-	peerEnded   bool      // the backend ended or reset it: what is being parsed is the last that came
-	retiredFor  logs.Code // why it takes no new calls; "" while it does
-
-	calls       []*call          // in flight
-	unencoded   []*call          // of calls: those whose frame is not yet in the output
-	partsByID   map[string]*part // in flight
-	abandoned   map[string]bool  // parts that are no longer wanted and may still be answered
-	partsServed int              // parts that were answered, whatever the answer
-	queuedBytes uint64           // handed to the stream since the connection was opened
+	established  bool
+	closed       bool
+	peerClosed   bool      // the backend ended or reset it: what is being parsed is the last that came
+	retireReason logs.Code // why it takes no new calls; "" while it does
+
+	calls         []*call          // in flight
+	unencoded     []*call          // of calls: those whose frame is not yet in the output
+	partsByID     map[string]*part // in flight
+	abandoned     map[string]bool  // parts that are no longer wanted and may still be answered
+	partsAnswered int              // parts that were answered, whatever the answer
+	queuedBytes   uint64           // handed to the stream since the connection was opened
 
 	// pendingRejection is the first part that was answered on this connection, if it was rejected. Its outcome is
 	// reported once it is known whether the connection ends with it (see connection_limit.go), at rejectionDueAt at the
@@ -77,11 +77,11 @@
 		if len(c.stream.In) > unparsedBytes {
 			c.lastReceivedAt = c.pool.loop.Now()
 		}
-		c.peerEnded = eof || err != nil
+		c.peerClosed = eof || err != nil
 		bufferFull := len(c.stream.In) == maxUnparsedBytes // more may be waiting in the kernel
-		sound := c.handleFrames()
+		ok := c.handleFrames()
 		switch {
-		case !sound:
+		case !ok:
 			return false
 		case err != nil:
 			c.close(logs.BackendReset, err)
@@ -96,7 +96,7 @@
 }
 
 // handleFrames handles the complete frames of the input. A malformed one closes the connection; then it returns false.
-func (c *connection) handleFrames() (sound bool) {
+func (c *connection) handleFrames() (ok bool) {
 	parsedBytes := 0
 	for {
 		frame, err := nextFrame(c.stream.In[parsedBytes:])
@@ -170,9 +170,9 @@
 	c.queuedBytes += uint64(len(c.stream.Out) - start)
 }
 
-// written reports whether the kernel has taken the call's frame completely: from then on its parts may run.
-func (c *connection) written(call *call) bool {
-	return call.encoded() && call.endOffset <= c.stream.BytesWritten
+// isWritten reports whether the kernel has taken the call's frame completely: from then on its parts may run.
+func (c *connection) isWritten(call *call) bool {
+	return call.isEncoded() && call.endOffset <= c.stream.BytesWritten
 }
 
 // removePart takes a part off the connection, and its call with the last one.
@@ -192,7 +192,7 @@
 
 // retire ends the connection once it has no call in flight; it takes no new ones. The first reason counts.
 func (c *connection) retire(reason logs.Code) {
-	if c.retiredFor == "" {
-		c.retiredFor = reason
+	if c.retireReason == "" {
+		c.retireReason = reason
 	}
 }
--- a/internal/transport/backendpool/connection_end.go
+++ b/internal/transport/backendpool/connection_end.go
@@ -22,7 +22,7 @@
 	c.pool.connectionCount--
 	connectionOnly := c.attributeLoss(code)
 	c.backend.connections = slices.DeleteFunc(c.backend.connections, func(other *connection) bool { return other == c })
-	c.pool.log.ConnectionEnded(code, c.backend.address, c.partsServed, err)
+	c.pool.log.ConnectionEnded(code, c.backend.address, c.partsAnswered, err)
 	for _, call := range c.calls {
 		outcome := c.lossOutcome(call, code)
 		for _, part := range call.parts {
@@ -38,7 +38,7 @@
 // lossOutcome is the outcome of the parts of a call whose connection was closed for the reason code.
 func (c *connection) lossOutcome(call *call, code logs.Code) scheduler.Outcome {
 	switch {
-	case !c.written(call):
+	case !c.isWritten(call):
 		return scheduler.ConnectFailed
 	case code == logs.BackendMalformedFrame || code == logs.BackendUnresponsive:
 		return scheduler.Cancelled // closed by the broker
@@ -69,7 +69,7 @@
 		return false
 	}
 	now := c.pool.loop.Now()
-	if len(c.calls) == 1 && c.calls[0].encoded() {
+	if len(c.calls) == 1 && c.calls[0].isEncoded() {
 		only := c.calls[0]
 		if now-only.sentAt < immediateLossMs && only.idleBeforeMs > immediateLossMs {
 			c.pool.idleRisk.record(now, only.idleBeforeMs, true)
@@ -98,7 +98,7 @@
 // oldestPart returns the part that has been in flight longest; nil without one.
 func (c *connection) oldestPart() *part {
 	for _, call := range c.calls {
-		if !call.encoded() {
+		if !call.isEncoded() {
 			continue
 		}
 		for _, part := range call.parts {
--- a/internal/transport/backendpool/connection_limit_test.go
+++ b/internal/transport/backendpool/connection_limit_test.go
@@ -48,7 +48,7 @@
 	wanted := min(limit.current(now), 1+s.random.IntN(6))
 	for *open < wanted {
 		if *accepted == s.maxAccepted {
-			limit.connectionRejected(now, now)
+			limit.recordRejection(now, now)
 			s.rejected++
 			if *open == 0 {
 				s.disconnected++
@@ -91,7 +91,7 @@
 			assert.Less(t, float64(s.rejected)/attempts, 0.06, "%d brokers, %v accepted for each: rejected", brokers, acceptedPerBroker)
 			assert.Greater(t, float64(used), 0.5*float64(maxAccepted*simulatedBackends), "%d brokers, %v accepted for each: used", brokers, acceptedPerBroker)
 			for i := range s.limits {
-				assert.Equal(t, maxUnsharedConnections, s.limits[i].current(endMs+maxUnsharedConnections*limitGrowthMs))
+				assert.Equal(t, maxUnsharedConnections, s.limits[i].current(endMs+maxUnsharedConnections*limitGrowthIntervalMs))
 			}
 		}
 	}
--- a/internal/transport/backendpool/connection_selection.go
+++ b/internal/transport/backendpool/connection_selection.go
@@ -26,12 +26,12 @@
 		if !candidate.hasCapacity() || nonIdempotent && !p.idleRisk.allowsNonIdempotent(now, idleMs) {
 			continue
 		}
-		if best == nil || candidate.preferredTo(best) {
+		if best == nil || candidate.isPreferredTo(best) {
 			best = candidate
 		}
 	}
-	mayOpen := backend.usableConnections() < maxConnections && p.connectionCount < p.options.MaxConnections
-	if best == nil || len(best.calls) > 0 && mayOpen {
+	canOpen := backend.usableConnections() < maxConnections && p.connectionCount < p.options.MaxConnections
+	if best == nil || len(best.calls) > 0 && canOpen {
 		opened := p.openConnection(backend)
 		if opened != nil {
 			return opened
@@ -50,24 +50,24 @@
 func (b *backendState) usableConnections() int {
 	usable := 0
 	for _, c := range b.connections {
-		if c.usable() {
+		if c.isUsable() {
 			usable++
 		}
 	}
 	return usable
 }
 
-// usable reports whether the connection takes calls, if it has the capacity.
-func (c *connection) usable() bool { return c.retiredFor == "" && c.pendingRejection == nil }
+// isUsable reports whether the connection takes calls, if it has the capacity.
+func (c *connection) isUsable() bool { return c.retireReason == "" && c.pendingRejection == nil }
 
 // hasCapacity reports whether the connection takes one more call. Abandoned parts count, as the backend may still
 // work on them.
 func (c *connection) hasCapacity() bool {
-	return c.usable() && len(c.calls)+len(c.abandoned) < c.pool.options.StreamsPerConnection
+	return c.isUsable() && len(c.calls)+len(c.abandoned) < c.pool.options.StreamsPerConnection
 }
 
-// preferredTo reports whether a call is better placed on c than on other.
-func (c *connection) preferredTo(other *connection) bool {
+// isPreferredTo reports whether a call is better placed on c than on other.
+func (c *connection) isPreferredTo(other *connection) bool {
 	if len(c.calls) != len(other.calls) {
 		return len(c.calls) < len(other.calls)
 	}
--- a/internal/transport/backendpool/connection_selection_test.go
+++ b/internal/transport/backendpool/connection_selection_test.go
@@ -19,7 +19,7 @@
 		{"one call", connection{calls: make([]*call, 1)}, true},
 		{"all calls", connection{calls: make([]*call, 2)}, false},
 		{"a call and an abandoned part", connection{calls: make([]*call, 1), abandoned: map[string]bool{"a": true}}, false},
-		{"retired", connection{retiredFor: logs.BackendIdle}, false},
+		{"retired", connection{retireReason: logs.BackendIdle}, false},
 		{"a pending rejection", connection{pendingRejection: &part{}}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -29,15 +29,15 @@
 	}
 }
 
-func TestPreferredConnection(t *testing.T) {
+func TestIsPreferredTo(t *testing.T) {
 	idle := &connection{lastReceivedAt: 10}
-	lately := &connection{lastReceivedAt: 20}
+	recent := &connection{lastReceivedAt: 20}
 	busy := &connection{lastReceivedAt: 30, calls: make([]*call, 1)}
-	assert.True(t, lately.preferredTo(idle), "the idle one used last")
-	assert.False(t, idle.preferredTo(lately))
-	assert.True(t, idle.preferredTo(busy), "the one with fewer calls")
-	assert.False(t, busy.preferredTo(lately))
-	assert.False(t, idle.preferredTo(idle), "the first of equals")
+	assert.True(t, recent.isPreferredTo(idle), "the idle one used last")
+	assert.False(t, idle.isPreferredTo(recent))
+	assert.True(t, idle.isPreferredTo(busy), "the one with fewer calls")
+	assert.False(t, busy.isPreferredTo(recent))
+	assert.False(t, idle.isPreferredTo(idle), "the first of equals")
 }
 
 func TestIdleMs(t *testing.T) {
--- a/internal/transport/backendpool/frame_test.go
+++ b/internal/transport/backendpool/frame_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestFramesBehindOneAnother(t *testing.T) {
+func TestConsecutiveFrames(t *testing.T) {
 	out := frameBytes(frameQuery, "ab")
 	start := len(out)
 	out = beginFrame(out, frameAbandon)
@@ -48,9 +48,9 @@
 }
 
 func TestNextFrame(t *testing.T) {
-	whole := frameBytes(frameAnswer, "body")
-	for size := range whole {
-		got, err := nextFrame(whole[:size])
+	complete := frameBytes(frameAnswer, "body")
+	for size := range complete {
+		got, err := nextFrame(complete[:size])
 		require.NoError(t, err)
 		assert.Zero(t, got.sizeBytes, "incomplete with %d bytes", size)
 	}
--- a/internal/transport/backendpool/idle_risk_test.go
+++ b/internal/transport/backendpool/idle_risk_test.go
@@ -6,9 +6,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestIdleTimeSlot(t *testing.T) {
+func TestIdleSlot(t *testing.T) {
 	for idleMs, want := range map[float64]int{0: 0, 1.9: 0, 2: 1, 7.9: 2, 8: firstIdleSlot, 32768: 15, 1e9: 15} {
-		assert.Equal(t, want, idleTimeSlot(idleMs), "%v ms", idleMs)
+		assert.Equal(t, want, idleSlot(idleMs), "%v ms", idleMs)
 	}
 }
 
--- a/internal/transport/backendpool/timeouts.go
+++ b/internal/transport/backendpool/timeouts.go
@@ -53,12 +53,12 @@
 		c.reportPendingRejection()
 	case now >= c.frameDeadline:
 		c.closeMalformed(nil, fmt.Errorf("%w: incomplete for too long", errMalformedFrame))
-	case len(c.calls) == 0 && c.retiredFor != "":
-		c.close(c.retiredFor, nil)
+	case len(c.calls) == 0 && c.retireReason != "":
+		c.close(c.retireReason, nil)
 	case len(c.calls) == 0 && now >= c.idleCloseAt:
 		c.close(logs.BackendIdle, nil)
 	case now >= c.startDeadline():
-		c.endStalled(now)
+		c.endStalledWrites(now)
 	}
 }
 
@@ -73,7 +73,7 @@
 	if c.pendingRejection != nil {
 		next = min(next, c.rejectionDueAt)
 	}
-	if c.retiredFor != "" && len(c.calls) == 0 {
+	if c.retireReason != "" && len(c.calls) == 0 {
 		next = min(next, c.pool.loop.Now())
 	}
 	return next
@@ -90,8 +90,8 @@
 	if c.backend.usableConnections() > c.pool.connectionLimit.current(now) {
 		c.retire(logs.BackendConnectionLimit)
 	}
-	keepAlive := c.pool.options.IdleTimeoutMs
-	c.idleCloseAt = now + max(min(keepAlive*idleCloseRatio, keepAlive-idleCloseMarginMs), 0)
+	idleTimeoutMs := c.pool.options.IdleTimeoutMs
+	c.idleCloseAt = now + max(min(idleTimeoutMs*idleCloseRatio, idleTimeoutMs-idleCloseMarginMs), 0)
 }
 
 // startDeadline returns when the first part that is not completely written has to be; +Inf if all are.
@@ -101,12 +101,12 @@
 		return deadline // the usual case, without a look at the calls
 	}
 	for _, call := range c.calls {
-		if c.written(call) {
+		if c.isWritten(call) {
 			continue
 		}
 		for _, part := range call.parts {
 			// A part that ended after it was encoded is still in the frame, so it counts.
-			if !part.ended || call.encoded() {
+			if !part.ended || call.isEncoded() {
 				deadline = min(deadline, part.attempt.StartBy)
 			}
 		}
@@ -114,9 +114,9 @@
 	return deadline
 }
 
-// endStalled ends the parts that may not begin any more, on a connection that does not take them. It takes no new
-// calls. A partly written frame can only be taken back by closing the connection.
-func (c *connection) endStalled(now float64) {
+// endStalledWrites ends the parts that may not begin any more, on a connection that does not take them. It takes no
+// new calls. A partly written frame can only be taken back by closing the connection.
+func (c *connection) endStalledWrites(now float64) {
 	expired := func(part *part) bool { return now >= part.attempt.StartBy }
 	for _, call := range c.calls {
 		if call.endOffset > c.stream.BytesWritten && slices.ContainsFunc(call.parts, expired) {
