--- a/internal/transport/backendpool/abandon.go
+++ b/internal/transport/backendpool/abandon.go
@@ -7,10 +7,11 @@
 	"ternstage/internal/logs"
 )
 
-// maxAbandonedParts is how many abandoned parts without an answer a connection may have before it takes no new calls.
+// maxAbandonedParts is the maximum number of abandoned, unanswered parts on a connection that takes new calls.
 const maxAbandonedParts = 64
 
-// Withdraw implements core.Backend. A part can be withdrawn until its call is encoded: it is left out of the frame.
+// Withdraw implements core.Backend. It succeeds until the part's call is encoded, and then leaves the part out of the
+// frame.
 func (p *Pool) Withdraw(attempt *core.Attempt) bool {
 	if backend := p.backends[attempt.Backend]; backend != nil {
 		if i := slices.Index(backend.unplaced, attempt); i >= 0 {
@@ -27,7 +28,8 @@
 	return true
 }
 
-// Abandon implements core.Backend. An abandoned part that was sent may still be answered; that answer is ignored.
+// Abandon implements core.Backend. It withdraws the part if its call is not encoded yet. Otherwise it sends an
+// abandon frame to the backend and ignores an answer that still arrives.
 func (p *Pool) Abandon(attempt *core.Attempt) (neverRan bool) {
 	withdrawn := p.Withdraw(attempt)
 	if withdrawn {
@@ -41,8 +43,8 @@
 	c := part.call.connection
 	c.abandoned[part.id] = true
 	if c.lastReceivedAt < part.call.sentAt {
-		// Nothing has come since the part was sent: the connection may have been lost unseen. A new one shows whether
-		// the backend can be reached.
+		// Nothing was received after the part was sent, so the connection may have been lost silently. A new
+		// connection will show whether the backend can be reached.
 		c.retire(logs.BackendUnresponsive)
 	}
 	if len(c.abandoned) > maxAbandonedParts {
--- a/internal/transport/backendpool/abandon_test.go
+++ b/internal/transport/backendpool/abandon_test.go
@@ -11,14 +11,14 @@
 	"ternstage/internal/core"
 )
 
-// newAttempt returns an attempt at backend 1 with 5 s left.
+// newAttempt returns an attempt for backend 1 whose Deadline and StartBy are in 5 s.
 func newAttempt(pool *Pool, request string) *core.Attempt {
 	endAt := pool.loop.ReadClock() + 5000
 	return &core.Attempt{Request: request, Backend: 1, Deadline: endAt, StartBy: endAt}
 }
 
-// runUntilReceived runs the loop until the backend has received a query frame whose first part has this id, and returns
-// its side of the connection.
+// runUntilReceived runs the loop until the backend has received a query frame whose first part has the ID id. It
+// returns the backend's side of the connection.
 func runUntilReceived(t *testing.T, pool *Pool, listener net.Listener, id string) net.Conn {
 	t.Helper()
 	accepted := make(chan net.Conn, 1)
@@ -44,7 +44,7 @@
 	attempt := newAttempt(pool, "a")
 	pool.Send(attempt)
 	assert.True(t, pool.Withdraw(attempt))
-	assert.False(t, pool.Withdraw(attempt), "a second time")
+	assert.False(t, pool.Withdraw(attempt), "already withdrawn")
 	pool.Flush()
 	assert.Zero(t, pool.OpenConnections())
 	assert.Empty(t, recorder.outcomes)
@@ -58,10 +58,10 @@
 	pool.Send(abandoned)
 	pool.Send(kept)
 	pool.Flush()
-	assert.True(t, pool.Abandon(abandoned), "its connection is not established, so it never ran")
+	assert.True(t, pool.Abandon(abandoned), "never ran, because its connection is not established")
 	runUntilReceived(t, pool, listener, "b.0")
 	assert.Empty(t, recorder.outcomes)
-	assert.False(t, pool.Withdraw(kept), "it is encoded")
+	assert.False(t, pool.Withdraw(kept), "already encoded")
 }
 
 func TestEncodedAttemptAbandoned(t *testing.T) {
@@ -72,7 +72,7 @@
 	pool.Flush()
 	connection := runUntilReceived(t, pool, listener, "a.0")
 	assert.False(t, pool.Withdraw(attempt))
-	assert.False(t, pool.Abandon(attempt), "it may have run")
+	assert.False(t, pool.Abandon(attempt), "may have run")
 	want := "\x00\x00\x00\x04Xa.0"
 	got := make([]byte, len(want))
 	_, err := io.ReadFull(connection, got)
@@ -85,6 +85,6 @@
 	require.NoError(t, err, "a late answer is ignored")
 	assert.Nil(t, part)
 	_, err = c.handleFrame(frame{letter: frameAnswer, body: []byte("a.0 ok 1 -\nv")})
-	require.ErrorIs(t, err, errMalformedFrame, "a second one is not")
+	require.ErrorIs(t, err, errMalformedFrame, "a second answer is not ignored")
 	assert.Empty(t, recorder.outcomes)
 }
--- a/internal/transport/backendpool/answers.go
+++ b/internal/transport/backendpool/answers.go
@@ -7,12 +7,12 @@
 	"ternstage/internal/decision/scheduler"
 )
 
-// handleFrame handles one frame of the backend. Errors wrap errMalformedFrame; then it returns the part that the
-// frame was for, nil if that is unknown.
+// handleFrame handles one frame from the backend. Errors wrap errMalformedFrame. The part is the one that the frame
+// belongs to, or nil if that is unknown.
 func (c *connection) handleFrame(frame frame) (*part, error) {
 	if frame.letter != frameAnswer {
-		// Only answers are asked for; an error frame says that the backend did not understand this broker.
-		return nil, fmt.Errorf("%w: letter %q: %.100q", errMalformedFrame, frame.letter, frame.body)
+		// This broker requests only answers. An error frame means that the backend did not understand a frame.
+		return nil, fmt.Errorf("%w: letter %q, want %q: %.100q", errMalformedFrame, frame.letter, frameAnswer, frame.body)
 	}
 	answer, err := parseAnswer(frame.body, c.pool.options.Resharding)
 	part := c.partsByID[answer.partID]
@@ -24,17 +24,19 @@
 		return nil, nil
 	}
 	if part == nil || !part.call.isEncoded() || part == c.pendingRejection {
-		// A duplicate, or an answer to another broker: the part that it was meant for will not be answered here.
+		// A duplicate, or an answer that was meant for another broker. The part that should have been answered may
+		// never be answered on this connection.
 		return nil, fmt.Errorf("%w: part %.100q is not in flight", errMalformedFrame, answer.partID)
 	}
 	c.handleAnswer(part, answer)
 	return part, nil
 }
 
-// handleAnswer ends a part as it was answered. The rejection of the first part that a connection answers is kept back.
+// handleAnswer ends a part with the outcome in the answer. If the first answer on a connection is a rejection, the
+// outcome is not reported yet but becomes the pending rejection.
 func (c *connection) handleAnswer(part *part, answer answer) {
 	if c.pendingRejection != nil {
-		// One more answer after the rejection: the backend keeps the connection.
+		// A further answer after the rejection shows that the backend has not closed the connection.
 		c.reportPendingRejection()
 	}
 	if answer.status == statusRejected && c.partsAnswered == 0 && !c.peerClosed {
@@ -64,14 +66,15 @@
 	}
 }
 
-// attributeToConnectionLimit notes that the backend is at its limit of connections: it rejected the first part on
-// this one and ended it. That says nothing about its load.
+// attributeToConnectionLimit records that the backend is at its connection limit: it rejected the first part on this
+// connection and closed the connection. Such a rejection says nothing about the backend's load.
 func (c *connection) attributeToConnectionLimit(part *part) {
 	c.pool.connectionLimit.recordRejection(c.pool.loop.Now(), c.openedAt)
 	part.attempt.ConnectionOnly = true
 }
 
-// reportPendingRejection reports the pending rejection as that of a full queue: the connection did not end with it.
+// reportPendingRejection reports the pending rejection as caused by a full queue, because the connection stayed open
+// after it.
 func (c *connection) reportPendingRejection() {
 	part := c.pendingRejection
 	c.pendingRejection = nil
--- a/internal/transport/backendpool/answers_test.go
+++ b/internal/transport/backendpool/answers_test.go
@@ -18,13 +18,14 @@
 	"ternstage/internal/transport/loop"
 )
 
-// limitedBackend is a backend that accepts a limited number of connections: on one more it rejects the first part and
-// closes. On the others it answers ok after release, or rejects if its queue is full.
+// limitedBackend is a backend that accepts a limited number of connections. On a connection beyond the limit it
+// rejects the first part and closes the connection. On an accepted connection it answers ok, or rejects the part if
+// its queue is full, after it has received from release.
 type limitedBackend struct {
 	listener       net.Listener
 	maxConnections int32
 	connections    atomic.Int32
-	release        chan struct{} // one for each part that may be answered
+	release        chan struct{} // one value for each part that may be answered
 
 	mu        sync.Mutex
 	queueFull bool
@@ -98,14 +99,14 @@
 	connectionOnly bool
 }
 
-// batchSender is a Core that sends attempts in batches, each when all of the one before have ended: batches of six
-// until all of one succeed, then one of four to a full queue.
+// batchSender is a Core that sends attempts in batches, each after all attempts of the previous batch have ended. It
+// sends batches of six until a whole batch succeeds, then a batch of four to a backend with a full queue.
 type batchSender struct {
 	loop    *loop.Loop
 	pool    *Pool
 	backend *limitedBackend
 
-	batches              []map[attributedOutcome]int // number of attempts by outcome
+	batches              []map[attributedOutcome]int // number of attempts by outcome, for each batch
 	inFlight             int
 	sent                 int
 	queueFull            bool
@@ -151,10 +152,10 @@
 	}
 }
 
-// TestRejectionAttributedToConnectionLimit checks rejections by a backend that accepts two connections and gets six
-// parts at once. Those on further connections are attributed to the connection, the limit comes down, and soon all six
-// succeed on shared connections. A rejection on an accepted connection is attributed to a full queue, and does not
-// lower the limit.
+// TestRejectionAttributedToConnectionLimit checks how rejections are attributed if a backend accepts two connections
+// and receives six parts at once. Rejections on further connections are attributed to the connection limit. The pool
+// lowers its limit until all six parts succeed on shared connections. Rejections on accepted connections are
+// attributed to a full queue and do not lower the limit.
 func TestRejectionAttributedToConnectionLimit(t *testing.T) {
 	backend := &limitedBackend{listener: listen(t), maxConnections: 2, release: make(chan struct{}, 64)}
 	go backend.acceptAll()
@@ -174,7 +175,7 @@
 		assert.Zero(t, batch[attributedOutcome{scheduler.Rejected, false}], batch)
 	}
 	assert.Equal(t, map[attributedOutcome]int{{scheduler.Succeeded, false}: 6}, batches[last-1],
-		"they share accepted connections: %v", batches)
+		"all parts succeed on shared connections: %v", batches)
 	assert.Equal(t, map[attributedOutcome]int{{scheduler.Rejected, false}: 4}, batches[last])
 	assert.Equal(t, sender.limitBeforeFullQueue, pool.connectionLimit, "a full queue says nothing about connections")
 	assert.Less(t, sender.limitBeforeFullQueue.current(eventLoop.Now()), maxUnsharedConnections)
--- a/internal/transport/backendpool/call.go
+++ b/internal/transport/backendpool/call.go
@@ -9,35 +9,36 @@
 	"ternstage/internal/decision/scheduler"
 )
 
-// call is one frame of parts to a backend.
+// call is a group of parts that are sent to a backend in one frame.
 type call struct {
-	connection    *connection // nil until it is placed
+	connection    *connection // nil until the call is placed
 	parts         []*part
 	partsInFlight int
-	sentAt        float64
-	// endOffset is the position of the frame's last byte among all bytes written on the connection; 0 until the call is
-	// encoded. It reports whether the frame is completely written.
+	sentAt        float64 // when the call was created
+	// endOffset is the number of bytes queued on the connection up to the end of the call's frame; 0 until the call
+	// is encoded. The frame is completely written when the stream has written this number of bytes.
 	endOffset uint64
-	// idleBeforeMs is how long the connection had been idle when the call was placed; 0 if it was in use or new.
+	// idleBeforeMs is how long the connection was idle before the call was placed; 0 if it was in use or new.
 	idleBeforeMs float64
 }
 
-// part is an attempt as the pool keeps it. It is the attempt's Handle.
+// part is the pool's state of an attempt. It is the attempt's Handle.
 type part struct {
 	attempt *core.Attempt
 	id      string // on the wire
 	call    *call
-	ended   bool // its outcome is reported, or no longer wanted
+	ended   bool // the outcome was reported, or the attempt was withdrawn or abandoned
 }
 
-// isEncoded reports whether the call's frame is in the connection's output: from then on nothing can be left out of it.
+// isEncoded reports whether the call's frame has been appended to the connection's output. From then on no part can
+// be left out of it.
 func (c *call) isEncoded() bool { return c.endOffset > 0 }
 
-// equals reports whether other is the same call.
+// equals reports whether other is the same call. It is a predicate for slices.DeleteFunc.
 func (c *call) equals(other *call) bool { return c == other }
 
-// placeCall makes a call of these attempts and places it on a connection. Without a connection they end as
-// ConnectFailed.
+// placeCall creates a call from attempts and places it on a connection. If no connection is available, it ends the
+// attempts as ConnectFailed.
 func (p *Pool) placeCall(backend *backendState, attempts []*core.Attempt) {
 	call := &call{sentAt: p.loop.Now()}
 	for _, attempt := range attempts {
@@ -65,8 +66,8 @@
 	}
 }
 
-// partID returns the name of a part on the wire: request.shard. While shards move, a request may ask one shard for
-// several ranges of buckets, so the first bucket is appended: request.shard.bucket.
+// partID returns the ID of a part on the wire, which is request.shard. During resharding a request may ask one shard
+// for several ranges of buckets, so the ID also has the first bucket: request.shard.bucket.
 func partID(attempt *core.Attempt) string {
 	id := append([]byte(attempt.Request), '.')
 	id = strconv.AppendInt(id, int64(attempt.Shard), 10)
--- a/internal/transport/backendpool/call_test.go
+++ b/internal/transport/backendpool/call_test.go
@@ -19,7 +19,7 @@
 }
 
 func TestCallWithoutConnectionEndsAsConnectFailed(t *testing.T) {
-	pool, recorder := newRecordingPool(t, "") // not in the endpoint list
+	pool, recorder := newRecordingPool(t, "") // the backend is not in the endpoint list
 	pool.Send(&core.Attempt{Request: "a", Backend: 1})
 	pool.Flush()
 	assert.Equal(t, []scheduler.Outcome{scheduler.ConnectFailed}, recorder.outcomes)
--- a/internal/transport/backendpool/connection.go
+++ b/internal/transport/backendpool/connection.go
@@ -10,7 +10,8 @@
 	"ternstage/internal/transport/loop"
 )
 
-// maxUnparsedBytes bounds what is read and not yet parsed: one frame and the beginning of the next.
+// maxUnparsedBytes is the maximum size of the input that is read and not yet parsed. It is enough for one frame and
+// the beginning of the next.
 const maxUnparsedBytes = 2 * maxFrameBytes
 
 // connection is one connection to a backend.
@@ -21,27 +22,27 @@
 
 	established  bool
 	closed       bool
-	peerClosed   bool      // the backend ended or reset it: what is being parsed is the last that came
-	retireReason logs.Code // why it takes no new calls; "" while it does
+	peerClosed   bool      // the backend closed or reset the connection: the input being parsed is the last
+	retireReason logs.Code // why the connection takes no new calls; "" if it does
 
 	calls         []*call          // in flight
-	unencoded     []*call          // of calls: those whose frame is not yet in the output
-	partsByID     map[string]*part // in flight
-	abandoned     map[string]bool  // parts that are no longer wanted and may still be answered
-	partsAnswered int              // parts that were answered, whatever the answer
-	queuedBytes   uint64           // handed to the stream since the connection was opened
-
-	// pendingRejection is the first part that was answered on this connection, if it was rejected. Its outcome is
-	// reported once it is known whether the connection ends with it (see connection_limit.go), at rejectionDueAt at the
-	// latest. It stays in calls until then.
+	unencoded     []*call          // the calls in flight whose frame is not in the output yet
+	partsByID     map[string]*part // in flight, by ID
+	abandoned     map[string]bool  // IDs of abandoned parts that may still be answered
+	partsAnswered int              // answers of any status
+	queuedBytes   uint64           // appended to the output since the connection was opened
+
+	// pendingRejection is the part that the first answer on this connection rejected. Its outcome is reported when it
+	// is known whether the backend closes the connection after it (see connection_limit.go), at rejectionDueAt at the
+	// latest. Until then its call stays in calls.
 	pendingRejection *part
 	rejectionDueAt   float64
 
 	openedAt       float64
-	dialDeadline   float64 // when it must be established
-	lastReceivedAt float64 // when bytes last came; before the first, when it was opened or established
-	idleCloseAt    float64 // when it is closed as idle; +Inf while it has calls
-	frameDeadline  float64 // when a partly received frame counts as malformed; +Inf without one
+	dialDeadline   float64 // when the connection must be established
+	lastReceivedAt float64 // when bytes were last received; initially when it was opened, then when established
+	idleCloseAt    float64 // when the connection is closed as idle; +Inf while it has calls
+	frameDeadline  float64 // when a partly received frame counts as malformed; +Inf if there is none
 }
 
 // Ready implements loop.Handler.
@@ -68,8 +69,8 @@
 	c.pool.armTimer()
 }
 
-// read takes answers and returns false if the connection has ended. Complete answers count even if the connection
-// ended after them.
+// read reads the input, handles its frames, and returns false if the connection was closed. It handles complete
+// frames even if the backend closed or reset the connection after them.
 func (c *connection) read() (open bool) {
 	for {
 		unparsedBytes := len(c.stream.In)
@@ -78,7 +79,7 @@
 			c.lastReceivedAt = c.pool.loop.Now()
 		}
 		c.peerClosed = eof || err != nil
-		bufferFull := len(c.stream.In) == maxUnparsedBytes // more may be waiting in the kernel
+		bufferFull := len(c.stream.In) == maxUnparsedBytes // the kernel may have more input
 		ok := c.handleFrames()
 		switch {
 		case !ok:
@@ -95,7 +96,8 @@
 	}
 }
 
-// handleFrames handles the complete frames of the input. A malformed one closes the connection; then it returns false.
+// handleFrames handles the complete frames in the input. If a frame is malformed, it closes the connection and
+// returns false.
 func (c *connection) handleFrames() (ok bool) {
 	parsedBytes := 0
 	for {
@@ -122,8 +124,8 @@
 	return true
 }
 
-// write encodes the waiting calls and writes what the kernel takes. A call is encoded only when all before it is
-// written, so that the time that it announces to the backend is what really remains.
+// write encodes calls and writes as much output as the kernel accepts. It encodes a call only after all earlier
+// output has been written, so that the remaining time that the frame announces to the backend is accurate.
 func (c *connection) write() {
 	if c.closed || !c.established {
 		return
@@ -149,7 +151,7 @@
 	c.stream.SetEvents(events)
 }
 
-// encode appends the frame of a call to the output, without the parts that have ended meanwhile.
+// encode appends the frame of a call to the output. It leaves out parts that have ended.
 func (c *connection) encode(call *call, now float64) {
 	start := len(c.stream.Out)
 	c.stream.Out = beginFrame(c.stream.Out, frameQuery)
@@ -164,18 +166,18 @@
 	call.endOffset = c.queuedBytes
 }
 
-// endFrame ends the frame that begins at this position of the output, and counts its bytes.
+// endFrame completes the frame that begins at Out[start] and adds its size to queuedBytes.
 func (c *connection) endFrame(start int) {
 	endFrame(c.stream.Out, start)
 	c.queuedBytes += uint64(len(c.stream.Out) - start)
 }
 
-// isWritten reports whether the kernel has taken the call's frame completely: from then on its parts may run.
+// isWritten reports whether the kernel has accepted the call's whole frame. From then on its parts may run.
 func (c *connection) isWritten(call *call) bool {
 	return call.isEncoded() && call.endOffset <= c.stream.BytesWritten
 }
 
-// removePart takes a part off the connection, and its call with the last one.
+// removePart removes a part from the connection. It removes the call with the call's last part.
 func (c *connection) removePart(part *part) {
 	if c.partsByID[part.id] == part {
 		delete(c.partsByID, part.id)
@@ -190,7 +192,8 @@
 	c.scheduleIdleClose()
 }
 
-// retire ends the connection once it has no call in flight; it takes no new ones. The first reason counts.
+// retire makes the connection take no new calls and be closed when no call is in flight. The reason of the first call
+// of retire is kept.
 func (c *connection) retire(reason logs.Code) {
 	if c.retireReason == "" {
 		c.retireReason = reason
--- a/internal/transport/backendpool/connection_end.go
+++ b/internal/transport/backendpool/connection_end.go
@@ -7,12 +7,13 @@
 	"ternstage/internal/logs"
 )
 
-// immediateLossMs separates what happens at once from what happens later: a connection that breaks within it after a
-// call was placed broke because it was used, and one that ends within it after a rejection ended with the rejection.
+// immediateLossMs is the time within which the end of a connection is attributed to the event before it. A connection
+// that breaks within this time after a call was placed broke because it was used. A connection that the backend
+// closes within this time after a rejection was closed together with the rejection.
 const immediateLossMs = 5.0
 
-// close ends the connection and every part in flight on it. A part whose frame was not completely written never ran;
-// any other may have. A repeated call does nothing.
+// close closes the connection and ends every part in flight on it. A part whose frame was not completely written has
+// never run; any other part may have run. Closing a closed connection does nothing.
 func (c *connection) close(code logs.Code, err error) {
 	if c.closed {
 		return
@@ -35,7 +36,7 @@
 	c.unencoded = nil
 }
 
-// lossOutcome is the outcome of the parts of a call whose connection was closed for the reason code.
+// lossOutcome returns the outcome for the parts of a call whose connection was closed for the reason code.
 func (c *connection) lossOutcome(call *call, code logs.Code) scheduler.Outcome {
 	switch {
 	case !c.isWritten(call):
@@ -46,8 +47,8 @@
 	return scheduler.ConnectionReset
 }
 
-// endLostPart ends a part with its connection. A pending rejection is reported as such, and attributed to the
-// connection limit if it was the backend that ended the connection.
+// endLostPart ends a part whose connection was closed. A pending rejection ends as Rejected instead of outcome. It is
+// attributed to the connection limit if the backend closed or reset the connection.
 func (c *connection) endLostPart(part *part, outcome scheduler.Outcome, code logs.Code, connectionOnly bool) {
 	part.ended = true
 	part.attempt.ConnectionOnly = connectionOnly
@@ -60,10 +61,10 @@
 	c.pool.core.AttemptEndedLater(part.attempt, outcome)
 }
 
-// attributeLoss reports whether only this connection broke while the backend is up: either it broke as soon as it was
-// used after being idle, where the end of a process would have shown before, or another connection to the backend is
-// open. The former is recorded for idleRisk. Without this a backend would count as lost, and as warming up once it
-// serves again.
+// attributeLoss reports whether only this connection broke while the backend is up. There are two such cases. Either
+// the connection broke as soon as it was used after an idle time; had the backend's process ended, the connection
+// would have been closed earlier. attributeLoss records this case in idleRisk. Or another connection to the backend
+// is open. Without this distinction the backend would count as lost, and as warming up when it serves again.
 func (c *connection) attributeLoss(code logs.Code) (connectionOnly bool) {
 	if code != logs.BackendReset && code != logs.BackendClosed && code != logs.BackendConnectFailed {
 		return false
@@ -81,9 +82,9 @@
 	})
 }
 
-// closeMalformed closes a connection on which a malformed frame came: what follows it cannot be trusted. The part that
-// the frame was for, or else the oldest in flight, has failed and may have run. So may the others have, of which
-// the backend is not blamed.
+// closeMalformed closes a connection that received a malformed frame, because the input after it cannot be trusted.
+// The part that the frame belongs to ends as Failed; if that part is unknown, the oldest part in flight does. The
+// other written parts may have run too; they end as Cancelled, which does not count against the backend.
 func (c *connection) closeMalformed(part *part, err error) {
 	if part == nil {
 		part = c.oldestPart()
@@ -95,7 +96,7 @@
 	c.close(logs.BackendMalformedFrame, err)
 }
 
-// oldestPart returns the part that has been in flight longest; nil without one.
+// oldestPart returns the encoded part that has been in flight longest, or nil if there is none.
 func (c *connection) oldestPart() *part {
 	for _, call := range c.calls {
 		if !call.isEncoded() {
--- a/internal/transport/backendpool/connection_limit.go
+++ b/internal/transport/backendpool/connection_limit.go
@@ -3,28 +3,29 @@
 import "math"
 
 const (
-	// maxUnsharedConnections is the number of connections to one backend, each with a call, from which calls share
-	// one.
+	// maxUnsharedConnections is the maximum number of connections that are opened to one backend so that each call
+	// has its own. Further calls share connections.
 	maxUnsharedConnections = 4
 	// limitGrowthIntervalMs is the time without a rejected connection in which the limit grows by one.
 	limitGrowthIntervalMs = 5000.0
 )
 
-// connectionLimit is how many connections to one backend are opened so that calls need not share one. It is one limit
-// for all backends of a Pool.
+// connectionLimit limits the connections to one backend that are opened so that calls need not share one. One limit
+// applies to every backend of a Pool.
 //
-// A backend accepts a number of connections from all brokers together that is not announced. It rejects the first
-// call on one more and closes it. The limit follows by additive increase and multiplicative decrease: it halves on
-// such a rejection, to no less than 1, and grows by 1 every limitGrowthIntervalMs without. Connections that were
-// opened before the last decrease do not decrease it again. So all brokers together settle below what the backends
-// accept, whatever their number. The zero value is at the maximum.
+// A backend accepts a limited number of connections from all brokers together and does not announce that number. On a
+// connection beyond it, the backend rejects the first call and closes the connection. The limit adapts by additive
+// increase and multiplicative decrease: each such rejection halves it, to no less than 1, and it grows by 1 in each
+// limitGrowthIntervalMs without a rejection. Rejections of connections that were opened before the last decrease do
+// not decrease it again. In this way all brokers together settle below what the backends accept, whatever the number
+// of brokers. The zero value is at the maximum.
 type connectionLimit struct {
 	limit           float64 // as of lastRejectedAt; 0 before the first rejection
-	lastRejectedAt  float64 // growth counts from here: the last rejection
+	lastRejectedAt  float64 // growth counts from here
 	lastDecreasedAt float64
 }
 
-// current returns the limit, 1 to maxUnsharedConnections.
+// current returns the limit at the time now, which is 1 to maxUnsharedConnections.
 func (l *connectionLimit) current(now float64) int {
 	if l.limit == 0 {
 		return maxUnsharedConnections
@@ -32,8 +33,8 @@
 	return int(math.Min(maxUnsharedConnections, l.limit+(now-l.lastRejectedAt)/limitGrowthIntervalMs))
 }
 
-// recordRejection notes that a connection opened at openedAt was one too many for its backend. Growth since the last
-// rejection is lost.
+// recordRejection records that the backend rejected and closed a connection that was opened at openedAt. The growth
+// of the limit since the last rejection is lost.
 func (l *connectionLimit) recordRejection(now, openedAt float64) {
 	l.lastRejectedAt = now
 	if l.limit == 0 || openedAt >= l.lastDecreasedAt {
--- a/internal/transport/backendpool/connection_limit_test.go
+++ b/internal/transport/backendpool/connection_limit_test.go
@@ -9,7 +9,8 @@
 
 const simulatedBackends = 6
 
-// limitSimulation has brokers that open connections to backends that accept a limited number each.
+// limitSimulation simulates brokers that open connections to backends, each of which accepts a limited number of
+// them.
 type limitSimulation struct {
 	maxAccepted int // connections that a backend accepts from all brokers together
 	random      *rand.Rand
@@ -17,9 +18,9 @@
 	open        [][simulatedBackends]int // by broker and backend
 	accepted    [simulatedBackends]int   // by backend
 
-	attempts     int // a broker wanted connections to a backend
-	rejected     int // of these: one was rejected
-	disconnected int // of these: it was left without any
+	adjustments  int // of the connections of one broker to one backend
+	rejected     int // adjustments in which a connection was rejected
+	disconnected int // adjustments that left the broker without a connection to the backend
 }
 
 // step lets every broker, in random order, adjust its connections to every backend.
@@ -36,7 +37,8 @@
 	}
 }
 
-// adjust closes a broker's connections to a backend beyond its limit and opens up to a random number within it.
+// adjust closes the connections of a broker to a backend that exceed the broker's limit. It then opens connections up
+// to a random number within the limit.
 func (s *limitSimulation) adjust(broker, backend int, now float64) {
 	limit := &s.limits[broker]
 	open := &s.open[broker][backend]
@@ -58,13 +60,14 @@
 		*open++
 		*accepted++
 	}
-	s.attempts++
+	s.adjustments++
 }
 
-// TestConnectionLimitConverges checks any number of brokers before backends that accept one to four connections for each
-// of them, while every broker wants up to six. In the last 20 s of 30 nearly every broker has a connection to each
-// backend, few connections are rejected, and most of what the backends accept is used. A limit always is in 1 to
-// maxUnsharedConnections, and back at the maximum 20 s later.
+// TestConnectionLimitConverges checks the limit for 2 to 1000 brokers and backends that accept one to four
+// connections for each broker, while each broker wants up to six. In the last 20 s of 30 nearly every broker has a
+// connection to each backend, few connections are rejected, and at the end more than half of the connections that the
+// backends accept are open. A limit is always 1 to maxUnsharedConnections, and it is back at the maximum 20 s after
+// the end.
 func TestConnectionLimitConverges(t *testing.T) {
 	const stepMs, settledMs, endMs = 250.0, 10000.0, 30000.0
 	for _, brokers := range []int{2, 8, 24, 48, 80, 300, 1000} {
@@ -79,17 +82,20 @@
 			for now := 0.0; now < endMs; now += stepMs {
 				s.step(t, now)
 				if now == settledMs {
-					s.attempts, s.rejected, s.disconnected = 0, 0, 0
+					s.adjustments, s.rejected, s.disconnected = 0, 0, 0
 				}
 			}
 			used := 0
 			for _, accepted := range s.accepted {
 				used += accepted
 			}
-			attempts := float64(s.attempts)
-			assert.Less(t, float64(s.disconnected)/attempts, 0.01, "%d brokers, %v accepted for each: without any", brokers, acceptedPerBroker)
-			assert.Less(t, float64(s.rejected)/attempts, 0.06, "%d brokers, %v accepted for each: rejected", brokers, acceptedPerBroker)
-			assert.Greater(t, float64(used), 0.5*float64(maxAccepted*simulatedBackends), "%d brokers, %v accepted for each: used", brokers, acceptedPerBroker)
+			adjustments := float64(s.adjustments)
+			assert.Less(t, float64(s.disconnected)/adjustments, 0.01,
+				"share without a connection: %d brokers, %v accepted for each", brokers, acceptedPerBroker)
+			assert.Less(t, float64(s.rejected)/adjustments, 0.06,
+				"share with a rejection: %d brokers, %v accepted for each", brokers, acceptedPerBroker)
+			assert.Greater(t, float64(used), 0.5*float64(maxAccepted*simulatedBackends),
+				"connections in use: %d brokers, %v accepted for each", brokers, acceptedPerBroker)
 			for i := range s.limits {
 				assert.Equal(t, maxUnsharedConnections, s.limits[i].current(endMs+maxUnsharedConnections*limitGrowthIntervalMs))
 			}
--- a/internal/transport/backendpool/connection_selection.go
+++ b/internal/transport/backendpool/connection_selection.go
@@ -9,11 +9,12 @@
 	"ternstage/internal/transport/loop"
 )
 
-// selectConnection returns the connection for a call, nil if there is none. Calls share a connection only when the
-// backend's connections are at their limit: a malformed frame or a reset ends all calls beside the one at fault. Among
-// idle connections it prefers the one used last, so that the others reach their idle timeout. nonIdempotent tells that
-// the call must not be lost with a connection that was dropped unseen while it was idle. Connections that are likely to
-// have been dropped are retired.
+// selectConnection returns the connection for a call, or nil if there is none. Calls share a connection only if the
+// backend's connections are at their limit, because a malformed frame or a reset on a shared connection ends all its
+// calls. Among idle connections it selects the one used last, so that the others reach their idle timeout.
+//
+// nonIdempotent means that the call must not be placed on a connection that may have been dropped silently while it
+// was idle. selectConnection retires connections that are likely to have been dropped.
 func (p *Pool) selectConnection(backend *backendState, nonIdempotent bool) *connection {
 	now := p.loop.Now()
 	maxConnections := p.maxBackendConnections(now)
@@ -40,13 +41,13 @@
 	return best
 }
 
-// maxBackendConnections is the number of connections to one backend up to which calls do not share one.
+// maxBackendConnections returns the number of connections to one backend up to which calls do not share a connection.
 func (p *Pool) maxBackendConnections(now float64) int {
 	fairShare := p.options.MaxConnections / max(len(p.backends), 1)
 	return max(1, min(p.connectionLimit.current(now), fairShare))
 }
 
-// usableConnections returns how many connections take calls, if they have the capacity.
+// usableConnections returns the number of connections that take calls, whether or not they have capacity left.
 func (b *backendState) usableConnections() int {
 	usable := 0
 	for _, c := range b.connections {
@@ -57,16 +58,17 @@
 	return usable
 }
 
-// isUsable reports whether the connection takes calls, if it has the capacity.
+// isUsable reports whether the connection takes calls, whether or not it has capacity left.
 func (c *connection) isUsable() bool { return c.retireReason == "" && c.pendingRejection == nil }
 
-// hasCapacity reports whether the connection takes one more call. Abandoned parts count, as the backend may still
-// work on them.
+// hasCapacity reports whether the connection takes one more call. Abandoned parts use capacity, because the backend
+// may still work on them.
 func (c *connection) hasCapacity() bool {
 	return c.isUsable() && len(c.calls)+len(c.abandoned) < c.pool.options.StreamsPerConnection
 }
 
-// isPreferredTo reports whether a call is better placed on c than on other.
+// isPreferredTo reports whether to place a call on c rather than on other: c has fewer calls, or as many and
+// received something later.
 func (c *connection) isPreferredTo(other *connection) bool {
 	if len(c.calls) != len(other.calls) {
 		return len(c.calls) < len(other.calls)
@@ -74,7 +76,8 @@
 	return c.lastReceivedAt > other.lastReceivedAt
 }
 
-// idleMs is how long an established connection without calls has received nothing; 0 for any other.
+// idleMs returns the time since an established connection without calls last received anything. It returns 0 for any
+// other connection.
 func (c *connection) idleMs(now float64) float64 {
 	if !c.established || len(c.calls) > 0 {
 		return 0
@@ -82,8 +85,8 @@
 	return now - c.lastReceivedAt
 }
 
-// openConnection begins to open a connection; it returns nil if there can be none. At the limit of all connections
-// the one that has been idle longest makes way.
+// openConnection starts to open a connection. It returns nil if that is not possible. If the pool has MaxConnections,
+// it first evicts the connection that has been idle longest.
 func (p *Pool) openConnection(backend *backendState) *connection {
 	if p.connectionCount >= p.options.MaxConnections {
 		evicted := p.evictIdleConnection()
@@ -104,7 +107,7 @@
 	return c
 }
 
-// dial starts to connect to a backend. Its error is that of the socket.
+// dial starts to connect to a backend and registers the connection with the loop.
 func (p *Pool) dial(backend *backendState) (*connection, error) {
 	fd, err := loop.ConnectFreeing(backend.address, p.freeDescriptor)
 	if err != nil {
@@ -129,8 +132,8 @@
 	return c, nil
 }
 
-// freeDescriptor closes something that can be spared when the process is out of file descriptors, and reports whether
-// it did.
+// freeDescriptor closes a file descriptor that is not needed when the process is out of descriptors. It reports
+// whether it did.
 func (p *Pool) freeDescriptor() bool {
 	if p.options.FreeDescriptor != nil && p.options.FreeDescriptor() {
 		return true
@@ -138,8 +141,8 @@
 	return p.evictIdleConnection()
 }
 
-// evictIdleConnection closes the connection that has been idle longest, so that another backend can be reached. It
-// returns false if none is idle.
+// evictIdleConnection closes the connection that has been idle longest, to make room for a connection to another
+// backend. It returns false if no connection is idle.
 func (p *Pool) evictIdleConnection() bool {
 	var longestIdle *connection
 	for _, backend := range p.backends {
--- a/internal/transport/backendpool/connection_selection_test.go
+++ b/internal/transport/backendpool/connection_selection_test.go
@@ -17,7 +17,7 @@
 	}{
 		{"new", connection{}, true},
 		{"one call", connection{calls: make([]*call, 1)}, true},
-		{"all calls", connection{calls: make([]*call, 2)}, false},
+		{"as many calls as streams", connection{calls: make([]*call, 2)}, false},
 		{"a call and an abandoned part", connection{calls: make([]*call, 1), abandoned: map[string]bool{"a": true}}, false},
 		{"retired", connection{retireReason: logs.BackendIdle}, false},
 		{"a pending rejection", connection{pendingRejection: &part{}}, false},
@@ -33,9 +33,9 @@
 	idle := &connection{lastReceivedAt: 10}
 	recent := &connection{lastReceivedAt: 20}
 	busy := &connection{lastReceivedAt: 30, calls: make([]*call, 1)}
-	assert.True(t, recent.isPreferredTo(idle), "the idle one used last")
+	assert.True(t, recent.isPreferredTo(idle), "the idle connection used last")
 	assert.False(t, idle.isPreferredTo(recent))
-	assert.True(t, idle.isPreferredTo(busy), "the one with fewer calls")
+	assert.True(t, idle.isPreferredTo(busy), "the connection with fewer calls")
 	assert.False(t, busy.isPreferredTo(recent))
 	assert.False(t, idle.isPreferredTo(idle), "the first of equals")
 }
@@ -57,6 +57,7 @@
 		for replica := range c.backends {
 			pool.backends[uint32(replica)] = &backendState{}
 		}
-		assert.Equal(t, c.want, pool.maxBackendConnections(0), "%d connections for %d backends", c.maxConnections, c.backends)
+		assert.Equal(t, c.want, pool.maxBackendConnections(0), "%d connections for %d backends", c.maxConnections,
+			c.backends)
 	}
 }
--- a/internal/transport/backendpool/fixture_test.go
+++ b/internal/transport/backendpool/fixture_test.go
@@ -14,11 +14,11 @@
 	"ternstage/internal/transport/loop"
 )
 
-// outcomeRecorder is a Core that records the outcomes of attempts and stops the loop with each.
+// outcomeRecorder is a Core that records the outcomes of attempts and stops the loop at each outcome.
 type outcomeRecorder struct {
 	loop     *loop.Loop
 	outcomes []scheduler.Outcome
-	lastAt   float64 // when the last one was reported
+	lastAt   float64 // when the last outcome was reported
 }
 
 func (r *outcomeRecorder) AttemptEnded(attempt *core.Attempt, outcome scheduler.Outcome, _ []byte) {
@@ -31,7 +31,7 @@
 	r.loop.Stop()
 }
 
-// newLoop returns a loop that stops after timeoutMs, should the test not stop it before.
+// newLoop returns a loop that stops after timeoutMs at the latest.
 func newLoop(t *testing.T, timeoutMs float64) *loop.Loop {
 	t.Helper()
 	eventLoop, err := loop.New()
@@ -40,13 +40,13 @@
 	return eventLoop
 }
 
-// newPool returns a Pool all of whose backends have one address.
+// newPool returns a Pool in which all backends have the same address.
 func newPool(eventLoop *loop.Loop, outcomes Core, dialTimeoutMs float64, address string) *Pool {
 	options := Options{StreamsPerConnection: 8, DialTimeoutMs: dialTimeoutMs, IdleTimeoutMs: 30000, MaxConnections: 8}
 	return NewPool(eventLoop, outcomes, logs.New(os.Stderr, "test"), options, func(uint32) string { return address })
 }
 
-// newRecordingPool returns a Pool for the backend at address, and what records its outcomes.
+// newRecordingPool returns a Pool in which all backends have the same address, and the recorder of its outcomes.
 func newRecordingPool(t *testing.T, address string) (*Pool, *outcomeRecorder) {
 	t.Helper()
 	eventLoop := newLoop(t, 4000)
@@ -54,7 +54,7 @@
 	return newPool(eventLoop, recorder, 5000, address), recorder
 }
 
-// listen returns a listener at an address of its own, closed with the test.
+// listen returns a listener on an unused address, which is closed when the test ends.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", loopback.Own())
--- a/internal/transport/backendpool/frame_test.go
+++ b/internal/transport/backendpool/frame_test.go
@@ -12,7 +12,7 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-// frameBytes returns a frame as a backend sends it.
+// frameBytes returns an encoded frame.
 func frameBytes(letter byte, body string) []byte {
 	out := append(beginFrame(nil, letter), body...)
 	endFrame(out, 0)
@@ -27,8 +27,8 @@
 	}{
 		{"plain", core.Attempt{Shard: 3, Payload: []byte("text")}, "id 3 d=240 4\ntext"},
 		{"idempotency key", core.Attempt{Shard: 3, IdempotencyKey: "7f3a"}, "id 3 d=240,k=7f3a 0\n"},
-		{"resharding", core.Attempt{Shard: 3, Epoch: 17, Buckets: shardmap.Range{Start: 120, End: 135}, Payload: []byte("q")},
-			"id 3 d=240,e=17,r=120-135 1\nq"},
+		{"resharding", core.Attempt{Shard: 3, Epoch: 17, Buckets: shardmap.Range{Start: 120, End: 135},
+			Payload: []byte("q")}, "id 3 d=240,e=17,r=120-135 1\nq"},
 		{"all", core.Attempt{IdempotencyKey: "k", Epoch: 1, Buckets: shardmap.Range{Start: 0, End: 1}},
 			"id 0 d=240,k=k,e=1,r=0-1 0\n"},
 	} {
@@ -71,10 +71,12 @@
 		name, text string
 		in         []byte
 	}{
-		{"no length", "malformed frame: length 0", make([]byte, frameHeaderBytes)},
-		{"too long", "malformed frame: length 81921", binary.BigEndian.AppendUint32(nil, maxFrameBytes+1)},
-		{"a broker's letter", "malformed frame: letter 'Q'", frameBytes(frameQuery, "")},
-		{"an unknown letter in an incomplete frame", "malformed frame: letter 'Z'", frameBytes('Z', "body")[:5]},
+		{"length 0", "malformed frame: length 0, want 1 to 81920", make([]byte, frameHeaderBytes)},
+		{"too long", "malformed frame: length 81921, want 1 to 81920",
+			binary.BigEndian.AppendUint32(nil, maxFrameBytes+1)},
+		{"broker's letter", "malformed frame: letter 'Q' is not one of a backend's frames", frameBytes(frameQuery, "")},
+		{"unknown letter in an incomplete frame", "malformed frame: letter 'Z' is not one of a backend's frames",
+			frameBytes('Z', "body")[:5]},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := nextFrame(c.in)
@@ -95,7 +97,8 @@
 		{"rejected", "a.1 busy 1 -\n", false, answer{partID: "a.1", status: statusRejected, value: []byte{}}},
 		{"not holder", "a.1 moved 17 -\n", true,
 			answer{partID: "a.1", status: statusNotHolder, epoch: 17, value: []byte{}}},
-		{"an unusable load report", "a.1 err 1 x y z\n", false, answer{partID: "a.1", status: statusFailed, value: []byte{}}},
+		{"load report is not parsed", "a.1 err 1 x y z\n", false,
+			answer{partID: "a.1", status: statusFailed, value: []byte{}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got, err := parseAnswer([]byte(c.body), c.resharding)
@@ -111,19 +114,21 @@
 		resharding bool
 		text       string
 	}{
-		{"no end of the line", "a.1 ok 1 -", false, `malformed frame: answer line "a.1 ok 1 -"`},
-		{"three fields", "a.1 ok 1\n", false, `malformed frame: answer line "a.1 ok 1"`},
-		{"unknown status", "a.1 fine 1 -\n", false, `malformed frame: status "fine"`},
-		{"not holder without resharding", "a.1 moved 17 -\n", false, `malformed frame: status "moved"`},
-		{"epoch 0", "a.1 moved 0 -\n", true, `malformed frame: epoch "0"`},
-		{"epoch that is no number", "a.1 moved x -\n", true, `malformed frame: epoch "x"`},
-		{"score that is no number", "a.1 busy x -\n", false, `malformed frame: score "x"`},
+		{"no line feed", "a.1 ok 1 -", false,
+			`malformed frame: answer line "a.1 ok 1 -", want 4 fields and a line feed`},
+		{"three fields", "a.1 ok 1\n", false,
+			`malformed frame: answer line "a.1 ok 1", want 4 fields and a line feed`},
+		{"unknown status", "a.1 fine 1 -\n", false, `malformed frame: unexpected status "fine"`},
+		{"not holder without resharding", "a.1 moved 17 -\n", false, `malformed frame: unexpected status "moved"`},
+		{"epoch 0", "a.1 moved 0 -\n", true, `malformed frame: epoch "0", want a positive integer`},
+		{"epoch is not a number", "a.1 moved x -\n", true, `malformed frame: epoch "x", want a positive integer`},
+		{"score is not a number", "a.1 busy x -\n", false, `malformed frame: score "x", want a number`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got, err := parseAnswer([]byte(c.body), c.resharding)
 			require.ErrorIs(t, err, errMalformedFrame)
 			assert.EqualError(t, err, c.text)
-			assert.Equal(t, "a.1", got.partID, "the part is still named")
+			assert.Equal(t, "a.1", got.partID, "the part's ID is parsed despite the error")
 		})
 	}
 }
--- a/internal/transport/backendpool/idle_risk_test.go
+++ b/internal/transport/backendpool/idle_risk_test.go
@@ -21,8 +21,8 @@
 	risk.record(0, idleMs, true)
 	risk.record(0, idleMs, true)
 	assert.False(t, risk.allows(0, idleMs, maxLossRate), "three losses")
-	assert.False(t, risk.allows(0, 10*idleMs, maxLossRate), "longer idle times are as risky")
-	assert.True(t, risk.allows(0, idleMs/10, maxLossRate), "shorter ones are not")
+	assert.False(t, risk.allows(0, 10*idleMs, maxLossRate), "longer idle times are rejected too")
+	assert.True(t, risk.allows(0, idleMs/10, maxLossRate), "shorter idle times are allowed")
 	assert.True(t, risk.allows(2*lossHalfLifeMs, idleMs, maxLossRate), "the loss rate decays")
 }
 
--- a/internal/transport/backendpool/pool.go
+++ b/internal/transport/backendpool/pool.go
@@ -9,30 +9,32 @@
 	"ternstage/internal/transport/loop"
 )
 
-// Options are the limits of a Pool. They have no defaults: they come from the platform's settings.
+// Options are the limits of a Pool. They have no defaults, because they come from the platform's settings.
 type Options struct {
 	// MaxPartsPerCall is the maximum number of parts in one call. Less than 1 counts as 1.
 	MaxPartsPerCall int
 	// StreamsPerConnection is the maximum number of calls in flight on one connection. Less than 1 counts as 1.
 	StreamsPerConnection int
-	// DialTimeoutMs is the time in ms within which a connection is established.
+	// DialTimeoutMs is the time in ms within which a connection must be established.
 	DialTimeoutMs float64
 	// IdleTimeoutMs is the time in ms after which a backend closes an idle connection.
 	IdleTimeoutMs float64
 	// MaxConnections is the maximum number of connections to all backends together. Less than 1 counts as 1.
 	MaxConnections int
-	// Resharding reports whether shards move between backends, so that a backend may answer that it is not the holder.
+	// Resharding reports whether shards may move between backends, so that a backend may answer that it has no
+	// replica of the part's shard.
 	Resharding bool
-	// FreeDescriptor closes something that can be spared when the process is out of file descriptors, and tells
-	// whether it did. It may be nil: then only idle connections to backends are closed.
+	// FreeDescriptor is called when the process is out of file descriptors. It closes a descriptor that is not needed
+	// and reports whether it did. If it is nil, or returns false, an idle connection to a backend is closed instead.
 	FreeDescriptor func() bool
 }
 
-// Core takes the outcomes of attempts, on the loop.
+// Core receives the outcomes of attempts, on the loop's thread.
 type Core interface {
-	// AttemptEnded reports an outcome; value is the answer of an attempt that succeeded and nil otherwise.
+	// AttemptEnded reports an outcome. value is the answer of an attempt that succeeded, and nil for other outcomes.
 	AttemptEnded(attempt *core.Attempt, outcome scheduler.Outcome, value []byte)
-	// AttemptEndedLater does the same from within a call by core, which is not called back: it only queues the outcome.
+	// AttemptEndedLater reports an outcome without a value. Unlike AttemptEnded it may be called while core is
+	// calling the pool, because it only queues the outcome.
 	AttemptEndedLater(attempt *core.Attempt, outcome scheduler.Outcome)
 }
 
@@ -45,23 +47,23 @@
 	address func(replica uint32) string // "" for a backend that is not in the endpoint list
 
 	backends        map[uint32]*backendState // by replica number
-	unflushed       []*backendState          // those with unplaced attempts
+	unflushed       []*backendState          // backends with unplaced attempts
 	connectionCount int                      // to all backends
 	idleRisk        idleRisk
 	connectionLimit connectionLimit
-	timer           *loop.Timer // for the earliest of all timeouts
+	timer           *loop.Timer // armed for the earliest timeout of all connections
 }
 
-// backendState is what the pool has of one backend.
+// backendState is the pool's state of one backend.
 type backendState struct {
 	replica     uint32
-	address     string // at the last Flush
+	address     string // as of the last Flush
 	connections []*connection
-	unplaced    []*core.Attempt // sent since the last Flush
+	unplaced    []*core.Attempt // passed to Send since the last Flush
 }
 
-// NewPool returns a Pool without connections. address returns the address of a backend by its replica number, and ""
-// for one that is not in the endpoint list.
+// NewPool returns a Pool without connections. address returns the address of a backend by its replica number, or ""
+// if the backend is not in the endpoint list.
 func NewPool(eventLoop *loop.Loop, outcomes Core, log *logs.Log, options Options,
 	address func(replica uint32) string) *Pool {
 	options.MaxPartsPerCall = max(options.MaxPartsPerCall, 1)
@@ -102,7 +104,7 @@
 	p.armTimer()
 }
 
-// flushBackend places the unplaced attempts to one backend and writes what its connections take.
+// flushBackend places the unplaced attempts of one backend on connections and writes to them.
 func (p *Pool) flushBackend(backend *backendState) {
 	attempts := backend.unplaced
 	backend.unplaced = nil
@@ -110,13 +112,14 @@
 	for attemptsOfCall := range slices.Chunk(attempts, p.options.MaxPartsPerCall) {
 		p.placeCall(backend, attemptsOfCall)
 	}
-	// A connection that cannot be written to is closed, which changes the list.
+	// A clone, because a failed write closes the connection, which removes it from the list.
 	for _, c := range slices.Clone(backend.connections) {
 		c.write()
 	}
 }
 
-// updateAddress takes over the address of the endpoint list. Connections to another one take no new calls.
+// updateAddress updates the backend's address from the endpoint list. If it has changed, the connections to the old
+// address are retired.
 func (p *Pool) updateAddress(backend *backendState) {
 	address := p.address(backend.replica)
 	if address == backend.address {
@@ -144,7 +147,7 @@
 // OpenConnections returns the number of connections to all backends, including those not yet established.
 func (p *Pool) OpenConnections() int { return p.connectionCount }
 
-// Close closes all connections, at the end of the process. Attempts in flight end as on any closed connection.
+// Close closes all connections when the process shuts down. Attempts in flight end as on any closed connection.
 func (p *Pool) Close() {
 	for _, backend := range p.backends {
 		for _, c := range slices.Clone(backend.connections) {
--- a/internal/transport/backendpool/timeouts.go
+++ b/internal/transport/backendpool/timeouts.go
@@ -10,16 +10,18 @@
 )
 
 const (
-	// idleCloseRatio is the part of the backend's idle timeout after which the broker closes an idle connection. A
-	// close by the backend that crosses a call would reset it.
+	// idleCloseRatio is the fraction of the backend's idle timeout after which the broker closes an idle connection.
+	// If the backend closed it while a call is on its way, the call would be lost with a reset.
 	idleCloseRatio = 0.9
-	// idleCloseMarginMs is how long before the backend's idle timeout the broker closes at the latest.
+	// idleCloseMarginMs is the minimum time before the backend's idle timeout at which the broker closes an idle
+	// connection.
 	idleCloseMarginMs = 1500.0
-	// maxFrameDurationMs is the time from the first byte of a frame to its last, beyond which it is malformed.
+	// maxFrameDurationMs is the maximum time from the first byte of a frame to its last. A slower frame is malformed.
 	maxFrameDurationMs = 300.0
 )
 
-// enforceTimeouts ends what is out of time and forgets backends that have left the endpoint list.
+// enforceTimeouts enforces the due timeouts of all connections and removes the state of backends that are no longer
+// in the endpoint list and have neither connections nor unplaced attempts.
 func (p *Pool) enforceTimeouts() {
 	now := p.loop.Now()
 	for _, backend := range p.backends {
@@ -44,7 +46,7 @@
 	p.timer.Set(earliest)
 }
 
-// enforceTimeouts carries out the first timeout that is due. What else is due follows when the timer fires again.
+// enforceTimeouts enforces one due timeout. If others are due, the timer fires again for them.
 func (c *connection) enforceTimeouts(now float64) {
 	switch {
 	case !c.established && now >= c.dialDeadline:
@@ -52,7 +54,7 @@
 	case c.pendingRejection != nil && now >= c.rejectionDueAt:
 		c.reportPendingRejection()
 	case now >= c.frameDeadline:
-		c.closeMalformed(nil, fmt.Errorf("%w: incomplete for too long", errMalformedFrame))
+		c.closeMalformed(nil, fmt.Errorf("%w: incomplete after %v ms", errMalformedFrame, maxFrameDurationMs))
 	case len(c.calls) == 0 && c.retireReason != "":
 		c.close(c.retireReason, nil)
 	case len(c.calls) == 0 && now >= c.idleCloseAt:
@@ -62,7 +64,7 @@
 	}
 }
 
-// nextTimeout returns when enforceTimeouts has something to do next; +Inf for nothing.
+// nextTimeout returns the time of the connection's earliest timeout, or +Inf if it has none.
 func (c *connection) nextTimeout() float64 {
 	next := c.startDeadline()
 	if c.established {
@@ -79,8 +81,8 @@
 	return next
 }
 
-// scheduleIdleClose sets when the connection is closed as idle. An idle connection beyond the connection limit is
-// retired instead.
+// scheduleIdleClose sets the time at which the connection is closed as idle, or +Inf if it has calls. It also retires
+// an idle connection that exceeds the connection limit.
 func (c *connection) scheduleIdleClose() {
 	c.idleCloseAt = math.Inf(1)
 	if len(c.calls) > 0 {
@@ -94,18 +96,19 @@
 	c.idleCloseAt = now + max(min(idleTimeoutMs*idleCloseRatio, idleTimeoutMs-idleCloseMarginMs), 0)
 }
 
-// startDeadline returns when the first part that is not completely written has to be; +Inf if all are.
+// startDeadline returns the earliest StartBy of the parts whose frames are not completely written, or +Inf if there
+// are none.
 func (c *connection) startDeadline() float64 {
 	deadline := math.Inf(1)
 	if len(c.unencoded) == 0 && (len(c.calls) == 0 || len(c.stream.Out) == 0) {
-		return deadline // the usual case, without a look at the calls
+		return deadline // the common case, which need not iterate over the calls
 	}
 	for _, call := range c.calls {
 		if c.isWritten(call) {
 			continue
 		}
 		for _, part := range call.parts {
-			// A part that ended after it was encoded is still in the frame, so it counts.
+			// A part that ended after it was encoded is still in the frame, so its StartBy applies.
 			if !part.ended || call.isEncoded() {
 				deadline = min(deadline, part.attempt.StartBy)
 			}
@@ -114,8 +117,9 @@
 	return deadline
 }
 
-// endStalledWrites ends the parts that may not begin any more, on a connection that does not take them. It takes no
-// new calls. A partly written frame can only be taken back by closing the connection.
+// endStalledWrites ends the parts that were not written by their StartBy and retires the connection. If the frame of
+// such a part is already encoded, it closes the connection, because that is the only way to keep the backend from
+// receiving the rest of the frame.
 func (c *connection) endStalledWrites(now float64) {
 	expired := func(part *part) bool { return now >= part.attempt.StartBy }
 	for _, call := range c.calls {
@@ -128,9 +132,9 @@
 	c.expireUnencoded(now)
 }
 
-// expireUnencoded ends the parts of the unencoded calls that may not begin any more.
+// expireUnencoded ends the parts of unencoded calls whose StartBy has passed, as ConnectFailed.
 func (c *connection) expireUnencoded(now float64) {
-	// removePart takes calls out of the list.
+	// A clone, because removePart removes calls from the list.
 	for _, call := range slices.Clone(c.unencoded) {
 		for _, part := range call.parts {
 			if !part.ended && now >= part.attempt.StartBy {
--- a/internal/transport/backendpool/timeouts_test.go
+++ b/internal/transport/backendpool/timeouts_test.go
@@ -15,9 +15,9 @@
 	"ternstage/internal/lab/loopback"
 )
 
-// TestPartNotSentAfterStartBy checks that a part whose connection is established after its StartBy ends as
-// ConnectFailed at its StartBy, and that nothing of it is sent once the connection is established. Past its StartBy
-// the backend may have been drained or have forgotten the idempotency key.
+// TestPartNotSentAfterStartBy checks that a part whose connection is established only after the part's StartBy ends
+// as ConnectFailed at StartBy and that nothing of it is sent. After StartBy the backend may have been drained, or may
+// no longer know the idempotency key.
 func TestPartNotSentAfterStartBy(t *testing.T) {
 	listener, drain, err := loopback.Full()
 	require.NoError(t, err)
@@ -45,17 +45,17 @@
 	}
 }
 
-// readAll returns what comes on a connection within 3 s.
+// readAll returns the bytes that are received on a connection within 3 s.
 func readAll(connection net.Conn) []byte {
 	_ = connection.SetReadDeadline(time.Now().Add(3 * time.Second))
 	bytes, _ := io.ReadAll(connection)
 	return bytes
 }
 
-// TestPartlyWrittenFrameClosesConnection checks that a connection is closed if the backend stops reading within a frame
-// until the part's StartBy: the part would begin whenever the backend reads on.
+// TestPartlyWrittenFrameClosesConnection checks that a connection is closed if the backend has not read a whole frame
+// by the part's StartBy. Otherwise the part would begin whenever the backend continues to read.
 func TestPartlyWrittenFrameClosesConnection(t *testing.T) {
-	const queryBytes = 16 << 20 // more than the kernel buffers
+	const queryBytes = 16 << 20 // larger than the kernel's buffers
 	listener := listen(t)
 	pool, recorder := newRecordingPool(t, listener.Addr().String())
 	now := pool.loop.ReadClock()
