--- a/internal/transport/backendpool/idle_risk_test.go
+++ b/internal/transport/backendpool/idle_risk_test.go
@@ -6,9 +6,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestIdleTimeSlot(t *testing.T) {
+func TestIdleSlot(t *testing.T) {
 	for idleMs, want := range map[float64]int{0: 0, 1.9: 0, 2: 1, 7.9: 2, 8: firstIdleSlot, 32768: 15, 1e9: 15} {
-		assert.Equal(t, want, idleTimeSlot(idleMs), "%v ms", idleMs)
+		assert.Equal(t, want, idleSlot(idleMs), "%v ms", idleMs)
 	}
 }
 
@@ -21,8 +21,8 @@
 	risk.record(0, idleMs, true)
 	risk.record(0, idleMs, true)
 	assert.False(t, risk.allows(0, idleMs, maxLossRate), "three losses")
-	assert.False(t, risk.allows(0, 10*idleMs, maxLossRate), "longer idle times are as risky")
-	assert.True(t, risk.allows(0, idleMs/10, maxLossRate), "shorter ones are not")
+	assert.False(t, risk.allows(0, 10*idleMs, maxLossRate), "longer idle times are rejected too")
+	assert.True(t, risk.allows(0, idleMs/10, maxLossRate), "shorter idle times are allowed")
 	assert.True(t, risk.allows(2*lossHalfLifeMs, idleMs, maxLossRate), "the loss rate decays")
 }
 
