--- a/internal/lab/world/clients.go
+++ b/internal/lab/world/clients.go
@@ -23,17 +23,17 @@
 )
 
 // ending is how a call of a client ended, beside its answer.
-type ending int
+type callStatus int
 
 const (
-	endAnswer ending = iota
-	endStale         // it was not taken: the slices that it names are not understood
-	endGone          // there was no answer
+	callAnswered callStatus = iota
+	callStaleMap            // it was not taken: the slices that it names are not understood
+	callNoAnswer            // there was no answer
 )
 
 // client asks one broker over one wire.
 type client interface {
-	ask(ctx context.Context, id, class string, wait time.Duration, r *core.Request) (core.Answer, ending)
+	ask(ctx context.Context, id, class string, wait time.Duration, r *core.Request) (core.Answer, callStatus)
 	close()
 }
 
@@ -44,7 +44,7 @@
 }
 
 // bodyOf is a query as clients send it.
-func bodyOf(r *core.Request) string {
+func marshalRequest(r *core.Request) string {
 	b := struct {
 		Shards []shardBody `json:"shards"`
 		Q      string      `json:"q"`
@@ -69,39 +69,39 @@
 
 func (h *httpClient) close() { h.c.CloseIdleConnections() }
 
-func (h *httpClient) ask(ctx context.Context, id, class string, wait time.Duration,
-	q *core.Request) (core.Answer,
-	ending) {
-	r, err := http.NewRequestWithContext(ctx, "POST", "http://"+h.addr+"/"+class, strings.NewReader(bodyOf(q)))
+func (h *httpClient) ask(ctx context.Context, id, class string, timeout time.Duration,
+	req *core.Request) (core.Answer,
+	callStatus) {
+	httpReq, err := http.NewRequestWithContext(ctx, "POST", "http://"+h.addr+"/"+class, strings.NewReader(marshalRequest(req)))
 	if err != nil {
-		return core.Answer{}, endGone
+		return core.Answer{}, callNoAnswer
 	}
-	r.Header.Set("X-Request-Id", id)
-	r.Header.Set("X-Class", class)
-	r.Header.Set("X-Deadline", strconv.FormatFloat(wait.Seconds(), 'f', 3, 64))
-	if q.ClientRetry {
-		r.Header.Set("X-Retry", "1")
+	httpReq.Header.Set("X-Request-Id", id)
+	httpReq.Header.Set("X-Class", class)
+	httpReq.Header.Set("X-Deadline", strconv.FormatFloat(timeout.Seconds(), 'f', 3, 64))
+	if req.ClientRetry {
+		httpReq.Header.Set("X-Retry", "1")
 	}
-	a, err := h.c.Do(r)
+	resp, err := h.c.Do(httpReq)
 	if err != nil {
-		return core.Answer{}, endGone
+		return core.Answer{}, callNoAnswer
 	}
-	defer func() { _ = a.Body.Close() }()
-	text, err := io.ReadAll(a.Body)
+	defer func() { _ = resp.Body.Close() }()
+	text, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return core.Answer{}, endGone
+		return core.Answer{}, callNoAnswer
 	}
-	switch a.StatusCode {
+	switch resp.StatusCode {
 	case http.StatusOK:
 	case http.StatusBadRequest:
-		return core.Answer{}, endStale
+		return core.Answer{}, callStaleMap
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		after, _ := strconv.ParseFloat(a.Header.Get("Retry-After"), 64)
-		return core.Answer{Kind: core.Rejected, RetryAfter: after * 1000}, endAnswer
+		after, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
+		return core.Answer{Kind: core.Rejected, RetryAfter: after * 1000}, callAnswered
 	default:
-		return core.Answer{Kind: core.Failed}, endAnswer
+		return core.Answer{Kind: core.Failed}, callAnswered
 	}
-	var b struct {
+	var body struct {
 		Complete bool
 		Hits     []struct {
 			Shard     int
@@ -109,20 +109,20 @@
 			Districts [2]int
 		}
 	}
-	if json.Unmarshal(text, &b) != nil {
-		return core.Answer{}, endGone
+	if json.Unmarshal(text, &body) != nil {
+		return core.Answer{}, callNoAnswer
 	}
-	out := core.Answer{Complete: b.Complete}
-	for _, x := range b.Hits {
-		out.Values = append(out.Values, core.Value{Shard: x.Shard, Doc: []byte(x.Doc),
-			Buckets: shardmap.Range{Start: x.Districts[0], End: x.Districts[1]}})
+	out := core.Answer{Complete: body.Complete}
+	for _, hit := range body.Hits {
+		out.Values = append(out.Values, core.Value{Shard: hit.Shard, Doc: []byte(hit.Doc),
+			Buckets: shardmap.Range{Start: hit.Districts[0], End: hit.Districts[1]}})
 	}
-	return out, endAnswer
+	return out, callAnswered
 }
 
 type flightClient struct {
-	cc *grpc.ClientConn
-	c  flight.Client
+	conn *grpc.ClientConn
+	c    flight.Client
 }
 
 func newFlightClient(addr string) (*flightClient, error) {
@@ -134,29 +134,29 @@
 	return &flightClient{cc, flight.NewClientFromConn(cc, nil)}, nil
 }
 
-func (f *flightClient) close() { _ = f.cc.Close() }
+func (f *flightClient) close() { _ = f.conn.Close() }
 
-func (f *flightClient) ask(ctx context.Context, id, class string, wait time.Duration,
-	q *core.Request) (core.Answer,
-	ending) {
-	ctx, cancel := context.WithTimeout(ctx, wait+60*time.Millisecond) // so that the broker's word comes first
+func (f *flightClient) ask(ctx context.Context, id, class string, timeout time.Duration,
+	req *core.Request) (core.Answer,
+	callStatus) {
+	ctx, cancel := context.WithTimeout(ctx, timeout+60*time.Millisecond) // so that the broker's word comes first
 	defer cancel()
 	ctx = metadata.AppendToOutgoingContext(ctx, "x-request-id", id, "x-class", class)
-	if q.ClientRetry {
+	if req.ClientRetry {
 		ctx = metadata.AppendToOutgoingContext(ctx, "x-retry", "1")
 	}
-	f.cc.ResetConnectBackoff()
-	s, err := f.c.DoGet(ctx, &flight.Ticket{Ticket: []byte(bodyOf(q))}, grpc.WaitForReady(true))
+	f.conn.ResetConnectBackoff()
+	s, err := f.c.DoGet(ctx, &flight.Ticket{Ticket: []byte(marshalRequest(req))}, grpc.WaitForReady(true))
 	if err != nil {
-		return flightEnd(err)
+		return answerOfError(err)
 	}
 	r, err := flight.NewRecordReader(s)
 	if err != nil {
-		return flightEnd(err)
+		return answerOfError(err)
 	}
 	defer r.Release()
-	whole, _ := r.Schema().Metadata().GetValue("complete")
-	out := core.Answer{Complete: whole == "true"}
+	complete, _ := r.Schema().Metadata().GetValue("complete")
+	out := core.Answer{Complete: complete == "true"}
 	for r.Next() {
 		rec := r.RecordBatch()
 		for i := range int(rec.NumRows()) {
@@ -167,25 +167,25 @@
 		}
 	}
 	if r.Err() != nil {
-		return flightEnd(r.Err())
+		return answerOfError(r.Err())
 	}
-	return out, endAnswer
+	return out, callAnswered
 }
 
-func flightEnd(err error) (core.Answer, ending) {
+func answerOfError(err error) (core.Answer, callStatus) {
 	st := status.Convert(err)
 	switch st.Code() {
 	case codes.InvalidArgument:
-		return core.Answer{}, endStale
+		return core.Answer{}, callStaleMap
 	case codes.Unavailable:
 		for _, d := range st.Details() {
 			if i, ok := d.(*errdetails.RetryInfo); ok {
-				return core.Answer{Kind: core.Rejected, RetryAfter: float64(i.RetryDelay.AsDuration()) / 1e6}, endAnswer
+				return core.Answer{Kind: core.Rejected, RetryAfter: float64(i.RetryDelay.AsDuration()) / 1e6}, callAnswered
 			}
 		}
-		return core.Answer{}, endGone
+		return core.Answer{}, callNoAnswer
 	case codes.Internal, codes.DeadlineExceeded:
-		return core.Answer{Kind: core.Failed}, endAnswer
+		return core.Answer{Kind: core.Failed}, callAnswered
 	}
-	return core.Answer{}, endGone
+	return core.Answer{}, callNoAnswer
 }
--- a/internal/lab/world/fleet.go
+++ b/internal/lab/world/fleet.go
@@ -12,175 +12,175 @@
 )
 
 const (
-	keptVersions = 512  // of the truth, by which the client's old ideas and nodes are judged
-	keptRetired  = 1024 // that a whole map tells
-	keptChanges  = 4096 // that a watch may resume over; further back the whole map is told
+	maxMapHistory    = 512  // of the truth, by which the client's old ideas and nodes are judged
+	maxRetiredShards = 1024 // that a whole map tells
+	maxChangeLog     = 4096 // that a watch may resume over; further back the whole map is told
 )
 
 // node is a node of the fleet.
-type node struct {
+type backend struct {
 	*model.Node
-	sim    *World
-	index  int
-	number uint32
-	state  scheduler.ReplicaState
-	gen    int // of its process
-	taking int
-	busy   bool // in trouble
-	zone   int
-	stands float64 // until when it stands still
-	took   float64 // ms that parts took of late, without waiting
-	report string  // of its load, as last measured; "" for none
-	wire   wire    // live: its sockets
+	world             *World
+	index             int
+	number            uint32
+	state             scheduler.ReplicaState
+	gen               int // of its process
+	incomingMoves     int
+	hasFault          bool // in trouble
+	zone              int
+	stalledUntil      float64     // until when it stands still
+	smoothedServiceMs float64     // ms that parts took of late, without waiting
+	loadReport        string      // of its load, as last measured; "" for none
+	listeners         listenerSet // live: its sockets
 }
 
 // wire is a live node's listener and connections.
-type wire interface {
-	down() // they end, as with their process
-	back()
-	restored() // the way from other zones is there again
+type listenerSet interface {
+	close() // they end, as with their process
+	listen()
+	resetLost() // the way from other zones is there again
 }
 
 // listNews is one line of news of the list.
-type listNews struct {
-	node    *node
+type endpointEvent struct {
+	backend *backend
 	state   scheduler.ReplicaState
 	started float64
 }
 
 // stamped is a version of the truth and when it began.
-type stamped struct {
-	at float64
-	v  *shardmap.Version
+type timedVersion struct {
+	since   float64
+	version *shardmap.Version
 }
 
 // fleet is the nodes, the list of them, and the catalogue with the true map.
 type fleet struct {
-	sim     *World
-	nodes   []*node
-	byName  map[string]uint32
-	news    []listNews
-	truth   *shardmap.Map
-	past    []stamped
-	log     []shardmap.Change
-	waiting []func() // watches that wait for news
-	next    shardmap.ShardID
-	changes int
-	pace    shardmap.HandoverPacer
-	cut     int        // the zone that is cut off from the others, -1 for none
-	silent  []float64  // by broker: until when its agent is silent
-	heard   []float64  // by broker: when its agent last got news
-	apart   []float64  // by broker: until when its links to all nodes are cut
-	loads   *rand.Rand // of when nodes measure their load, so that days with and without it are the same
-	rnd     *rand.Rand // of changes, so that days with and without them have the same troubles
+	world            *World
+	backends         []*backend
+	byName           map[string]uint32
+	endpointEvents   []endpointEvent
+	shardMap         *shardmap.Map
+	mapHistory       []timedVersion
+	changeLog        []shardmap.Change
+	watchers         []func() // watches that wait for news
+	nextShard        shardmap.ShardID
+	changeCount      int
+	movePacer        shardmap.HandoverPacer
+	cutZone          int        // the zone that is cut off from the others, -1 for none
+	agentSilentUntil []float64  // by broker: until when its agent is silent
+	agentUpdatedAt   []float64  // by broker: when its agent last got news
+	linksCutUntil    []float64  // by broker: until when its links to all nodes are cut
+	loadReportRand   *rand.Rand // of when nodes measure their load, so that days with and without it are the same
+	changeRand       *rand.Rand // of changes, so that days with and without them have the same troubles
 }
 
 func newFleet(s *World, seed uint64) *fleet {
-	f := &fleet{sim: s, byName: map[string]uint32{},
-		truth: shardmap.New(shardmap.Options{MaxRetired: s.e.History}), next: s.e.Slices,
-		rnd: rand.New(rand.NewPCG(seed, 4)), loads: rand.New(rand.NewPCG(seed, 5)),
-		cut: -1, silent: make([]float64, s.e.Brokers),
-		apart: make([]float64, s.e.Brokers), heard: make([]float64, s.e.Brokers),
-		pace: shardmap.HandoverPacer{MaxConcurrent: 2, InitialCapacity: s.e.Node.ColdFrom, WarmupMs: s.e.Node.Warm}}
-	if _, err := f.truth.Reset(s.e.Map()); err != nil {
+	f := &fleet{world: s, byName: map[string]uint32{},
+		shardMap: shardmap.New(shardmap.Options{MaxRetired: s.e.History}), nextShard: s.e.Slices,
+		changeRand: rand.New(rand.NewPCG(seed, 4)), loadReportRand: rand.New(rand.NewPCG(seed, 5)),
+		cutZone: -1, agentSilentUntil: make([]float64, s.e.Brokers),
+		linksCutUntil: make([]float64, s.e.Brokers), agentUpdatedAt: make([]float64, s.e.Brokers),
+		movePacer: shardmap.HandoverPacer{MaxConcurrent: 2, InitialCapacity: s.e.Node.ColdFrom, WarmupMs: s.e.Node.Warm}}
+	if _, err := f.shardMap.Reset(s.e.Map()); err != nil {
 		panic(err) // the experiment's own first map
 	}
-	f.past = []stamped{{0, f.truth.Current()}}
+	f.mapHistory = []timedVersion{{0, f.shardMap.Current()}}
 	for i := range s.e.Nodes {
 		id := exp.NodeID(i)
 		f.byName[id] = uint32(i + 1)
-		f.nodes = append(f.nodes, &node{sim: s, index: i, number: uint32(i + 1), zone: s.e.ZoneOf(i),
+		f.backends = append(f.backends, &backend{world: s, index: i, number: uint32(i + 1), zone: s.e.ZoneOf(i),
 			state: scheduler.Ready,
-			Node:  model.New(id, s.e.NodeOptions(), f.truth.Current(), seed*1009+uint64(i))})
+			Node:  model.New(id, s.e.NodeOptions(), f.shardMap.Current(), seed*1009+uint64(i))})
 	}
 	return f
 }
 
-func (f *fleet) start() {
-	s := f.sim
+func (f *fleet) scheduleEvents() {
+	s := f.world
 	if s.e.Changes.Every > 0 {
-		s.at(s.now+2000, f.change)
+		s.schedule(s.now+2000, f.applyRandomChange)
 	}
 	if s.e.Troubles.Every > 0 && len(s.e.Troubles.Kinds) > 0 {
-		s.at(s.now+3000, f.trouble)
+		s.schedule(s.now+3000, f.injectRandomFault)
 	}
-	s.at(s.now+ledgerStep, f.account)
+	s.schedule(s.now+ledgerStepMs, f.recordSlowStartAllowance)
 	for _, v := range s.e.Script {
-		s.at(s.now+v.At, func() { f.strike(v.Kind, v.On, v.For, true) })
+		s.schedule(s.now+v.At, func() { f.injectFault(v.Kind, v.On, v.For, true) })
 	}
 	if s.e.Node.ReportEvery[1] > 0 {
-		for _, n := range f.nodes {
-			n.measure()
+		for _, n := range f.backends {
+			n.measureLoad()
 		}
 	}
 	if s.e.Node.Pause[1] > 0 {
-		for _, n := range f.nodes {
-			s.at(s.now+s.e.Node.PauseEvery[1]*s.world.Float64(), n.pauses)
+		for _, n := range f.backends {
+			s.schedule(s.now+s.e.Node.PauseEvery[1]*s.faultRand.Float64(), n.pauseRepeatedly)
 		}
 	}
 }
 
 // seen is the map as it could be read from the catalogue at a time: while that is down, as it was before.
-func (f *fleet) seen(at float64) *shardmap.Version {
-	for _, o := range f.sim.e.News.Outages {
-		if past := at - origin; past >= o.At && past < o.At+o.For {
-			at = origin + o.At
+func (f *fleet) versionAt(at float64) *shardmap.Version {
+	for _, o := range f.world.e.News.Outages {
+		if elapsed := at - clockStartMs; elapsed >= o.At && elapsed < o.At+o.For {
+			at = clockStartMs + o.At
 		}
 	}
-	i := len(f.past) - 1
-	for i > 0 && f.past[i].at > at {
+	i := len(f.mapHistory) - 1
+	for i > 0 && f.mapHistory[i].since > at {
 		i--
 	}
-	return f.past[i].v
+	return f.mapHistory[i].version
 }
 
 // apply makes a change of the truth and tells those who are to know. It tells whether the change can be.
-func (f *fleet) apply(c shardmap.Change) bool {
-	s := f.sim
-	cur := f.truth.Current()
+func (f *fleet) applyChange(c shardmap.Change) bool {
+	s := f.world
+	cur := f.shardMap.Current()
 	c.Base, c.Epoch = cur.Epoch, cur.Epoch+1
-	if _, err := f.truth.Apply([]shardmap.Change{c}, nil); err != nil {
+	if _, err := f.shardMap.Apply([]shardmap.Change{c}, nil); err != nil {
 		return false
 	}
-	f.changes++
-	v := f.truth.Current()
-	if f.past = append(f.past, stamped{s.now, v}); len(f.past) > keptVersions {
-		f.past = slices.Delete(f.past, 0, len(f.past)-keptVersions/2)
+	f.changeCount++
+	v := f.shardMap.Current()
+	if f.mapHistory = append(f.mapHistory, timedVersion{s.now, v}); len(f.mapHistory) > maxMapHistory {
+		f.mapHistory = slices.Delete(f.mapHistory, 0, len(f.mapHistory)-maxMapHistory/2)
 	}
-	if f.log = append(f.log, c); len(f.log) > keptChanges {
-		f.log = slices.Delete(f.log, 0, len(f.log)-keptChanges/2)
+	if f.changeLog = append(f.changeLog, c); len(f.changeLog) > maxChangeLog {
+		f.changeLog = slices.Delete(f.changeLog, 0, len(f.changeLog)-maxChangeLog/2)
 	}
-	for _, n := range f.nodes {
+	for _, n := range f.backends {
 		gen := n.gen
-		s.at(s.now+s.e.News.Node.Draw(s.net), func() {
+		s.schedule(s.now+s.e.News.Node.Draw(s.networkRand), func() {
 			if gen == n.gen {
 				n.Learn(v)
 			}
 		})
 	}
-	waiting := f.waiting
-	f.waiting = nil
-	for _, w := range waiting {
+	watchers := f.watchers
+	f.watchers = nil
+	for _, w := range watchers {
 		w()
 	}
 	return true
 }
 
 // told is what the catalogue answers: a whole map, or changes.
-type told struct {
-	v       *shardmap.Version // nil for changes
-	retired []shardmap.RetiredShard
-	changes []shardmap.Change
-	epoch   uint64
-	spoilt  bool // the broker must refuse it
+type catalogueAnswer struct {
+	version   *shardmap.Version // nil for changes
+	retired   []shardmap.RetiredShard
+	changes   []shardmap.Change
+	epoch     uint64
+	malformed bool // the broker must refuse it
 }
 
 // asked is a call to the catalogue. deliver may come twice, or never; fail tells that the call came to
 // nothing.
-func (f *fleet) asked(c shardmap.PollRequest, fail func(), deliver func(told)) {
-	s := f.sim
-	if s.net.Float64() < s.e.News.Lost { // nothing ever comes
-		s.at(s.now+c.TimeoutMs, fail)
+func (f *fleet) poll(call shardmap.PollRequest, fail func(), deliver func(catalogueAnswer)) {
+	s := f.world
+	if s.networkRand.Float64() < s.e.News.Lost { // nothing ever comes
+		s.schedule(s.now+call.TimeoutMs, fail)
 		return
 	}
 	answered := false
@@ -189,35 +189,35 @@
 			return
 		}
 		answered = true
-		if f.out() {
-			s.at(s.now+s.hop(), fail)
+		if f.isCatalogueDown() {
+			s.schedule(s.now+s.networkDelay(), fail)
 			return
 		}
-		take := f.answer(c)
-		s.at(s.now+s.e.News.Catalogue.Draw(s.net), func() { deliver(take) })
-		if s.net.Float64() < s.e.News.Twice { // a copy of it comes later, out of its order
-			s.at(s.now+500+s.e.News.Catalogue.Draw(s.net), func() { deliver(take) })
+		response := f.currentAnswer(call)
+		s.schedule(s.now+s.e.News.Catalogue.Draw(s.networkRand), func() { deliver(response) })
+		if s.networkRand.Float64() < s.e.News.Twice { // a copy of it comes later, out of its order
+			s.schedule(s.now+500+s.e.News.Catalogue.Draw(s.networkRand), func() { deliver(response) })
 		}
 	}
-	s.at(s.now+s.hop(), func() {
-		if f.out() || c.FullSnapshot || c.WaitMs == 0 || f.truth.Current().Epoch > c.SinceEpoch {
+	s.schedule(s.now+s.networkDelay(), func() {
+		if f.isCatalogueDown() || call.FullSnapshot || call.WaitMs == 0 || f.shardMap.Current().Epoch > call.SinceEpoch {
 			answer()
 			return
 		}
-		f.waiting = append(f.waiting, answer)
-		s.at(s.now+c.WaitMs, answer)
+		f.watchers = append(f.watchers, answer)
+		s.schedule(s.now+call.WaitMs, answer)
 		for _, o := range s.e.News.Outages { // watches end when the catalogue goes down
-			if at := origin + o.At; at > s.now && at < s.now+c.WaitMs {
-				s.at(at, answer)
+			if at := clockStartMs + o.At; at > s.now && at < s.now+call.WaitMs {
+				s.schedule(at, answer)
 			}
 		}
 	})
 }
 
 // out tells that the catalogue is down.
-func (f *fleet) out() bool {
-	for _, o := range f.sim.e.News.Outages {
-		if at := f.sim.now - origin; at >= o.At && at < o.At+o.For {
+func (f *fleet) isCatalogueDown() bool {
+	for _, o := range f.world.e.News.Outages {
+		if at := f.world.now - clockStartMs; at >= o.At && at < o.At+o.For {
 			return true
 		}
 	}
@@ -225,41 +225,41 @@
 }
 
 // answer is what the catalogue says at this moment. Now and then it is spoilt: the broker must refuse it.
-func (f *fleet) answer(c shardmap.PollRequest) told {
-	s := f.sim
-	cur := f.truth.Current()
-	t := told{epoch: cur.Epoch, spoilt: s.net.Float64() < s.e.News.Spoilt}
-	i := slices.IndexFunc(f.log, func(x shardmap.Change) bool { return x.Base == c.SinceEpoch })
-	if c.FullSnapshot || i < 0 && cur.Epoch != c.SinceEpoch {
-		t.v, t.retired = cur, f.truth.Retired(keptRetired)
-		return t
+func (f *fleet) currentAnswer(call shardmap.PollRequest) catalogueAnswer {
+	s := f.world
+	cur := f.shardMap.Current()
+	a := catalogueAnswer{epoch: cur.Epoch, malformed: s.networkRand.Float64() < s.e.News.Spoilt}
+	i := slices.IndexFunc(f.changeLog, func(x shardmap.Change) bool { return x.Base == call.SinceEpoch })
+	if call.FullSnapshot || i < 0 && cur.Epoch != call.SinceEpoch {
+		a.version, a.retired = cur, f.shardMap.Retired(maxRetiredShards)
+		return a
 	}
 	if i >= 0 {
-		if s.net.Float64() < s.e.News.Twice {
+		if s.networkRand.Float64() < s.e.News.Twice {
 			i = max(0, i-2) // what is known already comes along
 		}
-		t.changes = slices.Clone(f.log[i:])
+		a.changes = slices.Clone(f.changeLog[i:])
 	}
-	if n := len(t.changes); n > 0 && t.spoilt {
-		t.changes[n-1].Base++ // onto a base that it has not
+	if n := len(a.changes); n > 0 && a.malformed {
+		a.changes[n-1].Base++ // onto a base that it has not
 	}
-	return t
+	return a
 }
 
 // whole is a whole map as it is told.
-func (t told) whole() shardmap.Snapshot {
-	w := wholeOf(t.v, t.retired)
-	if t.spoilt {
+func (a catalogueAnswer) snapshot() shardmap.Snapshot {
+	w := snapshotOf(a.version, a.retired)
+	if a.malformed {
 		w.Shards = w.Shards[1:] // a hole
 	}
 	return w
 }
 
 // retiredBefore is what was retired when a version was in use, as who kept that knows it.
-func (f *fleet) retiredBefore(v *shardmap.Version) (out []shardmap.RetiredShard) {
+func (f *fleet) retiredAsOf(v *shardmap.Version) (out []shardmap.RetiredShard) {
 	highest := 0
 	v.All(func(x *shardmap.Shard) bool { highest = max(highest, x.ID); return true })
-	for _, r := range f.truth.Retired(keptRetired) {
+	for _, r := range f.shardMap.Retired(maxRetiredShards) {
 		if r.ID < highest && v.Shard(r.ID) == nil {
 			out = append(out, r)
 		}
@@ -268,7 +268,7 @@
 }
 
 // wholeOf is a version as it is told whole. Slices are copied: a map takes over what it is given.
-func wholeOf(v *shardmap.Version, retired []shardmap.RetiredShard) shardmap.Snapshot {
+func snapshotOf(v *shardmap.Version, retired []shardmap.RetiredShard) shardmap.Snapshot {
 	w := shardmap.Snapshot{Epoch: v.Epoch, Buckets: v.Buckets, Retired: retired,
 		Shards: make([]*shardmap.Shard, 0, v.Len())}
 	v.All(func(s *shardmap.Shard) bool {
@@ -280,34 +280,34 @@
 }
 
 // change makes a change at random.
-func (f *fleet) change() {
-	s := f.sim
-	if s.now >= s.end {
+func (f *fleet) applyRandomChange() {
+	s := f.world
+	if s.now >= s.endMs {
 		return
 	}
-	s.at(s.now+s.e.Changes.Every*(0.5+f.rnd.Float64()), f.change)
+	s.schedule(s.now+s.e.Changes.Every*(0.5+f.changeRand.Float64()), f.applyRandomChange)
 	c := s.e.Changes
 	for range 8 {
-		v := f.truth.Current()
-		at := v.ShardAt(f.rnd.IntN(v.Buckets))
-		switch x := f.rnd.Float64() * (c.Split + c.Merge + c.Move); {
+		v := f.shardMap.Current()
+		at := v.ShardAt(f.changeRand.IntN(v.Buckets))
+		switch x := f.changeRand.Float64() * (c.Split + c.Merge + c.Move); {
 		case x < c.Split:
-			if at.Size() >= 2 && f.apply(shardmap.Change{Kind: shardmap.Split, Shard: at.ID,
-				At: at.Start + 1 + f.rnd.IntN(at.Size()-1), Into: []shardmap.ShardID{f.next, f.next + 1}}) {
-				f.next += 2
+			if at.Size() >= 2 && f.applyChange(shardmap.Change{Kind: shardmap.Split, Shard: at.ID,
+				At: at.Start + 1 + f.changeRand.IntN(at.Size()-1), Into: []shardmap.ShardID{f.nextShard, f.nextShard + 1}}) {
+				f.nextShard += 2
 				return
 			}
 		case x < c.Split+c.Merge:
 			for range 50 { // neighbours with the same holders are rare
-				if o := v.ShardAt(at.End); o != nil && f.apply(shardmap.Change{Kind: shardmap.Merge, Shard: at.ID, Other: o.ID,
-					Into: []shardmap.ShardID{f.next}}) {
-					f.next++
+				if o := v.ShardAt(at.End); o != nil && f.applyChange(shardmap.Change{Kind: shardmap.Merge, Shard: at.ID, Other: o.ID,
+					Into: []shardmap.ShardID{f.nextShard}}) {
+					f.nextShard++
 					return
 				}
-				at = v.ShardAt(f.rnd.IntN(v.Buckets))
+				at = v.ShardAt(f.changeRand.IntN(v.Buckets))
 			}
 		default:
-			if f.move(at) {
+			if f.startRandomMove(at) {
 				return
 			}
 		}
@@ -315,53 +315,53 @@
 }
 
 // move begins to move a slice onto another node, at the pace that this can bear.
-func (f *fleet) move(at *shardmap.Shard) bool {
-	s := f.sim
-	to := f.nodes[f.rnd.IntN(len(f.nodes))]
-	from := at.Replicas[f.rnd.IntN(len(at.Replicas))]
-	holds, usual := 0, f.truth.Current().Buckets*s.e.Reach/len(f.nodes)
+func (f *fleet) startRandomMove(at *shardmap.Shard) bool {
+	s := f.world
+	to := f.backends[f.changeRand.IntN(len(f.backends))]
+	from := at.Replicas[f.changeRand.IntN(len(at.Replicas))]
+	heldBuckets, meanBuckets := 0, f.shardMap.Current().Buckets*s.e.Reach/len(f.backends)
 	if to.Cold(s.now) {
-		f.truth.Current().All(func(x *shardmap.Shard) bool {
+		f.shardMap.Current().All(func(x *shardmap.Shard) bool {
 			if x.Executes(to.ID) {
-				holds += x.Size()
+				heldBuckets += x.Size()
 			}
 			return true
 		})
 	}
-	if to.state != scheduler.Ready || !f.pace.MayHandOver(s.now,
-		shardmap.HandoverTarget{StartedAtMs: to.Started, Buckets: holds, HandoversInProgress: to.taking}, at.Size(), usual) {
+	if to.state != scheduler.Ready || !f.movePacer.MayHandOver(s.now,
+		shardmap.HandoverTarget{StartedAtMs: to.Started, Buckets: heldBuckets, HandoversInProgress: to.incomingMoves}, at.Size(), meanBuckets) {
 		return false
 	}
-	abort := f.rnd.Float64() < s.e.Changes.Abort
-	return f.moveTo(at, from, to, s.e.Changes.Copy.Draw(f.rnd), s.e.Changes.Handover.Draw(f.rnd), abort,
-		abort && f.rnd.IntN(2) == 0)
+	abort := f.changeRand.Float64() < s.e.Changes.Abort
+	return f.moveShard(at, from, to, s.e.Changes.Copy.Draw(f.changeRand), s.e.Changes.Handover.Draw(f.changeRand), abort,
+		abort && f.changeRand.IntN(2) == 0)
 }
 
 // moveTo moves a slice: it is copied for so many ms, then handed over, and after so many more the move is
 // done, or is aborted, early before the handover. If the destination dies before the end, it goes back to the
 // source.
-func (f *fleet) moveTo(at *shardmap.Shard, from string, to *node, copying, handing float64,
-	abort, early bool) bool {
-	s := f.sim
-	if !f.apply(shardmap.Change{Kind: shardmap.Move, Shard: at.ID, From: from, To: to.ID}) {
+func (f *fleet) moveShard(at *shardmap.Shard, from string, to *backend, copyMs, handoverMs float64,
+	abort, abortEarly bool) bool {
+	s := f.world
+	if !f.applyChange(shardmap.Change{Kind: shardmap.Move, Shard: at.ID, From: from, To: to.ID}) {
 		return false
 	}
-	to.taking++
+	to.incomingMoves++
 	r, gen := at.Range, to.gen // a process that has started anew has no copy
-	s.at(s.now+copying, func() {
-		if early || to.gen != gen || to.state == scheduler.Removed {
-			f.each(r, from, to.ID, shardmap.Abort)
-			to.taking--
+	s.schedule(s.now+copyMs, func() {
+		if abortEarly || to.gen != gen || to.state == scheduler.Removed {
+			f.applyToMoving(r, from, to.ID, shardmap.Abort)
+			to.incomingMoves--
 			return
 		}
-		f.each(r, from, to.ID, shardmap.Handover)
-		s.at(s.now+handing, func() {
+		f.applyToMoving(r, from, to.ID, shardmap.Handover)
+		s.schedule(s.now+handoverMs, func() {
 			kind := shardmap.Done
 			if abort || to.gen != gen || to.state == scheduler.Removed {
 				kind = shardmap.Abort
 			}
-			f.each(r, from, to.ID, kind)
-			to.taking--
+			f.applyToMoving(r, from, to.ID, kind)
+			to.incomingMoves--
 		})
 	})
 	return true
@@ -369,153 +369,155 @@
 
 // each makes a change of the slices that hold districts and are being moved so: a split may have come
 // between.
-func (f *fleet) each(r shardmap.Range, from, to string, kind shardmap.Kind) {
-	v := f.truth.Current()
+func (f *fleet) applyToMoving(r shardmap.Range, from, to string, kind shardmap.Kind) {
+	v := f.shardMap.Current()
 	for at := r.Start; at < r.End; {
 		x := v.ShardAt(at)
 		if x.From == from && x.To == to {
-			f.apply(shardmap.Change{Kind: kind, Shard: x.ID})
+			f.applyChange(shardmap.Change{Kind: kind, Shard: x.ID})
 		}
 		at = x.End
 	}
 }
 
 // tell puts news of a node on the list; each broker hears of it late.
-func (f *fleet) tell(n *node, state scheduler.ReplicaState) {
-	s := f.sim
+func (f *fleet) publish(n *backend, state scheduler.ReplicaState) {
+	s := f.world
 	n.state = state
-	f.news = append(f.news, listNews{n, state, n.Started})
-	upTo := len(f.news)
+	f.endpointEvents = append(f.endpointEvents, endpointEvent{n, state, n.Started})
+	upTo := len(f.endpointEvents)
 	for _, b := range s.brokers {
-		gen := b.process()
-		s.at(s.now+s.e.News.List.Draw(s.net), func() {
-			if gen == b.process() {
-				b.told(upTo)
+		gen := b.generation()
+		s.schedule(s.now+s.e.News.List.Draw(s.networkRand), func() {
+			if gen == b.generation() {
+				b.notify(upTo)
 			}
 		})
 	}
 }
 
 // readable is the time, in ms, in which a broker has read what its agent got: it reads every 100.
-const readable = 150.0
+const agentReadMs = 150.0
 
 // ledgerStep is how often what cold nodes were sent is counted up, in ms.
-const ledgerStep = 100.0
+const ledgerStepMs = 100.0
 
 // account counts what cold nodes might have been sent since the last time: so much of what they can do now
 // as a node stands without falling.
-func (f *fleet) account() {
-	s := f.sim
-	for _, n := range f.nodes {
+func (f *fleet) recordSlowStartAllowance() {
+	s := f.world
+	for _, n := range f.backends {
 		if n.Cold(s.now) && !n.Fallen && n.Trouble != model.Down && n.Trouble != model.Drain {
-			s.sums.May(n.ID, s.e.Node.FallMultiple*n.Capacity(s.now)*ledgerStep)
+			s.ledger.May(n.ID, s.e.Node.FallMultiple*n.Capacity(s.now)*ledgerStepMs)
 		}
 	}
-	if s.sums.Step(s.now-ledgerStep-origin, ledgerStep); s.now < s.end {
-		s.at(s.now+ledgerStep, f.account)
+	if s.ledger.Step(s.now-ledgerStepMs-clockStartMs, ledgerStepMs); s.now < s.endMs {
+		s.schedule(s.now+ledgerStepMs, f.recordSlowStartAllowance)
 	}
 }
 
 // answerer is where a node's answer to a part goes.
-type answerer interface{ answer(end model.End) }
+type responder interface{ respond(end model.End) }
 
 // arrive takes a part that has reached the node.
-func (n *node) arrive(j *model.Job) {
-	s := n.sim
+func (n *backend) receive(j *model.Job) {
+	s := n.world
 	s.check.Came(j.Query, j.Districts)
-	cold := ""
+	warmingUp := ""
 	if n.Cold(s.now) && n.Trouble != model.Drain {
-		cold = n.ID
+		warmingUp = n.ID
 	}
-	fallen := n.Fallen
+	wasFallen := n.Fallen
 	end, done := n.Arrive(s.now, j)
-	if q := s.queries[j.Query]; q != nil && q.b != nil {
-		s.sums.Sent(q.b.number())
-		if cold != "" {
-			s.sums.Cold(cold, q.b.number(), j.Work)
+	if q := s.queries[j.Query]; q != nil && q.broker != nil {
+		s.ledger.Sent(q.broker.number())
+		if warmingUp != "" {
+			s.ledger.Cold(warmingUp, q.broker.number(), j.Work)
 		}
 		if end == model.Busy {
-			s.sums.Busy(q.b.number(), cold)
+			s.ledger.Busy(q.broker.number(), warmingUp)
 		}
 	}
 	switch {
-	case n.Fallen && !fallen:
+	case n.Fallen && !wasFallen:
 		s.check.Fell(n.ID, n.Cold(s.now))
-		s.fleet.die(n)
+		s.fleet.stopBackend(n)
 	case end == model.None && done > 0:
-		n.begun(j, done)
+		n.partStarted(j, done)
 	case end != model.None:
-		j.Context.(answerer).answer(end)
+		j.Context.(responder).respond(end)
 	}
 }
 
 // measure takes the load that the node tells with its answers, until the next time: it is old by then.
-func (n *node) measure() {
-	s := n.sim
-	n.report = fmt.Sprintf("inflight=%d,latency_ms=%.1f,queue=%d", n.Out(), n.took, n.Waiting())
-	s.at(s.now+s.e.Node.ReportEvery.Draw(s.fleet.loads), n.measure)
+func (n *backend) measureLoad() {
+	s := n.world
+	n.loadReport = fmt.Sprintf("inflight=%d,latency_ms=%.1f,queue=%d", n.Out(), n.smoothedServiceMs, n.Waiting())
+	s.schedule(s.now+s.e.Node.ReportEvery.Draw(s.fleet.loadReportRand), n.measureLoad)
 }
 
 // begun notes that a node has begun a part that ends at done.
-func (n *node) begun(j *model.Job, done float64) {
-	n.took += (done - n.sim.now - n.took) / 8
-	n.sim.check.Ran(n.ID, j.Query, j.Districts, j.Once, n.truly(j))
-	n.ends(j, done, n.gen)
+func (n *backend) partStarted(j *model.Job, done float64) {
+	n.smoothedServiceMs += (done - n.world.now - n.smoothedServiceMs) / 8
+	n.world.check.Ran(n.ID, j.Query, j.Districts, j.Once, n.heldBuckets(j))
+	n.scheduleFinish(j, done, n.gen)
 }
 
 // ends has a part end at a time, or when the node goes on if it stands still then; never if its process ends.
-func (n *node) ends(j *model.Job, at float64, gen int) {
-	s := n.sim
-	s.at(at, func() {
+func (n *backend) scheduleFinish(j *model.Job, at float64, gen int) {
+	s := n.world
+	s.schedule(at, func() {
 		switch {
 		case gen != n.gen:
-		case n.stands > s.now:
-			n.ends(j, n.stands, gen)
+		case n.stalledUntil > s.now:
+			n.scheduleFinish(j, n.stalledUntil, gen)
 		default:
-			n.end(j)
+			n.finishPart(j)
 		}
 	})
 }
 
 // end ends a part; of those that wait the next one begins.
-func (n *node) end(j *model.Job) {
-	end, moved, next, then := n.Finish(n.sim.now, j)
+func (n *backend) finishPart(j *model.Job) {
+	end, moved, next, nextDone := n.Finish(n.world.now, j)
 	for _, m := range moved {
-		m.Context.(answerer).answer(model.Moved)
+		m.Context.(responder).respond(model.Moved)
 	}
 	if end != model.None {
-		j.Context.(answerer).answer(end)
+		j.Context.(responder).respond(end)
 	}
 	if next != nil {
-		n.begun(next, then)
+		n.partStarted(next, nextDone)
 	}
 }
 
 // pauses lets a node stand still by itself, again and again.
-func (n *node) pauses() {
-	s := n.sim
-	if s.now >= s.end {
+func (n *backend) pauseRepeatedly() {
+	s := n.world
+	if s.now >= s.endMs {
 		return
 	}
-	n.stands = max(n.stands, s.now+s.e.Node.Pause.Draw(s.world))
-	s.at(s.now+s.e.Node.PauseEvery.Draw(s.world), n.pauses)
+	n.stalledUntil = max(n.stalledUntil, s.now+s.e.Node.Pause.Draw(s.faultRand))
+	s.schedule(s.now+s.e.Node.PauseEvery.Draw(s.faultRand), n.pauseRepeatedly)
 }
 
 // reach tells whether anything gets from one zone to another.
-func (f *fleet) reach(a, b int) bool { return f.cut < 0 || a == b || a != f.cut && b != f.cut }
+func (f *fleet) canReach(a, b int) bool {
+	return f.cutZone < 0 || a == b || a != f.cutZone && b != f.cutZone
+}
 
 // truly tells whether the node held a part's districts at its epoch, by the truth and not by its own word.
-func (n *node) truly(j *model.Job) bool {
-	s := n.sim
+func (n *backend) heldBuckets(j *model.Job) bool {
+	s := n.world
 	if s.e.Arm != exp.Follow && !s.Fault.Unfenced {
 		return true // nothing is fenced, and nodes turn away what they do not hold
 	}
-	i := slices.IndexFunc(s.fleet.past, func(p stamped) bool { return p.v.Epoch == j.View })
+	i := slices.IndexFunc(s.fleet.mapHistory, func(p timedVersion) bool { return p.version.Epoch == j.View })
 	if i < 0 {
 		return true // too long ago to be judged
 	}
 	for at := j.Districts.Start; at < j.Districts.End; {
-		x := s.fleet.past[i].v.ShardAt(at)
+		x := s.fleet.mapHistory[i].version.ShardAt(at)
 		if !x.Executes(n.ID) {
 			return false
 		}
@@ -525,140 +527,140 @@
 }
 
 // die ends a node's process: its connections are reset.
-func (f *fleet) die(n *node) {
-	s := f.sim
+func (f *fleet) stopBackend(n *backend) {
+	s := f.world
 	for _, j := range n.Kill() {
 		j.Done = true
 	}
 	n.gen++
-	if n.wire != nil {
-		n.wire.down()
+	if n.listeners != nil {
+		n.listeners.close()
 	}
 	for _, b := range s.brokers {
-		b.reset(n)
+		b.backendStopped(n)
 	}
-	f.tell(n, scheduler.Removed)
+	f.publish(n, scheduler.Removed)
 }
 
 // back starts a node's process anew, cold.
-func (f *fleet) back(n *node) {
+func (f *fleet) restartBackend(n *backend) {
 	n.gen++
-	n.Restart(f.sim.now, f.truth.Current())
-	if n.wire != nil {
-		n.wire.back()
+	n.Restart(f.world.now, f.shardMap.Current())
+	if n.listeners != nil {
+		n.listeners.listen()
 	}
-	f.tell(n, scheduler.Ready)
+	f.publish(n, scheduler.Ready)
 }
 
 // trouble lets something go wrong. As long as a part of the fleet is in trouble the rest is left alone, so
 // that most slices keep a sound holder.
-func (f *fleet) trouble() {
-	s := f.sim
-	if s.now >= s.end {
+func (f *fleet) injectRandomFault() {
+	s := f.world
+	if s.now >= s.endMs {
 		return
 	}
-	s.at(s.now+s.e.Troubles.Every*(0.5+s.world.Float64()), f.trouble)
-	kind := s.e.Troubles.Kinds[s.world.IntN(len(s.e.Troubles.Kinds))]
-	on := s.world.IntN(len(f.nodes))
+	s.schedule(s.now+s.e.Troubles.Every*(0.5+s.faultRand.Float64()), f.injectRandomFault)
+	kind := s.e.Troubles.Kinds[s.faultRand.IntN(len(s.e.Troubles.Kinds))]
+	target := s.faultRand.IntN(len(f.backends))
 	switch kind {
 	case "broker", "silent", "link_cut":
-		on = s.world.IntN(len(s.brokers))
+		target = s.faultRand.IntN(len(s.brokers))
 	case "zone_cut":
-		on = s.world.IntN(s.e.Zones)
+		target = s.faultRand.IntN(s.e.Zones)
 	}
-	f.strike(kind, on, s.e.Troubles.For.Draw(s.world), false)
+	f.injectFault(kind, target, s.e.Troubles.For.Draw(s.faultRand), false)
 }
 
 // strike lets something go wrong at a node, a zone or a broker: what is drawn only if little is wrong
 // already, what is scripted whatever else is, unless it is wrong there.
-func (f *fleet) strike(kind string, on int, long float64, scripted bool) {
-	s := f.sim
+func (f *fleet) injectFault(kind string, target int, durationMs float64, scripted bool) {
+	s := f.world
 	switch kind {
 	case "broker":
-		b := s.brokers[on]
-		if !b.up() || !scripted && (len(s.brokers) < 2 ||
-			slices.ContainsFunc(s.brokers, func(x broker) bool { return !x.up() })) {
+		b := s.brokers[target]
+		if !b.isUp() || !scripted && (len(s.brokers) < 2 ||
+			slices.ContainsFunc(s.brokers, func(x broker) bool { return !x.isUp() })) {
 			return
 		}
 		b.kill()
-		old := f.seen(s.now - 4000) // it comes back with a map that it kept
-		s.at(s.now+min(long, 2000), func() { b.start(old) })
+		old := f.versionAt(s.now - 4000) // it comes back with a map that it kept
+		s.schedule(s.now+min(durationMs, 2000), func() { b.start(old) })
 		return
 	case "silent":
 		// What an agent got a moment before would count as told and could be read by nobody.
-		if s.e.Pushed && s.now < f.heard[on]+readable {
-			s.at(f.heard[on]+readable, func() { f.strike(kind, on, long, scripted) })
+		if s.e.Pushed && s.now < f.agentUpdatedAt[target]+agentReadMs {
+			s.schedule(f.agentUpdatedAt[target]+agentReadMs, func() { f.injectFault(kind, target, durationMs, scripted) })
 		} else if s.e.Pushed {
-			f.silent[on] = max(f.silent[on], s.now+long)
+			f.agentSilentUntil[target] = max(f.agentSilentUntil[target], s.now+durationMs)
 		}
 		return
 	case "link_cut":
-		f.apart[on] = max(f.apart[on], s.now+long)
-		s.brokers[on].cut(true)
-		s.at(s.now+long, func() {
-			if s.now >= f.apart[on] {
-				s.brokers[on].cut(false)
+		f.linksCutUntil[target] = max(f.linksCutUntil[target], s.now+durationMs)
+		s.brokers[target].linksChanged(true)
+		s.schedule(s.now+durationMs, func() {
+			if s.now >= f.linksCutUntil[target] {
+				s.brokers[target].linksChanged(false)
 			}
 		})
 		return
 	case "zone_cut":
-		if f.cut >= 0 || s.e.Zones < 2 {
+		if f.cutZone >= 0 || s.e.Zones < 2 {
 			return
 		}
-		f.cut = on
-		s.at(s.now+long, func() {
-			f.cut = -1
-			for _, n := range f.nodes {
-				if n.wire != nil && n.state != scheduler.Removed {
-					n.wire.restored()
+		f.cutZone = target
+		s.schedule(s.now+durationMs, func() {
+			f.cutZone = -1
+			for _, n := range f.backends {
+				if n.listeners != nil && n.state != scheduler.Removed {
+					n.listeners.resetLost()
 				}
 			}
 		})
 		return
 	}
-	n, busy := f.nodes[on], 0
-	for _, x := range f.nodes {
-		if x.busy {
-			busy++
+	n, faulty := f.backends[target], 0
+	for _, x := range f.backends {
+		if x.hasFault {
+			faulty++
 		}
 	}
-	if n.busy || n.Fallen || !scripted && (n.Cold(s.now) || busy > max(1, len(f.nodes)/6)) {
+	if n.hasFault || n.Fallen || !scripted && (n.Cold(s.now) || faulty > max(1, len(f.backends)/6)) {
 		return
 	}
-	n.busy = true
-	sound := func() {
-		n.busy = false
+	n.hasFault = true
+	repair := func() {
+		n.hasFault = false
 		if n.Trouble != model.Down {
 			n.Trouble = model.Sound
 		}
 	}
 	switch kind {
 	case "stand":
-		until := s.now + long
-		var again func()
-		again = func() {
+		until := s.now + durationMs
+		var stallAgain func()
+		stallAgain = func() {
 			if s.now >= until {
-				n.busy = false
+				n.hasFault = false
 				return
 			}
-			n.stands = max(n.stands, s.now+200+300*s.world.Float64())
-			s.at(s.now+1000+2000*s.world.Float64(), again)
+			n.stalledUntil = max(n.stalledUntil, s.now+200+300*s.faultRand.Float64())
+			s.schedule(s.now+1000+2000*s.faultRand.Float64(), stallAgain)
 		}
-		again()
+		stallAgain()
 	case "vanish":
 		n.Trouble = model.Hang // it says nothing, and nobody knows
-		s.at(s.now+long, func() { f.die(n); f.back(n); n.busy = false })
+		s.schedule(s.now+durationMs, func() { f.stopBackend(n); f.restartBackend(n); n.hasFault = false })
 	case "down":
-		f.die(n)
-		s.at(s.now+long, func() { f.back(n); n.busy = false })
+		f.stopBackend(n)
+		s.schedule(s.now+durationMs, func() { f.restartBackend(n); n.hasFault = false })
 	case "drain":
-		f.tell(n, scheduler.Draining)
+		f.publish(n, scheduler.Draining)
 		wait := s.e.News.List[1] + 1200
-		s.at(s.now+wait, func() { n.Trouble = model.Drain })
-		s.at(s.now+wait+1500, func() { f.die(n) })
-		s.at(s.now+wait+1500+long, func() { f.back(n); n.busy = false })
+		s.schedule(s.now+wait, func() { n.Trouble = model.Drain })
+		s.schedule(s.now+wait+1500, func() { f.stopBackend(n) })
+		s.schedule(s.now+wait+1500+durationMs, func() { f.restartBackend(n); n.hasFault = false })
 	default:
 		n.Trouble = map[string]model.Trouble{"hang": model.Hang, "slow": model.Slow, "fail": model.Fail}[kind]
-		s.at(s.now+long, sound)
+		s.schedule(s.now+durationMs, repair)
 	}
 }
--- a/internal/lab/world/servers.go
+++ b/internal/lab/world/servers.go
@@ -18,20 +18,20 @@
 
 // discoveryServer is the list of nodes for one broker, over HTTP/1.1.
 type discoveryServer struct {
-	world   *World
-	b       *process
-	addr    string
-	ln      net.Listener
-	visible int // news that this broker may know
-	waiting []func()
+	world         *World
+	broker        *processBroker
+	addr          string
+	ln            net.Listener
+	visibleEvents int // news that this broker may know
+	watchers      []func()
 }
 
-func newDiscovery(s *World, b *process) (*discoveryServer, error) {
+func newDiscovery(s *World, b *processBroker) (*discoveryServer, error) {
 	ln, err := net.Listen("tcp", loopback.Own())
 	if err != nil {
 		return nil, err
 	}
-	d := &discoveryServer{world: s, b: b, addr: ln.Addr().String(), ln: ln}
+	d := &discoveryServer{world: s, broker: b, addr: ln.Addr().String(), ln: ln}
 	go func() { _ = (&http.Server{Handler: d}).Serve(ln) }()
 	return d, nil
 }
@@ -39,54 +39,54 @@
 func (d *discoveryServer) close() { _ = d.ln.Close() }
 
 // told makes news visible and wakes who waits for it.
-func (d *discoveryServer) told(upTo int) {
+func (d *discoveryServer) notify(upTo int) {
 	s := d.world
-	if until := s.fleet.silent[d.b.index]; s.e.Pushed && until > s.now { // nothing reaches it either
-		s.at(until, func() { d.told(upTo) })
+	if until := s.fleet.agentSilentUntil[d.broker.index]; s.e.Pushed && until > s.now { // nothing reaches it either
+		s.schedule(until, func() { d.notify(upTo) })
 		return
 	}
-	if s.e.Pushed && d.visible < upTo { // what an agent has counts as told
-		s.fleet.heard[d.b.index] = s.now
-		for _, n := range s.fleet.news[d.visible:upTo] {
+	if s.e.Pushed && d.visibleEvents < upTo { // what an agent has counts as told
+		s.fleet.agentUpdatedAt[d.broker.index] = s.now
+		for _, n := range s.fleet.endpointEvents[d.visibleEvents:upTo] {
 			if n.state != scheduler.Ready {
-				s.check.Told(s.now, d.b.name, n.node.ID)
+				s.check.Told(s.now, d.broker.name, n.backend.ID)
 			}
 		}
 	}
-	d.visible = max(d.visible, upTo)
-	waiting := d.waiting
-	d.waiting = nil
-	for _, w := range waiting {
+	d.visibleEvents = max(d.visibleEvents, upTo)
+	watchers := d.watchers
+	d.watchers = nil
+	for _, w := range watchers {
 		w()
 	}
 }
 
 // list is what is visible since a place in the news, or the whole list.
-func (d *discoveryServer) list(since int, whole bool) discovery.EndpointList {
-	s, l := d.world, discovery.EndpointList{Revision: uint64(firstRevision + d.visible), Complete: whole}
-	news := map[*node]listNews{}
-	for i, n := range s.fleet.news[:d.visible] {
-		if whole || i >= since {
-			news[n.node] = n
+func (d *discoveryServer) endpointList(since int, full bool) discovery.EndpointList {
+	s, l := d.world, discovery.EndpointList{Revision: uint64(firstRevision + d.visibleEvents), Complete: full}
+	latest := map[*backend]endpointEvent{}
+	for i, n := range s.fleet.endpointEvents[:d.visibleEvents] {
+		if full || i >= since {
+			latest[n.backend] = n
 		}
 	}
-	for _, n := range s.fleet.nodes {
-		x, changed := news[n]
+	for _, n := range s.fleet.backends {
+		x, changed := latest[n]
 		if !changed {
-			x = listNews{n, scheduler.Ready, 0}
+			x = endpointEvent{n, scheduler.Ready, 0}
 		}
 		if s.Fault.IgnoreDrain {
 			x.state = scheduler.Ready
 		}
-		if !whole && !changed || whole && x.state == scheduler.Removed {
+		if !full && !changed || full && x.state == scheduler.Removed {
 			continue
 		}
-		m := discovery.EndpointRecord{ID: n.ID, Address: d.b.way(n.wire.(sockets)[s.e.ZoneOf(d.b.index)]),
+		m := discovery.EndpointRecord{ID: n.ID, Address: d.broker.backendAddr(n.listeners.(zoneListeners)[s.e.ZoneOf(d.broker.index)]),
 			Zone: zoneName(n.zone), Cell: n.index, Size: 1,
 			Phase: map[scheduler.ReplicaState]string{scheduler.Ready: "SERVING", scheduler.Draining: "DRAINING",
 				scheduler.Removed: "DELETED"}[x.state]}
 		if x.started > 0 {
-			m.StartedAtUnixMs = float64(s.live.unix(x.started))
+			m.StartedAtUnixMs = float64(s.live.unixMs(x.started))
 		}
 		l.Endpoints = append(l.Endpoints, m)
 	}
@@ -97,35 +97,35 @@
 func (d *discoveryServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s := d.world
 	index, err := strconv.Atoi(r.URL.Query().Get("index"))
-	whole := err != nil || index < firstRevision
+	full := err != nil || index < firstRevision
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait"))
 	answer := make(chan discovery.EndpointList, 1)
 	ok := s.live.post(func() {
-		did, gen := false, d.b.gen
+		replied, gen := false, d.broker.gen
 		reply := func() {
-			if did || gen != d.b.gen { // nobody is told what a process that has died asked for
+			if replied || gen != d.broker.gen { // nobody is told what a process that has died asked for
 				return
 			}
-			did = true
-			l := d.list(index-firstRevision, whole)
+			replied = true
+			l := d.endpointList(index-firstRevision, full)
 			for _, m := range l.Endpoints { // it is told once this is written
 				if m.Phase == "SERVING" && !s.Fault.IgnoreDrain {
-					s.check.Untold(d.b.name, m.ID)
+					s.check.Untold(d.broker.name, m.ID)
 				} else if m.Phase != "SERVING" {
-					s.check.Told(s.now, d.b.name, m.ID)
+					s.check.Told(s.now, d.broker.name, m.ID)
 				}
 			}
 			answer <- l
 		}
-		if s.e.Pushed && s.fleet.silent[d.b.index] > s.now {
+		if s.e.Pushed && s.fleet.agentSilentUntil[d.broker.index] > s.now {
 			return // the call is never answered
 		}
-		if whole || index < firstRevision+d.visible || s.e.Pushed {
+		if full || index < firstRevision+d.visibleEvents || s.e.Pushed {
 			reply()
 			return
 		}
-		d.waiting = append(d.waiting, reply)
-		s.at(s.now+float64(wait), reply)
+		d.watchers = append(d.watchers, reply)
+		s.schedule(s.now+float64(wait), reply)
 	})
 	if !ok {
 		return
@@ -134,7 +134,7 @@
 	case l := <-answer:
 		writeJSON(w, l)
 	case <-r.Context().Done():
-	case <-s.live.gone:
+	case <-s.live.done:
 	}
 }
 
@@ -160,46 +160,46 @@
 	index, err := strconv.ParseUint(r.URL.Query().Get("index"), 10, 63)
 	wait, _ := strconv.ParseFloat(r.URL.Query().Get("wait"), 64)
 	call := shardmap.PollRequest{FullSnapshot: err != nil, SinceEpoch: index, WaitMs: wait, TimeoutMs: wait + 10_000}
-	answer := make(chan *told, 4)
-	put := func(t *told) {
+	answer := make(chan *catalogueAnswer, 4)
+	deliver := func(a *catalogueAnswer) {
 		select {
-		case answer <- t:
+		case answer <- a:
 		default: // a copy that comes later: a connection carries one answer for a call
 		}
 	}
-	if !s.live.post(func() { s.fleet.asked(call, func() { put(nil) }, func(t told) { put(&t) }) }) {
+	if !s.live.post(func() { s.fleet.poll(call, func() { deliver(nil) }, func(a catalogueAnswer) { deliver(&a) }) }) {
 		return
 	}
 	select {
-	case t := <-answer:
-		if t == nil {
+	case a := <-answer:
+		if a == nil {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		writeJSON(w, t.doc())
+		writeJSON(w, a.document())
 	case <-r.Context().Done():
-	case <-s.live.gone:
+	case <-s.live.done:
 	}
 }
 
 // doc is what is told, in the catalogue's form.
-func (t told) doc() shardcatalog.Document {
-	if t.v != nil {
-		d := shardcatalog.FormatSnapshot(t.v, nil, t.retired)
-		if t.spoilt {
+func (a catalogueAnswer) document() shardcatalog.Document {
+	if a.version != nil {
+		d := shardcatalog.FormatSnapshot(a.version, nil, a.retired)
+		if a.malformed {
 			d.Shards = d.Shards[1:]
 		}
 		return d
 	}
-	d := shardcatalog.Document{Epoch: t.epoch}
-	for _, c := range t.changes {
+	d := shardcatalog.Document{Epoch: a.epoch}
+	for _, c := range a.changes {
 		d.Changes = append(d.Changes, shardcatalog.FormatChange(c))
 	}
 	return d
 }
 
 // wires opens the nodes' sockets and the catalogue's.
-func (s *World) wires() error {
+func (s *World) openListeners() error {
 	ln, err := net.Listen("tcp", loopback.Own())
 	if err != nil {
 		return err
@@ -207,13 +207,13 @@
 	s.catalogue = ln.Addr().String()
 	go func() { _ = (&http.Server{Handler: &catalogueServer{s}}).Serve(ln) }()
 	go func() {
-		<-s.live.gone
+		<-s.live.done
 		_ = ln.Close()
 	}()
-	for _, n := range s.fleet.nodes {
-		n.wire = newSockets(n)
-		n.wire.back()
-		for _, k := range n.wire.(sockets) {
+	for _, n := range s.fleet.backends {
+		n.listeners = newZoneListeners(n)
+		n.listeners.listen()
+		for _, k := range n.listeners.(zoneListeners) {
 			if k.addr == "" {
 				return errListen
 			}
--- a/internal/lab/world/sockets.go
+++ b/internal/lab/world/sockets.go
@@ -34,18 +34,18 @@
 var errListen = errors.New("a node cannot listen")
 
 const (
-	frameMost  = 1 << 20
-	writeQueue = 1024 // answers that may wait on a connection
-	writeMost  = 2 * time.Second
+	maxFrameBytes = 1 << 20
+	writeQueue    = 1024 // answers that may wait on a connection
+	writeTimeout  = 2 * time.Second
 )
 
 // socket is a node's listener for the brokers of a zone.
-type socket struct {
-	node   *node
-	from   int // the zone from which brokers come to it
-	addr   string
-	lost   bool                  // something was lost here, as the way is cut; the world's goroutine's
-	landed map[*landing]struct{} // parts that are out here; the world's goroutine's
+type zoneListener struct {
+	backend    *backend
+	brokerZone int // the zone from which brokers come to it
+	addr       string
+	hasLost    bool                       // something was lost here, as the way is cut; the world's goroutine's
+	inFlight   map[*receivedPart]struct{} // parts that are out here; the world's goroutine's
 
 	mu    sync.Mutex
 	ln    net.Listener
@@ -54,48 +54,48 @@
 }
 
 // sockets are a node's listeners, one for the brokers of each zone. It implements wire.
-type sockets []*socket
+type zoneListeners []*zoneListener
 
-func newSockets(n *node) (k sockets) {
-	for from := range n.sim.e.Zones {
-		k = append(k, &socket{node: n, from: from, landed: map[*landing]struct{}{}})
+func newZoneListeners(n *backend) (ls zoneListeners) {
+	for from := range n.world.e.Zones {
+		ls = append(ls, &zoneListener{backend: n, brokerZone: from, inFlight: map[*receivedPart]struct{}{}})
 	}
-	return k
+	return ls
 }
 
-func (k sockets) down() {
-	for _, x := range k {
-		x.down()
+func (ls zoneListeners) close() {
+	for _, x := range ls {
+		x.close()
 	}
 }
 
-func (k sockets) back() {
-	for _, x := range k {
-		x.back()
+func (ls zoneListeners) listen() {
+	for _, x := range ls {
+		x.listen()
 	}
 }
 
 // restored resets what was open over a way that had been cut.
-func (k sockets) restored() {
-	for _, x := range k {
-		if x.lost {
-			x.lost = false
-			x.down()
-			x.back()
+func (ls zoneListeners) resetLost() {
+	for _, x := range ls {
+		if x.hasLost {
+			x.hasLost = false
+			x.close()
+			x.listen()
 		}
 	}
 }
 
 // cut tells that nothing gets through now, and remembers that something would have.
-func (k *socket) cut() bool {
-	cut := !k.node.sim.fleet.reach(k.from, k.node.zone)
-	k.lost = k.lost || cut
-	return cut
+func (l *zoneListener) isCut() bool {
+	isCut := !l.backend.world.fleet.canReach(l.brokerZone, l.backend.zone)
+	l.hasLost = l.hasLost || isCut
+	return isCut
 }
 
 // back listens, at the same address as before.
-func (k *socket) back() {
-	at := k.addr
+func (l *zoneListener) listen() {
+	at := l.addr
 	if at == "" {
 		at = loopback.Own()
 	}
@@ -103,37 +103,37 @@
 	if err != nil {
 		return
 	}
-	k.addr = ln.Addr().String()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.ln, k.conns = ln, map[net.Conn]struct{}{}
-	if k.node.sim.live.o.Flight {
-		k.grpc = grpc.NewServer()
-		flight.RegisterFlightServiceServer(k.grpc, &flightNode{k: k})
-		go func(g *grpc.Server) { _ = g.Serve(ln) }(k.grpc)
+	l.addr = ln.Addr().String()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.ln, l.conns = ln, map[net.Conn]struct{}{}
+	if l.backend.world.live.opts.Flight {
+		l.grpc = grpc.NewServer()
+		flight.RegisterFlightServiceServer(l.grpc, &flightBackend{listener: l})
+		go func(g *grpc.Server) { _ = g.Serve(ln) }(l.grpc)
 		return
 	}
-	go k.accept(ln)
+	go l.accept(ln)
 }
 
 // down ends the listener and all connections. What was out on them is out no more from this moment: who hears
 // of the reset may send it elsewhere before any of our threads has.
-func (k *socket) down() {
-	for l := range k.landed {
-		l.leave()
+func (l *zoneListener) close() {
+	for p := range l.inFlight {
+		p.removeInFlight()
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.ln == nil {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.ln == nil {
 		return
 	}
-	_ = k.ln.Close()
-	k.ln = nil
-	if k.grpc != nil {
-		go k.grpc.Stop()
-		k.grpc = nil
+	_ = l.ln.Close()
+	l.ln = nil
+	if l.grpc != nil {
+		go l.grpc.Stop()
+		l.grpc = nil
 	}
-	for c := range k.conns {
+	for c := range l.conns {
 		if t, ok := c.(*net.TCPConn); ok {
 			_ = t.SetLinger(0)
 		}
@@ -141,81 +141,81 @@
 	}
 }
 
-func (k *socket) accept(ln net.Listener) {
+func (l *zoneListener) accept(ln net.Listener) {
 	for {
 		c, err := ln.Accept()
 		if err != nil {
 			return
 		}
-		k.mu.Lock()
-		if k.ln != ln {
+		l.mu.Lock()
+		if l.ln != ln {
 			_ = c.Close()
 		}
-		k.conns[c] = struct{}{}
-		k.mu.Unlock()
-		go k.serve(c)
+		l.conns[c] = struct{}{}
+		l.mu.Unlock()
+		go l.serve(c)
 	}
 }
 
 // landing is a part that has reached a live node. It implements answerer.
-type landing struct {
-	k     *socket
-	node  *node
-	id    string // the part's
-	job   *model.Job
-	out   bool
-	reply func(end model.End, epoch uint64)
+type receivedPart struct {
+	listener *zoneListener
+	backend  *backend
+	id       string // the part's
+	job      *model.Job
+	inFlight bool
+	reply    func(end model.End, epoch uint64)
 }
 
 // land takes a part from a wire, on the world's goroutine.
-func (k *socket) land(id, query string, r shardmap.Range, epoch uint64,
-	reply func(model.End, uint64)) *landing {
-	n, s := k.node, k.node.sim
+func (l *zoneListener) receive(id, query string, r shardmap.Range, epoch uint64,
+	reply func(model.End, uint64)) *receivedPart {
+	n, s := l.backend, l.backend.world
 	q := s.queries[query]
-	if q == nil || n.Trouble == model.Down || n.Fallen || k.cut() {
+	if q == nil || n.Trouble == model.Down || n.Fallen || l.isCut() {
 		return nil
 	}
-	l := &landing{k: k, node: n, id: id, out: true, reply: reply}
-	l.job = &model.Job{Query: query, Class: q.ask.Class, Once: q.ask.Once, Districts: r, Epoch: epoch,
-		Work: q.workOf(r), Context: l}
-	s.check.Sent(s.now, q.b.id(), n.ID)
-	k.landed[l] = struct{}{}
-	n.arrive(l.job)
-	return l
+	p := &receivedPart{listener: l, backend: n, id: id, inFlight: true, reply: reply}
+	p.job = &model.Job{Query: query, Class: q.ask.Class, Once: q.ask.Once, Districts: r, Epoch: epoch,
+		Work: q.workOf(r), Context: p}
+	s.check.Sent(s.now, q.broker.id(), n.ID)
+	l.inFlight[p] = struct{}{}
+	n.receive(p.job)
+	return p
 }
 
 // answer implements answerer.
-func (l *landing) answer(end model.End) {
-	if l.out {
-		if l.leave(); !l.k.cut() {
-			l.reply(end, l.node.Epoch())
+func (p *receivedPart) respond(end model.End) {
+	if p.inFlight {
+		if p.removeInFlight(); !p.listener.isCut() {
+			p.reply(end, p.backend.Epoch())
 		}
 	}
 }
 
 // leave notes that the part is out no more.
-func (l *landing) leave() {
-	if l != nil && l.out {
-		l.out = false
-		delete(l.k.landed, l)
-		l.node.sim.check.Gone(l.job.Query, l.job.Districts)
+func (p *receivedPart) removeInFlight() {
+	if p != nil && p.inFlight {
+		p.inFlight = false
+		delete(p.listener.inFlight, p)
+		p.backend.world.check.Gone(p.job.Query, p.job.Districts)
 	}
 }
 
 // serve reads frames from one connection.
-func (k *socket) serve(c net.Conn) {
-	s := k.node.sim
+func (k *zoneListener) serve(c net.Conn) {
+	s := k.backend.world
 	out := make(chan []byte, writeQueue)
-	landed := map[string]*landing{} // the world's goroutine's
+	inFlight := map[string]*receivedPart{} // the world's goroutine's
 	defer func() {
 		k.mu.Lock()
 		delete(k.conns, c)
 		k.mu.Unlock()
 		_ = c.Close()
 		s.live.post(func() {
-			for _, l := range landed {
-				l.leave()
-				l.node.Drop(l.job)
+			for _, l := range inFlight {
+				l.removeInFlight()
+				l.backend.Drop(l.job)
 			}
 			close(out)
 			out = nil
@@ -223,7 +223,7 @@
 	}()
 	go func(out chan []byte) {
 		for b := range out {
-			_ = c.SetWriteDeadline(time.Now().Add(writeMost))
+			_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
 			if _, err := c.Write(b); err != nil {
 				_ = c.Close()
 			}
@@ -236,7 +236,7 @@
 			return
 		}
 		n := binary.BigEndian.Uint32(head[:])
-		if n < 1 || n > frameMost {
+		if n < 1 || n > maxFrameBytes {
 			return
 		}
 		body := make([]byte, n)
@@ -247,10 +247,10 @@
 		case 'X':
 			id := string(body[1:])
 			s.live.post(func() {
-				if l := landed[id]; l != nil {
-					l.leave()
-					l.node.Drop(l.job)
-					delete(landed, id)
+				if l := inFlight[id]; l != nil {
+					l.removeInFlight()
+					l.backend.Drop(l.job)
+					delete(inFlight, id)
 				}
 			})
 		case 'Q':
@@ -265,24 +265,24 @@
 					return
 				}
 				rest = more[size:]
-				epoch, districts, err := fence(f[2])
+				epoch, buckets, err := parseEpochAndBuckets(f[2])
 				if err != nil {
 					return
 				}
 				id := f[0]
 				query, _, _ := strings.Cut(id, ".")
 				s.live.post(func() {
-					l := k.land(id, query, districts, epoch, func(end model.End, epoch uint64) {
-						delete(landed, id)
+					l := k.receive(id, query, buckets, epoch, func(end model.End, epoch uint64) {
+						delete(inFlight, id)
 						select {
-						case out <- frameAnswer(id, end, epoch, cmp.Or(k.node.report, "-"),
-							model.Value(query, districts)):
+						case out <- encodeAnswer(id, end, epoch, cmp.Or(k.backend.loadReport, "-"),
+							model.Value(query, buckets)):
 						default:
 							_ = c.Close()
 						}
 					})
-					if l != nil && l.out {
-						landed[id] = l
+					if l != nil && l.inFlight {
+						inFlight[id] = l
 					}
 				})
 			}
@@ -291,7 +291,7 @@
 }
 
 // fence reads the list of a part's line: d=240,e=17,r=120-135.
-func fence(list string) (epoch uint64, r shardmap.Range, err error) {
+func parseEpochAndBuckets(list string) (epoch uint64, r shardmap.Range, err error) {
 	for _, f := range strings.Split(list, ",") {
 		name, value, _ := strings.Cut(f, "=")
 		switch name {
@@ -310,7 +310,7 @@
 	return epoch, r, nil
 }
 
-func frameAnswer(id string, end model.End, epoch uint64, report, value string) []byte {
+func encodeAnswer(id string, end model.End, epoch uint64, report, value string) []byte {
 	words := map[model.End]string{model.OK: "ok 17", model.Err: "err 0", model.Busy: "busy 0",
 		model.Moved: "moved " + strconv.FormatUint(epoch, 10)}
 	text := id + " " + words[end] + " " + report + "\n"
@@ -322,15 +322,15 @@
 }
 
 // flightNode serves parts over Flight.
-type flightNode struct {
+type flightBackend struct {
 	flight.BaseFlightServer
-	k *socket
+	listener *zoneListener
 }
 
 var docSchema = arrow.NewSchema([]arrow.Field{{Name: "doc", Type: arrow.BinaryTypes.Binary}}, nil)
 
 // DoGet serves one part.
-func (f *flightNode) DoGet(t *flight.Ticket, out flight.FlightService_DoGetServer) error {
+func (f *flightBackend) DoGet(t *flight.Ticket, out flight.FlightService_DoGetServer) error {
 	var q struct {
 		ID     string
 		E      uint64
@@ -343,23 +343,23 @@
 		end   model.End
 		epoch uint64
 	}
-	s, n, r := f.k.node.sim, f.k.node, shardmap.Range{Start: q.Lo, End: q.Hi}
+	s, n, r := f.listener.backend.world, f.listener.backend, shardmap.Range{Start: q.Lo, End: q.Hi}
 	query, _, _ := strings.Cut(q.ID, ".")
 	answer := make(chan ended, 1)
-	var l *landing // the world's goroutine's
+	var p *receivedPart // the world's goroutine's
 	s.live.post(func() {
-		l = f.k.land(q.ID, query, r, q.E, func(end model.End, epoch uint64) { answer <- ended{end, epoch} })
+		p = f.listener.receive(q.ID, query, r, q.E, func(end model.End, epoch uint64) { answer <- ended{end, epoch} })
 	})
 	select {
 	case a := <-answer:
 		return sendDoc(out, a.end, a.epoch, model.Value(query, r))
-	case <-s.live.gone:
+	case <-s.live.done:
 		return status.Error(codes.Unavailable, "over")
 	case <-out.Context().Done():
 		s.live.post(func() {
-			if l != nil && l.out {
-				l.leave()
-				n.Drop(l.job)
+			if p != nil && p.inFlight {
+				p.removeInFlight()
+				n.Drop(p.job)
 			}
 		})
 		return status.FromContextError(context.Cause(out.Context())).Err()
--- a/internal/lab/world/virtual.go
+++ b/internal/lab/world/virtual.go
@@ -16,221 +16,223 @@
 
 // virtual is a broker in virtual time: the real core and module, and this world in place of its wires. It
 // implements core.Backend, core.List, core.Clock and core.Log.
-type virtual struct {
-	sim    *World
-	index  int
-	name   string
-	seed   uint64
-	gen    int // of its process
-	core   *core.Core
-	m      *shardmap.Map
-	follow *shardmap.Poller
-	dirty  bool
-	wake   float64
-	turn   []*sending
-	out    []*sending // in the order in which they went
-	seen   int        // news of the list that it has
-	asked  bool
-	call   int     // the call to the catalogue that counts
-	due    float64 // when follow is asked next
-	listed map[uint32]bool
-	zone   int
-
-	reader *endpointpoll.Poller // of the list, where it is pushed to an agent
-	agent  int                  // news that the agent has
-
-	moves core.ReshardingStats // of processes that are gone
-	stats shardmap.Stats
-	kept  int
+type virtualBroker struct {
+	world          *World
+	index          int
+	name           string
+	seed           uint64
+	gen            int // of its process
+	core           *core.Core
+	shardMap       *shardmap.Map
+	mapPoller      *shardmap.Poller
+	dirty          bool
+	wakeAt         float64
+	pending        []*dispatch
+	inFlight       []*dispatch // in the order in which they went
+	seenEvents     int         // news of the list that it has
+	listRequested  bool
+	currentCall    int     // the call to the catalogue that counts
+	nextPollAt     float64 // when follow is asked next
+	listedBackends map[uint32]bool
+	zone           int
+
+	agentPoller *endpointpoll.Poller // of the list, where it is pushed to an agent
+	agentEvents int                  // news that the agent has
+
+	pastResharding  core.ReshardingStats // of processes that are gone
+	pastMapStats    shardmap.Stats
+	pastMaxVersions int
 }
 
 // sending is an attempt on its way.
-type sending struct {
-	b     *virtual
-	gen   int
-	a     *core.Attempt
-	node  *node
-	job   *model.Job
-	comes float64
-	there bool // it has reached the node and is out, as the checker sees it
-	over  bool
+type dispatch struct {
+	broker    *virtualBroker
+	gen       int
+	attempt   *core.Attempt
+	backend   *backend
+	job       *model.Job
+	arrivesAt float64
+	atBackend bool // it has reached the node and is out, as the checker sees it
+	ended     bool
 }
 
-func newVirtual(s *World, i int) *virtual {
-	return &virtual{sim: s, index: i, zone: s.e.ZoneOf(i), name: fmt.Sprintf("broker-%d", i),
-		seed: s.seed + uint64(i)*7919, wake: math.Inf(1), due: math.Inf(1)}
+func newVirtualBroker(s *World, i int) *virtualBroker {
+	return &virtualBroker{world: s, index: i, zone: s.e.ZoneOf(i), name: fmt.Sprintf("broker-%d", i),
+		seed: s.seed + uint64(i)*7919, wakeAt: math.Inf(1), nextPollAt: math.Inf(1)}
 }
 
 // cut does nothing: what is on its way asks the fleet.
-func (b *virtual) cut(bool) {}
+func (b *virtualBroker) linksChanged(bool) {}
 
 // start starts its process, with a map that it kept if there is one.
-func (b *virtual) start(cached *shardmap.Version) {
-	s := b.sim
+func (b *virtualBroker) start(cached *shardmap.Version) {
+	s := b.world
 	s.check.Restarted(s.now, b.name)
-	b.listed = map[uint32]bool{}
-	b.m = shardmap.New(shardmap.Options{MaxRetired: s.e.History, ReplicaNumber: func(name string) (uint32, bool) {
+	b.listedBackends = map[uint32]bool{}
+	b.shardMap = shardmap.New(shardmap.Options{MaxRetired: s.e.History, ReplicaNumber: func(name string) (uint32, bool) {
 		n := s.fleet.byName[name]
-		return n, n > 0 && b.listed[n]
+		return n, n > 0 && b.listedBackends[n]
 	}})
 	var err error
-	b.core, err = core.New(s.e.Settings(b.index, b.m), b.seed+uint64(b.gen), core.Options{Clock: b, Log: b,
-		ShardMap: b.m})
+	b.core, err = core.New(s.e.Settings(b.index, b.shardMap), b.seed+uint64(b.gen), core.Options{Clock: b, Log: b,
+		ShardMap: b.shardMap})
 	if err != nil {
 		panic(err) // an experiment that passed its checks
 	}
 	b.core.Attach(b, b)
-	b.wake, b.seen, b.due = math.Inf(1), 0, math.Inf(1)
-	b.follow = shardmap.NewPoller(shardmap.DefaultPollerOptions, b.seed+uint64(b.gen))
+	b.wakeAt, b.seenEvents, b.nextPollAt = math.Inf(1), 0, math.Inf(1)
+	b.mapPoller = shardmap.NewPoller(shardmap.DefaultPollerOptions, b.seed+uint64(b.gen))
 	if s.e.Pushed {
-		b.reader = endpointpoll.NewPoller(endpointpoll.Options{Pushed: true, DrainGrace: drainGrace})
-		b.read(b.gen)
+		b.agentPoller = endpointpoll.NewPoller(endpointpoll.Options{Pushed: true, DrainGrace: drainGraceMs})
+		b.pollAgent(b.gen)
 	} else {
 		b.Watch()
 	}
 	if cached != nil {
-		_ = b.core.ApplySnapshot(wholeOf(cached, s.fleet.retiredBefore(cached)))
+		_ = b.core.ApplySnapshot(snapshotOf(cached, s.fleet.retiredAsOf(cached)))
 	}
 	if s.e.Arm == exp.Follow {
 		b.core.OnNewerMap(func(epoch uint64) {
-			b.follow.NewerEpochSeen(s.now, epoch)
-			b.plan()
+			b.mapPoller.NewerEpochSeen(s.now, epoch)
+			b.schedulePoll()
 		})
-		b.step()
+		b.pollCatalogue()
 	} else {
-		b.hangup(b.gen)
+		b.reloadPeriodically(b.gen)
 	}
-	b.touch()
+	b.markDirty()
 }
 
 // hangup reads the map as a broker does that knows only SIGHUP.
-func (b *virtual) hangup(gen int) {
+func (b *virtualBroker) reloadPeriodically(gen int) {
 	if b.core == nil || gen != b.gen {
 		return
 	}
-	if f := b.sim.fleet; !f.out() {
-		_ = b.core.ApplySnapshot(wholeOf(f.truth.Current(), f.truth.Retired(keptRetired)))
+	if f := b.world.fleet; !f.isCatalogueDown() {
+		_ = b.core.ApplySnapshot(snapshotOf(f.shardMap.Current(), f.shardMap.Retired(maxRetiredShards)))
 	}
-	b.touch()
-	b.sim.at(b.sim.now+b.sim.e.SighupMS, func() { b.hangup(gen) })
+	b.markDirty()
+	b.world.schedule(b.world.now+b.world.e.SighupMS, func() { b.reloadPeriodically(gen) })
 }
 
 // kill ends its process: what it held is void.
-func (b *virtual) kill() {
-	s := b.sim
-	b.moves, b.stats, b.kept = add(b.moves, b.core.ReshardingStats()), addStats(b.stats, b.m.Stats()), max(b.kept,
-		b.most())
+func (b *virtualBroker) kill() {
+	s := b.world
+	b.pastResharding, b.pastMapStats, b.pastMaxVersions = addResharding(b.pastResharding, b.core.ReshardingStats()), addMapStats(b.pastMapStats, b.shardMap.Stats()), max(b.pastMaxVersions,
+		b.maxVersions())
 	for _, q := range s.queries {
-		if q.b == broker(b) && q.gen == b.gen && !q.over {
+		if q.broker == broker(b) && q.gen == b.gen && !q.ended {
 			s.check.Void(q.ask.ID)
 		}
 	}
-	for _, f := range b.out {
-		s.at(s.now+s.hop(), func() { f.gone() })
+	for _, d := range b.inFlight {
+		s.schedule(s.now+s.networkDelay(), func() { d.reportGone() })
 	}
-	b.core, b.out, b.turn = nil, nil, nil
+	b.core, b.inFlight, b.pending = nil, nil, nil
 	b.gen++
 }
 
-func (b *virtual) id() string   { return b.name }
-func (b *virtual) process() int { return b.gen }
-func (b *virtual) up() bool     { return b.core != nil && b.core.Epoch() > 0 && len(b.listed) > 0 }
+func (b *virtualBroker) id() string      { return b.name }
+func (b *virtualBroker) generation() int { return b.gen }
+func (b *virtualBroker) isUp() bool {
+	return b.core != nil && b.core.Epoch() > 0 && len(b.listedBackends) > 0
+}
 
-func (b *virtual) take(_ *query, r *core.Request) error {
+func (b *virtualBroker) submit(_ *query, r *core.Request) error {
 	err := b.core.Submit(r)
 	if err == nil {
-		b.touch()
+		b.markDirty()
 	}
 	return err
 }
 
 // reset ends what is out at a node whose process has ended.
-func (b *virtual) reset(n *node) {
-	for _, x := range slices.Clone(b.out) {
-		if x.node == n && x.there {
-			x.gone()
-			x.ends(scheduler.ConnectionReset, nil)
+func (b *virtualBroker) backendStopped(n *backend) {
+	for _, d := range slices.Clone(b.inFlight) {
+		if d.backend == n && d.atBackend {
+			d.reportGone()
+			d.returnOutcome(scheduler.ConnectionReset, nil)
 		}
 	}
 }
 
-func (b *virtual) sum(r *result.Summary) {
-	r.KeptMax = max(r.KeptMax, b.most(), b.kept)
-	r.Add(b.moves, b.stats)
+func (b *virtualBroker) addStats(r *result.Summary) {
+	r.KeptMax = max(r.KeptMax, b.maxVersions(), b.pastMaxVersions)
+	r.Add(b.pastResharding, b.pastMapStats)
 	if b.core != nil {
-		r.Add(b.core.ReshardingStats(), b.m.Stats())
-		r.Reads += b.follow.HintedPolls()
+		r.Add(b.core.ReshardingStats(), b.shardMap.Stats())
+		r.Reads += b.mapPoller.HintedPolls()
 		r.OpenEnd += b.core.OpenRequests()
 	}
 }
 
-func (b *virtual) most() int {
-	if b.m == nil {
+func (b *virtualBroker) maxVersions() int {
+	if b.shardMap == nil {
 		return 0
 	}
-	return b.m.Stats().MaxRetainedVersions
+	return b.shardMap.Stats().MaxRetainedVersions
 }
 
-func (b *virtual) touch() {
+func (b *virtualBroker) markDirty() {
 	if !b.dirty {
 		b.dirty = true
-		b.sim.dirty = append(b.sim.dirty, b)
+		b.world.dirty = append(b.world.dirty, b)
 	}
 }
 
 // Now implements core.Clock.
-func (b *virtual) Now() float64 { return b.sim.now }
+func (b *virtualBroker) Now() float64 { return b.world.now }
 
 // WakeAt implements core.Clock.
-func (b *virtual) WakeAt(at float64) {
-	s := b.sim
-	if at = max(at, s.now+0.05); at >= b.wake {
+func (b *virtualBroker) WakeAt(at float64) {
+	s := b.world
+	if at = max(at, s.now+0.05); at >= b.wakeAt {
 		return
 	}
-	b.wake = at
+	b.wakeAt = at
 	gen := b.gen
-	s.at(at, func() {
-		if gen == b.gen && b.core != nil && b.wake == at {
-			b.wake = math.Inf(1)
-			b.touch()
+	s.schedule(at, func() {
+		if gen == b.gen && b.core != nil && b.wakeAt == at {
+			b.wakeAt = math.Inf(1)
+			b.markDirty()
 		}
 	})
 }
 
 // SchedulerLine implements core.Log.
-func (b *virtual) SchedulerLine(string) {}
+func (b *virtualBroker) SchedulerLine(string) {}
 
 // RequestEnded implements core.Log.
-func (b *virtual) RequestEnded(*core.Request, core.Answer) {}
+func (b *virtualBroker) RequestEnded(*core.Request, core.Answer) {}
 
 // Watch implements core.List: the whole list comes, then changes as they are known.
-func (b *virtual) Watch() {
-	s, gen := b.sim, b.gen
-	if b.asked {
+func (b *virtualBroker) Watch() {
+	s, gen := b.world, b.gen
+	if b.listRequested {
 		return
 	}
-	b.asked = true
-	s.at(s.now+s.hop()+5, func() {
-		if b.asked = false; gen != b.gen || b.core == nil {
+	b.listRequested = true
+	s.schedule(s.now+s.networkDelay()+5, func() {
+		if b.listRequested = false; gen != b.gen || b.core == nil {
 			return
 		}
 		var es []scheduler.Endpoint
-		for _, n := range s.fleet.nodes {
-			es = append(es, b.entry(n, n.state))
+		for _, n := range s.fleet.backends {
+			es = append(es, b.endpoint(n, n.state))
 		}
-		b.seen = len(s.fleet.news)
+		b.seenEvents = len(s.fleet.endpointEvents)
 		b.core.EndpointsChanged(scheduler.UpdateFull, es)
-		b.touch()
+		b.markDirty()
 	})
 }
 
 // entry is what the list says of a node, as it is told to this broker.
-func (b *virtual) entry(n *node, state scheduler.ReplicaState) scheduler.Endpoint {
-	s := b.sim
+func (b *virtualBroker) endpoint(n *backend, state scheduler.ReplicaState) scheduler.Endpoint {
+	s := b.world
 	if state == scheduler.Ready || s.Fault.IgnoreDrain {
-		b.listed[n.number] = true
+		b.listedBackends[n.number] = true
 	} else if state == scheduler.Removed {
-		delete(b.listed, n.number)
+		delete(b.listedBackends, n.number)
 	}
 	if state == scheduler.Ready {
 		s.check.Untold(b.name, n.ID)
@@ -244,286 +246,286 @@
 	if started > 0 {
 		started += s.e.ClockOf(b.index) // by which it takes the list's time for its own
 	}
-	if s.Fault.HideStart {
+	if s.Fault.HideStarts {
 		started = 0
 	}
 	return scheduler.Endpoint{Replica: n.number, Cell: n.index, StartedAt: started, State: state}
 }
 
 // drainGrace is the rule's, in ms, as Settings state it.
-const drainGrace = 1000.0
+const drainGraceMs = 1000.0
 
 // read makes the next call to the agent: it answers at once with what it has, or is silent.
-func (b *virtual) read(gen int) {
-	s := b.sim
+func (b *virtualBroker) pollAgent(gen int) {
+	s := b.world
 	if b.core == nil || gen != b.gen {
 		return
 	}
-	c := b.reader.BeginCall(s.now)
-	if s.fleet.silent[b.index] > s.now {
-		s.at(s.now+c.Timeout, func() {
+	c := b.agentPoller.BeginCall(s.now)
+	if s.fleet.agentSilentUntil[b.index] > s.now {
+		s.schedule(s.now+c.Timeout, func() {
 			if b.core != nil && gen == b.gen {
-				s.at(b.reader.HandleFailure(s.now, true).At, func() { b.read(gen) })
+				s.schedule(b.agentPoller.HandleFailure(s.now, true).At, func() { b.pollAgent(gen) })
 			}
 		})
 		return
 	}
-	s.at(s.now+2*netLeast, func() {
+	s.schedule(s.now+2*minNetworkDelayMs, func() {
 		if b.core == nil || gen != b.gen {
 			return
 		}
-		n := b.reader.HandleResponse(s.now, endpointpoll.Response{Complete: c.FullList,
-			Revision: uint64(firstRevision + b.agent), EndpointCount: len(s.fleet.nodes)})
+		n := b.agentPoller.HandleResponse(s.now, endpointpoll.Response{Complete: c.FullList,
+			Revision: uint64(firstRevision + b.agentEvents), EndpointCount: len(s.fleet.backends)})
 		if n.Apply {
-			b.bring(c.FullList)
+			b.applyAgentList(c.FullList)
 		}
-		s.at(n.At, func() { b.read(gen) })
+		s.schedule(n.At, func() { b.pollAgent(gen) })
 	})
 }
 
 // bring gives the module what the agent has: the whole list, or what is new.
-func (b *virtual) bring(whole bool) {
-	s, kind := b.sim, scheduler.UpdateDelta
+func (b *virtualBroker) applyAgentList(full bool) {
+	s, kind := b.world, scheduler.UpdateDelta
 	var es []scheduler.Endpoint
-	if whole {
+	if full {
 		kind = scheduler.UpdateFull
-		for _, n := range s.fleet.nodes {
-			x := listNews{node: n, state: scheduler.Ready}
-			for _, news := range s.fleet.news[:b.agent] {
-				if news.node == n {
+		for _, n := range s.fleet.backends {
+			x := endpointEvent{backend: n, state: scheduler.Ready}
+			for _, news := range s.fleet.endpointEvents[:b.agentEvents] {
+				if news.backend == n {
 					x = news
 				}
 			}
-			es = append(es, b.entry(n, x.state))
+			es = append(es, b.endpoint(n, x.state))
 		}
 	} else {
-		for _, n := range s.fleet.news[b.seen:b.agent] {
-			es = append(es, b.entry(n.node, n.state))
+		for _, n := range s.fleet.endpointEvents[b.seenEvents:b.agentEvents] {
+			es = append(es, b.endpoint(n.backend, n.state))
 		}
 	}
-	if b.seen = b.agent; whole || len(es) > 0 {
+	if b.seenEvents = b.agentEvents; full || len(es) > 0 {
 		b.core.EndpointsChanged(kind, es)
-		b.touch()
+		b.markDirty()
 	}
 }
 
 // told takes news of the list up to a place in it.
-func (b *virtual) told(upTo int) {
-	if s := b.sim; s.e.Pushed && b.agent < upTo {
-		if until := s.fleet.silent[b.index]; until > s.now { // nothing reaches an agent while discovery is down
-			s.at(until, func() { b.told(upTo) })
+func (b *virtualBroker) notify(upTo int) {
+	if s := b.world; s.e.Pushed && b.agentEvents < upTo {
+		if until := s.fleet.agentSilentUntil[b.index]; until > s.now { // nothing reaches an agent while discovery is down
+			s.schedule(until, func() { b.notify(upTo) })
 			return
 		}
-		s.fleet.heard[b.index] = s.now
-		for _, n := range s.fleet.news[b.agent:upTo] { // what the agent has counts as told
+		s.fleet.agentUpdatedAt[b.index] = s.now
+		for _, n := range s.fleet.endpointEvents[b.agentEvents:upTo] { // what the agent has counts as told
 			if n.state != scheduler.Ready {
-				s.check.Told(s.now, b.name, n.node.ID)
+				s.check.Told(s.now, b.name, n.backend.ID)
 			}
 		}
-		b.agent = upTo
+		b.agentEvents = upTo
 	}
-	if b.sim.e.Pushed {
+	if b.world.e.Pushed {
 		return
 	}
-	if b.core == nil || b.seen >= upTo || len(b.listed) == 0 {
+	if b.core == nil || b.seenEvents >= upTo || len(b.listedBackends) == 0 {
 		return
 	}
 	var es []scheduler.Endpoint
-	for _, n := range b.sim.fleet.news[b.seen:upTo] {
-		es = append(es, b.entry(n.node, n.state))
+	for _, n := range b.world.fleet.endpointEvents[b.seenEvents:upTo] {
+		es = append(es, b.endpoint(n.backend, n.state))
 	}
-	b.seen = upTo
+	b.seenEvents = upTo
 	b.core.EndpointsChanged(scheduler.UpdateDelta, es)
-	b.touch()
+	b.markDirty()
 }
 
 // step makes the call to the catalogue that is due.
-func (b *virtual) step() {
+func (b *virtualBroker) pollCatalogue() {
 	if b.core == nil {
 		return
 	}
-	if c, due := b.follow.Next(b.sim.now); due {
-		b.call++
-		call, gen := b.call, b.gen
-		b.sim.fleet.asked(c, func() { b.news(call, gen, nil) }, func(t told) {
-			b.news(call, gen, func(k *core.Core) error {
-				if t.v != nil {
-					return k.ApplySnapshot(t.whole())
+	if c, due := b.mapPoller.Next(b.world.now); due {
+		b.currentCall++
+		call, gen := b.currentCall, b.gen
+		b.world.fleet.poll(c, func() { b.handleAnswer(call, gen, nil) }, func(t catalogueAnswer) {
+			b.handleAnswer(call, gen, func(k *core.Core) error {
+				if t.version != nil {
+					return k.ApplySnapshot(t.snapshot())
 				}
 				return k.ApplyChanges(t.changes, nil)
 			})
 		})
 	}
-	b.plan()
+	b.schedulePoll()
 }
 
-func (b *virtual) plan() {
-	at := b.follow.NextAt()
-	if math.IsInf(at, 1) || at >= b.due {
+func (b *virtualBroker) schedulePoll() {
+	at := b.mapPoller.NextAt()
+	if math.IsInf(at, 1) || at >= b.nextPollAt {
 		return
 	}
-	s, gen := b.sim, b.gen
-	b.due = at
-	s.at(at, func() {
-		if gen == b.gen && b.due == at {
-			b.due = math.Inf(1)
-			b.step()
+	s, gen := b.world, b.gen
+	b.nextPollAt = at
+	s.schedule(at, func() {
+		if gen == b.gen && b.nextPollAt == at {
+			b.nextPollAt = math.Inf(1)
+			b.pollCatalogue()
 		}
 	})
 }
 
 // news takes an answer of the catalogue; nil is a call that came to nothing.
-func (b *virtual) news(call, gen int, take func(*core.Core) error) {
-	if b.core == nil || gen != b.gen || call != b.call {
+func (b *virtualBroker) handleAnswer(call, gen int, apply func(*core.Core) error) {
+	if b.core == nil || gen != b.gen || call != b.currentCall {
 		return
 	}
-	b.call++ // what comes for this call again is nobody's
+	b.currentCall++ // what comes for this call again is nobody's
 	switch {
-	case take == nil:
-		b.follow.Failed(b.sim.now)
-	case take(b.core) != nil:
-		b.follow.Rejected(b.sim.now)
+	case apply == nil:
+		b.mapPoller.Failed(b.world.now)
+	case apply(b.core) != nil:
+		b.mapPoller.Rejected(b.world.now)
 	default:
-		b.follow.Succeeded(b.sim.now, b.core.Epoch())
-		b.touch()
+		b.mapPoller.Succeeded(b.world.now, b.core.Epoch())
+		b.markDirty()
 	}
-	b.step()
+	b.pollCatalogue()
 }
 
 // Send implements core.Backend.
-func (b *virtual) Send(a *core.Attempt) {
-	f := &sending{b: b, gen: b.gen, a: a, node: b.sim.fleet.nodes[a.Backend-1]}
-	a.Handle = f
-	b.turn = append(b.turn, f)
+func (b *virtualBroker) Send(a *core.Attempt) {
+	d := &dispatch{broker: b, gen: b.gen, attempt: a, backend: b.world.fleet.backends[a.Backend-1]}
+	a.Handle = d
+	b.pending = append(b.pending, d)
 }
 
 // Flush implements core.Backend.
-func (b *virtual) Flush() {
-	turn := b.turn
-	b.turn = nil
-	for _, f := range turn {
-		f.launch()
-		if b.sim.Fault.Twin && b.sim.byID%20 == 0 {
-			(&sending{b: b, gen: b.gen, a: f.a, node: f.node}).launch()
+func (b *virtualBroker) Flush() {
+	pending := b.pending
+	b.pending = nil
+	for _, d := range pending {
+		d.send()
+		if b.world.Fault.DuplicateAttempt && b.world.lastID%20 == 0 {
+			(&dispatch{broker: b, gen: b.gen, attempt: d.attempt, backend: d.backend}).send()
 		}
 	}
 }
 
 // CloseIdleConnections implements core.Backend: connections cost nothing here.
-func (b *virtual) CloseIdleConnections(uint32) {}
+func (b *virtualBroker) CloseIdleConnections(uint32) {}
 
 // Withdraw implements core.Backend.
-func (b *virtual) Withdraw(a *core.Attempt) bool {
-	i := slices.Index(b.turn, a.Handle.(*sending))
+func (b *virtualBroker) Withdraw(a *core.Attempt) bool {
+	i := slices.Index(b.pending, a.Handle.(*dispatch))
 	if i >= 0 {
-		b.turn = slices.Delete(b.turn, i, i+1)
+		b.pending = slices.Delete(b.pending, i, i+1)
 	}
 	return i >= 0
 }
 
 // Abandon implements core.Backend.
-func (b *virtual) Abandon(a *core.Attempt) (neverRan bool) {
+func (b *virtualBroker) Abandon(a *core.Attempt) (neverRan bool) {
 	if b.Withdraw(a) {
 		return true
 	}
-	f := a.Handle.(*sending)
-	f.leave()
+	d := a.Handle.(*dispatch)
+	d.remove()
 	// The word that it is given up follows it on its connection.
-	s := b.sim
-	s.at(max(s.now+s.hop(), f.comes+0.01), func() {
-		if f.gone(); f.job != nil {
-			f.node.Drop(f.job)
+	s := b.world
+	s.schedule(max(s.now+s.networkDelay(), d.arrivesAt+0.01), func() {
+		if d.reportGone(); d.job != nil {
+			d.backend.Drop(d.job)
 		}
 	})
 	return false
 }
 
 // leave takes a sending off: nothing that comes of it counts.
-func (f *sending) leave() {
-	f.over = true
-	if i := slices.Index(f.b.out, f); i >= 0 {
-		f.b.out = slices.Delete(f.b.out, i, i+1)
+func (d *dispatch) remove() {
+	d.ended = true
+	if i := slices.Index(d.broker.inFlight, d); i >= 0 {
+		d.broker.inFlight = slices.Delete(d.broker.inFlight, i, i+1)
 	}
 }
 
 // gone tells the checker that it is out no more.
-func (f *sending) gone() {
-	if f.there {
-		f.there = false
-		f.b.sim.check.Gone(f.a.Request, f.a.Buckets)
+func (d *dispatch) reportGone() {
+	if d.atBackend {
+		d.atBackend = false
+		d.broker.world.check.Gone(d.attempt.Request, d.attempt.Buckets)
 	}
 }
 
 // launch sends it.
-func (f *sending) launch() {
-	s := f.b.sim
-	s.check.Sent(s.now, f.b.name, f.node.ID)
-	f.b.out = append(f.b.out, f)
-	f.comes = s.now + s.way(f.b.zone, f.node.zone)
-	s.at(f.comes, f.arrive)
-}
-
-func (f *sending) arrive() {
-	s, n := f.b.sim, f.node
-	q := s.queries[f.a.Request]
-	if !s.fleet.reach(f.b.zone, n.zone) || s.fleet.apart[f.b.index] > s.now {
+func (d *dispatch) send() {
+	s := d.broker.world
+	s.check.Sent(s.now, d.broker.name, d.backend.ID)
+	d.broker.inFlight = append(d.broker.inFlight, d)
+	d.arrivesAt = s.now + s.zoneDelay(d.broker.zone, d.backend.zone)
+	s.schedule(d.arrivesAt, d.arrive)
+}
+
+func (d *dispatch) arrive() {
+	s, n := d.broker.world, d.backend
+	q := s.queries[d.attempt.Request]
+	if !s.fleet.canReach(d.broker.zone, n.zone) || s.fleet.linksCutUntil[d.broker.index] > s.now {
 		return // it is lost, and nobody says so
 	}
 	if n.Trouble == model.Down || n.Fallen || q == nil {
-		f.ends(scheduler.ConnectFailed, nil)
+		d.returnOutcome(scheduler.ConnectFailed, nil)
 		return
 	}
-	f.job = &model.Job{Query: f.a.Request, Class: q.ask.Class, Once: q.ask.Once, Districts: f.a.Buckets,
-		Epoch: f.a.Epoch, Work: q.workOf(f.a.Buckets), Context: f}
-	f.job.Unfenced = s.Fault.Unfenced
+	d.job = &model.Job{Query: d.attempt.Request, Class: q.ask.Class, Once: q.ask.Once, Districts: d.attempt.Buckets,
+		Epoch: d.attempt.Epoch, Work: q.workOf(d.attempt.Buckets), Context: d}
+	d.job.Unfenced = s.Fault.Unfenced
 	if s.e.Arm != exp.Follow {
-		f.job.Epoch = 0
+		d.job.Epoch = 0
 	}
-	f.there = true
-	n.arrive(f.job)
+	d.atBackend = true
+	n.receive(d.job)
 }
 
 // answer is the node's.
-func (f *sending) answer(end model.End) {
-	f.gone()
+func (d *dispatch) respond(end model.End) {
+	d.reportGone()
 	switch end {
 	case model.OK:
-		f.ends(scheduler.Succeeded, []byte(model.Value(f.a.Request, f.a.Buckets)))
+		d.returnOutcome(scheduler.Succeeded, []byte(model.Value(d.attempt.Request, d.attempt.Buckets)))
 	case model.Err:
-		f.ends(scheduler.Failed, nil)
+		d.returnOutcome(scheduler.Failed, nil)
 	case model.Busy:
-		f.ends(scheduler.Rejected, nil)
+		d.returnOutcome(scheduler.Rejected, nil)
 	case model.Moved:
-		f.a.BackendEpoch = f.node.Epoch()
-		f.ends(scheduler.NotHolder, nil)
+		d.attempt.BackendEpoch = d.backend.Epoch()
+		d.returnOutcome(scheduler.NotHolder, nil)
 	}
 }
 
 // ends brings its outcome to the broker.
-func (f *sending) ends(o scheduler.Outcome, value []byte) {
-	s := f.b.sim
-	s.at(s.now+s.way(f.node.zone, f.b.zone), func() {
-		if !s.fleet.reach(f.b.zone, f.node.zone) || s.fleet.apart[f.b.index] > s.now {
+func (d *dispatch) returnOutcome(o scheduler.Outcome, value []byte) {
+	s := d.broker.world
+	s.schedule(s.now+s.zoneDelay(d.backend.zone, d.broker.zone), func() {
+		if !s.fleet.canReach(d.broker.zone, d.backend.zone) || s.fleet.linksCutUntil[d.broker.index] > s.now {
 			return
 		}
-		if f.over || f.gen != f.b.gen || f.b.core == nil {
+		if d.ended || d.gen != d.broker.gen || d.broker.core == nil {
 			return
 		}
-		f.leave()
-		f.b.core.AttemptEnded(f.a, o, value)
-		f.b.touch()
+		d.remove()
+		d.broker.core.AttemptEnded(d.attempt, o, value)
+		d.broker.markDirty()
 	})
 }
 
-func add(a, b core.ReshardingStats) core.ReshardingStats {
+func addResharding(a, b core.ReshardingStats) core.ReshardingStats {
 	return core.ReshardingStats{Replaced: a.Replaced + b.Replaced, Split: a.Split + b.Split, InFlight: a.InFlight + b.InFlight,
 		Paused: a.Paused + b.Paused, Duplicates: a.Duplicates + b.Duplicates, Stale: a.Stale + b.Stale,
 		Behind: a.Behind + b.Behind}
 }
 
-func addStats(a, b shardmap.Stats) shardmap.Stats {
+func addMapStats(a, b shardmap.Stats) shardmap.Stats {
 	return shardmap.Stats{NotHolder: a.NotHolder + b.NotHolder, SameEpoch: a.SameEpoch + b.SameEpoch,
 		Rejected: a.Rejected + b.Rejected}
 }
 
-func (b *virtual) number() int { return b.index }
+func (b *virtualBroker) number() int { return b.index }
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -23,45 +23,45 @@
 )
 
 const (
-	origin    = 1e6    // ms: the clock at the start; 0 means long ago to some
-	tail      = 8000.0 // ms after the last arrival until all must be over
-	netLeast  = 0.2    // ms one way
-	netMost   = 1.0
-	askWithin = 10_000.0 // ms, of the settings: not having asked for so long counts as being told
-	forget    = 30_000.0 // ms after which nothing of a query can come any more
+	clockStartMs      = 1e6    // ms: the clock at the start; 0 means long ago to some
+	tailMs            = 8000.0 // ms after the last arrival until all must be over
+	minNetworkDelayMs = 0.2    // ms one way
+	maxNetworkDelayMs = 1.0
+	askWithinMs       = 10_000.0 // ms, of the settings: not having asked for so long counts as being told
+	forgetAfterMs     = 30_000.0 // ms after which nothing of a query can come any more
 )
 
 // broker is a broker as the world sees it.
 type broker interface {
 	id() string
 	number() int
-	process() int // counts its starts
-	up() bool     // it runs and serves
+	generation() int // counts its starts
+	isUp() bool      // it runs and serves
 	start(cached *shardmap.Version)
 	kill()
-	take(q *query, r *core.Request) error // an error tells that it was not taken
-	told(upTo int)                        // it may know the news of the list up to there
-	reset(n *node)                        // a node's process has ended
-	cut(off bool)                         // its links to all nodes, and they are back
-	sum(r *result.Summary)
+	submit(q *query, r *core.Request) error // an error tells that it was not taken
+	notify(upTo int)                        // it may know the news of the list up to there
+	backendStopped(n *backend)              // a node's process has ended
+	linksChanged(off bool)                  // its links to all nodes, and they are back
+	addStats(r *result.Summary)
 }
 
 // event is something that happens at a time; of one time, in the order in which it was set.
 type event struct {
 	at  float64
 	seq uint64
-	do  func()
+	run func()
 }
 
-type events []event
+type eventQueue []event
 
-func (h events) Len() int { return len(h) }
-func (h events) Less(i, j int) bool {
+func (h eventQueue) Len() int { return len(h) }
+func (h eventQueue) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
-func (h events) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *events) Push(x any)   { *h = append(*h, x.(event)) }
-func (h *events) Pop() any {
+func (h eventQueue) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *eventQueue) Push(x any)   { *h = append(*h, x.(event)) }
+func (h *eventQueue) Pop() any {
 	n := len(*h) - 1
 	x := (*h)[n]
 	(*h)[n] = event{}
@@ -76,22 +76,22 @@
 	mode  string
 	now   float64
 	seq   uint64
-	queue events
-	dirty []*virtual
+	queue eventQueue
+	dirty []*virtualBroker
 
 	// Each part of the world draws from a source of its own, so that arms of one day see the same clients.
-	load, net, world *rand.Rand
+	loadRand, networkRand, faultRand *rand.Rand
 
-	check   *check.Checker
-	sums    *ledger.Ledger
-	fleet   *fleet
-	brokers []broker
-	queries map[string]*query
-	byID    int
-	latency *hdrhistogram.Histogram
-	worth   [2]float64 // had, asked
-	stale   int
-	end     float64
+	check         *check.Checker
+	ledger        *ledger.Ledger
+	fleet         *fleet
+	brokers       []broker
+	queries       map[string]*query
+	lastID        int
+	latency       *hdrhistogram.Histogram
+	weight        [2]float64 // had, asked
+	staleRequests int
+	endMs         float64
 
 	live      *live // nil in virtual time
 	catalogue string
@@ -102,94 +102,96 @@
 }
 
 // fairFrom is how many queries of a broker must have ended for it to count in the index of fairness.
-const fairFrom = 5
+const minFairnessQueries = 5
 
 // Fault spoils a run on purpose, so that a checker can be seen to catch it.
 type Fault struct {
-	Unfenced    bool // nodes execute what they do not hold
-	LoseAnswer  bool // now and then an answer reaches nobody
-	MarkWhole   bool // answers are marked whole
-	DropHit     bool // an answer lacks its last value
-	OtherValue  bool // an answer has a value of another query
-	TwiceValue  bool // an answer has a value twice
-	IgnoreDrain bool // the module is not told of drains
-	HideStart   bool // brokers are not told of starts
-	Twin        bool // a part goes out twice at once
+	Unfenced         bool // nodes execute what they do not hold
+	LoseAnswer       bool // now and then an answer reaches nobody
+	MarkComplete     bool // answers are marked whole
+	DropHit          bool // an answer lacks its last value
+	ForeignValue     bool // an answer has a value of another query
+	DuplicateValue   bool // an answer has a value twice
+	IgnoreDrain      bool // the module is not told of drains
+	HideStarts       bool // brokers are not told of starts
+	DuplicateAttempt bool // a part goes out twice at once
 }
 
 // New makes a run of an experiment.
 func New(e *exp.Experiment, seed uint64) *World {
-	s := &World{e: e, now: origin, load: rand.New(rand.NewPCG(seed, 1)), net: rand.New(rand.NewPCG(seed, 2)),
-		world: rand.New(rand.NewPCG(seed, 3)), check: check.New(), queries: map[string]*query{},
+	s := &World{e: e, now: clockStartMs, loadRand: rand.New(rand.NewPCG(seed, 1)), networkRand: rand.New(rand.NewPCG(seed, 2)),
+		faultRand: rand.New(rand.NewPCG(seed, 3)), check: check.New(), queries: map[string]*query{},
 		latency: hdrhistogram.New(1, 60_000_000, 3)}
 	s.check.Copies = e.Copies
 	if !e.Pushed {
-		s.check.Unasked = askWithin
+		s.check.Unasked = askWithinMs
 	}
-	s.sums = ledger.New(e.Brokers)
+	s.ledger = ledger.New(e.Brokers)
 	s.fleet = newFleet(s, seed)
 	s.seed = seed
-	s.end = origin + e.Seconds*1000
+	s.endMs = clockStartMs + e.Seconds*1000
 	return s
 }
 
 // at sets what happens at a time.
-func (s *World) at(t float64, do func()) {
+func (s *World) schedule(t float64, do func()) {
 	s.seq++
 	heap.Push(&s.queue, event{max(t, s.now), s.seq, do})
 }
 
 // hop is the time a message takes one way.
-func (s *World) hop() float64 { return netLeast + (netMost-netLeast)*s.net.Float64() }
+func (s *World) networkDelay() float64 {
+	return minNetworkDelayMs + (maxNetworkDelayMs-minNetworkDelayMs)*s.networkRand.Float64()
+}
 
 // way is the time a message takes from one zone to another.
-func (s *World) way(a, b int) float64 {
+func (s *World) zoneDelay(a, b int) float64 {
 	if a != b {
-		return s.e.Cross.Draw(s.net)
+		return s.e.Cross.Draw(s.networkRand)
 	}
-	return s.hop()
+	return s.networkDelay()
 }
 
 // Run plays it in virtual time to the end. tick, if any, is called once for each simulated second.
 func (s *World) Run(tick func(second int, r result.Summary)) result.Summary {
-	began := time.Now()
+	startedAt := time.Now()
 	s.mode = "sim"
 	for i := range s.e.Brokers {
-		s.brokers = append(s.brokers, newVirtual(s, i))
+		s.brokers = append(s.brokers, newVirtualBroker(s, i))
 	}
-	s.fleet.start()
+	s.fleet.scheduleEvents()
 	for _, b := range s.brokers {
 		b.start(nil)
 	}
-	s.at(s.now+1500, s.arrive) // brokers have a map and a list by then
+	s.schedule(s.now+1500, s.arrive) // brokers have a map and a list by then
 	next := s.now + 1000
 	for len(s.queue) > 0 {
-		if at := s.queue[0].at; at > s.end+tail {
+		if at := s.queue[0].at; at > s.endMs+tailMs {
 			break
 		} else if at > s.now {
-			s.turns()
+			s.runRounds()
 			if len(s.queue) == 0 || s.queue[0].at > at || s.queue[0].at < at {
 				continue
 			}
 			for tick != nil && at >= next {
-				tick(int((next-origin)/1000), s.Summary())
+				tick(int((next-clockStartMs)/1000), s.Summary())
 				next += 1000
 			}
 			s.now = at
 		}
-		heap.Pop(&s.queue).(event).do()
+		heap.Pop(&s.queue).(event).run()
 	}
 	r := s.Summary()
-	r.WallS = time.Since(began).Seconds()
+	r.WallS = time.Since(startedAt).Seconds()
 	return r
 }
 
 // turns ends the moment: every broker to which something happened decides once.
-func (s *World) turns() {
+func (s *World) runRounds() {
 	for len(s.dirty) > 0 {
-		list := s.dirty
+		brokers := s.dirty
 		s.dirty = nil
-		for _, b := range list {
+		for _, b := range brokers {
 			b.dirty = false
 			if b.core != nil {
 				b.core.RunRound()
@@ -201,133 +203,133 @@
 // Summary is what is known so far.
 func (s *World) Summary() result.Summary {
 	r := result.Summary{Mode: s.mode, Name: s.e.Name, Arm: s.e.Arm, Counts: s.check.Counts, Notes: s.check.Notes,
-		Changes: s.fleet.changes, Epochs: int(s.fleet.truth.Current().Epoch), Stale: s.stale,
+		Changes: s.fleet.changeCount, Epochs: int(s.fleet.shardMap.Current().Epoch), Stale: s.staleRequests,
 		P50: float64(s.latency.ValueAtQuantile(50)) / 1000, P99: float64(s.latency.ValueAtQuantile(99)) / 1000,
-		SimulatedS: (s.now - origin) / 1000, Slices: s.fleet.truth.Current().Len()}
-	r.Busy, r.BusyShare = s.sums.BusyParts()
-	r.ColdUsed, r.ColdShort, r.Fairness = s.sums.All.Share(), s.sums.Short.Share(), s.sums.Fairness(fairFrom)
-	if s.worth[1] > 0 {
-		r.Worth = math.Round(s.worth[0]/s.worth[1]*1e6) / 1e6
+		SimulatedS: (s.now - clockStartMs) / 1000, Slices: s.fleet.shardMap.Current().Len()}
+	r.Busy, r.BusyShare = s.ledger.BusyParts()
+	r.ColdUsed, r.ColdShort, r.Fairness = s.ledger.All.Share(), s.ledger.Short.Share(), s.ledger.Fairness(minFairnessQueries)
+	if s.weight[1] > 0 {
+		r.Worth = math.Round(s.weight[0]/s.weight[1]*1e6) / 1e6
 	}
 	for _, b := range s.brokers {
-		b.sum(&r)
+		b.addStats(&r)
 	}
 	return r
 }
 
 // Ledger is what all brokers together have done so far.
-func (s *World) Ledger() *ledger.Ledger { return s.sums }
+func (s *World) Ledger() *ledger.Ledger { return s.ledger }
 
 // query is what a client asked and what became of it. It implements core.Client.
 type query struct {
-	sim   *World
-	ask   *check.Ask
-	class exp.Class
-	work  []float64 // by part
-	due   float64   // when it was first to be sent
-	first bool
-	tries int
-	epoch uint64 // of the map by which its parts are named
-	b     broker
-	gen   int
-	over  bool
+	world    *World
+	ask      *check.Ask
+	class    exp.Class
+	work     []float64 // by part
+	firstDue float64   // when it was first to be sent
+	isFirst  bool
+	retries  int
+	epoch    uint64 // of the map by which its parts are named
+	broker   broker
+	gen      int
+	ended    bool
 }
 
 // arrive lets the next query come; arrivals do not wait for answers.
 func (s *World) arrive() {
-	if s.now >= s.end {
+	if s.now >= s.endMs {
 		return
 	}
-	s.at(s.now+s.load.ExpFloat64()*1000/s.e.Rate, s.arrive)
-	x, i := s.load.Float64(), 0
-	for ; i < len(s.e.Classes)-1 && x >= s.e.Classes[i].Share; i++ {
-		x -= s.e.Classes[i].Share
+	s.schedule(s.now+s.loadRand.ExpFloat64()*1000/s.e.Rate, s.arrive)
+	pick, i := s.loadRand.Float64(), 0
+	for ; i < len(s.e.Classes)-1 && pick >= s.e.Classes[i].Share; i++ {
+		pick -= s.e.Classes[i].Share
 	}
 	c := s.e.Classes[i]
-	n := int(c.Parts[0]) + s.load.IntN(int(c.Parts[1]-c.Parts[0])+1)
+	n := int(c.Parts[0]) + s.loadRand.IntN(int(c.Parts[1]-c.Parts[0])+1)
 	// The client's own idea of the slices is old.
-	v := s.fleet.seen(s.now - s.e.Client.Draw(s.load))
-	at, sum := v.ShardAt(s.load.IntN(v.Buckets)), 0.0
-	q := &query{sim: s, class: c, due: s.now, first: true, ask: &check.Ask{Class: i, Once: c.Once(),
+	v := s.fleet.versionAt(s.now - s.e.Client.Draw(s.loadRand))
+	at, weightSum := v.ShardAt(s.loadRand.IntN(v.Buckets)), 0.0
+	q := &query{world: s, class: c, firstDue: s.now, isFirst: true, ask: &check.Ask{Class: i, Once: c.Once(),
 		Floor:    c.Floor,
-		Deadline: s.now + c.Deadline*(0.6+0.4*s.load.Float64())}}
+		Deadline: s.now + c.Deadline*(0.6+0.4*s.loadRand.Float64())}}
 	for range min(n, v.Len()) {
-		w := 0.5 + s.load.Float64()
-		q.ask.Parts = append(q.ask.Parts, check.Part{Shard: at.ID, Weight: w, Districts: at.Range})
-		q.work = append(q.work, c.Work.Draw(s.load))
-		sum += w
+		weight := 0.5 + s.loadRand.Float64()
+		q.ask.Parts = append(q.ask.Parts, check.Part{Shard: at.ID, Weight: weight, Districts: at.Range})
+		q.work = append(q.work, c.Work.Draw(s.loadRand))
+		weightSum += weight
 		at = v.ShardAt(at.End % v.Buckets)
 	}
 	for i := range q.ask.Parts {
-		q.ask.Parts[i].Weight /= sum
+		q.ask.Parts[i].Weight /= weightSum
 	}
-	s.worth[1] += c.Worth
+	s.weight[1] += c.Worth
 	s.send(q, v.Epoch)
 }
 
 // send gives a query to a broker that is up, if there is one.
 func (s *World) send(q *query, epoch uint64) {
-	s.byID++
-	first, asked := s.byID, len(s.brokers)-int(s.e.Traffic.Idle*float64(len(s.brokers)))
-	if hot := s.e.Traffic.Hot; hot > 1 && s.load.Float64()*float64(asked) < hot {
-		first = 0
+	s.lastID++
+	index, brokers := s.lastID, len(s.brokers)-int(s.e.Traffic.Idle*float64(len(s.brokers)))
+	if hot := s.e.Traffic.Hot; hot > 1 && s.loadRand.Float64()*float64(brokers) < hot {
+		index = 0
 	}
-	for i := range asked {
-		if b := s.brokers[(first+i)%asked]; b.up() {
-			q.b, q.gen = b, b.process()
+	for i := range brokers {
+		if b := s.brokers[(index+i)%brokers]; b.isUp() {
+			q.broker, q.gen = b, b.generation()
 			break
 		}
 	}
-	if q.b == nil {
+	if q.broker == nil {
 		return
 	}
 	q.epoch = epoch
-	q.ask.ID = fmt.Sprintf("q%08d", s.byID)
-	r := &core.Request{ID: q.ask.ID, Class: q.ask.Class, Deadline: q.ask.Deadline, ClientRetry: !q.first,
+	q.ask.ID = fmt.Sprintf("q%08d", s.lastID)
+	r := &core.Request{ID: q.ask.ID, Class: q.ask.Class, Deadline: q.ask.Deadline, ClientRetry: !q.isFirst,
 		Epoch:   epoch,
 		Payload: []byte("x"), Client: q}
 	for i, p := range q.ask.Parts {
 		r.Parts = append(r.Parts, core.Part{Shard: p.Shard, Weight: p.Weight, HasCostHint: true,
-			CostHint: q.work[i] * (0.8 + 0.4*s.load.Float64())})
+			CostHint: q.work[i] * (0.8 + 0.4*s.loadRand.Float64())})
 	}
 	id := q.ask.ID
 	s.queries[id] = q
 	s.check.Asked(q.ask)
-	if err := q.b.take(q, r); err != nil {
-		q.rejected()
+	if err := q.broker.submit(q, r); err != nil {
+		q.retryStaleMap()
 		return
 	}
-	s.at(q.ask.Deadline+100, func() { s.check.Over(id) })
-	s.at(q.ask.Deadline+forget, func() {
+	s.schedule(q.ask.Deadline+100, func() { s.check.Over(id) })
+	s.schedule(q.ask.Deadline+forgetAfterMs, func() {
 		delete(s.queries, id)
 		s.check.Forget(id)
 	})
 }
 
 // rejected tells that a query was not taken: its client reads the map anew and asks again, once.
-func (q *query) rejected() {
-	s, id := q.sim, q.ask.ID
+func (q *query) retryStaleMap() {
+	s, id := q.world, q.ask.ID
 	s.check.Taken--
 	s.check.Void(id)
 	s.check.Over(id)
 	delete(s.queries, id)
-	if s.stale++; q.tries >= 1 {
+	if s.staleRequests++; q.retries >= 1 {
 		return
 	}
-	next, ask := *q, q.ask.Anew()
-	next.tries++
-	next.ask, next.b = ask, nil
-	v := s.fleet.truth.Current()
+	retry, ask := *q, q.ask.Anew()
+	retry.retries++
+	retry.ask, retry.broker = ask, nil
+	v := s.fleet.shardMap.Current()
 	for i, p := range ask.Parts {
 		now := v.ShardAt(p.Districts.Start)
 		ask.Parts[i] = check.Part{Shard: now.ID, Weight: p.Weight, Districts: now.Range}
 	}
-	if distinct(ask.Parts) {
-		s.send(&next, v.Epoch)
+	if areShardsDistinct(ask.Parts) {
+		s.send(&retry, v.Epoch)
 	}
 }
 
-func distinct(parts []check.Part) bool {
+func areShardsDistinct(parts []check.Part) bool {
 	seen := map[int]bool{}
 	for _, p := range parts {
 		if seen[p.Shard] {
@@ -340,24 +342,24 @@
 
 // Finish implements core.Client.
 func (q *query) Finish(a core.Answer) {
-	s, id := q.sim, q.ask.ID
-	if q.over || q.gen != q.b.process() {
+	s, id := q.world, q.ask.ID
+	if q.ended || q.gen != q.broker.generation() {
 		return
 	}
-	if s.Fault.LoseAnswer && s.byID%50 == 0 {
+	if s.Fault.LoseAnswer && s.lastID%50 == 0 {
 		return
 	}
-	q.over = true
+	q.ended = true
 	switch a.Kind {
 	case core.Rejected:
 		s.check.Refusal(s.now, id)
-		s.sums.Refused(q.b.number())
-		q.again(a.RetryAfter)
+		s.ledger.Refused(q.broker.number())
+		q.retryRejected(a.RetryAfter)
 	case core.Failed:
 		s.check.Failure(s.now, id)
-		s.sums.Failed(q.b.number())
+		s.ledger.Failed(q.broker.number())
 	default:
-		s.sums.Answered(q.b.number())
+		s.ledger.Answered(q.broker.number())
 		hits := make([]check.Hit, 0, len(a.Values))
 		for _, v := range a.Values {
 			hits = append(hits, check.Hit{Shard: v.Shard, Districts: v.Buckets, Doc: string(v.Doc)})
@@ -366,37 +368,37 @@
 			switch {
 			case s.Fault.DropHit:
 				hits = hits[:n-1]
-			case s.Fault.OtherValue:
+			case s.Fault.ForeignValue:
 				hits[n-1].Doc = model.Value("q0", hits[n-1].Districts)
-			case s.Fault.TwiceValue:
+			case s.Fault.DuplicateValue:
 				hits = append(hits, hits[n-1])
 			}
 		}
-		share := s.check.Answer(s.now, id, a.Complete || s.Fault.MarkWhole, hits)
-		_ = s.latency.RecordValue(int64((s.now - q.due) * 1000))
-		worth := q.class.Worth
+		share := s.check.Answer(s.now, id, a.Complete || s.Fault.MarkComplete, hits)
+		_ = s.latency.RecordValue(int64((s.now - q.firstDue) * 1000))
+		weight := q.class.Worth
 		if share < 1-1e-4 {
-			worth *= q.class.Partial * share
+			weight *= q.class.Partial * share
 		}
-		if s.now > q.due+q.class.Aim {
-			worth *= q.class.Late
+		if s.now > q.firstDue+q.class.Aim {
+			weight *= q.class.Late
 		}
-		s.worth[0] += worth
+		s.weight[0] += weight
 	}
 }
 
 // again asks once more after a refusal, as a client does: its time counts from the first try.
-func (q *query) again(after float64) {
-	s := q.sim
-	at := s.now + max(after, 1)
-	if q.tries >= s.e.Retries || at >= q.due+q.class.Deadline {
+func (q *query) retryRejected(afterMs float64) {
+	s := q.world
+	at := s.now + max(afterMs, 1)
+	if q.retries >= s.e.Retries || at >= q.firstDue+q.class.Deadline {
 		return
 	}
-	next, ask := *q, q.ask.Anew()
-	next.ask, next.first, next.over, next.b = ask, false, false, nil
-	next.tries++
-	ask.Deadline = q.due + q.class.Deadline
-	s.at(at, func() { s.send(&next, next.epoch) })
+	retry, ask := *q, q.ask.Anew()
+	retry.ask, retry.isFirst, retry.ended, retry.broker = ask, false, false, nil
+	retry.retries++
+	ask.Deadline = q.firstDue + q.class.Deadline
+	s.schedule(at, func() { s.send(&retry, retry.epoch) })
 }
 
 // workOf is the work of districts of a query.
