--- a/internal/lab/world/fleet.go
+++ b/internal/lab/world/fleet.go
@@ -12,49 +12,49 @@
 )
 
 const (
-	maxMapHistory    = 512  // of the truth, by which the client's old ideas and nodes are judged
-	maxRetiredShards = 1024 // that a whole map tells
-	maxChangeLog     = 4096 // that a watch may resume over; further back the whole map is told
+	maxMapHistory    = 512  // map versions kept for clients with a stale map and for checks of what backends held
+	maxRetiredShards = 1024 // retired shards in a snapshot
+	maxChangeLog     = 4096 // changes from which a watch can resume; one that lags further gets a snapshot
 )
 
-// node is a node of the fleet.
+// backend is an emulated backend.
 type backend struct {
 	*model.Node
 	world             *World
 	index             int
 	number            uint32
 	state             scheduler.ReplicaState
-	gen               int // of its process
-	incomingMoves     int
-	hasFault          bool // in trouble
+	gen               int  // counts the starts and stops of its process
+	incomingMoves     int  // shards that are being moved to it
+	hasFault          bool // an injected fault lasts
 	zone              int
-	stalledUntil      float64     // until when it stands still
-	smoothedServiceMs float64     // ms that parts took of late, without waiting
-	loadReport        string      // of its load, as last measured; "" for none
-	listeners         listenerSet // live: its sockets
+	stalledUntil      float64     // parts that would finish earlier finish then
+	smoothedServiceMs float64     // moving average of the service time of parts, without their wait
+	loadReport        string      // load report sent with answers, as last measured; "" if it sends none
+	listeners         listenerSet // nil in virtual time
 }
 
-// wire is a live node's listener and connections.
+// listenerSet holds the listeners and connections of a backend in a live run.
 type listenerSet interface {
-	close() // they end, as with their process
+	close() // closes listeners and connections, as the end of the process does
 	listen()
-	resetLost() // the way from other zones is there again
+	resetLost() // resets connections that lost messages while their zone was cut off
 }
 
-// listNews is one line of news of the list.
+// endpointEvent is one change of the endpoint list.
 type endpointEvent struct {
 	backend *backend
 	state   scheduler.ReplicaState
-	started float64
+	started float64 // ms
 }
 
-// stamped is a version of the truth and when it began.
+// timedVersion is a version of the shard map and the time from which it was current.
 type timedVersion struct {
 	since   float64
 	version *shardmap.Version
 }
 
-// fleet is the nodes, the list of them, and the catalogue with the true map.
+// fleet holds the backends, their endpoint list, and the catalogue with the authoritative shard map.
 type fleet struct {
 	world            *World
 	backends         []*backend
@@ -63,16 +63,19 @@
 	shardMap         *shardmap.Map
 	mapHistory       []timedVersion
 	changeLog        []shardmap.Change
-	watchers         []func() // watches that wait for news
+	watchers         []func() // watches that wait for a change of the map
 	nextShard        shardmap.ShardID
 	changeCount      int
 	movePacer        shardmap.HandoverPacer
-	cutZone          int        // the zone that is cut off from the others, -1 for none
-	agentSilentUntil []float64  // by broker: until when its agent is silent
-	agentUpdatedAt   []float64  // by broker: when its agent last got news
-	linksCutUntil    []float64  // by broker: until when its links to all nodes are cut
-	loadReportRand   *rand.Rand // of when nodes measure their load, so that days with and without it are the same
-	changeRand       *rand.Rand // of changes, so that days with and without them have the same troubles
+	cutZone          int       // zone that is cut off from the others, -1 for none
+	agentSilentUntil []float64 // by broker: its discovery agent does not respond until then
+	agentUpdatedAt   []float64 // by broker: when its agent last got an endpoint event
+	linksCutUntil    []float64 // by broker: its links to all backends are cut until then
+
+	// Load reports and shard map changes draw from sources of their own, so that runs with and without them
+	// have the same faults.
+	loadReportRand *rand.Rand
+	changeRand     *rand.Rand
 }
 
 func newFleet(s *World, seed uint64) *fleet {
@@ -83,7 +86,7 @@
 		linksCutUntil: make([]float64, s.e.Brokers), agentUpdatedAt: make([]float64, s.e.Brokers),
 		movePacer: shardmap.HandoverPacer{MaxConcurrent: 2, InitialCapacity: s.e.Node.ColdFrom, WarmupMs: s.e.Node.Warm}}
 	if _, err := f.shardMap.Reset(s.e.Map()); err != nil {
-		panic(err) // the experiment's own first map
+		panic(err) // exp.Load has checked the experiment
 	}
 	f.mapHistory = []timedVersion{{0, f.shardMap.Current()}}
 	for i := range s.e.Nodes {
@@ -96,6 +99,7 @@
 	return f
 }
 
+// scheduleEvents schedules shard map changes, faults, load reports and pauses of the run.
 func (f *fleet) scheduleEvents() {
 	s := f.world
 	if s.e.Changes.Every > 0 {
@@ -120,7 +124,8 @@
 	}
 }
 
-// seen is the map as it could be read from the catalogue at a time: while that is down, as it was before.
+// versionAt returns the map version that a reader of the catalogue had at a time. During an outage it is the
+// version from before the outage.
 func (f *fleet) versionAt(at float64) *shardmap.Version {
 	for _, o := range f.world.e.News.Outages {
 		if elapsed := at - clockStartMs; elapsed >= o.At && elapsed < o.At+o.For {
@@ -134,7 +139,8 @@
 	return f.mapHistory[i].version
 }
 
-// apply makes a change of the truth and tells those who are to know. It tells whether the change can be.
+// applyChange applies a change to the shard map, informs the backends and wakes the watches. It reports whether
+// the change is valid.
 func (f *fleet) applyChange(c shardmap.Change) bool {
 	s := f.world
 	cur := f.shardMap.Current()
@@ -166,20 +172,20 @@
 	return true
 }
 
-// told is what the catalogue answers: a whole map, or changes.
+// catalogueAnswer is an answer of the catalogue: a snapshot or changes.
 type catalogueAnswer struct {
-	version   *shardmap.Version // nil for changes
+	version   *shardmap.Version // nil if it holds changes
 	retired   []shardmap.RetiredShard
 	changes   []shardmap.Change
 	epoch     uint64
-	malformed bool // the broker must refuse it
+	malformed bool // the broker must reject it
 }
 
-// asked is a call to the catalogue. deliver may come twice, or never; fail tells that the call came to
-// nothing.
+// poll answers a call to the catalogue. It calls deliver with the answer, twice if the answer is duplicated, or
+// fail if the call fails.
 func (f *fleet) poll(call shardmap.PollRequest, fail func(), deliver func(catalogueAnswer)) {
 	s := f.world
-	if s.networkRand.Float64() < s.e.News.Lost { // nothing ever comes
+	if s.networkRand.Float64() < s.e.News.Lost { // the answer is lost
 		s.schedule(s.now+call.TimeoutMs, fail)
 		return
 	}
@@ -195,7 +201,7 @@
 		}
 		response := f.currentAnswer(call)
 		s.schedule(s.now+s.e.News.Catalogue.Draw(s.networkRand), func() { deliver(response) })
-		if s.networkRand.Float64() < s.e.News.Twice { // a copy of it comes later, out of its order
+		if s.networkRand.Float64() < s.e.News.Twice { // a duplicate arrives later and out of order
 			s.schedule(s.now+500+s.e.News.Catalogue.Draw(s.networkRand), func() { deliver(response) })
 		}
 	}
@@ -214,7 +220,7 @@
 	})
 }
 
-// out tells that the catalogue is down.
+// isCatalogueDown reports whether the catalogue is in an outage.
 func (f *fleet) isCatalogueDown() bool {
 	for _, o := range f.world.e.News.Outages {
 		if at := f.world.now - clockStartMs; at >= o.At && at < o.At+o.For {
@@ -224,7 +230,7 @@
 	return false
 }
 
-// answer is what the catalogue says at this moment. Now and then it is spoilt: the broker must refuse it.
+// currentAnswer returns the answer to a call at this moment. A share of the answers is malformed.
 func (f *fleet) currentAnswer(call shardmap.PollRequest) catalogueAnswer {
 	s := f.world
 	cur := f.shardMap.Current()
@@ -236,26 +242,26 @@
 	}
 	if i >= 0 {
 		if s.networkRand.Float64() < s.e.News.Twice {
-			i = max(0, i-2) // what is known already comes along
+			i = max(0, i-2) // includes changes that the caller already has
 		}
 		a.changes = slices.Clone(f.changeLog[i:])
 	}
 	if n := len(a.changes); n > 0 && a.malformed {
-		a.changes[n-1].Base++ // onto a base that it has not
+		a.changes[n-1].Base++ // the base epoch does not match
 	}
 	return a
 }
 
-// whole is a whole map as it is told.
+// snapshot returns the snapshot of an answer. A malformed one lacks its first shard.
 func (a catalogueAnswer) snapshot() shardmap.Snapshot {
 	w := snapshotOf(a.version, a.retired)
 	if a.malformed {
-		w.Shards = w.Shards[1:] // a hole
+		w.Shards = w.Shards[1:]
 	}
 	return w
 }
 
-// retiredBefore is what was retired when a version was in use, as who kept that knows it.
+// retiredAsOf returns the shards that were already retired in a version.
 func (f *fleet) retiredAsOf(v *shardmap.Version) (out []shardmap.RetiredShard) {
 	highest := 0
 	v.All(func(x *shardmap.Shard) bool { highest = max(highest, x.ID); return true })
@@ -267,7 +273,7 @@
 	return out
 }
 
-// wholeOf is a version as it is told whole. Slices are copied: a map takes over what it is given.
+// snapshotOf returns a snapshot of a version. It copies the shards, as a map takes ownership of those it is given.
 func snapshotOf(v *shardmap.Version, retired []shardmap.RetiredShard) shardmap.Snapshot {
 	w := shardmap.Snapshot{Epoch: v.Epoch, Buckets: v.Buckets, Retired: retired,
 		Shards: make([]*shardmap.Shard, 0, v.Len())}
@@ -279,7 +285,7 @@
 	return w
 }
 
-// change makes a change at random.
+// applyRandomChange splits, merges or moves a random shard and schedules the next change.
 func (f *fleet) applyRandomChange() {
 	s := f.world
 	if s.now >= s.endMs {
@@ -298,9 +304,9 @@
 				return
 			}
 		case x < c.Split+c.Merge:
-			for range 50 { // neighbours with the same holders are rare
-				if o := v.ShardAt(at.End); o != nil && f.applyChange(shardmap.Change{Kind: shardmap.Merge, Shard: at.ID, Other: o.ID,
-					Into: []shardmap.ShardID{f.nextShard}}) {
+			for range 50 { // adjacent shards with the same replicas are rare
+				if o := v.ShardAt(at.End); o != nil && f.applyChange(shardmap.Change{Kind: shardmap.Merge,
+					Shard: at.ID, Other: o.ID, Into: []shardmap.ShardID{f.nextShard}}) {
 					f.nextShard++
 					return
 				}
@@ -314,7 +320,7 @@
 	}
 }
 
-// move begins to move a slice onto another node, at the pace that this can bear.
+// startRandomMove starts to move a shard to a random backend, unless the pacer allows that backend no handover now.
 func (f *fleet) startRandomMove(at *shardmap.Shard) bool {
 	s := f.world
 	to := f.backends[f.changeRand.IntN(len(f.backends))]
@@ -328,18 +334,18 @@
 			return true
 		})
 	}
-	if to.state != scheduler.Ready || !f.movePacer.MayHandOver(s.now,
-		shardmap.HandoverTarget{StartedAtMs: to.Started, Buckets: heldBuckets, HandoversInProgress: to.incomingMoves}, at.Size(), meanBuckets) {
+	if to.state != scheduler.Ready || !f.movePacer.MayHandOver(s.now, shardmap.HandoverTarget{StartedAtMs: to.Started,
+		Buckets: heldBuckets, HandoversInProgress: to.incomingMoves}, at.Size(), meanBuckets) {
 		return false
 	}
 	abort := f.changeRand.Float64() < s.e.Changes.Abort
-	return f.moveShard(at, from, to, s.e.Changes.Copy.Draw(f.changeRand), s.e.Changes.Handover.Draw(f.changeRand), abort,
-		abort && f.changeRand.IntN(2) == 0)
+	return f.moveShard(at, from, to, s.e.Changes.Copy.Draw(f.changeRand), s.e.Changes.Handover.Draw(f.changeRand),
+		abort, abort && f.changeRand.IntN(2) == 0)
 }
 
-// moveTo moves a slice: it is copied for so many ms, then handed over, and after so many more the move is
-// done, or is aborted, early before the handover. If the destination dies before the end, it goes back to the
-// source.
+// moveShard moves a shard. After copyMs the handover begins, and after another handoverMs the move is done or,
+// with abort, undone; with abortEarly it is undone before the handover. If the destination stops before the
+// end, the shard stays with its source.
 func (f *fleet) moveShard(at *shardmap.Shard, from string, to *backend, copyMs, handoverMs float64,
 	abort, abortEarly bool) bool {
 	s := f.world
@@ -347,7 +353,7 @@
 		return false
 	}
 	to.incomingMoves++
-	r, gen := at.Range, to.gen // a process that has started anew has no copy
+	r, gen := at.Range, to.gen // a restarted process has lost its copy
 	s.schedule(s.now+copyMs, func() {
 		if abortEarly || to.gen != gen || to.state == scheduler.Removed {
 			f.applyToMoving(r, from, to.ID, shardmap.Abort)
@@ -367,8 +373,8 @@
 	return true
 }
 
-// each makes a change of the slices that hold districts and are being moved so: a split may have come
-// between.
+// applyToMoving applies a change to every shard of a range that is moving between two backends. There may be
+// several, as a moving shard can be split.
 func (f *fleet) applyToMoving(r shardmap.Range, from, to string, kind shardmap.Kind) {
 	v := f.shardMap.Current()
 	for at := r.Start; at < r.End; {
@@ -380,7 +386,7 @@
 	}
 }
 
-// tell puts news of a node on the list; each broker hears of it late.
+// publish adds a backend's new state to the endpoint list. Each broker is notified after a delay of its own.
 func (f *fleet) publish(n *backend, state scheduler.ReplicaState) {
 	s := f.world
 	n.state = state
@@ -396,14 +402,14 @@
 	}
 }
 
-// readable is the time, in ms, in which a broker has read what its agent got: it reads every 100.
+// agentReadMs is the time in which a broker has read an update from its agent, which it polls every 100 ms.
 const agentReadMs = 150.0
 
-// ledgerStep is how often what cold nodes were sent is counted up, in ms.
+// ledgerStepMs is the interval at which the ledger closes a step.
 const ledgerStepMs = 100.0
 
-// account counts what cold nodes might have been sent since the last time: so much of what they can do now
-// as a node stands without falling.
+// recordSlowStartAllowance records the work that warming backends could have been sent in this step: their
+// present capacity times the overload factor that a backend withstands.
 func (f *fleet) recordSlowStartAllowance() {
 	s := f.world
 	for _, n := range f.backends {
@@ -416,10 +422,10 @@
 	}
 }
 
-// answerer is where a node's answer to a part goes.
+// responder receives a backend's answer to a part.
 type responder interface{ respond(end model.End) }
 
-// arrive takes a part that has reached the node.
+// receive takes a part that has reached the backend.
 func (n *backend) receive(j *model.Job) {
 	s := n.world
 	s.check.Came(j.Query, j.Districts)
@@ -449,21 +455,22 @@
 	}
 }
 
-// measure takes the load that the node tells with its answers, until the next time: it is old by then.
+// measureLoad renews the load report at intervals; in between, answers carry the last one.
 func (n *backend) measureLoad() {
 	s := n.world
 	n.loadReport = fmt.Sprintf("inflight=%d,latency_ms=%.1f,queue=%d", n.Out(), n.smoothedServiceMs, n.Waiting())
 	s.schedule(s.now+s.e.Node.ReportEvery.Draw(s.fleet.loadReportRand), n.measureLoad)
 }
 
-// begun notes that a node has begun a part that ends at done.
+// partStarted records that a part runs from now and schedules its end at done.
 func (n *backend) partStarted(j *model.Job, done float64) {
 	n.smoothedServiceMs += (done - n.world.now - n.smoothedServiceMs) / 8
 	n.world.check.Ran(n.ID, j.Query, j.Districts, j.Once, n.heldBuckets(j))
 	n.scheduleFinish(j, done, n.gen)
 }
 
-// ends has a part end at a time, or when the node goes on if it stands still then; never if its process ends.
+// scheduleFinish finishes a part at a time, or at the end of a stall if the backend is stalled then. The part does
+// not finish if the process ends first.
 func (n *backend) scheduleFinish(j *model.Job, at float64, gen int) {
 	s := n.world
 	s.schedule(at, func() {
@@ -477,7 +484,7 @@
 	})
 }
 
-// end ends a part; of those that wait the next one begins.
+// finishPart answers a part that has run, and those queued parts whose shard has moved, and starts the next one.
 func (n *backend) finishPart(j *model.Job) {
 	end, moved, next, nextDone := n.Finish(n.world.now, j)
 	for _, m := range moved {
@@ -491,7 +498,7 @@
 	}
 }
 
-// pauses lets a node stand still by itself, again and again.
+// pauseRepeatedly stalls the backend at intervals, as pauses of its runtime would.
 func (n *backend) pauseRepeatedly() {
 	s := n.world
 	if s.now >= s.endMs {
@@ -501,20 +508,21 @@
 	s.schedule(s.now+s.e.Node.PauseEvery.Draw(s.faultRand), n.pauseRepeatedly)
 }
 
-// reach tells whether anything gets from one zone to another.
+// canReach reports whether messages get from one zone to another.
 func (f *fleet) canReach(a, b int) bool {
 	return f.cutZone < 0 || a == b || a != f.cutZone && b != f.cutZone
 }
 
-// truly tells whether the node held a part's districts at its epoch, by the truth and not by its own word.
+// heldBuckets reports whether the backend held a part's buckets at the epoch at which it accepted the part, by
+// the catalogue's map rather than the backend's own.
 func (n *backend) heldBuckets(j *model.Job) bool {
 	s := n.world
 	if s.e.Arm != exp.Follow && !s.Fault.Unfenced {
-		return true // nothing is fenced, and nodes turn away what they do not hold
+		return true // parts carry no epoch, and backends reject buckets that they do not hold
 	}
 	i := slices.IndexFunc(s.fleet.mapHistory, func(p timedVersion) bool { return p.version.Epoch == j.View })
 	if i < 0 {
-		return true // too long ago to be judged
+		return true // the version is no longer kept
 	}
 	for at := j.Districts.Start; at < j.Districts.End; {
 		x := s.fleet.mapHistory[i].version.ShardAt(at)
@@ -526,7 +534,7 @@
 	return true
 }
 
-// die ends a node's process: its connections are reset.
+// stopBackend ends a backend's process and resets its connections.
 func (f *fleet) stopBackend(n *backend) {
 	s := f.world
 	for _, j := range n.Kill() {
@@ -542,7 +550,7 @@
 	f.publish(n, scheduler.Removed)
 }
 
-// back starts a node's process anew, cold.
+// restartBackend starts a backend's process again; it has to warm up.
 func (f *fleet) restartBackend(n *backend) {
 	n.gen++
 	n.Restart(f.world.now, f.shardMap.Current())
@@ -552,8 +560,8 @@
 	f.publish(n, scheduler.Ready)
 }
 
-// trouble lets something go wrong. As long as a part of the fleet is in trouble the rest is left alone, so
-// that most slices keep a sound holder.
+// injectRandomFault injects a fault drawn at random and schedules the next one. While many backends have a
+// fault no further backend gets one, so that most shards keep a working replica.
 func (f *fleet) injectRandomFault() {
 	s := f.world
 	if s.now >= s.endMs {
@@ -571,84 +579,101 @@
 	f.injectFault(kind, target, s.e.Troubles.For.Draw(s.faultRand), false)
 }
 
-// strike lets something go wrong at a node, a zone or a broker: what is drawn only if little is wrong
-// already, what is scripted whatever else is, unless it is wrong there.
+// injectFault injects a fault into a backend, a zone or a broker. A random fault is skipped when too much has
+// failed already; a scripted fault is skipped only if its target cannot have it now.
 func (f *fleet) injectFault(kind string, target int, durationMs float64, scripted bool) {
-	s := f.world
 	switch kind {
 	case "broker":
-		b := s.brokers[target]
-		if !b.isUp() || !scripted && (len(s.brokers) < 2 ||
-			slices.ContainsFunc(s.brokers, func(x broker) bool { return !x.isUp() })) {
-			return
-		}
-		b.kill()
-		old := f.versionAt(s.now - 4000) // it comes back with a map that it kept
-		s.schedule(s.now+min(durationMs, 2000), func() { b.start(old) })
-		return
+		f.crashBroker(target, durationMs, scripted)
 	case "silent":
-		// What an agent got a moment before would count as told and could be read by nobody.
-		if s.e.Pushed && s.now < f.agentUpdatedAt[target]+agentReadMs {
-			s.schedule(f.agentUpdatedAt[target]+agentReadMs, func() { f.injectFault(kind, target, durationMs, scripted) })
-		} else if s.e.Pushed {
-			f.agentSilentUntil[target] = max(f.agentSilentUntil[target], s.now+durationMs)
-		}
-		return
+		f.silenceAgent(target, durationMs)
 	case "link_cut":
-		f.linksCutUntil[target] = max(f.linksCutUntil[target], s.now+durationMs)
-		s.brokers[target].linksChanged(true)
-		s.schedule(s.now+durationMs, func() {
-			if s.now >= f.linksCutUntil[target] {
-				s.brokers[target].linksChanged(false)
-			}
-		})
-		return
+		f.cutLinks(target, durationMs)
 	case "zone_cut":
-		if f.cutZone >= 0 || s.e.Zones < 2 {
-			return
+		f.isolateZone(target, durationMs)
+	default:
+		f.injectBackendFault(kind, f.backends[target], durationMs, scripted)
+	}
+}
+
+// crashBroker kills a broker and starts it again after at most 2 s. A random crash needs all brokers up, and
+// at least two of them.
+func (f *fleet) crashBroker(target int, durationMs float64, scripted bool) {
+	s := f.world
+	b := s.brokers[target]
+	if !b.isUp() || !scripted && (len(s.brokers) < 2 ||
+		slices.ContainsFunc(s.brokers, func(x broker) bool { return !x.isUp() })) {
+		return
+	}
+	b.kill()
+	cached := f.versionAt(s.now - 4000) // the shard map that it saved before it was killed
+	s.schedule(s.now+min(durationMs, 2000), func() { b.start(cached) })
+}
+
+// silenceAgent stops a broker's discovery agent from responding.
+func (f *fleet) silenceAgent(target int, durationMs float64) {
+	s := f.world
+	// The checker takes an update that the agent has as known to the broker, so the broker needs time to read it.
+	if s.e.Pushed && s.now < f.agentUpdatedAt[target]+agentReadMs {
+		s.schedule(f.agentUpdatedAt[target]+agentReadMs, func() { f.silenceAgent(target, durationMs) })
+	} else if s.e.Pushed {
+		f.agentSilentUntil[target] = max(f.agentSilentUntil[target], s.now+durationMs)
+	}
+}
+
+// cutLinks cuts a broker's links to all backends.
+func (f *fleet) cutLinks(target int, durationMs float64) {
+	s := f.world
+	f.linksCutUntil[target] = max(f.linksCutUntil[target], s.now+durationMs)
+	s.brokers[target].linksChanged()
+	s.schedule(s.now+durationMs, func() {
+		if s.now >= f.linksCutUntil[target] {
+			s.brokers[target].linksChanged()
 		}
-		f.cutZone = target
-		s.schedule(s.now+durationMs, func() {
-			f.cutZone = -1
-			for _, n := range f.backends {
-				if n.listeners != nil && n.state != scheduler.Removed {
-					n.listeners.resetLost()
-				}
-			}
-		})
+	})
+}
+
+// isolateZone cuts a zone off from the others, one zone at a time.
+func (f *fleet) isolateZone(target int, durationMs float64) {
+	s := f.world
+	if f.cutZone >= 0 || s.e.Zones < 2 {
 		return
 	}
-	n, faulty := f.backends[target], 0
-	for _, x := range f.backends {
-		if x.hasFault {
+	f.cutZone = target
+	s.schedule(s.now+durationMs, func() {
+		f.cutZone = -1
+		for _, n := range f.backends {
+			if n.listeners != nil && n.state != scheduler.Removed {
+				n.listeners.resetLost()
+			}
+		}
+	})
+}
+
+// faultyBackends counts the backends that have a fault.
+func (f *fleet) faultyBackends() int {
+	faulty := 0
+	for _, n := range f.backends {
+		if n.hasFault {
 			faulty++
 		}
 	}
-	if n.hasFault || n.Fallen || !scripted && (n.Cold(s.now) || faulty > max(1, len(f.backends)/6)) {
+	return faulty
+}
+
+// injectBackendFault injects a fault into a backend that has none. A random fault also spares backends that
+// are warming up, and all backends while more than a sixth of them have a fault.
+func (f *fleet) injectBackendFault(kind string, n *backend, durationMs float64, scripted bool) {
+	s := f.world
+	if n.hasFault || n.Fallen || !scripted && (n.Cold(s.now) || f.faultyBackends() > max(1, len(f.backends)/6)) {
 		return
 	}
 	n.hasFault = true
-	repair := func() {
-		n.hasFault = false
-		if n.Trouble != model.Down {
-			n.Trouble = model.Sound
-		}
-	}
 	switch kind {
 	case "stand":
-		until := s.now + durationMs
-		var stallAgain func()
-		stallAgain = func() {
-			if s.now >= until {
-				n.hasFault = false
-				return
-			}
-			n.stalledUntil = max(n.stalledUntil, s.now+200+300*s.faultRand.Float64())
-			s.schedule(s.now+1000+2000*s.faultRand.Float64(), stallAgain)
-		}
-		stallAgain()
+		n.stallUntil(s.now + durationMs)
 	case "vanish":
-		n.Trouble = model.Hang // it says nothing, and nobody knows
+		n.Trouble = model.Hang // it no longer responds, and the endpoint list still has it as ready
 		s.schedule(s.now+durationMs, func() { f.stopBackend(n); f.restartBackend(n); n.hasFault = false })
 	case "down":
 		f.stopBackend(n)
@@ -661,6 +686,25 @@
 		s.schedule(s.now+wait+1500+durationMs, func() { f.restartBackend(n); n.hasFault = false })
 	default:
 		n.Trouble = map[string]model.Trouble{"hang": model.Hang, "slow": model.Slow, "fail": model.Fail}[kind]
-		s.schedule(s.now+durationMs, repair)
+		s.schedule(s.now+durationMs, n.clearFault)
+	}
+}
+
+// stallUntil stalls the backend again and again, for 200 to 500 ms each time, until a time.
+func (n *backend) stallUntil(until float64) {
+	s := n.world
+	if s.now >= until {
+		n.hasFault = false
+		return
+	}
+	n.stalledUntil = max(n.stalledUntil, s.now+200+300*s.faultRand.Float64())
+	s.schedule(s.now+1000+2000*s.faultRand.Float64(), func() { n.stallUntil(until) })
+}
+
+// clearFault ends a fault of the backend; a stopped process stays stopped.
+func (n *backend) clearFault() {
+	n.hasFault = false
+	if n.Trouble != model.Down {
+		n.Trouble = model.Sound
 	}
 }
--- a/internal/lab/world/live.go
+++ b/internal/lab/world/live.go
@@ -246,8 +246,8 @@
 	return f
 }
 
-// cut takes its links to nodes away, or gives them back.
-func (b *processBroker) linksChanged(bool) {
+// linksChanged implements broker.
+func (b *processBroker) linksChanged() {
 	for _, r := range b.relays {
 		r.Set(b.linkFault())
 	}
@@ -415,7 +415,7 @@
 		flight = fmt.Sprintf("flight: { enabled: true, nodes: true, listen: %q },\n", b.grpcAddr)
 	}
 	return configPath, operatorPath, errors.Join(os.WriteFile(configPath, text, 0o600), os.WriteFile(operatorPath,
-		fmt.Appendf(nil, "{\n%sslices: { catalogue: %q, wait_ms: 2000, cache: %q },\n}\n", flight, s.catalogue,
+		fmt.Appendf(nil, "{\n%sslices: { catalogue: %q, wait_ms: 2000, cache: %q },\n}\n", flight, s.catalogueAddr,
 			filepath.Join(dir, b.name+".map")), 0o600))
 }
 
--- a/internal/lab/world/servers.go
+++ b/internal/lab/world/servers.go
@@ -204,7 +204,7 @@
 	if err != nil {
 		return err
 	}
-	s.catalogue = ln.Addr().String()
+	s.catalogueAddr = ln.Addr().String()
 	go func() { _ = (&http.Server{Handler: &catalogueServer{s}}).Serve(ln) }()
 	go func() {
 		<-s.live.done
--- a/internal/lab/world/virtual.go
+++ b/internal/lab/world/virtual.go
@@ -14,37 +14,38 @@
 	"ternstage/internal/lab/result"
 )
 
-// virtual is a broker in virtual time: the real core and module, and this world in place of its wires. It
-// implements core.Backend, core.List, core.Clock and core.Log.
+// virtualBroker is a broker in virtual time: the real core and scheduler, with emulated network connections. It
+// implements broker, core.Backend, core.List, core.Clock and core.Log.
 type virtualBroker struct {
 	world          *World
 	index          int
 	name           string
 	seed           uint64
-	gen            int // of its process
+	gen            int // counts the ends of its process
 	core           *core.Core
 	shardMap       *shardmap.Map
 	mapPoller      *shardmap.Poller
 	dirty          bool
 	wakeAt         float64
-	pending        []*dispatch
-	inFlight       []*dispatch // in the order in which they went
-	seenEvents     int         // news of the list that it has
+	pending        []*dispatch // until Flush
+	inFlight       []*dispatch // in the order of sending
+	seenEvents     int         // endpoint events that core has received
 	listRequested  bool
-	currentCall    int     // the call to the catalogue that counts
-	nextPollAt     float64 // when follow is asked next
+	currentCall    int     // number of the catalogue call whose answer is awaited
+	nextPollAt     float64 // ms; time of the next scheduled poll
 	listedBackends map[uint32]bool
 	zone           int
 
-	agentPoller *endpointpoll.Poller // of the list, where it is pushed to an agent
-	agentEvents int                  // news that the agent has
+	agentPoller *endpointpoll.Poller // polls the agent, if the endpoint list is pushed to one
+	agentEvents int                  // endpoint events that the agent has
 
-	pastResharding  core.ReshardingStats // of processes that are gone
+	// Totals of its processes that have ended.
+	pastResharding  core.ReshardingStats
 	pastMapStats    shardmap.Stats
 	pastMaxVersions int
 }
 
-// sending is an attempt on its way.
+// dispatch is an attempt on its way to a backend and back. It implements responder.
 type dispatch struct {
 	broker    *virtualBroker
 	gen       int
@@ -52,7 +53,7 @@
 	backend   *backend
 	job       *model.Job
 	arrivesAt float64
-	atBackend bool // it has reached the node and is out, as the checker sees it
+	atBackend bool // it has reached the backend, and the checker counts it as in flight
 	ended     bool
 }
 
@@ -61,23 +62,24 @@
 		seed: s.seed + uint64(i)*7919, wakeAt: math.Inf(1), nextPollAt: math.Inf(1)}
 }
 
-// cut does nothing: what is on its way asks the fleet.
-func (b *virtualBroker) linksChanged(bool) {}
+// linksChanged implements broker: messages check the state of the links when they arrive.
+func (b *virtualBroker) linksChanged() {}
 
-// start starts its process, with a map that it kept if there is one.
+// start starts its process, with a cached shard map unless that is nil.
 func (b *virtualBroker) start(cached *shardmap.Version) {
 	s := b.world
 	s.check.Restarted(s.now, b.name)
 	b.listedBackends = map[uint32]bool{}
-	b.shardMap = shardmap.New(shardmap.Options{MaxRetired: s.e.History, ReplicaNumber: func(name string) (uint32, bool) {
-		n := s.fleet.byName[name]
-		return n, n > 0 && b.listedBackends[n]
-	}})
+	b.shardMap = shardmap.New(shardmap.Options{MaxRetired: s.e.History,
+		ReplicaNumber: func(name string) (uint32, bool) {
+			n := s.fleet.byName[name]
+			return n, n > 0 && b.listedBackends[n]
+		}})
 	var err error
 	b.core, err = core.New(s.e.Settings(b.index, b.shardMap), b.seed+uint64(b.gen), core.Options{Clock: b, Log: b,
 		ShardMap: b.shardMap})
 	if err != nil {
-		panic(err) // an experiment that passed its checks
+		panic(err) // exp.Load has checked the experiment
 	}
 	b.core.Attach(b, b)
 	b.wakeAt, b.seenEvents, b.nextPollAt = math.Inf(1), 0, math.Inf(1)
@@ -103,7 +105,7 @@
 	b.markDirty()
 }
 
-// hangup reads the map as a broker does that knows only SIGHUP.
+// reloadPeriodically reads a snapshot of the shard map at intervals, as a broker does that reloads on SIGHUP only.
 func (b *virtualBroker) reloadPeriodically(gen int) {
 	if b.core == nil || gen != b.gen {
 		return
@@ -115,11 +117,11 @@
 	b.world.schedule(b.world.now+b.world.e.SighupMS, func() { b.reloadPeriodically(gen) })
 }
 
-// kill ends its process: what it held is void.
+// kill ends its process. The checker expects no answers to its requests any more.
 func (b *virtualBroker) kill() {
 	s := b.world
-	b.pastResharding, b.pastMapStats, b.pastMaxVersions = addResharding(b.pastResharding, b.core.ReshardingStats()), addMapStats(b.pastMapStats, b.shardMap.Stats()), max(b.pastMaxVersions,
-		b.maxVersions())
+	b.pastResharding, b.pastMapStats, b.pastMaxVersions = addResharding(b.pastResharding, b.core.ReshardingStats()),
+		addMapStats(b.pastMapStats, b.shardMap.Stats()), max(b.pastMaxVersions, b.maxVersions())
 	for _, q := range s.queries {
 		if q.broker == broker(b) && q.gen == b.gen && !q.ended {
 			s.check.Void(q.ask.ID)
@@ -146,7 +148,7 @@
 	return err
 }
 
-// reset ends what is out at a node whose process has ended.
+// backendStopped ends the attempts at a backend whose process has ended.
 func (b *virtualBroker) backendStopped(n *backend) {
 	for _, d := range slices.Clone(b.inFlight) {
 		if d.backend == n && d.atBackend {
@@ -166,6 +168,7 @@
 	}
 }
 
+// maxVersions returns the most map versions that the current process has retained at once.
 func (b *virtualBroker) maxVersions() int {
 	if b.shardMap == nil {
 		return 0
@@ -173,6 +176,7 @@
 	return b.shardMap.Stats().MaxRetainedVersions
 }
 
+// markDirty has the broker run a scheduling round at the end of this moment.
 func (b *virtualBroker) markDirty() {
 	if !b.dirty {
 		b.dirty = true
@@ -205,7 +209,7 @@
 // RequestEnded implements core.Log.
 func (b *virtualBroker) RequestEnded(*core.Request, core.Answer) {}
 
-// Watch implements core.List: the whole list comes, then changes as they are known.
+// Watch implements core.List. The full list arrives first, then its changes as the broker is notified of them.
 func (b *virtualBroker) Watch() {
 	s, gen := b.world, b.gen
 	if b.listRequested {
@@ -216,17 +220,17 @@
 		if b.listRequested = false; gen != b.gen || b.core == nil {
 			return
 		}
-		var es []scheduler.Endpoint
+		var endpoints []scheduler.Endpoint
 		for _, n := range s.fleet.backends {
-			es = append(es, b.endpoint(n, n.state))
+			endpoints = append(endpoints, b.endpoint(n, n.state))
 		}
 		b.seenEvents = len(s.fleet.endpointEvents)
-		b.core.EndpointsChanged(scheduler.UpdateFull, es)
+		b.core.EndpointsChanged(scheduler.UpdateFull, endpoints)
 		b.markDirty()
 	})
 }
 
-// entry is what the list says of a node, as it is told to this broker.
+// endpoint returns the list entry of a backend for this broker and informs the checker of it.
 func (b *virtualBroker) endpoint(n *backend, state scheduler.ReplicaState) scheduler.Endpoint {
 	s := b.world
 	if state == scheduler.Ready || s.Fault.IgnoreDrain {
@@ -244,7 +248,7 @@
 	}
 	started := n.Started
 	if started > 0 {
-		started += s.e.ClockOf(b.index) // by which it takes the list's time for its own
+		started += s.e.ClockOf(b.index) // the broker's clock is off by this
 	}
 	if s.Fault.HideStarts {
 		started = 0
@@ -252,10 +256,10 @@
 	return scheduler.Endpoint{Replica: n.number, Cell: n.index, StartedAt: started, State: state}
 }
 
-// drainGrace is the rule's, in ms, as Settings state it.
+// drainGraceMs is the grace period of draining endpoints, the same as in the settings of a live broker.
 const drainGraceMs = 1000.0
 
-// read makes the next call to the agent: it answers at once with what it has, or is silent.
+// pollAgent makes the next call to the agent, which answers at once with what it has or does not respond.
 func (b *virtualBroker) pollAgent(gen int) {
 	s := b.world
 	if b.core == nil || gen != b.gen {
@@ -283,41 +287,41 @@
 	})
 }
 
-// bring gives the module what the agent has: the whole list, or what is new.
+// applyAgentList passes on to core what the agent has: the full list or the events since the last call.
 func (b *virtualBroker) applyAgentList(full bool) {
 	s, kind := b.world, scheduler.UpdateDelta
-	var es []scheduler.Endpoint
+	var endpoints []scheduler.Endpoint
 	if full {
 		kind = scheduler.UpdateFull
 		for _, n := range s.fleet.backends {
-			x := endpointEvent{backend: n, state: scheduler.Ready}
-			for _, news := range s.fleet.endpointEvents[:b.agentEvents] {
-				if news.backend == n {
-					x = news
+			latest := endpointEvent{backend: n, state: scheduler.Ready}
+			for _, event := range s.fleet.endpointEvents[:b.agentEvents] {
+				if event.backend == n {
+					latest = event
 				}
 			}
-			es = append(es, b.endpoint(n, x.state))
+			endpoints = append(endpoints, b.endpoint(n, latest.state))
 		}
 	} else {
 		for _, n := range s.fleet.endpointEvents[b.seenEvents:b.agentEvents] {
-			es = append(es, b.endpoint(n.backend, n.state))
+			endpoints = append(endpoints, b.endpoint(n.backend, n.state))
 		}
 	}
-	if b.seenEvents = b.agentEvents; full || len(es) > 0 {
-		b.core.EndpointsChanged(kind, es)
+	if b.seenEvents = b.agentEvents; full || len(endpoints) > 0 {
+		b.core.EndpointsChanged(kind, endpoints)
 		b.markDirty()
 	}
 }
 
-// told takes news of the list up to a place in it.
+// notify implements broker. If the list is pushed, the agent gets the events, and the broker polls them from it.
 func (b *virtualBroker) notify(upTo int) {
 	if s := b.world; s.e.Pushed && b.agentEvents < upTo {
-		if until := s.fleet.agentSilentUntil[b.index]; until > s.now { // nothing reaches an agent while discovery is down
+		if until := s.fleet.agentSilentUntil[b.index]; until > s.now { // a silent agent gets no updates either
 			s.schedule(until, func() { b.notify(upTo) })
 			return
 		}
 		s.fleet.agentUpdatedAt[b.index] = s.now
-		for _, n := range s.fleet.endpointEvents[b.agentEvents:upTo] { // what the agent has counts as told
+		for _, n := range s.fleet.endpointEvents[b.agentEvents:upTo] { // what the agent has counts as known
 			if n.state != scheduler.Ready {
 				s.check.Told(s.now, b.name, n.backend.ID)
 			}
@@ -330,35 +334,36 @@
 	if b.core == nil || b.seenEvents >= upTo || len(b.listedBackends) == 0 {
 		return
 	}
-	var es []scheduler.Endpoint
+	var endpoints []scheduler.Endpoint
 	for _, n := range b.world.fleet.endpointEvents[b.seenEvents:upTo] {
-		es = append(es, b.endpoint(n.backend, n.state))
+		endpoints = append(endpoints, b.endpoint(n.backend, n.state))
 	}
 	b.seenEvents = upTo
-	b.core.EndpointsChanged(scheduler.UpdateDelta, es)
+	b.core.EndpointsChanged(scheduler.UpdateDelta, endpoints)
 	b.markDirty()
 }
 
-// step makes the call to the catalogue that is due.
+// pollCatalogue makes the call to the catalogue if one is due, and schedules the next.
 func (b *virtualBroker) pollCatalogue() {
 	if b.core == nil {
 		return
 	}
-	if c, due := b.mapPoller.Next(b.world.now); due {
+	if call, due := b.mapPoller.Next(b.world.now); due {
 		b.currentCall++
-		call, gen := b.currentCall, b.gen
-		b.world.fleet.poll(c, func() { b.handleAnswer(call, gen, nil) }, func(t catalogueAnswer) {
-			b.handleAnswer(call, gen, func(k *core.Core) error {
-				if t.version != nil {
-					return k.ApplySnapshot(t.snapshot())
+		number, gen := b.currentCall, b.gen
+		b.world.fleet.poll(call, func() { b.handleAnswer(number, gen, nil) }, func(a catalogueAnswer) {
+			b.handleAnswer(number, gen, func(c *core.Core) error {
+				if a.version != nil {
+					return c.ApplySnapshot(a.snapshot())
 				}
-				return k.ApplyChanges(t.changes, nil)
+				return c.ApplyChanges(a.changes, nil)
 			})
 		})
 	}
 	b.schedulePoll()
 }
 
+// schedulePoll schedules pollCatalogue for the time that the poller asks for.
 func (b *virtualBroker) schedulePoll() {
 	at := b.mapPoller.NextAt()
 	if math.IsInf(at, 1) || at >= b.nextPollAt {
@@ -374,12 +379,12 @@
 	})
 }
 
-// news takes an answer of the catalogue; nil is a call that came to nothing.
+// handleAnswer applies an answer of the catalogue; apply is nil if the call failed.
 func (b *virtualBroker) handleAnswer(call, gen int, apply func(*core.Core) error) {
 	if b.core == nil || gen != b.gen || call != b.currentCall {
 		return
 	}
-	b.currentCall++ // what comes for this call again is nobody's
+	b.currentCall++ // a duplicate of this answer is ignored
 	switch {
 	case apply == nil:
 		b.mapPoller.Failed(b.world.now)
@@ -411,7 +416,7 @@
 	}
 }
 
-// CloseIdleConnections implements core.Backend: connections cost nothing here.
+// CloseIdleConnections implements core.Backend. There are no connections in virtual time.
 func (b *virtualBroker) CloseIdleConnections(uint32) {}
 
 // Withdraw implements core.Backend.
@@ -430,7 +435,7 @@
 	}
 	d := a.Handle.(*dispatch)
 	d.remove()
-	// The word that it is given up follows it on its connection.
+	// The cancellation follows the part on the same connection, so that it arrives after it.
 	s := b.world
 	s.schedule(max(s.now+s.networkDelay(), d.arrivesAt+0.01), func() {
 		if d.reportGone(); d.job != nil {
@@ -440,7 +445,7 @@
 	return false
 }
 
-// leave takes a sending off: nothing that comes of it counts.
+// remove takes the dispatch out of flight; a later outcome is ignored.
 func (d *dispatch) remove() {
 	d.ended = true
 	if i := slices.Index(d.broker.inFlight, d); i >= 0 {
@@ -448,7 +453,7 @@
 	}
 }
 
-// gone tells the checker that it is out no more.
+// reportGone informs the checker that the part is no longer in flight.
 func (d *dispatch) reportGone() {
 	if d.atBackend {
 		d.atBackend = false
@@ -456,7 +461,7 @@
 	}
 }
 
-// launch sends it.
+// send sends the part to its backend.
 func (d *dispatch) send() {
 	s := d.broker.world
 	s.check.Sent(s.now, d.broker.name, d.backend.ID)
@@ -465,11 +470,12 @@
 	s.schedule(d.arrivesAt, d.arrive)
 }
 
+// arrive delivers the part to its backend.
 func (d *dispatch) arrive() {
 	s, n := d.broker.world, d.backend
 	q := s.queries[d.attempt.Request]
 	if !s.fleet.canReach(d.broker.zone, n.zone) || s.fleet.linksCutUntil[d.broker.index] > s.now {
-		return // it is lost, and nobody says so
+		return // lost without an error
 	}
 	if n.Trouble == model.Down || n.Fallen || q == nil {
 		d.returnOutcome(scheduler.ConnectFailed, nil)
@@ -485,7 +491,7 @@
 	n.receive(d.job)
 }
 
-// answer is the node's.
+// respond implements responder.
 func (d *dispatch) respond(end model.End) {
 	d.reportGone()
 	switch end {
@@ -501,7 +507,7 @@
 	}
 }
 
-// ends brings its outcome to the broker.
+// returnOutcome reports the outcome to the broker after the network delay, unless the links are cut then.
 func (d *dispatch) returnOutcome(o scheduler.Outcome, value []byte) {
 	s := d.broker.world
 	s.schedule(s.now+s.zoneDelay(d.backend.zone, d.broker.zone), func() {
@@ -518,8 +524,8 @@
 }
 
 func addResharding(a, b core.ReshardingStats) core.ReshardingStats {
-	return core.ReshardingStats{Replaced: a.Replaced + b.Replaced, Split: a.Split + b.Split, InFlight: a.InFlight + b.InFlight,
-		Paused: a.Paused + b.Paused, Duplicates: a.Duplicates + b.Duplicates, Stale: a.Stale + b.Stale,
+	return core.ReshardingStats{Replaced: a.Replaced + b.Replaced, Split: a.Split + b.Split,
+		InFlight: a.InFlight + b.InFlight, Paused: a.Paused + b.Paused, Duplicates: a.Duplicates + b.Duplicates, Stale: a.Stale + b.Stale,
 		Behind: a.Behind + b.Behind}
 }
 
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -1,7 +1,7 @@
-// Package world plays an experiment: nodes, the list of them, the catalogue with the true map, troubles and
-// clients, round brokers. In virtual time the brokers are the real core and decision module, with no socket
-// and no sleep, many in one process, and one seed gives one history on any machine. Live, they are processes,
-// and the same world stands behind sockets on loopback.
+// Package world runs an experiment. It emulates what surrounds the brokers: backends, the endpoint list, the
+// catalogue with the authoritative shard map, faults and clients. In virtual time the brokers are the real core
+// and scheduler, many in one process without sockets or sleeps, and a seed gives the same history on every
+// machine. In a live run the brokers are processes, and the same emulation serves them over loopback sockets.
 package world
 
 import (
@@ -23,36 +23,37 @@
 )
 
 const (
-	clockStartMs      = 1e6    // ms: the clock at the start; 0 means long ago to some
-	tailMs            = 8000.0 // ms after the last arrival until all must be over
-	minNetworkDelayMs = 0.2    // ms one way
+	clockStartMs      = 1e6    // not 0, which stands for a start long ago
+	tailMs            = 8000.0 // after the last arrival, until all requests must have ended
+	minNetworkDelayMs = 0.2    // one way
 	maxNetworkDelayMs = 1.0
-	askWithinMs       = 10_000.0 // ms, of the settings: not having asked for so long counts as being told
-	forgetAfterMs     = 30_000.0 // ms after which nothing of a query can come any more
+	askWithinMs       = 10_000.0 // a broker that has not polled the endpoint list for longer counts as notified
+	forgetAfterMs     = 30_000.0 // after the deadline of a request, when nothing of it can arrive any more
 )
 
-// broker is a broker as the world sees it.
+// broker is a broker in the emulated environment: virtualBroker or processBroker.
 type broker interface {
 	id() string
 	number() int
-	generation() int // counts its starts
-	isUp() bool      // it runs and serves
+	generation() int // counts the ends of its process
+	isUp() bool      // its process runs and accepts requests
 	start(cached *shardmap.Version)
 	kill()
-	submit(q *query, r *core.Request) error // an error tells that it was not taken
-	notify(upTo int)                        // it may know the news of the list up to there
-	backendStopped(n *backend)              // a node's process has ended
-	linksChanged(off bool)                  // its links to all nodes, and they are back
+	submit(q *query, r *core.Request) error // fails if the broker does not accept the request
+	notify(upTo int)                        // makes endpoint events visible, up to an index
+	backendStopped(n *backend)              // the process of a backend has ended
+	linksChanged()                          // its links to the backends were cut or restored
 	addStats(r *result.Summary)
 }
 
-// event is something that happens at a time; of one time, in the order in which it was set.
+// event is a function that runs at a time; events of the same time run in the order of their scheduling.
 type event struct {
 	at  float64
 	seq uint64
 	run func()
 }
 
+// eventQueue is a heap of events. It implements heap.Interface.
 type eventQueue []event
 
 func (h eventQueue) Len() int { return len(h) }
@@ -79,7 +80,7 @@
 	queue eventQueue
 	dirty []*virtualBroker
 
-	// Each part of the world draws from a source of its own, so that arms of one day see the same clients.
+	// Clients, network and faults draw from separate sources, so that the arms of an experiment see the same clients.
 	loadRand, networkRand, faultRand *rand.Rand
 
 	check         *check.Checker
@@ -89,37 +90,38 @@
 	queries       map[string]*query
 	lastID        int
 	latency       *hdrhistogram.Histogram
-	weight        [2]float64 // had, asked
+	weights       [2]float64 // priority weight that answers earned, and that requests offered
 	staleRequests int
 	endMs         float64
 
-	live      *live // nil in virtual time
-	catalogue string
-	stopped   bool
+	live          *live // nil in virtual time
+	catalogueAddr string
+	stopped       bool
 
-	// Fault is for tests of the checkers: it may spoil what happens.
+	// Fault makes a run break a rule, for tests of the checkers.
 	Fault Fault
 }
 
-// fairFrom is how many queries of a broker must have ended for it to count in the index of fairness.
+// minFairnessQueries is the number of ended queries from which a broker counts in the fairness index.
 const minFairnessQueries = 5
 
-// Fault spoils a run on purpose, so that a checker can be seen to catch it.
+// Fault makes a run break rules on purpose, to show that the checkers detect it.
 type Fault struct {
-	Unfenced         bool // nodes execute what they do not hold
-	LoseAnswer       bool // now and then an answer reaches nobody
-	MarkComplete     bool // answers are marked whole
-	DropHit          bool // an answer lacks its last value
-	ForeignValue     bool // an answer has a value of another query
-	DuplicateValue   bool // an answer has a value twice
-	IgnoreDrain      bool // the module is not told of drains
-	HideStarts       bool // brokers are not told of starts
-	DuplicateAttempt bool // a part goes out twice at once
+	Unfenced         bool // backends run parts whose buckets they do not hold
+	LoseAnswer       bool // some final answers are lost
+	MarkComplete     bool // all answers are marked complete
+	DropHit          bool // answers lack their last value
+	ForeignValue     bool // answers contain a value of another query
+	DuplicateValue   bool // answers contain their last value twice
+	IgnoreDrain      bool // brokers are not notified that backends drain
+	HideStarts       bool // brokers are not told when backends started
+	DuplicateAttempt bool // some parts are sent twice at once
 }
 
-// New makes a run of an experiment.
+// New returns a run of an experiment.
 func New(e *exp.Experiment, seed uint64) *World {
-	s := &World{e: e, now: clockStartMs, loadRand: rand.New(rand.NewPCG(seed, 1)), networkRand: rand.New(rand.NewPCG(seed, 2)),
+	s := &World{e: e, now: clockStartMs,
+		loadRand: rand.New(rand.NewPCG(seed, 1)), networkRand: rand.New(rand.NewPCG(seed, 2)),
 		faultRand: rand.New(rand.NewPCG(seed, 3)), check: check.New(), queries: map[string]*query{},
 		latency: hdrhistogram.New(1, 60_000_000, 3)}
 	s.check.Copies = e.Copies
@@ -133,18 +135,18 @@
 	return s
 }
 
-// at sets what happens at a time.
-func (s *World) schedule(t float64, do func()) {
+// schedule runs a function at a time, or now if that time has passed.
+func (s *World) schedule(at float64, run func()) {
 	s.seq++
-	heap.Push(&s.queue, event{max(t, s.now), s.seq, do})
+	heap.Push(&s.queue, event{max(at, s.now), s.seq, run})
 }
 
-// hop is the time a message takes one way.
+// networkDelay draws the one-way delay of a message within a zone.
 func (s *World) networkDelay() float64 {
 	return minNetworkDelayMs + (maxNetworkDelayMs-minNetworkDelayMs)*s.networkRand.Float64()
 }
 
-// way is the time a message takes from one zone to another.
+// zoneDelay draws the one-way delay of a message between two zones.
 func (s *World) zoneDelay(a, b int) float64 {
 	if a != b {
 		return s.e.Cross.Draw(s.networkRand)
@@ -152,7 +154,7 @@
 	return s.networkDelay()
 }
 
-// Run plays it in virtual time to the end. tick, if any, is called once for each simulated second.
+// Run runs the experiment in virtual time. It calls tick, unless nil, once for each simulated second.
 func (s *World) Run(tick func(second int, r result.Summary)) result.Summary {
 	startedAt := time.Now()
 	s.mode = "sim"
@@ -163,7 +165,7 @@
 	for _, b := range s.brokers {
 		b.start(nil)
 	}
-	s.schedule(s.now+1500, s.arrive) // brokers have a map and a list by then
+	s.schedule(s.now+1500, s.arrive) // by then the brokers have a shard map and an endpoint list
 	next := s.now + 1000
 	for len(s.queue) > 0 {
 		if at := s.queue[0].at; at > s.endMs+tailMs {
@@ -186,7 +188,7 @@
 	return r
 }
 
-// turns ends the moment: every broker to which something happened decides once.
+// runRounds runs a scheduling round of every broker that has had an event at this time.
 func (s *World) runRounds() {
 	for len(s.dirty) > 0 {
 		brokers := s.dirty
@@ -200,16 +202,17 @@
 	}
 }
 
-// Summary is what is known so far.
+// Summary returns the results so far.
 func (s *World) Summary() result.Summary {
 	r := result.Summary{Mode: s.mode, Name: s.e.Name, Arm: s.e.Arm, Counts: s.check.Counts, Notes: s.check.Notes,
 		Changes: s.fleet.changeCount, Epochs: int(s.fleet.shardMap.Current().Epoch), Stale: s.staleRequests,
 		P50: float64(s.latency.ValueAtQuantile(50)) / 1000, P99: float64(s.latency.ValueAtQuantile(99)) / 1000,
 		SimulatedS: (s.now - clockStartMs) / 1000, Slices: s.fleet.shardMap.Current().Len()}
 	r.Busy, r.BusyShare = s.ledger.BusyParts()
-	r.ColdUsed, r.ColdShort, r.Fairness = s.ledger.All.Share(), s.ledger.Short.Share(), s.ledger.Fairness(minFairnessQueries)
-	if s.weight[1] > 0 {
-		r.Worth = math.Round(s.weight[0]/s.weight[1]*1e6) / 1e6
+	r.ColdUsed, r.ColdShort = s.ledger.All.Share(), s.ledger.Short.Share()
+	r.Fairness = s.ledger.Fairness(minFairnessQueries)
+	if s.weights[1] > 0 {
+		r.Worth = math.Round(s.weights[0]/s.weights[1]*1e6) / 1e6
 	}
 	for _, b := range s.brokers {
 		b.addStats(&r)
@@ -217,25 +220,25 @@
 	return r
 }
 
-// Ledger is what all brokers together have done so far.
+// Ledger returns the totals of all brokers so far.
 func (s *World) Ledger() *ledger.Ledger { return s.ledger }
 
-// query is what a client asked and what became of it. It implements core.Client.
+// query is a request of a client and its state. It implements core.Client.
 type query struct {
 	world    *World
 	ask      *check.Ask
 	class    exp.Class
-	work     []float64 // by part
-	firstDue float64   // when it was first to be sent
+	work     []float64 // actual cost by part
+	firstDue float64   // arrival of the first request; client retries keep it
 	isFirst  bool
 	retries  int
-	epoch    uint64 // of the map by which its parts are named
+	epoch    uint64 // epoch of the shard map that its parts refer to
 	broker   broker
 	gen      int
 	ended    bool
 }
 
-// arrive lets the next query come; arrivals do not wait for answers.
+// arrive sends a new query and schedules the next arrival, which does not wait for answers.
 func (s *World) arrive() {
 	if s.now >= s.endMs {
 		return
@@ -247,7 +250,7 @@
 	}
 	c := s.e.Classes[i]
 	n := int(c.Parts[0]) + s.loadRand.IntN(int(c.Parts[1]-c.Parts[0])+1)
-	// The client's own idea of the slices is old.
+	// The client's shard map may be stale.
 	v := s.fleet.versionAt(s.now - s.e.Client.Draw(s.loadRand))
 	at, weightSum := v.ShardAt(s.loadRand.IntN(v.Buckets)), 0.0
 	q := &query{world: s, class: c, firstDue: s.now, isFirst: true, ask: &check.Ask{Class: i, Once: c.Once(),
@@ -263,19 +266,19 @@
 	for i := range q.ask.Parts {
 		q.ask.Parts[i].Weight /= weightSum
 	}
-	s.weight[1] += c.Worth
+	s.weights[1] += c.Worth
 	s.send(q, v.Epoch)
 }
 
-// send gives a query to a broker that is up, if there is one.
+// send submits a query to a broker that is up, if there is one.
 func (s *World) send(q *query, epoch uint64) {
 	s.lastID++
-	index, brokers := s.lastID, len(s.brokers)-int(s.e.Traffic.Idle*float64(len(s.brokers)))
-	if hot := s.e.Traffic.Hot; hot > 1 && s.loadRand.Float64()*float64(brokers) < hot {
-		index = 0
+	first, activeBrokers := s.lastID, len(s.brokers)-int(s.e.Traffic.Idle*float64(len(s.brokers)))
+	if hot := s.e.Traffic.Hot; hot > 1 && s.loadRand.Float64()*float64(activeBrokers) < hot {
+		first = 0
 	}
-	for i := range brokers {
-		if b := s.brokers[(index+i)%brokers]; b.isUp() {
+	for i := range activeBrokers {
+		if b := s.brokers[(first+i)%activeBrokers]; b.isUp() {
 			q.broker, q.gen = b, b.generation()
 			break
 		}
@@ -306,7 +309,8 @@
 	})
 }
 
-// rejected tells that a query was not taken: its client reads the map anew and asks again, once.
+// retryStaleMap handles a request that the broker did not accept because of its shards. The client reads the
+// current shard map and retries once.
 func (q *query) retryStaleMap() {
 	s, id := q.world, q.ask.ID
 	s.check.Taken--
@@ -329,6 +333,7 @@
 	}
 }
 
+// areShardsDistinct reports whether all parts name different shards.
 func areShardsDistinct(parts []check.Part) bool {
 	seen := map[int]bool{}
 	for _, p := range parts {
@@ -340,7 +345,7 @@
 	return true
 }
 
-// Finish implements core.Client.
+// Finish records the final answer. It implements core.Client.
 func (q *query) Finish(a core.Answer) {
 	s, id := q.world, q.ask.ID
 	if q.ended || q.gen != q.broker.generation() {
@@ -383,11 +388,11 @@
 		if s.now > q.firstDue+q.class.Aim {
 			weight *= q.class.Late
 		}
-		s.weight[0] += weight
+		s.weights[0] += weight
 	}
 }
 
-// again asks once more after a refusal, as a client does: its time counts from the first try.
+// retryRejected schedules a client retry of a rejected request. Its deadline counts from the first request.
 func (q *query) retryRejected(afterMs float64) {
 	s := q.world
 	at := s.now + max(afterMs, 1)
@@ -401,7 +406,7 @@
 	s.schedule(at, func() { s.send(&retry, retry.epoch) })
 }
 
-// workOf is the work of districts of a query.
+// workOf returns the work of a range of buckets of the query.
 func (q *query) workOf(r shardmap.Range) float64 {
 	for i, p := range q.ask.Parts {
 		if p.Districts.Contains(r) {
