--- a/internal/lab/world/clients.go
+++ b/internal/lab/world/clients.go
@@ -22,28 +22,29 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-// ending is how a call of a client ended, beside its answer.
+// callStatus tells how a call of a client ended, apart from its answer.
 type callStatus int
 
 const (
 	callAnswered callStatus = iota
-	callStaleMap            // it was not taken: the slices that it names are not understood
-	callNoAnswer            // there was no answer
+	callStaleMap            // the broker did not accept the request: it names shards that are not in its map
+	callNoAnswer            // the connection failed, or the response could not be read
 )
 
-// client asks one broker over one wire.
+// client sends requests to one broker over one protocol.
 type client interface {
-	ask(ctx context.Context, id, class string, wait time.Duration, r *core.Request) (core.Answer, callStatus)
+	ask(ctx context.Context, id, class string, timeout time.Duration, r *core.Request) (core.Answer, callStatus)
 	close()
 }
 
+// shardBody is a part of a request as clients send it.
 type shardBody struct {
 	Shard  int     `json:"shard"`
 	Weight float64 `json:"weight"`
 	Cost   float64 `json:"cost"` // us
 }
 
-// bodyOf is a query as clients send it.
+// marshalRequest encodes a request as clients send it.
 func marshalRequest(r *core.Request) string {
 	b := struct {
 		Shards []shardBody `json:"shards"`
@@ -57,6 +58,7 @@
 	return string(text)
 }
 
+// httpClient is a client over HTTP/1.1.
 type httpClient struct {
 	addr string
 	c    *http.Client
@@ -70,9 +72,9 @@
 func (h *httpClient) close() { h.c.CloseIdleConnections() }
 
 func (h *httpClient) ask(ctx context.Context, id, class string, timeout time.Duration,
-	req *core.Request) (core.Answer,
-	callStatus) {
-	httpReq, err := http.NewRequestWithContext(ctx, "POST", "http://"+h.addr+"/"+class, strings.NewReader(marshalRequest(req)))
+	req *core.Request) (core.Answer, callStatus) {
+	httpReq, err := http.NewRequestWithContext(ctx, "POST", "http://"+h.addr+"/"+class,
+		strings.NewReader(marshalRequest(req)))
 	if err != nil {
 		return core.Answer{}, callNoAnswer
 	}
@@ -120,6 +122,7 @@
 	return out, callAnswered
 }
 
+// flightClient is a client over Arrow Flight.
 type flightClient struct {
 	conn *grpc.ClientConn
 	c    flight.Client
@@ -137,9 +140,9 @@
 func (f *flightClient) close() { _ = f.conn.Close() }
 
 func (f *flightClient) ask(ctx context.Context, id, class string, timeout time.Duration,
-	req *core.Request) (core.Answer,
-	callStatus) {
-	ctx, cancel := context.WithTimeout(ctx, timeout+60*time.Millisecond) // so that the broker's word comes first
+	req *core.Request) (core.Answer, callStatus) {
+	// The margin lets the broker's answer at the deadline arrive before the local timeout.
+	ctx, cancel := context.WithTimeout(ctx, timeout+60*time.Millisecond)
 	defer cancel()
 	ctx = metadata.AppendToOutgoingContext(ctx, "x-request-id", id, "x-class", class)
 	if req.ClientRetry {
@@ -172,6 +175,7 @@
 	return out, callAnswered
 }
 
+// answerOfError returns the answer and status that a Flight error stands for.
 func answerOfError(err error) (core.Answer, callStatus) {
 	st := status.Convert(err)
 	switch st.Code() {
--- a/internal/lab/world/live.go
+++ b/internal/lab/world/live.go
@@ -24,33 +24,36 @@
 )
 
 const (
-	startTimeout = 20 * time.Second // for a broker to serve
-	stopTimeout  = 20 * time.Second // for it to end after SIGTERM
+	startTimeout = 20 * time.Second // until a broker passes its health check
+	stopTimeout  = 20 * time.Second // from SIGTERM until a broker's process exits
 	inboxSize    = 4096
-	liveTailMs   = 2500.0 // ms after the last arrival: longer than a class's deadline
-	recheckMs    = 50.0   // ms after which what seems to be out twice must not be
+	liveTailMs   = 2500.0 // after the last arrival; longer than the deadline of any class
 	memoryMB     = 192
 	maxFiles     = 1024
-	maxLogBytes  = 2000 // bytes of a broker's log that an error shows
+	maxLogBytes  = 2000 // of a broker's log in an error message
+
+	// recheckMs is the delay after which a part that seems to be in flight twice is checked again. A cancellation
+	// and the next attempt come over two connections, and may be read in either order.
+	recheckMs = 50.0
 )
 
-// LiveOptions say how an experiment is played live.
+// LiveOptions configure a live run.
 type LiveOptions struct {
-	Binary string // the built broker
-	Dir    string // for configurations and logs
-	Flight bool   // clients and nodes speak Flight, else HTTP/1.1 and frames
+	Binary string // path of the broker's executable
+	Dir    string // for configuration files and logs
+	Flight bool   // clients and backends speak Flight instead of HTTP/1.1 and frames
 }
 
-// live is what the world has in place of virtual time: everything is done by one goroutine, that of RunLive;
-// sockets post to it.
+// live is the state of a live run. The goroutine of RunLive, the event loop, owns the state of the world; the
+// goroutines of sockets post functions to it.
 type live struct {
 	opts  LiveOptions
 	inbox chan func()
-	start time.Time // at origin
+	start time.Time // real time at clockStartMs
 	done  chan struct{}
 }
 
-// post hands work to the world's goroutine; false tells that the run is over.
+// post has the event loop run a function. It reports false if the run is over.
 func (l *live) post(f func()) bool {
 	select {
 	case l.inbox <- f:
@@ -60,15 +63,15 @@
 	}
 }
 
-// unix is a time of the world as Unix time in ms.
+// unixMs converts a time of the world to Unix time.
 func (l *live) unixMs(at float64) int64 { return l.start.UnixMilli() + int64(at-clockStartMs) }
 
-// RunLive plays it against the built program on loopback. tick, if any, is called once a second.
-func (s *World) RunLive(ctx context.Context, o LiveOptions, tick func(second int,
-	r result.Summary)) (result.Summary,
-	error) {
+// RunLive runs the experiment in real time against processes of the broker, over loopback sockets. It calls
+// tick, unless nil, once a second.
+func (s *World) RunLive(ctx context.Context, o LiveOptions,
+	tick func(second int, r result.Summary)) (result.Summary, error) {
 	if s.e.Arm != exp.Follow {
-		return result.Summary{}, fmt.Errorf("arm %s: only %s is played live", s.e.Arm, exp.Follow)
+		return result.Summary{}, fmt.Errorf("arm %s: live runs support only arm %s", s.e.Arm, exp.Follow)
 	}
 	l := &live{opts: o, inbox: make(chan func(), inboxSize), start: time.Now(), done: make(chan struct{})}
 	defer close(l.done)
@@ -93,22 +96,11 @@
 		brokers, s.brokers = append(brokers, b), append(s.brokers, b)
 		b.start(nil)
 	}
-	ready := func() bool {
-		for _, b := range brokers {
-			if !b.isUp() {
-				return false
-			}
-		}
-		return true
-	}
-	if s.runUntil(ctx, func() bool { return ready() || time.Since(startedAt) > startTimeout }); !ready() {
-		for _, b := range brokers {
-			if !b.isUp() {
-				text, _ := os.ReadFile(b.log.Name())
-				return result.Summary{}, fmt.Errorf("%s does not serve; its log ends: %s", b.name,
-					text[max(0, len(text)-maxLogBytes):])
-			}
-		}
+	s.runUntil(ctx, func() bool { return firstNotUp(brokers) == nil || time.Since(startedAt) > startTimeout })
+	if b := firstNotUp(brokers); b != nil {
+		text, _ := os.ReadFile(b.log.Name())
+		return result.Summary{}, fmt.Errorf("%s does not serve; its log ends: %s", b.name,
+			text[max(0, len(text)-maxLogBytes):])
 	}
 	s.endMs = s.now + s.e.Seconds*1000
 	s.fleet.scheduleEvents()
@@ -125,23 +117,38 @@
 	s.runUntil(ctx, func() bool { return s.now > s.endMs+liveTailMs })
 	s.stopped = true
 	r := s.Summary()
+	if err := stopBrokers(brokers, &r); err != nil {
+		return r, err
+	}
+	r.SimulatedS, r.WallS = (s.now-first)/1000, time.Since(startedAt).Seconds()
+	return r, ctx.Err()
+}
+
+// firstNotUp returns the first broker that is not up, or nil.
+func firstNotUp(brokers []*processBroker) *processBroker {
+	for _, b := range brokers {
+		if !b.isUp() {
+			return b
+		}
+	}
+	return nil
+}
+
+// stopBrokers adds the statistics of all brokers to a summary and stops them in parallel.
+func stopBrokers(brokers []*processBroker, r *result.Summary) error {
 	stopped := make(chan error, len(brokers))
 	for _, b := range brokers {
-		b.fetchStats(&r)
+		b.fetchStats(r)
 		go func() { stopped <- b.stop() }()
 	}
-	var stopErr error
+	var err error
 	for range brokers {
-		stopErr = errors.Join(stopErr, <-stopped)
-	}
-	if stopErr != nil {
-		return r, stopErr
+		err = errors.Join(err, <-stopped)
 	}
-	r.SimulatedS, r.WallS = (s.now-first)/1000, time.Since(startedAt).Seconds()
-	return r, ctx.Err()
+	return err
 }
 
-// pump lets events and what sockets post happen in real time until it is over.
+// runUntil runs the event loop, scheduled events and posted functions, in real time until isOver reports true.
 func (s *World) runUntil(ctx context.Context, isOver func() bool) {
 	t := time.NewTimer(time.Hour)
 	defer t.Stop()
@@ -166,7 +173,7 @@
 	}
 }
 
-// process is a broker that is a process. It implements broker.
+// processBroker is a broker that runs as a process of its own. It implements broker.
 type processBroker struct {
 	world       *World
 	index       int
@@ -182,8 +189,8 @@
 	client      client
 	log         *os.File
 	initialList *discovery.EndpointList
-	relays      map[*zoneListener]*relay.Relay // on its links to nodes, where the experiment has any
-	baseFault   relay.Fault                    // what they do when nothing is cut
+	relays      map[*zoneListener]*relay.Relay // by backend listener; nil if the experiment has no link faults
+	baseFault   relay.Fault                    // of the relays while its links are not cut
 }
 
 func newProcess(s *World, i int) (*processBroker, error) {
@@ -218,10 +225,10 @@
 func (b *processBroker) isUp() bool      { return b.alive && b.healthy }
 func (b *processBroker) notify(upTo int) { b.discovery.notify(upTo) }
 
-// reset does nothing: its connections to the node have ended by themselves.
+// backendStopped implements broker. The connections to the backend have been reset already.
 func (b *processBroker) backendStopped(*backend) {}
 
-// way is the address at which this broker reaches a node: the node's own, or a relay's.
+// backendAddr returns the address at which this broker reaches a backend: that of its listener or of a relay.
 func (b *processBroker) backendAddr(l *zoneListener) string {
 	if b.relays == nil {
 		return l.addr
@@ -230,7 +237,7 @@
 	if r == nil {
 		var err error
 		if r, err = relay.New(l.addr, !b.world.live.opts.Flight); err != nil {
-			fmt.Fprintln(b.log, err)
+			_, _ = fmt.Fprintln(b.log, err)
 			return l.addr
 		}
 		r.Set(b.linkFault())
@@ -239,7 +246,7 @@
 	return r.Addr()
 }
 
-// fault is what its links suffer now.
+// linkFault returns the present fault of the broker's links.
 func (b *processBroker) linkFault() relay.Fault {
 	f := b.baseFault
 	f.Cut = b.world.fleet.linksCutUntil[b.index] > b.world.now
@@ -253,7 +260,7 @@
 	}
 }
 
-// LinkStats are what the relays on all links have counted.
+// LinkStats returns the totals of the relays on all links.
 func (s *World) LinkStats() (sum relay.Stats) {
 	for _, b := range s.brokers {
 		if p, ok := b.(*processBroker); ok {
@@ -267,17 +274,17 @@
 	return sum
 }
 
-// sum adds nothing while it runs: what it counts is asked for once, at the end.
+// addStats implements broker. It adds nothing, as fetchStats fetches the statistics at the end of the run.
 func (b *processBroker) addStats(*result.Summary) {}
 
-// start starts the program, as the platform would; and has the map that it kept in its file.
+// start starts a process. The process reads its cached shard map from its own file.
 func (b *processBroker) start(*shardmap.Version) {
 	s := b.world
 	if s.stopped {
 		return
 	}
 	s.check.Restarted(s.now, b.name)
-	if b.initialList == nil { // it comes back with the list that it began with
+	if b.initialList == nil { // later processes start with the same list
 		list := b.discovery.endpointList(0, true)
 		b.initialList = &list
 	}
@@ -289,7 +296,7 @@
 		err = cmd.Start()
 	}
 	if err != nil {
-		fmt.Fprintln(b.log, err)
+		_, _ = fmt.Fprintln(b.log, err)
 		return
 	}
 	exited := make(chan error, 1)
@@ -311,7 +318,7 @@
 	}()
 }
 
-// kill ends it outright: what it held is void.
+// kill kills the process. The checker expects no answers to its requests any more.
 func (b *processBroker) kill() {
 	_ = b.cmd.Process.Kill()
 	<-b.exited
@@ -324,7 +331,7 @@
 	b.alive, b.healthy = false, false
 }
 
-// stop ends it as a planned restart does.
+// stop terminates the process with SIGTERM, as a planned restart does, and waits for its exit.
 func (b *processBroker) stop() error {
 	if !b.alive {
 		return nil
@@ -334,14 +341,15 @@
 	select {
 	case err := <-b.exited:
 		if err != nil {
-			return fmt.Errorf("%s did not end well: %w; see its log", b.name, err)
+			return fmt.Errorf("%s exited with an error after SIGTERM: %w; see its log", b.name, err)
 		}
 		return nil
 	case <-time.After(stopTimeout):
-		return errors.New(b.name + " does not end")
+		return fmt.Errorf("%s did not exit within %v of SIGTERM", b.name, stopTimeout)
 	}
 }
 
+// close kills the process if it still runs and releases the resources of the broker.
 func (b *processBroker) close() {
 	if b.alive {
 		b.alive = false
@@ -356,7 +364,7 @@
 	_ = b.log.Close()
 }
 
-// page adds what the broker counted to a summary.
+// fetchStats adds the broker's statistics to a summary.
 func (b *processBroker) fetchStats(r *result.Summary) {
 	if !b.alive {
 		return
@@ -376,7 +384,7 @@
 	}
 }
 
-// take sends a query; its end is posted.
+// submit sends a query; its end is posted to the event loop.
 func (b *processBroker) submit(q *query, r *core.Request) error {
 	s, gen, id := b.world, b.gen, q.ask.ID
 	timeout := time.Duration((q.ask.Deadline - s.now) * 1e6)
@@ -388,7 +396,7 @@
 		s.live.post(func() {
 			switch {
 			case gen != b.gen || status == callNoAnswer:
-				// Its process died, or there was no answer: the checker sees what is owed.
+				// The process was killed or there was no answer: the checker reports a lost answer if one was due.
 			case status == callStaleMap:
 				if s.queries[id] == q {
 					q.retryStaleMap()
@@ -401,7 +409,7 @@
 	return nil
 }
 
-// files writes the broker's configuration and the operator's file.
+// writeFiles writes the broker's configuration and the operator's file.
 func (b *processBroker) writeFiles() (configPath, operatorPath string, err error) {
 	s := b.world
 	dir := s.live.opts.Dir
@@ -419,7 +427,7 @@
 			filepath.Join(dir, b.name+".map")), 0o600))
 }
 
-// config is the platform's form of a broker's settings.
+// settings returns the broker's configuration in the platform's format.
 func (b *processBroker) settings() map[string]any {
 	e := b.world.e
 	var classes []any
--- a/internal/lab/world/servers.go
+++ b/internal/lab/world/servers.go
@@ -14,16 +14,16 @@
 	"ternstage/internal/transport/shardcatalog"
 )
 
-const firstRevision = 41 // of the list at the start: what is news is counted on from it
+const firstRevision = 41 // of the list at the start; each endpoint event increments it
 
-// discoveryServer is the list of nodes for one broker, over HTTP/1.1.
+// discoveryServer serves the endpoint list to one broker over HTTP/1.1.
 type discoveryServer struct {
 	world         *World
 	broker        *processBroker
 	addr          string
 	ln            net.Listener
-	visibleEvents int // news that this broker may know
-	watchers      []func()
+	visibleEvents int      // number of endpoint events that this broker may know
+	watchers      []func() // answer calls that wait for events
 }
 
 func newDiscovery(s *World, b *processBroker) (*discoveryServer, error) {
@@ -38,14 +38,15 @@
 
 func (d *discoveryServer) close() { _ = d.ln.Close() }
 
-// told makes news visible and wakes who waits for it.
+// notify makes endpoint events visible, up to an index, and answers the calls that wait for them.
 func (d *discoveryServer) notify(upTo int) {
 	s := d.world
-	if until := s.fleet.agentSilentUntil[d.broker.index]; s.e.Pushed && until > s.now { // nothing reaches it either
+	if until := s.fleet.agentSilentUntil[d.broker.index]; s.e.Pushed && until > s.now {
+		// A silent agent gets no updates either.
 		s.schedule(until, func() { d.notify(upTo) })
 		return
 	}
-	if s.e.Pushed && d.visibleEvents < upTo { // what an agent has counts as told
+	if s.e.Pushed && d.visibleEvents < upTo { // what the agent has counts as known
 		s.fleet.agentUpdatedAt[d.broker.index] = s.now
 		for _, n := range s.fleet.endpointEvents[d.visibleEvents:upTo] {
 			if n.state != scheduler.Ready {
@@ -61,7 +62,7 @@
 	}
 }
 
-// list is what is visible since a place in the news, or the whole list.
+// endpointList returns the visible events since an index, or the full list.
 func (d *discoveryServer) endpointList(since int, full bool) discovery.EndpointList {
 	s, l := d.world, discovery.EndpointList{Revision: uint64(firstRevision + d.visibleEvents), Complete: full}
 	latest := map[*backend]endpointEvent{}
@@ -81,7 +82,8 @@
 		if !full && !changed || full && x.state == scheduler.Removed {
 			continue
 		}
-		m := discovery.EndpointRecord{ID: n.ID, Address: d.broker.backendAddr(n.listeners.(zoneListeners)[s.e.ZoneOf(d.broker.index)]),
+		listener := n.listeners.(zoneListeners)[s.e.ZoneOf(d.broker.index)]
+		m := discovery.EndpointRecord{ID: n.ID, Address: d.broker.backendAddr(listener),
 			Zone: zoneName(n.zone), Cell: n.index, Size: 1,
 			Phase: map[scheduler.ReplicaState]string{scheduler.Ready: "SERVING", scheduler.Draining: "DRAINING",
 				scheduler.Removed: "DELETED"}[x.state]}
@@ -100,33 +102,7 @@
 	full := err != nil || index < firstRevision
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait"))
 	answer := make(chan discovery.EndpointList, 1)
-	ok := s.live.post(func() {
-		replied, gen := false, d.broker.gen
-		reply := func() {
-			if replied || gen != d.broker.gen { // nobody is told what a process that has died asked for
-				return
-			}
-			replied = true
-			l := d.endpointList(index-firstRevision, full)
-			for _, m := range l.Endpoints { // it is told once this is written
-				if m.Phase == "SERVING" && !s.Fault.IgnoreDrain {
-					s.check.Untold(d.broker.name, m.ID)
-				} else if m.Phase != "SERVING" {
-					s.check.Told(s.now, d.broker.name, m.ID)
-				}
-			}
-			answer <- l
-		}
-		if s.e.Pushed && s.fleet.agentSilentUntil[d.broker.index] > s.now {
-			return // the call is never answered
-		}
-		if full || index < firstRevision+d.visibleEvents || s.e.Pushed {
-			reply()
-			return
-		}
-		d.watchers = append(d.watchers, reply)
-		s.schedule(s.now+float64(wait), reply)
-	})
+	ok := s.live.post(func() { d.handleCall(index, full, wait, answer) })
 	if !ok {
 		return
 	}
@@ -138,7 +114,43 @@
 	}
 }
 
-// zoneName is a zone as lists and settings call it.
+// handleCall answers a call at once or, if it waits for events, when there are some or its wait is over.
+func (d *discoveryServer) handleCall(index int, full bool, waitMs int, answer chan<- discovery.EndpointList) {
+	s := d.world
+	replied, gen := false, d.broker.gen
+	reply := func() {
+		if replied || gen != d.broker.gen { // a call of a killed process is not answered
+			return
+		}
+		replied = true
+		l := d.endpointList(index-firstRevision, full)
+		d.recordNotified(l)
+		answer <- l
+	}
+	if s.e.Pushed && s.fleet.agentSilentUntil[d.broker.index] > s.now {
+		return // the call is never answered
+	}
+	if full || index < firstRevision+d.visibleEvents || s.e.Pushed {
+		reply()
+		return
+	}
+	d.watchers = append(d.watchers, reply)
+	s.schedule(s.now+float64(waitMs), reply)
+}
+
+// recordNotified informs the checker of a list that is about to be written: the broker counts as notified of it.
+func (d *discoveryServer) recordNotified(l discovery.EndpointList) {
+	s := d.world
+	for _, m := range l.Endpoints {
+		if m.Phase == "SERVING" && !s.Fault.IgnoreDrain {
+			s.check.Untold(d.broker.name, m.ID)
+		} else if m.Phase != "SERVING" {
+			s.check.Told(s.now, d.broker.name, m.ID)
+		}
+	}
+}
+
+// zoneName returns the name of a zone in endpoint lists and settings.
 func zoneName(i int) string { return fmt.Sprintf("zone-%d", i) }
 
 func writeJSON(w http.ResponseWriter, v any) {
@@ -151,7 +163,7 @@
 	_, _ = w.Write(text)
 }
 
-// catalogueServer is the catalogue of slices, over HTTP/1.1, with the faults of the experiment.
+// catalogueServer serves the shard catalogue over HTTP/1.1, with the faults of the experiment.
 type catalogueServer struct{ world *World }
 
 // ServeHTTP implements http.Handler: GET /catalog/slices.
@@ -164,7 +176,7 @@
 	deliver := func(a *catalogueAnswer) {
 		select {
 		case answer <- a:
-		default: // a copy that comes later: a connection carries one answer for a call
+		default: // a duplicate; a call over HTTP gets one answer
 		}
 	}
 	if !s.live.post(func() { s.fleet.poll(call, func() { deliver(nil) }, func(a catalogueAnswer) { deliver(&a) }) }) {
@@ -182,7 +194,7 @@
 	}
 }
 
-// doc is what is told, in the catalogue's form.
+// document returns the answer in the catalogue's format.
 func (a catalogueAnswer) document() shardcatalog.Document {
 	if a.version != nil {
 		d := shardcatalog.FormatSnapshot(a.version, nil, a.retired)
@@ -198,7 +210,7 @@
 	return d
 }
 
-// wires opens the nodes' sockets and the catalogue's.
+// openListeners opens the listeners of the catalogue and the backends.
 func (s *World) openListeners() error {
 	ln, err := net.Listen("tcp", loopback.Own())
 	if err != nil {
@@ -215,7 +227,7 @@
 		n.listeners.listen()
 		for _, k := range n.listeners.(zoneListeners) {
 			if k.addr == "" {
-				return errListen
+				return fmt.Errorf("backend %s cannot listen for brokers of zone %d", n.ID, k.brokerZone)
 			}
 		}
 	}
--- a/internal/lab/world/sockets.go
+++ b/internal/lab/world/sockets.go
@@ -31,21 +31,20 @@
 	"ternstage/internal/lab/model"
 )
 
-var errListen = errors.New("a node cannot listen")
-
 const (
 	maxFrameBytes = 1 << 20
-	writeQueue    = 1024 // answers that may wait on a connection
+	writeQueue    = 1024 // answers that may wait to be written to a connection
 	writeTimeout  = 2 * time.Second
 )
 
-// socket is a node's listener for the brokers of a zone.
+// zoneListener is the listener of a backend for the brokers of one zone. The event loop owns its fields, apart
+// from those after the mutex.
 type zoneListener struct {
 	backend    *backend
-	brokerZone int // the zone from which brokers come to it
+	brokerZone int // zone of the brokers that connect to it
 	addr       string
-	hasLost    bool                       // something was lost here, as the way is cut; the world's goroutine's
-	inFlight   map[*receivedPart]struct{} // parts that are out here; the world's goroutine's
+	hasLost    bool                       // a message was lost while the zones were cut off from each other
+	inFlight   map[*receivedPart]struct{} // parts received here and not ended
 
 	mu    sync.Mutex
 	ln    net.Listener
@@ -53,7 +52,7 @@
 	grpc  *grpc.Server
 }
 
-// sockets are a node's listeners, one for the brokers of each zone. It implements wire.
+// zoneListeners are the listeners of a backend, one for the brokers of each zone. It implements listenerSet.
 type zoneListeners []*zoneListener
 
 func newZoneListeners(n *backend) (ls zoneListeners) {
@@ -75,7 +74,7 @@
 	}
 }
 
-// restored resets what was open over a way that had been cut.
+// resetLost implements listenerSet.
 func (ls zoneListeners) resetLost() {
 	for _, x := range ls {
 		if x.hasLost {
@@ -86,14 +85,14 @@
 	}
 }
 
-// cut tells that nothing gets through now, and remembers that something would have.
-func (l *zoneListener) isCut() bool {
-	isCut := !l.backend.world.fleet.canReach(l.brokerZone, l.backend.zone)
-	l.hasLost = l.hasLost || isCut
-	return isCut
+// dropIfCut reports whether a message is lost now as the zones are cut off from each other, and records the loss.
+func (l *zoneListener) dropIfCut() bool {
+	cut := !l.backend.world.fleet.canReach(l.brokerZone, l.backend.zone)
+	l.hasLost = l.hasLost || cut
+	return cut
 }
 
-// back listens, at the same address as before.
+// listen listens, at the same address as before if there was one.
 func (l *zoneListener) listen() {
 	at := l.addr
 	if at == "" {
@@ -116,8 +115,8 @@
 	go l.accept(ln)
 }
 
-// down ends the listener and all connections. What was out on them is out no more from this moment: who hears
-// of the reset may send it elsewhere before any of our threads has.
+// close closes the listener and resets all connections. It removes their parts from flight at once: a broker
+// that sees the reset may send them elsewhere before the goroutines of the connections notice it.
 func (l *zoneListener) close() {
 	for p := range l.inFlight {
 		p.removeInFlight()
@@ -141,6 +140,7 @@
 	}
 }
 
+// accept serves the connections of a listener until that is closed.
 func (l *zoneListener) accept(ln net.Listener) {
 	for {
 		c, err := ln.Accept()
@@ -157,22 +157,23 @@
 	}
 }
 
-// landing is a part that has reached a live node. It implements answerer.
+// receivedPart is a part that has reached a backend in a live run. It implements responder.
 type receivedPart struct {
 	listener *zoneListener
 	backend  *backend
-	id       string // the part's
+	id       string // of the part
 	job      *model.Job
 	inFlight bool
 	reply    func(end model.End, epoch uint64)
 }
 
-// land takes a part from a wire, on the world's goroutine.
+// receive passes a part from a connection to the backend, or returns nil if the part is lost. It runs in the
+// event loop.
 func (l *zoneListener) receive(id, query string, r shardmap.Range, epoch uint64,
 	reply func(model.End, uint64)) *receivedPart {
 	n, s := l.backend, l.backend.world
 	q := s.queries[query]
-	if q == nil || n.Trouble == model.Down || n.Fallen || l.isCut() {
+	if q == nil || n.Trouble == model.Down || n.Fallen || l.dropIfCut() {
 		return nil
 	}
 	p := &receivedPart{listener: l, backend: n, id: id, inFlight: true, reply: reply}
@@ -184,16 +185,16 @@
 	return p
 }
 
-// answer implements answerer.
+// respond implements responder.
 func (p *receivedPart) respond(end model.End) {
 	if p.inFlight {
-		if p.removeInFlight(); !p.listener.isCut() {
+		if p.removeInFlight(); !p.listener.dropIfCut() {
 			p.reply(end, p.backend.Epoch())
 		}
 	}
 }
 
-// leave notes that the part is out no more.
+// removeInFlight informs the checker that the part is no longer in flight.
 func (p *receivedPart) removeInFlight() {
 	if p != nil && p.inFlight {
 		p.inFlight = false
@@ -202,95 +203,129 @@
 	}
 }
 
-// serve reads frames from one connection.
-func (k *zoneListener) serve(c net.Conn) {
-	s := k.backend.world
-	out := make(chan []byte, writeQueue)
-	inFlight := map[string]*receivedPart{} // the world's goroutine's
-	defer func() {
-		k.mu.Lock()
-		delete(k.conns, c)
-		k.mu.Unlock()
-		_ = c.Close()
-		s.live.post(func() {
-			for _, l := range inFlight {
-				l.removeInFlight()
-				l.backend.Drop(l.job)
-			}
-			close(out)
-			out = nil
-		})
-	}()
-	go func(out chan []byte) {
-		for b := range out {
-			_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
-			if _, err := c.Write(b); err != nil {
-				_ = c.Close()
-			}
-		}
-	}(out)
-	r := bufio.NewReader(c)
-	for {
-		var head [4]byte
-		if _, err := io.ReadFull(r, head[:]); err != nil {
-			return
-		}
-		n := binary.BigEndian.Uint32(head[:])
-		if n < 1 || n > maxFrameBytes {
-			return
-		}
-		body := make([]byte, n)
-		if _, err := io.ReadFull(r, body); err != nil {
+// serve reads frames from a connection until it fails or a frame is malformed.
+func (l *zoneListener) serve(conn net.Conn) {
+	c := &frameConn{listener: l, conn: conn, out: make(chan []byte, writeQueue), inFlight: map[string]*receivedPart{}}
+	defer c.close()
+	go c.write(c.out)
+	for r := bufio.NewReader(conn); ; {
+		body, err := readFrame(r)
+		if err != nil {
 			return
 		}
 		switch body[0] {
 		case 'X':
-			id := string(body[1:])
-			s.live.post(func() {
-				if l := inFlight[id]; l != nil {
-					l.removeInFlight()
-					l.backend.Drop(l.job)
-					delete(inFlight, id)
-				}
-			})
+			c.cancelPart(string(body[1:]))
 		case 'Q':
-			for rest := body[1:]; len(rest) > 0; {
-				line, more, _ := bytes.Cut(rest, []byte{'\n'})
-				f := strings.Fields(string(line))
-				if len(f) != 4 {
-					return
-				}
-				size, err := strconv.Atoi(f[3])
-				if err != nil || size > len(more) {
-					return
-				}
-				rest = more[size:]
-				epoch, buckets, err := parseEpochAndBuckets(f[2])
-				if err != nil {
-					return
-				}
-				id := f[0]
-				query, _, _ := strings.Cut(id, ".")
-				s.live.post(func() {
-					l := k.receive(id, query, buckets, epoch, func(end model.End, epoch uint64) {
-						delete(inFlight, id)
-						select {
-						case out <- encodeAnswer(id, end, epoch, cmp.Or(k.backend.loadReport, "-"),
-							model.Value(query, buckets)):
-						default:
-							_ = c.Close()
-						}
-					})
-					if l != nil && l.inFlight {
-						inFlight[id] = l
-					}
-				})
+			if c.receiveParts(body[1:]) != nil {
+				return
 			}
 		}
 	}
 }
 
-// fence reads the list of a part's line: d=240,e=17,r=120-135.
+// frameConn is a connection of a broker that speaks frames.
+type frameConn struct {
+	listener *zoneListener
+	conn     net.Conn
+	out      chan []byte              // answers to write, nil after the end of the connection; owned by the event loop
+	inFlight map[string]*receivedPart // by part id; owned by the event loop
+}
+
+// write writes answers to the connection until out is closed.
+func (c *frameConn) write(out <-chan []byte) {
+	for b := range out {
+		_ = c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+		if _, err := c.conn.Write(b); err != nil {
+			_ = c.conn.Close()
+		}
+	}
+}
+
+// close closes the connection and drops the parts that are in flight on it.
+func (c *frameConn) close() {
+	l := c.listener
+	l.mu.Lock()
+	delete(l.conns, c.conn)
+	l.mu.Unlock()
+	_ = c.conn.Close()
+	l.backend.world.live.post(func() {
+		for _, p := range c.inFlight {
+			p.removeInFlight()
+			p.backend.Drop(p.job)
+		}
+		close(c.out)
+		c.out = nil
+	})
+}
+
+// readFrame reads the body of a frame, which follows its length as 32 bits in big-endian order.
+func readFrame(r io.Reader) ([]byte, error) {
+	var head [4]byte
+	if _, err := io.ReadFull(r, head[:]); err != nil {
+		return nil, err
+	}
+	n := binary.BigEndian.Uint32(head[:])
+	if n < 1 || n > maxFrameBytes {
+		return nil, fmt.Errorf("frame of %d bytes, not 1 to %d", n, maxFrameBytes)
+	}
+	body := make([]byte, n)
+	_, err := io.ReadFull(r, body)
+	return body, err
+}
+
+// cancelPart drops a part whose attempt the broker has cancelled.
+func (c *frameConn) cancelPart(id string) {
+	c.listener.backend.world.live.post(func() {
+		if p := c.inFlight[id]; p != nil {
+			p.removeInFlight()
+			p.backend.Drop(p.job)
+			delete(c.inFlight, id)
+		}
+	})
+}
+
+// receiveParts reads the parts of a request frame: for each a line of four fields, of which the last is the size
+// of the payload that follows it.
+func (c *frameConn) receiveParts(rest []byte) error {
+	for len(rest) > 0 {
+		line, more, _ := bytes.Cut(rest, []byte{'\n'})
+		f := strings.Fields(string(line))
+		if len(f) != 4 {
+			return fmt.Errorf("part with %d fields, not 4", len(f))
+		}
+		size, err := strconv.Atoi(f[3])
+		if err != nil || size > len(more) {
+			return fmt.Errorf("part with payload size %q, of %d bytes in the frame", f[3], len(more))
+		}
+		rest = more[size:]
+		epoch, buckets, err := parseEpochAndBuckets(f[2])
+		if err != nil {
+			return err
+		}
+		c.listener.backend.world.live.post(func() { c.receivePart(f[0], buckets, epoch) })
+	}
+	return nil
+}
+
+// receivePart passes a part to the backend. It runs in the event loop.
+func (c *frameConn) receivePart(id string, buckets shardmap.Range, epoch uint64) {
+	l := c.listener
+	query, _, _ := strings.Cut(id, ".")
+	p := l.receive(id, query, buckets, epoch, func(end model.End, epoch uint64) {
+		delete(c.inFlight, id)
+		select {
+		case c.out <- encodeAnswer(id, end, epoch, cmp.Or(l.backend.loadReport, "-"), model.Value(query, buckets)):
+		default:
+			_ = c.conn.Close()
+		}
+	})
+	if p != nil && p.inFlight {
+		c.inFlight[id] = p
+	}
+}
+
+// parseEpochAndBuckets reads the epoch and the bucket range from a part's attributes: d=240,e=17,r=120-135.
 func parseEpochAndBuckets(list string) (epoch uint64, r shardmap.Range, err error) {
 	for _, f := range strings.Split(list, ",") {
 		name, value, _ := strings.Cut(f, "=")
@@ -310,6 +345,7 @@
 	return epoch, r, nil
 }
 
+// encodeAnswer encodes the answer to a part as a frame.
 func encodeAnswer(id string, end model.End, epoch uint64, report, value string) []byte {
 	words := map[model.End]string{model.OK: "ok 17", model.Err: "err 0", model.Busy: "busy 0",
 		model.Moved: "moved " + strconv.FormatUint(epoch, 10)}
@@ -321,7 +357,7 @@
 	return append(append(b, 'A'), text...)
 }
 
-// flightNode serves parts over Flight.
+// flightBackend serves parts over Flight.
 type flightBackend struct {
 	flight.BaseFlightServer
 	listener *zoneListener
@@ -346,7 +382,7 @@
 	s, n, r := f.listener.backend.world, f.listener.backend, shardmap.Range{Start: q.Lo, End: q.Hi}
 	query, _, _ := strings.Cut(q.ID, ".")
 	answer := make(chan ended, 1)
-	var p *receivedPart // the world's goroutine's
+	var p *receivedPart // owned by the event loop
 	s.live.post(func() {
 		p = f.listener.receive(q.ID, query, r, q.E, func(end model.End, epoch uint64) { answer <- ended{end, epoch} })
 	})
@@ -366,6 +402,7 @@
 	}
 }
 
+// sendDoc sends the answer to a part as a record or as a status.
 func sendDoc(out flight.FlightService_DoGetServer, end model.End, epoch uint64, value string) error {
 	switch end {
 	case model.Err:
--- a/internal/lab/world/virtual.go
+++ b/internal/lab/world/virtual.go
@@ -525,8 +525,8 @@
 
 func addResharding(a, b core.ReshardingStats) core.ReshardingStats {
 	return core.ReshardingStats{Replaced: a.Replaced + b.Replaced, Split: a.Split + b.Split,
-		InFlight: a.InFlight + b.InFlight, Paused: a.Paused + b.Paused, Duplicates: a.Duplicates + b.Duplicates, Stale: a.Stale + b.Stale,
-		Behind: a.Behind + b.Behind}
+		InFlight: a.InFlight + b.InFlight, Paused: a.Paused + b.Paused, Duplicates: a.Duplicates + b.Duplicates,
+		Stale: a.Stale + b.Stale, Behind: a.Behind + b.Behind}
 }
 
 func addMapStats(a, b shardmap.Stats) shardmap.Stats {
