--- a/internal/lab/world/live.go
+++ b/internal/lab/world/live.go
@@ -107,12 +107,7 @@
 	s.schedule(s.now+100, s.arrive)
 	first := s.now
 	if tick != nil {
-		var tickEverySecond func()
-		tickEverySecond = func() {
-			tick(int((s.now-first)/1000+0.5), s.Summary())
-			s.schedule(s.now+1000, tickEverySecond)
-		}
-		s.schedule(s.now+1000, tickEverySecond)
+		s.scheduleTicks(first, tick)
 	}
 	s.runUntil(ctx, func() bool { return s.now > s.endMs+liveTailMs })
 	s.stopped = true
@@ -124,6 +119,14 @@
 	return r, ctx.Err()
 }
 
+// scheduleTicks calls tick once a second from now on, with the seconds since first.
+func (s *World) scheduleTicks(first float64, tick func(second int, r result.Summary)) {
+	s.schedule(s.now+1000, func() {
+		tick(int((s.now-first)/1000+0.5), s.Summary())
+		s.scheduleTicks(first, tick)
+	})
+}
+
 // firstNotUp returns the first broker that is not up, or nil.
 func firstNotUp(brokers []*processBroker) *processBroker {
 	for _, b := range brokers {
--- a/internal/lab/world/world_test.go
+++ b/internal/lab/world/world_test.go
@@ -17,6 +17,7 @@
 
 const reshardExperiment = "../../../experiments/reshard.jsonnet"
 
+// loadExperiment loads the resharding experiment with an arm, the interval of map changes and a duration.
 func loadExperiment(t *testing.T, arm string, every, seconds float64) *exp.Experiment {
 	e, err := exp.Load(reshardExperiment, map[string]string{"arm": arm, "every": strconv.FormatFloat(every, 'f', -1, 64),
 		"seconds": strconv.FormatFloat(seconds, 'f', -1, 64)})
@@ -24,7 +25,7 @@
 	return e
 }
 
-// seeds plays so many seeds side by side and gives their sum.
+// runSeeds runs n seeds in parallel, starting with from, and returns the sum of their results.
 func runSeeds(e *exp.Experiment, from, n int, f Fault) result.Summary {
 	all, wg := make([]result.Summary, n), sync.WaitGroup{}
 	for i := range all {
@@ -40,9 +41,10 @@
 	return result.Sum(all)
 }
 
-// No rule breaks while slices change every second, nodes and brokers fail and news is late, lost, twice and spoilt;
-// and the day is worth nearly what it is worth without changes.
-func TestRulesHoldWhileSlicesMove(t *testing.T) {
+// TestRulesHoldDuringResharding guards against broken rules while shards change every second, backends and brokers
+// fail, and catalogue answers are late, lost, duplicated and malformed. The earned weight must be close to that
+// without changes.
+func TestRulesHoldDuringResharding(t *testing.T) {
 	t.Parallel()
 	e := loadExperiment(t, exp.Follow, 1000, 40)
 	s := runSeeds(e, 1, 16, Fault{})
@@ -51,19 +53,20 @@
 	require.Greater(t, s.Changes, 16*20)
 	require.Positive(t, s.Moved)
 	require.Zero(t, s.OpenEnd)
-	still := runSeeds(loadExperiment(t, exp.Follow, 0, 40), 1, 16, Fault{})
-	require.InDelta(t, still.Worth, s.Worth, 0.03)
+	unchanged := runSeeds(loadExperiment(t, exp.Follow, 0, 40), 1, 16, Fault{})
+	require.InDelta(t, unchanged.Worth, s.Worth, 0.03)
 	often := loadExperiment(t, exp.Follow, 100, 40)
 	s = runSeeds(often, 1, 16, Fault{})
 	_, faults = s.Judge(often.Expect)
 	require.Empty(t, faults)
-	require.Positive(t, s.Caught, "parts were out when their slice was retired")
+	require.Positive(t, s.Caught, "parts were in flight when their shard was retired")
 	require.Positive(t, s.Replaced)
 	require.Positive(t, s.SplitParts)
-	require.Positive(t, s.Refusals, "spoilt maps were refused")
+	require.Positive(t, s.Refusals, "malformed maps were rejected")
 }
 
-func TestSameSeedSameDay(t *testing.T) {
+// TestSameSeedGivesSameRun guards against results that depend on anything but the experiment and the seed.
+func TestSameSeedGivesSameRun(t *testing.T) {
 	t.Parallel()
 	e := loadExperiment(t, exp.Follow, 500, 20)
 	a, b := New(e, 7).Run(nil), New(e, 7).Run(nil)
@@ -73,8 +76,9 @@
 	require.NotEqual(t, a.Taken, c.Taken)
 }
 
-// The arms that know no epochs lose: one by refusing and failing, the other by the rules.
-func TestArmsWithoutEpochsLose(t *testing.T) {
+// TestArmsWithoutEpochsPerformWorse: without epochs, the arm that reloads on SIGHUP rejects and fails more requests,
+// and the naive arm runs parts twice.
+func TestArmsWithoutEpochsPerformWorse(t *testing.T) {
 	t.Parallel()
 	follow := runSeeds(loadExperiment(t, exp.Follow, 1000, 40), 1, 6, Fault{})
 	sighup := runSeeds(loadExperiment(t, exp.Sighup, 1000, 40), 1, 6, Fault{})
@@ -84,23 +88,23 @@
 	require.Zero(t, follow.Broken(), follow.Notes)
 }
 
-// Every checker is seen to catch what it is there for.
-func TestCheckersCatch(t *testing.T) {
+// TestCheckersDetectFaults guards against checkers that let through the violation that they exist for.
+func TestCheckersDetectFaults(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		f     Fault
 		count func(result.Summary) int
 	}{
-		"lost":          {Fault{LoseAnswer: true}, func(s result.Summary) int { return s.Lost }},
-		"falsely whole": {Fault{MarkComplete: true}, func(s result.Summary) int { return s.FalselyWhole }},
-		"short":         {Fault{DropHit: true}, func(s result.Summary) int { return s.Short }},
-		"wrong value":   {Fault{ForeignValue: true}, func(s result.Summary) int { return s.WrongValue }},
-		"counted twice": {Fault{DuplicateValue: true}, func(s result.Summary) int { return s.CountedTwice }},
-		"drain late":    {Fault{IgnoreDrain: true}, func(s result.Summary) int { return s.DrainLate }},
-		"two at once":   {Fault{DuplicateAttempt: true}, func(s result.Summary) int { return s.Overlaps }},
-		"bind twice":    {Fault{DuplicateAttempt: true}, func(s result.Summary) int { return s.BindTwice }},
-		"not held":      {Fault{Unfenced: true}, func(s result.Summary) int { return s.Overlaps }},
-		"cold fallen":   {Fault{HideStarts: true}, func(s result.Summary) int { return s.ColdFallen }},
+		"lost":                          {Fault{LoseAnswer: true}, func(s result.Summary) int { return s.Lost }},
+		"falsely complete":              {Fault{MarkComplete: true}, func(s result.Summary) int { return s.FalselyWhole }},
+		"short":                         {Fault{DropHit: true}, func(s result.Summary) int { return s.Short }},
+		"wrong value":                   {Fault{ForeignValue: true}, func(s result.Summary) int { return s.WrongValue }},
+		"counted twice":                 {Fault{DuplicateValue: true}, func(s result.Summary) int { return s.CountedTwice }},
+		"late drain":                    {Fault{IgnoreDrain: true}, func(s result.Summary) int { return s.DrainLate }},
+		"two attempts at once":          {Fault{DuplicateAttempt: true}, func(s result.Summary) int { return s.Overlaps }},
+		"non-idempotent part run twice": {Fault{DuplicateAttempt: true}, func(s result.Summary) int { return s.BindTwice }},
+		"buckets not held":              {Fault{Unfenced: true}, func(s result.Summary) int { return s.Overlaps }},
+		"overloaded while warming up":   {Fault{HideStarts: true}, func(s result.Summary) int { return s.ColdFallen }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -115,20 +119,20 @@
 	}
 }
 
-// One of the two sides of a move, or both, die in the middle of it: no district is without a holder that could have
-// had one, and no rule breaks.
-func TestSidesOfAMoveDie(t *testing.T) {
+// TestMoveSurvivesStoppedBackends stops the source or the destination of a move, or both, during the move. Every
+// shard must keep a running replica, and no rule may be broken.
+func TestMoveSurvivesStoppedBackends(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		from, to float64 // ms after the move began at which they die; 0: they live
+		from, to float64 // ms from the start of the move until the backend stops; 0: it does not stop
 		moved    bool
 	}{
-		"the destination while it copies":   {0, 300, false},
-		"the destination in the handover":   {0, 900, false},
-		"the source while it is copied":     {300, 0, true},
-		"the source in the handover":        {900, 0, true},
-		"both":                              {300, 900, false},
-		"the source drains and dies, after": {2500, 0, true},
+		"the destination while it copies": {0, 300, false},
+		"the destination in the handover": {0, 900, false},
+		"the source while it is copied":   {300, 0, true},
+		"the source in the handover":      {900, 0, true},
+		"both":                            {300, 900, false},
+		"the source after the move":       {2500, 0, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -137,8 +141,8 @@
 			s := New(e, 11)
 			f := s.fleet
 			at := f.shardMap.Current().Shard(3)
-			holders, to := at.Replicas, f.backends[0]
-			from := f.backends[f.byName[holders[0]]-1]
+			replicas, to := at.Replicas, f.backends[0]
+			from := f.backends[f.byName[replicas[0]]-1]
 			s.schedule(clockStartMs+6000, func() { require.True(t, f.moveShard(at, from.ID, to, 800, 1000, false, false)) })
 			if c.to > 0 {
 				s.schedule(clockStartMs+6000+c.to, func() { f.stopBackend(to) })
@@ -155,7 +159,7 @@
 								up++
 							}
 						}
-						require.Positive(t, up, "slice %d has no holder", x.ID)
+						require.Positive(t, up, "shard %d has no running replica", x.ID)
 						return true
 					})
 				})
@@ -166,16 +170,17 @@
 			end := f.shardMap.Current().Shard(3)
 			require.Equal(t, shardmap.Serving, end.State)
 			if c.moved {
-				require.Equal(t, append([]string{to.ID}, holders[1:]...), end.Replicas)
+				require.Equal(t, append([]string{to.ID}, replicas[1:]...), end.Replicas)
 			} else {
-				require.Equal(t, holders, end.Replicas)
+				require.Equal(t, replicas, end.Replicas)
 			}
 		})
 	}
 }
 
-// Slices go onto nodes that have just started, as fast as the pace allows: none is pushed over.
-func TestFreshNodesTakeSlicesAtTheirPace(t *testing.T) {
+// TestHandoversToWarmingBackendsArePaced moves shards to backends that have just started, as fast as the pacer
+// allows. No backend may be overloaded.
+func TestHandoversToWarmingBackendsArePaced(t *testing.T) {
 	t.Parallel()
 	e := loadExperiment(t, exp.Follow, 150, 40)
 	e.Changes.Split, e.Changes.Merge, e.Changes.Move, e.News.Outages = 0, 0, 1, nil
@@ -187,8 +192,9 @@
 	require.Greater(t, s.Worth, 0.9)
 }
 
-// The catalogue is away for 30 s while handovers go on, and then tells some 200 changes at once.
-func TestCatalogueIsAwayForLong(t *testing.T) {
+// TestLongCatalogueOutage: during an outage of 30 s handovers go on, and after it the brokers receive about 200
+// changes at once.
+func TestLongCatalogueOutage(t *testing.T) {
 	t.Parallel()
 	e := loadExperiment(t, exp.Follow, 250, 50)
 	e.News.Outages = e.News.Outages[:1]
@@ -201,8 +207,9 @@
 	require.Zero(t, s.OpenEnd)
 }
 
-// A long run of changes leaves nothing behind: what is kept at its end is what was kept in its middle.
-func TestThousandsOfChangesLeaveNothingBehind(t *testing.T) {
+// TestManyChangesRetainNoState guards against state that accumulates with shard map changes: what is retained at the
+// end of a long run must be what was retained halfway.
+func TestManyChangesRetainNoState(t *testing.T) {
 	t.Parallel()
 	e := loadExperiment(t, exp.Follow, 15, 160)
 	e.Rate, e.Troubles.Every, e.News.Outages, e.History = 20, 0, nil, 1024
@@ -217,16 +224,16 @@
 		}
 	})
 	require.Greater(t, end.Changes, 10_000)
-	t.Logf("heap at the half %d KB, at the end %d KB, %d changes", half>>10, last>>10, end.Changes)
+	t.Logf("heap halfway %d KB, at the end %d KB, %d changes", half>>10, last>>10, end.Changes)
 	require.Zero(t, end.Broken(), end.Notes)
 	require.Zero(t, end.OpenEnd)
 	require.LessOrEqual(t, end.KeptMax, 40)
 	for _, x := range s.brokers {
 		b := x.(*virtualBroker)
-		require.Equal(t, 1, b.shardMap.Stats().RetainedVersions, "no version is kept for nobody")
+		require.Equal(t, 1, b.shardMap.Stats().RetainedVersions, "versions without users are retained")
 		require.LessOrEqual(t, b.shardMap.Stats().Groups, b.shardMap.Stats().Shards)
 		require.Empty(t, b.inFlight)
 	}
-	// Other tests share the heap, so that the bound can only be rough here; docs/results has the run alone.
+	// Other tests share the heap, so this bound is rough; docs/results has the figures of this test run alone.
 	require.Less(t, float64(last), float64(half)+64e6)
 }
