--- a/internal/lab/world/fleet.go
+++ b/internal/lab/world/fleet.go
@@ -606,7 +606,7 @@
 		return
 	}
 	b.kill()
-	cached := f.versionAt(s.now - 4000) // the shard map that it saved before it was killed
+	cached := f.versionAt(s.now - 4000) // the shard map that it restarts with is 4 s old
 	s.schedule(s.now+min(durationMs, 2000), func() { b.start(cached) })
 }
 
@@ -661,8 +661,9 @@
 	return faulty
 }
 
-// injectBackendFault injects a fault into a backend that has none. A random fault also spares backends that
-// are warming up, and all backends while more than a sixth of them have a fault.
+// injectBackendFault injects a fault into a backend that has none and has not failed under overload. A random
+// fault also spares backends that are warming up, and all backends while more than a sixth of them, and more
+// than one, have a fault.
 func (f *fleet) injectBackendFault(kind string, n *backend, durationMs float64, scripted bool) {
 	s := f.world
 	if n.hasFault || n.Fallen || !scripted && (n.Cold(s.now) || f.faultyBackends() > max(1, len(f.backends)/6)) {
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -27,7 +27,7 @@
 	tailMs            = 8000.0 // after the last arrival, until all requests must have ended
 	minNetworkDelayMs = 0.2    // one way
 	maxNetworkDelayMs = 1.0
-	askWithinMs       = 10_000.0 // a broker that has not polled the endpoint list for longer counts as notified
+	askWithinMs       = 10_000.0 // a new process that has not polled the list for so long counts as notified; a setting
 	forgetAfterMs     = 30_000.0 // after the deadline of a request, when nothing of it can arrive any more
 )
 
@@ -80,7 +80,8 @@
 	queue eventQueue
 	dirty []*virtualBroker
 
-	// Clients, network and faults draw from separate sources, so that the arms of an experiment see the same clients.
+	// Clients, network and faults draw from separate sources, so that all arms of an experiment see the same
+	// clients.
 	loadRand, networkRand, faultRand *rand.Rand
 
 	check         *check.Checker
