--- a/cmd/ternstage/broker.go
+++ b/cmd/ternstage/broker.go
@@ -218,8 +218,8 @@
 		WindowMs:      b.config.Scheduler.SlowStart.Window,
 		StartedUnixMs: unixMs(b.startedAt),
 		BrokerCount:   b.config.Scheduler.BrokerCount,
-		Core:          b.core,
-		Known:         func(replica uint32) bool { return b.endpoints.Address(replica) != "" },
+		SlowStart:     b.core,
+		IsListed:      func(replica uint32) bool { return b.endpoints.Address(replica) != "" },
 	}
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -53,8 +53,8 @@
 	Scheduler scheduler.Settings
 	// Contracts hold the classes and tenants as clients know them (settings.categories, settings.customers).
 	Contracts *contract.Contracts
-	// Settings holds the settings as they were decoded, to compare one configuration with another (settings).
-	Settings any
+	// DecodedSettings holds the decoded JSON of all settings, known or not, to compare configurations (settings).
+	DecodedSettings any
 
 	// MaxOpen is the number of open requests and parts, together, beyond which requests are rejected
 	// (settings.limits.max_open); 0, the default, for no limit.
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -92,7 +92,7 @@
 		return err
 	}
 	var decoded platformSettings
-	err = errors.Join(json.Unmarshal(text, &decoded), json.Unmarshal(text, &c.Settings))
+	err = errors.Join(json.Unmarshal(text, &decoded), json.Unmarshal(text, &c.DecodedSettings))
 	if err != nil {
 		return settingError("settings", err)
 	}
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -62,6 +62,6 @@
 	require.NoError(t, err)
 	minimal, err := parse(t, minimalConfig())
 	require.NoError(t, err)
-	assert.Equal(t, same.Settings, changed.Settings)
-	assert.NotEqual(t, minimal.Settings, changed.Settings, "unknown settings count")
+	assert.Equal(t, same.DecodedSettings, changed.DecodedSettings)
+	assert.NotEqual(t, minimal.DecodedSettings, changed.DecodedSettings, "unknown settings count")
 }
--- a/internal/control/adminapi/server.go
+++ b/internal/control/adminapi/server.go
@@ -15,9 +15,9 @@
 	// MaxConnections is the maximum number of connections at once. One more evicts an answered connection or, without
 	// one, the oldest, which is answered 503.
 	MaxConnections = 64
-	// AnswerWithinMs is the time in milliseconds from the connection within which a call has to arrive. After it the
+	// CallTimeoutMs is the time in milliseconds from the connection within which a call has to arrive. After it the
 	// caller is answered 408.
-	AnswerWithinMs = 800.0
+	CallTimeoutMs = 800.0
 	// LingerMs is the time in milliseconds after the answer for which the connection is kept if the caller does not
 	// close it.
 	LingerMs = 1000.0
@@ -128,7 +128,7 @@
 		switch {
 		case c.answered && nowMs-c.answeredAtMs > LingerMs:
 			c.close(logs.OperatorDone, nil)
-		case !c.answered && nowMs-c.acceptedAtMs > AnswerWithinMs:
+		case !c.answered && nowMs-c.acceptedAtMs > CallTimeoutMs:
 			c.reject(http.StatusRequestTimeout, errTimeout, logs.OperatorTimeout)
 		}
 	}
--- a/internal/control/adminapi/server_test.go
+++ b/internal/control/adminapi/server_test.go
@@ -90,7 +90,7 @@
 	s := serve(t)
 	began := time.Now()
 	assert.Contains(t, s.call(t, "GET /v1/readyz HT"), "HTTP/1.1 408 Request Timeout\r\n")
-	assert.GreaterOrEqual(t, time.Since(began), AnswerWithinMs*time.Millisecond)
+	assert.GreaterOrEqual(t, time.Since(began), CallTimeoutMs*time.Millisecond)
 	assert.Less(t, time.Since(began), time.Second)
 	s.waitLog(t, `"code":"O03"`)
 }
--- a/internal/control/adminops/handover.go
+++ b/internal/control/adminops/handover.go
@@ -32,10 +32,10 @@
 	StartedUnixMs float64
 	// BrokerCount is the number of brokers in the settings; 0 is unknown.
 	BrokerCount int
-	// Core gives its sends to a successor, and takes over a predecessor's.
-	Core SlowStartSender
-	// Known reports whether the backend with this replica number is listed here.
-	Known func(replica uint32) bool
+	// SlowStart is the scheduler, whose sends to warming backends are passed to a successor.
+	SlowStart SlowStartSender
+	// IsListed reports whether the backend with this replica number is listed here.
+	IsListed func(replica uint32) bool
 }
 
 // handoverExchange passes sends to warming backends between processes: at most once from a predecessor, at most once
@@ -61,7 +61,7 @@
 			StartedUnixMs: config.StartedUnixMs,
 			WindowMs:      config.WindowMs,
 			BrokerCount:   config.BrokerCount,
-			Known:         config.Known,
+			Known:         config.IsListed,
 		},
 		otherProcess: newProcessDetector(log, config.Path+servingSuffix),
 	}
@@ -70,7 +70,7 @@
 // handOver writes what this process sent, for its successor.
 func (h *handoverExchange) handOver() {
 	h.settled = true // the record in the file is no longer a predecessor's
-	sends := h.config.Core.HandOver()
+	sends := h.config.SlowStart.HandOver()
 	err := statefile.Write(h.config.Path, handover.Encode(unixNowMs(), h.config.BrokerCount, sends))
 	h.log.Info("slow-start sends handed over", zap.Int("sent", len(sends)), zap.Error(err))
 }
@@ -83,7 +83,7 @@
 		return
 	}
 	if otherServes {
-		h.config.Core.OtherProcessActive()
+		h.config.SlowStart.OtherProcessActive()
 	}
 	readable := h.readRecord()
 	if readable && h.pending != nil {
@@ -132,7 +132,7 @@
 		h.waitLogged = true
 	case handover.Apply:
 		sends := handover.AgeSends(h.pending, nowUnixMs, h.config.WindowMs)
-		h.config.Core.TakeOver(sends)
+		h.config.SlowStart.TakeOver(sends)
 		h.settled = true
 		h.pending = nil
 		h.log.Info("slow-start sends taken over", zap.Int("sent", len(sends)))
--- a/internal/control/adminops/handover_test.go
+++ b/internal/control/adminops/handover_test.go
@@ -30,7 +30,7 @@
 func (p *process) enableHandover(path string, known bool) *slowStartSender {
 	sender := &slowStartSender{}
 	p.EnableHandover(HandoverConfig{Path: path, WindowMs: 60_000, StartedUnixMs: unixNowMs(), BrokerCount: 2,
-		Core: sender, Known: func(uint32) bool { return known }})
+		SlowStart: sender, IsListed: func(uint32) bool { return known }})
 	return sender
 }
 
@@ -77,7 +77,7 @@
 	known := false
 	sender := &slowStartSender{}
 	p.EnableHandover(HandoverConfig{Path: recordPath, WindowMs: 60_000, StartedUnixMs: unixNowMs(), BrokerCount: 2,
-		Core: sender, Known: func(uint32) bool { return known }})
+		SlowStart: sender, IsListed: func(uint32) bool { return known }})
 	assert.Zero(t, sender.takenOver)
 	known = true
 	p.handover.poll()
--- a/internal/control/reload/reload.go
+++ b/internal/control/reload/reload.go
@@ -82,7 +82,7 @@
 		{"name", r.current.Name, loaded.Name},
 		{"listen", r.current.Listen, loaded.Listen},
 		{"limits", limitsOf(r.current), limitsOf(loaded)},
-		{"settings", r.current.Settings, loaded.Settings},
+		{"settings", r.current.DecodedSettings, loaded.DecodedSettings},
 	} {
 		if !reflect.DeepEqual(part.inForce, part.loaded) {
 			names = append(names, part.name)
--- a/internal/control/reload/reload_test.go
+++ b/internal/control/reload/reload_test.go
@@ -56,7 +56,7 @@
 
 func started() config.Config {
 	return config.Config{Name: "n0", Listen: "127.0.0.1:80", Discovery: "127.0.0.1:81", Cores: 1, MemoryMB: 192,
-		MaxDescriptors: 512, Settings: map[string]any{"zone": "a"}}
+		MaxDescriptors: 512, DecodedSettings: map[string]any{"zone": "a"}}
 }
 
 func TestApply(t *testing.T) {
@@ -71,7 +71,7 @@
 		"cores":           {func(c *config.Config) { c.Cores = 2 }, nil, []any{"limits"}},
 		"memory":          {func(c *config.Config) { c.MemoryMB = 256 }, nil, []any{"limits"}},
 		"descriptors":     {func(c *config.Config) { c.MaxDescriptors = 1024 }, nil, []any{"limits"}},
-		"settings":        {func(c *config.Config) { c.Settings = map[string]any{"zone": "b"} }, nil, []any{"settings"}},
+		"settings":        {func(c *config.Config) { c.DecodedSettings = map[string]any{"zone": "b"} }, nil, []any{"settings"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			log := newLogFile(t)
--- a/internal/logs/codes.go
+++ b/internal/logs/codes.go
@@ -8,10 +8,10 @@
 const (
 	// ClientClosed: the last response was sent, as the client or the broker had asked for the close; normal.
 	ClientClosed Code = "C01"
-	// ClientLeftIdle: the client closed or reset between requests; normal.
-	ClientLeftIdle Code = "C02"
-	// ClientLeftRequest: the client closed or reset with a request open; many mean that clients give up too early.
-	ClientLeftRequest Code = "C03"
+	// ClientDisconnectedIdle: the client closed or reset between requests; normal.
+	ClientDisconnectedIdle Code = "C02"
+	// ClientDisconnectedInRequest: the client closed or reset with a request open; often, clients give up too early.
+	ClientDisconnectedInRequest Code = "C03"
 	// ClientMalformed: a request was malformed or broke its contract and got a 4xx response; the client needs a fix.
 	ClientMalformed Code = "C04"
 	// ClientEvicted: idle for 5 s, or idle when its descriptor was needed; the latter often means too few descriptors.
@@ -82,8 +82,8 @@
 	ShardMapTimeout Code = "M04"
 	// ShardMapMalformed: a response with another status than 200, or none of HTTP; check the address and the catalogue.
 	ShardMapMalformed Code = "M05"
-	// ShardMapWatchCut: a backend or client reported a newer map during a watch; normal while shards move.
-	ShardMapWatchCut Code = "M06"
+	// ShardMapWatchAborted: a backend or client reported a newer map during a watch; normal while shards move.
+	ShardMapWatchAborted Code = "M06"
 	// ShardMapRejected: a map or change failed validation, and the map in use stays; the catalogue needs a fix.
 	ShardMapRejected Code = "M10"
 	// ShardMapCacheFailed: the cached map could not be written or used; a restart would begin without it.
--- a/internal/transport/httpfront/close.go
+++ b/internal/transport/httpfront/close.go
@@ -12,9 +12,9 @@
 
 // disconnected closes a connection that its client has closed or reset, and tells core if a request is open.
 func (c *connection) disconnected(err error) {
-	code := logs.ClientLeftIdle
+	code := logs.ClientDisconnectedIdle
 	if request := c.open; request != nil {
-		code = logs.ClientLeftRequest
+		code = logs.ClientDisconnectedInRequest
 		c.open = nil
 		c.server.core.ClientDisconnected(request)
 	}
--- a/internal/transport/httpfront/read.go
+++ b/internal/transport/httpfront/read.go
@@ -55,7 +55,7 @@
 	case c.open != nil:
 		c.disconnected(nil)
 	case len(c.stream.Out) == 0:
-		c.close(logs.ClientLeftIdle, nil)
+		c.close(logs.ClientDisconnectedIdle, nil)
 	default:
 		c.ending.afterOutput = true
 	}
--- a/internal/transport/shardcatalog/source.go
+++ b/internal/transport/shardcatalog/source.go
@@ -94,7 +94,7 @@
 	}
 	if request, due := s.poller.Next(now); due {
 		if request.CancelsPending {
-			s.disconnect(logs.ShardMapWatchCut, nil)
+			s.disconnect(logs.ShardMapWatchAborted, nil)
 		}
 		s.call(request)
 	}
--- a/internal/transport/shardcatalog/source_test.go
+++ b/internal/transport/shardcatalog/source_test.go
@@ -286,7 +286,7 @@
 		`{"epoch":6,"complete":false,"changes":[{"base":5,"epoch":6,"kind":"assign","slice":0,"holders":["z"]}]}`))
 	fixture.waitApplied(6)
 	fixture.call(watchTarget(6), reply{})
-	require.Equal(t, []string{string(logs.ShardMapWatchCut) + " 1", string(logs.Shutdown) + " 1"}, fixture.stop())
+	require.Equal(t, []string{string(logs.ShardMapWatchAborted) + " 1", string(logs.Shutdown) + " 1"}, fixture.stop())
 }
 
 func TestSourceGivesUpACallThatIsNotAnswered(t *testing.T) {
