--- a/internal/control/adminapi/connection.go
+++ b/internal/control/adminapi/connection.go
@@ -11,24 +11,24 @@
 	"ternstage/internal/transport/loop"
 )
 
-// connection is one caller. It carries one call, and leaves one line in the log: that of the call or, without a call
-// that could be carried out, that of the connection's end.
+// connection is the connection of one caller. It carries one call, which is logged when it is answered. The end of
+// the connection is logged as well, unless a call was answered and the connection then ended normally.
 type connection struct {
 	server       *Server
 	stream       *loop.Stream
-	peer         string // address
+	peer         string // IP address and port, see peerAddress
 	acceptedAtMs float64
 	answered     bool
 	answeredAtMs float64
 	callLogged   bool
 	closed       bool
 
-	// Set by reject: why the connection ends, whatever closes it.
+	// Set by reject and logged when the connection ends, in place of the arguments of close.
 	endCode logs.Code
 	endErr  error
 }
 
-// Ready implements loop.Handler.
+// Ready implements loop.Handler: it answers the call once it has arrived.
 func (c *connection) Ready(uint32) {
 	if c.answered {
 		c.discardInput()
@@ -43,13 +43,14 @@
 	switch {
 	case err != nil:
 		c.reject(rejectionStatus(err), err, logs.OperatorMalformed)
-	case request.arrived(len(c.stream.In)):
+	case request.hasArrived(len(c.stream.In)):
 		c.answer(request, c.server.route(request.method, request.path))
 	case eof:
 		c.close(logs.OperatorDisconnected, nil)
 	}
 }
 
+// answer logs a call that was routed and sends its result.
 func (c *connection) answer(request request, result maintenance.CallResult) {
 	c.server.log.Info("operator call", zap.String("code", string(logs.OperatorDone)), zap.String("peer", c.peer),
 		zap.String("method", request.method), zap.String("path", request.path), zap.Int("status", result.Status),
@@ -58,15 +59,16 @@
 	c.respond(result.Status, result.Reason)
 }
 
-// reject answers what is not a call that can be carried out. code and err are logged when the connection ends.
+// reject answers a caller whose call is malformed, incomplete or beyond a limit. code and err are logged when the
+// connection ends.
 func (c *connection) reject(status int, err error, code logs.Code) {
 	c.endCode = code
 	c.endErr = err
 	c.respond(status, err.Error())
 }
 
-// respond sends the answer and ends this side of the connection. An answer fits the kernel's buffer: if it is not
-// taken at once, the caller does not read, and the connection is closed.
+// respond sends the answer and shuts down the sending side of the connection. An answer fits into the kernel's send
+// buffer: if it cannot be written at once, the caller is not reading and the connection is closed.
 func (c *connection) respond(status int, reason string) {
 	c.stream.Out = appendResponse(c.stream.Out[:0], status, reason)
 	c.stream.In = nil
@@ -82,8 +84,8 @@
 	c.discardInput()
 }
 
-// discardInput discards what the caller still sends until the caller closes. Closing with unread input would reset
-// the connection, and the caller could lose the answer.
+// discardInput discards further input until the caller closes the connection. Closing it with unread input would
+// reset it, and the caller could lose the answer.
 func (c *connection) discardInput() {
 	_, eof, err := c.stream.DiscardInput()
 	if eof || err != nil {
@@ -91,7 +93,7 @@
 	}
 }
 
-// close closes the connection for the reason code, unless reject has set another. A repeated call does nothing.
+// close closes the connection and logs code and err, or those that reject has set. A repeated call does nothing.
 func (c *connection) close(code logs.Code, err error) {
 	if c.closed {
 		return
@@ -108,7 +110,7 @@
 	}
 }
 
-// peerAddress returns the address of the caller, and "" for one that is gone or does not use IPv4.
+// peerAddress returns the IP address and port of the caller, or "" if it has disconnected or does not use IPv4.
 func peerAddress(fd int) string {
 	address, err := unix.Getpeername(fd)
 	if err != nil {
--- a/internal/control/adminapi/connection_test.go
+++ b/internal/control/adminapi/connection_test.go
@@ -22,7 +22,8 @@
 	s.waitLog(t, `"code":"O02"`)
 }
 
-// TestLingeringConnectionClosed checks that a caller who does not close is closed after LingerMs.
+// TestLingeringConnectionClosed checks that an answered connection is closed after LingerMs if the caller keeps it
+// open.
 func TestLingeringConnectionClosed(t *testing.T) {
 	s := serve(t)
 	connection := s.dial(t)
--- a/internal/control/adminapi/request.go
+++ b/internal/control/adminapi/request.go
@@ -10,15 +10,17 @@
 )
 
 const (
-	// MaxHeaderBytes is the maximum size in bytes of the request line and the header fields. More is answered 431.
+	// MaxHeaderBytes is the maximum size in bytes of the request line and the header fields. A larger one is answered
+	// 431.
 	MaxHeaderBytes = 4 << 10
-	// MaxBodyBytes is the maximum size in bytes of a body. No call needs one; it is discarded. More is answered 413.
+	// MaxBodyBytes is the maximum size in bytes of a body. No call needs a body, and it is discarded. A larger one is
+	// answered 413.
 	MaxBodyBytes = 4 << 10
 
-	// maxReadBytes is one byte more than a call may have, so that a larger one shows.
+	// maxReadBytes is one byte more than the largest call, so that a larger one is detected.
 	maxReadBytes = MaxHeaderBytes + MaxBodyBytes + 1
 
-	// bodyIsChunked stands for the size of a body in chunks, which only its last chunk tells.
+	// bodyIsChunked takes the place of the size of a chunked body, which is unknown until the last chunk arrives.
 	bodyIsChunked = -1
 
 	lineEnd   = "\r\n"
@@ -26,14 +28,14 @@
 	lastChunk = "\r\n0\r\n\r\n"
 )
 
-// The texts are part of the admin API: they are answered as reasons.
+// These texts are part of the admin API: they are sent as reasons.
 var (
 	errHeaderTooLarge = fmt.Errorf("head over %d bytes", MaxHeaderBytes)
 	errBodyTooLarge   = fmt.Errorf("body over %d bytes", MaxBodyBytes)
 	errMalformed      = errors.New("malformed call")
 )
 
-// request is a call whose header has arrived.
+// request is a call whose header has arrived, or the zero value before that.
 type request struct {
 	method string
 	path   string // without the query
@@ -41,11 +43,13 @@
 	sizeBytes int
 }
 
-// arrived reports whether the whole request is among the first received bytes.
-func (r request) arrived(received int) bool { return r.sizeBytes > 0 && received >= r.sizeBytes }
+// hasArrived reports whether the whole request is within the first receivedBytes.
+func (r request) hasArrived(receivedBytes int) bool {
+	return r.sizeBytes > 0 && receivedBytes >= r.sizeBytes
+}
 
-// parseRequest parses the request at the beginning of in. As long as its size is unknown it returns a request without
-// one. Errors wrap errHeaderTooLarge, errBodyTooLarge or errMalformed.
+// parseRequest parses the request at the beginning of in. It returns the zero request while the size of the request
+// is unknown. Errors wrap errHeaderTooLarge, errBodyTooLarge or errMalformed.
 func parseRequest(in []byte) (request, error) {
 	end := bytes.Index(in, []byte(headerEnd))
 	if end > MaxHeaderBytes || end < 0 && len(in) > MaxHeaderBytes {
@@ -82,8 +86,8 @@
 	return parts[0], path, nil
 }
 
-// parseBodySize returns the size in bytes of the body that the header fields announce, 0 without one, and
-// bodyIsChunked for a body in chunks. The last of several fields counts.
+// parseBodySize returns the size in bytes of the body according to the header fields: 0 if they announce no body, and
+// bodyIsChunked for a chunked one. If several fields announce a body, the last one counts.
 func parseBodySize(fields string) (int, error) {
 	bodyBytes := 0
 	for field := range strings.SplitSeq(fields, lineEnd) {
@@ -112,9 +116,9 @@
 	return bodyBytes, nil
 }
 
-// chunkedSize returns the size in bytes of a request whose body is in chunks, 0 while the last chunk has not arrived.
-// headerBytes is the size of the header without its end. Chunks are not parsed, as the body is discarded: the first
-// empty one ends it, and it may follow the header directly.
+// chunkedSize returns the size in bytes of a request with a chunked body, or 0 if the last chunk has not arrived.
+// headerBytes is the size of the header without headerEnd. Chunks are not parsed, as the body is discarded: the body
+// ends with the first lastChunk, which may follow the header directly.
 func chunkedSize(in []byte, headerBytes int) (int, error) {
 	bodyStart := headerBytes + len(headerEnd)
 	searchStart := bodyStart - len(lineEnd)
@@ -128,7 +132,7 @@
 	return 0, nil
 }
 
-// rejectionStatus returns the HTTP status for an error of parseRequest.
+// rejectionStatus returns the HTTP status that answers an error of parseRequest.
 func rejectionStatus(err error) int {
 	switch {
 	case errors.Is(err, errHeaderTooLarge):
--- a/internal/control/adminapi/request_test.go
+++ b/internal/control/adminapi/request_test.go
@@ -14,7 +14,7 @@
 	for _, c := range []struct {
 		name, in     string
 		method, path string
-		sizeBytes    int // 0: not arrived
+		sizeBytes    int // 0: unknown
 	}{
 		{"no body", "GET /v1/readyz HTTP/1.1\r\nHost: a\r\n\r\n", "GET", "/v1/readyz", 36},
 		{"HTTP/1.0", "GET /v1/readyz HTTP/1.0\r\nHost: a\r\n\r\n", "GET", "/v1/readyz", 36},
@@ -23,7 +23,7 @@
 		{"a body", put + "Content-Length: 3\r\n\r\nabc", "PUT", "/v1/aggregator/drain", 59},
 		{"half a body", put + "Content-Length: 3\r\n\r\na", "PUT", "/v1/aggregator/drain", 59},
 		{"the largest body", put + "content-length:4096\r\n\r\n", "PUT", "/v1/aggregator/drain", 58 + 4096},
-		{"no chunk", chunked + "0\r\n\r\n", "PUT", "/v1/aggregator/drain", len(chunked) + 5},
+		{"an empty chunked body", chunked + "0\r\n\r\n", "PUT", "/v1/aggregator/drain", len(chunked) + 5},
 		{"a chunk", chunked + "3\r\nabc\r\n0\r\n\r\n", "PUT", "/v1/aggregator/drain", len(chunked) + 13},
 		{"half a chunk", chunked + "3\r\na", "", "", 0},
 	} {
@@ -31,8 +31,8 @@
 			got, err := parseRequest([]byte(c.in))
 			require.NoError(t, err)
 			assert.Equal(t, request{method: c.method, path: c.path, sizeBytes: c.sizeBytes}, got)
-			half := strings.Contains(c.name, "half") || c.name == "the largest body"
-			assert.Equal(t, !half, got.arrived(len(c.in)))
+			incomplete := strings.Contains(c.name, "half") || c.name == "the largest body"
+			assert.Equal(t, !incomplete, got.hasArrived(len(c.in)))
 		})
 	}
 }
@@ -49,7 +49,7 @@
 		{"another protocol", "GET / HTTP/2\r\n\r\n", errMalformed, `malformed call: request line "GET / HTTP/2"`, 400},
 		{"no path", "GET x HTTP/1.1\r\n\r\n", errMalformed, `malformed call: request line "GET x HTTP/1.1"`, 400},
 		{"a field without a colon", put + "Host\r\n\r\n", errMalformed, `malformed call: field "Host"`, 400},
-		{"a size that is none", put + "Content-Length: -1\r\n\r\n", errMalformed,
+		{"a negative size", put + "Content-Length: -1\r\n\r\n", errMalformed,
 			`malformed call: Content-Length "-1"`, 400},
 		{"another encoding", put + "Transfer-Encoding: gzip\r\n\r\n", errMalformed,
 			`malformed call: Transfer-Encoding "gzip"`, 400},
--- a/internal/control/adminapi/response.go
+++ b/internal/control/adminapi/response.go
@@ -6,7 +6,8 @@
 	"strconv"
 )
 
-// appendResponse appends an answer: a JSON object with "ok", which is true for a 2xx status, and "reason".
+// appendResponse appends an HTTP response whose body is a JSON object with "ok", which is true for a 2xx status, and
+// "reason".
 func appendResponse(out []byte, status int, reason string) []byte {
 	ok := status >= 200 && status < 300
 	body := fmt.Sprintf("{\"ok\":%t,\"reason\":%s}\n", ok, strconv.Quote(reason))
@@ -17,7 +18,8 @@
 		"\r\n%s", status, reasonPhrase(status), len(body), body)
 }
 
-// reasonPhrase returns the phrase of the status line. That of 413 is RFC 9110's; net/http has an older one.
+// reasonPhrase returns the reason phrase of the status line. For 413 it is the one of RFC 9110, as net/http has an
+// older one.
 func reasonPhrase(status int) string {
 	if status == http.StatusRequestEntityTooLarge {
 		return "Content Too Large"
--- a/internal/control/adminapi/response_test.go
+++ b/internal/control/adminapi/response_test.go
@@ -17,7 +17,8 @@
 		"{\"ok\":true,\"reason\":\"done\"}\n", string(appendResponse(nil, 200, "done")))
 }
 
-// TestResponsesAreHTTP checks that an HTTP client reads each status, and reasons with characters that JSON escapes.
+// TestResponsesAreHTTP checks that net/http parses the response of each status, and that a reason with characters
+// that JSON escapes is unchanged.
 func TestResponsesAreHTTP(t *testing.T) {
 	for _, c := range []struct {
 		status int
--- a/internal/control/adminapi/route.go
+++ b/internal/control/adminapi/route.go
@@ -27,15 +27,15 @@
 	pathReady     = "/v1/readyz"
 	pathDrain     = "/v1/aggregator/drain"
 	pathActivate  = "/v1/aggregator/activate"
-	prefixBackend = "/v1/leafs/" // and then ID/suspend or ID/resume
+	prefixBackend = "/v1/leafs/" // followed by ID/suspend or ID/resume
 )
 
-// route carries out the call that method and path name.
+// route carries out the call with this method and path.
 func (s *Server) route(method, path string) maintenance.CallResult {
 	if path == pathReady {
-		return s.readiness(method)
+		return s.answerReady(method)
 	}
-	operation := s.operation(path)
+	operation := s.operationFor(path)
 	if operation == nil {
 		return maintenance.CallResult{Status: http.StatusNotFound, Reason: "no such call: " + strconv.Quote(path)}
 	}
@@ -45,7 +45,7 @@
 	return operation()
 }
 
-func (s *Server) readiness(method string) maintenance.CallResult {
+func (s *Server) answerReady(method string) maintenance.CallResult {
 	switch {
 	case method != http.MethodGet && method != http.MethodHead:
 		return maintenance.CallResult{Status: http.StatusMethodNotAllowed, Reason: "GET only"}
@@ -55,8 +55,8 @@
 	return maintenance.CallResult{Status: http.StatusOK, Reason: "ready"}
 }
 
-// operation returns the operation that path names, and nil for none.
-func (s *Server) operation(path string) func() maintenance.CallResult {
+// operationFor returns the operation that path names, or nil if it names none.
+func (s *Server) operationFor(path string) func() maintenance.CallResult {
 	switch path {
 	case pathDrain:
 		return s.operations.Drain
--- a/internal/control/adminapi/route_test.go
+++ b/internal/control/adminapi/route_test.go
@@ -8,7 +8,7 @@
 	"ternstage/internal/decision/maintenance"
 )
 
-// recorder notes the operations that are called and answers each with its name.
+// recorder records the operations that are called and returns each call as the reason.
 type recorder struct {
 	ready bool
 	calls []string
--- a/internal/control/adminapi/server.go
+++ b/internal/control/adminapi/server.go
@@ -12,17 +12,18 @@
 )
 
 const (
-	// MaxConnections is the maximum number of connections at once. One more evicts an answered connection or, without
-	// one, the oldest, which is answered 503.
+	// MaxConnections is the maximum number of connections at once. A further one evicts an answered connection or, if
+	// there is none, the oldest, which is answered 503.
 	MaxConnections = 64
-	// CallTimeoutMs is the time in milliseconds from the connection within which a call has to arrive. After it the
-	// caller is answered 408.
+	// CallTimeoutMs is the time in milliseconds after accepting a connection within which its call must arrive.
+	// Otherwise the caller is answered 408.
 	CallTimeoutMs = 800.0
-	// LingerMs is the time in milliseconds after the answer for which the connection is kept if the caller does not
-	// close it.
+	// LingerMs is the time in milliseconds after which an answered connection is closed if the caller has not closed
+	// it.
 	LingerMs = 1000.0
 
-	// pollIntervalMs is how often the time limits are checked. It bounds how much later than them a caller is answered.
+	// pollIntervalMs is the interval in milliseconds at which the time limits are checked. They are enforced late by
+	// this much at most.
 	pollIntervalMs = 50.0
 )
 
@@ -39,7 +40,7 @@
 	listenerFD   int // -1 once closed
 	connections  map[*connection]struct{}
 	pollTimer    *loop.Timer
-	acceptPaused bool // until the next poll, for lack of descriptors
+	acceptPaused bool // until the next poll, as no descriptors were left
 }
 
 // Listen serves the admin API at address, "HOST:PORT" with a numeric host. Errors name the setting "mgmt".
@@ -63,7 +64,7 @@
 	return s, nil
 }
 
-// Ready implements loop.Handler: connections wait to be accepted.
+// Ready implements loop.Handler: it accepts the waiting connections.
 func (s *Server) Ready(uint32) {
 	for range MaxConnections {
 		fd, err := loop.Accept(s.listenerFD)
@@ -78,8 +79,8 @@
 	}
 }
 
-// pauseAccept stops watching the listener until the next poll, for lack of descriptors: it stays readable, and the
-// event loop would spin. The callers wait in the kernel's queue.
+// pauseAccept stops watching the listener until the next poll, as no descriptors are left: it would stay readable and
+// the event loop would spin. Callers wait in the kernel's accept queue meanwhile.
 func (s *Server) pauseAccept() {
 	s.acceptPaused = true
 	s.loop.SetEvents(s.listenerFD, 0)
@@ -100,6 +101,7 @@
 	s.schedulePoll()
 }
 
+// evictOne closes an answered connection or, if there is none, answers the oldest 503 and closes it.
 func (s *Server) evictOne() {
 	var oldest *connection
 	for c := range s.connections {
@@ -117,7 +119,7 @@
 
 func (s *Server) schedulePoll() { s.pollTimer.SetEarlier(s.loop.Now() + pollIntervalMs) }
 
-// poll enforces the time limits, and accepts again after a pause.
+// poll enforces the time limits and resumes accepting after a pause.
 func (s *Server) poll() {
 	nowMs := s.loop.Now()
 	if s.acceptPaused && s.listenerFD >= 0 {
--- a/internal/control/adminapi/server_test.go
+++ b/internal/control/adminapi/server_test.go
@@ -20,7 +20,7 @@
 
 const readyCall = "GET /v1/readyz HTTP/1.1\r\nHost: a\r\n\r\n"
 
-// server is an admin API that serves on an event loop of its own.
+// server is a running admin API with its own event loop.
 type server struct {
 	address string
 	logPath string
@@ -65,7 +65,7 @@
 	return connection
 }
 
-// call sends text and returns all that is answered.
+// call sends text on a new connection and returns the whole answer.
 func (s *server) call(t *testing.T, text string) string {
 	t.Helper()
 	connection := s.dial(t)
@@ -85,8 +85,8 @@
 	}, 10*time.Second, 5*time.Millisecond, "%s is not logged", text)
 }
 
-// TestServerAnswersHalfACallInTime checks that a call that does not arrive is answered 408 within a second.
-func TestServerAnswersHalfACallInTime(t *testing.T) {
+// TestIncompleteCallTimesOut checks that a call that does not fully arrive is answered 408 within a second.
+func TestIncompleteCallTimesOut(t *testing.T) {
 	s := serve(t)
 	began := time.Now()
 	assert.Contains(t, s.call(t, "GET /v1/readyz HT"), "HTTP/1.1 408 Request Timeout\r\n")
@@ -95,9 +95,9 @@
 	s.waitLog(t, `"code":"O03"`)
 }
 
-// TestServerEvictsTheOldest checks that one connection more than the maximum has the oldest answered 503, and is
-// served.
-func TestServerEvictsTheOldest(t *testing.T) {
+// TestOldestConnectionEvicted checks that a connection beyond MaxConnections is served, and that the oldest one is
+// answered 503.
+func TestOldestConnectionEvicted(t *testing.T) {
 	s := serve(t)
 	oldest := s.dial(t)
 	time.Sleep(20 * time.Millisecond)
