--- a/internal/control/adminclient/call.go
+++ b/internal/control/adminclient/call.go
@@ -4,9 +4,10 @@
 
 // Call is one call to the admin API.
 type Call struct {
-	// Name is that of the command: ready, suspend, resume, drain or activate.
+	// Name is the name of the command: ready, suspend, resume, drain or activate.
 	Name string
-	// ID is the backend's, empty for a call that names none. It has to be valid (see maintenance.ValidID).
+	// ID is the id of the backend; empty for a call that is not about a backend. It must be valid (see
+	// maintenance.ValidID).
 	ID string
 
 	method string
--- a/internal/control/adminclient/client.go
+++ b/internal/control/adminclient/client.go
@@ -11,34 +11,36 @@
 )
 
 const (
-	// attemptTimeout bounds one attempt. The API answers within 1 s, whatever the load.
+	// attemptTimeout limits one attempt. The API answers within 1 s at any load.
 	attemptTimeout = 1500 * time.Millisecond
-	// retryInterval is the time between the end of one attempt and the next.
+	// retryInterval is the time from the end of one attempt to the start of the next.
 	retryInterval = 100 * time.Millisecond
-	// maxAnswerBytes bounds what is read of an answer.
+	// maxAnswerBytes is the maximum size in bytes of an answer's body; the rest is not read.
 	maxAnswerBytes = 64 << 10
 )
 
-// ErrNoAnswer is wrapped by the errors of Do.
+// ErrNoAnswer is wrapped by every error of Do.
 var ErrNoAnswer = errors.New("no answer in time")
 
-// Answer is the outcome of a call. Its JSON is what the command line prints.
+// Answer is the result of a call. The command line prints it as JSON.
 type Answer struct {
-	// Call and ID are those of the call.
+	// Call and ID are the name and the backend's id of the call.
 	Call string `json:"call"`
 	ID   string `json:"id,omitempty"`
 	// OK reports whether the call was successful, which is a 2xx status.
 	OK bool `json:"ok"`
 	// Status is the HTTP status; 0 without an answer.
 	Status int `json:"status"`
-	// Reason is the answer's reason, the status text when it gives none, or the last error without an answer.
+	// Reason is the reason in the answer's body, the status text if the body has none, or, without an answer, the error
+	// of the last attempt.
 	Reason string `json:"reason"`
-	// Attempts is how often the call was made.
+	// Attempts is the number of attempts to make the call.
 	Attempts int `json:"tries"`
 }
 
-// Do makes call to the admin API at address ("HOST:PORT"), and repeats it until there is an answer or ctx ends. A
-// negative answer is an answer. Without one the error wraps ErrNoAnswer and the last attempt's error.
+// Do makes call to the admin API at address ("HOST:PORT"), and repeats it until it gets an answer or ctx ends. An
+// answer of any status ends it. Without an answer it returns an error that wraps ErrNoAnswer and the error of the
+// last attempt.
 func Do(ctx context.Context, address string, call Call) (Answer, error) {
 	answer := Answer{Call: call.Name, ID: call.ID}
 	transport := &http.Transport{DisableKeepAlives: true}
@@ -60,6 +62,7 @@
 	}
 }
 
+// attempt makes call once and returns the status and the reason of the answer.
 func attempt(ctx context.Context, transport http.RoundTripper, address string, call Call) (
 	status int, reason string, err error,
 ) {
@@ -81,7 +84,7 @@
 	return response.StatusCode, parseReason(text, response.StatusCode), nil
 }
 
-// parseReason returns the reason that the body gives, and the status text for a body that gives none.
+// parseReason returns the reason in the body, or the status text if the body is not JSON or has no reason.
 func parseReason(body []byte, status int) string {
 	var answer struct {
 		Reason string `json:"reason"`
--- a/internal/control/adminclient/client_test.go
+++ b/internal/control/adminclient/client_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// serve answers calls by handler and returns the address.
+// serve starts an HTTP server with this handler and returns its address.
 func serve(t *testing.T, handler http.HandlerFunc) string {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -23,7 +23,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func within(t *testing.T, timeout time.Duration) context.Context {
+func contextWithin(t *testing.T, timeout time.Duration) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), timeout)
 	t.Cleanup(cancel)
@@ -51,15 +51,15 @@
 				w.WriteHeader(c.status)
 				_, _ = w.Write([]byte(c.body))
 			})
-			answer, err := Do(within(t, 10*time.Second), address, Suspend("s-1"))
+			answer, err := Do(contextWithin(t, 10*time.Second), address, Suspend("s-1"))
 			require.NoError(t, err)
 			assert.Equal(t, Answer{Call: "suspend", ID: "s-1", OK: c.ok, Status: c.status, Reason: c.reason, Attempts: 1},
-				answer, "an answer is not asked for again")
+				answer, "a call that is answered is not repeated")
 		})
 	}
 }
 
-// TestDoRetries loses the first connections without an answer.
+// TestDoRetries checks that a call is repeated when its connection is closed without an answer, here twice.
 func TestDoRetries(t *testing.T) {
 	var calls atomic.Int32
 	address := serve(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -68,7 +68,7 @@
 		}
 		_, _ = w.Write([]byte(`{"ok":true,"reason":"so already"}`))
 	})
-	answer, err := Do(within(t, 10*time.Second), address, Drain)
+	answer, err := Do(contextWithin(t, 10*time.Second), address, Drain)
 	require.NoError(t, err)
 	assert.Equal(t, Answer{Call: "drain", OK: true, Status: 200, Reason: "so already", Attempts: 3}, answer)
 }
@@ -79,20 +79,20 @@
 		require.NoError(t, err)
 		address := listener.Addr().String()
 		require.NoError(t, listener.Close())
-		answer, err := Do(within(t, 350*time.Millisecond), address, Ready)
+		answer, err := Do(contextWithin(t, 350*time.Millisecond), address, Ready)
 		require.ErrorIs(t, err, ErrNoAnswer)
 		assert.Greater(t, answer.Attempts, 1)
 		assert.False(t, answer.OK)
 		assert.Zero(t, answer.Status)
 		assert.Contains(t, err.Error(), answer.Reason, "the last error is the reason")
 	})
-	t.Run("silent", func(t *testing.T) {
+	t.Run("unresponsive", func(t *testing.T) {
 		address := serve(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 		began := time.Now()
-		_, err := Do(within(t, 300*time.Millisecond), address, Ready)
+		_, err := Do(contextWithin(t, 300*time.Millisecond), address, Ready)
 		require.ErrorIs(t, err, ErrNoAnswer)
 		require.ErrorIs(t, err, context.DeadlineExceeded)
-		assert.Less(t, time.Since(began), attemptTimeout, "the context bounds the whole")
+		assert.Less(t, time.Since(began), attemptTimeout, "the context limits all attempts together")
 	})
 }
 
--- a/internal/control/adminclient/doc.go
+++ b/internal/control/adminclient/doc.go
@@ -1,6 +1,6 @@
-// Package adminclient makes operators' calls to the admin API of a broker (api/mgmt.yaml), for the command line.
+// Package adminclient calls the admin API of a broker (api/mgmt.yaml), for the command line.
 //
-// Calls are idempotent, so that one without an answer is repeated until the caller's context ends ([Do]):
+// Calls are idempotent, so [Do] repeats a call that got no answer until the caller's context ends:
 //
 //	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 //	defer cancel()
