--- a/internal/control/adminops/drain.go
+++ b/internal/control/adminops/drain.go
@@ -94,7 +94,7 @@
 	nowUnixMs := unixNowMs()
 	sinceUnixMs, found, err := readDrain(d.path, nowUnixMs)
 	if err != nil && !d.readFailed {
-		d.log.Warn("drain not read: in force from now on", zap.String("file", d.path), zap.Error(err))
+		d.log.Warn("drain file cannot be read: the broker drains from now on", zap.String("file", d.path), zap.Error(err))
 	}
 	d.readFailed = err != nil
 	switch {
--- a/internal/control/adminops/drain_test.go
+++ b/internal/control/adminops/drain_test.go
@@ -68,7 +68,7 @@
 	assert.True(t, p.draining)
 	require.Equal(t, 200, p.Activate().Status)
 	assert.False(t, start(t, path).draining)
-	assert.Contains(t, p.logged(t), "drain not read")
+	assert.Contains(t, p.logged(t), "drain file cannot be read: the broker drains from now on")
 }
 
 // TestDrainNotStored checks that a drain that cannot be stored is answered no, and stays in force here.
--- a/internal/control/adminops/otherprocess.go
+++ b/internal/control/adminops/otherprocess.go
@@ -33,7 +33,7 @@
 	if d.lock == nil {
 		lock, err := statefile.OpenLock(d.path)
 		if err != nil {
-			d.log.Warn("not known whether another process serves", zap.String("file", d.path), zap.Error(err))
+			d.log.Warn("lock file cannot be opened: other processes of the broker are not detected", zap.String("file", d.path), zap.Error(err))
 			d.alone = true
 			return false
 		}
--- a/internal/control/adminops/otherprocess_test.go
+++ b/internal/control/adminops/otherprocess_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"path/filepath"
+	"strings"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
@@ -49,5 +50,6 @@
 	sender := p.enableHandover(missingDirectory(t), true)
 	p.handover.poll()
 	assert.Zero(t, sender.otherActive)
-	assert.Contains(t, p.logged(t), "not known whether another process serves")
+	assert.Equal(t, 1, strings.Count(p.logged(t),
+		"lock file cannot be opened: other processes of the broker are not detected"))
 }
--- a/test/upgrade_versions_test.go
+++ b/test/upgrade_versions_test.go
@@ -236,7 +236,8 @@
 	f.more(t, 400)
 	assert.Zero(t, sentTo(ns, id, over), "%s got something though it is suspended", id)
 	for _, p := range []*program{from, next} { // of files that are there and cannot be used
-		assert.NotRegexp(t, `not read|torn|this build reads|number of (peers|brokers)|not (kept|saved)|panic|DATA RACE`, p.logged())
+		assert.NotRegexp(t, `not read|cannot be read|torn|this build reads|number of (peers|brokers)|not (kept|saved)|`+
+			`panic|DATA RACE`, p.logged())
 	}
 	return next
 }
