--- a/internal/control/adminops/control.go
+++ b/internal/control/adminops/control.go
@@ -9,32 +9,34 @@
 	"ternstage/internal/transport/loop"
 )
 
-// PollIntervalMs is how often the shared files are checked for changes by other processes, in milliseconds. It is
-// well within the 50 ms of tolerance for a change made at one process to be in force at the others.
+// PollIntervalMs is the interval in milliseconds at which the shared files are checked for changes by other
+// processes. A change made at one process must be in force at the others within 50 ms.
 const PollIntervalMs = 20.0
 
-// EndpointSink is the scheduler as it hears of changes to the endpoint list.
+// EndpointSink is the scheduler as the receiver of endpoint list updates.
 type EndpointSink interface {
+	// EndpointsChanged applies an update of the endpoint list.
 	EndpointsChanged(kind scheduler.UpdateKind, entries []scheduler.Endpoint)
 }
 
-// EndpointLookup returns the endpoint of a listed backend with its suspension applied, and false for a backend that
-// is not listed.
+// EndpointLookup looks up backends in the endpoint list.
 type EndpointLookup interface {
+	// Endpoint returns the endpoint of a listed backend with its suspension applied, and false for a backend that is
+	// not listed.
 	Endpoint(id string) (scheduler.Endpoint, bool)
 }
 
-// Front is the clients' front, as far as drains need it.
+// Front is the front for HTTP clients, as far as drains control it.
 type Front interface {
 	// Healthy reports whether the health check succeeds.
 	Healthy() bool
 	// CanServe reports whether the process could serve: it has an endpoint list and does not shut down.
 	CanServe() bool
-	// SetDraining has the health check fail while on.
+	// SetDraining makes the health check fail while on is true.
 	SetDraining(on bool)
-	// CloseAfterResponse has each answer close its connection while on.
+	// CloseAfterResponse makes each answer close its connection while on is true.
 	CloseAfterResponse(on bool)
-	// CloseIdle closes the connections that are idle now.
+	// CloseIdle closes the connections that are idle now; later ones stay open.
 	CloseIdle()
 }
 
@@ -45,13 +47,13 @@
 	front       Front
 	suspensions *suspensionStore
 	drain       *drainer
-	handover    *handoverExchange // nil when no other process takes over
+	handover    *handoverExchange // nil without EnableHandover
 	pollTimer   *loop.Timer
 	stopping    bool
 }
 
-// New returns a control that stores suspended backends in the file at path and a drain beside it, at DrainPath(path).
-// Both are read at once and applied to front; a file that cannot be used is logged and does not stop the start.
+// New returns a control that stores the suspended backends in the file at path and a drain in the file at
+// DrainPath(path). It reads both files and applies them; a file that cannot be used is logged and is not an error.
 func New(
 	eventLoop *loop.Loop, log *logs.Log, path string, endpoints EndpointLookup, sink EndpointSink, front Front,
 ) *Control {
@@ -68,20 +70,20 @@
 	return c
 }
 
-// EnableHandover has the control hand over to a successor at Stop, and take over from a predecessor.
+// EnableHandover makes the control take over from a predecessor, and hand over to a successor at Stop.
 func (c *Control) EnableHandover(config HandoverConfig) {
 	c.handover = newHandoverExchange(c.log, config)
 	c.handover.poll()
 }
 
-// Suspensions returns the suspended backends, for the endpoint list to apply.
+// Suspensions returns the suspended backends, which the endpoint list applies to its entries.
 func (c *Control) Suspensions() *maintenance.Suspensions { return c.suspensions.table }
 
-// Start begins to poll the shared files and to follow the phases of a drain.
+// Start starts to poll the shared files and to apply the phases of a drain.
 func (c *Control) Start() { c.schedulePoll() }
 
-// Stop notes that the process shuts down: it is no longer ready, and hands over to its successor. A repeated call
-// does nothing.
+// Stop is called when the process shuts down: the process is no longer ready, and hands over to its successor. A
+// repeated call does nothing.
 func (c *Control) Stop() {
 	if c.stopping {
 		return
@@ -92,15 +94,17 @@
 	}
 }
 
-// Ready implements adminapi.Operations: whether the process serves or, if the broker was drained before it started,
-// could serve. A drain thus does not keep a successor from taking over, while the health check fails at both.
+// Ready implements adminapi.Operations. It reports whether the process serves or, if the broker was draining when the
+// process started, could serve. A successor is thus ready to take over during a drain, although the health check
+// fails at both processes.
 func (c *Control) Ready() bool {
 	if c.stopping {
 		return false
 	}
-	return c.front.Healthy() || c.drain.inheritedInForce() && c.front.CanServe()
+	return c.front.Healthy() || c.drain.isInherited() && c.front.CanServe()
 }
 
+// poll applies what other processes have stored, and the current phase of a drain.
 func (c *Control) poll() {
 	c.suspensions.refresh()
 	if c.handover != nil && !c.stopping {
--- a/internal/control/adminops/control_test.go
+++ b/internal/control/adminops/control_test.go
@@ -13,10 +13,10 @@
 	"ternstage/internal/transport/loop"
 )
 
-// process is one process of a broker: its control, and all that the control acts on.
+// process is one process of a broker: its Control, and fakes of the scheduler, the endpoint list and the front.
 type process struct {
 	*Control
-	endpoints  []scheduler.Endpoint // that the scheduler was notified of
+	endpoints  []scheduler.Endpoint // of all EndpointsChanged calls
 	draining   bool
 	closeAfter bool
 	idleClosed int // calls of CloseIdle
@@ -32,7 +32,7 @@
 func (p *process) CloseAfterResponse(on bool) { p.closeAfter = on }
 func (p *process) CloseIdle()                 { p.idleClosed++ }
 
-// Endpoint gives every id a listed backend, numbered by the last byte of the id, with its suspension applied.
+// Endpoint returns a listed backend for every id, numbered by the last byte of the id, with its suspension applied.
 func (p *process) Endpoint(id string) (scheduler.Endpoint, bool) {
 	endpoint := scheduler.Endpoint{Replica: uint32(id[len(id)-1]), State: scheduler.Ready}
 	if p.Control != nil && p.suspensions.table.Suspended(id) {
@@ -58,7 +58,7 @@
 	return p
 }
 
-// logged returns the process's log.
+// logged returns the text of the process's log.
 func (p *process) logged(t *testing.T) string {
 	t.Helper()
 	p.log.Close()
@@ -67,7 +67,7 @@
 	return string(text)
 }
 
-// pollDrain is what a poll does for drains.
+// pollDrain does the part of Control.poll that concerns drains.
 func (p *process) pollDrain() {
 	p.drain.refresh()
 	p.drain.applyPhase()
@@ -78,7 +78,8 @@
 	return filepath.Join(t.TempDir(), "held.json")
 }
 
-func missingDirectory(t *testing.T) string {
+// pathWithoutDirectory returns a path in a directory that does not exist.
+func pathWithoutDirectory(t *testing.T) string {
 	t.Helper()
 	return filepath.Join(t.TempDir(), "no such folder", "held.json")
 }
--- a/internal/control/adminops/drain.go
+++ b/internal/control/adminops/drain.go
@@ -14,28 +14,28 @@
 	"ternstage/internal/transport/loop"
 )
 
-// DrainPath returns the path of the file of a drain, beside that of the suspended backends at path.
+// DrainPath returns the path of the drain file that belongs to the file of the suspended backends at path.
 func DrainPath(path string) string { return path + ".drain" }
 
-// Drain implements adminapi.Operations.
+// Drain implements adminapi.Operations: it starts a drain.
 func (c *Control) Drain() maintenance.CallResult { return c.drain.begin() }
 
-// Activate implements adminapi.Operations.
+// Activate implements adminapi.Operations: it ends a drain.
 func (c *Control) Activate() maintenance.CallResult { return c.drain.end() }
 
-// drainer takes the clients' front through the phases of a drain, and shares the drain with the broker's other
-// processes: its file exists while the broker is draining.
+// drainer applies the phases of a drain to the front, and shares the drain with the broker's other processes by a
+// file that exists while the broker is draining.
 type drainer struct {
-	loop  *loop.Loop
-	log   *logs.Log
-	path  string
-	front Front
-	state maintenance.BrokerDrain
-	phase maintenance.Phase // that the front was last put into
-
-	readFailed bool // the file could not be read last time, which is logged once
-	localOnly  bool // the drain begun here could not be stored: it is in force although there is no file
-	inherited  bool // there was a drain when this process started
+	loop         *loop.Loop
+	log          *logs.Log
+	path         string
+	front        Front
+	state        maintenance.BrokerDrain
+	appliedPhase maintenance.Phase // the phase that the front is in
+
+	readFailed      bool // the file could not be read at the last refresh; consecutive failures are logged once
+	localOnly       bool // the drain was started here and could not be stored: it is in force without a file
+	drainingAtStart bool // a drain was in force when this process started
 }
 
 func newDrainer(eventLoop *loop.Loop, log *logs.Log, path string, front Front) *drainer {
@@ -45,14 +45,16 @@
 // start applies the drain that is in force when the process starts, if there is one.
 func (d *drainer) start() {
 	d.refresh()
-	d.inherited = d.inForce()
+	d.drainingAtStart = d.isDraining()
 	d.applyPhase()
 }
 
-func (d *drainer) inForce() bool { return d.state.SinceMs() > 0 }
+func (d *drainer) isDraining() bool { return d.state.SinceMs() > 0 }
 
-func (d *drainer) inheritedInForce() bool { return d.inherited && d.inForce() }
+// isInherited reports whether a drain is in force and one was when this process started.
+func (d *drainer) isInherited() bool { return d.drainingAtStart && d.isDraining() }
 
+// begin starts a drain and stores it.
 func (d *drainer) begin() maintenance.CallResult {
 	d.refresh()
 	result := d.state.Begin(d.loop.Now())
@@ -62,10 +64,10 @@
 	}
 	err := statefile.Write(d.path, maintenance.EncodeDrain(unixNowMs()))
 	d.localOnly = err != nil
-	return d.stored(result, err)
+	return d.resultOfStoring(result, err)
 }
 
-// end removes the file whether or not a drain was in force: it may be one that cannot be read.
+// end stops the drain. It removes the file whether or not a drain was in force, as the file may be unreadable.
 func (d *drainer) end() maintenance.CallResult {
 	d.refresh()
 	result := d.state.End()
@@ -74,11 +76,12 @@
 	if errors.Is(err, fs.ErrNotExist) {
 		err = nil
 	}
-	return d.stored(result, err)
+	return d.resultOfStoring(result, err)
 }
 
-// stored returns the answer to a call that is in force here, given the error of storing it.
-func (d *drainer) stored(result maintenance.CallResult, err error) maintenance.CallResult {
+// resultOfStoring returns the result of a call whose change is in force here. err is the error of storing the change,
+// which is logged and turns the result into a 500.
+func (d *drainer) resultOfStoring(result maintenance.CallResult, err error) maintenance.CallResult {
 	if err == nil {
 		return result
 	}
@@ -88,8 +91,8 @@
 	return result
 }
 
-// refresh applies the file: a drain begun or ended by another process. A file that cannot be read is a drain from now
-// on, since a broker that an operator has drained must not serve; a call to activate ends it.
+// refresh reads the file and applies a drain that another process began or ended. A file that cannot be read counts
+// as a drain that begins now, since a broker that an operator has drained must not serve; a call to activate ends it.
 func (d *drainer) refresh() {
 	nowUnixMs := unixNowMs()
 	sinceUnixMs, found, err := readDrain(d.path, nowUnixMs)
@@ -98,15 +101,15 @@
 	}
 	d.readFailed = err != nil
 	switch {
-	case found && !d.inForce():
+	case found && !d.isDraining():
 		d.state.Begin(d.loop.Now() - (nowUnixMs - sinceUnixMs))
-	case !found && d.inForce() && !d.localOnly:
+	case !found && d.isDraining() && !d.localOnly:
 		d.state.End()
 	}
 }
 
-// readDrain returns when the stored drain began, at nowUnixMs at the latest, and false without one. With an error
-// there is a file that cannot be read.
+// readDrain returns when the stored drain began, limited to nowUnixMs, and false if there is no file. It returns an
+// error, with nowUnixMs and true, if there is a file that cannot be read.
 func readDrain(path string, nowUnixMs float64) (sinceUnixMs float64, found bool, err error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -122,17 +125,17 @@
 	return min(sinceUnixMs, nowUnixMs), true, nil
 }
 
-// applyPhase puts the front into the present phase of the drain.
+// applyPhase puts the front into the current phase of the drain.
 func (d *drainer) applyPhase() {
 	phase := d.state.Phase(d.loop.Now())
 	if phase == maintenance.ClosingIdle {
-		d.front.CloseIdle() // at every poll: clients still open connections
+		d.front.CloseIdle() // at every poll, as clients may still open connections
 	}
-	if phase == d.phase {
+	if phase == d.appliedPhase {
 		return
 	}
-	d.log.Info("drain phase", zap.Stringer("from", d.phase), zap.Stringer("to", phase))
+	d.log.Info("drain phase", zap.Stringer("from", d.appliedPhase), zap.Stringer("to", phase))
 	d.front.SetDraining(phase != maintenance.Serving)
 	d.front.CloseAfterResponse(phase >= maintenance.ClosingConnections)
-	d.phase = phase
+	d.appliedPhase = phase
 }
--- a/internal/control/adminops/handover.go
+++ b/internal/control/adminops/handover.go
@@ -11,46 +11,46 @@
 	"ternstage/internal/store/statefile"
 )
 
-// SlowStartSender is the scheduler as the sender of slow-start traffic.
+// SlowStartSender is the scheduler as the sender of slow-start traffic to warming backends.
 type SlowStartSender interface {
-	// HandOver ends sends to warming backends and returns those within the last window.
+	// HandOver stops sending to warming backends and returns the attempts of the last slow-start window.
 	HandOver() []scheduler.WarmupSend
-	// TakeOver counts sends of a predecessor as the scheduler's own.
-	TakeOver(sends []scheduler.WarmupSend)
-	// OtherProcessActive notifies that another process sends to warming backends now: nothing is sent to them for a
-	// window.
+	// TakeOver counts attempts of a predecessor as the scheduler's own.
+	TakeOver(attempts []scheduler.WarmupSend)
+	// OtherProcessActive reports that another process may be sending to warming backends: the scheduler sends them
+	// nothing for a window.
 	OtherProcessActive()
 }
 
-// HandoverConfig says how the processes of a broker hand over.
+// HandoverConfig configures the handover between two processes of a broker.
 type HandoverConfig struct {
-	// Path is that of the record, in the directory that the processes share.
+	// Path is the path of the handover record, in a directory that the processes share.
 	Path string
 	// WindowMs is the length of the slow-start window in milliseconds.
 	WindowMs float64
 	// StartedUnixMs is when this process started, in milliseconds of Unix time.
 	StartedUnixMs float64
-	// BrokerCount is the number of brokers in the settings; 0 is unknown.
+	// BrokerCount is the number of brokers in the settings; 0 if it is unknown.
 	BrokerCount int
-	// SlowStart is the scheduler, whose sends to warming backends are passed to a successor.
+	// SlowStart is the scheduler whose attempts are passed to a successor, and which takes over those of a predecessor.
 	SlowStart SlowStartSender
 	// IsListed reports whether the backend with this replica number is listed here.
 	IsListed func(replica uint32) bool
 }
 
-// handoverExchange passes sends to warming backends between processes: at most once from a predecessor, at most once
-// to a successor.
+// handoverExchange passes the attempts sent to warming backends between processes: at most once from a predecessor,
+// and at most once to a successor.
 type handoverExchange struct {
 	log          *logs.Log
 	config       HandoverConfig
-	successor    handover.Successor // this process, as it takes over
+	successor    handover.Successor // decides whether this process applies a record
 	otherProcess *processDetector
 
 	current    statefile.Fingerprint // of the record that was last read
 	unusable   statefile.Fingerprint // of a record that cannot be read, which is logged once
-	pending    *handover.Record      // read and not decided on, nil when there is none
+	pending    *handover.Record      // the record that is not yet applied or ignored; nil if there is none
 	waitLogged bool
-	settled    bool // a record was applied, or written by this process
+	finished   bool // a record was applied, or written by this process: no further one is read
 }
 
 func newHandoverExchange(log *logs.Log, config HandoverConfig) *handoverExchange {
@@ -67,19 +67,19 @@
 	}
 }
 
-// handOver writes what this process sent, for its successor.
+// handOver writes a record of the attempts of this process for its successor.
 func (h *handoverExchange) handOver() {
-	h.settled = true // the record in the file is no longer a predecessor's
-	sends := h.config.SlowStart.HandOver()
-	err := statefile.Write(h.config.Path, handover.Encode(unixNowMs(), h.config.BrokerCount, sends))
-	h.log.Info("slow-start sends handed over", zap.Int("sent", len(sends)), zap.Error(err))
+	h.finished = true // the record in the file is no longer a predecessor's
+	attempts := h.config.SlowStart.HandOver()
+	err := statefile.Write(h.config.Path, handover.Encode(unixNowMs(), h.config.BrokerCount, attempts))
+	h.log.Info("slow-start sends handed over", zap.Int("sent", len(attempts)), zap.Error(err))
 }
 
-// poll takes over from a predecessor once its record can be applied. Until then the scheduler is notified, at each
-// poll, of another process that serves: each of the two would use the whole quota.
+// poll takes over from a predecessor once its record can be applied. Until then it notifies the scheduler at each
+// poll while another process serves, because each of the two would use the whole slow-start quota.
 func (h *handoverExchange) poll() {
 	otherServes := h.otherProcess.detect()
-	if h.settled {
+	if h.finished {
 		return
 	}
 	if otherServes {
@@ -91,8 +91,8 @@
 	}
 }
 
-// readRecord reads the record if it has changed. It returns false when the record cannot be read.
-func (h *handoverExchange) readRecord() bool {
+// readRecord reads the record into pending if it has changed. It returns false if it has changed and cannot be read.
+func (h *handoverExchange) readRecord() (readable bool) {
 	fingerprint, err := statefile.Stat(h.config.Path)
 	if err != nil || fingerprint == h.current || fingerprint == h.unusable {
 		return true
@@ -116,6 +116,7 @@
 	return handover.Decode(text)
 }
 
+// decide applies or ignores the pending record, or leaves it pending until its backends are listed here.
 func (h *handoverExchange) decide() {
 	nowUnixMs := unixNowMs()
 	switch h.successor.Decide(h.pending, nowUnixMs) {
@@ -131,11 +132,11 @@
 		}
 		h.waitLogged = true
 	case handover.Apply:
-		sends := handover.AgeSends(h.pending, nowUnixMs, h.config.WindowMs)
-		h.config.SlowStart.TakeOver(sends)
-		h.settled = true
+		attempts := handover.AgeSends(h.pending, nowUnixMs, h.config.WindowMs)
+		h.config.SlowStart.TakeOver(attempts)
+		h.finished = true
 		h.pending = nil
-		h.log.Info("slow-start sends taken over", zap.Int("sent", len(sends)))
+		h.log.Info("slow-start sends taken over", zap.Int("sent", len(attempts)))
 	}
 }
 
--- a/internal/control/adminops/otherprocess_test.go
+++ b/internal/control/adminops/otherprocess_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestOtherProcessServes checks that the scheduler is notified at each poll while another process serves beside this
-// one, until that one hands over or ends, however it ends.
+// one, until the other one hands over, ends or is killed.
 func TestOtherProcessServes(t *testing.T) {
 	dir := t.TempDir()
 	path, recordPath := filepath.Join(dir, "held.json"), filepath.Join(dir, "cold.json")
@@ -25,11 +25,11 @@
 	assert.Equal(t, 1, secondSender.takenOver)
 	otherActive := secondSender.otherActive
 	second.handover.poll()
-	assert.Equal(t, otherActive, secondSender.otherActive, "the record says what the other process sent")
+	assert.Equal(t, otherActive, secondSender.otherActive, "the record lists the attempts of the other process")
 
 	endProcess(first)
 	second.handover.poll()
-	assert.True(t, second.handover.otherProcess.alone)
+	assert.True(t, second.handover.otherProcess.finished)
 	third := start(t, path)
 	thirdSender := third.enableHandover(recordPath, true)
 	assert.Positive(t, thirdSender.otherActive)
@@ -44,10 +44,11 @@
 // endProcess releases the lock of a process, as the kernel does when it ends or is killed.
 func endProcess(p *process) { p.handover.otherProcess.lock.Close() }
 
-// TestNoLockPossible checks that a directory that cannot carry a lock is logged once and taken for no other process.
-func TestNoLockPossible(t *testing.T) {
+// TestLockFileCannotBeOpened checks that a lock file that cannot be opened is logged once, and that no other process
+// is reported then.
+func TestLockFileCannotBeOpened(t *testing.T) {
 	p := start(t, statePath(t))
-	sender := p.enableHandover(missingDirectory(t), true)
+	sender := p.enableHandover(pathWithoutDirectory(t), true)
 	p.handover.poll()
 	assert.Zero(t, sender.otherActive)
 	assert.Equal(t, 1, strings.Count(p.logged(t),
--- a/internal/control/adminops/suspensions.go
+++ b/internal/control/adminops/suspensions.go
@@ -15,18 +15,19 @@
 	"ternstage/internal/store/statefile"
 )
 
-// Suspend implements adminapi.Operations.
+// Suspend implements adminapi.Operations: it takes the backend id out of service.
 func (c *Control) Suspend(id string) maintenance.CallResult {
 	return c.suspensions.change(id, c.suspensions.table.Suspend)
 }
 
-// Resume implements adminapi.Operations.
+// Resume implements adminapi.Operations: it puts the backend id back into service.
 func (c *Control) Resume(id string) maintenance.CallResult {
 	return c.suspensions.change(id, c.suspensions.table.Resume)
 }
 
-// suspensionStore is the table of suspended backends and the file that shares it with the broker's other processes.
-// The file is authoritative: a change is made under a lock, after what the file says has been applied.
+// suspensionStore holds the table of suspended backends and shares it with the broker's other processes by a file.
+// The file is authoritative: a change is made under a lock, after the content of the file has been applied to the
+// table.
 type suspensionStore struct {
 	log       *logs.Log
 	path      string
@@ -44,19 +45,19 @@
 	return &suspensionStore{log: log, path: path, table: maintenance.NewSuspensions(), endpoints: endpoints, sink: sink}
 }
 
-// change makes a call on the table and stores what it changed.
-func (s *suspensionStore) change(id string, call func(string) maintenance.CallResult) maintenance.CallResult {
+// change applies an operation of the table to the backend id, notifies the scheduler and stores the table.
+func (s *suspensionStore) change(id string, operation func(string) maintenance.CallResult) maintenance.CallResult {
 	lock, err := statefile.Lock(s.path)
 	var locked *statefile.LockedError
 	if errors.As(err, &locked) {
 		s.log.Warn("suspensions not changed", zap.String("file", s.path), zap.Error(err))
 		return lockedResult(locked)
 	}
-	if err == nil { // in a directory that cannot carry a lock save fails as well, and the answer says so
+	if err == nil { // otherwise the lock file could not be opened; save then fails as well, and the answer says so
 		defer lock.Close()
 	}
 	s.refresh()
-	result := call(id)
+	result := operation(id)
 	if !result.Changed {
 		return result
 	}
@@ -68,7 +69,8 @@
 	return result
 }
 
-// lockedResult and notStoredResult are answers of the admin API: their texts do not change.
+// lockedResult returns the result of a change while another process holds the lock. Its text is part of the admin API
+// and must not change.
 func lockedResult(locked *statefile.LockedError) maintenance.CallResult {
 	return maintenance.CallResult{
 		Status: http.StatusInternalServerError,
@@ -77,8 +79,8 @@
 	}
 }
 
-// notStoredResult answers no to a change that is in force here but would not be in the next process, so that the
-// operator makes the call again.
+// notStoredResult returns the result of a change that is in force here but could not be stored for the next process.
+// It is a 500, so that the operator repeats the call. Its text is part of the admin API and must not change.
 func notStoredResult(err error) maintenance.CallResult {
 	return maintenance.CallResult{
 		Status:  http.StatusInternalServerError,
@@ -87,15 +89,15 @@
 	}
 }
 
-// refresh applies the file if it has changed since this process last read or wrote it. Without a file the table stays
-// as it is, as it does with one that cannot be used.
+// refresh applies the file if it has changed since this process last read or wrote it. If there is no file, or one
+// that cannot be used, the table stays as it is.
 func (s *suspensionStore) refresh() {
 	fingerprint, err := statefile.Stat(s.path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return
 	}
 	if err != nil {
-		s.reject(statefile.Fingerprint{}, err)
+		s.logUnusable(statefile.Fingerprint{}, err)
 		return
 	}
 	if fingerprint == s.current || fingerprint == s.unusable {
@@ -103,13 +105,14 @@
 	}
 	ids, err := s.read(fingerprint)
 	if err != nil {
-		s.reject(fingerprint, err)
+		s.logUnusable(fingerprint, err)
 		return
 	}
 	s.current = fingerprint
 	s.replace(ids)
 }
 
+// read reads and decodes the file. It returns an error if the file no longer has the size in its fingerprint.
 func (s *suspensionStore) read(fingerprint statefile.Fingerprint) ([]string, error) {
 	text, err := os.ReadFile(s.path)
 	if err != nil {
@@ -121,6 +124,7 @@
 	return maintenance.DecodeSuspensions(text)
 }
 
+// replace replaces the table by ids and notifies the scheduler of the differences.
 func (s *suspensionStore) replace(ids []string) {
 	added, resumed := s.table.Replace(ids)
 	if len(added)+len(resumed) == 0 {
@@ -131,14 +135,15 @@
 	s.notify(append(added, resumed...)...)
 }
 
-// reject logs a file that cannot be used: once for each content, and each time when there is no fingerprint to tell.
-func (s *suspensionStore) reject(fingerprint statefile.Fingerprint, err error) {
+// logUnusable logs a file that cannot be used: once for each fingerprint, and every time without a fingerprint.
+func (s *suspensionStore) logUnusable(fingerprint statefile.Fingerprint, err error) {
 	if fingerprint != s.unusable || fingerprint == (statefile.Fingerprint{}) {
 		s.log.Warn("suspensions not read: those in force stay", zap.String("file", s.path), zap.Error(err))
 	}
 	s.unusable = fingerprint
 }
 
+// save stores the table.
 func (s *suspensionStore) save() error {
 	if err := statefile.Write(s.path, maintenance.EncodeSuspensions(s.table.IDs())); err != nil {
 		return err
@@ -149,7 +154,7 @@
 	return nil
 }
 
-// notify reports backends that were suspended or resumed to the scheduler, as the endpoint list would. It does so
+// notify notifies the scheduler, by an endpoint list update, of backends that were suspended or resumed. It is called
 // before the call is answered, so that the drain grace of a suspended backend has begun by then.
 func (s *suspensionStore) notify(ids ...string) {
 	endpoints := make([]scheduler.Endpoint, 0, len(ids))
--- a/internal/control/adminops/suspensions_test.go
+++ b/internal/control/adminops/suspensions_test.go
@@ -16,7 +16,8 @@
 )
 
 // TestSuspensionsAreShared checks that a backend suspended at one process is suspended at another after its next
-// poll, and at one that starts later from the start; and that one resume ends it at all of them.
+// poll, and at one that starts later from its start; and that a call to resume it at one process is applied by
+// another.
 func TestSuspensionsAreShared(t *testing.T) {
 	path := statePath(t)
 	first, second := start(t, path), start(t, path)
@@ -37,10 +38,10 @@
 	assert.Equal(t, scheduler.Ready, first.endpoints[len(first.endpoints)-1].State, "the scheduler is notified of it")
 	second.endpoints = nil
 	second.suspensions.refresh()
-	assert.Empty(t, second.endpoints, "a file that the process wrote itself is not a change")
+	assert.Empty(t, second.endpoints, "a file that the process wrote itself is not applied again")
 }
 
-// TestTornSuspensionFile checks that a torn file changes no suspension in force, and does not stop a start.
+// TestTornSuspensionFile checks that a torn file changes no suspension in force, and that a process starts with one.
 func TestTornSuspensionFile(t *testing.T) {
 	path := statePath(t)
 	p := start(t, path)
@@ -53,14 +54,14 @@
 
 	require.NoError(t, os.WriteFile(path, maintenance.EncodeSuspensions(nil)[:5], 0o600))
 	next := start(t, path)
-	assert.Empty(t, next.Suspensions().IDs(), "a process that starts with a torn file suspends nothing and goes on")
+	assert.Empty(t, next.Suspensions().IDs(), "a process that starts with a torn file suspends nothing")
 	assert.Contains(t, next.logged(t), "torn or not JSON")
 }
 
-// TestSuspensionNotStored checks that a suspension that cannot be stored is answered no, although it is in force
+// TestSuspensionNotStored checks that a suspension that cannot be stored is answered 500, although it is in force
 // here.
 func TestSuspensionNotStored(t *testing.T) {
-	p := start(t, missingDirectory(t))
+	p := start(t, pathWithoutDirectory(t))
 	p.Suspensions().EndpointListed("s-2")
 	result := p.Suspend("s-2")
 	assert.Equal(t, 500, result.Status, "not stored for the next process")
@@ -68,14 +69,14 @@
 	assert.True(t, p.Suspensions().Suspended("s-2"), "in force here")
 }
 
-// TestConcurrentWriters has two processes change the file at once, each many times. Every call that was answered yes
-// is in force at a process that starts afterwards; without the lock some of them are lost.
+// TestConcurrentWriters checks that two processes that change the file at once lose no change: every call that was
+// successful is in force at a process that starts afterwards. Without the lock some of them are lost.
 func TestConcurrentWriters(t *testing.T) {
 	const callsPerProcess = 200
 	path := statePath(t)
-	answered := []map[string]bool{{}, {}} // by process: whether each id was suspended last
+	wantSuspended := []map[string]bool{{}, {}} // by process: whether the last call suspended each id
 	var writers sync.WaitGroup
-	for w, suspended := range answered {
+	for w, suspended := range wantSuspended {
 		p := start(t, path)
 		for i := range callsPerProcess {
 			p.Suspensions().EndpointListed(fmt.Sprintf("s-%d-%d", w, i))
@@ -94,7 +95,7 @@
 	}
 	writers.Wait()
 	next := start(t, path)
-	for _, suspended := range answered {
+	for _, suspended := range wantSuspended {
 		assert.Len(t, suspended, callsPerProcess)
 		for id, want := range suspended {
 			assert.Equal(t, want, next.Suspensions().Suspended(id), id)
@@ -102,14 +103,15 @@
 	}
 }
 
-// untilOK repeats a call that the other process's lock rejects.
+// untilOK repeats a call until it is successful, as the other process may hold the lock.
 func untilOK(call func(string) maintenance.CallResult, id string) {
 	for !call(id).OK() {
 	}
 }
 
-// TestLockedByStoppedProcess has another process stopped within its change. A call is answered no within 50 ms and
-// changes nothing, here or in the file; once the other is gone the same call succeeds.
+// TestLockedByStoppedProcess checks that a call is answered 500 within 50 ms and changes nothing while another
+// process holds the lock, as one does that is stopped during its change. Once the lock is released the same call
+// succeeds.
 func TestLockedByStoppedProcess(t *testing.T) {
 	path := statePath(t)
 	p := start(t, path)
