--- a/internal/control/reload/reload.go
+++ b/internal/control/reload/reload.go
@@ -16,9 +16,9 @@
 	Post(work func())
 }
 
-// Discovery follows the endpoint list.
+// Discovery is the client of discovery that follows the endpoint list.
 type Discovery interface {
-	// MoveTo continues at another IP address and port. It is called on the loop.
+	// MoveTo continues with discovery at another IP address and port. It is called on the loop.
 	MoveTo(address string)
 }
 
@@ -30,14 +30,14 @@
 	current   *config.Config // read and written on the loop only
 }
 
-// New returns a Reloader for a process that was started with the configuration started. It later writes the changed
-// address of discovery into it.
+// New returns a Reloader for a process that was started with the configuration started. A reload that changes the
+// address of discovery updates started.
 func New(loop Loop, log *logs.Log, discovery Discovery, started *config.Config) *Reloader {
 	return &Reloader{loop: loop, log: log, discovery: discovery, current: started}
 }
 
-// Serve reads the file again for each signal, until the channel is closed. It blocks and must not run on the loop, so
-// that no request waits for the file.
+// Serve reloads the file for each signal until the channel is closed. It blocks and must not run on the loop, so that
+// no request waits for the file.
 func (r *Reloader) Serve(signals <-chan os.Signal) {
 	for range signals {
 		loaded, err := config.Reload()
@@ -45,7 +45,7 @@
 	}
 }
 
-// apply puts a configuration into force, or logs why it cannot.
+// apply applies a loaded configuration, or logs the error of loading it. It runs on the loop.
 func (r *Reloader) apply(loaded *config.Config, err error) {
 	if err != nil {
 		r.log.Error("reload failed: the old configuration stays", zap.Error(err))
@@ -60,7 +60,7 @@
 	}
 }
 
-// limits are the parts of a configuration that the log names "limits".
+// limits are the fields of a configuration that the log reports together as "limits".
 type limits struct {
 	cores          float64
 	memoryMB       int
@@ -71,8 +71,8 @@
 	return limits{cores: c.Cores, memoryMB: c.MemoryMB, maxDescriptors: c.MaxDescriptors}
 }
 
-// needsRestart names the parts of a configuration that differ from those in force and stay as they are until a restart.
-// It is empty, not nil, where there are none.
+// needsRestart returns the names of the parts that differ from the configuration in force and that only a restart
+// applies. The result is empty, not nil, if there are none, so that the log has a list.
 func (r *Reloader) needsRestart(loaded *config.Config) []string {
 	names := []string{}
 	for _, part := range []struct {
--- a/internal/control/reload/reload_test.go
+++ b/internal/control/reload/reload_test.go
@@ -19,12 +19,12 @@
 
 func (immediateLoop) Post(work func()) { work() }
 
-// fakeDiscovery records the addresses to which it was moved.
+// fakeDiscovery records the addresses that are passed to MoveTo.
 type fakeDiscovery struct{ addresses []string }
 
 func (d *fakeDiscovery) MoveTo(address string) { d.addresses = append(d.addresses, address) }
 
-// logFile is a log whose lines the test reads.
+// logFile is a log with the path of its file, from which tests read its lines.
 type logFile struct {
 	*logs.Log
 	path string
@@ -71,7 +71,8 @@
 		"cores":           {func(c *config.Config) { c.Cores = 2 }, nil, []any{"limits"}},
 		"memory":          {func(c *config.Config) { c.MemoryMB = 256 }, nil, []any{"limits"}},
 		"descriptors":     {func(c *config.Config) { c.MaxDescriptors = 1024 }, nil, []any{"limits"}},
-		"settings":        {func(c *config.Config) { c.DecodedSettings = map[string]any{"zone": "b"} }, nil, []any{"settings"}},
+		"settings": {func(c *config.Config) { c.DecodedSettings = map[string]any{"zone": "b"} }, nil,
+			[]any{"settings"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			log := newLogFile(t)
@@ -81,7 +82,7 @@
 			loaded := started()
 			c.change(&loaded)
 			reloader.apply(&loaded, nil)
-			reloader.apply(&loaded, nil) // a changed address is in force by now
+			reloader.apply(&loaded, nil) // the new address is already in force
 
 			assert.Equal(t, c.moves, discovery.addresses)
 			lines := log.lines(t)
@@ -96,7 +97,7 @@
 	}
 }
 
-// TestServe: each signal reads the file, and one that cannot be read changes nothing.
+// TestServe checks that each signal reads the file, and that a file that cannot be read changes nothing.
 func TestServe(t *testing.T) {
 	t.Setenv("BALANCER_CONFIG", filepath.Join(t.TempDir(), "absent.json"))
 	log := newLogFile(t)
