--- a/internal/store/statefile/fingerprint.go
+++ b/internal/store/statefile/fingerprint.go
@@ -6,18 +6,18 @@
 	"syscall"
 )
 
-// Fingerprint distinguishes one content of a file from another by the file's inode, size and modification time. It is
-// comparable. The zero value is no file's.
+// Fingerprint identifies one content of a file by the file's inode, size and modification time. Fingerprints are
+// compared with ==. No file has the zero value.
 //
-// Files must be replaced by [Write]: a file has another inode than the one that it replaces, and so differs from it
-// even if it has the same size and was written within the resolution of the file system's clock.
+// Files must be replaced by [Write], which gives the new file another inode: its fingerprint thus differs even if it
+// has the same size and was written within the resolution of the file system's clock.
 type Fingerprint struct {
 	inode   uint64
 	size    int64
 	mtimeNs int64
 }
 
-// Stat returns the fingerprint of the file at path. The error is that of os.Stat, fs.ErrNotExist without a file.
+// Stat returns the fingerprint of the file at path. Errors are those of os.Stat: without a file, fs.ErrNotExist.
 func Stat(path string) (Fingerprint, error) {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/internal/store/statefile/fingerprint_test.go
+++ b/internal/store/statefile/fingerprint_test.go
@@ -22,7 +22,7 @@
 	assert.Equal(t, int64(7), first.Size())
 	_, err = os.ReadFile(path)
 	require.NoError(t, err)
-	assert.Equal(t, first, mustStat(t, path), "reading changes nothing")
+	assert.Equal(t, first, mustStat(t, path), "reading does not change the fingerprint")
 
 	modified := time.Unix(0, first.mtimeNs)
 	for _, c := range []struct {
--- a/internal/store/statefile/lock.go
+++ b/internal/store/statefile/lock.go
@@ -8,19 +8,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// lockSuffix names the file that carries the lock on another one, which itself is replaced by each change.
+// lockSuffix is appended to the path of a state file to name its lock file. The state file itself cannot hold the
+// lock, as each change replaces it.
 const lockSuffix = ".lock"
 
-// A change under a lock takes about 0.2 ms. A process that waits longer than lockAttempts * lockRetryInterval, 2 ms,
-// waits for one that was stopped within its change. The wait blocks the event loop, and so is kept short.
+// A change under a lock takes about 0.2 ms. If the lock is held for longer than lockAttempts * lockRetryInterval, 2
+// ms, its holder was probably stopped during its change. The wait blocks the event loop, and so is kept short.
 const (
 	lockAttempts      = 20
 	lockRetryInterval = 100 * time.Microsecond
 )
 
-// LockedError reports whether a lock is held by another process.
+// LockedError reports that another process holds a lock.
 type LockedError struct {
-	// Path is that of the file that carries the lock.
+	// Path is the path of the lock file.
 	Path string
 	// Cause is the error of the system call, usually unix.EWOULDBLOCK.
 	Cause error
@@ -34,13 +35,13 @@
 // Unwrap returns the cause.
 func (e *LockedError) Unwrap() error { return e.Cause }
 
-// LockFile is an open file that carries a lock.
+// LockFile is an open lock file, locked or not.
 type LockFile struct {
 	path string
 	fd   int
 }
 
-// OpenLock opens the file at path for locking and makes it when there is none. It does not lock it.
+// OpenLock opens the lock file at path, and creates it if there is none. It does not take the lock.
 func OpenLock(path string) (*LockFile, error) {
 	fd, err := unix.Open(path, unix.O_RDWR|unix.O_CREAT|unix.O_CLOEXEC, filePermissions)
 	if err != nil {
@@ -60,9 +61,9 @@
 // Close releases the lock, if it is held, and closes the file. The file itself stays.
 func (l *LockFile) Close() { _ = unix.Close(l.fd) }
 
-// Lock takes the lock on the state at path, which a file beside it carries ("path.lock"). It waits for 2 ms at most
-// and returns a *LockedError when another process holds the lock for longer; any other error tells that the directory
-// cannot carry a lock. Close the lock to release it.
+// Lock takes the lock of the state file at path, by the lock file "path.lock". It waits for 2 ms at most and returns
+// a *LockedError when another process holds the lock for longer. Any other error means that the lock file cannot be
+// opened. Close the lock to release it.
 func Lock(path string) (*LockFile, error) {
 	lock, err := OpenLock(path + lockSuffix)
 	if err != nil {
--- a/internal/store/statefile/lock_test.go
+++ b/internal/store/statefile/lock_test.go
@@ -24,8 +24,8 @@
 	require.ErrorAs(t, err, &locked)
 	assert.Equal(t, path+".lock", locked.Path)
 	assert.ErrorIs(t, err, unix.EWOULDBLOCK)
-	assert.GreaterOrEqual(t, time.Since(began), (lockAttempts-1)*lockRetryInterval, "it waits for a change to end")
-	assert.Less(t, time.Since(began), 50*time.Millisecond, "and not for a process that was stopped")
+	assert.GreaterOrEqual(t, time.Since(began), (lockAttempts-1)*lockRetryInterval, "Lock waits for a change to end")
+	assert.Less(t, time.Since(began), 50*time.Millisecond, "Lock does not wait for a process that was stopped")
 
 	first.Close()
 	second, err := Lock(path)
@@ -33,7 +33,7 @@
 	second.Close()
 }
 
-// TestLockWaits releases the lock within the time for which Lock waits.
+// TestLockWaits checks that Lock succeeds when the lock is released while Lock waits for it.
 func TestLockWaits(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state.json")
 	first, err := Lock(path)
--- a/internal/store/statefile/write_test.go
+++ b/internal/store/statefile/write_test.go
@@ -27,7 +27,7 @@
 	assert.Len(t, entries, 1, "no temporary file is left")
 }
 
-// TestWriteIsAtomic reads while another goroutine writes: each content that is read is one of those written.
+// TestWriteIsAtomic checks that a reader sees only whole contents while another goroutine writes.
 func TestWriteIsAtomic(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state.json")
 	contents := []string{strings.Repeat("a", 64<<10), strings.Repeat("b", 32<<10)}
@@ -59,7 +59,7 @@
 		assert.ErrorIs(t, err, fs.ErrNotExist)
 		assert.ErrorContains(t, err, "write ")
 	})
-	t.Run("a directory in the file's place", func(t *testing.T) {
+	t.Run("path is a directory", func(t *testing.T) {
 		dir := t.TempDir()
 		path := filepath.Join(dir, "state.json")
 		require.NoError(t, os.MkdirAll(filepath.Join(path, "full"), 0o700))
