--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -10,7 +10,7 @@
 	"ternstage/internal/transport/discovery"
 )
 
-// Defaults of what the platform may leave out.
+// Defaults of the settings that the platform may omit.
 const (
 	defaultCores                = 1
 	defaultMemoryMB             = 192
@@ -19,7 +19,7 @@
 	defaultDialTimeoutMs        = 250
 	defaultIdleTimeoutMs        = 30_000
 
-	// noInheritedFD is Config.InheritedFD where the process opens its listener itself.
+	// noInheritedFD is the Config.InheritedFD of a process that opens its listener itself.
 	noInheritedFD = -1
 )
 
@@ -42,27 +42,28 @@
 	Cores float64
 	// MemoryMB is the memory limit in units of 2^20 bytes (limits.memory_mb); 192 by default, 24 at least.
 	MemoryMB int
-	// MaxDescriptors is the number of file descriptors that the process may hold (limits.sockets); 1024 by default, 64
-	// at least.
+	// MaxDescriptors is the number of file descriptors that the process may have open (limits.sockets); 1024 by
+	// default, 64 at least.
 	MaxDescriptors int
-	// KnownEndpoints is the endpoint list as this broker last had it, which may be old (known); empty by default.
+	// KnownEndpoints is the last endpoint list that this broker had, which may be out of date (known); empty by
+	// default.
 	KnownEndpoints discovery.EndpointList
 	// Zones are the names of the zones; a zone's number is its index (settings.areas).
 	Zones []string
 	// Scheduler holds the settings of the scheduler (settings).
 	Scheduler scheduler.Settings
-	// Contracts hold the classes and tenants as clients know them (settings.categories, settings.customers).
+	// Contracts holds the classes and tenants that clients may name (settings.categories, settings.customers).
 	Contracts *contract.Contracts
 	// DecodedSettings holds the decoded JSON of all settings, known or not, to compare configurations (settings).
 	DecodedSettings any
 
-	// MaxOpen is the number of open requests and parts, together, beyond which requests are rejected
+	// MaxOpen is the limit of open requests plus their parts, beyond which requests are rejected
 	// (settings.limits.max_open); 0, the default, for no limit.
 	MaxOpen int
-	// StreamsPerConnection is the number of calls in flight on one connection to a backend
+	// StreamsPerConnection is the limit of calls in flight on one connection to a backend
 	// (settings.limits.multiplex); 32 by default.
 	StreamsPerConnection int
-	// DialTimeoutMs is the time in milliseconds for a connection to a backend to come up
+	// DialTimeoutMs is the time limit in milliseconds for connecting to a backend
 	// (settings.limits.dial_timeout_ms); 250 by default.
 	DialTimeoutMs float64
 	// IdleTimeoutMs is the time in milliseconds after which a backend closes an idle connection
@@ -70,12 +71,12 @@
 	IdleTimeoutMs float64
 }
 
-// Load reads the file that BALANCER_CONFIG names. BALANCER_NAME, BALANCER_LISTEN, BALANCER_DISCOVERY and BALANCER_MGMT
-// override what it says. It returns ErrNotConfigured if no file is named.
+// Load reads the file that BALANCER_CONFIG names. BALANCER_NAME, BALANCER_LISTEN, BALANCER_DISCOVERY and
+// BALANCER_MGMT override values of the file. It returns ErrNotConfigured if BALANCER_CONFIG is not set.
 func Load() (*Config, error) { return load(false) }
 
-// Reload reads the file again, for a process that serves. Its environment is that of its start, so that the file goes
-// before BALANCER_DISCOVERY.
+// Reload reads the file again, for a process that serves. The environment dates from the start of the process, so an
+// address of discovery in the file takes precedence over BALANCER_DISCOVERY.
 func Reload() (*Config, error) { return load(true) }
 
 func load(isReload bool) (*Config, error) {
@@ -90,15 +91,15 @@
 	return Parse(text, os.Getenv, isReload)
 }
 
-// Parse decodes and validates the text of a configuration. env looks up a variable of the environment and returns ""
-// for one that is not set; isReload is true for Reload. Errors about a value are SettingErrors.
+// Parse decodes and validates the text of a configuration. env looks up an environment variable and returns "" for
+// one that is not set; isReload has the effect described at Reload. Errors about a value are SettingErrors.
 func Parse(text []byte, env func(string) string, isReload bool) (*Config, error) {
 	var decoded file
 	if err := json.Unmarshal(text, &decoded); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
 	decoded.override(env, isReload)
-	c := decoded.config()
+	c := decoded.toConfig()
 	if err := c.validateNames(); err != nil {
 		return nil, err
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -49,10 +49,10 @@
 	require.NoError(t, os.WriteFile(path, encode(t, minimalConfig()), 0o600))
 	c, err := Load()
 	require.NoError(t, err)
-	assert.Equal(t, "10.0.0.1:8500", c.Discovery, "the environment goes before the file")
+	assert.Equal(t, "10.0.0.1:8500", c.Discovery, "the environment takes precedence over the file")
 	c, err = Reload()
 	require.NoError(t, err)
-	assert.Equal(t, "127.0.0.1:8500", c.Discovery, "on a reload the file goes before the environment")
+	assert.Equal(t, "127.0.0.1:8500", c.Discovery, "on a reload the file takes precedence over the environment")
 
 	t.Setenv("BALANCER_CONFIG", "")
 	_, err = Load()
@@ -60,7 +60,7 @@
 	assert.EqualError(t, err, "BALANCER_CONFIG: missing")
 }
 
-func TestParseNamesTextThatIsNoJSON(t *testing.T) {
+func TestParseRejectsInvalidJSON(t *testing.T) {
 	_, err := Parse([]byte("{"), environment(nil), false)
 	assert.EqualError(t, err, "configuration: unexpected end of JSON input")
 }
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,13 +1,13 @@
 // Package config reads the configuration that the platform gives a broker: a JSON file, which BALANCER_CONFIG names,
-// and the environment, which overrides some of it. A configuration that cannot be used is rejected whole, with a
-// SettingError that has the setting's name.
+// and environment variables, which override some of it. An invalid value rejects the configuration as a whole, with a
+// SettingError that names the setting.
 //
-//   - config.go: Config and the ways to read it.
-//   - environment.go: the variables of the environment.
-//   - settings.go: the platform's JSON, and where its names are mapped to the terms of docs/GLOSSARY.md.
+//   - config.go: Config, and how it is read from the file and from text.
+//   - environment.go: the environment variables.
+//   - settings.go: the platform's JSON, whose names are mapped here to the terms of docs/GLOSSARY.md.
 //   - validate.go: which values are rejected.
 //
-// The platform's settings are read twice: their share for the scheduler by package simwire, which the simulator's
-// adapter uses as well, and the rest here. The adapter has no use for the rest and must not reject a site for it, so
-// that the two have separate types.
+// The platform's settings are decoded twice: those of the scheduler by package simwire, which the adapter of the
+// simulator uses as well, and the others here. The types are separate because the adapter does not use the others and
+// must not reject a configuration because of them.
 package config
--- a/internal/config/environment_test.go
+++ b/internal/config/environment_test.go
@@ -28,16 +28,16 @@
 	c, err := Parse(encode(t, minimalConfig()), env, true)
 	require.NoError(t, err)
 	assert.Equal(t, "127.0.0.1:8500", c.Discovery)
-	assert.Equal(t, "n7", c.Name, "other variables go before the file")
+	assert.Equal(t, "n7", c.Name, "other variables take precedence over the file")
 
 	withoutDiscovery := minimalConfig()
 	delete(withoutDiscovery, "discovery")
 	c, err = Parse(encode(t, withoutDiscovery), env, true)
 	require.NoError(t, err)
-	assert.Equal(t, "10.0.0.2:2", c.Discovery, "the file names none")
+	assert.Equal(t, "10.0.0.2:2", c.Discovery, "the file has no address of discovery")
 }
 
-func TestInheritedDescriptorIsANumber(t *testing.T) {
+func TestInvalidInheritedDescriptor(t *testing.T) {
 	for _, text := range []string{"x", "-1", "2147483648"} {
 		_, err := Parse(encode(t, minimalConfig()), environment(map[string]string{"BALANCER_INHERITED_FD": text}), false)
 		assert.ErrorContains(t, err, `BALANCER_INHERITED_FD: "`+text+`" is no descriptor: `)
--- a/internal/config/fixture_test.go
+++ b/internal/config/fixture_test.go
@@ -11,7 +11,7 @@
 // object is a JSON object.
 type object = map[string]any
 
-// minimalConfig returns a configuration without anything that has a default.
+// minimalConfig returns a configuration with the required settings only.
 func minimalConfig() object {
 	return object{
 		"name":      "n0",
@@ -28,8 +28,7 @@
 	}
 }
 
-// set sets the member of a configuration that a path names, as in "settings.limits.max_open". It makes the objects
-// that are missing.
+// set sets the field of a configuration at a path such as "settings.limits.max_open". It creates missing objects.
 func set(config object, path string, value any) {
 	names := strings.Split(path, ".")
 	last := len(names) - 1
@@ -42,7 +41,7 @@
 	config[names[last]] = value
 }
 
-// encode returns the text of a configuration.
+// encode returns the JSON text of a configuration.
 func encode(t *testing.T, config object) []byte {
 	t.Helper()
 	text, err := json.Marshal(config)
@@ -50,7 +49,7 @@
 	return text
 }
 
-// environment returns a lookup in variables.
+// environment returns a function that looks up these environment variables.
 func environment(variables map[string]string) func(string) string {
 	return func(name string) string { return variables[name] }
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -11,7 +11,7 @@
 	"ternstage/internal/transport/simwire"
 )
 
-// file mirrors the configuration's JSON. nil stands for a limit that is left out.
+// file is the JSON form of the configuration. A limit that is omitted is nil.
 type file struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -27,8 +27,8 @@
 	Settings json.RawMessage        `json:"settings"`
 }
 
-// config maps the file, except for the settings and what has to be parsed.
-func (f *file) config() *Config {
+// toConfig returns the configuration without the settings, the seed and the inherited descriptor.
+func (f *file) toConfig() *Config {
 	return &Config{
 		Name:           f.Name,
 		Listen:         f.Listen,
@@ -51,8 +51,8 @@
 	return seed, nil
 }
 
-// platformSettings mirrors the JSON of those settings that the scheduler has no use for. The scheduler's are in
-// package simwire; the class settings here are those that clients can see.
+// platformSettings is the JSON form of the settings that the scheduler does not use. Package simwire decodes those of
+// the scheduler. The settings of a class that clients can see are decoded here.
 type platformSettings struct {
 	Areas      []string          `json:"areas"`
 	Categories []category        `json:"categories"`
@@ -73,7 +73,7 @@
 	DeadlineMs float64 `json:"deadline_ms"`
 }
 
-// platformLimits holds limits of which 0 stands for the default.
+// platformLimits holds limits; 0 stands for the default of each.
 type platformLimits struct {
 	MaxOpen       int     `json:"max_open"`
 	Multiplex     int     `json:"multiplex"`
@@ -81,7 +81,7 @@
 	KeepaliveMs   float64 `json:"keepalive_ms"`
 }
 
-// applySettings decodes, validates and maps the settings.
+// applySettings decodes and validates the settings and sets the fields of c that come from them.
 func (c *Config) applySettings(text json.RawMessage) error {
 	if len(text) == 0 {
 		return settingError("settings", ErrMissing)
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// classes maps the categories. One without a min_share has to be answered with all of its weight.
+// classes returns the categories as classes. A category without a min_share needs an answer with all of its weight.
 func (s *platformSettings) classes() []contract.Class {
 	classes := make([]contract.Class, 0, len(s.Categories))
 	for i, category := range s.Categories {
@@ -127,21 +127,21 @@
 	return classes
 }
 
-func valueOr[T any](value *T, absent T) T {
+func valueOr[T any](value *T, defaultValue T) T {
 	if value == nil {
-		return absent
+		return defaultValue
 	}
 	return *value
 }
 
-func nonZeroOr[T int | float64](value, absent T) T {
+func nonZeroOr[T int | float64](value, defaultValue T) T {
 	if value == 0 {
-		return absent
+		return defaultValue
 	}
 	return value
 }
 
-// elementName names a member of a list in the settings, as in "categories[0].name".
-func elementName(list string, index int, member string) string {
-	return fmt.Sprintf("%s[%d].%s", list, index, member)
+// elementName returns the name of a field of a list element in the settings, as in "categories[0].name".
+func elementName(list string, index int, field string) string {
+	return fmt.Sprintf("%s[%d].%s", list, index, field)
 }
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -10,7 +10,7 @@
 	"ternstage/internal/transport/discovery"
 )
 
-// TestEachSettingIsMapped sets one setting after the other to a value that is not its default.
+// TestEachSettingIsMapped checks that each setting, set alone to a value that is not its default, sets its field.
 func TestEachSettingIsMapped(t *testing.T) {
 	for _, c := range []struct {
 		setting string
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestSettingsAreKeptForComparison(t *testing.T) {
+func TestDecodedSettingsIncludeUnknownSettings(t *testing.T) {
 	config := minimalConfig()
 	set(config, "settings.unheard_of", 1)
 	changed, err := parse(t, config)
@@ -63,5 +63,5 @@
 	minimal, err := parse(t, minimalConfig())
 	require.NoError(t, err)
 	assert.Equal(t, same.DecodedSettings, changed.DecodedSettings)
-	assert.NotEqual(t, minimal.DecodedSettings, changed.DecodedSettings, "unknown settings count")
+	assert.NotEqual(t, minimal.DecodedSettings, changed.DecodedSettings, "an unknown setting is a difference")
 }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -8,27 +8,27 @@
 )
 
 const (
-	// minMemoryMB leaves room beside the program's text and its tables.
+	// minMemoryMB leaves memory beside the program's code and tables.
 	minMemoryMB = 24
-	// minDescriptors leaves some for clients and backends.
+	// minDescriptors leaves descriptors for connections of clients and backends.
 	minDescriptors = 64
 )
 
 var (
-	// ErrNotConfigured reports whether BALANCER_CONFIG names no file.
+	// ErrNotConfigured reports that BALANCER_CONFIG is not set.
 	ErrNotConfigured = errors.New(envConfig + ": missing")
-	// ErrMissing reports whether a required setting is missing or empty.
+	// ErrMissing reports that a required setting is missing or empty.
 	ErrMissing = errors.New("missing")
 
 	errNegativeLimit = errors.New("a negative max_open, multiplex, dial_timeout_ms or keepalive_ms")
 )
 
-// SettingError says which setting cannot be used.
+// SettingError reports that the value of a setting cannot be used.
 type SettingError struct {
-	// Setting is the platform's name of the setting or of the variable of the environment. A setting within another
-	// is a SettingError in Err.
+	// Setting is the platform's name of the setting, or the name of the environment variable. For a setting within
+	// another, it names the outer one and Err is a SettingError of the inner one.
 	Setting string
-	// Err says what is wrong with its value.
+	// Err is the problem with the value.
 	Err error
 }
 
@@ -40,7 +40,7 @@
 
 func settingError(setting string, err error) error { return &SettingError{Setting: setting, Err: err} }
 
-// validateNames checks the broker's name and its addresses.
+// validateNames checks the broker's name and the addresses.
 func (c *Config) validateNames() error {
 	if c.Name == "" {
 		return settingError("name", ErrMissing)
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// validate checks what package simwire and the scheduler do not check.
+// validate checks the values that package simwire and the scheduler do not check.
 func (s *platformSettings) validate() error {
 	limits := s.Limits
 	if limits.MaxOpen < 0 || limits.Multiplex < 0 || limits.DialTimeoutMs < 0 || limits.KeepaliveMs < 0 {
--- a/internal/config/validate_test.go
+++ b/internal/config/validate_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestKnownEndpointsAreChecked(t *testing.T) {
+func TestKnownEndpointsAreValidated(t *testing.T) {
 	config := minimalConfig()
 	set(config, "known", object{"members": []any{object{"id": "s", "phase": "ASLEEP"}}})
 	_, err := parse(t, config)
@@ -78,7 +78,7 @@
 	assert.ErrorContains(t, err, ".areas of type []string")
 }
 
-func TestSettingErrorHasTheSetting(t *testing.T) {
+func TestSettingErrorNamesTheSetting(t *testing.T) {
 	config := minimalConfig()
 	set(config, "settings.categories", []any{object{"effect": "read_like", "aim_ms": 700, "deadline_ms": 1000}})
 	_, err := parse(t, config)
