--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -12,7 +12,7 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-// load loads an operator's file with this text.
+// load writes text to an operator's file and loads it.
 func load(t *testing.T, text string) (*File, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "operator.jsonnet")
@@ -20,18 +20,18 @@
 	return Load(path)
 }
 
-func TestNoPathIsAnEmptyFile(t *testing.T) {
+func TestLoadWithoutPath(t *testing.T) {
 	file, err := Load("")
 	require.NoError(t, err)
 	assert.Equal(t, &File{}, file)
 }
 
-func TestAMissingFileIsAnError(t *testing.T) {
+func TestLoadOfMissingFile(t *testing.T) {
 	_, err := Load(filepath.Join(t.TempDir(), "none.jsonnet"))
 	assert.ErrorIs(t, err, fs.ErrNotExist)
 }
 
-func TestTheExampleIsValid(t *testing.T) {
+func TestExampleIsValid(t *testing.T) {
 	file, err := Load("../../deploy/operator.jsonnet")
 	require.NoError(t, err)
 	assert.Equal(t, &File{Flight: &Flight{Listen: "127.0.0.1:8815", StreamsPerConnection: 128, MaxConnections: 128}}, file)
