--- a/internal/jsonnetfile/doc.go
+++ b/internal/jsonnetfile/doc.go
@@ -1,8 +1,8 @@
-// Package jsonnetfile evaluates a Jsonnet file, validates the result by a JSON Schema and decodes it.
+// Package jsonnetfile evaluates a Jsonnet file, validates the result against a JSON Schema and decodes it.
 //
-// Errors tell a person where to look: an EvaluationError has the place that Jsonnet names, and a FieldError the field
-// that breaks the schema and, if the file writes it by its name, the line.
+// Errors give the place of the problem: an EvaluationError has the location that Jsonnet reports, and a FieldError
+// has the field that violates the schema and, if the name of the field is written in the file, its line.
 //
-//   - jsonnetfile.go: from the file to the decoded value.
-//   - schema.go: the validation.
+//   - jsonnetfile.go: evaluates and decodes a file.
+//   - schema.go: validates the result of the evaluation.
 package jsonnetfile
--- a/internal/jsonnetfile/jsonnetfile.go
+++ b/internal/jsonnetfile/jsonnetfile.go
@@ -9,26 +9,26 @@
 	"github.com/google/go-jsonnet"
 )
 
-// maxStackFrames bounds the depth of calls in a file, so that one that calls itself without end is an error.
+// maxStackFrames limits the depth of calls in a file, so that an endless recursion is an error.
 const maxStackFrames = 500
 
-// EvaluationError reports whether a file is not valid Jsonnet or that its evaluation failed.
+// EvaluationError reports that a file is not valid Jsonnet, or that its evaluation failed.
 type EvaluationError struct {
 	// Err is Jsonnet's error, whose text has several lines.
 	Err error
 }
 
-// Error returns one line: the problem and the first place in the stack trace.
+// Error returns one line: the problem and the first location in the stack trace.
 func (e *EvaluationError) Error() string {
-	const problemAndPlace = 2
-	lines := strings.SplitN(e.Err.Error(), "\n", problemAndPlace+1)
-	return strings.TrimSpace(strings.Join(lines[:min(problemAndPlace, len(lines))], " "))
+	const problemAndLocation = 2 // lines
+	lines := strings.SplitN(e.Err.Error(), "\n", problemAndLocation+1)
+	return strings.TrimSpace(strings.Join(lines[:min(problemAndLocation, len(lines))], " "))
 }
 
 // Unwrap returns Jsonnet's error.
 func (e *EvaluationError) Unwrap() error { return e.Err }
 
-// Load reads the file at path, evaluates it with the external variables, validates the result by the schema and
+// Load reads the file at path, evaluates it with the external variables, validates the result against the schema and
 // decodes it into out. Errors are those of LoadText and of reading the file.
 func Load(path, schema string, variables map[string]string, out any) error {
 	text, err := os.ReadFile(path)
@@ -38,8 +38,8 @@
 	return LoadText(path, string(text), schema, variables, out)
 }
 
-// LoadText is Load of a text, which errors call by name. It returns an EvaluationError or a FieldError, or an error of
-// the schema itself or of a result that does not fit out.
+// LoadText does the same as Load for a text instead of a file. Errors refer to the text as name. They are an
+// EvaluationError, a FieldError, an error of the schema itself, or the error of decoding the result into out.
 func LoadText(name, text, schema string, variables map[string]string, out any) error {
 	vm := jsonnet.MakeVM()
 	vm.MaxStack = maxStackFrames
--- a/internal/jsonnetfile/jsonnetfile_test.go
+++ b/internal/jsonnetfile/jsonnetfile_test.go
@@ -26,27 +26,27 @@
 	assert.Equal(t, endpoint{Host: "a", Ports: []int{80, 81}}, got)
 }
 
-func TestLoadOfAMissingFile(t *testing.T) {
+func TestLoadOfMissingFile(t *testing.T) {
 	err := Load(filepath.Join(t.TempDir(), "none.jsonnet"), portSchema, nil, &endpoint{})
 	assert.ErrorIs(t, err, fs.ErrNotExist)
 }
 
-func TestErrorsNameThePlace(t *testing.T) {
+func TestErrorTexts(t *testing.T) {
 	for _, c := range []struct {
 		name, text, schema, want string
 	}{
 		{"a syntax error", "{\n host: 'a'", portSchema,
 			"f:2:11 Expected a comma before next field"},
 		{"an unknown variable", "{\n host: nope }", portSchema, "f:2:8-12 Unknown variable: nope"},
-		{"a recursion without end", "local f(x) = f(x) + 1; f(1)", portSchema,
+		{"an endless recursion", "local f(x) = f(x) + 1; f(1)", portSchema,
 			"RUNTIME ERROR: max stack frames exceeded. \tf:1:14-18\tfunction <f>"},
 		{"a field", "{\n host: 1 }", portSchema, "f:2: host: got number, want string"},
 		{"a quoted field", "{\n # host:\n 'host': 1 }", portSchema, "f:3: host: got number, want string"},
 		{"an element", "{\n ports: [0] }", portSchema, "f:2: ports.0: minimum: got 0, want 1"},
-		{"a field whose name is made", "{ ['ho' + 'st']: 1 }", portSchema, "f: host: got number, want string"},
+		{"a field with a computed name", "{ ['ho' + 'st']: 1 }", portSchema, "f: host: got number, want string"},
 		{"the whole file", "7", portSchema, "f: got number, want object"},
-		{"a schema that is no JSON", "{}", "{", "f: schema: unexpected EOF"},
-		{"a result that does not fit", "{ host: 1 }", "{}",
+		{"a schema that is not JSON", "{}", "{", "f: schema: unexpected EOF"},
+		{"a result of the wrong type", "{ host: 1 }", "{}",
 			"f: json: cannot unmarshal number into Go struct field endpoint.host of type string"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/jsonnetfile/schema.go
+++ b/internal/jsonnetfile/schema.go
@@ -11,31 +11,31 @@
 	"golang.org/x/text/message"
 )
 
-// FieldError reports whether a field breaks the schema. If several do, it is about one of them.
+// FieldError reports that a field violates the schema. If several do, it reports one of them.
 type FieldError struct {
 	// Name is the name of the file.
 	Name string
-	// Line is the line of the field, from 1; 0 if the file does not write the field by its name.
+	// Line is the line of the field, from 1; 0 if the file does not contain the name of the field.
 	Line int
 	// Field is the path of the field; empty for the whole file.
 	Field []string
-	// Problem is what the schema demands.
+	// Problem describes the violation.
 	Problem string
 }
 
-// Error returns "NAME:LINE: FIELD: PROBLEM" without what is not known.
+// Error returns "NAME:LINE: FIELD: PROBLEM", without LINE and FIELD if they are not known.
 func (e *FieldError) Error() string {
-	place := e.Name
+	location := e.Name
 	if e.Line > 0 {
-		place = fmt.Sprintf("%s:%d", e.Name, e.Line)
+		location = fmt.Sprintf("%s:%d", e.Name, e.Line)
 	}
 	if len(e.Field) == 0 {
-		return place + ": " + e.Problem
+		return location + ": " + e.Problem
 	}
-	return place + ": " + strings.Join(e.Field, ".") + ": " + e.Problem
+	return location + ": " + strings.Join(e.Field, ".") + ": " + e.Problem
 }
 
-// validate validates the result of the evaluation of a text. It returns a FieldError if the result breaks the schema.
+// validate validates the result of evaluating a text. It returns a FieldError if the result violates the schema.
 func validate(name, text, schema, result string) error {
 	compiled, err := compileSchema(schema)
 	if err != nil {
@@ -75,7 +75,8 @@
 	return compiler.Compile(resource)
 }
 
-// firstCause returns the innermost of the first causes, which names a field where the outer ones name objects.
+// firstCause follows the first cause of each error and returns the innermost one, which is about a single field. The
+// outer ones are about the objects that contain it.
 func firstCause(invalid *jsonschema.ValidationError) *jsonschema.ValidationError {
 	for len(invalid.Causes) > 0 {
 		invalid = invalid.Causes[0]
@@ -83,8 +84,9 @@
 	return invalid
 }
 
-// lineOf returns the line, from 1, that first writes the innermost name of a field's path that the text has at all; 0
-// if it has none, as where an expression makes the names.
+// lineOf returns the line, from 1, of the first field in the text with the last name of the path. If the text has no
+// such field, for example because an expression computes its name, it looks for the name before that in the path, and
+// so on. It returns 0 if the text has none of them.
 func lineOf(text string, field []string) int {
 	for i := len(field) - 1; i >= 0; i-- {
 		key := regexp.MustCompile(`(?m)^[^#]*?\b` + regexp.QuoteMeta(field[i]) + `\b['"]?\s*\+?:`)
--- a/internal/jsonnetfile/schema_test.go
+++ b/internal/jsonnetfile/schema_test.go
@@ -8,11 +8,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestFieldErrorHasThePlace(t *testing.T) {
+func TestFieldErrorFields(t *testing.T) {
 	err := LoadText("f", "{\n ports: [80, 0] }", portSchema, nil, &endpoint{})
 	var invalid *FieldError
 	require.True(t, errors.As(err, &invalid))
-	assert.Equal(t, &FieldError{Name: "f", Line: 2, Field: []string{"ports", "1"}, Problem: "minimum: got 0, want 1"}, invalid)
+	assert.Equal(t, &FieldError{Name: "f", Line: 2, Field: []string{"ports", "1"},
+		Problem: "minimum: got 0, want 1"}, invalid)
 }
 
 func TestLineOf(t *testing.T) {
@@ -23,10 +24,10 @@
 		want  int
 	}{
 		{"a field", []string{"a"}, 2},
-		{"one that is extended", []string{"b"}, 3},
-		{"an inner one", []string{"b", "c"}, 4},
-		{"one in a comment", []string{"b", "d"}, 3},
-		{"one that is not written", []string{"e"}, 0},
+		{"an extended field", []string{"b"}, 3},
+		{"an inner field", []string{"b", "c"}, 4},
+		{"a field in a comment", []string{"b", "d"}, 3},
+		{"a field that is not in the text", []string{"e"}, 0},
 		{"the whole file", nil, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) { assert.Equal(t, c.want, lineOf(text, c.field)) })
