--- a/internal/logs/codes_test.go
+++ b/internal/logs/codes_test.go
@@ -15,10 +15,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// operatorsTable documents most codes in a table and the others in the text below it.
-const operatorsTable = "../../docs/LOGS.md"
+// logsPage documents most codes in a table and the others in the text below the table.
+const logsPage = "../../docs/LOGS.md"
 
-// declaredCodes returns the values of the codes and their comments by name, as codes.go has them.
+// declaredCodes returns the values and the comments of the codes in codes.go by their names.
 func declaredCodes(t *testing.T) (values, comments map[string]string) {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), "codes.go", nil, parser.ParseComments)
@@ -40,7 +40,8 @@
 	return values, comments
 }
 
-// TestCodesAreDocumented: codes are unique, each has a comment, and docs/LOGS.md names exactly these.
+// TestCodesAreDocumented checks that codes are unique, that each has a comment, and that docs/LOGS.md has the same
+// codes.
 func TestCodesAreDocumented(t *testing.T) {
 	values, comments := declaredCodes(t)
 	var declared []string
@@ -49,7 +50,7 @@
 		declared = append(declared, value)
 		assert.True(t, strings.HasPrefix(comments[name], name+": "), "%s has a comment", name)
 	}
-	text, err := os.ReadFile(operatorsTable)
+	text, err := os.ReadFile(logsPage)
 	require.NoError(t, err)
 	var documented []string
 	for _, mention := range regexp.MustCompile("`([A-Z]\\d\\d)`").FindAllStringSubmatch(string(text), -1) {
--- a/internal/logs/doc.go
+++ b/internal/logs/doc.go
@@ -1,5 +1,5 @@
-// Package logs writes the broker's log: JSON lines through zap, and for each connection that ends one line with a Code.
+// Package logs writes the broker's log as JSON lines through zap. Each connection that ends is logged with a [Code].
 //
-// Logging never makes the event loop wait: lines are queued for a writer thread, and dropped and counted where the
-// queue is full. docs/LOGS.md is the operators' table of codes and lines.
+// Logging never blocks the event loop: lines are queued for a writer goroutine, and are dropped and counted when the
+// queue is full. docs/LOGS.md documents the codes and lines for operators.
 package logs
--- a/internal/logs/log.go
+++ b/internal/logs/log.go
@@ -15,8 +15,8 @@
 	writer *writer
 }
 
-// New returns a log that writes to file, usually standard error, from a goroutine that lives as long as the process.
-// Each line carries the broker's name.
+// New returns a log that writes to file, usually standard error, from a goroutine that runs until the process ends.
+// Each line has the broker's name.
 func New(file *os.File, brokerName string) *Log {
 	writer := newWriter()
 	go writer.run(file)
@@ -26,8 +26,8 @@
 	return &Log{zap.New(zapCore).With(zap.String("broker", brokerName)), writer}
 }
 
-// ConnectionEnded logs the end of a connection. peer is the address of the other side, served the number of requests,
-// parts or calls that were answered on the connection, and err the fault that ended it or nil.
+// ConnectionEnded logs the end of a connection. peer is the address of the other side, served is the number of
+// requests, parts or calls that were answered on the connection, and err is the error that ended it, or nil.
 func (l *Log) ConnectionEnded(code Code, peer string, served int, err error) {
 	fields := []zap.Field{zap.String("code", string(code)), zap.String("peer", peer), zap.Int("served", served)}
 	if err != nil {
@@ -36,16 +36,16 @@
 	l.Info("connection ended", fields...)
 }
 
-// Rejected logs, as a warning with the given message, that something with a code of its own was rejected.
+// Rejected logs message as a warning with code and err, for example that a shard map was rejected.
 func (l *Log) Rejected(code Code, message string, err error) {
 	l.Warn(message, zap.String("code", string(code)), zap.Error(err))
 }
 
-// SchedulerLine logs a line of the scheduler. It implements core.Log.
+// SchedulerLine logs a line of text from the scheduler. It implements core.Log.
 func (l *Log) SchedulerLine(text string) { l.Info("scheduler", zap.String("text", text)) }
 
-// RequestEnded logs a request that was not answered, or whose client had disconnected; other requests leave no line. It
-// implements core.Log.
+// RequestEnded logs a request that was not answered, or whose client had disconnected. Other requests are not logged.
+// It implements core.Log.
 func (l *Log) RequestEnded(request *core.Request, answer core.Answer) {
 	if answer.Kind == core.Answered && !request.ClientDisconnected() {
 		return
@@ -54,8 +54,9 @@
 		zap.Int("class", request.Class), zap.Bool("client_disconnected", request.ClientDisconnected()))
 }
 
-// Dropped returns the number of lines that were dropped since the start because the queue was full.
+// Dropped returns the number of lines that have been dropped because the queue was full.
 func (l *Log) Dropped() uint64 { return l.writer.dropped.Load() }
 
-// Close waits until the queued lines are written, for twice flushTimeout at most. The log stays usable.
+// Close waits until the queued lines are written, for at most twice flushTimeout. The log can still be used
+// afterwards.
 func (l *Log) Close() { l.writer.flush() }
--- a/internal/logs/log_test.go
+++ b/internal/logs/log_test.go
@@ -14,7 +14,7 @@
 	"ternstage/internal/core"
 )
 
-// logged returns the fields of the lines that write leaves in a log, without time and level.
+// logged returns the fields of the lines that write logs, without time and level.
 func logged(t *testing.T, write func(*Log)) []map[string]any {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "log")
@@ -52,7 +52,7 @@
 	}, lines)
 }
 
-// TestRequestEnded: an answered request leaves no line, any other one line.
+// TestRequestEnded checks that an answered request is not logged, and that any other request is logged once.
 func TestRequestEnded(t *testing.T) {
 	lines := logged(t, func(log *Log) {
 		for _, kind := range []core.AnswerKind{core.Answered, core.Rejected, core.Failed} {
@@ -60,7 +60,9 @@
 		}
 	})
 	assert.Equal(t, []map[string]any{
-		{"msg": "request ended", "broker": "n0", "id": "q1", "end": core.Rejected.String(), "class": 2.0, "client_disconnected": false},
-		{"msg": "request ended", "broker": "n0", "id": "q1", "end": core.Failed.String(), "class": 2.0, "client_disconnected": false},
+		{"msg": "request ended", "broker": "n0", "id": "q1", "end": core.Rejected.String(), "class": 2.0,
+			"client_disconnected": false},
+		{"msg": "request ended", "broker": "n0", "id": "q1", "end": core.Failed.String(), "class": 2.0,
+			"client_disconnected": false},
 	}, lines)
 }
--- a/internal/logs/writer.go
+++ b/internal/logs/writer.go
@@ -7,16 +7,17 @@
 )
 
 const (
-	// maxQueuedLines bounds the lines that await being written; those beyond it are dropped.
+	// maxQueuedLines is the maximum number of lines in the queue; further ones are dropped.
 	maxQueuedLines = 1024
-	// flushTimeout bounds each of the two waits of a flush: until the writer thread accepts it, and until it is done.
+	// flushTimeout limits each of the two waits of a flush: until run accepts the request, and until it is done.
 	flushTimeout = 200 * time.Millisecond
 )
 
-// writer hands lines to a thread of its own. It keeps the event loop from waiting for a reader of the log that stalls.
+// writer queues lines for a goroutine that writes them, so that a stalled reader of the log does not block the event
+// loop.
 type writer struct {
 	lines         chan []byte
-	flushRequests chan chan struct{} // each is closed once the lines that were queued are written
+	flushRequests chan chan struct{} // run closes each channel when it has written the queued lines
 	dropped       atomic.Uint64
 }
 
@@ -24,7 +25,8 @@
 	return &writer{lines: make(chan []byte, maxQueuedLines), flushRequests: make(chan chan struct{})}
 }
 
-// Write queues a line or drops it; it never fails and never blocks. It implements zapcore.WriteSyncer.
+// Write queues a line, or drops it if the queue is full. It never fails and never blocks. It implements
+// zapcore.WriteSyncer.
 func (w *writer) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), line...): // zap reuses the buffer
@@ -37,7 +39,7 @@
 // Sync does nothing: Close flushes. It implements zapcore.WriteSyncer.
 func (w *writer) Sync() error { return nil }
 
-// run writes the queued lines to out, for ever.
+// run writes the queued lines to out. It never returns.
 func (w *writer) run(out io.Writer) {
 	for {
 		select {
--- a/internal/logs/writer_test.go
+++ b/internal/logs/writer_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// stalledOutput blocks each write until it is released.
+// stalledOutput blocks all writes until release is closed.
 type stalledOutput struct {
 	release chan struct{}
 	bytes.Buffer
@@ -21,8 +21,8 @@
 	return o.Buffer.Write(line)
 }
 
-// TestWriterDoesNotBlock: with a stalled output, lines are queued up to the bound, and those beyond it are dropped and
-// counted. A flush gives up after its timeout, and writes what was queued once the output goes on.
+// TestWriterDoesNotBlock checks that, with a stalled output, lines are queued up to the limit and then dropped and
+// counted, and that a flush times out. When the output resumes, a flush writes the queued lines.
 func TestWriterDoesNotBlock(t *testing.T) {
 	out := &stalledOutput{release: make(chan struct{})}
 	w := newWriter()
@@ -33,7 +33,7 @@
 		require.Equal(t, len(line), count)
 	}
 	write("first")
-	require.Eventually(t, func() bool { return len(w.lines) == 0 }, 5*time.Second, time.Millisecond, "it is being written")
+	require.Eventually(t, func() bool { return len(w.lines) == 0 }, 5*time.Second, time.Millisecond, "not being written")
 	for range maxQueuedLines {
 		write(".")
 	}
@@ -51,7 +51,7 @@
 	assert.Equal(t, len("first")+maxQueuedLines, out.Len())
 }
 
-// TestWriterKeepsOrder: lines are written in order, and the caller may reuse its buffer.
+// TestWriterKeepsOrder checks that lines are written in order, and that the caller may reuse its buffer.
 func TestWriterKeepsOrder(t *testing.T) {
 	var out, want bytes.Buffer
 	w := newWriter()
