--- a/internal/control/adminapi/route.go
+++ b/internal/control/adminapi/route.go
@@ -17,7 +17,7 @@
 	Suspend(id string) maintenance.CallResult
 	// Resume puts the backend id back into service.
 	Resume(id string) maintenance.CallResult
-	// Drain sends the clients of the broker elsewhere.
+	// Drain starts a drain: clients are made to go to other brokers.
 	Drain() maintenance.CallResult
 	// Activate ends a drain.
 	Activate() maintenance.CallResult
--- a/internal/control/adminclient/call.go
+++ b/internal/control/adminclient/call.go
@@ -17,7 +17,7 @@
 var (
 	// Ready asks whether the process is ready to serve.
 	Ready = Call{Name: "ready", method: http.MethodGet, path: "/v1/readyz"}
-	// Drain sends the clients of the broker elsewhere.
+	// Drain starts a drain: clients are made to go to other brokers.
 	Drain = Call{Name: "drain", method: http.MethodPut, path: "/v1/aggregator/drain"}
 	// Activate ends a drain.
 	Activate = Call{Name: "activate", method: http.MethodPut, path: "/v1/aggregator/activate"}
--- a/internal/store/statefile/lock.go
+++ b/internal/store/statefile/lock.go
@@ -12,8 +12,8 @@
 // lock, as each change replaces it.
 const lockSuffix = ".lock"
 
-// A change under a lock takes about 0.2 ms. If the lock is held for longer than lockAttempts * lockRetryInterval, 2
-// ms, its holder was probably stopped during its change. The wait blocks the event loop, and so is kept short.
+// A change under a lock takes about 0.2 ms. A holder that keeps the lock for longer than 2 ms, the product of these
+// constants, was probably stopped during its change. The wait blocks the event loop, and so is kept short.
 const (
 	lockAttempts      = 20
 	lockRetryInterval = 100 * time.Microsecond
@@ -35,7 +35,7 @@
 // Unwrap returns the cause.
 func (e *LockedError) Unwrap() error { return e.Cause }
 
-// LockFile is an open lock file, locked or not.
+// LockFile is an open lock file. It may or may not be locked by this process.
 type LockFile struct {
 	path string
 	fd   int
@@ -50,7 +50,8 @@
 	return &LockFile{path: path, fd: fd}, nil
 }
 
-// TryLock takes the lock without waiting. It returns a *LockedError when another process holds it.
+// TryLock takes the lock without waiting. It returns a *LockedError if the lock cannot be taken, which usually means
+// that another process holds it.
 func (l *LockFile) TryLock() error {
 	if err := unix.Flock(l.fd, unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		return &LockedError{Path: l.path, Cause: err}
