--- a/internal/transport/httpfront/accept.go
+++ b/internal/transport/httpfront/accept.go
@@ -11,25 +11,26 @@
 )
 
 const (
-	// acceptPauseMs is the time in milliseconds without accepting after no descriptor was left: the listener stays
-	// readable, and the event loop would spin.
+	// acceptPauseMs is how long, in milliseconds, the server stops accepting when no descriptor is free. The listener
+	// stays readable meanwhile, so that waiting for it would make the event loop spin.
 	acceptPauseMs = 50.0
-	// maxAcceptsPerWakeUp is the maximum number of connections accepted at once, so that open ones are not kept waiting.
+	// maxAcceptsPerWakeUp is the maximum number of connections accepted in one wake-up of the event loop, so that
+	// established connections are not kept waiting.
 	maxAcceptsPerWakeUp = 256
 )
 
-// Ready implements loop.Handler: connections wait to be accepted.
+// Ready implements loop.Handler: it accepts the queued connections.
 func (s *Server) Ready(uint32) { s.acceptPending() }
 
-// acceptPending accepts the connections that wait in the kernel. At the maximum of connections, and without
-// descriptors, it evicts others; if none can be evicted it pauses.
+// acceptPending accepts the connections that the kernel has queued. At the connection limit, or without a free
+// descriptor, it evicts other connections. If none can be evicted, it pauses accepting.
 func (s *Server) acceptPending() {
 	if s.listenerFD < 0 {
 		return
 	}
 	if s.listenerInherited {
-		// Every process that holds a shared socket may set this flag back, and a blocking accept on a queue that
-		// another process has emptied would stop the event loop.
+		// Any process that shares the socket can clear the non-blocking flag. A blocking accept on a queue that
+		// another process has emptied would then block the event loop.
 		_ = unix.SetNonblock(s.listenerFD, true)
 	}
 	for range maxAcceptsPerWakeUp {
@@ -45,7 +46,7 @@
 			s.loop.SetEvents(s.listenerFD, unix.EPOLLIN)
 			return
 		case errors.Is(err, unix.EINTR), errors.Is(err, unix.ECONNABORTED):
-		default: // no descriptor (EMFILE, ENFILE) or no memory
+		default: // out of descriptors (EMFILE, ENFILE) or out of memory
 			if !s.FreeDescriptor() {
 				s.pauseAccept()
 				return
@@ -55,12 +56,13 @@
 	s.loop.SetEvents(s.listenerFD, unix.EPOLLIN)
 }
 
-// pauseAccept stops accepting for acceptPauseMs. Connections wait in the kernel.
+// pauseAccept stops accepting for acceptPauseMs. The kernel queues new connections meanwhile.
 func (s *Server) pauseAccept() {
 	s.loop.SetEvents(s.listenerFD, 0)
 	s.acceptTimer.Set(s.loop.Now() + acceptPauseMs)
 }
 
+// addConnection starts serving the accepted connection fd.
 func (s *Server) addConnection(fd int) {
 	nowMs := s.loop.Now()
 	c := &connection{
@@ -78,7 +80,7 @@
 	s.connections[c] = struct{}{}
 }
 
-// peerAddress returns the address of a client, and "" for one that is gone.
+// peerAddress returns the client's address, or "" if it cannot be read because the connection is gone.
 func peerAddress(fd int) string {
 	address, err := unix.Getpeername(fd)
 	if err != nil {
@@ -87,6 +89,7 @@
 	return formatAddress(address)
 }
 
+// formatAddress returns an IP address and port as text, or "" for any other kind of address.
 func formatAddress(address unix.Sockaddr) string {
 	switch a := address.(type) {
 	case *unix.SockaddrInet4:
--- a/internal/transport/httpfront/chunked.go
+++ b/internal/transport/httpfront/chunked.go
@@ -6,12 +6,12 @@
 	"strings"
 )
 
-// maxChunkLineBytes is the maximum size in bytes of the line before a chunk while its end has not arrived. More is
+// maxChunkLineBytes is the maximum number of bytes that are buffered without the end of a chunk's size line. More are
 // malformed.
 const maxChunkLineBytes = 1024
 
 // parseChunks parses a chunked body (RFC 9112, 7.1) as far as it has arrived. It returns the size in bytes of the
-// request, 0 while it has not arrived. Chunk extensions and the trailer are discarded.
+// request, or 0 until all of it has arrived. Chunk extensions and the trailer are discarded.
 func (p *requestParser) parseChunks(in []byte) (int, error) {
 	for p.trailerStart == 0 {
 		parsedBytes := p.parsedBytes
@@ -23,8 +23,8 @@
 	return p.parseTrailer(in)
 }
 
-// parseChunk appends one chunk to the body, or sets p.trailerStart if it is the last one. It changes nothing while the
-// chunk has not arrived.
+// parseChunk appends one chunk to the body, or sets p.trailerStart if it is the last chunk. It changes nothing until
+// the whole chunk has arrived.
 func (p *requestParser) parseChunk(in []byte) error {
 	rest := in[p.parsedBytes:]
 	lineBytes := bytes.Index(rest, []byte(lineEnd))
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// parseTrailer discards the lines behind the last chunk, up to an empty one. It returns the size in bytes of the
-// request, 0 while it has not arrived.
+// parseTrailer discards the trailer fields after the last chunk, through the empty line that ends them. It returns
+// the size in bytes of the request, or 0 until all of it has arrived.
 func (p *requestParser) parseTrailer(in []byte) (int, error) {
 	for {
 		lineBytes := bytes.Index(in[p.parsedBytes:], []byte(lineEnd))
--- a/internal/transport/httpfront/close.go
+++ b/internal/transport/httpfront/close.go
@@ -6,26 +6,27 @@
 	"ternstage/internal/logs"
 )
 
-// maxLingerBytes is the size in bytes of discarded input from which on a lingering connection is not read, so that its
-// sender waits until lingerTimeoutMs is over.
+// maxLingerBytes is the number of discarded bytes after which a lingering connection is no longer read. Once the
+// kernel's buffers are full, the client can send no more until the connection is closed after lingerTimeoutMs.
 const maxLingerBytes = 1 << 20
 
-// disconnected closes a connection that its client has closed or reset, and tells core if a request is open.
-func (c *connection) disconnected(err error) {
+// handleDisconnect closes a connection that the client has closed or reset. If a request is open, it informs core.
+func (c *connection) handleDisconnect(err error) {
 	code := logs.ClientLeftIdle
-	if request := c.open; request != nil {
+	if request := c.openRequest; request != nil {
 		code = logs.ClientLeftRequest
-		c.open = nil
+		c.openRequest = nil
 		c.server.core.ClientDisconnected(request)
 	}
 	c.close(code, err)
 }
 
-// linger ends our side of the connection for the reason code, and the connection once the client has ended its side.
-// Closing over unread input would reset the connection, and the client could lose the answer (RFC 9112, 9.6): until
-// then input is discarded. None of it is served, as no answer could be sent.
+// linger shuts down the sending side of the connection, and closes the connection once the client has ended its side.
+// code is the reason to log. Closing a connection with unread input would reset it, and the client could lose the
+// answer (RFC 9112, 9.6), so input is read and discarded until then. No request in it is served, as no answer could
+// be sent.
 func (c *connection) linger(code logs.Code) {
-	if c.ending.byClient {
+	if c.ending.receivedEOF {
 		c.close(code, nil)
 		return
 	}
@@ -38,7 +39,8 @@
 	c.discardInput()
 }
 
-// discardInput discards what has arrived on a lingering connection, and closes it if the client has ended its side.
+// discardInput discards the input of a lingering connection, and closes the connection if the client has ended its
+// side.
 func (c *connection) discardInput() {
 	discardedBytes, eof, err := c.stream.DiscardInput()
 	c.ending.discardedBytes += discardedBytes
@@ -51,8 +53,8 @@
 	}
 }
 
-// close closes the connection and logs why: that a request was rejected, else that our side was shut down before, else
-// code and err. A repeated call does nothing.
+// close closes the connection and logs the reason. That is the error of a rejected request if there is one, else the
+// code given to linger, else code and err. A repeated call does nothing.
 func (c *connection) close(code logs.Code, err error) {
 	if c.ending.closed {
 		return
@@ -68,8 +70,8 @@
 	case c.ending.rejectErr != nil:
 		code = logs.ClientMalformed
 		err = c.ending.rejectErr
-	case c.ending.lingering():
+	case c.ending.isLingering():
 		code = c.ending.lingerCode
 	}
-	c.server.log.ConnectionEnded(code, c.peer, c.answered, err)
+	c.server.log.ConnectionEnded(code, c.peer, c.answeredCount, err)
 }
--- a/internal/transport/httpfront/connection.go
+++ b/internal/transport/httpfront/connection.go
@@ -10,73 +10,76 @@
 
 // connection is a client's connection. It serves one request at a time, in the order of arrival.
 //
-// It leaves Server.connections when it is closed. Until then its life is: serving, then, after a last answer or a time
-// limit, lingering.
+// A connection first serves requests. After its last answer, or when a time limit has passed, it lingers (see
+// linger). When it is closed, it is removed from Server.connections.
 type connection struct {
 	server *Server
 	stream *loop.Stream // holds input that is not parsed and output that is not sent
 	peer   string       // address, for the log
 
-	incoming incomingRequest
-	open     *core.Request // submitted and not answered: requests behind it wait in the input
-	// servePosted: the rest of the input is served by a function that was posted to the loop, and by nothing else.
+	incoming    incomingRequest
+	openRequest *core.Request // submitted and not answered; later requests wait in the input
+	// servePosted reports whether a function posted to the loop will serve the rest of the input. Nothing else may serve
+	// it meanwhile.
 	servePosted bool
 
-	answered      int     // requests
-	activeAtMs    float64 // the last answer or the shutdown of our side; before both, the accept
+	answeredCount int     // requests
+	activeAtMs    float64 // time of the last answer or of the start of lingering; before both, of the accept
 	bufferedBytes int     // counted in Server.bufferedBytes
 
 	ending connectionEnding
 }
 
-// incomingRequest is the request at the beginning of the input.
+// incomingRequest is the state of the request at the beginning of the input.
 type incomingRequest struct {
 	parser       requestParser
-	beganAtMs    float64 // its first byte; of the first request, the accept
+	beganAtMs    float64 // time of its first byte; for the first request, of the accept
 	continueSent bool    // 100 Continue was sent for it
 	servingBytes int     // its size while it is being served and is still in the input; 0 at other times
 }
 
-// connectionEnding is how and why a connection ends.
+// connectionEnding records how and why a connection ends.
 type connectionEnding struct {
-	// afterOutput: the connection ends once its output is sent, and further input is discarded.
-	afterOutput bool
-	// byClient: the client has ended its side.
-	byClient bool
-	// lingerCode is why we have shut down our side; empty before. Further input is discarded.
+	// closeAfterOutput reports whether the connection ends once its output is sent. Further input is discarded.
+	closeAfterOutput bool
+	// receivedEOF reports whether the client has ended its side, that is, whether its FIN has been received.
+	receivedEOF bool
+	// lingerCode is the reason why the connection lingers; empty if it does not.
 	lingerCode     logs.Code
 	discardedBytes int // while lingering
-	// rejectErr is why a request was rejected such that none can be read behind it; nil without such a one.
+	// rejectErr is the error of a rejected request after which no other can be read; nil if there is none.
 	rejectErr error
-	timedOut  bool // that request did not arrive in time
+	timedOut  bool // the rejected request did not arrive in time
 	closed    bool
 }
 
-// lingering reports whether our side is shut down, and the connection waits for the client to end its own.
-func (e *connectionEnding) lingering() bool { return e.lingerCode != "" }
+// isLingering reports whether the sending side is shut down and the connection waits for the client to end its side.
+func (e *connectionEnding) isLingering() bool { return e.lingerCode != "" }
 
-// idle reports whether nothing is under way on the connection.
-func (c *connection) idle() bool {
-	return c.open == nil && len(c.stream.In) == 0 && len(c.stream.Out) == 0 && !c.ending.lingering() && !c.ending.closed
+// isIdle reports whether the connection serves clients but has no request, buffered input or unsent output.
+func (c *connection) isIdle() bool {
+	return c.openRequest == nil && len(c.stream.In) == 0 && len(c.stream.Out) == 0 &&
+		!c.ending.isLingering() && !c.ending.closed
 }
 
-// hasPartialRequest reports whether nothing is under way but a request that has not arrived.
+// hasPartialRequest reports whether the only thing in progress is a request of which the rest has not arrived.
 func (c *connection) hasPartialRequest() bool {
-	return c.open == nil && len(c.stream.In) > 0 && len(c.stream.Out) == 0 && !c.ending.lingering() && !c.servePosted
+	return c.openRequest == nil && len(c.stream.In) > 0 && len(c.stream.Out) == 0 &&
+		!c.ending.isLingering() && !c.servePosted
 }
 
-// Ready implements loop.Handler.
+// Ready implements loop.Handler. It reads input, serves requests and sends output.
 func (c *connection) Ready(events uint32) {
-	if c.ending.lingering() {
+	if c.ending.isLingering() {
 		c.discardInput()
 		return
 	}
-	// With input left the error shows when that is read.
+	// If input is left, reading it reports the error.
 	if events&(unix.EPOLLERR|unix.EPOLLHUP) != 0 && events&unix.EPOLLIN == 0 {
-		c.disconnected(loop.SocketError(c.stream.FD))
+		c.handleDisconnect(loop.SocketError(c.stream.FD))
 		return
 	}
-	if events&(unix.EPOLLIN|unix.EPOLLRDHUP) != 0 && !c.ending.byClient {
+	if events&(unix.EPOLLIN|unix.EPOLLRDHUP) != 0 && !c.ending.receivedEOF {
 		c.receive()
 		if c.ending.closed {
 			return
@@ -85,8 +88,8 @@
 	c.flush()
 }
 
-// updateBufferedBytes updates the sum that Server.maxBufferedBytes bounds. It counts capacities, which are what the
-// process holds.
+// updateBufferedBytes updates the connection's share of Server.bufferedBytes. It counts the capacities of the
+// buffers, since these are what the process has allocated.
 func (c *connection) updateBufferedBytes() {
 	bufferedBytes := 0
 	if !c.ending.closed {
--- a/internal/transport/httpfront/doc.go
+++ b/internal/transport/httpfront/doc.go
@@ -1,34 +1,39 @@
-// Package httpfront serves clients over HTTP/1.1 on the broker's event loop. It hands queries to core and writes their
+// Package httpfront serves clients over HTTP/1.1 on the broker's event loop. It submits queries to core, sends their
 // final answers, and serves health checks and pages.
 //
 // # Usage
 //
-// NewServer listens at once; the event loop does the rest. For a graceful shutdown call Server.BeginShutdown so that
-// health checks fail, Server.StopListening once clients have had time to notice, Server.CloseIdle repeatedly until
-// Server.ConnectionCounts has no connection that serves, and Server.Close. For a drain by operators, during which the
-// program serves on, call Server.SetDraining, Server.CloseAfterResponse and Server.CloseIdle.
+// NewServer listens at once; the event loop does the rest.
+//
+// For a graceful shutdown call Server.BeginShutdown, which makes health checks fail, and Server.StopListening once
+// clients have had time to notice. Then call Server.CloseIdle repeatedly until Server.ConnectionCounts returns no
+// serving connection, and finally Server.Close.
+//
+// For a drain by operators, during which the program keeps serving, call Server.SetDraining,
+// Server.CloseAfterResponse and Server.CloseIdle.
 //
 // # Files
 //
-//   - server.go: options and the state of all connections. accept.go, eviction.go, timeouts.go and shutdown.go: how
-//     connections begin, give up their descriptor, exceed a time limit, and end with the program.
-//   - connection.go: the state of a connection. read.go, write.go and close.go: from input to a request, from a
-//     response to output, and the end.
+//   - server.go: options and the state of all connections.
+//   - accept.go, eviction.go, timeouts.go, shutdown.go: accepting connections, evicting them to free descriptors,
+//     enforcing time limits, and closing connections when the program shuts down.
+//   - connection.go: the state of a connection.
+//   - read.go, write.go, close.go: reading requests, writing responses, and closing a connection.
 //   - parser.go, request.go, chunked.go, response.go: HTTP/1.1 (RFC 9110, RFC 9112).
-//   - routes.go: what a path and a header field mean, and the only place for their names. query.go, pages.go: what they
-//     lead to.
+//   - routes.go: the names and meanings of paths and header fields; no other file has them.
+//   - query.go, pages.go: the handlers of the routes.
 //   - errors.go: the status of each error.
 //
 // # Invariants
 //
-//   - A request that was read is answered once, unless its client disconnects first; answers are in the order of the
-//     requests.
-//   - No request is served of which the answer could not be sent: none after an answer with Connection: close, and none
-//     on a connection of which our side is shut down.
-//   - A connection whose client may still send is not closed right after its last answer but lingers: closing over
-//     unread input would reset it, and the answer could be lost. Only a time limit, an eviction or Server.Close ends
-//     this.
-//   - While a request is open its connection is read, so that a client that disconnects is seen.
+//   - Each request that was read is answered exactly once, unless its client disconnects first. Answers are sent in
+//     the order of the requests.
+//   - A request is served only if its answer can be sent. None is served after an answer with Connection: close, or
+//     on a connection whose sending side is shut down.
+//   - A connection whose client may still send is not closed right after its last answer but lingers until the client
+//     ends its side: closing it with unread input would reset it, and the answer could be lost. Only a time limit, an
+//     eviction or Server.Close closes it earlier.
+//   - While a request is open its connection is read, so that a disconnect of the client is noticed.
 //   - Each byte of input is parsed once, and the memory of a connection is bounded.
 //
 // # Units
--- a/internal/transport/httpfront/errors.go
+++ b/internal/transport/httpfront/errors.go
@@ -9,25 +9,28 @@
 	"ternstage/internal/core"
 )
 
-// The texts go to clients in bodies.
+// The texts of these errors are sent to clients in response bodies.
 var (
 	errMalformed      = errors.New("malformed request")
 	errBodyTooLarge   = errors.New("body over 64 KiB")
 	errHeaderTooLarge = errors.New("header over 16 KiB")
+	// The rest of the request did not arrive within the time limit.
 	errRequestTimeout = errors.New("the request did not come whole in time")
-	errBufferLimit    = errors.New("no memory for a request that does not come whole")
-	errShutdown       = errors.New("the program ends, and the request did not come whole")
+	// The request has arrived in part, and all connections together buffer too much to wait for its rest.
+	errBufferLimit = errors.New("no memory for a request that does not come whole")
+	// The program shuts down, and the rest of the request did not arrive in time.
+	errShutdown = errors.New("the program ends, and the request did not come whole")
 
 	errPageIsReadOnly = errors.New("GET only")
-	errQueryIsNoPost  = errors.New("a query is a POST")
+	errQueryNotPost   = errors.New("a query is a POST")
 
-	// Of final answers that have no values.
+	// Errors for final answers without values.
 	errRejected = errors.New("refused")
 	errTimedOut = errors.New("timed out")
 	errFailed   = errors.New("failed")
 )
 
-// statuses are the errors that are not answered 400. No error wraps two of them.
+// statuses lists the errors whose status is not 400. No error wraps two of them, so that their order does not matter.
 var statuses = []struct {
 	err    error
 	status int
@@ -35,7 +38,7 @@
 	{contract.ErrUnknownTenant, http.StatusForbidden},
 	{contract.ErrUnknownClass, http.StatusNotFound},
 	{errPageIsReadOnly, http.StatusMethodNotAllowed},
-	{errQueryIsNoPost, http.StatusMethodNotAllowed},
+	{errQueryNotPost, http.StatusMethodNotAllowed},
 	{errRequestTimeout, http.StatusRequestTimeout},
 	{errBodyTooLarge, http.StatusRequestEntityTooLarge},
 	{errHeaderTooLarge, http.StatusRequestHeaderFieldsTooLarge},
@@ -46,7 +49,7 @@
 	{errTimedOut, http.StatusGatewayTimeout},
 }
 
-// statusOf returns the HTTP status for an error: 400 unless statuses has another.
+// statusOf returns the HTTP status for an error: 400 unless statuses lists another.
 func statusOf(err error) int {
 	for _, s := range statuses {
 		if errors.Is(err, s.err) {
@@ -56,8 +59,8 @@
 	return http.StatusBadRequest
 }
 
-// errorResponse answers with an error: its status and a JSON object with its text as "error". A client whose shard map
-// is stale gets the epoch in use, as "epoch".
+// errorResponse returns the response for an error. The body is a JSON object with the error's text as "error". If the
+// client's shard map is stale, the object also has the epoch in use as "epoch".
 func errorResponse(err error) httpResponse {
 	fields := map[string]any{"error": err.Error()}
 	var stale *core.StaleEpochError
--- a/internal/transport/httpfront/errors_test.go
+++ b/internal/transport/httpfront/errors_test.go
@@ -22,7 +22,7 @@
 		{fmt.Errorf("%w: q", contract.ErrUnknownTenant), 403, `{"error":"no budget for this tenant: q"}`},
 		{fmt.Errorf("%w: q", contract.ErrUnknownClass), 404, `{"error":"no contract for this class: q"}`},
 		{errPageIsReadOnly, 405, `{"error":"GET only"}`},
-		{errQueryIsNoPost, 405, `{"error":"a query is a POST"}`},
+		{errQueryNotPost, 405, `{"error":"a query is a POST"}`},
 		{errRequestTimeout, 408, `{"error":"the request did not come whole in time"}`},
 		{errBodyTooLarge, 413, `{"error":"body over 64 KiB"}`},
 		{errHeaderTooLarge, 431, `{"error":"header over 16 KiB"}`},
--- a/internal/transport/httpfront/eviction.go
+++ b/internal/transport/httpfront/eviction.go
@@ -7,29 +7,29 @@
 	"ternstage/internal/logs"
 )
 
-// answerDeliveryMs is the time in milliseconds after which a last answer is taken to have arrived. A close before may
-// destroy it (RFC 9112, 9.6).
+// answerDeliveryMs is the time in milliseconds after which the client is assumed to have received the last answer of
+// a connection. An earlier close may destroy the answer (RFC 9112, 9.6).
 const answerDeliveryMs = 100.0
 
-// evictionRank orders the connections that may be evicted: lower ones go first.
+// evictionRank orders the connections that may be evicted. Lower ranks are evicted first.
 type evictionRank int
 
 const (
-	evictLingering  evictionRank = iota // its last answer has arrived: nothing is lost
-	evictIdle                           // its client opens a new one for its next request
-	evictDelivering                     // its last answer may be on its way
+	evictLingering  evictionRank = iota // the last answer has arrived: nothing is lost
+	evictIdle                           // the client has to open a new connection for its next request
+	evictDelivering                     // the last answer may still be in transit
 )
 
-// FreeDescriptor closes the connection that is missed least, so that its descriptor can be used, and reports whether
-// there was one. It calls neither core nor the scheduler, and may be called from within a scheduling round.
+// FreeDescriptor frees a descriptor by closing the connection with the lowest eviction rank, and reports whether
+// there was one to close. It calls neither core nor the scheduler, so it may be called from within a scheduling
+// round.
 //
-// A connection with a request under way is never closed, nor an idle one on which something has arrived unread: a close
-// would lose the request.
+// It closes no connection with a request in progress, and no idle one with unread input: the request would be lost.
 func (s *Server) FreeDescriptor() bool {
 	nowMs := s.loop.Now()
 	var candidates []*connection
 	for c := range s.connections {
-		if c.ending.lingering() || c.idle() {
+		if c.ending.isLingering() || c.isIdle() {
 			candidates = append(candidates, c)
 		}
 	}
@@ -38,7 +38,7 @@
 		return cmp.Or(byRank, cmp.Compare(a.activeAtMs, b.activeAtMs))
 	})
 	for _, c := range candidates {
-		if c.ending.lingering() || !c.stream.HasUnread() {
+		if c.ending.isLingering() || !c.stream.HasUnread() {
 			c.close(logs.ClientEvicted, nil)
 			return true
 		}
@@ -46,10 +46,10 @@
 	return false
 }
 
-// evictionRank ranks a connection that is idle or lingers.
+// evictionRank returns the rank of a connection that is idle or lingers.
 func (c *connection) evictionRank(nowMs float64) evictionRank {
 	switch {
-	case !c.ending.lingering():
+	case !c.ending.isLingering():
 		return evictIdle
 	case nowMs-c.activeAtMs < answerDeliveryMs:
 		return evictDelivering
--- a/internal/transport/httpfront/pages.go
+++ b/internal/transport/httpfront/pages.go
@@ -7,7 +7,7 @@
 	"ternstage/internal/contract"
 )
 
-// healthResponse answers a health check.
+// healthResponse returns the response to a health check.
 func (s *Server) healthResponse() httpResponse {
 	if !s.Healthy() {
 		return httpResponse{status: http.StatusServiceUnavailable, body: []byte(bodyNotServing)}
@@ -15,14 +15,14 @@
 	return httpResponse{status: http.StatusOK, body: []byte(bodyServing)}
 }
 
-// contractsBody is the page of contracts.
+// contractsBody is the JSON document of the contracts page.
 type contractsBody struct {
 	Classes          []contract.Class  `json:"classes"`
 	Tenants          []contract.Tenant `json:"tenants"`
 	AcceptedByTenant map[string]uint64 `json:"taken"`
 }
 
-// contractsPage shows what was agreed with clients, and how many queries of each tenant were accepted.
+// contractsPage returns the contracts with clients and the number of accepted queries of each tenant, as JSON.
 func (s *Server) contractsPage() []byte {
 	accepted := make(map[string]uint64, len(s.contracts.Tenants))
 	for i, tenant := range s.contracts.Tenants {
--- a/internal/transport/httpfront/parser.go
+++ b/internal/transport/httpfront/parser.go
@@ -6,32 +6,34 @@
 )
 
 const (
-	// maxHeaderBytes is the maximum size in bytes of the request line and the fields, and that of a trailer. More is
-	// answered 431.
+	// maxHeaderBytes is the maximum size in bytes of the request line with the header fields, and also of a trailer. A
+	// larger one is answered 431.
 	maxHeaderBytes = 16 << 10
-	// maxBodyBytes is the maximum size in bytes of a body, without the framing of chunks. More is answered 413.
+	// maxBodyBytes is the maximum size in bytes of a body, without the framing of chunks. A larger one is answered 413.
 	maxBodyBytes = 64 << 10
-	// maxLeadingBytes is how much of the line ends before a request is skipped (RFC 9112, 2.2).
+	// maxLeadingBytes is the maximum number of bytes of empty lines that are skipped before a request (RFC 9112, 2.2).
 	maxLeadingBytes = 4
 
 	lineEnd   = "\r\n"
 	headerEnd = "\r\n\r\n"
 )
 
-// requestParser parses the requests at the beginning of a connection's input. Between calls it keeps how far it is, so
-// that it parses each byte once: guards the loop against clients that send their bytes one by one.
+// requestParser parses the requests at the beginning of a connection's input. It keeps its position between calls, so
+// that each byte is parsed only once. Otherwise clients that send single bytes would take too much of the loop's
+// time.
 //
-// The zero value waits for a request.
+// The zero value is ready to parse a request.
 type requestParser struct {
 	request      *httpRequest // nil until its header has arrived
-	parsedBytes  int          // of the input; while the header has not arrived, those searched for its end
+	parsedBytes  int          // of the input; until the header has arrived, the bytes searched for its end
 	bodyBytes    int          // size of the body, or bodyIsChunked
 	trailerStart int          // where the trailer of a chunked body begins in the input; 0 before the last chunk
 }
 
-// next parses one request. in must begin as in the last call unless that returned a request; then it must be what
-// follows it. sizeBytes is the size of the request in the input, 0 while it has not arrived. A body may alias in.
-// Errors wrap errMalformed, errHeaderTooLarge or errBodyTooLarge; after one the parser must not be used.
+// next parses one request from in, which must begin with the input of the last call. After a call that returned a
+// request, in must instead begin right behind that request. sizeBytes is the size of the request in the input, or 0
+// until all of it has arrived. The body may alias in. Errors wrap errMalformed, errHeaderTooLarge or errBodyTooLarge;
+// after an error the parser must not be used.
 func (p *requestParser) next(in []byte) (parsed *httpRequest, sizeBytes int, err error) {
 	if p.request == nil {
 		err := p.parseHeader(in)
@@ -85,7 +87,8 @@
 	return nil
 }
 
-// parseBody sets the body of p.request. It returns the size in bytes of the request, 0 while it has not arrived.
+// parseBody sets the body of p.request. It returns the size in bytes of the request, or 0 until all of it has
+// arrived.
 func (p *requestParser) parseBody(in []byte) (int, error) {
 	if p.bodyBytes == bodyIsChunked {
 		return p.parseChunks(in)
--- a/internal/transport/httpfront/parser_test.go
+++ b/internal/transport/httpfront/parser_test.go
@@ -52,7 +52,7 @@
 				require.NoError(t, err)
 				require.Equal(t, len(c.in), size)
 				assert.Equal(t, []string{c.method, c.path, c.body}, []string{parsed.method, parsed.path, string(parsed.body)})
-				assert.Equal(t, []bool{c.last, c.expect}, []bool{parsed.closeAfter, parsed.expectContinue})
+				assert.Equal(t, []bool{c.last, c.expect}, []bool{parsed.closeRequested, parsed.expectContinue})
 			})
 		}
 	}
--- a/internal/transport/httpfront/query.go
+++ b/internal/transport/httpfront/query.go
@@ -12,10 +12,10 @@
 	"ternstage/internal/core"
 )
 
-// submit submits a query to core, or answers what is wrong with it.
+// submit submits a query to core, or answers with an error if it is invalid.
 //
-// A class, a tenant or an epoch that is not known may be known to the next request: the connection is kept. After any
-// other error it ends.
+// An unknown class, an unknown tenant or a stale epoch does not affect the next request, so the connection is kept.
+// After any other error it is closed.
 func (c *connection) submit(request *httpRequest) {
 	err := c.trySubmit(request)
 	var stale *core.StaleEpochError
@@ -28,7 +28,8 @@
 	}
 }
 
-// trySubmit submits a query to core. On an error nothing was submitted. Core may call Deliver from within it.
+// trySubmit submits a query to core. If it returns an error, nothing was submitted. Core may call Deliver before
+// trySubmit returns.
 func (c *connection) trySubmit(request *httpRequest) error {
 	envelope, err := parseEnvelope(request)
 	if err != nil {
@@ -39,20 +40,20 @@
 		return err
 	}
 	query.Client = c
-	c.open = query // before Submit: Deliver clears it
+	c.openRequest = query // before Submit: Deliver clears it
 	err = c.server.core.Submit(query)
 	if err != nil {
-		c.open = nil
+		c.openRequest = nil
 	}
 	return err
 }
 
-// parseEnvelope reads what the path and the header say of a query. Fields that are missing or malformed are left zero,
-// for contract.Contracts.ParseQuery to reject. The error wraps errMalformed.
+// parseEnvelope reads the envelope of a query from the path and the header. Missing or malformed fields are left
+// zero, for contract.Contracts.ParseQuery to reject. The error wraps errMalformed.
 func parseEnvelope(request *httpRequest) (contract.Envelope, error) {
 	class, _, _ := strings.Cut(request.path[len("/"):], "/")
-	named, ok := request.header[fieldClass]
-	if ok && named != class {
+	headerClass, ok := request.header[fieldClass]
+	if ok && headerClass != class {
 		return contract.Envelope{}, fmt.Errorf("%w: the path and X-Class name two classes", errMalformed)
 	}
 	return contract.Envelope{
@@ -65,7 +66,7 @@
 	}, nil
 }
 
-// parseSeconds parses a decimal fraction without sign or exponent. It is 0 for anything else.
+// parseSeconds parses a decimal fraction without sign or exponent. It returns 0 for any other text.
 func parseSeconds(text string) float64 {
 	if strings.Trim(text, "0123456789.") != "" {
 		return 0
@@ -74,12 +75,12 @@
 	return seconds
 }
 
-// Deliver implements core.Client. Requests behind the answered one are served from the loop, not from here: core is
-// in the middle of a scheduling round, or of Submit.
+// Deliver implements core.Client. It posts the serving of the requests behind the answered one to the loop instead of
+// serving them at once, because core calls it in the middle of a scheduling round or of Submit.
 func (c *connection) Deliver(answer core.Answer) {
-	c.open = nil
+	c.openRequest = nil
 	c.respond(answerResponse(answer))
-	c.servePosted = len(c.stream.In) > 0 && !c.ending.afterOutput
+	c.servePosted = len(c.stream.In) > 0 && !c.ending.closeAfterOutput
 	c.flush()
 	if c.ending.closed || !c.servePosted {
 		return
@@ -94,14 +95,14 @@
 	})
 }
 
-// answerResponse makes the response of a final answer.
+// answerResponse returns the response for a final answer.
 func answerResponse(answer core.Answer) httpResponse {
 	switch {
 	case answer.Kind == core.Answered:
 		return httpResponse{status: http.StatusOK, body: contract.EncodeAnswer(answer)}
 	case answer.Kind == core.Rejected:
 		response := errorResponse(errRejected)
-		response.retryAfterMs = max(math.Ceil(answer.RetryAfter), 1) // 1 ms is the header's finest step
+		response.retryAfterMs = max(math.Ceil(answer.RetryAfter), 1) // the header's resolution is 1 ms
 		return response
 	case answer.TimedOut:
 		return errorResponse(errTimedOut)
--- a/internal/transport/httpfront/read.go
+++ b/internal/transport/httpfront/read.go
@@ -7,62 +7,62 @@
 	// size, and the framing of its chunks.
 	maxInputBytes = maxHeaderBytes + maxBodyBytes + maxFramingBytes
 
-	// maxFramingBytes is the maximum size in bytes of what frames the chunks of a body. More is answered 413.
+	// maxFramingBytes is the maximum size in bytes of the framing of a body's chunks. More is answered 413.
 	maxFramingBytes = 8 << 10
 
 	continueResponse = "HTTP/1.1 100 Continue\r\n\r\n"
 )
 
-// receive reads what has arrived and serves it. Afterwards the connection may be closed.
+// receive reads the input that has arrived and serves the requests in it. It may close the connection.
 func (c *connection) receive() {
-	if len(c.stream.In) == 0 && c.answered > 0 {
+	if len(c.stream.In) == 0 && c.answeredCount > 0 {
 		c.incoming.beganAtMs = c.server.loop.Now()
 	}
 	eof, err := c.readInput()
 	if err != nil {
-		c.disconnected(err)
+		c.handleDisconnect(err)
 		return
 	}
-	c.ending.byClient = eof
+	c.ending.receivedEOF = eof
 	c.serveBuffered()
 	if eof && !c.ending.closed {
-		c.inputEnded()
+		c.handleEOF()
 	}
 }
 
-// readInput reads what has arrived, up to maxInputBytes. eof tells that the client has ended its side.
+// readInput reads the input that has arrived, up to maxInputBytes. eof reports whether the client has ended its side.
 //
-// If the input fills up behind an open request, that is made the last of the connection, and the rest is discarded:
-// only a client that is read can be seen to disconnect. That protects memory from floods, and backends from work for a
-// client that has left.
+// If the input fills up behind an open request, that request becomes the last of the connection, and all other input
+// is discarded. The connection must still be read, as a disconnect of the client is noticed only by reading. This
+// bounds memory, and spares backends work for a client that has disconnected.
 func (c *connection) readInput() (eof bool, err error) {
-	if !c.ending.afterOutput {
+	if !c.ending.closeAfterOutput {
 		eof, err = c.stream.Read(maxInputBytes)
-		if eof || err != nil || c.open == nil || len(c.stream.In) < maxInputBytes {
+		if eof || err != nil || c.openRequest == nil || len(c.stream.In) < maxInputBytes {
 			return eof, err
 		}
-		c.ending.afterOutput = true
+		c.ending.closeAfterOutput = true
 		c.stream.In = nil
 	}
 	_, eof, err = c.stream.DiscardInput()
 	return eof, err
 }
 
-// inputEnded handles the end of the client's side. While a request is open the client is taken to have disconnected: a
-// close cannot be told from a shutdown of its sending side alone.
-func (c *connection) inputEnded() {
+// handleEOF handles the end of the client's side. If a request is open, the client is assumed to have disconnected,
+// since a close cannot be told from a shutdown of only the client's sending side.
+func (c *connection) handleEOF() {
 	switch {
-	case c.open != nil:
-		c.disconnected(nil)
+	case c.openRequest != nil:
+		c.handleDisconnect(nil)
 	case len(c.stream.Out) == 0:
 		c.close(logs.ClientLeftIdle, nil)
 	default:
-		c.ending.afterOutput = true
+		c.ending.closeAfterOutput = true
 	}
 }
 
-// serveBuffered serves the requests in the input, up to one that core has to answer or that has not arrived. Afterwards
-// the connection may be closed.
+// serveBuffered serves the requests in the input until core has to answer one, or until the rest of one has not
+// arrived yet. It may close the connection.
 func (c *connection) serveBuffered() {
 	for c.canServe() {
 		request, sizeBytes, err := c.incoming.parser.next(c.stream.In)
@@ -71,30 +71,30 @@
 			return
 		}
 		if sizeBytes == 0 {
-			c.awaitRest()
+			c.handleIncompleteRequest()
 			return
 		}
 		c.incoming.continueSent = false
 		c.incoming.servingBytes = sizeBytes
 		c.route(request)
 		c.incoming.servingBytes = 0
-		if c.ending.closed || c.ending.lingering() || c.ending.rejectErr != nil {
-			return // the input was emptied, and there is nothing to consume
+		if c.ending.closed || c.ending.isLingering() || c.ending.rejectErr != nil {
+			return // the input has been emptied already
 		}
 		c.stream.Consume(sizeBytes)
 		c.incoming.beganAtMs = c.server.loop.Now()
 	}
 }
 
-// canServe reports whether the next request may be served: none is open, and the client takes its answers.
+// canServe reports whether the next request may be served: no request is open, and the client reads its answers.
 func (c *connection) canServe() bool {
-	return c.open == nil && !c.ending.afterOutput && !c.ending.closed &&
+	return c.openRequest == nil && !c.ending.closeAfterOutput && !c.ending.closed &&
 		len(c.stream.In) > 0 && len(c.stream.Out) < maxOutputBytes
 }
 
-// awaitRest handles a request that has not arrived: it is rejected for want of space, or asked for if its client waits
-// for 100 Continue (RFC 9110, 10.1.1).
-func (c *connection) awaitRest() {
+// handleIncompleteRequest handles a request that has not arrived in full. It rejects the request if there is no space
+// for its rest, and sends 100 Continue once if the client waits for that (RFC 9110, 10.1.1).
+func (c *connection) handleIncompleteRequest() {
 	header := c.incoming.parser.request
 	switch {
 	case len(c.stream.In) >= maxInputBytes:
--- a/internal/transport/httpfront/request.go
+++ b/internal/transport/httpfront/request.go
@@ -6,27 +6,27 @@
 )
 
 const (
-	// maxHeaderFields is the maximum number of header fields. More are malformed.
+	// maxHeaderFields is the maximum number of header fields. A request with more is malformed.
 	maxHeaderFields = 100
 
-	// bodyIsChunked stands for the size of a body in chunks, which only its chunks tell.
+	// bodyIsChunked is used as the size of a chunked body, which the header does not give.
 	bodyIsChunked = -1
 
 	protocol10 = "HTTP/1.0"
 	protocol11 = "HTTP/1.1"
 )
 
-// httpRequest is one HTTP request.
+// httpRequest is a parsed HTTP request.
 type httpRequest struct {
 	method         string
 	path           string            // begins with "/"; without the query
-	header         map[string]string // by lower-case name; of repeated fields the first
+	header         map[string]string // by lower-case name; the first value of a repeated field
 	body           []byte
-	closeAfter     bool // it is the last of its connection
+	closeRequested bool // the client wants the connection closed after the response
 	expectContinue bool // the client waits for 100 Continue before it sends the body (RFC 9110, 10.1.1)
 }
 
-// parseRequestLine parses a line without its end (RFC 9112, 3).
+// parseRequestLine parses a request line without its line end (RFC 9112, 3).
 func parseRequestLine(line string) (*httpRequest, error) {
 	words := strings.Split(line, " ")
 	if len(words) != 3 {
@@ -40,15 +40,15 @@
 	}
 	path, _, _ := strings.Cut(target, "?")
 	return &httpRequest{
-		method:     method,
-		path:       path,
-		header:     map[string]string{},
-		closeAfter: protocol == protocol10,
+		method:         method,
+		path:           path,
+		header:         map[string]string{},
+		closeRequested: protocol == protocol10,
 	}, nil
 }
 
-// isToken reports whether text is a token (RFC 9110, 5.6.2). Another parser
-// could read any other text differently.
+// isToken reports whether text is a token (RFC 9110, 5.6.2). Other methods and field names are not accepted, since
+// another parser could read them differently.
 func isToken(text string) bool {
 	for i := range len(text) {
 		character := text[i]
@@ -59,7 +59,8 @@
 	return text != ""
 }
 
-// parseFields parses the header fields, without the end of the last line, and what they say of the connection.
+// parseFields parses the header fields and sets closeRequested and expectContinue accordingly. text has no line end
+// after the last field.
 func (r *httpRequest) parseFields(text string) error {
 	count := 0
 	for text != "" {
@@ -74,13 +75,13 @@
 		}
 	}
 	for option := range strings.SplitSeq(r.header["connection"], ",") {
-		r.closeAfter = r.closeAfter || strings.EqualFold(strings.TrimSpace(option), "close")
+		r.closeRequested = r.closeRequested || strings.EqualFold(strings.TrimSpace(option), "close")
 	}
 	r.expectContinue = strings.EqualFold(r.header["expect"], "100-continue")
 	return nil
 }
 
-// addField parses one field line (RFC 9112, 5). A line folded over two is malformed, as its second has no name.
+// addField parses one field line (RFC 9112, 5). A folded line is malformed, as its second half has no name.
 func (r *httpRequest) addField(line string) error {
 	name, value, ok := strings.Cut(line, ":")
 	if !ok || !isToken(name) || strings.ContainsAny(value, "\r\n\x00") {
@@ -93,25 +94,25 @@
 		r.header[name] = value
 		return nil
 	}
-	// Two values would allow smuggled requests and two readings of one query, so neither may win.
+	// Choosing one of two values would allow request smuggling, and queries that two parsers read differently.
 	if name == "content-length" && earlier != value || name == "transfer-encoding" || strings.HasPrefix(name, "x-") {
 		return errMalformed
 	}
 	return nil
 }
 
-// announcedBodyBytes returns the size in bytes of the body that the header announces: 0 without one, and bodyIsChunked
-// for one in chunks (RFC 9112, 6.3).
+// announcedBodyBytes returns the size in bytes of the body according to the header: 0 without a body, and
+// bodyIsChunked for a chunked one (RFC 9112, 6.3).
 func (r *httpRequest) announcedBodyBytes() (int, error) {
-	coding, coded := r.header["transfer-encoding"]
-	length, sized := r.header["content-length"]
-	if coded {
-		if sized || !strings.EqualFold(coding, "chunked") {
-			return 0, errMalformed // with both, parsers differ in where the request ends: guards against smuggled ones
+	coding, hasCoding := r.header["transfer-encoding"]
+	length, hasLength := r.header["content-length"]
+	if hasCoding {
+		if hasLength || !strings.EqualFold(coding, "chunked") {
+			return 0, errMalformed // with both fields, parsers could disagree on the request's end (request smuggling)
 		}
 		return bodyIsChunked, nil
 	}
-	if !sized {
+	if !hasLength {
 		return 0, nil
 	}
 	bodyBytes, err := strconv.ParseUint(length, 10, 63)
--- a/internal/transport/httpfront/response.go
+++ b/internal/transport/httpfront/response.go
@@ -7,12 +7,12 @@
 
 const msPerSecond = 1000
 
-// httpResponse answers a request with a JSON document.
+// httpResponse is the response to a request. Its body is a JSON document.
 type httpResponse struct {
-	status       int
-	body         []byte
-	retryAfterMs float64 // 0 for none; sent in seconds with three decimals
-	close        bool    // it is the last of its connection (RFC 9112, 9.6)
+	status          int
+	body            []byte
+	retryAfterMs    float64 // 0 for none; sent in seconds with three decimals
+	closeConnection bool    // it is the last response of the connection (RFC 9112, 9.6)
 }
 
 // appendTo appends the encoded response to out.
@@ -27,14 +27,15 @@
 		out = append(out, "\r\nRetry-After: "...)
 		out = strconv.AppendFloat(out, r.retryAfterMs/msPerSecond, 'f', 3, 64)
 	}
-	if r.close {
+	if r.closeConnection {
 		out = append(out, "\r\nConnection: close"...)
 	}
 	out = append(out, headerEnd...)
 	return append(out, r.body...)
 }
 
-// reasonPhrase returns the phrase of the status line. That of 413 is RFC 9110's; net/http has an older one.
+// reasonPhrase returns the reason phrase of the status line. For 413 it is the one of RFC 9110, as net/http has an
+// older one.
 func reasonPhrase(status int) string {
 	if status == http.StatusRequestEntityTooLarge {
 		return "Content Too Large"
--- a/internal/transport/httpfront/response_test.go
+++ b/internal/transport/httpfront/response_test.go
@@ -16,7 +16,7 @@
 	const plain = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 2\r\n\r\n{}"
 	assert.Equal(t, "before"+plain, string(httpResponse{status: 200, body: []byte("{}")}.appendTo([]byte("before"))))
 	assert.Equal(t, "HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\nContent-Length: 0\r\n"+
-		"Retry-After: 0.025\r\nConnection: close\r\n\r\n", string(httpResponse{status: 503, retryAfterMs: 25, close: true}.appendTo(nil)))
+		"Retry-After: 0.025\r\nConnection: close\r\n\r\n", string(httpResponse{status: 503, retryAfterMs: 25, closeConnection: true}.appendTo(nil)))
 }
 
 // TestResponsesAreHTTP checks that an HTTP client reads each status that the front sends.
--- a/internal/transport/httpfront/routes.go
+++ b/internal/transport/httpfront/routes.go
@@ -2,17 +2,18 @@
 
 import "net/http"
 
-// Paths and header fields are the wire's and keep its words (docs/GLOSSARY.md). The first segment of any other path
-// names the class of a query; Options.Pages adds pages. Names of fields are in lower case, as in httpRequest.header.
+// Paths and header fields are part of the protocol with clients, so some of their words differ from those in the code
+// (see docs/GLOSSARY.md). Options.Pages adds further paths. The first segment of any other path names the class of a
+// query. Names of fields are in lower case, as in httpRequest.header.
 const (
 	pathHealth    = "/_health"
 	pathContracts = "/_contracts"
 
 	fieldRequestID      = "x-request-id"
-	fieldClass          = "x-class" // optional: the same class as the path
+	fieldClass          = "x-class" // optional; must be the class in the path
 	fieldTenant         = "x-tenant"
 	fieldDeadline       = "x-deadline" // seconds for which the client waits, as a decimal fraction
-	fieldClientRetry    = "x-retry"    // clientRetryValue: the client asked before
+	fieldClientRetry    = "x-retry"    // clientRetryValue for a client retry
 	fieldIdempotencyKey = "idempotency-key"
 
 	clientRetryValue = "1"
@@ -23,7 +24,7 @@
 
 // route answers a request, or submits it to core as a query.
 func (c *connection) route(request *httpRequest) {
-	c.ending.afterOutput = request.closeAfter
+	c.ending.closeAfterOutput = request.closeRequested
 	readOnly := request.method == http.MethodGet || request.method == http.MethodHead
 	page := c.server.pages[request.path]
 	switch {
@@ -40,7 +41,7 @@
 		}
 		c.respond(httpResponse{status: http.StatusOK, body: c.server.contractsPage()})
 	case request.method != http.MethodPost:
-		c.respond(errorResponse(errQueryIsNoPost))
+		c.respond(errorResponse(errQueryNotPost))
 	default:
 		c.submit(request)
 	}
--- a/internal/transport/httpfront/server.go
+++ b/internal/transport/httpfront/server.go
@@ -12,30 +12,31 @@
 
 // Core answers queries. *core.Core implements it.
 type Core interface {
-	// Submit takes a request, and calls its Client.Deliver with the final answer, from within Submit or later. On an
-	// error it has not taken it.
+	// Submit accepts a request. The final answer is passed to the request's Client.Deliver, before Submit returns or
+	// later. If Submit returns an error, it has not accepted the request.
 	Submit(*core.Request) error
-	// ClientDisconnected reports whether the client of a request that Submit took has disconnected. Client.Deliver is not
-	// called for it any more.
+	// ClientDisconnected informs core that the client of an accepted request has disconnected. Client.Deliver is not
+	// called for the request any more.
 	ClientDisconnected(*core.Request)
 }
 
-// Options are the limits of a server, and what it serves beside queries.
+// Options are the limits of a server, its additional pages and its inherited listener.
 type Options struct {
-	// MaxConnections is the maximum number of connections at once; less than 1, as by default, stands for 1. The
-	// connection that reaches it evicts another (see Server.FreeDescriptor).
+	// MaxConnections is the maximum number of open connections. Values below 1, such as the default 0, stand for 1. At
+	// the maximum, a new connection evicts another (see Server.FreeDescriptor).
 	MaxConnections int
-	// MaxBufferedBytes is the maximum size in bytes of the requests and answers that all connections buffer; by default
-	// 0. Beyond it a request that has not arrived is answered 503.
+	// MaxBufferedBytes is the maximum size in bytes of the requests and answers that all connections together buffer;
+	// by default 0. Beyond it a request that has not arrived in full is answered 503.
 	MaxBufferedBytes int
-	// Pages are further paths, and what writes the JSON document that each of them shows; by default none.
+	// Pages maps additional paths to functions that return the page's JSON document; by default there are none.
 	Pages map[string]func() []byte
-	// InheritedFD is a listening TCP socket that the process was given, used in place of one on the address; 0 or less,
-	// as by default, for none. It is left open for the process that takes over.
+	// InheritedFD is the descriptor of a listening TCP socket that the process inherited. The server uses it instead of
+	// listening on the address. Values of 0 (the default) or less stand for none. The socket stays open for the process
+	// that takes over.
 	InheritedFD int
 }
 
-// Server is the listener for clients. Its methods are called on the event loop.
+// Server accepts and serves the connections of clients. Its methods must be called on the event loop.
 type Server struct {
 	loop      *loop.Loop
 	core      Core
@@ -45,7 +46,7 @@
 	pages     map[string]func() []byte
 
 	listenerFD        int  // -1 once closed
-	listenerInherited bool // another process takes over what waits in it
+	listenerInherited bool // another process can accept the connections queued in it
 	acceptTimer       *loop.Timer
 	timeoutTimer      *loop.Timer
 
@@ -60,9 +61,9 @@
 	listenerClosedAtMs float64 // set by StopListening; 0 before
 }
 
-// NewServer serves clients at address, "HOST:PORT" with a numeric host, or on an inherited listener. ready tells
-// whether the program knows what it needs for serving; until then health checks fail. Errors are those of opening the
-// listener or of registering it with the loop.
+// NewServer returns a server that listens on address, "HOST:PORT" with a numeric host, or on an inherited listener.
+// ready reports whether the program has the data that it needs for serving; until then health checks fail. It returns
+// an error if the listener cannot be opened or registered with the loop.
 func NewServer(eventLoop *loop.Loop, queries Core, contracts *contract.Contracts, log *logs.Log, address string,
 	options Options, ready func() bool) (*Server, error) {
 	fd, err := listen(log, address, options.InheritedFD)
@@ -91,8 +92,8 @@
 	return s, nil
 }
 
-// listen returns the inherited listener, or one of its own if there is none. The address of an inherited one is only
-// compared: who starts the process decides.
+// listen returns the inherited listener, or opens one if there is none. An inherited listener is used even if it is
+// not on the address, which is only logged: whoever starts the process chooses its listener.
 func listen(log *logs.Log, address string, inheritedFD int) (int, error) {
 	if inheritedFD <= 0 {
 		return loop.Listen(address)
@@ -108,23 +109,23 @@
 	return inheritedFD, nil
 }
 
-// CanServe reports whether the program knows what it needs for serving and has not begun its shutdown.
+// CanServe reports whether the program has the data that it needs for serving and has not begun its shutdown.
 func (s *Server) CanServe() bool { return s.ready() && !s.shuttingDown }
 
-// Healthy reports whether health checks succeed: the program can serve, and operators do not drain it.
+// Healthy reports whether health checks succeed: the program can serve and is not draining.
 func (s *Server) Healthy() bool { return s.CanServe() && !s.draining }
 
-// ConnectionCounts returns the number of connections, and of those whose side of ours is not shut down.
+// ConnectionCounts returns the number of open connections, and the number of those that do not linger.
 func (s *Server) ConnectionCounts() (all, serving int) {
 	for c := range s.connections {
-		if !c.ending.lingering() {
+		if !c.ending.isLingering() {
 			serving++
 		}
 	}
 	return len(s.connections), serving
 }
 
-// Close closes all connections. The listener is closed by StopListening.
+// Close closes all connections. It does not close the listener; StopListening does.
 func (s *Server) Close() {
 	for c := range s.connections {
 		c.close(logs.Shutdown, nil)
--- a/internal/transport/httpfront/shutdown.go
+++ b/internal/transport/httpfront/shutdown.go
@@ -6,24 +6,25 @@
 	"ternstage/internal/logs"
 )
 
-// shutdownRequestTimeoutMs is the time in milliseconds for the rest of a request to arrive after the listener was
-// closed or, if that is later, after its first byte. After it the client is answered 503.
+// shutdownRequestTimeoutMs is the time in milliseconds for the rest of a request to arrive once the listener is
+// closed. It runs from the close or from the request's first byte, whichever is later. After it the client is
+// answered 503.
 const shutdownRequestTimeoutMs = 300.0
 
-// BeginShutdown makes health checks fail: the program ends. Requests on open and on new connections are served on.
+// BeginShutdown makes health checks fail because the program shuts down. Requests on open and new connections are
+// still served.
 func (s *Server) BeginShutdown() { s.shuttingDown = true }
 
-// SetDraining makes health checks fail, or succeed again, while the program serves on. Requests on open and on new
-// connections are served.
+// SetDraining makes health checks fail, or succeed again if on is false. Requests on open and new connections are
+// still served.
 func (s *Server) SetDraining(on bool) { s.draining = on }
 
-// CloseAfterResponse makes every answer from now on the last of its connection, or, with false, ends that. The listener
-// stays open.
+// CloseAfterResponse sets whether connections are closed after their next answer. The listener stays open.
 func (s *Server) CloseAfterResponse(on bool) { s.closeAfterResponse = on }
 
-// StopListening closes the listener, and makes every answer from now on the last of its connection. Connections that
-// wait in the kernel are accepted first, as the close would reset them; those of an inherited listener are left to the
-// process that takes over. A repeated call does nothing.
+// StopListening closes the listener. From then on connections are closed after their next answer. Connections in the
+// kernel's queue are accepted first, as closing the listener would reset them. Those of an inherited listener are
+// left to the process that takes over. A repeated call does nothing.
 func (s *Server) StopListening() {
 	if s.listenerFD < 0 {
 		return
@@ -37,20 +38,21 @@
 	s.acceptTimer.Stop()
 }
 
-// CloseIdle closes idle connections after a last read. Once the listener is closed it also answers 503 to a request of
-// which the rest does not arrive within 300 ms. It is to be called until ConnectionCounts has none that serve.
+// CloseIdle closes idle connections after a last read. Once the listener is closed, it also answers 503 to requests
+// of which the rest does not arrive within shutdownRequestTimeoutMs. Call it repeatedly until ConnectionCounts
+// returns no serving connection.
 //
-// A request that its client sends at the moment of the close is not read, and the client has to send it again on a new
-// connection. Hence it is for connections on which no answer can carry Connection: close.
+// A request that a client sends at the moment of the close is not read, and the client has to send it again on a new
+// connection. CloseIdle is therefore only for connections on which no answer with Connection: close can be sent.
 func (s *Server) CloseIdle() {
 	nowMs := s.loop.Now()
 	for c := range s.connections {
-		if c.idle() {
+		if c.isIdle() {
 			c.Ready(unix.EPOLLIN)
 		}
 		switch {
 		case c.ending.closed:
-		case c.idle():
+		case c.isIdle():
 			c.linger(logs.Shutdown)
 		case c.hasPartialRequest() && s.shutdownRequestTimedOut(c, nowMs):
 			c.reject(errShutdown)
@@ -59,6 +61,8 @@
 	}
 }
 
+// shutdownRequestTimedOut reports whether the listener is closed and the incoming request of c has exceeded
+// shutdownRequestTimeoutMs.
 func (s *Server) shutdownRequestTimedOut(c *connection, nowMs float64) bool {
 	return s.listenerClosedAtMs > 0 && nowMs > max(c.incoming.beganAtMs, s.listenerClosedAtMs)+shutdownRequestTimeoutMs
 }
--- a/internal/transport/httpfront/timeouts.go
+++ b/internal/transport/httpfront/timeouts.go
@@ -3,25 +3,27 @@
 import "ternstage/internal/logs"
 
 const (
-	// requestTimeoutMs is the time in milliseconds for a request to arrive, from its first byte; for the first request
-	// of a connection, from the accept. After it the client is answered 408, or closed if it sent nothing.
+	// requestTimeoutMs is the time in milliseconds for a request to arrive, from its first byte. For the first request
+	// of a connection it runs from the accept. After it the client is answered 408; if it has sent nothing, the
+	// connection is closed without an answer.
 	requestTimeoutMs = 2000.0
 	// idleTimeoutMs is the time in milliseconds from an answer to the first byte of the next request. After it the
 	// connection is closed.
 	idleTimeoutMs = 5000.0
-	// writeTimeoutMs is the time in milliseconds for a client to take an answer. After it the connection is closed.
+	// writeTimeoutMs is the time in milliseconds for a client to read an answer. After it the connection is closed.
 	writeTimeoutMs = 2000.0
-	// lingerTimeoutMs is the time in milliseconds for a client to end its side after we have ended ours. After it the
+	// lingerTimeoutMs is the time in milliseconds for a client to end its side of a lingering connection. After it the
 	// connection is closed.
 	lingerTimeoutMs = 500.0
 
-	// timeoutCheckIntervalMs bounds how much later than these a connection is ended.
+	// timeoutCheckIntervalMs is the time in milliseconds between two checks, and so how much later than its time limit
+	// a connection may be ended.
 	timeoutCheckIntervalMs = 200.0
 )
 
-// enforceTimeouts ends connections that take too long: guards descriptors and memory against clients that send nothing
-// or half a request, or do not take their answers. A client is owed an answer or a close within 3 s. A request that
-// core has is not timed here: it has its deadline.
+// enforceTimeouts ends the connections that exceed a time limit. This protects descriptors and memory from clients
+// that send nothing or half a request, or do not read their answers. Such a client must get an answer or a close
+// within 3 s. Requests submitted to core have a deadline and are not limited here.
 func (s *Server) enforceTimeouts() {
 	nowMs := s.loop.Now()
 	for c := range s.connections {
@@ -30,14 +32,15 @@
 	s.timeoutTimer.Set(nowMs + timeoutCheckIntervalMs)
 }
 
+// enforceTimeout ends the connection if it exceeds the time limit for its state.
 func (c *connection) enforceTimeout(nowMs float64) {
 	inactiveMs := nowMs - c.activeAtMs
 	switch {
-	case c.ending.lingering():
+	case c.ending.isLingering():
 		if inactiveMs > lingerTimeoutMs {
 			c.close(c.ending.lingerCode, nil)
 		}
-	case c.open != nil:
+	case c.openRequest != nil:
 	case len(c.stream.Out) > 0:
 		if inactiveMs > writeTimeoutMs {
 			c.close(logs.ClientRequestTimeout, nil)
@@ -48,7 +51,7 @@
 			c.reject(errRequestTimeout)
 			c.flush()
 		}
-	case c.answered == 0 && inactiveMs > requestTimeoutMs:
+	case c.answeredCount == 0 && inactiveMs > requestTimeoutMs:
 		c.linger(logs.ClientNoRequest)
 	case inactiveMs > idleTimeoutMs:
 		c.linger(logs.ClientEvicted)
--- a/internal/transport/httpfront/write.go
+++ b/internal/transport/httpfront/write.go
@@ -9,49 +9,49 @@
 )
 
 const (
-	// maxOutputBytes is the size in bytes of unsent answers from which on no request is served: guards memory against
-	// clients that send requests and do not take answers.
+	// maxOutputBytes is the size in bytes of unsent answers at which no further request is served. It protects memory
+	// from clients that send requests and do not read the answers.
 	maxOutputBytes = 64 << 10
 
-	// overloadRetryAfterMs is the Retry-After in milliseconds of a rejection with 503.
+	// overloadRetryAfterMs is the Retry-After in milliseconds of a request that this package rejects with 503.
 	overloadRetryAfterMs = 1000.0
 )
 
-// respond appends the answer to the request that was served last to the output.
+// respond appends a response to the output. It answers the oldest request that has no answer yet.
 func (c *connection) respond(response httpResponse) {
-	c.answered++
+	c.answeredCount++
 	c.activeAtMs = c.server.loop.Now()
-	// Requests that were read behind this one are answered before the connection ends.
+	// Requests that have already been read behind this one are answered before the connection ends.
 	isLastRead := len(c.stream.In) == c.incoming.servingBytes
-	closing := c.server.listenerClosedAtMs > 0 || c.server.closeAfterResponse
-	c.ending.afterOutput = c.ending.afterOutput || response.close || closing && isLastRead
-	response.close = c.ending.afterOutput
+	shouldClose := c.server.listenerClosedAtMs > 0 || c.server.closeAfterResponse
+	c.ending.closeAfterOutput = c.ending.closeAfterOutput || response.closeConnection || shouldClose && isLastRead
+	response.closeConnection = c.ending.closeAfterOutput
 	c.stream.Out = response.appendTo(c.stream.Out)
 }
 
-// reject answers a request behind which none can be read, as its end is unknown or the client broke its contract, and
-// makes the answer the last of the connection.
+// reject answers a request with an error and makes this the last answer of the connection. It is for requests after
+// which no other can be read, because the request's end is unknown or its client broke the contract.
 func (c *connection) reject(err error) {
 	c.stream.In = nil
 	c.incoming.servingBytes = 0
 	c.ending.rejectErr = err
 	response := errorResponse(err)
-	response.close = true
+	response.closeConnection = true
 	if response.status == http.StatusServiceUnavailable {
 		response.retryAfterMs = overloadRetryAfterMs
 	}
 	c.respond(response)
 }
 
-// flush sends the output, and serves requests that waited for the client to take it. Then it ends the connection if
-// nothing is left to do on it, or sets the events to wait for. Afterwards the connection may be closed.
+// flush sends the output, and serves requests that had to wait until the client read it. If nothing is left to do, it
+// then ends a connection that is to be closed. Otherwise it sets the events to wait for. It may close the connection.
 func (c *connection) flush() {
-	if c.ending.closed || c.ending.lingering() {
+	if c.ending.closed || c.ending.isLingering() {
 		return
 	}
 	for {
 		if err := c.stream.Flush(); err != nil {
-			c.disconnected(err)
+			c.handleDisconnect(err)
 			return
 		}
 		if len(c.stream.Out) > 0 || c.servePosted || !c.canServe() {
@@ -59,7 +59,7 @@
 		}
 		inputBytes := len(c.stream.In)
 		c.serveBuffered()
-		if c.ending.closed || c.ending.lingering() {
+		if c.ending.closed || c.ending.isLingering() {
 			return
 		}
 		served := len(c.stream.In) < inputBytes || len(c.stream.Out) > 0
@@ -68,21 +68,21 @@
 		}
 	}
 	c.updateBufferedBytes()
-	noneLeft := len(c.stream.Out) == 0 && c.open == nil && !c.servePosted
-	if noneLeft && (c.ending.afterOutput || c.ending.byClient) {
+	isDone := len(c.stream.Out) == 0 && c.openRequest == nil && !c.servePosted
+	if isDone && (c.ending.closeAfterOutput || c.ending.receivedEOF) {
 		c.linger(logs.ClientClosed)
 		return
 	}
 	c.stream.SetEvents(c.wantedEvents())
 }
 
-// wantedEvents returns the epoll events that the connection waits for. Input is wanted while there is space for it:
-// guards memory against endless pipelining. With an open request there always is (see readInput), so that a client that
-// disconnects is seen.
+// wantedEvents returns the epoll events that the connection waits for. It waits for input only while there is space
+// for it, which protects memory from endless pipelining. With an open request there always is (see readInput), so
+// that a disconnect of the client is noticed.
 func (c *connection) wantedEvents() uint32 {
 	events := uint32(0)
 	hasSpace := len(c.stream.In) < maxInputBytes && len(c.stream.Out) < maxOutputBytes
-	if (hasSpace || c.ending.afterOutput) && !c.ending.byClient {
+	if (hasSpace || c.ending.closeAfterOutput) && !c.ending.receivedEOF {
 		events = unix.EPOLLIN | unix.EPOLLRDHUP
 	}
 	if len(c.stream.Out) > 0 {
