--- a/internal/transport/httpfront/fixture_test.go
+++ b/internal/transport/httpfront/fixture_test.go
@@ -21,30 +21,30 @@
 )
 
 const (
-	patience = 10 * time.Second
+	waitTimeout = 10 * time.Second
 
 	queryBody = `{"shards":[{"shard":3,"weight":1}],"q":"text"}`
 	query     = "POST /search HTTP/1.1\r\nX-Request-Id: id-1\r\nX-Tenant: a\r\nX-Deadline: 1.5\r\nContent-Length: 46\r\n\r\n" +
 		queryBody
 )
 
-// front is a server on an event loop of its own, and its Core. Of its own accord it answers no request, or, with
-// answerAtOnce, rejects all.
-type front struct {
+// serverFixture is a server on its own event loop, together with the server's Core. As Core it leaves requests for
+// the test to answer, unless rejectAll is set: then it rejects each request within Submit.
+type serverFixture struct {
 	server                  *Server
 	loop                    *loop.Loop
 	address, logPath        string
 	ready                   bool
 	submitted, disconnected chan *core.Request
 	submitErr               error
-	answerAtOnce            bool
+	rejectAll               bool
 }
 
-func (f *front) Submit(r *core.Request) error {
+func (f *serverFixture) Submit(r *core.Request) error {
 	if f.submitErr != nil {
 		return f.submitErr
 	}
-	if f.answerAtOnce {
+	if f.rejectAll {
 		r.Client.Deliver(core.Answer{Kind: core.Rejected})
 		return nil
 	}
@@ -52,13 +52,14 @@
 	return nil
 }
 
-func (f *front) ClientDisconnected(r *core.Request) { f.disconnected <- r }
+func (f *serverFixture) ClientDisconnected(r *core.Request) { f.disconnected <- r }
 
-func start(t *testing.T, options Options) *front {
+// startServer starts a server and its event loop. Both end with the test.
+func startServer(t *testing.T, options Options) *serverFixture {
 	t.Helper()
 	eventLoop, err := loop.New()
 	require.NoError(t, err)
-	f := &front{loop: eventLoop, ready: true, logPath: filepath.Join(t.TempDir(), "log"),
+	f := &serverFixture{loop: eventLoop, ready: true, logPath: filepath.Join(t.TempDir(), "log"),
 		submitted: make(chan *core.Request, 100), disconnected: make(chan *core.Request, 100)}
 	file, err := os.Create(f.logPath)
 	require.NoError(t, err)
@@ -84,8 +85,8 @@
 	return f
 }
 
-// onLoop runs work on the event loop and waits for its end.
-func (f *front) onLoop(work func()) {
+// onLoop runs work on the event loop and waits until it is done.
+func (f *serverFixture) onLoop(work func()) {
 	done := make(chan struct{})
 	f.loop.Post(func() {
 		work()
@@ -94,45 +95,47 @@
 	<-done
 }
 
-func (f *front) dial(t *testing.T) net.Conn {
+// dial opens a connection and waits until the server has accepted it.
+func (f *serverFixture) dial(t *testing.T) net.Conn {
 	t.Helper()
-	all := f.count()
+	before := f.connectionCount()
 	connection, err := net.Dial("tcp", f.address)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = connection.Close() })
-	require.NoError(t, connection.SetDeadline(time.Now().Add(patience)))
-	require.Eventually(t, func() bool { return f.count() > all }, patience, time.Millisecond)
+	require.NoError(t, connection.SetDeadline(time.Now().Add(waitTimeout)))
+	require.Eventually(t, func() bool { return f.connectionCount() > before }, waitTimeout, time.Millisecond)
 	return connection
 }
 
-func (f *front) count() (all int) {
+func (f *serverFixture) connectionCount() (all int) {
 	f.onLoop(func() { all, _ = f.server.ConnectionCounts() })
 	return all
 }
 
-// exchange sends text on a connection of its own and returns all that is answered until the server ends it.
-func (f *front) exchange(t *testing.T, text string) string {
+// exchange sends text on a new connection and returns everything that the server sends until it closes the
+// connection.
+func (f *serverFixture) exchange(t *testing.T, text string) string {
 	t.Helper()
 	connection := f.dial(t)
 	send(t, connection, text)
 	return readAll(t, connection)
 }
 
-func (f *front) waitLog(t *testing.T, text string) {
+func (f *serverFixture) waitLog(t *testing.T, text string) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		logged, err := os.ReadFile(f.logPath)
 		return err == nil && strings.Contains(string(logged), text)
-	}, patience, 5*time.Millisecond, "%s is not logged", text)
+	}, waitTimeout, 5*time.Millisecond, "%s is not logged", text)
 }
 
-func (f *front) waitRequest(t *testing.T, requests chan *core.Request) *core.Request {
+func (f *serverFixture) waitRequest(t *testing.T, requests chan *core.Request) *core.Request {
 	t.Helper()
 	select {
 	case r := <-requests:
 		return r
-	case <-time.After(patience):
-		require.Fail(t, "no request came")
+	case <-time.After(waitTimeout):
+		require.Fail(t, "no request received", "within %s", waitTimeout)
 	}
 	return nil
 }
@@ -152,7 +155,7 @@
 
 var statusLine = regexp.MustCompile(`HTTP/1\.1 \d+`)
 
-// readStatuses returns the beginnings of the status lines of all responses until the server ends the connection.
+// readStatuses returns the protocol and status code of each response until the server closes the connection.
 func readStatuses(t *testing.T, connection net.Conn) []string {
 	t.Helper()
 	return statusLine.FindAllString(readAll(t, connection), -1)
--- a/internal/transport/httpfront/query_test.go
+++ b/internal/transport/httpfront/query_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestQueryAnswers(t *testing.T) {
-	f := start(t, Options{MaxConnections: 10, MaxBufferedBytes: 1 << 20})
+	f := startServer(t, Options{MaxConnections: 10, MaxBufferedBytes: 1 << 20})
 	connection := f.dial(t)
 	for _, c := range []struct {
 		answer      core.Answer
@@ -40,7 +40,7 @@
 }
 
 func TestQueryErrors(t *testing.T) {
-	f := start(t, Options{MaxConnections: 10, MaxBufferedBytes: 1 << 20})
+	f := startServer(t, Options{MaxConnections: 10, MaxBufferedBytes: 1 << 20})
 	const bad = "HTTP/1.1 400 Bad Request\r\n"
 	stale := &core.StaleEpochError{Epoch: 7, Err: errors.New("shard 3 is unknown")}
 	for _, c := range []struct {
@@ -50,8 +50,8 @@
 	}{
 		{"an unknown class", strings.Replace(query, "/search", "/other", 1), "HTTP/1.1 404 Not Found\r\n", `{"error":"no contract for this class: \"other\""}`, nil, true},
 		{"an unknown tenant", strings.Replace(query, "Tenant: a", "Tenant: b", 1), "HTTP/1.1 403 Forbidden\r\n", `}`, nil, true},
-		{"two classes", strings.Replace(query, "X-Tenant", "X-Class: other\r\nX-Tenant", 1), bad, `{"error":"malformed request: the path and X-Class name two classes"}`, nil, false},
-		{"no deadline", strings.Replace(query, "1.5", "0x2", 1), bad, `}`, nil, false},
+		{"different classes in path and header", strings.Replace(query, "X-Tenant", "X-Class: other\r\nX-Tenant", 1), bad, `{"error":"malformed request: the path and X-Class name two classes"}`, nil, false},
+		{"an invalid deadline", strings.Replace(query, "1.5", "0x2", 1), bad, `}`, nil, false},
 		{"no body", "POST /search HTTP/1.1\r\nX-Request-Id: id-1\r\nX-Tenant: a\r\nX-Deadline: 1\r\n\r\n", bad, `}`, nil, false},
 		{"a stale epoch", query, bad, `{"epoch":7,"error":"the request breaks its contract: shard 3 is unknown"}`, stale, true},
 		{"rejected by core", query, bad, `{"error":"the request breaks its contract"}`, core.ErrInvalidRequest, false},
@@ -60,7 +60,7 @@
 			f.onLoop(func() { f.submitErr = c.submitErr })
 			connection := f.dial(t)
 			send(t, connection, c.in)
-			if c.kept { // the connection is kept: the next request is answered
+			if c.kept { // the next request on the connection is answered
 				send(t, connection, "GET /_health HTTP/1.0\r\n\r\n")
 			}
 			answer, after, kept := strings.Cut(readAll(t, connection), "HTTP/1.1 200 OK")
@@ -72,7 +72,7 @@
 }
 
 func TestPipelinedQueriesAreAnsweredInOrder(t *testing.T) {
-	f := start(t, Options{MaxConnections: 10, MaxBufferedBytes: 1 << 20})
+	f := startServer(t, Options{MaxConnections: 10, MaxBufferedBytes: 1 << 20})
 	connection := f.dial(t)
 	send(t, connection, query+query+"GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n"+query)
 	for _, kind := range []core.AnswerKind{core.Failed, core.Rejected} {
@@ -81,11 +81,11 @@
 		f.onLoop(func() { r.Client.Deliver(core.Answer{Kind: kind}) })
 	}
 	assert.Equal(t, []string{"HTTP/1.1 502", "HTTP/1.1 503", "HTTP/1.1 200"}, readStatuses(t, connection))
-	assert.Empty(t, f.submitted, "what comes behind the last request is not read")
+	assert.Empty(t, f.submitted, "a request behind Connection: close is not served")
 }
 
 func TestDisconnectedClient(t *testing.T) {
-	f := start(t, Options{MaxConnections: 10, MaxBufferedBytes: 1 << 20})
+	f := startServer(t, Options{MaxConnections: 10, MaxBufferedBytes: 1 << 20})
 	connection := f.dial(t)
 	send(t, connection, query)
 	submitted := f.waitRequest(t, f.submitted)
@@ -94,12 +94,12 @@
 	f.waitLog(t, `"code":"C03"`)
 }
 
-// TestRejectedWithinSubmit checks that core may answer a request from within Submit, which is the last of its connection.
+// TestRejectedWithinSubmit checks that core may answer a request within Submit, also the last one of its connection.
 func TestRejectedWithinSubmit(t *testing.T) {
-	f := start(t, Options{MaxConnections: 10, MaxBufferedBytes: 1 << 20})
-	f.onLoop(func() { f.answerAtOnce = true })
-	for _, more := range []string{"", query, "GET /_health HT"} {
-		answer := f.exchange(t, strings.Replace(query, "X-Tenant", "Connection: close\r\nX-Tenant", 1)+more)
+	f := startServer(t, Options{MaxConnections: 10, MaxBufferedBytes: 1 << 20})
+	f.onLoop(func() { f.rejectAll = true })
+	for _, pipelined := range []string{"", query, "GET /_health HT"} {
+		answer := f.exchange(t, strings.Replace(query, "X-Tenant", "Connection: close\r\nX-Tenant", 1)+pipelined)
 		assert.True(t, strings.HasPrefix(answer, "HTTP/1.1 503 Service Unavailable\r\n"))
 		assert.True(t, strings.HasSuffix(answer, `{"error":"refused"}`))
 	}
--- a/internal/transport/httpfront/read_test.go
+++ b/internal/transport/httpfront/read_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestContinueIsSentOnce(t *testing.T) {
-	f := start(t, Options{MaxConnections: 10, MaxBufferedBytes: 1 << 20})
+	f := startServer(t, Options{MaxConnections: 10, MaxBufferedBytes: 1 << 20})
 	connection := f.dial(t)
 	send(t, connection, strings.TrimSuffix(strings.Replace(query, "X-Tenant", "Expect: 100-continue\r\nX-Tenant", 1), queryBody))
 	interim, err := io.ReadAll(io.LimitReader(connection, int64(len(continueResponse))))
@@ -29,7 +29,7 @@
 }
 
 func TestBufferLimit(t *testing.T) {
-	f := start(t, Options{MaxConnections: 10, MaxBufferedBytes: -1})
+	f := startServer(t, Options{MaxConnections: 10, MaxBufferedBytes: -1})
 	answer := f.exchange(t, "GET /_health HT")
 	assert.True(t, strings.HasPrefix(answer, "HTTP/1.1 503 Service Unavailable\r\n"))
 	assert.Contains(t, answer, "\r\nRetry-After: 1.000\r\nConnection: close\r\n")
@@ -37,9 +37,10 @@
 	f.onLoop(func() { assert.Zero(t, f.server.bufferedBytes) })
 }
 
-// TestInputBehindALastRequest checks that the answer arrives although its client goes on sending.
-func TestInputBehindALastRequest(t *testing.T) {
-	f := start(t, Options{MaxConnections: 10, MaxBufferedBytes: 1 << 20})
+// TestInputAfterLastRequest guards against losing the last answer of a connection: closing the connection with unread
+// input would reset it.
+func TestInputAfterLastRequest(t *testing.T) {
+	f := startServer(t, Options{MaxConnections: 10, MaxBufferedBytes: 1 << 20})
 	answer := f.exchange(t, "GET /_health HTTP/1.0\r\n\r\n"+strings.Repeat("x", maxLingerBytes/2))
 	assert.True(t, strings.HasSuffix(answer, bodyServing))
 }
--- a/internal/transport/httpfront/response_test.go
+++ b/internal/transport/httpfront/response_test.go
@@ -19,8 +19,8 @@
 		"Retry-After: 0.025\r\nConnection: close\r\n\r\n", string(httpResponse{status: 503, retryAfterMs: 25, closeConnection: true}.appendTo(nil)))
 }
 
-// TestResponsesAreHTTP checks that an HTTP client reads each status that the front sends.
-func TestResponsesAreHTTP(t *testing.T) {
+// TestHTTPClientReadsResponses checks that Go's HTTP client parses a response with each status that the server sends.
+func TestHTTPClientReadsResponses(t *testing.T) {
 	for status, phrase := range map[int]string{200: "OK", 400: "Bad Request", 403: "Forbidden", 404: "Not Found",
 		405: "Method Not Allowed", 408: "Request Timeout", 413: "Content Too Large", 431: "Request Header Fields Too Large",
 		502: "Bad Gateway", 503: "Service Unavailable", 504: "Gateway Timeout"} {
--- a/internal/transport/httpfront/routes_test.go
+++ b/internal/transport/httpfront/routes_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestRoutes(t *testing.T) {
-	f := start(t, Options{MaxConnections: 10, MaxBufferedBytes: 1 << 20, Pages: map[string]func() []byte{
+	f := startServer(t, Options{MaxConnections: 10, MaxBufferedBytes: 1 << 20, Pages: map[string]func() []byte{
 		"/_page": func() []byte { return []byte(`{"page":1}`) }}})
 	for _, c := range []struct {
 		request, status, body string
@@ -32,24 +32,24 @@
 }
 
 func TestHealth(t *testing.T) {
-	f := start(t, Options{MaxConnections: 10, MaxBufferedBytes: 1 << 20})
+	f := startServer(t, Options{MaxConnections: 10, MaxBufferedBytes: 1 << 20})
 	health := func() string { return f.exchange(t, "GET /_health HTTP/1.0\r\n\r\n") }
-	const no = "HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\nContent-Length: 24\r\nConnection: close\r\n\r\n" +
+	const notServing = "HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\nContent-Length: 24\r\nConnection: close\r\n\r\n" +
 		`{"status":"not serving"}`
 	assert.Contains(t, health(), `{"status":"serving"}`)
 	f.onLoop(func() { f.ready = false })
-	assert.Equal(t, no, health())
+	assert.Equal(t, notServing, health())
 	f.onLoop(func() {
 		f.ready = true
 		f.server.SetDraining(true)
 	})
-	assert.Equal(t, no, health())
+	assert.Equal(t, notServing, health())
 	f.onLoop(func() {
 		assert.True(t, f.server.CanServe())
 		f.server.SetDraining(false)
 	})
 	assert.Contains(t, health(), `{"status":"serving"}`)
 	f.onLoop(f.server.BeginShutdown)
-	assert.Equal(t, no, health())
+	assert.Equal(t, notServing, health())
 	f.onLoop(func() { assert.False(t, f.server.CanServe()) })
 }
--- a/internal/transport/httpfront/shutdown_test.go
+++ b/internal/transport/httpfront/shutdown_test.go
@@ -11,18 +11,18 @@
 )
 
 func TestShutdown(t *testing.T) {
-	f := start(t, Options{MaxConnections: 10, MaxBufferedBytes: 1 << 20})
-	idle, busy, half, used := f.dial(t), f.dial(t), f.dial(t), f.dial(t)
+	f := startServer(t, Options{MaxConnections: 10, MaxBufferedBytes: 1 << 20})
+	idle, busy, incomplete, active := f.dial(t), f.dial(t), f.dial(t), f.dial(t)
 	send(t, busy, query+query)
 	first := f.waitRequest(t, f.submitted)
-	send(t, half, "GET /_health HT")
+	send(t, incomplete, "GET /_health HT")
 	f.onLoop(f.server.StopListening)
 	_, err := net.Dial("tcp", f.address)
 	assert.Error(t, err, "the listener is closed")
 
-	// An answer is the last of its connection, unless requests were read behind it.
-	send(t, used, "GET /_health HTTP/1.1\r\n\r\n")
-	assert.Contains(t, readAll(t, used), "\r\nConnection: close\r\n")
+	// A connection ends after its next answer, unless requests have been read behind the answered one.
+	send(t, active, "GET /_health HTTP/1.1\r\n\r\n")
+	assert.Contains(t, readAll(t, active), "\r\nConnection: close\r\n")
 	f.onLoop(func() { first.Client.Deliver(core.Answer{Kind: core.Failed}) })
 	second := f.waitRequest(t, f.submitted)
 	f.onLoop(func() { second.Client.Deliver(core.Answer{Kind: core.Rejected}) })
@@ -32,16 +32,17 @@
 	assert.Empty(t, readAll(t, idle))
 	f.onLoop(func() {
 		_, serving := f.server.ConnectionCounts()
-		assert.Equal(t, 1, serving, "the half request has time for its rest")
+		assert.Equal(t, 1, serving, "the incomplete request may still arrive")
 	})
 	time.Sleep((shutdownRequestTimeoutMs + 100) * time.Millisecond)
 	f.onLoop(f.server.CloseIdle)
-	assert.Contains(t, readAll(t, half), `{"error":"the program ends, and the request did not come whole"}`)
+	assert.Contains(t, readAll(t, incomplete), `{"error":"the program ends, and the request did not come whole"}`)
 }
 
-// TestCloseIdleReadsFirst checks that a request that arrived unread is served, not lost.
+// TestCloseIdleReadsFirst guards against losing a request that has arrived but has not been read when CloseIdle is
+// called.
 func TestCloseIdleReadsFirst(t *testing.T) {
-	f := start(t, Options{MaxConnections: 10, MaxBufferedBytes: 1 << 20})
+	f := startServer(t, Options{MaxConnections: 10, MaxBufferedBytes: 1 << 20})
 	connection := f.dial(t)
 	f.onLoop(func() {
 		f.server.CloseAfterResponse(true)
--- a/internal/transport/httpfront/timeouts_test.go
+++ b/internal/transport/httpfront/timeouts_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestTimeouts(t *testing.T) {
-	f := start(t, Options{MaxConnections: 10, MaxBufferedBytes: 1 << 20})
+	f := startServer(t, Options{MaxConnections: 10, MaxBufferedBytes: 1 << 20})
 	for _, c := range []struct {
 		name, in, answer, code string
 		afterMs                float64
