--- a/internal/transport/httpresponse/header.go
+++ b/internal/transport/httpresponse/header.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// responseHeader holds what the status line and the header fields say of a response.
+// responseHeader holds the parsed status line and header fields of a response.
 type responseHeader struct {
 	status  int
-	length  int // of the body in bytes, or unknownLength
-	chunked bool
+	length  int  // of the body in bytes, or unknownLength
+	chunked bool // the body is in chunks; length does not matter then
 	last    bool // no other response follows on the connection
 }
 
-// parseHeader parses a header without the empty line that ends it.
+// parseHeader parses a status line and header fields. text excludes the empty line that ends the header.
 func parseHeader(text string, maxBodyBytes int) (responseHeader, error) {
 	statusLine, fields, _ := strings.Cut(text, lineEnd)
 	parsed, err := parseStatusLine(statusLine)
@@ -31,8 +31,8 @@
 	return parsed, nil
 }
 
-// parseStatusLine returns a header without fields. A connection of HTTP/1.0 carries one response unless a field says
-// otherwise.
+// parseStatusLine returns a header without fields. A response of HTTP/1.0 is the last of its connection unless its
+// Connection field says keep-alive.
 func parseStatusLine(line string) (responseHeader, error) {
 	words := strings.SplitN(line, " ", 3)
 	if len(words) < 2 || !strings.HasPrefix(words[0], "HTTP/1.") {
@@ -45,7 +45,8 @@
 	return responseHeader{status: status, length: unknownLength, last: words[0] == "HTTP/1.0"}, nil
 }
 
-// apply takes one field; name is in lower case. Of several fields of one name the last one counts.
+// apply sets the values that one header field determines. name must be in lower case. If a field is repeated, the
+// last one counts.
 func (h *responseHeader) apply(name, value string, maxBodyBytes int) error {
 	switch name {
 	case "content-length":
--- a/internal/transport/httpresponse/response.go
+++ b/internal/transport/httpresponse/response.go
@@ -8,34 +8,36 @@
 	"strings"
 )
 
-// errMalformed reports input that is no HTTP/1.x response, or one whose body exceeds the limit.
+// errMalformed reports input that is not an HTTP/1.x response, or a response whose body exceeds the limit.
 var errMalformed = errors.New("malformed response")
 
 const (
 	lineEnd   = "\r\n"
 	headerEnd = "\r\n\r\n"
-	// unknownLength stands for a header without Content-Length.
+	// unknownLength is the body length if the header has no Content-Length.
 	unknownLength = -1
 )
 
-// Response is a parsed response. The zero value stands for one that is incomplete so far.
+// Response is a parsed response. The zero value stands for a response that has not arrived in full.
 type Response struct {
 	// Status is the status code.
 	Status int
 	// Body is the decoded body. It may share the memory of the input.
 	Body []byte
-	// Size is the number of bytes of the input that the response takes up, its header included; 0 while incomplete.
+	// Size is the number of input bytes of the response, including its header; 0 while it is incomplete.
 	Size int
-	// Last says that no other response follows on the connection.
+	// Last reports whether no other response follows on the connection.
 	Last bool
 }
 
 // Complete reports whether the response has arrived in full.
 func (r Response) Complete() bool { return r.Size > 0 }
 
-// Parse parses the first response of input. maxBodyBytes bounds the body of a response that announces its length or
-// comes in chunks; one beyond it is malformed. peerClosed says that the sender has closed the connection in order: a
-// body of unannounced length ends there, whereas a reset ends none (RFC 9112, sections 6.3 and 8).
+// Parse parses the first response in input.
+//
+// maxBodyBytes is the maximum size of a body with a Content-Length or in chunks; a response with a larger one is
+// malformed. peerClosed reports whether the peer has closed the connection in order. This ends a body of unknown
+// length, whereas a connection reset does not (RFC 9112, sections 6.3 and 8).
 func Parse(input []byte, maxBodyBytes int, peerClosed bool) (Response, error) {
 	end := bytes.Index(input, []byte(headerEnd))
 	if end < 0 {
@@ -56,7 +58,7 @@
 	}
 }
 
-// parseSized parses a body of announced length.
+// parseSized parses a body with a Content-Length.
 func parseSized(input []byte, bodyStart int, header responseHeader) Response {
 	bodyEnd := bodyStart + header.length
 	if len(input) < bodyEnd {
@@ -65,8 +67,8 @@
 	return Response{Status: header.status, Body: input[bodyStart:bodyEnd], Size: bodyEnd, Last: header.last}
 }
 
-// parseUntilClose parses a body that the end of the connection delimits. A response other than 200 does not wait for
-// that, since its body is not used.
+// parseUntilClose parses a body that extends to the end of the connection. If the status is not 200 it does not wait
+// for that end, since the body is not used.
 func parseUntilClose(input []byte, bodyStart int, header responseHeader, peerClosed bool) Response {
 	if header.status == http.StatusOK && !peerClosed {
 		return Response{}
@@ -74,20 +76,20 @@
 	return Response{Status: header.status, Body: input[bodyStart:], Size: len(input), Last: true}
 }
 
-// parseChunked parses a body in chunks.
+// parseChunked parses a chunked body.
 func parseChunked(input []byte, bodyStart int, header responseHeader, maxBodyBytes int) (Response, error) {
 	var body []byte
 	position := bodyStart
 	for {
-		sizeLength := bytes.Index(input[position:], []byte(lineEnd))
-		if sizeLength < 0 {
+		sizeLineLength := bytes.Index(input[position:], []byte(lineEnd))
+		if sizeLineLength < 0 {
 			return Response{}, nil
 		}
-		chunkLength, err := parseChunkLength(string(input[position : position+sizeLength]))
+		chunkLength, err := parseChunkLength(string(input[position : position+sizeLineLength]))
 		if err != nil || len(body)+chunkLength > maxBodyBytes {
 			return Response{}, errMalformed
 		}
-		chunkStart := position + sizeLength + len(lineEnd)
+		chunkStart := position + sizeLineLength + len(lineEnd)
 		chunkEnd := chunkStart + chunkLength
 		position = chunkEnd + len(lineEnd)
 		if len(input) < position {
@@ -100,7 +102,8 @@
 	}
 }
 
-// parseChunkLength returns the length that a chunk's first line announces, in bytes; extensions are ignored.
+// parseChunkLength returns the length in bytes that is given by the first line of a chunk. It ignores chunk
+// extensions.
 func parseChunkLength(line string) (int, error) {
 	const maxBits = 30 // keeps sums of a length and an offset below the range of an int32
 	digits, _, _ := strings.Cut(line, ";")
--- a/internal/transport/httpresponse/response_test.go
+++ b/internal/transport/httpresponse/response_test.go
@@ -22,9 +22,9 @@
 			want: Response{Status: 204, Body: []byte{}}},
 		"sized, with input of the next response": {input: "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhelloHTTP/1.1",
 			want: Response{Status: 200, Body: []byte("hello"), Size: 43}},
-		"last by its field": {input: "HTTP/1.1 200 OK\r\nconnection: Close\r\nContent-Length: 5\r\n\r\nhello",
+		"last by Connection: close": {input: "HTTP/1.1 200 OK\r\nconnection: Close\r\nContent-Length: 5\r\n\r\nhello",
 			want: Response{Status: 200, Body: []byte("hello"), Last: true}},
-		"last by its version": {input: "HTTP/1.0 200 OK\r\nContent-Length: 5\r\n\r\nhello",
+		"last by HTTP/1.0": {input: "HTTP/1.0 200 OK\r\nContent-Length: 5\r\n\r\nhello",
 			want: Response{Status: 200, Body: []byte("hello"), Last: true}},
 		"HTTP/1.0 kept alive": {input: "HTTP/1.0 200 OK\r\nConnection: keep-alive\r\nContent-Length: 5\r\n\r\nhello",
 			want: Response{Status: 200, Body: []byte("hello")}},
@@ -34,7 +34,7 @@
 			want: Response{Status: 200}},
 		"until the close": {input: "HTTP/1.1 200 OK\r\n\r\nhello", peerClosed: true,
 			want: Response{Status: 200, Body: []byte("hello"), Last: true}},
-		"failure without a length": {input: "HTTP/1.1 503 Service Unavailable\r\n\r\nhel",
+		"status 503 without a length": {input: "HTTP/1.1 503 Service Unavailable\r\n\r\nhel",
 			want: Response{Status: 503, Body: []byte("hel"), Last: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -76,11 +76,11 @@
 	for name, input := range map[string]string{
 		"another protocol":            "SSH-2.0 x\r\n\r\n",
 		"no status":                   "HTTP/1.1\r\n\r\n",
-		"status in words":             "HTTP/1.1 fine OK\r\n\r\n",
-		"length in words":             "HTTP/1.1 200 OK\r\nContent-Length: five\r\n\r\n",
+		"status not a number":         "HTTP/1.1 fine OK\r\n\r\n",
+		"length not a number":         "HTTP/1.1 200 OK\r\nContent-Length: five\r\n\r\n",
 		"negative length":             "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
 		"length beyond the limit":     "HTTP/1.1 200 OK\r\nContent-Length: 21\r\n\r\n",
-		"chunk size in words":         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nfive\r\n",
+		"chunk size not a number":     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nfive\r\n",
 		"chunk beyond the limit":      "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n15\r\n",
 		"chunks beyond the limit":     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n10\r\n",
 		"chunk size beyond the range": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n40000000\r\n",
@@ -93,7 +93,8 @@
 	}
 }
 
-// TestParseAnyInput: whatever comes, a response lies within the input and its body within the limit.
+// TestParseAnyInput checks for random input that a response is not longer than the input, and its body not longer
+// than the response.
 func TestParseAnyInput(t *testing.T) {
 	parts := []string{"HTTP/1.1 200 OK\r\n", "HTTP/1.0 503 x\r\n", "Content-Length: 5\r\n", "Transfer-Encoding: chunked\r\n",
 		"Connection: close\r\n", "\r\n", "hello", "5\r\nhello\r\n", "0\r\n\r\n", "3fffffff\r\n", "x"}
