--- a/internal/transport/flight/config.go
+++ b/internal/transport/flight/config.go
@@ -18,17 +18,18 @@
 type Config struct {
 	// Enabled reports whether the front listens. The default is false.
 	Enabled bool `toml:"enabled"`
-	// Listen is the IP address and port at which the front listens. It is required if Enabled is set.
+	// Listen is the IP address and port on which the front listens. It is required if Enabled is set.
 	Listen string `toml:"listen"`
-	// Backends reports whether backends are asked over Flight instead of frames. The default is false.
+	// Backends reports whether attempts are sent to backends over Flight instead of as frames. The default is false.
 	Backends bool `toml:"nodes"`
 	// StreamsPerConnection is the maximum number of calls in flight on one client connection. The default is 128.
 	StreamsPerConnection int `toml:"streams"`
-	// MaxConnections is the maximum number of client connections. More wait in the listener's queue. The default is 128.
+	// MaxConnections is the maximum number of client connections. Further ones wait in the listener's queue. The default
+	// is 128.
 	MaxConnections int `toml:"conns"`
 }
 
-// Defaults sets what is 0 to its default.
+// Defaults sets limits that are 0 to their defaults.
 func (c *Config) Defaults() {
 	if c.StreamsPerConnection == 0 {
 		c.StreamsPerConnection = defaultStreamsPerConnection
@@ -38,8 +39,8 @@
 	}
 }
 
-// Load reads a TOML file. Without the file, Flight is off, which is no error. Errors name the file: unknown keys,
-// limits under 1 and, if the front is enabled, an invalid address.
+// Load reads a TOML file. If the file does not exist, it returns a Config with Flight off and no error. Unknown keys,
+// limits below 1 and, if the front is enabled, an invalid address are errors. Errors name the file.
 func Load(path string) (Config, error) {
 	config := Config{StreamsPerConnection: defaultStreamsPerConnection, MaxConnections: defaultMaxConnections}
 	metadata, err := toml.DecodeFile(path, &config)
@@ -53,8 +54,8 @@
 		return Config{}, fmt.Errorf("%s: %s: unknown key", path, unknown[0])
 	}
 	if config.StreamsPerConnection < 1 || config.MaxConnections < 1 {
-		return Config{}, fmt.Errorf("%s: streams and conns: %d and %d, 1 at least", path, config.StreamsPerConnection,
-			config.MaxConnections)
+		return Config{}, fmt.Errorf("%s: streams is %d and conns is %d: both must be at least 1", path,
+			config.StreamsPerConnection, config.MaxConnections)
 	}
 	if config.Enabled {
 		if _, err := netip.ParseAddrPort(config.Listen); err != nil {
--- a/internal/transport/flight/config_test.go
+++ b/internal/transport/flight/config_test.go
@@ -24,7 +24,7 @@
 		{"empty", "", Config{StreamsPerConnection: 128, MaxConnections: 128}},
 		{"all keys", "enabled = true\nlisten = \"127.0.0.1:1\"\nnodes = true\nstreams = 2\nconns = 3\n",
 			Config{Enabled: true, Listen: "127.0.0.1:1", Backends: true, StreamsPerConnection: 2, MaxConnections: 3}},
-		{"off, with an address that is none", "listen = \"x\"\n",
+		{"off, with an invalid address", "listen = \"x\"\n",
 			Config{Listen: "x", StreamsPerConnection: 128, MaxConnections: 128}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -44,9 +44,9 @@
 func TestLoadRejects(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"unknown key", "ports = 1\n", ": ports: unknown key"},
-		{"no streams", "streams = 0\n", ": streams and conns: 0 and 128, 1 at least"},
-		{"no connections", "conns = -1\n", ": streams and conns: 128 and -1, 1 at least"},
-		{"an address that is none", "enabled = true\nlisten = \"x\"\n", ": listen: "},
+		{"no streams", "streams = 0\n", ": streams is 0 and conns is 128: both must be at least 1"},
+		{"no connections", "conns = -1\n", ": streams is 128 and conns is -1: both must be at least 1"},
+		{"an invalid address", "enabled = true\nlisten = \"x\"\n", ": listen: "},
 		{"not TOML", "=", ": toml: "},
 	} {
 		t.Run(c.name, func(t *testing.T) {
