--- a/internal/transport/flight/attempt.go
+++ b/internal/transport/flight/attempt.go
@@ -14,49 +14,53 @@
 	"ternstage/internal/decision/scheduler"
 )
 
-// minRemainingMs is the least time that a call is given.
+// minRemainingMs is the minimum timeout of a call, in milliseconds.
 const minRemainingMs = 1.0
 
-// The states of an attempt. The loop and the attempt's goroutine decide between the last two by compare-and-swap.
+// The states of an attempt. Both the loop and the attempt's goroutine may end stateWaiting. They do so by
+// compare-and-swap, so that only one of them succeeds.
 const (
-	stateWaiting     int32 = iota // for its connection
-	stateBegun                    // from here on it may have run
-	stateNeverBegins              // from here on it provably has not run and will not
+	stateWaiting int32 = iota // waits for its connection
+	stateStarted              // the call has started, and the part may have run
+	stateAborted              // the call provably has not started and never will
 )
 
-// attempt is one DoGet to a backend. It is the Handle of core's attempt, whose fields it only reads until its end.
+// attempt is one DoGet to a backend. It is the Handle of the core.Attempt that it embeds, and only reads the fields
+// of that until the attempt ends.
 type attempt struct {
 	*core.Attempt
 	connection *backendConnection
-	ended      bool // its outcome is reported, or no longer wanted
+	ended      bool // its outcome has been reported or is no longer wanted
 	state      atomic.Int32
 
 	// Set before the goroutine starts and constant from then on.
 	cancel      context.CancelFunc // ends the goroutine; nil before it starts
 	remaining   time.Duration      // until the deadline
-	startWindow time.Duration      // within which the call begins, or never
+	startWindow time.Duration      // for the call to start; afterwards the attempt is aborted
 
-	// backendEpoch is the goroutine's until it posts the outcome: the epoch of a backend that is not the holder.
+	// backendEpoch is the epoch of a backend that does not hold the shard. It belongs to the goroutine until that posts
+	// the outcome.
 	backendEpoch uint64
 }
 
-// endWait ends the wait for an attempt whose outcome is no longer wanted. It runs on the loop.
-func (a *attempt) endWait() {
+// discard cancels an attempt whose outcome is no longer wanted. It runs on the loop.
+func (a *attempt) discard() {
 	a.ended = true
 	if a.cancel != nil {
 		a.cancel()
 	}
 }
 
-// runAttempt is the goroutine of one attempt. It posts the outcome to the loop and changes nothing of the loop's. It
-// ends with the call, at the attempt's deadline at the latest, or when ctx is cancelled.
+// runAttempt runs on the goroutine of an attempt. It posts the outcome to the loop and changes nothing that belongs
+// to the loop. It returns when the call ends or ctx is cancelled, at the latest at the attempt's deadline.
 func (c *BackendClient) runAttempt(ctx context.Context, attempt *attempt) {
 	defer attempt.cancel()
 	outcome, value := attempt.run(ctx)
 	c.loop.Post(func() { c.attemptEnded(attempt, outcome, value) })
 }
 
-// attemptEnded takes the outcome of an attempt. It runs on the loop. An abandoned attempt has none.
+// attemptEnded reports the outcome of an attempt to core, unless the attempt was withdrawn or abandoned. It runs on
+// the loop.
 func (c *BackendClient) attemptEnded(attempt *attempt, outcome scheduler.Outcome, value []byte) {
 	connection := attempt.connection
 	connection.inFlight--
@@ -68,26 +72,26 @@
 	}
 	attempt.ended = true
 	if outcome == scheduler.Succeeded {
-		connection.callsServed++
+		connection.succeededAttempts++
 	}
 	attempt.BackendEpoch = attempt.backendEpoch
 	c.core.AttemptEnded(attempt.Attempt, outcome, value)
 }
 
-// run waits for the connection and carries out the call. An attempt whose connection is not established within the
-// start window never begins.
+// run waits for the connection and makes the call. If the connection is not established within the start window, the
+// attempt is aborted.
 func (a *attempt) run(ctx context.Context) (scheduler.Outcome, []byte) {
 	startedAt := time.Now()
 	ready := waitReady(ctx, a.connection.grpcConn, a.startWindow) && time.Since(startedAt) <= a.startWindow
-	if !ready || !a.state.CompareAndSwap(stateWaiting, stateBegun) {
-		a.state.CompareAndSwap(stateWaiting, stateNeverBegins)
+	if !ready || !a.state.CompareAndSwap(stateWaiting, stateStarted) {
+		a.state.CompareAndSwap(stateWaiting, stateAborted)
 		return scheduler.ConnectFailed, nil
 	}
 	return a.call(ctx, a.remaining-time.Since(startedAt))
 }
 
-// call carries out the call. The first record batch is the answer: a stream that breaks after it does not undo it. A
-// panic of the Arrow reader over a malformed message counts as a broken connection.
+// call makes the call. The first record batch is the answer, even if the stream breaks afterwards. If the Arrow
+// reader panics because of a malformed message, the outcome is ConnectionReset.
 func (a *attempt) call(ctx context.Context, remaining time.Duration) (outcome scheduler.Outcome, value []byte) {
 	defer func() {
 		if failure := recover(); failure != nil && value == nil {
@@ -117,7 +121,8 @@
 	return scheduler.Succeeded, answer
 }
 
-// answerValue returns a copy of the first column of the first row, which is the value, if there is a valid one.
+// answerValue returns a copy of the value, which is in the first column of the first row, and whether there is a
+// valid one.
 func answerValue(record arrow.RecordBatch) ([]byte, bool) {
 	if record.NumCols() < 1 || record.NumRows() < 1 {
 		return nil, false
--- a/internal/transport/flight/backend_client.go
+++ b/internal/transport/flight/backend_client.go
@@ -8,15 +8,16 @@
 	"ternstage/internal/logs"
 )
 
-// Outcomes takes the outcomes of attempts, on the loop.
+// Outcomes receives the outcomes of attempts. Its methods are called on the loop.
 type Outcomes interface {
-	// AttemptEnded reports an outcome; value is the answer of an attempt that succeeded and nil otherwise.
+	// AttemptEnded reports an outcome. value is the answer if the attempt succeeded, and nil otherwise.
 	AttemptEnded(attempt *core.Attempt, outcome scheduler.Outcome, value []byte)
-	// AttemptEndedLater does the same from within a call by core, which is not called back: it only queues the outcome.
+	// AttemptEndedLater queues an outcome without a value. It is for use within a call by core, which must not be called
+	// back at once.
 	AttemptEndedLater(attempt *core.Attempt, outcome scheduler.Outcome)
 }
 
-// BackendOptions are the limits of a BackendClient. They have no defaults: they come from the platform's settings.
+// BackendOptions are the limits of a BackendClient. They have no defaults, as they come from the platform's settings.
 type BackendOptions struct {
 	// StreamsPerConnection is the maximum number of calls in flight on one connection.
 	StreamsPerConnection int
@@ -28,8 +29,8 @@
 	MaxConnections int
 }
 
-// BackendClient asks backends over Flight. It implements core.Transport. Each part is a DoGet of its own, as no call of
-// Flight carries several tickets. Its methods are called on the loop.
+// BackendClient sends attempts to backends over Flight. It implements core.Transport. Each attempt is a separate
+// DoGet, since a Flight call carries only one ticket. Its methods must be called on the loop.
 type BackendClient struct {
 	loop    Loop
 	core    Outcomes
@@ -38,12 +39,12 @@
 	address func(replica uint32) string // "" for a backend that is not in the endpoint list
 
 	connections     map[uint32][]*backendConnection // by replica number
-	connectionCount int                             // to all backends
+	connectionCount int                             // connections to all backends together
 	unflushed       []*attempt                      // sent since the last Flush
 }
 
-// NewBackendClient returns a BackendClient without connections. address returns the address of a backend by its replica
-// number, and "" for one that is not in the endpoint list.
+// NewBackendClient returns a BackendClient without connections. address returns the address of a backend by its
+// replica number, and "" for one that is not in the endpoint list.
 func NewBackendClient(loop Loop, outcomes Outcomes, log *logs.Log, options BackendOptions,
 	address func(replica uint32) string) *BackendClient {
 	return &BackendClient{
@@ -56,14 +57,14 @@
 	}
 }
 
-// Send implements core.Transport.
+// Send implements core.Transport. It queues the attempt for the next Flush.
 func (c *BackendClient) Send(coreAttempt *core.Attempt) {
 	attempt := &attempt{Attempt: coreAttempt}
 	coreAttempt.Handle = attempt
 	c.unflushed = append(c.unflushed, attempt)
 }
 
-// Flush implements core.Transport.
+// Flush implements core.Transport. It starts the queued attempts.
 func (c *BackendClient) Flush() {
 	unflushed := c.unflushed
 	c.unflushed = nil
@@ -74,7 +75,8 @@
 	}
 }
 
-// start starts the goroutine of an attempt. Without a connection the attempt ends as ConnectFailed.
+// start selects a connection for an attempt and starts its goroutine. If no connection is available, the attempt ends
+// with ConnectFailed.
 func (c *BackendClient) start(attempt *attempt) {
 	attempt.connection = c.selectConnection(attempt.Backend)
 	if attempt.connection == nil {
@@ -91,21 +93,21 @@
 	go c.runAttempt(ctx, attempt)
 }
 
-// Withdraw implements core.Transport. An attempt can be withdrawn until its call begins.
+// Withdraw implements core.Transport. An attempt can be withdrawn until its call starts.
 func (c *BackendClient) Withdraw(coreAttempt *core.Attempt) bool {
 	attempt, _ := coreAttempt.Handle.(*attempt)
 	if attempt == nil || attempt.ended {
 		return false
 	}
-	withdrawn := attempt.state.CompareAndSwap(stateWaiting, stateNeverBegins)
+	withdrawn := attempt.state.CompareAndSwap(stateWaiting, stateAborted)
 	if !withdrawn {
 		return false
 	}
-	attempt.endWait()
+	attempt.discard()
 	return true
 }
 
-// Abandon implements core.Transport. gRPC tells the backend that the call is cancelled.
+// Abandon implements core.Transport. gRPC informs the backend that the call is cancelled.
 func (c *BackendClient) Abandon(coreAttempt *core.Attempt) (neverRan bool) {
 	withdrawn := c.Withdraw(coreAttempt)
 	if withdrawn {
@@ -113,14 +115,14 @@
 	}
 	attempt, _ := coreAttempt.Handle.(*attempt)
 	if attempt != nil && !attempt.ended {
-		attempt.endWait()
+		attempt.discard()
 	}
 	return false
 }
 
 // CloseIdleConnections implements core.Transport.
 func (c *BackendClient) CloseIdleConnections(replica uint32) {
-	// retire replaces the list that is ranged over.
+	// retire replaces the list and does not change the one that is ranged over.
 	for _, connection := range c.connections[replica] {
 		if connection.inFlight == 0 {
 			c.retire(connection)
@@ -128,12 +130,12 @@
 	}
 }
 
-// Close closes all connections, at the end of the process. The calls in flight end, and with them their goroutines.
+// Close closes all connections, at the end of the process. This ends the calls in flight and their goroutines.
 func (c *BackendClient) Close() {
 	for _, connections := range c.connections {
 		for _, connection := range connections {
 			_ = connection.grpcConn.Close()
-			c.log.ConnectionEnded(logs.Shutdown, connection.address, connection.callsServed, nil)
+			c.log.ConnectionEnded(logs.Shutdown, connection.address, connection.succeededAttempts, nil)
 		}
 	}
 	clear(c.connections)
--- a/internal/transport/flight/backend_client_test.go
+++ b/internal/transport/flight/backend_client_test.go
@@ -22,8 +22,8 @@
 	"ternstage/internal/lab/loopback"
 )
 
-// testBackend answers each DoGet with its error, or else with its values in one column of one record batch. If it is
-// stalled it answers nothing.
+// testBackend answers each DoGet with err if that is set, or else with values, in one column of one record batch. If
+// stalled is set, it does not answer at all.
 type testBackend struct {
 	flight.BaseFlightServer
 	err     error
@@ -62,7 +62,7 @@
 	return writer.Close()
 }
 
-// serve starts the backend and returns its address.
+// serve starts the backend and returns its address. The backend stops at the end of the test.
 func (b *testBackend) serve(t *testing.T) string {
 	t.Helper()
 	b.tickets = make(chan backendTicket, 8)
@@ -76,12 +76,13 @@
 	return listener.Addr().String()
 }
 
-// attemptResult is what a BackendClient reported of an attempt.
+// attemptResult is the outcome and value that a BackendClient reported for an attempt.
 type attemptResult struct {
 	outcome scheduler.Outcome
 	value   string
 }
 
+// resultRecorder implements Outcomes and records the results.
 type resultRecorder chan attemptResult
 
 func (r resultRecorder) AttemptEnded(_ *core.Attempt, outcome scheduler.Outcome, value []byte) {
@@ -92,7 +93,7 @@
 	r.AttemptEnded(attempt, outcome, nil)
 }
 
-// clientFixture is a BackendClient all of whose backends have one address.
+// clientFixture is a BackendClient that uses one address for all backends.
 type clientFixture struct {
 	*BackendClient
 	loop    *testLoop
@@ -108,7 +109,7 @@
 	return f
 }
 
-// send sends an attempt with 2 s left.
+// send sends an attempt whose deadline is in 2 s.
 func (f *clientFixture) send(t *testing.T) *core.Attempt {
 	t.Helper()
 	endAt := f.loop.Now() + 2000
@@ -147,9 +148,9 @@
 }
 
 func TestAttemptWithoutConnection(t *testing.T) {
-	refusing, err := loopback.Free()
+	refusingAddress, err := loopback.Free()
 	require.NoError(t, err)
-	for name, address := range map[string]string{"not in the endpoint list": "", "refused": refusing} {
+	for name, address := range map[string]string{"not in the endpoint list": "", "refused": refusingAddress} {
 		t.Run(name, func(t *testing.T) {
 			client := newClientFixture(t, address)
 			client.send(t)
@@ -165,7 +166,7 @@
 		attempt := &core.Attempt{Request: "a", Backend: 1, Deadline: 2000, StartBy: 2000}
 		client.Send(attempt)
 		assert.True(t, client.Withdraw(attempt))
-		assert.False(t, client.Withdraw(attempt), "a second time")
+		assert.False(t, client.Withdraw(attempt), "withdrawn before")
 		client.Flush()
 		assert.Zero(t, client.connectionCount)
 	})
@@ -173,8 +174,9 @@
 	assert.Empty(t, backend.tickets)
 }
 
-// TestBegunAttemptAbandoned checks that a call in flight is cancelled at the backend, may have run, and has no outcome.
-func TestBegunAttemptAbandoned(t *testing.T) {
+// TestStartedAttemptAbandoned checks that abandoning an attempt in flight cancels the call at the backend, reports
+// that the attempt may have run, and leads to no outcome.
+func TestStartedAttemptAbandoned(t *testing.T) {
 	backend := &testBackend{stalled: true}
 	client := newClientFixture(t, backend.serve(t))
 	attempt := client.send(t)
@@ -188,7 +190,7 @@
 	assert.Empty(t, client.results)
 }
 
-// attemptsInFlight counts them over all connections.
+// attemptsInFlight returns the number of attempts in flight on all connections.
 func (f *clientFixture) attemptsInFlight(t *testing.T) int {
 	t.Helper()
 	inFlight := 0
@@ -202,8 +204,8 @@
 	return inFlight
 }
 
-// TestConnectionLimits checks that attempts share connections up to the limit of each, and end as ConnectFailed beyond
-// the limit of connections.
+// TestConnectionLimits checks that attempts share a connection up to its limit of streams, and that attempts beyond
+// the limit of connections end with ConnectFailed.
 func TestConnectionLimits(t *testing.T) {
 	backend := &testBackend{stalled: true}
 	client := newClientFixture(t, backend.serve(t))
--- a/internal/transport/flight/backend_connection.go
+++ b/internal/transport/flight/backend_connection.go
@@ -14,32 +14,33 @@
 )
 
 const (
-	// maxAnswerBytes is the maximum size of a message of a backend.
+	// maxAnswerBytes is the maximum size in bytes of a message from a backend.
 	maxAnswerBytes = 256 << 10
-	// idleCloseRatio is the part of the backend's idle timeout after which gRPC closes an idle connection. A close by
-	// the backend that crosses a call would reset it.
+	// idleCloseRatio is the fraction of the backend's idle timeout after which gRPC closes an idle connection. If the
+	// backend closed the connection first, a call sent at the same time would be reset.
 	idleCloseRatio = 0.9
 )
 
 // backendConnection is one gRPC connection to a backend.
 type backendConnection struct {
-	replica     uint32
-	address     string
-	grpcConn    *grpc.ClientConn // safe for concurrent use
-	client      flight.Client    // safe for concurrent use
-	inFlight    int              // attempts
-	callsServed int              // attempts that succeeded
-	retired     bool             // takes no new attempts; closed when none is in flight
+	replica           uint32
+	address           string
+	grpcConn          *grpc.ClientConn // safe for concurrent use
+	client            flight.Client    // safe for concurrent use
+	inFlight          int              // attempts in flight
+	succeededAttempts int
+	retired           bool // takes no new attempts; closed when none is in flight
 }
 
-// selectConnection returns the first connection to a backend that takes one more attempt, or a new one. It is nil if
-// the backend has no address or there are too many connections. Connections to another address are retired.
+// selectConnection returns the first connection to a backend that can carry another attempt, or else a new one. It
+// returns nil if the backend has no address, or if a new connection would exceed MaxConnections or cannot be opened.
+// It retires connections to a former address of the backend.
 func (c *BackendClient) selectConnection(replica uint32) *backendConnection {
 	address := c.address(replica)
 	if address == "" {
 		return nil
 	}
-	// retire replaces the list that is ranged over.
+	// retire replaces the list and does not change the one that is ranged over.
 	for _, connection := range c.connections[replica] {
 		if connection.address != address {
 			c.retire(connection)
@@ -53,11 +54,12 @@
 	return c.openConnection(replica, address)
 }
 
-// openConnection opens a connection; nil if gRPC takes the address for none. gRPC connects when it is first used.
+// openConnection returns a new connection to a backend, or nil if gRPC rejects the address. gRPC connects on first
+// use.
 func (c *BackendClient) openConnection(replica uint32, address string) *backendConnection {
 	grpcConn, err := grpc.NewClient("passthrough:///"+address,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithDisableRetry(), // whether a part is sent again is the scheduler's decision
+		grpc.WithDisableRetry(), // the scheduler decides on retries
 		grpc.WithDisableServiceConfig(),
 		grpc.WithIdleTimeout(fromMs(c.options.IdleTimeoutMs*idleCloseRatio)),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxAnswerBytes)),
@@ -78,7 +80,7 @@
 	return connection
 }
 
-// retire closes a connection once it has no attempt in flight; it takes no new ones.
+// retire closes a connection once it has no attempt in flight. Until then the connection gets no new attempts.
 func (c *BackendClient) retire(connection *backendConnection) {
 	connection.retired = true
 	if connection.inFlight > 0 {
@@ -92,17 +94,17 @@
 	c.connections[connection.replica] = slices.Concat(connections[:i], connections[i+1:])
 	c.connectionCount--
 	_ = connection.grpcConn.Close()
-	c.log.ConnectionEnded(logs.FlightBackendClosed, connection.address, connection.callsServed, nil)
+	c.log.ConnectionEnded(logs.FlightBackendClosed, connection.address, connection.succeededAttempts, nil)
 }
 
-// waitReady waits until a connection is established, for the timeout at most, and reports whether it is. A refused
-// connection ends the wait at once. It runs on an attempt's goroutine.
+// waitReady waits until a connection is established, but no longer than timeout, and reports whether it is. It
+// returns at once if the connection is refused. It runs on an attempt's goroutine.
 func waitReady(ctx context.Context, grpcConn *grpc.ClientConn, timeout time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	state := grpcConn.GetState()
 	if state == connectivity.TransientFailure {
-		// The backoff between attempts is the scheduler's decision, not gRPC's.
+		// The scheduler decides on the backoff between attempts, so gRPC must not apply its own.
 		grpcConn.ResetConnectBackoff()
 		grpcConn.WaitForStateChange(ctx, state)
 		state = grpcConn.GetState()
--- a/internal/transport/flight/backend_wire.go
+++ b/internal/transport/flight/backend_wire.go
@@ -8,27 +8,28 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-// A backend that is not the holder answers FAILED_PRECONDITION with an ErrorInfo of this reason and its epoch under
-// this metadata key. Nothing of the part ran.
+// A backend that does not hold the shard answers FAILED_PRECONDITION with an ErrorInfo. The ErrorInfo has this reason
+// and, under this metadata key, the epoch of the backend's shard map. The part has not run.
 const (
-	reasonNotHolder = "MOVED"
-	notHolderEpoch  = "epoch"
+	reasonNotHolder   = "MOVED"
+	notHolderEpochKey = "epoch"
 )
 
-// backendTicket is the ticket of one part. Its JSON names are those of the backends' wire.
+// backendTicket is the ticket of one attempt, encoded as JSON.
 type backendTicket struct {
-	ID             string `json:"id"` // request.shard, and .first bucket while shards move
+	ID             string `json:"id"` // request.shard, or request.shard.bucket with the first bucket while shards move
 	Shard          int    `json:"shard"`
-	RemainingMs    int    `json:"d"` // for which the broker waits, 1 at least
+	RemainingMs    int    `json:"d"` // how long the broker waits for the answer; at least 1
 	Query          string `json:"q"`
 	IdempotencyKey string `json:"k,omitempty"`
 
-	// While shards move: the epoch by which the part was routed, and its range of buckets as lo and hi.
+	// Only while shards move: the epoch of the shard map that routed the part, and the part's range of buckets as lo and
+	// hi.
 	Epoch uint64 `json:"e,omitempty"`
 	*shardmap.Range
 }
 
-// newBackendTicket returns the ticket of an attempt that has this time left.
+// newBackendTicket returns the ticket of an attempt. remaining is the time until its deadline.
 func newBackendTicket(attempt *core.Attempt, remaining time.Duration) backendTicket {
 	ticket := backendTicket{
 		ID:             fmt.Sprintf("%s.%d", attempt.Request, attempt.Shard),
--- a/internal/transport/flight/client_wire.go
+++ b/internal/transport/flight/client_wire.go
@@ -11,7 +11,7 @@
 	"ternstage/internal/contract"
 )
 
-// The metadata keys of a query; they mean what the HTTP front's header fields of the same names mean.
+// The metadata keys of a query. They mean the same as the header fields of the HTTP front with the same names.
 const (
 	keyRequestID   = "x-request-id"
 	keyClass       = "x-class"
@@ -22,40 +22,42 @@
 
 // The keys of an answer's schema metadata.
 const (
-	answerComplete = "complete" // "true" or "false"
-	answerEpoch    = "epoch"    // of the shard map; only while shards move
+	schemaKeyComplete = "complete" // "true" or "false"
+	schemaKeyEpoch    = "epoch"    // of the shard map; only while shards move
 )
 
-// The ErrorInfo of a query that names shards by too old an epoch.
+// The contents of the ErrorInfo for a query whose epoch is stale.
 const (
-	errorDomain     = "ternstage"
-	errorStaleEpoch = "STALE_SLICE"
-	errorEpochInUse = "epoch" // metadata key
+	errorDomain      = "ternstage"
+	reasonStaleEpoch = "STALE_SLICE"
+	staleEpochKey    = "epoch" // metadata key of the epoch in use
 )
 
 const (
-	// maxTicketBytes is the maximum size of a ticket, which is that of a query's body.
+	// maxTicketBytes is the maximum size in bytes of a ticket. It equals that of a query's body over HTTP.
 	maxTicketBytes = 64 << 10
-	// maxMessageBytes is the maximum size of a message: a ticket and what Flight adds to it.
+	// maxMessageBytes is the maximum size in bytes of a message: a ticket and the data that Flight adds to it.
 	maxMessageBytes = maxTicketBytes + 16<<10
-	// maxMetadataBytes is the maximum size of a call's metadata.
+	// maxMetadataBytes is the maximum size in bytes of a call's metadata.
 	maxMetadataBytes = 16 << 10
 )
 
-// answerFields are the columns of an answer, which has one row for each part that arrived.
+// answerFields are the columns of an answer. It has one row for each part that has arrived.
 var answerFields = []arrow.Field{
 	{Name: "shard", Type: arrow.PrimitiveTypes.Int32},
 	{Name: "doc", Type: arrow.BinaryTypes.Binary},
 }
 
-// bucketFields follow while shards move: the range of buckets of a row, hi not included.
+// bucketFields are the additional columns while shards move: the range of buckets of a row, from lo up to but not
+// including hi.
 var bucketFields = []arrow.Field{
 	{Name: "lo", Type: arrow.PrimitiveTypes.Int32},
 	{Name: "hi", Type: arrow.PrimitiveTypes.Int32},
 }
 
-// envelope reads the metadata of a query. A call without a deadline is an error with the code InvalidArgument.
-func envelope(ctx context.Context) (contract.Envelope, error) {
+// parseEnvelope reads the envelope of a query from the call's metadata. If the call has no deadline, it returns a
+// status error with the code InvalidArgument.
+func parseEnvelope(ctx context.Context) (contract.Envelope, error) {
 	if _, ok := ctx.Deadline(); !ok {
 		return contract.Envelope{}, status.Error(codes.InvalidArgument, "the call has no deadline")
 	}
@@ -69,7 +71,7 @@
 	}, nil
 }
 
-// firstValue returns the first value of a metadata key, "" without one.
+// firstValue returns the first value of a metadata key, or "" if there is none.
 func firstValue(incoming metadata.MD, key string) string {
 	values := incoming.Get(key)
 	if len(values) == 0 {
--- a/internal/transport/flight/connection_log.go
+++ b/internal/transport/flight/connection_log.go
@@ -16,10 +16,10 @@
 // connectionKey is the context key of a connection's connectionState.
 type connectionKey struct{}
 
-// connectionState is what the line says.
+// connectionState holds the values of a connection's log line.
 type connectionState struct {
-	peer        string // address
-	callsServed atomic.Int64
+	peer       string       // address
+	endedCalls atomic.Int64 // also failed ones
 }
 
 // TagConn implements stats.Handler.
@@ -33,7 +33,7 @@
 		return
 	}
 	if connection, ok := ctx.Value(connectionKey{}).(*connectionState); ok {
-		h.log.ConnectionEnded(logs.FlightClientClosed, connection.peer, int(connection.callsServed.Load()), nil)
+		h.log.ConnectionEnded(logs.FlightClientClosed, connection.peer, int(connection.endedCalls.Load()), nil)
 	}
 }
 
@@ -46,6 +46,6 @@
 		return
 	}
 	if connection, ok := ctx.Value(connectionKey{}).(*connectionState); ok {
-		connection.callsServed.Add(1)
+		connection.endedCalls.Add(1)
 	}
 }
--- a/internal/transport/flight/fixture_test.go
+++ b/internal/transport/flight/fixture_test.go
@@ -10,14 +10,14 @@
 	"ternstage/internal/logs"
 )
 
-// testLoop runs posted work on a goroutine of its own.
+// testLoop is a Loop that runs posted work on its own goroutine.
 type testLoop struct {
 	work      chan func()
 	stopped   chan struct{}
 	startedAt time.Time
 }
 
-// newTestLoop returns a loop that stops with the test.
+// newTestLoop returns a running loop that stops at the end of the test.
 func newTestLoop(t *testing.T) *testLoop {
 	t.Helper()
 	l := &testLoop{work: make(chan func(), 1024), stopped: make(chan struct{}), startedAt: time.Now()}
@@ -43,7 +43,7 @@
 // Now implements Loop.
 func (l *testLoop) Now() float64 { return toMs(time.Since(l.startedAt)) }
 
-// do runs work on the loop and waits for its end.
+// do runs work on the loop and waits until it is done.
 func (l *testLoop) do(t *testing.T, work func()) {
 	t.Helper()
 	done := make(chan struct{})
@@ -54,14 +54,15 @@
 	receive(t, done)
 }
 
-// receive returns the next value of a channel, or its zero value when it is closed. It fails the test after 5 s.
+// receive returns the next value of a channel, or the zero value if the channel is closed. After 5 s it fails the
+// test.
 func receive[T any](t *testing.T, from <-chan T) T {
 	t.Helper()
 	select {
 	case value := <-from:
 		return value
 	case <-time.After(5 * time.Second):
-		require.FailNow(t, "nothing came within 5 s")
+		require.FailNow(t, "no value received within 5 s")
 	}
 	panic("not reached")
 }
--- a/internal/transport/flight/front.go
+++ b/internal/transport/flight/front.go
@@ -19,19 +19,21 @@
 	"ternstage/internal/logs"
 )
 
-// Core takes the queries of clients, on the loop.
+// Core answers the queries of clients. Its methods are called on the loop. *core.Core implements it.
 type Core interface {
-	// Submit takes a query; its error says why the query is invalid. The answer goes to the request's Client.
+	// Submit submits a query. It returns an error if the query is invalid. The final answer is passed to the Deliver
+	// method of the request's Client.
 	Submit(request *core.Request) error
-	// ClientDisconnected ends a submitted query whose client no longer waits.
+	// ClientDisconnected informs core that the client of a submitted query no longer waits, which ends the query.
 	ClientDisconnected(request *core.Request)
 }
 
-// Loop is the event loop, as this package's goroutines reach it.
+// Loop is the part of the event loop that this package uses.
 type Loop interface {
-	// Post runs work on the loop, in the order of the calls. It may be called from any goroutine and does not wait.
+	// Post queues work to run on the loop, in the order of the calls. It may be called from any goroutine and does not
+	// block.
 	Post(work func())
-	// Now returns the time of the current wake-up in ms. It is for the loop only.
+	// Now returns the time of the current wake-up in milliseconds. It must be called on the loop.
 	Now() float64
 }
 
@@ -40,12 +42,13 @@
 	flight.BaseFlightServer
 	loop      Loop
 	core      Core
-	contracts *contract.Contracts // the loop's alone
+	contracts *contract.Contracts // used only on the loop
 	log       *logs.Log
 	server    *grpc.Server
 }
 
-// Listen starts the front. Its error wraps that of the listener. Stop ends the goroutine that accepts connections.
+// Listen starts the front. If the address cannot be listened on, it returns an error that wraps the listener's. Stop
+// ends the goroutine that accepts connections.
 func Listen(config Config, loop Loop, queries Core, contracts *contract.Contracts, log *logs.Log) (*Front, error) {
 	front := &Front{loop: loop, core: queries, contracts: contracts, log: log}
 	listener, err := net.Listen("tcp", config.Listen)
@@ -70,8 +73,8 @@
 	}
 }
 
-// Stop accepts no new connections and calls and lets those in flight end. It does not wait: done runs on the loop when
-// the last call has ended.
+// Stop makes the front accept no new connections or calls, while the calls in flight continue. It does not wait for
+// them; done runs on the loop when the last call has ended.
 func (f *Front) Stop(done func()) {
 	go func() {
 		f.server.GracefulStop()
@@ -85,22 +88,22 @@
 	envelope contract.Envelope
 	ticket   []byte
 
-	// submitted receives the error of submit; the capacity of 1 keeps the loop from waiting.
-	submitted chan error
-	// answer receives the final answer; the capacity of 1 keeps the loop from waiting.
+	// submitResult receives the result of submit. Its capacity of 1 keeps the loop from blocking.
+	submitResult chan error
+	// answer receives the final answer. Its capacity of 1 keeps the loop from blocking.
 	answer chan core.Answer
-	// request is the loop's. It is set before submitted receives.
+	// request is used only on the loop. It is set before submitResult receives a value.
 	request *core.Request
 }
 
 // Deliver implements core.Client.
 func (c *clientCall) Deliver(answer core.Answer) { c.answer <- answer }
 
-// DoGet answers a query: the ticket is its body, the call's metadata its envelope, the call's deadline its deadline.
-// It implements the Flight service. Errors are gRPC statuses, see front_answer.go.
+// DoGet implements the Flight service. It answers a query: the ticket is the query's body, the call's metadata its
+// envelope and the call's deadline its deadline. Errors are gRPC statuses (see front_answer.go).
 func (f *Front) DoGet(ticket *flight.Ticket, stream flight.FlightService_DoGetServer) error {
 	ctx := stream.Context()
-	envelope, err := envelope(ctx)
+	envelope, err := parseEnvelope(ctx)
 	if err != nil {
 		return err
 	}
@@ -108,17 +111,17 @@
 		return status.Error(codes.InvalidArgument, "the ticket is over 64 KiB")
 	}
 	call := &clientCall{
-		front:     f,
-		envelope:  envelope,
-		ticket:    ticket.GetTicket(),
-		submitted: make(chan error, 1),
-		answer:    make(chan core.Answer, 1),
+		front:        f,
+		envelope:     envelope,
+		ticket:       ticket.GetTicket(),
+		submitResult: make(chan error, 1),
+		answer:       make(chan core.Answer, 1),
 	}
-	f.loop.Post(func() { call.submitted <- call.submit(ctx) })
-	if err := <-call.submitted; err != nil {
+	f.loop.Post(func() { call.submitResult <- call.submit(ctx) })
+	if err := <-call.submitResult; err != nil {
 		return invalidQueryStatus(err)
 	}
-	answer, err := call.await(ctx)
+	answer, err := call.awaitAnswer(ctx)
 	if err != nil {
 		return err
 	}
@@ -128,8 +131,8 @@
 	return sendAnswer(stream, answer)
 }
 
-// submit hands the query to core. It runs on the loop. The time that the call waited for the loop is part of the
-// client's timeout.
+// submit submits the query to core. It runs on the loop. The time for which the call has waited for the loop counts
+// against the client's timeout.
 func (c *clientCall) submit(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
 		return err
@@ -146,9 +149,9 @@
 	return c.front.core.Submit(request)
 }
 
-// await waits for the final answer. If the call ends first, core is informed and the call's status returned; an answer
-// that is there by then still counts.
-func (c *clientCall) await(ctx context.Context) (core.Answer, error) {
+// awaitAnswer waits for the final answer. If the call ends first, it informs core and returns the call's status,
+// unless the answer has arrived by then.
+func (c *clientCall) awaitAnswer(ctx context.Context) (core.Answer, error) {
 	select {
 	case answer := <-c.answer:
 		return answer, nil
@@ -163,8 +166,8 @@
 	return core.Answer{}, status.FromContextError(ctx.Err()).Err()
 }
 
-// GetFlightInfo returns the only endpoint of a query, this broker: the descriptor's command becomes its ticket. It
-// implements the Flight service.
+// GetFlightInfo implements the Flight service. It returns this broker as the only endpoint of a query, with the
+// descriptor's command as the ticket.
 func (f *Front) GetFlightInfo(_ context.Context, descriptor *flight.FlightDescriptor) (*flight.FlightInfo, error) {
 	command := descriptor.GetCmd()
 	if descriptor.GetType() != flight.DescriptorCMD || len(command) == 0 || len(command) > maxTicketBytes {
@@ -179,18 +182,19 @@
 	}, nil
 }
 
-// GetSchema returns the schema of answers, without the columns that they have while shards move. It implements the
-// Flight service.
+// GetSchema implements the Flight service. It returns the schema of answers without the additional columns that
+// answers have while shards move.
 func (f *Front) GetSchema(context.Context, *flight.FlightDescriptor) (*flight.SchemaResult, error) {
 	return &flight.SchemaResult{Schema: serializedAnswerSchema()}, nil
 }
 
+// serializedAnswerSchema returns the schema of answers without the additional columns.
 func serializedAnswerSchema() []byte {
 	return flight.SerializeSchema(arrow.NewSchema(answerFields, nil), memory.DefaultAllocator)
 }
 
-// toMs converts a duration to the loop's unit.
+// toMs converts a duration to milliseconds, the loop's unit.
 func toMs(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// fromMs converts from the loop's unit.
+// fromMs converts milliseconds, the loop's unit, to a duration.
 func fromMs(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/transport/flight/front_answer.go
+++ b/internal/transport/flight/front_answer.go
@@ -22,11 +22,11 @@
 	"ternstage/internal/core"
 )
 
-// minRetryDelayMs is the least RetryDelay of a rejected query.
+// minRetryDelayMs is the minimum RetryDelay of a rejected query, in milliseconds.
 const minRetryDelayMs = 1.0
 
-// invalidQueryStatus returns the status of a query that was not submitted. An outdated epoch has an ErrorInfo with the
-// one in use.
+// invalidQueryStatus returns the status of a query that was not submitted because of err. For a stale epoch the
+// status has an ErrorInfo with the epoch in use.
 func invalidQueryStatus(err error) error {
 	switch {
 	case errors.Is(err, contract.ErrUnknownClass):
@@ -39,15 +39,15 @@
 	var stale *core.StaleEpochError
 	if errors.As(err, &stale) {
 		return statusWithDetail(codes.InvalidArgument, err.Error(), &errdetails.ErrorInfo{
-			Reason:   errorStaleEpoch,
+			Reason:   reasonStaleEpoch,
 			Domain:   errorDomain,
-			Metadata: map[string]string{errorEpochInUse: strconv.FormatUint(stale.Epoch, 10)},
+			Metadata: map[string]string{staleEpochKey: strconv.FormatUint(stale.Epoch, 10)},
 		})
 	}
 	return status.Error(codes.InvalidArgument, err.Error())
 }
 
-// unansweredStatus returns the status of a query that was rejected or failed; nil if it was answered.
+// unansweredStatus returns the status of a query that was rejected or failed, or nil if it was answered.
 func unansweredStatus(answer core.Answer) error {
 	switch {
 	case answer.Kind == core.Answered:
@@ -62,7 +62,7 @@
 	return status.Error(codes.Internal, "failed; what was asked for may have been done")
 }
 
-// statusWithDetail returns a status with one detail, or without it should it not be encodable.
+// statusWithDetail returns a status with one detail. If the detail cannot be encoded, it is left out.
 func statusWithDetail(code codes.Code, message string, detail protoadapt.MessageV1) error {
 	plain := status.New(code, message)
 	detailed, err := plain.WithDetails(detail)
@@ -74,8 +74,8 @@
 
 // sendAnswer sends an answer as one record batch with a row for each part that arrived.
 func sendAnswer(stream flight.FlightService_DoGetServer, answer core.Answer) error {
-	schema := schemaOf(answer)
-	record := recordOf(answer, schema)
+	schema := answerSchema(answer)
+	record := newAnswerRecord(answer, schema)
 	defer record.Release()
 	writer := flight.NewRecordWriter(stream, ipc.WithSchema(schema))
 	if err := writer.Write(record); err != nil {
@@ -84,13 +84,13 @@
 	return writer.Close()
 }
 
-// schemaOf returns the schema of an answer, with the buckets and the epoch while shards move.
-func schemaOf(answer core.Answer) *arrow.Schema {
-	keys := []string{answerComplete}
+// answerSchema returns the schema of an answer. While shards move it includes the bucket columns and the epoch.
+func answerSchema(answer core.Answer) *arrow.Schema {
+	keys := []string{schemaKeyComplete}
 	values := []string{strconv.FormatBool(answer.Complete)}
 	fields := answerFields
 	if answer.Epoch > 0 {
-		keys = append(keys, answerEpoch)
+		keys = append(keys, schemaKeyEpoch)
 		values = append(values, strconv.FormatUint(answer.Epoch, 10))
 		fields = slices.Concat(answerFields, bucketFields)
 	}
@@ -98,8 +98,8 @@
 	return arrow.NewSchema(fields, &metadata)
 }
 
-// recordOf returns the rows of an answer; the caller releases them.
-func recordOf(answer core.Answer, schema *arrow.Schema) arrow.RecordBatch {
+// newAnswerRecord returns the rows of an answer as a record batch, which the caller must release.
+func newAnswerRecord(answer core.Answer, schema *arrow.Schema) arrow.RecordBatch {
 	builder := array.NewRecordBuilder(memory.DefaultAllocator, schema)
 	defer builder.Release()
 	for _, value := range answer.Values {
--- a/internal/transport/flight/front_answer_test.go
+++ b/internal/transport/flight/front_answer_test.go
@@ -62,12 +62,12 @@
 	}
 }
 
-func TestRecordOfAnswer(t *testing.T) {
+func TestNewAnswerRecord(t *testing.T) {
 	answer := core.Answer{Complete: true, Values: []core.Value{{Shard: 3, Doc: []byte("a")}, {Shard: 5, Doc: []byte("b")}}}
 	for _, epoch := range []uint64{0, 17} {
 		answer.Epoch = epoch
-		schema := schemaOf(answer)
-		record := recordOf(answer, schema)
+		schema := answerSchema(answer)
+		record := newAnswerRecord(answer, schema)
 		t.Cleanup(record.Release)
 		assert.Equal(t, int64(2), record.NumRows())
 		complete, _ := schema.Metadata().GetValue("complete")
--- a/internal/transport/flight/front_test.go
+++ b/internal/transport/flight/front_test.go
@@ -22,7 +22,7 @@
 
 const queryBody = `{"shards":[{"shard":3,"weight":1}],"q":"text"}`
 
-// fakeCore records queries. It answers them at once with answer, if there is one.
+// fakeCore records queries. If answer is set, it answers each query with it within Submit.
 type fakeCore struct {
 	answer       *core.Answer
 	submitErr    error
@@ -43,7 +43,7 @@
 
 func (c *fakeCore) ClientDisconnected(request *core.Request) { c.disconnected <- request }
 
-// startFront starts a front and returns a client of it.
+// startFront starts a front and returns it together with a client.
 func startFront(t *testing.T, queries *fakeCore) (*Front, flight.Client) {
 	t.Helper()
 	queries.submitted = make(chan *core.Request, 8)
@@ -62,7 +62,7 @@
 	return front, flight.NewClientFromConn(connection, nil)
 }
 
-// queryContext is the context of a query of class bind.
+// queryContext returns the context of a query of class bind, with its metadata and a timeout.
 func queryContext(t *testing.T, timeout time.Duration) (context.Context, context.CancelFunc) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
@@ -71,7 +71,7 @@
 		"idempotency-key", "key-1"), cancel
 }
 
-// doGet asks a query and returns the reader of its answer.
+// doGet sends a query and returns the reader of its answer.
 func doGet(ctx context.Context, client flight.Client, ticket string) (*flight.Reader, error) {
 	stream, err := client.DoGet(ctx, &flight.Ticket{Ticket: []byte(ticket)})
 	if err != nil {
@@ -148,7 +148,7 @@
 	assert.Same(t, request, receive(t, queries.disconnected))
 }
 
-// TestStopLetsCallsEnd checks that a call in flight is answered after Stop, and that done runs only then.
+// TestStopLetsCallsEnd checks that a call in flight is answered after Stop, and that done runs only after that.
 func TestStopLetsCallsEnd(t *testing.T) {
 	queries := &fakeCore{}
 	front, client := startFront(t, queries)
@@ -163,7 +163,7 @@
 	front.Stop(func() { close(stopped) })
 	select {
 	case <-stopped:
-		require.Fail(t, "stopped with a call in flight")
+		require.Fail(t, "done ran with a call in flight")
 	case <-time.After(50 * time.Millisecond):
 	}
 	request.Client.Deliver(core.Answer{Kind: core.Answered})
--- a/internal/transport/flight/outcome.go
+++ b/internal/transport/flight/outcome.go
@@ -11,11 +11,11 @@
 	"ternstage/internal/decision/scheduler"
 )
 
-// callOutcome returns the outcome of the attempt by the error of its call, and sets backendEpoch with NotHolder. It
-// runs on the attempt's goroutine.
+// callOutcome returns the outcome of an attempt whose call ended with err. For NotHolder it also sets backendEpoch.
+// It runs on the attempt's goroutine.
 func (a *attempt) callOutcome(err error) scheduler.Outcome {
 	if a.Epoch > 0 {
-		if epoch, ok := epochOfNotHolder(err); ok {
+		if epoch, ok := parseNotHolder(err); ok {
 			a.backendEpoch = epoch
 			return scheduler.NotHolder
 		}
@@ -23,8 +23,9 @@
 	return outcomeOfError(err)
 }
 
-// epochOfNotHolder returns the epoch of the backend's shard map if the error says that it is not the holder.
-func epochOfNotHolder(err error) (uint64, bool) {
+// parseNotHolder reports whether err says that the backend does not hold the shard, and returns the epoch of the
+// backend's shard map.
+func parseNotHolder(err error) (uint64, bool) {
 	callStatus, ok := status.FromError(err)
 	if !ok || callStatus.Code() != codes.FailedPrecondition {
 		return 0, false
@@ -34,7 +35,7 @@
 		if !ok || info.Reason != reasonNotHolder {
 			continue
 		}
-		epoch, err := strconv.ParseUint(info.Metadata[notHolderEpoch], 10, 63)
+		epoch, err := strconv.ParseUint(info.Metadata[notHolderEpochKey], 10, 63)
 		if err == nil && epoch > 0 {
 			return epoch, true
 		}
@@ -42,8 +43,8 @@
 	return 0, false
 }
 
-// outcomeOfError returns the outcome of a call that had begun by its error. Only a rejection by the backend proves that
-// the part did not run. Without a status the stream ended early or is malformed.
+// outcomeOfError returns the outcome of a started call that ended with err. Only a rejection by the backend proves
+// that the part did not run. If err has no gRPC status, the stream ended early or is malformed.
 func outcomeOfError(err error) scheduler.Outcome {
 	var withStatus interface{ GRPCStatus() *status.Status }
 	if !errors.As(err, &withStatus) {
--- a/internal/transport/flight/outcome_test.go
+++ b/internal/transport/flight/outcome_test.go
@@ -36,6 +36,7 @@
 	}
 }
 
+// notHolderError returns a status error with an ErrorInfo, as a backend that does not hold the shard returns it.
 func notHolderError(t *testing.T, code codes.Code, reason, epoch string) error {
 	t.Helper()
 	return statusWithDetail(code, "", &errdetails.ErrorInfo{Reason: reason, Metadata: map[string]string{"epoch": epoch}})
