--- a/internal/control/adminops/handover.go
+++ b/internal/control/adminops/handover.go
@@ -14,9 +14,9 @@
 // SlowStartSender is the scheduler as the sender of slow-start traffic.
 type SlowStartSender interface {
 	// HandOver ends sends to warming backends and returns those within the last window.
-	HandOver() []scheduler.WarmupSend
+	HandOver() []scheduler.WarmupAttempt
 	// TakeOver counts sends of a predecessor as the scheduler's own.
-	TakeOver(sends []scheduler.WarmupSend)
+	TakeOver(sends []scheduler.WarmupAttempt)
 	// OtherProcessActive notifies that another process sends to warming backends now: nothing is sent to them for a
 	// window.
 	OtherProcessActive()
--- a/internal/control/adminops/handover_test.go
+++ b/internal/control/adminops/handover_test.go
@@ -19,11 +19,11 @@
 	takenOver   int // calls of TakeOver
 }
 
-var sampleSends = []scheduler.WarmupSend{{Replica: 7, AgeMs: 1, WorkMs: 10}}
+var sampleSends = []scheduler.WarmupAttempt{{Replica: 7, AgeMs: 1, WorkMs: 10}}
 
-func (s *slowStartSender) HandOver() []scheduler.WarmupSend { return sampleSends }
-func (s *slowStartSender) TakeOver([]scheduler.WarmupSend)  { s.takenOver++ }
-func (s *slowStartSender) OtherProcessActive()              { s.otherActive++ }
+func (s *slowStartSender) HandOver() []scheduler.WarmupAttempt { return sampleSends }
+func (s *slowStartSender) TakeOver([]scheduler.WarmupAttempt)  { s.takenOver++ }
+func (s *slowStartSender) OtherProcessActive()                 { s.otherActive++ }
 
 // enableHandover has the process, one of a fleet of two brokers, hand over by the record at path. known tells whether
 // it knows the backends of a record.
--- a/internal/decision/handover/golden_test.go
+++ b/internal/decision/handover/golden_test.go
@@ -28,14 +28,14 @@
 	for name, want := range map[string]handover.Record{
 		"ternstage-cold-sent.json": {Form: "ternstage cold sent", Version: 1, WrittenUnixMs: 1796285471860.254,
 			BrokerCount: 8,
-			Attempts: []scheduler.WarmupSend{
+			Attempts: []scheduler.WarmupAttempt{
 				{Replica: 3, AgeMs: 12.406, WorkMs: 14.25}, {Replica: 3, AgeMs: 371.5, WorkMs: 16},
 				{Replica: 4294967295, AgeMs: 0, WorkMs: 0.125}, {Replica: 12, AgeMs: 1499.875, WorkMs: 80}},
 			Checksum: 1176880317},
 		"nothing-sent.json": {Form: "ternstage cold sent", Version: 1, WrittenUnixMs: 1796285471860.254, BrokerCount: 1,
 			Checksum: 634125391}, // the checksum of "null"
 		"peers-not-known.json": {Form: "ternstage cold sent", Version: 1, WrittenUnixMs: 1796285471860,
-			Attempts: []scheduler.WarmupSend{{Replica: 3, AgeMs: 12.406, WorkMs: 14.25}}, Checksum: 3351134246},
+			Attempts: []scheduler.WarmupAttempt{{Replica: 3, AgeMs: 12.406, WorkMs: 14.25}}, Checksum: 3351134246},
 	} {
 		t.Run(name, func(t *testing.T) {
 			text := readGolden(t, name)
--- a/internal/decision/handover/record.go
+++ b/internal/decision/handover/record.go
@@ -33,14 +33,14 @@
 	// BrokerCount is the number of brokers in the settings of the process, by which it divides quotas; 0 if unknown.
 	BrokerCount int `json:"peers,omitempty"`
 	// Attempts are those sent to warming backends within the last window. Their ages are as of WrittenUnixMs.
-	Attempts []scheduler.WarmupSend `json:"sent"`
+	Attempts []scheduler.WarmupAttempt `json:"sent"`
 	// Checksum is the CRC-32 (IEEE) of the JSON of Attempts.
 	Checksum uint32 `json:"sum"`
 }
 
 // Encode returns the content of a record that is written at writtenUnixMs by a process whose settings name
 // brokerCount brokers; 0 if the number is unknown.
-func Encode(writtenUnixMs float64, brokerCount int, attempts []scheduler.WarmupSend) []byte {
+func Encode(writtenUnixMs float64, brokerCount int, attempts []scheduler.WarmupAttempt) []byte {
 	text, _ := json.Marshal(Record{
 		Form:          recordForm,
 		Version:       RecordVersion,
@@ -81,7 +81,7 @@
 	return nil
 }
 
-func attemptsChecksum(attempts []scheduler.WarmupSend) uint32 {
+func attemptsChecksum(attempts []scheduler.WarmupAttempt) uint32 {
 	text, _ := json.Marshal(attempts)
 	return crc32.ChecksumIEEE(text)
 }
--- a/internal/decision/handover/record_test.go
+++ b/internal/decision/handover/record_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestRecordRoundTrip(t *testing.T) {
-	attempts := []scheduler.WarmupSend{{Replica: 7, AgeMs: 100, WorkMs: 40}, {Replica: 9, AgeMs: 1400, WorkMs: 80}}
+	attempts := []scheduler.WarmupAttempt{{Replica: 7, AgeMs: 100, WorkMs: 40}, {Replica: 9, AgeMs: 1400, WorkMs: 80}}
 	text := Encode(1e12, 8, attempts)
 	record, err := Decode(text)
 	require.NoError(t, err)
--- a/internal/decision/handover/takeover.go
+++ b/internal/decision/handover/takeover.go
@@ -47,7 +47,7 @@
 	return Apply
 }
 
-func (s *Successor) knowsBackends(attempts []scheduler.WarmupSend) bool {
+func (s *Successor) knowsBackends(attempts []scheduler.WarmupAttempt) bool {
 	for _, attempt := range attempts {
 		if !s.Known(attempt.Replica) {
 			return false
@@ -58,9 +58,9 @@
 
 // AgeAttempts returns the attempts of record with their ages as of nowUnixMs, without those older than windowMs. If
 // the wall clock was set back to before WrittenUnixMs, the ages stay as they are.
-func AgeAttempts(record *Record, nowUnixMs, windowMs float64) []scheduler.WarmupSend {
+func AgeAttempts(record *Record, nowUnixMs, windowMs float64) []scheduler.WarmupAttempt {
 	elapsedMs := max(0, nowUnixMs-record.WrittenUnixMs)
-	aged := make([]scheduler.WarmupSend, 0, len(record.Attempts))
+	aged := make([]scheduler.WarmupAttempt, 0, len(record.Attempts))
 	for _, attempt := range record.Attempts {
 		attempt.AgeMs += elapsedMs
 		if attempt.AgeMs <= windowMs {
--- a/internal/decision/handover/takeover_test.go
+++ b/internal/decision/handover/takeover_test.go
@@ -9,8 +9,8 @@
 )
 
 func TestDecide(t *testing.T) {
-	knownBackend := []scheduler.WarmupSend{{Replica: 7, AgeMs: 100, WorkMs: 40}}
-	withUnknownBackend := append(knownBackend, scheduler.WarmupSend{Replica: 9, AgeMs: 0, WorkMs: 10})
+	knownBackend := []scheduler.WarmupAttempt{{Replica: 7, AgeMs: 100, WorkMs: 40}}
+	withUnknownBackend := append(knownBackend, scheduler.WarmupAttempt{Replica: 9, AgeMs: 0, WorkMs: 10})
 	for _, test := range []struct {
 		name          string
 		record        Record
@@ -37,9 +37,9 @@
 }
 
 func TestAgeAttempts(t *testing.T) {
-	record := &Record{WrittenUnixMs: 10_000, Attempts: []scheduler.WarmupSend{
+	record := &Record{WrittenUnixMs: 10_000, Attempts: []scheduler.WarmupAttempt{
 		{Replica: 7, AgeMs: 100, WorkMs: 40}, {Replica: 8, AgeMs: 1300, WorkMs: 50}}}
-	assert.Equal(t, []scheduler.WarmupSend{{Replica: 7, AgeMs: 400, WorkMs: 40}}, AgeAttempts(record, 10_300, 1500),
+	assert.Equal(t, []scheduler.WarmupAttempt{{Replica: 7, AgeMs: 400, WorkMs: 40}}, AgeAttempts(record, 10_300, 1500),
 		"ages grow by the time since the record was written, and attempts older than the window are left out")
 	assert.Len(t, AgeAttempts(record, 9_000, 1500), 2, "a clock that was set back leaves the ages as they are")
 }
--- a/internal/decision/scheduler/handover.go
+++ b/internal/decision/scheduler/handover.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// WarmupSend is work that one process of a broker sent to a warming replica within the window of its slow-start
-// allowance.
-type WarmupSend struct {
+// WarmupAttempt is work that one process of a broker sent to a warming replica within the window of its slow-start
+// slow-start allowance.
+type WarmupAttempt struct {
 	// Replica is the number of the replica.
 	Replica uint32 `json:"replica"`
 	// AgeMs is how long before the handover the work was sent, in ms.
@@ -15,14 +15,14 @@
 
 // HandOver ends what this process sends to warming replicas and returns what it sent them within the window, for the
 // process that takes over the same broker. Attempts in flight stay; warm replicas are used as before.
-func (s *Scheduler) HandOver(now float64) []WarmupSend {
+func (s *Scheduler) HandOver(now float64) []WarmupAttempt {
 	s.slowStart.handedOver = true
 	oldest := now - s.slowStart.settings.Window
-	var sends []WarmupSend
+	var sends []WarmupAttempt
 	for id, r := range s.replicas.byID {
 		for _, sample := range r.warmup.sent {
 			if sample.at >= oldest {
-				sends = append(sends, WarmupSend{Replica: id, AgeMs: now - sample.at, WorkMs: sample.workMs})
+				sends = append(sends, WarmupAttempt{Replica: id, AgeMs: now - sample.at, WorkMs: sample.workMs})
 			}
 		}
 	}
@@ -37,7 +37,7 @@
 // TakeOver counts what the process that hands over sent to warming replicas as sent by this one, and ends the wait
 // of the first window after a start, as that process sends them nothing more. Sends to replicas that are not known
 // here are dropped.
-func (s *Scheduler) TakeOver(now float64, sends []WarmupSend) {
+func (s *Scheduler) TakeOver(now float64, sends []WarmupAttempt) {
 	for _, send := range sends {
 		r := s.replicas.byID[send.Replica]
 		isValid := send.AgeMs >= 0 && send.AgeMs <= s.slowStart.settings.Window && send.WorkMs >= 0
