--- a/internal/decision/scheduler/admission.go
+++ b/internal/decision/scheduler/admission.go
@@ -122,7 +122,7 @@
 // cannot be met any more. A retry may be misclassified if its client sets a shorter deadline. First requests only
 // update the mean time left.
 func (s *Scheduler) lowerClientRetryPriority(now float64, q *query) {
-	meanFirstRequestMs := &s.firstTryMs[q.Class]
+	meanFirstRequestMs := &s.meanFirstRequestMs[q.Class]
 	remaining := q.Deadline - now
 	if !q.ClientRetry {
 		*meanFirstRequestMs += (remaining - *meanFirstRequestMs) * meanGain
@@ -165,7 +165,7 @@
 	}
 	hasNoTimeLeft := now >= q.Deadline-s.answerMarginMs
 	if rejected != notRejected || len(q.parts) == 0 || hasNoTimeLeft {
-		s.finish(now, q)
+		s.endStep(now, q)
 		return
 	}
 	s.lastAdmittedAt = now
--- a/internal/decision/scheduler/availability.go
+++ b/internal/decision/scheduler/availability.go
@@ -7,7 +7,7 @@
 // passed, and now for a warm one. A replica that is warming up is available once the part fits into this broker's
 // quota of its slow-start allowance.
 func (s *Scheduler) availableAt(now float64, r *replica, cost float64) float64 {
-	if r.State == Removed || !r.drain.mayStillBeSent(now, s.settings.DrainGrace) {
+	if r.State == Removed || !r.drain.allowsAttempts(now, s.settings.DrainGrace) {
 		return math.Inf(1)
 	}
 	if s.slowStart.isWarm(now, r) {
--- a/internal/decision/scheduler/backend_drain.go
+++ b/internal/decision/scheduler/backend_drain.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// mayStillBeSent reports whether a replica that leaves may still be sent attempts; a ready one always may.
-func (d *drainState) mayStillBeSent(now, drainGraceMs float64) bool {
+// allowsAttempts reports whether a replica that leaves may still be sent attempts; a ready one always may.
+func (d *drainState) allowsAttempts(now, drainGraceMs float64) bool {
 	return now <= d.informedAt+drainGraceMs*drainSendShare
 }
--- a/internal/decision/scheduler/completion.go
+++ b/internal/decision/scheduler/completion.go
@@ -6,8 +6,8 @@
 	negligibleLateFactor = 0.15
 	// finalAnswerMarginMs is how long before the client leaves the final answer is sent; a tick of the timer is added.
 	finalAnswerMarginMs = 10.0
-	// superviseIntervalMs is the time between looks at open queries; it is finer than any latency judged.
-	superviseIntervalMs = 10.0
+	// openQueryIntervalMs is the time between looks at open queries; it is finer than any latency judged.
+	openQueryIntervalMs = 10.0
 	// wastedWorkObjectiveShare is the share of the shortest objective that a median part must take for a query that
 	// ends unanswered to show overload.
 	wastedWorkObjectiveShare = 0.25
@@ -15,38 +15,38 @@
 	retryAfterObjectiveShare = 0.5
 )
 
-// superviseQueries ends queries that are out of time and looks after the parts of the others.
-func (s *Scheduler) superviseQueries(now float64) {
+// processOpenQueries ends queries that are out of time and looks after the parts of the others.
+func (s *Scheduler) processOpenQueries(now float64) {
 	for _, q := range s.openQueries {
 		if q.ended {
 			continue
 		}
-		hasEnded := s.expire(now, q)
+		hasEnded := s.endIfDue(now, q)
 		if !hasEnded {
-			s.superviseParts(now, q)
+			s.retryOrHedgeParts(now, q)
 		}
 	}
 	s.openQueries = removeEnded(s.openQueries)
 }
 
-// settle ends a query that is complete, and one that can no longer become so: with a partial answer at once where
+// endIfDecided ends a query that is complete, and one that can no longer become so: with a partial answer at once where
 // that is allowed.
-func (s *Scheduler) settle(now float64, q *query) {
+func (s *Scheduler) endIfDecided(now float64, q *query) {
 	reachable := 0.0
 	for _, p := range q.parts {
 		reachable += p.weightIf(func(p *part) bool {
-			return p.arrived || p.attemptsInFlight > 0 || s.mayAttempt(now, p)
+			return p.arrived || p.attemptsInFlight > 0 || s.canAttempt(now, p)
 		})
 	}
 	isFinal := reachable < q.class.MinCompleteness-weightTolerance || q.arrivedWeight >= reachable-weightTolerance
 	if q.isCompleteWith(q.arrivedWeight) || (!q.isCompleteWith(reachable) && isFinal) {
-		s.finish(now, q)
+		s.endStep(now, q)
 	}
 }
 
-// expire ends a query whose time is up or whose waiting parts are not worth the wait, and reports whether it has
+// endIfDue ends a query whose time is up or whose waiting parts are not worth the wait, and reports whether it has
 // ended.
-func (s *Scheduler) expire(now float64, q *query) bool {
+func (s *Scheduler) endIfDue(now float64, q *query) bool {
 	class := q.class
 	last := q.Deadline - s.answerMarginMs
 	if class.LateFactor < negligibleLateFactor {
@@ -54,11 +54,11 @@
 	}
 	switch {
 	case now >= last:
-		s.finish(now, q)
+		s.endStep(now, q)
 	case s.isPartialAnswerDue(now, q):
-		s.finish(now, q)
+		s.endStep(now, q)
 	case now > max(q.objectiveAt, q.arrivedAt) && q.hasQueuedPart():
-		s.finish(now, q) // what is late and not even sent makes way for others
+		s.endStep(now, q) // what is late and not even sent makes way for others
 	}
 	return q.ended
 }
@@ -66,8 +66,8 @@
 // isPartialAnswerDue reports whether the objective is about to pass and a partial answer now is worth more than a
 // complete one later.
 func (s *Scheduler) isPartialAnswerDue(now float64, q *query) bool {
-	isObjectiveNear := now+s.answerMarginMs+superviseIntervalMs >= q.objectiveAt
-	if !isObjectiveNear || !q.mayAnswerPartially() {
+	isObjectiveNear := now+s.answerMarginMs+openQueryIntervalMs >= q.objectiveAt
+	if !isObjectiveNear || !q.canAnswerPartially() {
 		return false
 	}
 	class := q.class
@@ -83,18 +83,18 @@
 	return weight >= 1-weightTolerance || (q.step == 0 && isTargetReached)
 }
 
-// mayAnswerPartially reports whether the class allows a partial answer with what has arrived.
-func (q *query) mayAnswerPartially() bool {
+// canAnswerPartially reports whether the class allows a partial answer with what has arrived.
+func (q *query) canAnswerPartially() bool {
 	class := q.class
 	return class.MinCompleteness < class.CompletenessTarget && q.arrivedWeight > 0 &&
 		q.arrivedWeight >= class.MinCompleteness-weightTolerance
 }
 
-// finish gives a query's one final answer: an answer if enough has arrived, else a rejection if that is harmless,
+// endStep gives a query's one final answer: an answer if enough has arrived, else a rejection if that is harmless,
 // else a failure. The first answer of a class with a second step keeps the query open instead.
-func (s *Scheduler) finish(now float64, q *query) {
+func (s *Scheduler) endStep(now float64, q *query) {
 	class := q.class
-	isAnswered := q.isCompleteWith(q.arrivedWeight) || q.mayAnswerPartially()
+	isAnswered := q.isCompleteWith(q.arrivedWeight) || q.canAnswerPartially()
 	isComplete := q.isCompleteWith(q.arrivedWeight) && (q.step == 0 || q.firstStepComplete)
 	s.learnQueryEnd(now, q, isAnswered, isComplete)
 	switch {
@@ -110,7 +110,7 @@
 	default:
 		s.actions.Fail(q.ID)
 	}
-	s.forget(q)
+	s.dropQuery(q)
 }
 
 // learnQueryEnd learns from the end of a query how much time queries need and whether the fleet is overloaded. A
@@ -135,12 +135,12 @@
 // ClientDisconnected drops a query that its client has left.
 func (s *Scheduler) ClientDisconnected(_ float64, id uint64) {
 	if q := s.queries[id]; q != nil {
-		s.forget(q)
+		s.dropQuery(q)
 	}
 }
 
-// forget drops a query, takes its parts out of the queues and cancels what is in flight.
-func (s *Scheduler) forget(q *query) {
+// dropQuery drops a query, takes its parts out of the queues and cancels what is in flight.
+func (s *Scheduler) dropQuery(q *query) {
 	q.ended = true
 	delete(s.queries, q.ID)
 	if s.queriesByGroup[q.QueryGroup] == q {
--- a/internal/decision/scheduler/dispatch.go
+++ b/internal/decision/scheduler/dispatch.go
@@ -6,8 +6,8 @@
 	number int
 }
 
-// minTimeoutMs is the shortest time that an attempt is given.
-const minTimeoutMs = 1
+// minAttemptTimeoutMs is the shortest time that an attempt is given.
+const minAttemptTimeoutMs = 1
 
 // dispatch sends a part to a replica and reports whether the rules allow it. Every attempt passes here: the query
 // has time left, the replica's drain and slow start allow it, and retries are allowed and within their budget.
@@ -18,7 +18,7 @@
 		return false
 	}
 	if len(p.attempts) > 0 {
-		if !s.mayAttempt(now, p) || !s.retryBudget.allows(now, s.arrivals) {
+		if !s.canAttempt(now, p) || !s.retryBudget.allows(now, s.arrivals) {
 			return false
 		}
 		s.retryBudget.spend(now)
@@ -35,7 +35,7 @@
 // ones first where they are likely to be lost.
 func (s *Scheduler) prepareConnection(now float64, r *replica) float64 {
 	idleMs := r.idleTimeMs(now)
-	if idleMs > idleConnectionMinMs && len(r.inFlight) == 0 && s.idle.areUnsafe(now) {
+	if idleMs > idleConnectionMinMs && len(r.inFlight) == 0 && s.idle.shouldClose(now) {
 		s.actions.CloseIdleConnections(r.Replica)
 		return 0
 	}
@@ -44,7 +44,7 @@
 
 // startAttempt records an attempt as in flight.
 func (s *Scheduler) startAttempt(now float64, p *part, r *replica, idleMs float64) {
-	call := s.callOfRound(r)
+	call := s.joinOrStartCall(r)
 	call.partsInFlight++
 	call.parts++
 	call.cost += p.cost
@@ -67,9 +67,9 @@
 	s.attempts[attemptKey{part: p.ID, number: a.number}] = a
 }
 
-// callOfRound is the call to a replica that an attempt of this round joins: the one begun in this round while it
+// joinOrStartCall is the call to a replica that an attempt of this round joins: the one begun in this round while it
 // takes more parts, else a new one.
-func (s *Scheduler) callOfRound(r *replica) *callInFlight {
+func (s *Scheduler) joinOrStartCall(r *replica) *callInFlight {
 	call := r.currentCall
 	isFull := call == nil || call.parts >= s.settings.MaxPartsPerCall || call.partsInFlight == 0
 	if r.currentRound == s.round && !isFull {
@@ -85,7 +85,7 @@
 // worth little it ends at the objective, so that the replica need not begin what would come too late.
 func (s *Scheduler) attemptTimeoutMs(now float64, q *query, remaining float64) float64 {
 	if q.class.LateFactor < negligibleLateFactor {
-		return min(remaining, max(q.objectiveAt-now, minTimeoutMs))
+		return min(remaining, max(q.objectiveAt-now, minAttemptTimeoutMs))
 	}
 	return remaining
 }
--- a/internal/decision/scheduler/endpoint_list.go
+++ b/internal/decision/scheduler/endpoint_list.go
@@ -39,10 +39,10 @@
 	return pollServiceMs * float64(max(0, s.settings.BrokerCount-fleetshare.SmallFleetBrokers))
 }
 
-// backOff puts the next poll off after a failure. The delay grows and is jittered, so that a fleet does not keep the
+// schedulePollAfterFailure puts the next poll off after a failure. The delay grows and is jittered, so that a fleet does not keep the
 // service from recovering. It stays short in a small fleet, as changes must arrive within seconds of its return, and
 // while no list is known, as nothing can be served without one.
-func (s *Scheduler) backOff(now float64) {
+func (s *Scheduler) schedulePollAfterFailure(now float64) {
 	fleetMs := s.fleetPollMs()
 	if len(s.replicas.ordered) == 0 {
 		fleetMs = 0
@@ -72,9 +72,9 @@
 	return max(staleness/3, 2*min(fleetMs, staleness), s.settings.TimerResolution)
 }
 
-// updateReceived notes that a poll or watch brought an update. A cached list may be old, and the same at every
+// schedulePollAfterUpdate notes that a poll or watch brought an update. A cached list may be old, and the same at every
 // broker, so that the polls that follow it are spread.
-func (s *Scheduler) updateReceived(now float64, kind UpdateKind, entries int) {
+func (s *Scheduler) schedulePollAfterUpdate(now float64, kind UpdateKind, entries int) {
 	s.poll.backoffMs = 0
 	s.poll.dueAt = math.Inf(1)
 	if kind != UpdateCached || !s.settings.PollEndpoints {
@@ -86,8 +86,8 @@
 	}
 }
 
-// pollEndpoints polls the endpoint list when that is due.
-func (s *Scheduler) pollEndpoints(now float64) {
+// pollEndpointsIfDue polls the endpoint list when that is due.
+func (s *Scheduler) pollEndpointsIfDue(now float64) {
 	if !s.settings.PollEndpoints || now < s.poll.dueAt {
 		return
 	}
@@ -100,10 +100,10 @@
 func (s *Scheduler) EndpointsChanged(now float64, kind UpdateKind, entries []Endpoint) {
 	s.slowStart.startedAt = cmp.Or(s.slowStart.startedAt, now)
 	if kind == UpdateFailed {
-		s.backOff(now)
+		s.schedulePollAfterFailure(now)
 		return
 	}
-	s.updateReceived(now, kind, len(entries))
+	s.schedulePollAfterUpdate(now, kind, len(entries))
 	listed := make(map[uint32]bool, len(entries))
 	for _, e := range entries {
 		listed[e.Replica] = true
--- a/internal/decision/scheduler/endpoint_list_test.go
+++ b/internal/decision/scheduler/endpoint_list_test.go
@@ -265,12 +265,12 @@
 		s := &Scheduler{settings: Settings{BrokerCount: test.brokers, MaxStaleness: 10000}}
 		s.replicas.ordered = test.replicas
 		for i, want := range test.want {
-			s.backOff(0)
+			s.schedulePollAfterFailure(0)
 			assert.InDelta(t, want, s.poll.backoffMs, 1e-6, "%s, failure %d", name, i)
 			assert.GreaterOrEqual(t, s.poll.dueAt, 0.5*want, "%s, failure %d", name, i)
 			assert.LessOrEqual(t, s.poll.dueAt, want, "%s, failure %d", name, i)
 		}
-		s.updateReceived(0, UpdateDelta, 1)
+		s.schedulePollAfterUpdate(0, UpdateDelta, 1)
 		assert.Equal(t, endpointPoll{dueAt: math.Inf(1)}, s.poll, name)
 	}
 }
--- a/internal/decision/scheduler/hedging.go
+++ b/internal/decision/scheduler/hedging.go
@@ -14,17 +14,17 @@
 	hedgeBudgetSpare = 4.0
 	hedgeBudgetRatio = 0.05
 
-	// overloadMemoryMs is for how long after an overload a slow fleet gets neither.
-	overloadMemoryMs = 1000
-	// After a rejection, a fleet whose median latency is above slowFleetLevel gets no hedged requests, and one above
-	// slowFleetReassignLevel no reassignments, which throw away what was about to come.
-	slowFleetLevel         = 2.0
-	slowFleetReassignLevel = 1.4
+	// recentOverloadMs is for how long after an overload a slow fleet gets neither.
+	recentOverloadMs = 1000
+	// After a rejection, a fleet whose median latency is above maxHedgingMedian gets no hedged requests, and one above
+	// maxReassignmentMedian no reassignments, which throw away what was about to come.
+	maxHedgingMedian      = 2.0
+	maxReassignmentMedian = 1.4
 
 	// reassignLatencyFactor is how many times the latency of another replica makes a late part leave its own.
 	reassignLatencyFactor = 4.0
-	// reassignFailure is the share of a failure that a reassignment counts for non-idempotent parts.
-	reassignFailure = 0.5
+	// reassignmentFailureShare is the share of a failure that a reassignment counts for non-idempotent parts.
+	reassignmentFailureShare = 0.5
 )
 
 // isLate reports whether an attempt has taken far longer than expected, as the fleet is now.
@@ -32,9 +32,9 @@
 	return now-a.sentAt > hedgeDelayFactor*s.latency.fleetMedian*s.expectedLatencyMs(a)
 }
 
-// superviseAttempt covers an attempt that is late: with a substitute part, a hedged request, or by
+// handleIfLate covers an attempt that is late: with a substitute part, a hedged request, or by
 // reassigning it to another replica.
-func (s *Scheduler) superviseAttempt(now float64, p *part, a *attempt) {
+func (s *Scheduler) handleIfLate(now float64, p *part, a *attempt) {
 	if !s.isLate(now, a) {
 		return
 	}
@@ -47,13 +47,13 @@
 	if now-q.arrivedAt <= hedgeObjectiveShare*q.class.LatencyObjective {
 		return
 	}
-	a.covered = s.cover(now, p, a)
+	a.covered = s.coverLateAttempt(now, p, a)
 }
 
-// cover asks for a substitute, a hedged request or a reassignment of a late attempt, in this order, and reports
+// coverLateAttempt asks for a substitute, a hedged request or a reassignment of a late attempt, in this order, and reports
 // whether one was possible.
-func (s *Scheduler) cover(now float64, p *part, a *attempt) bool {
-	if s.askSubstitute(now, p.query) {
+func (s *Scheduler) coverLateAttempt(now float64, p *part, a *attempt) bool {
+	if s.queueSubstitute(now, p.query) {
 		return true
 	}
 	if s.hedge(now, p) {
@@ -65,7 +65,7 @@
 // hedge sends a hedged request of a late part to a healthy replica that it was not sent to before, and reports
 // whether it did. It sends none while something is queued at the part's replicas or the fleet is congested.
 func (s *Scheduler) hedge(now float64, p *part) bool {
-	if !s.mayAttemptNow(now, p) || s.isOverloaded(now, p, slowFleetLevel) || !s.hedgeBudgetAllows(now) {
+	if !s.canAttemptNow(now, p) || s.isOverloaded(now, p, maxHedgingMedian) || !s.hedgeBudgetAllows(now) {
 		return false
 	}
 	r := s.selectForExtraAttempt(now, p)
@@ -90,7 +90,7 @@
 	if settings.MaxAttempts > 0 && len(p.attempts) >= settings.MaxAttempts {
 		return false
 	}
-	if s.isOverloaded(now, p, slowFleetReassignLevel) || !s.hedgeBudgetAllows(now) {
+	if s.isOverloaded(now, p, maxReassignmentMedian) || !s.hedgeBudgetAllows(now) {
 		return false
 	}
 	selected := s.selectReplica(now, p, p.cost, true)
@@ -103,7 +103,7 @@
 	}
 	s.hedges.add(now, hedgeWindowMs)
 	// Once nothing is in flight there, the replica's latency fades before it is healthy.
-	a.replica.observeNonIdempotent(now, p.query.class, reassignFailure)
+	a.replica.observeNonIdempotent(now, p.query.class, reassignmentFailureShare)
 	s.actions.Cancel(p.ID, a.number)
 	return true
 }
@@ -111,10 +111,10 @@
 // isOverloaded reports whether calls wait at a part's replicas, or the fleet is slower than a level shortly after a
 // rejection or shed load.
 func (s *Scheduler) isOverloaded(now float64, p *part, level float64) bool {
-	if s.queuedSince(p.Shard, now) < now {
+	if s.oldestQueuedAtReplicasOf(p.Shard, now) < now {
 		return true
 	}
-	return s.latency.overloadMedian > level && now < s.lastOverloadAt+overloadMemoryMs
+	return s.latency.overloadMedian > level && now < s.lastOverloadAt+recentOverloadMs
 }
 
 // hedgeBudgetAllows reports whether one more hedged request or reassignment stays within the budget.
--- a/internal/decision/scheduler/hedging_test.go
+++ b/internal/decision/scheduler/hedging_test.go
@@ -101,14 +101,14 @@
 				case otherShard:
 					s.queues.activate(3, h.now).oldestQueuedAt = h.now - 100
 				case sameShard:
-					s.queuedSinceByGroup[group] = h.now - 100
+					s.oldestQueuedAtByGroup[group] = h.now - 100
 					p := s.parts[h.inFlight[0].part.Part.ID]
 					if s.hedge(h.now, p) {
 						t.Fatal("hedged while a part is queued for the same replicas")
 					}
 					i = roundsLimit
 				case slowFleet:
-					s.latency.overloadMedian = slowFleetLevel + 1
+					s.latency.overloadMedian = maxHedgingMedian + 1
 				}
 				h.advance(10, nil)
 			}
--- a/internal/decision/scheduler/idle_connections.go
+++ b/internal/decision/scheduler/idle_connections.go
@@ -8,9 +8,9 @@
 	idleConnectionMinMs = 250.0
 	// idleLossGain is the weight of the newest send on an idle connection; two losses in a row are a suspicion.
 	idleLossGain = 0.3
-	// idleLossReplicas is the number of replicas up to which one loss has its full weight. Among more, each is met
+	// idleLossFullWeightReplicas is the number of replicas up to which one loss has its full weight. Among more, each is met
 	// on an idle connection anyway, and the weight falls with the square of their number.
-	idleLossReplicas = 20.0
+	idleLossFullWeightReplicas = 20.0
 	// idleLossThreshold is the loss rate from which idle connections are closed before a send.
 	idleLossThreshold = 0.35
 	// idleLossHalfLifeMs is the half-life of the loss rate; then idle connections are tried again.
@@ -27,17 +27,17 @@
 	lossRate decayingAverage
 }
 
-// areUnsafe reports whether idle connections are to be closed before a send.
-func (c *idleConnections) areUnsafe(now float64) bool {
+// shouldClose reports whether idle connections are to be closed before a send.
+func (c *idleConnections) shouldClose(now float64) bool {
 	return c.lossRate.valueAt(now, idleLossHalfLifeMs) > idleLossThreshold
 }
 
-// dialWasSlow notes that a new connection was slow to come up: closing idle ones is expensive now.
-func (c *idleConnections) dialWasSlow() { c.lossRate.value *= slowDialFactor }
+// recordSlowDial notes that a new connection was slow to come up: closing idle ones is expensive now.
+func (c *idleConnections) recordSlowDial() { c.lossRate.value *= slowDialFactor }
 
 // lossWeight is what one loss weighs among so many replicas.
 func lossWeight(replicas int) float64 {
-	return min(1, math.Pow(idleLossReplicas/float64(replicas+1), 2))
+	return min(1, math.Pow(idleLossFullWeightReplicas/float64(replicas+1), 2))
 }
 
 // observe learns from the end of an attempt and reports whether its idle connection, and not its replica, is to
--- a/internal/decision/scheduler/idle_connections_test.go
+++ b/internal/decision/scheduler/idle_connections_test.go
@@ -109,7 +109,7 @@
 			h.endAttempt(a, ConnectFailed)
 		}
 	}
-	if h.scheduler.idle.areUnsafe(h.now) {
+	if h.scheduler.idle.shouldClose(h.now) {
 		t.Error("idle connections are still closed although new ones cannot be made")
 	}
 }
--- a/internal/decision/scheduler/learning.go
+++ b/internal/decision/scheduler/learning.go
@@ -38,17 +38,17 @@
 	if result.Outcome == Succeeded {
 		p.query.arrivedWeight += p.markArrived()
 		s.cancelAttempts(p)
-		s.settle(now, p.query)
+		s.endIfDecided(now, p.query)
 		return
 	}
 	if p.attemptsInFlight > 0 {
 		return
 	}
 	// If a substitute part was queued, the failed part becomes a reserve part. Otherwise it waits for its retry.
-	hasSubstitute := s.askSubstitute(now, p.query)
+	hasSubstitute := s.queueSubstitute(now, p.query)
 	p.reserve = hasSubstitute
 	if !hasSubstitute {
-		s.settle(now, p.query)
+		s.endIfDecided(now, p.query)
 	}
 }
 
@@ -122,7 +122,7 @@
 	r.limit.observe(now, a, isQueueing)
 	s.adaptFleetLimit(now, a)
 	if perCost < s.latency.baseline {
-		s.slowStart.observeSpeed(a.replicaCost)
+		s.slowStart.observeReplicaSpeed(a.replicaCost)
 	}
 	s.observeOutcome(now, r, a.part.query.class, 0)
 }
@@ -177,7 +177,7 @@
 		r.outliers.failureRate = decayingAverage{at: now, value: 1}
 		s.openCircuit(now, r, openCircuitParts)
 	} else {
-		s.idle.dialWasSlow()
+		s.idle.recordSlowDial()
 	}
 	s.observeOutcome(now, r, a.part.query.class, 1)
 }
--- a/internal/decision/scheduler/placement.go
+++ b/internal/decision/scheduler/placement.go
@@ -41,24 +41,24 @@
 	return replicas
 }
 
-// noteQueueing notes since when calls wait at each placement group: what waits at one of its shards says how long a
+// updateOldestQueued notes since when calls wait at each placement group: what waits at one of its shards says how long a
 // part of another one would.
-func (s *Scheduler) noteQueueing(now float64) {
-	clear(s.queuedSinceByGroup)
+func (s *Scheduler) updateOldestQueued(now float64) {
+	clear(s.oldestQueuedAtByGroup)
 	for _, queues := range s.queues.active {
 		if queues.oldestQueuedAt >= now {
 			continue
 		}
 		group := s.settings.Placement.Group(queues.shard)
-		known := cmp.Or(s.queuedSinceByGroup[group], queues.oldestQueuedAt)
-		s.queuedSinceByGroup[group] = min(queues.oldestQueuedAt, known)
+		known := cmp.Or(s.oldestQueuedAtByGroup[group], queues.oldestQueuedAt)
+		s.oldestQueuedAtByGroup[group] = min(queues.oldestQueuedAt, known)
 	}
 }
 
-// queuedSince is since when the oldest call waits at the replicas of a shard, as of the beginning of the round; now
+// oldestQueuedAtReplicasOf is since when the oldest call waits at the replicas of a shard, as of the beginning of the round; now
 // if none does.
-func (s *Scheduler) queuedSince(shard int, now float64) float64 {
-	return cmp.Or(s.queuedSinceByGroup[s.settings.Placement.Group(shard)], now)
+func (s *Scheduler) oldestQueuedAtReplicasOf(shard int, now float64) float64 {
+	return cmp.Or(s.oldestQueuedAtByGroup[s.settings.Placement.Group(shard)], now)
 }
 
 // queueWaitMs is for how long the oldest call waits at the replicas of a part's shard, or of a part that counts with
@@ -66,7 +66,7 @@
 func (s *Scheduler) queueWaitMs(now float64, p *part) float64 {
 	longest := 0.0
 	for _, companion := range p.groupParts() {
-		longest = max(longest, now-s.queuedSince(companion.Shard, now))
+		longest = max(longest, now-s.oldestQueuedAtReplicasOf(companion.Shard, now))
 	}
 	return longest
 }
--- a/internal/decision/scheduler/placement_test.go
+++ b/internal/decision/scheduler/placement_test.go
@@ -12,9 +12,9 @@
 	h := newHarness(t, settings)
 	h.scheduler.queues.activate(0, h.now).fifo[0] = []*queuedCall{{}}
 	h.scheduler.queues.activate(0, h.now).oldestQueuedAt = h.now - 200
-	h.scheduler.noteQueueing(h.now)
+	h.scheduler.updateOldestQueued(h.now)
 	for shard, want := range []float64{200, 0, 200, 0, 200, 0} {
-		got := h.now - h.scheduler.queuedSince(shard, h.now)
+		got := h.now - h.scheduler.oldestQueuedAtReplicasOf(shard, h.now)
 		if got != want {
 			t.Errorf("shard %d: queued for %v ms, want %v", shard, got, want)
 		}
--- a/internal/decision/scheduler/retry.go
+++ b/internal/decision/scheduler/retry.go
@@ -6,17 +6,17 @@
 	// lastAttemptObjectiveShare is the share of the objective before which the last allowed attempt is not spent,
 	// so that a set of replicas that is down cannot use up all attempts in a moment.
 	lastAttemptObjectiveShare = 0.3
-	// cancelSettleMs is how long after a cancel the next attempt may follow: the replica must know of the cancel
+	// cancelPropagationMs is how long after a cancel the next attempt may follow: the replica must know of the cancel
 	// before that is in flight.
-	cancelSettleMs = 15.0
+	cancelPropagationMs = 15.0
 	// outlierRetryObjectiveShare is the share of the objective between retries where only outliers are left: a
 	// healthy replica that is warming up or full may have capacity soon.
 	outlierRetryObjectiveShare = 0.1
 )
 
-// mayAttempt is the rule of idempotency and of the number of attempts: what an attempt at a part needs, the first or a
+// canAttempt is the rule of idempotency and of the number of attempts: what an attempt at a part needs, the first or a
 // further one. The retry budget is checked by dispatch.
-func (s *Scheduler) mayAttempt(now float64, p *part) bool {
+func (s *Scheduler) canAttempt(now float64, p *part) bool {
 	if p.abandoned || p.attemptsInFlight >= maxParallelAttempts {
 		return false
 	}
@@ -41,7 +41,7 @@
 // retry makes a further attempt at a failed part and reports whether it did. Retries skip the queues but go only to
 // a replica that takes more work, so they cannot feed congestion.
 func (s *Scheduler) retry(now float64, p *part) bool {
-	if !s.mayAttemptNow(now, p) {
+	if !s.canAttemptNow(now, p) {
 		return false
 	}
 	r := s.selectForExtraAttempt(now, p)
@@ -56,9 +56,9 @@
 	return s.dispatch(now, p, r)
 }
 
-// mayAttemptNow reports whether a retry or hedged request of a part is allowed and due.
-func (s *Scheduler) mayAttemptNow(now float64, p *part) bool {
-	if now < p.retryNotBefore || !s.mayAttempt(now, p) {
+// canAttemptNow reports whether a retry or hedged request of a part is allowed and due.
+func (s *Scheduler) canAttemptNow(now float64, p *part) bool {
+	if now < p.retryNotBefore || !s.canAttempt(now, p) {
 		return false
 	}
 	attempts := len(p.attempts)
@@ -70,7 +70,7 @@
 		return true
 	}
 	last := p.attempts[attempts-1]
-	return last.outcome != Cancelled || now >= last.endedAt+cancelSettleMs
+	return last.outcome != Cancelled || now >= last.endedAt+cancelPropagationMs
 }
 
 // selectForExtraAttempt is the replica for a retry or hedged request, or nil if none takes more work.
@@ -86,9 +86,9 @@
 	return r
 }
 
-// askSubstitute asks a reserve part of a query in place of a late or failed one and reports whether it did.
-func (s *Scheduler) askSubstitute(now float64, q *query) bool {
-	isSubstitute := func(p *part) bool { return p.reserve && s.mayAttempt(now, p) }
+// queueSubstitute asks a reserve part of a query in place of a late or failed one and reports whether it did.
+func (s *Scheduler) queueSubstitute(now float64, q *query) bool {
+	isSubstitute := func(p *part) bool { return p.reserve && s.canAttempt(now, p) }
 	i := slices.IndexFunc(q.parts, isSubstitute)
 	if i < 0 {
 		return false
@@ -101,9 +101,9 @@
 	return true
 }
 
-// superviseParts looks after the parts of a query that are in flight or failed: failed ones are retried, late ones
+// retryOrHedgeParts looks after the parts of a query that are in flight or failed: failed ones are retried, late ones
 // hedged.
-func (s *Scheduler) superviseParts(now float64, q *query) {
+func (s *Scheduler) retryOrHedgeParts(now float64, q *query) {
 	for _, p := range q.parts {
 		if p.arrived || p.reserve || p.queued || len(p.attempts) == 0 {
 			continue
@@ -112,7 +112,7 @@
 		if p.attemptsInFlight == 0 {
 			s.retry(now, p)
 		} else if !last.ended && !last.covered {
-			s.superviseAttempt(now, p, last)
+			s.handleIfLate(now, p, last)
 		}
 	}
 }
--- a/internal/decision/scheduler/scheduler.go
+++ b/internal/decision/scheduler/scheduler.go
@@ -29,10 +29,10 @@
 	queues         queueTable
 
 	// Replicas and their placement.
-	replicas           replicaTable
-	replicasByGroup    [][]*replica    // by placement group; nil until asked for
-	queuedSinceByGroup map[int]float64 // since when the oldest call waits at a placement group
-	poll               endpointPoll
+	replicas              replicaTable
+	replicasByGroup       [][]*replica    // by placement group; nil until asked for
+	oldestQueuedAtByGroup map[int]float64 // since when the oldest call waits at a placement group
+	poll                  endpointPoll
 
 	// What is learned, a rule each.
 	costs       costModel
@@ -48,12 +48,12 @@
 	hedges      eventWindow // hedged requests and reassignments
 	arrivals    eventWindow // queries and parts taken
 
-	lastOverloadAt float64   // time of the last rejection by a replica, or by admission for load
-	lastAdmittedAt float64   // time of the last admission
-	firstTryMs     []float64 // by class: mean time that first tries of clients are given
-	maxPriority    float64   // of all classes
-	answerMarginMs float64   // how long before a query's deadline its final answer is sent
-	timerAt        float64   // when the timer that was asked for is due; +Inf if there is none
+	lastOverloadAt     float64   // time of the last rejection by a replica, or by admission for load
+	lastAdmittedAt     float64   // time of the last admission
+	meanFirstRequestMs []float64 // by class: mean time that first tries of clients are given
+	maxPriority        float64   // of all classes
+	answerMarginMs     float64   // how long before a query's deadline its final answer is sent
+	timerAt            float64   // when the timer that was asked for is due; +Inf if there is none
 }
 
 // New makes the scheduler of one broker. The seed determines its random numbers. The error names the first setting
@@ -69,30 +69,30 @@
 	settings.BrokerCount = max(1, settings.BrokerCount)
 	maxPriority, minObjectiveMs := classBounds(settings.Classes)
 	return &Scheduler{
-		settings:           settings,
-		actions:            actions,
-		random:             splitmix.New(seed),
-		queries:            map[uint64]*query{},
-		queriesByGroup:     map[int]*query{},
-		parts:              map[uint64]*part{},
-		attempts:           map[attemptKey]*attempt{},
-		queues:             newQueueTable(),
-		replicas:           newReplicaTable(),
-		queuedSinceByGroup: map[int]float64{},
-		poll:               endpointPoll{dueAt: math.Inf(1)},
-		latency:            newLatencyEstimator(minObjectiveMs),
-		zones:              newZoneLatencies(),
-		fleetLimit:         newFleetLimit(),
-		slowStart:          newSlowStart(settings.SlowStart, settings.BrokerCount),
-		throttle:           fleetshare.NewClientThrottle(settings.BrokerCount),
-		deadlines:          fleetshare.NewDeadlineAdmission(settings.BrokerCount),
-		tenants:            newTenantQuotas(settings.TenantRates, settings.BrokerCount),
-		retryBudget:        retryBudget{settings: settings.RetryBudget},
-		lastOverloadAt:     math.Inf(-1),
-		firstTryMs:         make([]float64, len(settings.Classes)),
-		maxPriority:        maxPriority,
-		answerMarginMs:     finalAnswerMarginMs + settings.TimerResolution,
-		timerAt:            math.Inf(1),
+		settings:              settings,
+		actions:               actions,
+		random:                splitmix.New(seed),
+		queries:               map[uint64]*query{},
+		queriesByGroup:        map[int]*query{},
+		parts:                 map[uint64]*part{},
+		attempts:              map[attemptKey]*attempt{},
+		queues:                newQueueTable(),
+		replicas:              newReplicaTable(),
+		oldestQueuedAtByGroup: map[int]float64{},
+		poll:                  endpointPoll{dueAt: math.Inf(1)},
+		latency:               newLatencyEstimator(minObjectiveMs),
+		zones:                 newZoneLatencies(),
+		fleetLimit:            newFleetLimit(),
+		slowStart:             newSlowStart(settings.SlowStart, settings.BrokerCount),
+		throttle:              fleetshare.NewClientThrottle(settings.BrokerCount),
+		deadlines:             fleetshare.NewDeadlineAdmission(settings.BrokerCount),
+		tenants:               newTenantQuotas(settings.TenantRates, settings.BrokerCount),
+		retryBudget:           retryBudget{settings: settings.RetryBudget},
+		lastOverloadAt:        math.Inf(-1),
+		meanFirstRequestMs:    make([]float64, len(settings.Classes)),
+		maxPriority:           maxPriority,
+		answerMarginMs:        finalAnswerMarginMs + settings.TimerResolution,
+		timerAt:               math.Inf(1),
 	}, nil
 }
 
@@ -111,13 +111,13 @@
 func (s *Scheduler) RunRound(now float64) {
 	s.round++
 	s.slowStart.quota.Advance(now, s.countWarmReplicas)
-	s.pollEndpoints(now)
+	s.pollEndpointsIfDue(now)
 	for _, queues := range s.queues.active {
 		queues.refresh(now)
 	}
-	s.noteQueueing(now)
+	s.updateOldestQueued(now)
 	s.admitNewQueries(now)
-	s.superviseQueries(now)
+	s.processOpenQueries(now)
 	s.releaseQueues(now)
 	s.scheduleTimer(now)
 }
@@ -133,7 +133,7 @@
 func (s *Scheduler) scheduleTimer(now float64) {
 	next := s.poll.dueAt
 	if len(s.openQueries) > 0 {
-		next = min(next, now+superviseIntervalMs)
+		next = min(next, now+openQueryIntervalMs)
 	}
 	if next < s.timerAt {
 		s.timerAt = next
--- a/internal/decision/scheduler/slow_start.go
+++ b/internal/decision/scheduler/slow_start.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// allowanceMargin is the share of the slow-start allowance that is used; the rest covers errors of the estimate.
-	allowanceMargin = 0.7
-	// roundedQuotaParts is the quota, in mean parts, below which it is rounded to whole parts.
-	roundedQuotaParts = 2.0
+	// usedAllowanceShare is the share of the slow-start allowance that is used; the rest covers errors of the estimate.
+	usedAllowanceShare = 0.7
+	// minUnroundedQuotaParts is the quota, in mean parts, below which it is rounded to whole parts.
+	minUnroundedQuotaParts = 2.0
 	// slotStride spreads the slots of successive replicas over the brokers; it is the golden ratio.
 	slotStride = 0.618
 	// maxReplicaSpeed is the ms of work per ms that one broker may believe a warm replica does.
@@ -76,8 +76,8 @@
 	return s.settings.WorkMultiple * s.settings.Window * capacity
 }
 
-// observeSpeed learns how much work a warm replica does at once from a part that took no longer than the baseline.
-func (s *slowStart) observeSpeed(replicaCost float64) {
+// observeReplicaSpeed learns how much work a warm replica does at once from a part that took no longer than the baseline.
+func (s *slowStart) observeReplicaSpeed(replicaCost float64) {
 	s.replicaSpeed = max(s.replicaSpeed, min(replicaCost, maxReplicaSpeed))
 }
 
@@ -116,10 +116,10 @@
 func (s *Scheduler) warmupQuotaMs(now float64, r *replica, cost float64) (quotaMs, neededMs float64) {
 	allowance := s.slowStart.allowanceMs(now, r)
 	brokers := float64(s.settings.BrokerCount)
-	evenShare := allowanceMargin * s.slowStart.replicaSpeed * allowance / brokers
+	evenShare := usedAllowanceShare * s.slowStart.replicaSpeed * allowance / brokers
 	quotaMs = s.slowStart.quota.QuotaMs(evenShare, allowance)
 	neededMs = s.warmupWorkMs(cost)
-	if quotaMs >= roundedQuotaParts*s.warmupWorkMs(1) {
+	if quotaMs >= minUnroundedQuotaParts*s.warmupWorkMs(1) {
 		return quotaMs, neededMs
 	}
 	neededMs = s.warmupWorkMs(1)
--- a/internal/decision/scheduler/slow_start_test.go
+++ b/internal/decision/scheduler/slow_start_test.go
@@ -215,7 +215,7 @@
 	smallest := 1e9
 	largest := 0.0
 	for _, broker := range f.brokers {
-		quota := broker.scheduler.slowStart.quota.QuotaMs(allowanceMargin*allowanceOfOneCore/80, allowanceOfOneCore)
+		quota := broker.scheduler.slowStart.quota.QuotaMs(usedAllowanceShare*allowanceOfOneCore/80, allowanceOfOneCore)
 		sum += quota
 		smallest = min(smallest, quota)
 		largest = max(largest, quota)
@@ -237,7 +237,7 @@
 			InitialCapacity: 1,
 			Duration:        durationMs,
 			Window:          windowMs,
-			WorkMultiple:    evenShare * partWorkMs * float64(brokers) / allowanceMargin / windowMs,
+			WorkMultiple:    evenShare * partWorkMs * float64(brokers) / usedAllowanceShare / windowMs,
 		},
 	}
 	s := &Scheduler{
