--- a/internal/decision/scheduler/actions.go
+++ b/internal/decision/scheduler/actions.go
@@ -1,25 +1,25 @@
 package scheduler
 
-// Actions is what the caller carries out for the scheduler. The methods are called from within the scheduler's own;
-// they must not call back into it.
+// Actions carries out what the scheduler decides. The scheduler calls its methods from within its own methods; they
+// must not call back into the scheduler.
 type Actions interface {
-	// Send starts the next attempt of a part; attempts are numbered 0, 1, 2 and so on. timeoutMs is how long to
-	// wait for its end; 0 means until the query's deadline.
+	// Send starts the next attempt of a part. The attempts of a part are numbered from 0. timeoutMs is how long to
+	// wait for the end of the attempt; 0 means until the query's deadline.
 	Send(part uint64, replica uint32, timeoutMs float64)
 	// Cancel stops waiting for an attempt.
 	Cancel(part uint64, attempt int)
-	// CloseIdleConnections closes this broker's idle connections to a replica; the next send opens a new one.
+	// CloseIdleConnections closes this broker's idle connections to a replica; the next attempt opens a new one.
 	CloseIdleConnections(replica uint32)
 	// Answer ends a query, or its first step, with the parts that have arrived.
 	Answer(query uint64, complete bool)
-	// Reject ends a query and tells the client that asking again after retryAfterMs is harmless.
+	// Reject ends a query and tells the client that a retry after retryAfterMs is safe.
 	Reject(query uint64, retryAfterMs float64)
-	// Fail ends a query without any promise.
+	// Fail ends a query. It does not tell the client whether a retry is safe.
 	Fail(query uint64)
-	// SetTimer asks for TimerFired, and a round, after a time in ms.
+	// SetTimer requests TimerFired and a round after the given time, in ms.
 	SetTimer(afterMs float64)
-	// WatchEndpoints polls or watches the endpoint list; EndpointsChanged follows.
+	// WatchEndpoints polls or watches the endpoint list; the result is reported with EndpointsChanged.
 	WatchEndpoints()
-	// Log writes one line for the engineers on call.
+	// Log writes one line for operators.
 	Log(text string)
 }
--- a/internal/decision/scheduler/scheduler.go
+++ b/internal/decision/scheduler/scheduler.go
@@ -9,32 +9,32 @@
 	"ternstage/internal/decision/splitmix"
 )
 
-// ErrNoActions is returned by New without Actions.
+// ErrNoActions is returned by New if its Actions are nil.
 var ErrNoActions = errors.New("actions: missing")
 
-// Scheduler takes the decisions of one broker.
+// Scheduler takes the routing decisions of one broker.
 type Scheduler struct {
 	settings Settings
 	actions  Actions
-	random   splitmix.Source // draws happen in a fixed order, so that a run can be replayed
-	round    int             // number of the present round, from 1
+	random   splitmix.Source // numbers are drawn in a fixed order, so that a run can be replayed
+	round    int             // number of the current round, from 1
 
 	// Open work.
 	queries        map[uint64]*query // by id
 	queriesByGroup map[int]*query
 	openQueries    []*query // in order of arrival
-	newQueries     []*query // those that the next round decides on
+	newQueries     []*query // those that the next round admits or rejects
 	parts          map[uint64]*part
 	attempts       map[attemptKey]*attempt // in flight
 	queues         queueTable
 
 	// Replicas and their placement.
 	replicas              replicaTable
-	replicasByGroup       [][]*replica    // by placement group; nil until asked for
-	oldestQueuedAtByGroup map[int]float64 // since when the oldest call waits at a placement group
+	replicasByGroup       [][]*replica    // by placement group; nil until looked up
+	oldestQueuedAtByGroup map[int]float64 // by placement group: when its oldest waiting call was queued
 	poll                  endpointPoll
 
-	// What is learned, a rule each.
+	// Estimates, limits and budgets.
 	costs       costModel
 	latency     latencyEstimator
 	zones       zoneLatencies
@@ -46,17 +46,17 @@
 	tenants     tenantQuotas
 	retryBudget retryBudget
 	hedges      eventWindow // hedged requests and reassignments
-	arrivals    eventWindow // queries and parts taken
+	arrivals    eventWindow // queries and parts that arrived
 
-	lastOverloadAt     float64   // time of the last rejection by a replica, or by admission for load
+	lastOverloadAt     float64   // time of the last rejection by a replica, or by admission because of load
 	lastAdmittedAt     float64   // time of the last admission
-	meanFirstRequestMs []float64 // by class: mean time that first tries of clients are given
-	maxPriority        float64   // of all classes
+	meanFirstRequestMs []float64 // by class: mean time between arrival and deadline of first requests
+	maxPriority        float64   // highest priority weight of all classes
 	answerMarginMs     float64   // how long before a query's deadline its final answer is sent
-	timerAt            float64   // when the timer that was asked for is due; +Inf if there is none
+	timerAt            float64   // when the timer is due; +Inf if none is set
 }
 
-// New makes the scheduler of one broker. The seed determines its random numbers. The error names the first setting
+// New creates the scheduler of one broker. The seed determines its random numbers. The error names the first setting
 // that is out of range.
 func New(settings Settings, seed uint64, actions Actions) (*Scheduler, error) {
 	if actions == nil {
@@ -96,7 +96,7 @@
 	}, nil
 }
 
-// classBounds is the highest priority weight of all classes and their shortest latency objective in ms.
+// classBounds returns the highest priority weight of all classes and their shortest latency objective, in ms.
 func classBounds(classes []Class) (maxPriority, minObjectiveMs float64) {
 	minObjectiveMs = math.Inf(1)
 	for _, class := range classes {
@@ -106,8 +106,9 @@
 	return maxPriority, minObjectiveMs
 }
 
-// RunRound takes all decisions that follow from the events since the last round: it polls the endpoint list, admits
-// new queries, ends or looks after the open ones, and sends what the replicas take.
+// RunRound takes all decisions that follow from the events since the last round. It polls the endpoint list, admits
+// or rejects new queries, ends open ones or retries and hedges their parts, and sends the queued calls for which
+// replicas have capacity.
 func (s *Scheduler) RunRound(now float64) {
 	s.round++
 	s.slowStart.quota.Advance(now, s.countWarmReplicas)
@@ -122,14 +123,14 @@
 	s.scheduleTimer(now)
 }
 
-// TimerFired reports that the timer is due; RunRound does the work.
+// TimerFired reports that the timer has fired. The round that follows does the work.
 func (s *Scheduler) TimerFired(now float64) {
 	if now >= s.timerAt {
 		s.timerAt = math.Inf(1)
 	}
 }
 
-// scheduleTimer asks for the next round if no earlier timer runs.
+// scheduleTimer sets the timer for the next round unless an earlier one is set.
 func (s *Scheduler) scheduleTimer(now float64) {
 	next := s.poll.dueAt
 	if len(s.openQueries) > 0 {
@@ -141,6 +142,7 @@
 	}
 }
 
+// removeEnded removes the queries that have ended from a slice, in place.
 func removeEnded(queries []*query) []*query {
 	return slices.DeleteFunc(queries, func(q *query) bool { return q.ended })
 }
