--- a/internal/decision/scheduler/backend_drain.go
+++ b/internal/decision/scheduler/backend_drain.go
@@ -3,16 +3,16 @@
 import "math"
 
 // drainSendShare is the share of the drain grace in which a draining replica may still be sent attempts. The rest
-// is for reading the endpoint list and for attempts that were decided on and have not begun.
+// covers the delay of endpoint list updates and attempts that have been decided on but not begun.
 const drainSendShare = 0.5
 
-// drainState is since when a replica is known to leave.
+// drainState records since when a replica has been reported draining or removed.
 type drainState struct {
-	// informedAt is when the endpoint list first called it draining or removed; +Inf while it is ready.
+	// informedAt is when the endpoint list first reported the replica as draining or removed; +Inf while it is ready.
 	informedAt float64
 }
 
-// update notes the time of the first report that a replica leaves; one that is ready again has not left.
+// update records the time of the first report that a replica is draining or removed. A ready replica resets it.
 func (d *drainState) update(now float64, state ReplicaState) {
 	d.informedAt = min(d.informedAt, now)
 	if state == Ready {
@@ -20,7 +20,8 @@
 	}
 }
 
-// allowsAttempts reports whether a replica that leaves may still be sent attempts; a ready one always may.
+// allowsAttempts reports whether the replica may still be sent attempts: always while it is ready, otherwise within
+// the first part of the drain grace.
 func (d *drainState) allowsAttempts(now, drainGraceMs float64) bool {
 	return now <= d.informedAt+drainGraceMs*drainSendShare
 }
--- a/internal/decision/scheduler/completion.go
+++ b/internal/decision/scheduler/completion.go
@@ -1,21 +1,23 @@
 package scheduler
 
 const (
-	// negligibleLateFactor is the late factor of a class below which an answer after the objective is not waited
-	// for.
+	// negligibleLateFactor is the late factor of a class below which queries end at their objective: an answer after
+	// it would be worth too little to wait for.
 	negligibleLateFactor = 0.15
-	// finalAnswerMarginMs is how long before the client leaves the final answer is sent; a tick of the timer is added.
+	// finalAnswerMarginMs is how long before the query's deadline the final answer is sent. The resolution of the
+	// timer is added to it.
 	finalAnswerMarginMs = 10.0
-	// openQueryIntervalMs is the time between looks at open queries; it is finer than any latency judged.
+	// openQueryIntervalMs is the longest time between rounds while queries are open. It is shorter than any latency
+	// that the scheduler compares.
 	openQueryIntervalMs = 10.0
-	// wastedWorkObjectiveShare is the share of the shortest objective that a median part must take for a query that
-	// ends unanswered to show overload.
+	// wastedWorkObjectiveShare is a share of the shortest objective. A query that ends unanswered is a sign of overload
+	// only if the median part takes longer than that.
 	wastedWorkObjectiveShare = 0.25
-	// retryAfterObjectiveShare is the share of the objective after which a rejected client may come back.
+	// retryAfterObjectiveShare is the share of the objective that a rejected client is asked to wait before it retries.
 	retryAfterObjectiveShare = 0.5
 )
 
-// processOpenQueries ends queries that are out of time and looks after the parts of the others.
+// processOpenQueries ends queries that are out of time and retries or hedges the parts of the others.
 func (s *Scheduler) processOpenQueries(now float64) {
 	for _, q := range s.openQueries {
 		if q.ended {
@@ -29,8 +31,9 @@
 	s.openQueries = removeEnded(s.openQueries)
 }
 
-// endIfDecided ends a query that is complete, and one that can no longer become so: with a partial answer at once where
-// that is allowed.
+// endIfDecided ends the present step of a query that is complete. It also ends one that can no longer become complete
+// once waiting for more parts is useless: all parts that can arrive have arrived, or even they are too few for a
+// partial answer.
 func (s *Scheduler) endIfDecided(now float64, q *query) {
 	reachable := 0.0
 	for _, p := range q.parts {
@@ -38,33 +41,34 @@
 			return p.arrived || p.attemptsInFlight > 0 || s.canAttempt(now, p)
 		})
 	}
-	isFinal := reachable < q.class.MinCompleteness-weightTolerance || q.arrivedWeight >= reachable-weightTolerance
-	if q.isCompleteWith(q.arrivedWeight) || (!q.isCompleteWith(reachable) && isFinal) {
+	isWaitUseless := reachable < q.class.MinCompleteness-weightTolerance ||
+		q.arrivedWeight >= reachable-weightTolerance
+	if q.isCompleteWith(q.arrivedWeight) || (!q.isCompleteWith(reachable) && isWaitUseless) {
 		s.endStep(now, q)
 	}
 }
 
-// endIfDue ends a query whose time is up or whose waiting parts are not worth the wait, and reports whether it has
-// ended.
+// endIfDue ends the present step of a query that is out of time, for which a partial answer is due, or that is past
+// its objective with a part still queued. It reports whether the query has ended.
 func (s *Scheduler) endIfDue(now float64, q *query) bool {
 	class := q.class
-	last := q.Deadline - s.answerMarginMs
+	answerBy := q.Deadline - s.answerMarginMs
 	if class.LateFactor < negligibleLateFactor {
-		last = min(last, q.objectiveAt)
+		answerBy = min(answerBy, q.objectiveAt)
 	}
 	switch {
-	case now >= last:
+	case now >= answerBy:
 		s.endStep(now, q)
 	case s.isPartialAnswerDue(now, q):
 		s.endStep(now, q)
 	case now > max(q.objectiveAt, q.arrivedAt) && q.hasQueuedPart():
-		s.endStep(now, q) // what is late and not even sent makes way for others
+		s.endStep(now, q) // the query is late and its part not even sent; other queries take precedence
 	}
 	return q.ended
 }
 
-// isPartialAnswerDue reports whether the objective is about to pass and a partial answer now is worth more than a
-// complete one later.
+// isPartialAnswerDue reports whether the objective is about to pass and a partial answer now is worth at least as
+// much as a complete one after the objective.
 func (s *Scheduler) isPartialAnswerDue(now float64, q *query) bool {
 	isObjectiveNear := now+s.answerMarginMs+openQueryIntervalMs >= q.objectiveAt
 	if !isObjectiveNear || !q.canAnswerPartially() {
@@ -74,7 +78,7 @@
 	return class.PartialFactor*q.arrivedWeight/class.CompletenessTarget >= class.LateFactor
 }
 
-// isCompleteWith reports whether so much weight makes the present step complete.
+// isCompleteWith reports whether the present step would be complete with the given arrived weight.
 func (q *query) isCompleteWith(weight float64) bool {
 	if len(q.parts) == 0 {
 		return false
@@ -83,15 +87,16 @@
 	return weight >= 1-weightTolerance || (q.step == 0 && isTargetReached)
 }
 
-// canAnswerPartially reports whether the class allows a partial answer with what has arrived.
+// canAnswerPartially reports whether the class allows a partial answer with the arrived weight.
 func (q *query) canAnswerPartially() bool {
 	class := q.class
 	return class.MinCompleteness < class.CompletenessTarget && q.arrivedWeight > 0 &&
 		q.arrivedWeight >= class.MinCompleteness-weightTolerance
 }
 
-// endStep gives a query's one final answer: an answer if enough has arrived, else a rejection if that is harmless,
-// else a failure. The first answer of a class with a second step keeps the query open instead.
+// endStep ends the present step of a query. It answers the query if enough weight has arrived. Otherwise it rejects
+// the query if a client retry is safe, and fails it if not. This ends the query, unless it was answered in its first
+// step and its class has a second one.
 func (s *Scheduler) endStep(now float64, q *query) {
 	class := q.class
 	isAnswered := q.isCompleteWith(q.arrivedWeight) || q.canAnswerPartially()
@@ -113,11 +118,11 @@
 	s.dropQuery(q)
 }
 
-// learnQueryEnd learns from the end of a query how much time queries need and whether the fleet is overloaded. A
-// query that ends unanswered at its objective was served in vain, which shows overload sooner than the median
-// latency does, unless the fleet is quick. A query with less time than its class's objective is no such sign.
+// learnQueryEnd updates the estimate of the time that queries need and detects overload when a query ends. The work
+// for a query that ends unanswered at its objective was wasted. This shows overload earlier than the median latency
+// does, unless the median part is fast. A query whose deadline is before its objective is not a sign of overload.
 func (s *Scheduler) learnQueryEnd(now float64, q *query, isAnswered, isComplete bool) {
-	lastPartMs := q.expectedLastPartMs * float64(1-q.step) // the second step tells nothing about admission
+	lastPartMs := q.expectedLastPartMs * float64(1-q.step) // 0 in the second step, which says nothing about admission
 	s.deadlines.QueryEnded(now-q.arrivedAt, lastPartMs, isComplete)
 	isSlow := s.latency.medianPartMs() > wastedWorkObjectiveShare*s.latency.minObjectiveMs
 	if now >= q.objectiveAt && !isAnswered && isSlow {
@@ -125,21 +130,21 @@
 	}
 }
 
-// beginSecondStep keeps a query open for the parts that follow its first answer.
+// beginSecondStep drops the parts of the first step and keeps the query open for the parts of the second.
 func (s *Scheduler) beginSecondStep(q *query, isFirstComplete bool) {
 	s.dropParts(q)
 	q.step = 1
 	q.firstStepComplete = isFirstComplete
 }
 
-// ClientDisconnected drops a query that its client has left.
+// ClientDisconnected drops a query whose client has disconnected. Unknown queries are ignored.
 func (s *Scheduler) ClientDisconnected(_ float64, id uint64) {
 	if q := s.queries[id]; q != nil {
 		s.dropQuery(q)
 	}
 }
 
-// dropQuery drops a query, takes its parts out of the queues and cancels what is in flight.
+// dropQuery removes a query and its parts and cancels its attempts in flight.
 func (s *Scheduler) dropQuery(q *query) {
 	q.ended = true
 	delete(s.queries, q.ID)
@@ -149,7 +154,7 @@
 	s.dropParts(q)
 }
 
-// dropParts takes the parts of a query out of the queues and cancels what is in flight.
+// dropParts removes the parts of a query, also from the queues, and cancels their attempts in flight.
 func (s *Scheduler) dropParts(q *query) {
 	for _, p := range q.parts {
 		p.queued = false
--- a/internal/decision/scheduler/dispatch.go
+++ b/internal/decision/scheduler/dispatch.go
@@ -1,20 +1,21 @@
 package scheduler
 
-// attemptKey names an attempt in flight.
+// attemptKey identifies an attempt in flight.
 type attemptKey struct {
 	part   uint64
 	number int
 }
 
-// minAttemptTimeoutMs is the shortest time that an attempt is given.
+// minAttemptTimeoutMs is the shortest timeout of an attempt of a query that ends at its objective.
 const minAttemptTimeoutMs = 1
 
-// dispatch sends a part to a replica and reports whether the rules allow it. Every attempt passes here: the query
-// has time left, the replica's drain and slow start allow it, and retries are allowed and within their budget.
+// dispatch sends a part to a replica if the rules on sending allow it, and reports whether it did. Every attempt is
+// started here. The rules are: the query is open and has time left, the part has not arrived, the replica's drain and
+// slow start allow the attempt, and a further attempt of the part is allowed and within the retry budget.
 func (s *Scheduler) dispatch(now float64, p *part, r *replica) bool {
 	q := p.query
-	remaining := q.Deadline - s.answerMarginMs - now
-	if q.ended || p.arrived || remaining <= 0 || s.availableAt(now, r, p.cost) > now {
+	remainingMs := q.Deadline - s.answerMarginMs - now
+	if q.ended || p.arrived || remainingMs <= 0 || s.availableAt(now, r, p.cost) > now {
 		return false
 	}
 	if len(p.attempts) > 0 {
@@ -27,12 +28,12 @@
 	r.lastUsedAt = now
 	r.warmup.record(now, s.slowStart.settings.Window, s.warmupWorkMs(p.cost))
 	s.startAttempt(now, p, r, idleMs)
-	s.actions.Send(p.ID, r.Replica, s.attemptTimeoutMs(now, q, remaining))
+	s.actions.Send(p.ID, r.Replica, s.attemptTimeoutMs(now, q, remainingMs))
 	return true
 }
 
-// prepareConnection returns for how long the connection of the next attempt has been unused, in ms. It closes idle
-// ones first where they are likely to be lost.
+// prepareConnection returns how long the connection that the next attempt uses has been unused, in ms. It first
+// closes the replica's idle connections if they are likely to be lost.
 func (s *Scheduler) prepareConnection(now float64, r *replica) float64 {
 	idleMs := r.idleTimeMs(now)
 	if idleMs > idleConnectionMinMs && len(r.inFlight) == 0 && s.idle.shouldClose(now) {
@@ -67,12 +68,12 @@
 	s.attempts[attemptKey{part: p.ID, number: a.number}] = a
 }
 
-// joinOrStartCall is the call to a replica that an attempt of this round joins: the one begun in this round while it
-// takes more parts, else a new one.
+// joinOrStartCall returns the call to a replica that an attempt of this round joins: the call begun in this round if
+// it can carry another part, otherwise a new one.
 func (s *Scheduler) joinOrStartCall(r *replica) *callInFlight {
 	call := r.currentCall
-	isFull := call == nil || call.parts >= s.settings.MaxPartsPerCall || call.partsInFlight == 0
-	if r.currentRound == s.round && !isFull {
+	cannotBeJoined := call == nil || call.parts >= s.settings.MaxPartsPerCall || call.partsInFlight == 0
+	if r.currentRound == s.round && !cannotBeJoined {
 		return call
 	}
 	r.currentRound = s.round
@@ -81,16 +82,17 @@
 	return r.currentCall
 }
 
-// attemptTimeoutMs is how long an attempt may take, given the time that its query has left. Where a late answer is
-// worth little it ends at the objective, so that the replica need not begin what would come too late.
-func (s *Scheduler) attemptTimeoutMs(now float64, q *query, remaining float64) float64 {
+// attemptTimeoutMs returns the timeout of an attempt whose query has the given time left. If an answer after the
+// objective is worth little, the attempt times out at the objective, so that the replica does not start work whose
+// result would come too late.
+func (s *Scheduler) attemptTimeoutMs(now float64, q *query, remainingMs float64) float64 {
 	if q.class.LateFactor < negligibleLateFactor {
-		return min(remaining, max(q.objectiveAt-now, minAttemptTimeoutMs))
+		return min(remainingMs, max(q.objectiveAt-now, minAttemptTimeoutMs))
 	}
-	return remaining
+	return remainingMs
 }
 
-// cancelAttempts stops waiting for the attempts of a part.
+// cancelAttempts cancels the attempts of a part that are in flight, if the settings allow it.
 func (s *Scheduler) cancelAttempts(p *part) {
 	if !s.settings.CanCancel {
 		return
