--- a/internal/decision/scheduler/endpoint_list.go
+++ b/internal/decision/scheduler/endpoint_list.go
@@ -9,39 +9,42 @@
 )
 
 const (
-	// pollBackoffMaxMs is the longest delay after a failed poll in a small fleet; the first is a third of it.
+	// pollBackoffMaxMs is the longest delay after a failed poll in a small fleet. The first delay is a third of it.
 	pollBackoffMaxMs = 1500.0
-	// pollBackoffGrowth is the factor by which longer delays, of large fleets, grow; from pollBackoffMaxMs they
-	// grow by pollBackoffFirstGrowth at first.
+	// Large fleets have longer delays. The delay that follows one of pollBackoffMaxMs is pollBackoffFirstGrowth times
+	// as long. A delay that exceeds pollBackoffMaxMs adds pollBackoffGrowth times the excess to that.
 	pollBackoffGrowth      = 6.0
 	pollBackoffFirstGrowth = 1.2
-	// pollServiceMs is the time that one poll is taken to cost the discovery service; many brokers space theirs out.
+	// pollServiceMs is the time that the discovery service is assumed to need for one poll. The brokers of a large
+	// fleet space out their polls accordingly.
 	pollServiceMs = 60.0
 )
 
-// replicaTable holds the replicas that the endpoint list names.
+// replicaTable holds the replicas of the endpoint list, and removed ones that still have attempts in flight.
 type replicaTable struct {
 	byID    map[uint32]*replica
-	ordered []*replica // by number
-	byCell  map[int][]*replica
+	ordered []*replica         // by replica number
+	byCell  map[int][]*replica // without removed replicas
 }
 
 func newReplicaTable() replicaTable { return replicaTable{byID: map[uint32]*replica{}} }
 
-// endpointPoll decides when the endpoint list is polled after a failure.
+// endpointPoll holds when the endpoint list is polled next.
 type endpointPoll struct {
-	backoffMs float64 // the last delay after a failure; 0 after a success
-	dueAt     float64 // when to poll; +Inf while a watch runs or nothing is to be polled
+	backoffMs float64 // last delay after a failure; 0 after a success
+	dueAt     float64 // time of the next poll; +Inf while a watch runs or no poll is needed
 }
 
-// fleetPollMs is how long the discovery service needs for one poll of every broker, in ms; 0 in a small fleet.
+// fleetPollMs returns how long the discovery service needs for one poll of every broker, in ms. It returns 0 in a
+// small fleet.
 func (s *Scheduler) fleetPollMs() float64 {
 	return pollServiceMs * float64(max(0, s.settings.BrokerCount-fleetshare.SmallFleetBrokers))
 }
 
-// schedulePollAfterFailure puts the next poll off after a failure. The delay grows and is jittered, so that a fleet does not keep the
-// service from recovering. It stays short in a small fleet, as changes must arrive within seconds of its return, and
-// while no list is known, as nothing can be served without one.
+// schedulePollAfterFailure schedules the next poll after a failed one. The delay grows and is jittered, so that the
+// polls of a fleet do not keep the service from recovering. It stays short in a small fleet, which must receive
+// changes within seconds after the service has recovered, and while there is no list, as nothing can be served
+// without one.
 func (s *Scheduler) schedulePollAfterFailure(now float64) {
 	fleetMs := s.fleetPollMs()
 	if len(s.replicas.ordered) == 0 {
@@ -52,28 +55,30 @@
 	s.poll.dueAt = now + s.poll.backoffMs*(0.5+0.5*s.random.Float64())
 }
 
-// nextPollBackoffMs is the delay that follows one of lastMs: it starts at a third of the maximum for small fleets or
-// at the time of a poll of every broker, doubles up to the maximum, and grows faster beyond it.
+// nextPollBackoffMs returns the delay that follows one of lastMs. Delays start at the time of one poll of every
+// broker, but between a third of pollBackoffMaxMs and the whole of it. They double up to pollBackoffMaxMs and then
+// grow faster.
 func nextPollBackoffMs(lastMs, fleetMs float64) float64 {
 	doubled := min(max(2*lastMs, fleetMs), pollBackoffMaxMs)
 	beyondMax := pollBackoffGrowth*lastMs - (pollBackoffGrowth-pollBackoffFirstGrowth)*pollBackoffMaxMs
 	return max(beyondMax, doubled, pollBackoffMaxMs/3)
 }
 
-// fleetBackoffBoundMs is the longest delay: the maximum for small fleets, or twice the time that the service needs
-// for a poll of every broker, less that maximum.
+// fleetBackoffBoundMs returns the longest delay that the size of the fleet allows: twice the time of one poll of
+// every broker less pollBackoffMaxMs, but at least pollBackoffMaxMs.
 func fleetBackoffBoundMs(fleetMs float64) float64 {
 	return max(pollBackoffMaxMs, 2*fleetMs-pollBackoffMaxMs)
 }
 
-// stalenessBackoffBoundMs keeps the delay within the time after which this broker counts as notified of changes.
+// stalenessBackoffBoundMs returns the longest delay that MaxStaleness allows, after which this broker counts as
+// notified of changes.
 func (s *Scheduler) stalenessBackoffBoundMs(fleetMs float64) float64 {
 	staleness := s.settings.MaxStaleness
 	return max(staleness/3, 2*min(fleetMs, staleness), s.settings.TimerResolution)
 }
 
-// schedulePollAfterUpdate notes that a poll or watch brought an update. A cached list may be old, and the same at every
-// broker, so that the polls that follow it are spread.
+// schedulePollAfterUpdate resets the backoff after an update from a poll or watch. A cached list is followed by a poll,
+// as it may be stale. It may be so at every broker at the same time, so the polls of a large fleet are spread.
 func (s *Scheduler) schedulePollAfterUpdate(now float64, kind UpdateKind, entries int) {
 	s.poll.backoffMs = 0
 	s.poll.dueAt = math.Inf(1)
@@ -86,17 +91,17 @@
 	}
 }
 
-// pollEndpointsIfDue polls the endpoint list when that is due.
+// pollEndpointsIfDue polls the endpoint list if a poll is due.
 func (s *Scheduler) pollEndpointsIfDue(now float64) {
 	if !s.settings.PollEndpoints || now < s.poll.dueAt {
 		return
 	}
 	s.actions.WatchEndpoints()
-	// Should no answer come at all, it is polled again.
+	// Polls again if there is no answer at all.
 	s.poll.dueAt = now + cmp.Or(s.settings.MaxStaleness/2, math.Inf(1))
 }
 
-// EndpointsChanged takes an update of the endpoint list, or the report that a poll failed.
+// EndpointsChanged applies an update of the endpoint list or reports that a poll failed.
 func (s *Scheduler) EndpointsChanged(now float64, kind UpdateKind, entries []Endpoint) {
 	s.slowStart.startedAt = cmp.Or(s.slowStart.startedAt, now)
 	if kind == UpdateFailed {
@@ -116,7 +121,7 @@
 	clear(s.replicasByGroup)
 }
 
-// apply takes one entry of the endpoint list.
+// apply updates a replica with its entry in the endpoint list.
 func (t *replicaTable) apply(e Endpoint) {
 	r := t.byID[e.Replica]
 	if r == nil {
@@ -135,6 +140,7 @@
 	r.StartedAt = max(e.StartedAt, r.StartedAt)
 }
 
+// markUnlistedRemoved marks every replica as removed that has no entry in the list.
 func (t *replicaTable) markUnlistedRemoved(listed map[uint32]bool) {
 	for _, r := range t.ordered {
 		if !listed[r.Replica] {
@@ -143,8 +149,8 @@
 	}
 }
 
-// refresh notes since when replicas are known to leave, forgets removed ones with nothing in flight, and groups the
-// others by cell.
+// refresh updates the drain state of each replica, deletes removed replicas without attempts in flight, and groups
+// the replicas that are not removed by cell.
 func (t *replicaTable) refresh(now float64) {
 	slices.SortFunc(t.ordered, func(x, y *replica) int { return cmp.Compare(x.Replica, y.Replica) })
 	t.byCell = map[int][]*replica{}
