--- a/internal/decision/scheduler/endpoint_list.go
+++ b/internal/decision/scheduler/endpoint_list.go
@@ -77,8 +77,8 @@
 	return max(staleness/3, 2*min(fleetMs, staleness), s.settings.TimerResolution)
 }
 
-// schedulePollAfterUpdate resets the backoff after an update from a poll or watch. A cached list is followed by a poll,
-// as it may be stale. It may be so at every broker at the same time, so the polls of a large fleet are spread.
+// schedulePollAfterUpdate resets the backoff after an update from a poll or watch. A cached list is followed by a
+// poll, as it may be stale. It may be so at every broker at the same time, so the polls of a large fleet are spread.
 func (s *Scheduler) schedulePollAfterUpdate(now float64, kind UpdateKind, entries int) {
 	s.poll.backoffMs = 0
 	s.poll.dueAt = math.Inf(1)
--- a/internal/decision/scheduler/hedging.go
+++ b/internal/decision/scheduler/hedging.go
@@ -3,43 +3,48 @@
 const (
 	// maxParallelAttempts is the number of attempts of a part that may be in flight at once.
 	maxParallelAttempts = 2
-	// hedgeDelayFactor is how many times its expected latency an attempt may take before it is late.
+	// hedgeDelayFactor is the multiple of its expected latency that an attempt may take before it is late.
 	hedgeDelayFactor = 2.5
-	// hedgeObjectiveShare is the share of the objective before which a late part is not hedged.
+	// hedgeObjectiveShare is the share of the objective that must have passed before late parts of a query are hedged
+	// or reassigned.
 	hedgeObjectiveShare = 0.3
 
-	// hedgeWindowMs is the window of the hedge budget: so many hedged requests without any traffic, and so many
-	// more for each query or part taken. The platform asks for no such bound; it is this broker's own restraint.
+	// The hedge budget bounds hedged requests and reassignments within a window of hedgeWindowMs: hedgeBudgetSpare,
+	// and hedgeBudgetRatio more for each query or part that arrives. The platform requires no such bound; the broker
+	// limits itself.
 	hedgeWindowMs    = 2000
 	hedgeBudgetSpare = 4.0
 	hedgeBudgetRatio = 0.05
 
-	// recentOverloadMs is for how long after an overload a slow fleet gets neither.
+	// recentOverloadMs is the time after a sign of overload in which the next two limits apply.
 	recentOverloadMs = 1000
-	// After a rejection, a fleet whose median latency is above maxHedgingMedian gets no hedged requests, and one above
-	// maxReassignmentMedian no reassignments, which throw away what was about to come.
+	// maxHedgingMedian and maxReassignmentMedian are the highest median normalized latencies of the fleet at which
+	// parts are hedged or reassigned after a sign of overload. Reassignments have the lower limit, as they discard an
+	// attempt that may be about to succeed.
 	maxHedgingMedian      = 2.0
 	maxReassignmentMedian = 1.4
 
-	// reassignLatencyFactor is how many times the latency of another replica makes a late part leave its own.
+	// reassignLatencyFactor is the factor by which the latency of a late part's replica must exceed that of another
+	// replica for the part to be reassigned.
 	reassignLatencyFactor = 4.0
-	// reassignmentFailureShare is the share of a failure that a reassignment counts for non-idempotent parts.
+	// reassignmentFailureShare is the fraction of a failure that a reassignment adds to the failure rate that
+	// non-idempotent parts consider.
 	reassignmentFailureShare = 0.5
 )
 
-// isLate reports whether an attempt has taken far longer than expected, as the fleet is now.
+// isLate reports whether an attempt in flight has taken far longer than expected at the fleet's present latency.
 func (s *Scheduler) isLate(now float64, a *attempt) bool {
 	return now-a.sentAt > hedgeDelayFactor*s.latency.fleetMedian*s.expectedLatencyMs(a)
 }
 
-// handleIfLate covers an attempt that is late: with a substitute part, a hedged request, or by
-// reassigning it to another replica.
+// handleIfLate updates the latency of the replica's zone once when an attempt becomes late, and covers the late
+// attempt as soon as enough of the objective has passed.
 func (s *Scheduler) handleIfLate(now float64, p *part, a *attempt) {
 	if !s.isLate(now, a) {
 		return
 	}
 	if !a.late {
-		// A lost or slow network path shows in what is late before anything comes back.
+		// This detects a lost or slow network path to the zone before any attempt returns.
 		a.late = true
 		s.zones.observe(now, a.replica, (now-a.sentAt)/s.expectedLatencyMs(a))
 	}
@@ -50,8 +55,8 @@
 	a.covered = s.coverLateAttempt(now, p, a)
 }
 
-// coverLateAttempt asks for a substitute, a hedged request or a reassignment of a late attempt, in this order, and reports
-// whether one was possible.
+// coverLateAttempt queues a substitute part, sends a hedged request or reassigns the late attempt. It does the first
+// of these that is possible and reports whether there was one.
 func (s *Scheduler) coverLateAttempt(now float64, p *part, a *attempt) bool {
 	if s.queueSubstitute(now, p.query) {
 		return true
@@ -62,8 +67,8 @@
 	return s.reassign(now, p, a)
 }
 
-// hedge sends a hedged request of a late part to a healthy replica that it was not sent to before, and reports
-// whether it did. It sends none while something is queued at the part's replicas or the fleet is congested.
+// hedge sends a hedged request of a late part to a healthy replica that the part was not sent to before, and reports
+// whether it did. It sends none while calls wait at the part's replicas or the fleet is overloaded.
 func (s *Scheduler) hedge(now float64, p *part) bool {
 	if !s.canAttemptNow(now, p) || s.isOverloaded(now, p, maxHedgingMedian) || !s.hedgeBudgetAllows(now) {
 		return false
@@ -79,9 +84,10 @@
 	return true
 }
 
-// reassign cancels a late attempt at an idempotent part where no hedged request is allowed, and reports whether it
-// did. The retry that follows goes to another replica. It saves parts from stalled replicas but throws away what may
-// be about to come, so it does nothing while the part's replicas or the fleet are congested.
+// reassign cancels a late attempt of an idempotent part if the settings do not allow hedging, and reports whether it
+// did. The retry that follows goes to another replica. This saves parts from stalled replicas but discards an attempt
+// that may be about to succeed. So nothing is reassigned while calls wait at the part's replicas or the fleet is
+// overloaded.
 func (s *Scheduler) reassign(now float64, p *part, a *attempt) bool {
 	settings := &s.settings
 	if !settings.CanCancel || settings.AllowHedging || p.query.class.Idempotency != Idempotent {
@@ -102,22 +108,23 @@
 		return false
 	}
 	s.hedges.add(now, hedgeWindowMs)
-	// Once nothing is in flight there, the replica's latency fades before it is healthy.
+	// Once nothing is in flight at the replica, its latency estimate decays before it is healthy again. The failure
+	// rate still keeps non-idempotent parts away.
 	a.replica.observeNonIdempotent(now, p.query.class, reassignmentFailureShare)
 	s.actions.Cancel(p.ID, a.number)
 	return true
 }
 
-// isOverloaded reports whether calls wait at a part's replicas, or the fleet is slower than a level shortly after a
-// rejection or shed load.
-func (s *Scheduler) isOverloaded(now float64, p *part, level float64) bool {
+// isOverloaded reports whether calls wait at a part's replicas, or the fleet's median latency exceeds maxMedian
+// within recentOverloadMs of a sign of overload: a rejection by a replica, or by admission because of load.
+func (s *Scheduler) isOverloaded(now float64, p *part, maxMedian float64) bool {
 	if s.oldestQueuedAtReplicasOf(p.Shard, now) < now {
 		return true
 	}
-	return s.latency.overloadMedian > level && now < s.lastOverloadAt+recentOverloadMs
+	return s.latency.overloadMedian > maxMedian && now < s.lastOverloadAt+recentOverloadMs
 }
 
-// hedgeBudgetAllows reports whether one more hedged request or reassignment stays within the budget.
+// hedgeBudgetAllows reports whether the hedge budget allows one more hedged request or reassignment.
 func (s *Scheduler) hedgeBudgetAllows(now float64) bool {
 	used := s.hedges.countSince(now - hedgeWindowMs)
 	earned := s.arrivals.countSince(now - hedgeWindowMs)
--- a/internal/decision/scheduler/idle_connections.go
+++ b/internal/decision/scheduler/idle_connections.go
@@ -3,51 +3,55 @@
 import "math"
 
 const (
-	// idleConnectionMinMs is how long a connection must have been unused to count as idle: a failure at once on an
-	// idle connection was lost with the connection.
+	// idleConnectionMinMs is how long a connection must have been unused to count as idle. An immediate failure on an
+	// idle connection is attributed to the connection and not to the replica.
 	idleConnectionMinMs = 250.0
-	// idleLossGain is the weight of the newest send on an idle connection; two losses in a row are a suspicion.
+	// idleLossGain is the weight of the newest attempt on an idle connection. Two losses in a row exceed
+	// idleLossThreshold.
 	idleLossGain = 0.3
-	// idleLossFullWeightReplicas is the number of replicas up to which one loss has its full weight. Among more, each is met
-	// on an idle connection anyway, and the weight falls with the square of their number.
+	// idleLossFullWeightReplicas is the number of replicas up to which one loss has its full weight. A broker with more
+	// replicas uses most connections only after they have been idle, so a loss says less there. The weight falls with
+	// the square of the number of replicas.
 	idleLossFullWeightReplicas = 20.0
-	// idleLossThreshold is the loss rate from which idle connections are closed before a send.
+	// idleLossThreshold is the loss rate above which idle connections are closed before an attempt.
 	idleLossThreshold = 0.35
-	// idleLossHalfLifeMs is the half-life of the loss rate; then idle connections are tried again.
+	// idleLossHalfLifeMs is the half-life of the loss rate. As it decays, idle connections are used again.
 	idleLossHalfLifeMs = 30000
-	// slowDialFactor lowers the loss rate when a new connection is slow to come up, as closing idle ones costs dials.
+	// slowDialFactor lowers the loss rate after a slow dial, as each idle connection that is closed costs a dial.
 	slowDialFactor = 0.5
 )
 
-// idleConnections learns whether idle connections to any replica are dropped unseen on the way. If they are, they are
-// closed before a send. The pool of connections learns the same by idle time for its own connections (idle_risk.go in
-// package backendpool); this estimate also keeps replicas from being blamed. Closing one costs a
-// dial, and spares non-idempotent parts a loss.
+// idleConnections estimates how often idle connections to the replicas have been dropped on the network without
+// either end noticing. If the rate is high, idle connections are closed before an attempt: this costs a dial but
+// protects non-idempotent parts from being lost. The connection pool makes a similar estimate by idle time for its
+// own connections (idle_risk.go in package backendpool). This estimate also keeps replicas from being blamed for
+// losses.
 type idleConnections struct {
 	lossRate decayingAverage
 }
 
-// shouldClose reports whether idle connections are to be closed before a send.
+// shouldClose reports whether idle connections should be closed before an attempt.
 func (c *idleConnections) shouldClose(now float64) bool {
 	return c.lossRate.valueAt(now, idleLossHalfLifeMs) > idleLossThreshold
 }
 
-// recordSlowDial notes that a new connection was slow to come up: closing idle ones is expensive now.
+// recordSlowDial lowers the loss rate after a slow dial: closing idle connections is expensive now.
 func (c *idleConnections) recordSlowDial() { c.lossRate.value *= slowDialFactor }
 
-// lossWeight is what one loss weighs among so many replicas.
+// lossWeight returns the weight of one loss for a broker with the given number of replicas.
 func lossWeight(replicas int) float64 {
 	return min(1, math.Pow(idleLossFullWeightReplicas/float64(replicas+1), 2))
 }
 
-// observe learns from the end of an attempt and reports whether its idle connection, and not its replica, is to
-// blame. hasReset says that the connection was reset before the replica can have done work, hasStalled that the
-// attempt was given up with nothing back long after it was due.
+// observe updates the loss rate with the end of an attempt. It reports whether the attempt was lost because of its
+// idle connection and not because of its replica. hasReset is set if the connection was reset before the replica can
+// have done any work, hasStalled if the attempt was given up without an answer when it was late.
 func (c *idleConnections) observe(now float64, a *attempt, outcome Outcome, hasReset, hasStalled bool,
 	replicas int) bool {
 	rate := c.lossRate.valueAt(now, idleLossHalfLifeMs)
 	isIdle := a.idleMs >= idleConnectionMinMs
-	// A success on an idle connection clears them, and a stall on one in use has another cause.
+	// A success on an idle connection lowers the rate. So does a stall on a connection in use, which must have another
+	// cause.
 	if (isIdle && outcome == Succeeded) || (!isIdle && hasStalled) {
 		c.lossRate = decayingAverage{at: now, value: rate * (1 - idleLossGain)}
 	}
@@ -70,8 +74,9 @@
 	return c.lossRate.value > idleLossThreshold
 }
 
-// idleTimeMs is for how long the connection that an attempt would use has been unused; 0 if it is in use or new. An
-// attempt beside others shares their connection, and its fate.
+// idleTimeMs returns how long the connection that the next attempt would use has been unused, in ms; 0 if it is in
+// use or new. An attempt joins the connection of the attempts in flight and may be lost with it, so it gets their
+// idle time.
 func (r *replica) idleTimeMs(now float64) float64 {
 	if n := len(r.inFlight); n > 0 {
 		return r.inFlight[n-1].idleMs
--- a/internal/decision/scheduler/placement.go
+++ b/internal/decision/scheduler/placement.go
@@ -8,7 +8,7 @@
 // PlacementChanged reports that the settings' Placement has changed.
 func (s *Scheduler) PlacementChanged() { clear(s.replicasByGroup) }
 
-// replicasOf returns the replicas that hold a shard, by number. The result is cached until the placement or the
+// replicasOf returns the replicas of a shard, sorted by number. The result is cached until the placement or the
 // endpoint list changes.
 func (s *Scheduler) replicasOf(shard int) []*replica {
 	group := s.settings.Placement.Group(shard)
@@ -26,7 +26,7 @@
 	return replicas
 }
 
-// lookUpReplicas finds the replicas of a placement group by cell and by number.
+// lookUpReplicas returns the replicas of a placement group, which the placement names by cell or by replica number.
 func (s *Scheduler) lookUpReplicas(group int) []*replica {
 	replicas := []*replica{}
 	for _, cell := range s.settings.Placement.Cells(group) {
@@ -41,8 +41,8 @@
 	return replicas
 }
 
-// updateOldestQueued notes since when calls wait at each placement group: what waits at one of its shards says how long a
-// part of another one would.
+// updateOldestQueued updates when the oldest waiting call of each placement group was queued. The shards of a group
+// share their replicas, so a call that waits at one shard shows how long a part of another would wait.
 func (s *Scheduler) updateOldestQueued(now float64) {
 	clear(s.oldestQueuedAtByGroup)
 	for _, queues := range s.queues.active {
@@ -55,18 +55,18 @@
 	}
 }
 
-// oldestQueuedAtReplicasOf is since when the oldest call waits at the replicas of a shard, as of the beginning of the round; now
-// if none does.
+// oldestQueuedAtReplicasOf returns when the oldest call that waits at the replicas of a shard was queued, as of the
+// beginning of the round. It returns now if no call waits.
 func (s *Scheduler) oldestQueuedAtReplicasOf(shard int, now float64) float64 {
 	return cmp.Or(s.oldestQueuedAtByGroup[s.settings.Placement.Group(shard)], now)
 }
 
-// queueWaitMs is for how long the oldest call waits at the replicas of a part's shard, or of a part that counts with
-// it, in ms.
+// queueWaitMs returns how long the oldest call has waited at the replicas of a part or of any part of its atomic
+// group, in ms.
 func (s *Scheduler) queueWaitMs(now float64, p *part) float64 {
 	longest := 0.0
-	for _, companion := range p.groupParts() {
-		longest = max(longest, now-s.oldestQueuedAtReplicasOf(companion.Shard, now))
+	for _, member := range p.groupParts() {
+		longest = max(longest, now-s.oldestQueuedAtReplicasOf(member.Shard, now))
 	}
 	return longest
 }
