--- a/internal/decision/scheduler/resharding.go
+++ b/internal/decision/scheduler/resharding.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// ReplacePart replaces a part by others, because its shard has been split, merged or moved. None of its attempts may
-// be in flight. The attempts made so far count for each of the new parts. It reports whether the part was replaced;
-// a part without an atomic group cannot be.
+// ReplacePart replaces a part by others after its shard has been split, merged or moved. It reports whether it did.
+// A part cannot be replaced if it is unknown, has arrived, has attempts in flight or is in no atomic group. The
+// attempts made so far count as attempts of each new part.
 func (s *Scheduler) ReplacePart(now float64, id uint64, replacements []Part) bool {
 	p := s.parts[id]
 	if p == nil || p.arrived || p.attemptsInFlight > 0 || p.query.ended || p.group == nil {
@@ -17,7 +17,7 @@
 	p.abandoned = true
 	delete(s.parts, id)
 	replacing := s.addReplacements(p, replacements)
-	// The part leaves its group only now, so that its replacements have found the group through it.
+	// The part leaves its group only now because its replacements find the group through it.
 	isReplaced := func(other *part) bool { return other == p }
 	p.query.parts = slices.DeleteFunc(p.query.parts, isReplaced)
 	group.parts = slices.DeleteFunc(group.parts, isReplaced)
@@ -29,7 +29,7 @@
 	return true
 }
 
-// addReplacements adds parts to the query and the atomic group of the part that they replace.
+// addReplacements adds the parts that replace a part to its query and its atomic group, and returns them.
 func (s *Scheduler) addReplacements(replaced *part, replacements []Part) []*part {
 	var added []*part
 	for _, in := range replacements {
@@ -43,7 +43,7 @@
 	return added
 }
 
-// ResumePart ends the retry delay of a part: what it waited for has come.
+// ResumePart ends the retry delay of a part because the event that it waited for has happened.
 func (s *Scheduler) ResumePart(id uint64) {
 	if p := s.parts[id]; p != nil {
 		p.retryNotBefore = 0
--- a/internal/decision/scheduler/retry.go
+++ b/internal/decision/scheduler/retry.go
@@ -3,19 +3,19 @@
 import "slices"
 
 const (
-	// lastAttemptObjectiveShare is the share of the objective before which the last allowed attempt is not spent,
-	// so that a set of replicas that is down cannot use up all attempts in a moment.
+	// lastAttemptObjectiveShare is the share of the objective that must have passed before the last allowed attempt.
+	// Otherwise a short outage of all replicas of a shard would use up all attempts.
 	lastAttemptObjectiveShare = 0.3
-	// cancelPropagationMs is how long after a cancel the next attempt may follow: the replica must know of the cancel
-	// before that is in flight.
+	// cancelPropagationMs is the delay between the end of a cancelled attempt and the next attempt. The cancelled
+	// replica must have received the cancellation before the next attempt is in flight.
 	cancelPropagationMs = 15.0
-	// outlierRetryObjectiveShare is the share of the objective between retries where only outliers are left: a
-	// healthy replica that is warming up or full may have capacity soon.
+	// outlierRetryObjectiveShare is the share of the objective between retries while only outliers are available. A
+	// healthy replica that is warming up or at its limit may have capacity soon.
 	outlierRetryObjectiveShare = 0.1
 )
 
-// canAttempt is the rule of idempotency and of the number of attempts: what an attempt at a part needs, the first or a
-// further one. The retry budget is checked by dispatch.
+// canAttempt reports whether a part may have one more attempt, be it the first: it is not abandoned, and neither the
+// number of attempts nor the idempotency of its class forbids it. The retry budget is checked by dispatch.
 func (s *Scheduler) canAttempt(now float64, p *part) bool {
 	if p.abandoned || p.attemptsInFlight >= maxParallelAttempts {
 		return false
@@ -38,8 +38,8 @@
 	return true
 }
 
-// retry makes a further attempt at a failed part and reports whether it did. Retries skip the queues but go only to
-// a replica that takes more work, so they cannot feed congestion.
+// retry starts another attempt of a failed part and reports whether it did. Retries skip the queues but go only to a
+// replica that has capacity, so they cannot increase congestion.
 func (s *Scheduler) retry(now float64, p *part) bool {
 	if !s.canAttemptNow(now, p) {
 		return false
@@ -49,14 +49,15 @@
 		return false
 	}
 	q := p.query
-	spacingMs := float64(len(p.attempts)) * outlierRetryObjectiveShare * q.class.LatencyObjective
-	if !s.isHealthy(now, r) && now < q.arrivedAt+spacingMs {
+	minAgeMs := float64(len(p.attempts)) * outlierRetryObjectiveShare * q.class.LatencyObjective
+	if !s.isHealthy(now, r) && now < q.arrivedAt+minAgeMs {
 		return false
 	}
 	return s.dispatch(now, p, r)
 }
 
-// canAttemptNow reports whether a retry or hedged request of a part is allowed and due.
+// canAttemptNow reports whether a retry or hedged request of a part is allowed now. Besides canAttempt it checks the
+// delays that apply to retries.
 func (s *Scheduler) canAttemptNow(now float64, p *part) bool {
 	if now < p.retryNotBefore || !s.canAttempt(now, p) {
 		return false
@@ -73,7 +74,7 @@
 	return last.outcome != Cancelled || now >= last.endedAt+cancelPropagationMs
 }
 
-// selectForExtraAttempt is the replica for a retry or hedged request, or nil if none takes more work.
+// selectForExtraAttempt returns the replica for a retry or hedged request, or nil if none has capacity.
 func (s *Scheduler) selectForExtraAttempt(now float64, p *part) *replica {
 	selected := s.selectReplica(now, p, p.cost, true)
 	r := selected.replica
@@ -86,23 +87,23 @@
 	return r
 }
 
-// queueSubstitute asks a reserve part of a query in place of a late or failed one and reports whether it did.
+// queueSubstitute queues a reserve part of a query, with its atomic group, as the substitute for a late or failed
+// part. It reports whether there was one.
 func (s *Scheduler) queueSubstitute(now float64, q *query) bool {
 	isSubstitute := func(p *part) bool { return p.reserve && s.canAttempt(now, p) }
 	i := slices.IndexFunc(q.parts, isSubstitute)
 	if i < 0 {
 		return false
 	}
-	companions := q.parts[i].groupParts()
-	for _, p := range companions {
+	substitutes := q.parts[i].groupParts()
+	for _, p := range substitutes {
 		p.reserve = false
 	}
-	s.enqueue(now, companions)
+	s.enqueue(now, substitutes)
 	return true
 }
 
-// retryOrHedgeParts looks after the parts of a query that are in flight or failed: failed ones are retried, late ones
-// hedged.
+// retryOrHedgeParts retries the failed parts of a query and hedges, reassigns or substitutes the late ones.
 func (s *Scheduler) retryOrHedgeParts(now float64, q *query) {
 	for _, p := range q.parts {
 		if p.arrived || p.reserve || p.queued || len(p.attempts) == 0 {
--- a/internal/decision/scheduler/slow_start.go
+++ b/internal/decision/scheduler/slow_start.go
@@ -8,45 +8,49 @@
 )
 
 const (
-	// usedAllowanceShare is the share of the slow-start allowance that is used; the rest covers errors of the estimate.
+	// usedAllowanceShare is the share of the slow-start allowance that all brokers together use. The rest covers
+	// errors of the work estimate.
 	usedAllowanceShare = 0.7
-	// minUnroundedQuotaParts is the quota, in mean parts, below which it is rounded to whole parts.
+	// minUnroundedQuotaParts is the quota, in mean parts, below which quotas are rounded to whole parts.
 	minUnroundedQuotaParts = 2.0
-	// slotStride spreads the slots of successive replicas over the brokers; it is the golden ratio.
+	// slotStride distributes the slots of successive replicas among the brokers. It is the fractional part of the
+	// golden ratio.
 	slotStride = 0.618
-	// maxReplicaSpeed is the ms of work per ms that one broker may believe a warm replica does.
+	// maxReplicaSpeed is the highest estimate of a warm replica's speed, in ms of work per ms.
 	maxReplicaSpeed = 2.0
 )
 
-// warmupState is what a replica's slow start is judged by.
+// warmupState is the state of a replica's slow start.
 type warmupState struct {
-	startedAt float64 // start of its process; 0 for long ago
-	// sent is the work sent to it within the window of the allowance, oldest first but for what TakeOver adds.
+	startedAt float64 // start of the replica's process; 0 for long ago
+	// sent is the work sent to the replica within the window of the allowance, oldest first except for the work that
+	// TakeOver adds.
 	sent []workSample
 }
 
-// workSample is work in ms and the time when it was sent.
+// workSample is an amount of work, in ms, and the time when it was sent.
 type workSample struct{ at, workMs float64 }
 
-// record adds work that is sent now and forgets what is older than the window.
+// record adds work that is sent now and deletes samples that are older than the window.
 func (w *warmupState) record(now, windowMs, workMs float64) {
 	hasExpired := func(sample workSample) bool { return sample.at < now-windowMs }
 	w.sent = slices.DeleteFunc(w.sent, hasExpired)
 	w.sent = append(w.sent, workSample{at: now, workMs: workMs})
 }
 
-// slowStart limits what warming replicas are sent. A replica that started lately has a fraction of its capacity,
-// which grows linearly. All brokers together may send it a multiple of its present capacity within a window; each
-// takes its quota of that.
+// slowStart limits the work that is sent to replicas that are warming up. A replica that started lately has a
+// fraction of its full capacity, which grows linearly. All brokers together may send it a multiple of its present
+// capacity within a window, which is its allowance. Each broker uses its quota of the allowance.
 type slowStart struct {
 	settings SlowStartSettings
 	quota    fleetshare.SlowStartQuota
-	// replicaSpeed is the ms of work per ms that a warm replica was seen to do, 1 at least.
+	// replicaSpeed is the highest observed speed of a warm replica, in ms of work per ms; at least 1.
 	replicaSpeed float64
 	// startedAt is when discovery first answered or failed, or when another process last shared the quota; -Inf after
-	// TakeOver. What was sent in the window before is not known here and still counts.
+	// TakeOver. Work sent in the window before this time is unknown here and counts all the same, so warming replicas
+	// are sent nothing in the window after it.
 	startedAt float64
-	// handedOver says that another process has taken over: warming replicas get nothing more from this one.
+	// handedOver is set once another process has taken over. Warming replicas are then sent nothing by this one.
 	handedOver bool
 }
 
@@ -58,7 +62,7 @@
 	}
 }
 
-// isWarm reports whether a replica has its full capacity, as far as is known.
+// isWarm reports whether a replica is not known to be warming up. All replicas are warm if slow start is off.
 func (s *slowStart) isWarm(now float64, r *replica) bool {
 	if s.settings.WorkMultiple*s.settings.Window <= 0 || r.warmup.startedAt <= 0 {
 		return true
@@ -66,9 +70,8 @@
 	return now >= r.warmup.startedAt+s.settings.Duration+s.settings.Window
 }
 
-// allowanceMs is the work, in ms, that all brokers may send a warming replica within a window if it does one ms of
-// work per ms when warm. The replica is taken to be as far in its warm-up as half
-// a window ago.
+// allowanceMs returns the work, in ms, that all brokers together may send a warming replica within a window if its
+// speed is 1 when warm. It uses the replica's capacity of half a window ago.
 func (s *slowStart) allowanceMs(now float64, r *replica) float64 {
 	age := max(0, now-r.warmup.startedAt-s.settings.Window/2)
 	initial := s.settings.InitialCapacity
@@ -76,12 +79,13 @@
 	return s.settings.WorkMultiple * s.settings.Window * capacity
 }
 
-// observeReplicaSpeed learns how much work a warm replica does at once from a part that took no longer than the baseline.
+// observeReplicaSpeed raises the speed estimate to the cost that a replica had in flight when it served a part faster
+// than the baseline, up to maxReplicaSpeed.
 func (s *slowStart) observeReplicaSpeed(replicaCost float64) {
 	s.replicaSpeed = max(s.replicaSpeed, min(replicaCost, maxReplicaSpeed))
 }
 
-// countWarmReplicas is how many replicas are ready and not known to be warming up.
+// countWarmReplicas returns the number of replicas that are ready and not known to be warming up.
 func (s *Scheduler) countWarmReplicas(now float64) int {
 	count := 0
 	for _, r := range s.replicas.ordered {
@@ -92,8 +96,8 @@
 	return count
 }
 
-// warmingReplicaAvailableAt is when enough of the work sent to a warming replica has left the window for a part to
-// fit into this broker's quota; +Inf if the part needs more than the quota.
+// warmingReplicaAvailableAt returns when enough of the work sent to a warming replica has left the window for a part
+// of the given cost to fit into this broker's quota. It returns +Inf if the part needs more than the whole quota.
 func (s *Scheduler) warmingReplicaAvailableAt(now float64, r *replica, cost float64) float64 {
 	remaining, needed := s.warmupQuotaMs(now, r, cost)
 	window := s.slowStart.settings.Window
@@ -110,9 +114,9 @@
 	return math.Inf(1)
 }
 
-// warmupQuotaMs is this broker's quota of a warming replica's allowance in any window, and what the part needs of
-// it, both in ms of work. A small quota is rounded to whole parts: a slot that depends on the broker and the replica
-// decides whether it is rounded up, so that the quotas of all brokers still add up to the allowance.
+// warmupQuotaMs returns this broker's quota of a warming replica's allowance in any window, and how much of it a part
+// needs, both in ms of work. A small quota is rounded to whole mean parts. Whether it is rounded up depends on a slot
+// that follows from the broker and the replica, so that the quotas of all brokers still add up to the allowance.
 func (s *Scheduler) warmupQuotaMs(now float64, r *replica, cost float64) (quotaMs, neededMs float64) {
 	allowance := s.slowStart.allowanceMs(now, r)
 	brokers := float64(s.settings.BrokerCount)
