--- a/internal/decision/scheduler/settings.go
+++ b/internal/decision/scheduler/settings.go
@@ -5,63 +5,63 @@
 	"math"
 )
 
-// Idempotency says what a repeated part of a class does.
+// Idempotency says whether a part of a class may be executed more than once.
 type Idempotency uint8
 
 // The idempotency of a class.
 const (
-	Idempotent        Idempotency = iota // may be repeated freely
-	IdempotentWithKey                    // backends drop repeats within Class.DedupWindow
-	NonIdempotent                        // must not run twice
+	Idempotent        Idempotency = iota // may be executed any number of times
+	IdempotentWithKey                    // backends drop duplicates of a key within Class.DedupWindow
+	NonIdempotent                        // must not be executed twice
 )
 
 // Class is one kind of query and its service levels.
 type Class struct {
-	// LatencyObjective is the time in ms within which an answer has its full worth.
+	// LatencyObjective is the time in ms within which an answer counts in full.
 	LatencyObjective float64
-	// Deadline is the time in ms that a client waits for an answer at most, over all of its retries.
+	// Deadline is the longest time in ms that a client waits for an answer, over all of its retries.
 	Deadline float64
-	// PriorityWeight is the worth of a complete answer in time, relative to other classes.
+	// PriorityWeight is what a complete answer within the objective counts, relative to other classes.
 	PriorityWeight float64
-	// LateFactor is the fraction of PriorityWeight that an answer after the objective is worth.
+	// LateFactor is the fraction of PriorityWeight that an answer after the objective counts.
 	LateFactor float64
-	// Idempotency says whether parts may be repeated.
+	// Idempotency says whether parts may be executed more than once.
 	Idempotency Idempotency
-	// DedupWindow is the time in ms after the first attempt in which backends drop repeats by key.
+	// DedupWindow is the time in ms after the first attempt in which backends drop duplicates by key.
 	DedupWindow float64
-	// MinCompleteness is the least share of a query's weight with which it may be answered.
+	// MinCompleteness is the smallest share of a query's weight with which it may be answered.
 	MinCompleteness float64
 	// CompletenessTarget is the share of a query's weight that makes an answer complete.
 	CompletenessTarget float64
-	// PartialFactor is the fraction of PriorityWeight that a partial answer is worth.
+	// PartialFactor is the fraction of PriorityWeight that a partial answer counts.
 	PartialFactor float64
 	// SecondStepParts is the number of parts that follow the first answer; 0 for classes with one step.
 	SecondStepParts int
 }
 
-// SlowStartSettings limit the work that a lately started replica is sent. Zero values switch slow start off.
+// SlowStartSettings limits the work that is sent to a replica that started lately. Zero values disable slow start.
 type SlowStartSettings struct {
 	// InitialCapacity is the share of its full capacity with which a replica starts, in [0, 1].
 	InitialCapacity float64
-	// Duration is the time in ms until a started replica has its full capacity.
+	// Duration is the time in ms from the start of a replica until it has its full capacity.
 	Duration float64
-	// WorkMultiple is how many times its present capacity a replica may be sent within Window, by all brokers.
+	// WorkMultiple is the multiple of a replica's present capacity that all brokers together may send it within Window.
 	WorkMultiple float64
 	// Window is the length in ms of the sliding window in which that work is counted.
 	Window float64
 }
 
-// RetryBudgetSettings bound the attempts beyond the first of each part.
+// RetryBudgetSettings limits the attempts after the first of each part.
 type RetryBudgetSettings struct {
-	// Spare is the number of retries allowed within Window whatever the traffic.
+	// Spare is the number of retries allowed within Window regardless of the traffic.
 	Spare float64
-	// Ratio is the number of further retries for each query or part taken within Window.
+	// Ratio is the number of additional retries for each query or part that arrived within Window.
 	Ratio float64
-	// Window is the length of the sliding window in ms; 0 for no budget.
+	// Window is the length of the sliding window in ms; 0 means no budget.
 	Window float64
 }
 
-// Settings is what the deployment states. Zero values switch off what depends on them.
+// Settings describes the deployment. Zero values disable what depends on them.
 type Settings struct {
 	// Classes are the kinds of queries; at least one.
 	Classes []Class
@@ -70,7 +70,7 @@
 	// OverQuotaFactor is the fraction of its priority that a query beyond its tenant's quota keeps.
 	OverQuotaFactor float64
 
-	// BrokerIndex is this broker's place among the brokers of the fleet, from 0.
+	// BrokerIndex is this broker's number among the brokers of the fleet, from 0.
 	BrokerIndex int
 	// BrokerCount is the number of brokers; 0 means 1.
 	BrokerCount int
@@ -85,66 +85,67 @@
 	Cells int
 	// CellsPerShard is the number of cells that hold a shard of a fixed placement.
 	CellsPerShard int
-	// Placement says which replicas hold a shard.
+	// Placement maps shards to replicas.
 	Placement Placement
 
 	// MaxPartsPerCall is the number of parts that one call may carry; 0 means 1.
 	MaxPartsPerCall int
-	// CallOverhead is the work in ms that a call costs beside its parts.
+	// CallOverhead is the work in ms that a call costs in addition to its parts.
 	CallOverhead float64
 
-	// PollEndpoints says that the endpoint list comes only when it is polled or watched.
+	// PollEndpoints is set if the scheduler must poll or watch the endpoint list to receive it.
 	PollEndpoints bool
-	// MaxStaleness is the time in ms after its last poll at which this broker is held to know of every change.
+	// MaxStaleness is the time in ms after its last poll at which this broker counts as notified of every change.
 	MaxStaleness float64
 
-	// CanCancel says that an attempt in flight can be cancelled.
+	// CanCancel is set if attempts in flight can be cancelled.
 	CanCancel bool
-	// AllowHedging says that two attempts of a part may be in flight at once.
+	// AllowHedging is set if two attempts of a part may be in flight at once.
 	AllowHedging bool
-	// MaxAttempts is the number of attempts for one part; 0 for no limit.
+	// MaxAttempts is the largest number of attempts of one part; 0 means no limit.
 	MaxAttempts int
-	// MaxRetryAfter is the longest time in ms after which a rejected client is asked to come back.
+	// MaxRetryAfter is the longest time in ms that a rejected client is asked to wait before it retries.
 	MaxRetryAfter float64
 
 	// DrainGrace is the time in ms after a drain was reported in which a replica may still be sent parts.
 	DrainGrace float64
-	// SlowStart limits what warming replicas are sent.
+	// SlowStart limits the work that is sent to replicas that are warming up.
 	SlowStart SlowStartSettings
-	// RetryBudget limits attempts beyond the first.
+	// RetryBudget limits the attempts after the first of each part.
 	RetryBudget RetryBudgetSettings
 	// AnswerGrace is the time in ms after its deadline in which a final answer still counts. The scheduler does not
-	// use it: its answers leave before the deadline.
+	// use it, as it answers before the deadline.
 	AnswerGrace float64
 }
 
-// Placement says which replicas hold a shard. It may change between events; PlacementChanged reports that.
+// Placement maps shards to the replicas that hold them. It may change between events; PlacementChanged reports that.
 type Placement interface {
-	// Group is the number, from 0, of the set of replicas that holds a shard, or -1 if there is no such shard.
-	// Shards of one group have the same replicas.
+	// Group returns the number, from 0, of the set of replicas that holds a shard, or -1 if there is no such shard.
+	// The shards of a group have the same replicas.
 	Group(shard int) int
-	// Cells are the cells whose replicas hold the shards of a group, where placement goes by cells.
+	// Cells returns the cells whose replicas hold the shards of a group, if the placement names cells.
 	Cells(group int) []int
-	// Replicas are the replicas that hold the shards of a group, where placement names them one by one.
+	// Replicas returns the replicas that hold the shards of a group, if the placement names single replicas.
 	Replicas(group int) []uint32
 }
 
-// SettingError says which setting is out of its range.
+// SettingError reports a setting that is out of range.
 type SettingError struct {
-	// Setting names the field of Settings, or the fields that do not fit each other; a list has the index of its entry.
+	// Setting is the name of the field of Settings, with the index of the entry if it is a list, or the names of
+	// fields that contradict each other.
 	Setting string
-	// Problem says what is wrong with its value.
+	// Problem says what is wrong with the value.
 	Problem string
 }
 
-// Error names the setting and the problem.
+// Error returns the setting and the problem.
 func (e *SettingError) Error() string { return e.Setting + ": " + e.Problem }
 
 func settingError(setting, problem string, values ...any) error {
 	return &SettingError{Setting: setting, Problem: fmt.Sprintf(problem, values...)}
 }
 
-// validate names the first setting that is out of its range, in a SettingError; NaN and infinities are.
+// validate returns a SettingError for the first setting that is out of range. NaN and infinities are out of range.
 func (s *Settings) validate() error {
 	if len(s.Classes) == 0 {
 		return settingError("Classes", "missing")
@@ -153,18 +154,19 @@
 		return settingError("Placement", "missing")
 	}
 	if s.Shards < 1 || s.Cells < 1 || s.CellsPerShard < 1 || s.CellsPerShard > s.Cells {
-		return settingError("Shards, Cells or CellsPerShard", "%d, %d, %d are out of range", s.Shards, s.Cells,
-			s.CellsPerShard)
+		return settingError("Shards, Cells or CellsPerShard",
+			"%d, %d, %d: each must be at least 1, and CellsPerShard at most Cells", s.Shards, s.Cells, s.CellsPerShard)
 	}
 	if s.BrokerCount < 0 || s.BrokerIndex < 0 || s.BrokerIndex >= max(s.BrokerCount, 1) {
-		return settingError("BrokerIndex", "%d is not below BrokerCount, %d", s.BrokerIndex, s.BrokerCount)
+		return settingError("BrokerIndex", "%d is negative or not below BrokerCount, which is %d", s.BrokerIndex,
+			s.BrokerCount)
 	}
 	if err := s.validateNumbers(); err != nil {
 		return err
 	}
 	for i, rate := range s.TenantRates {
 		if !isFiniteAndNotNegative(rate) {
-			return settingError(fmt.Sprintf("TenantRates[%d]", i), "%v is out of range", rate)
+			return settingError(fmt.Sprintf("TenantRates[%d]", i), "%v is negative or not finite", rate)
 		}
 	}
 	for i := range s.Classes {
@@ -196,11 +198,11 @@
 		{"AnswerGrace", s.AnswerGrace},
 	} {
 		if !isFiniteAndNotNegative(setting.value) {
-			return settingError(setting.name, "%v is out of range", setting.value)
+			return settingError(setting.name, "%v is negative or not finite", setting.value)
 		}
 	}
 	if s.SlowStart.InitialCapacity > 1 {
-		return settingError("SlowStart.InitialCapacity", "%v is out of range", s.SlowStart.InitialCapacity)
+		return settingError("SlowStart.InitialCapacity", "%v is above 1", s.SlowStart.InitialCapacity)
 	}
 	return nil
 }
--- a/internal/decision/scheduler/settings_test.go
+++ b/internal/decision/scheduler/settings_test.go
@@ -11,7 +11,8 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-// TestSettingsOutOfRangeAreNamedInError guarantees that New rejects contradictory settings and says which they are.
+// TestSettingsOutOfRangeAreNamedInError checks that New rejects settings that are out of range or contradict each
+// other, and that the error names them.
 func TestSettingsOutOfRangeAreNamedInError(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"CellsPerShard":     func(s *Settings) { s.CellsPerShard = 7 },
@@ -29,7 +30,7 @@
 	}
 }
 
-// TestInvalidNumbersAreNamedInError guarantees the same for NaN, infinities and numbers that make no sense, which
+// TestInvalidNumbersAreNamedInError checks the same for NaN, infinities and other invalid numbers. NaN and infinities
 // would otherwise spread through all estimates.
 func TestInvalidNumbersAreNamedInError(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
@@ -51,8 +52,8 @@
 	}
 }
 
-// TestSettingErrorNamesSetting guarantees that callers can tell which setting is wrong, and that missing actions are
-// an error of their own.
+// TestSettingErrorNamesSetting checks that callers can tell which setting is wrong, and that missing Actions have
+// their own error.
 func TestSettingErrorNamesSetting(t *testing.T) {
 	settings := testSettings()
 	settings.Placement = shardmap.NewRingPlacement(settings.Shards, settings.Cells, settings.CellsPerShard)
@@ -62,6 +63,6 @@
 	_, err = New(settings, 1, &harness{})
 	var settingErr *SettingError
 	assert.True(t, errors.As(err, &settingErr), "error %v", err)
-	assert.Equal(t, &SettingError{Setting: "TenantRates[1]", Problem: "-1 is out of range"}, settingErr)
-	assert.EqualError(t, err, "TenantRates[1]: -1 is out of range")
+	assert.Equal(t, &SettingError{Setting: "TenantRates[1]", Problem: "-1 is negative or not finite"}, settingErr)
+	assert.EqualError(t, err, "TenantRates[1]: -1 is negative or not finite")
 }
