--- a/internal/decision/scheduler/completion_test.go
+++ b/internal/decision/scheduler/completion_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestUnansweredQueriesEndOnce guarantees one final answer where there is nothing to answer with: a rejection if
-// asking again is harmless, a failure if a non-idempotent part may have run. The harness fails the test on a second.
+// TestUnansweredQueriesEndOnce checks that a query without any arrived part gets one final answer: a rejection if a
+// client retry is safe, a failure if a non-idempotent part may have run. The harness fails on a second final answer.
 func TestUnansweredQueriesEndOnce(t *testing.T) {
 	h := newHarness(t, testSettings())
 	withoutParts := h.submit(classDefault)
@@ -24,29 +24,29 @@
 	h.requireEnd(nonIdempotent, endFail)
 }
 
-// TestNegligibleLateFactorEndsQueryAtObjective guarantees that queries whose late answer is worth little end at
-// their objective, and so do their attempts, while others are waited for.
+// TestNegligibleLateFactorEndsQueryAtObjective checks that queries whose late answer is worth little, and their
+// attempts, end at the objective. Other queries continue.
 func TestNegligibleLateFactorEndsQueryAtObjective(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
-	worthless := h.submit(classWithKey, 0)
-	worthwhile := h.submit(classDefault, 1)
+	endsAtObjective := h.submit(classWithKey, 0)
+	continues := h.submit(classDefault, 1)
 	h.runRound()
 	for _, a := range h.inFlight {
 		class := a.part.query.Query.Class
 		if (a.timeoutMs <= 1000) != (class == classWithKey) {
-			t.Fatalf("class %d: timeout %v", class, a.timeoutMs)
+			t.Fatalf("class %d: timeout of %v ms", class, a.timeoutMs)
 		}
 	}
 	h.advance(1010, nil)
-	h.requireEnd(worthless, endFail) // it may have run: no promise
-	if worthwhile.endedAt > 0 {
-		t.Fatal("a query whose late answer has worth was ended at its objective")
+	h.requireEnd(endsAtObjective, endFail) // its part may have run
+	if continues.endedAt > 0 {
+		t.Fatal("a query whose late answer counts was ended at its objective")
 	}
 }
 
-// TestPartialAnswerAtObjective guarantees that a class that allows it is answered with what has arrived, marked as
-// incomplete, instead of missing its objective.
+// TestPartialAnswerAtObjective checks that a query of a class with partial answers is answered at its objective with
+// the parts that have arrived, and that the answer is not marked complete.
 func TestPartialAnswerAtObjective(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestPartialAnswerPrecedesObjectiveByMargin guarantees that a partial answer leaves early enough to be at the
-// client by the objective, however the objective falls between two looks at the open queries.
+// TestPartialAnswerPrecedesObjectiveByMargin checks that a partial answer is sent early enough to reach the client
+// before the objective, even if the objective falls between two rounds.
 func TestPartialAnswerPrecedesObjectiveByMargin(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
@@ -80,12 +80,12 @@
 	h.requireEnd(q, endAnswer)
 	margin := arrivedAt + h.settings.Classes[classPartial].LatencyObjective - q.endedAt
 	if margin < finalAnswerMarginMs {
-		t.Fatalf("answered %v ms before the objective, want %v at least", margin, finalAnswerMarginMs)
+		t.Fatalf("answered %v ms before the objective, want at least %v", margin, finalAnswerMarginMs)
 	}
 }
 
-// TestSecondStepEndsWithCompleteAnswer guarantees that the first answer of a class with two steps keeps the query
-// open, and the second ends it.
+// TestSecondStepEndsWithCompleteAnswer checks that a query of a class with two steps stays open after its first
+// answer and ends with the second.
 func TestSecondStepEndsWithCompleteAnswer(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
@@ -93,7 +93,7 @@
 	h.runRound()
 	h.advance(60, h.replyAfter(40))
 	if q.answers != 1 || q.endedAt > 0 {
-		t.Fatal("first step not answered, or the query ended with it")
+		t.Fatalf("%d answers after the first step, ended at %v; want 1 answer and an open query", q.answers, q.endedAt)
 	}
 	h.addPart(q, 0, 100, 0.5)
 	h.addPart(q, 1, 100, 0.5)
@@ -105,8 +105,8 @@
 	}
 }
 
-// TestDegenerateSecondStepEndsOnce guarantees one honest final answer to queries whose second step has fewer parts
-// than stated, or parts at shards whose replicas have been removed.
+// TestDegenerateSecondStepEndsOnce checks that a query gets one final answer in time, which is not falsely marked
+// complete, if its second step has fewer parts than stated or parts at shards whose replicas have been removed.
 func TestDegenerateSecondStepEndsOnce(t *testing.T) {
 	const withoutReplicas = "no replicas"
 	for name, begin := range map[string]func(h *harness, q *testQuery){
@@ -138,8 +138,8 @@
 	}
 }
 
-// TestCoarseTimerStillAnswersBeforeDeadline guarantees that the final answer is not late where timers are coarse;
-// the harness fails the test on a late one.
+// TestCoarseTimerStillAnswersBeforeDeadline checks that the final answer is not late with a coarse timer resolution.
+// The harness fails on a late one.
 func TestCoarseTimerStillAnswersBeforeDeadline(t *testing.T) {
 	settings := testSettings()
 	settings.TimerResolution = 100
--- a/internal/decision/scheduler/endpoint_list_test.go
+++ b/internal/decision/scheduler/endpoint_list_test.go
@@ -8,12 +8,14 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestDrainingReplicaGetsNothingUntilReadyAgain guarantees that draining and removed replicas get nothing new, and
-// that a replica that is ready again is used like the others.
+// TestDrainingReplicaGetsNothingUntilReadyAgain checks that nothing more is sent to draining and removed replicas,
+// and that a replica that is ready again is used.
 func TestDrainingReplicaGetsNothingUntilReadyAgain(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
-	h.updateEndpoints(UpdateDelta, Endpoint{Replica: 1, Cell: 0, State: Draining}, Endpoint{Replica: 2, Cell: 1, State: Removed})
+	h.updateEndpoints(UpdateDelta,
+		Endpoint{Replica: 1, Cell: 0, State: Draining},
+		Endpoint{Replica: 2, Cell: 1, State: Removed})
 	for range 40 {
 		h.submit(classDefault, 0)
 		h.runRound()
@@ -32,12 +34,12 @@
 		h.advance(20, nil)
 	}
 	if countSentTo(1, h.sent[before:]) == 0 {
-		t.Fatal("nothing sent to a replica that is ready again")
+		t.Fatal("no part sent to a replica that is ready again")
 	}
 }
 
-// TestFailedPollBacksOff guarantees that a failed poll is repeated, after a delay and once only, and that nothing is
-// polled while a watch runs.
+// TestFailedPollBacksOff checks that a failed poll is followed by exactly one poll after a delay, and that the
+// endpoint list is not polled while a watch runs.
 func TestFailedPollBacksOff(t *testing.T) {
 	settings := testSettings()
 	settings.PollEndpoints = true
@@ -69,8 +71,8 @@
 	}
 }
 
-// TestRecoversFromStaleListWithSpentRetryBudget guarantees that queries are answered soon after an update that
-// names the new processes, although failures at the old ones have spent the retry budget by then.
+// TestRecoversFromStaleListWithSpentRetryBudget checks that queries are answered again soon after an update names the
+// new processes of replicas, although failures at the old processes have spent the retry budget.
 func TestRecoversFromStaleListWithSpentRetryBudget(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
@@ -99,12 +101,12 @@
 		}
 	}
 	if answered < 36 {
-		t.Fatalf("%d of 40 queries answered after the update, want 36 at least", answered)
+		t.Fatalf("%d of 40 queries answered after the update, want at least 36", answered)
 	}
 }
 
-// TestReplacingMostReplicasAtOnceLosesNoQuery guarantees that an update which replaces four of six replicas loses
-// neither what is in flight at the old ones nor what comes next, and that the new ones are used.
+// TestReplacingMostReplicasAtOnceLosesNoQuery checks that an update that replaces four of six replicas loses neither
+// the queries with parts in flight at the old replicas nor later queries, and that the new replicas are used.
 func TestReplacingMostReplicasAtOnceLosesNoQuery(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
@@ -138,13 +140,13 @@
 	}
 	for id := uint32(101); id <= 104; id++ {
 		if !used[id] {
-			t.Errorf("replica %d is never used", id)
+			t.Errorf("no part sent to replica %d", id)
 		}
 	}
 }
 
-// TestLongEndpointListAndUnsetBrokerCount guarantees that a list may name far more replicas than the settings
-// suggest, also in cells that hold nothing, and that a BrokerCount of 0 means one broker.
+// TestLongEndpointListAndUnsetBrokerCount checks that queries are answered if the list names far more replicas than
+// the settings suggest, some in cells that hold no shard, and if BrokerCount is 0, which means one broker.
 func TestLongEndpointListAndUnsetBrokerCount(t *testing.T) {
 	settings := testSettings()
 	settings.BrokerCount = 0
@@ -161,18 +163,20 @@
 	h.requireEnd(q, endAnswer)
 }
 
-// TestArbitraryZoneNumbersAreAccepted guarantees that the numbers of zones need not be small or positive.
+// TestArbitraryZoneNumbersAreAccepted checks that zone numbers may be negative or large.
 func TestArbitraryZoneNumbersAreAccepted(t *testing.T) {
 	h := newHarness(t, testSettings())
-	h.updateEndpoints(UpdateFull, Endpoint{Replica: 1, State: Ready, Zone: -7}, Endpoint{Replica: 2, State: Ready, Zone: 1 << 40})
+	h.updateEndpoints(UpdateFull,
+		Endpoint{Replica: 1, State: Ready, Zone: -7},
+		Endpoint{Replica: 2, State: Ready, Zone: 1 << 40})
 	q := h.decide(h.submit(classDefault, 0))
 	h.advance(200, h.replyAfter(100))
 	h.requireEnd(q, endAnswer)
 }
 
-// TestSuspendedShardIsRejectedUntilReplicaReturns guarantees that a query for a shard whose replicas are all
-// suspended is rejected at once with a retry-after, while others are served; and that, once one replica is back and
-// warming up, it serves within its slow-start allowance and the other still gets nothing.
+// TestSuspendedShardIsRejectedUntilReplicaReturns checks that a query of a shard whose replicas are all suspended is
+// rejected at once with a retry-after, while other shards are served. Once one of the replicas is back and warming
+// up, it serves the shard within its slow-start allowance; the other replica is still sent nothing.
 func TestSuspendedShardIsRejectedUntilReplicaReturns(t *testing.T) {
 	settings := testSettings()
 	settings.Shards = 6
@@ -181,7 +185,9 @@
 	h := newHarness(t, settings)
 	h.listFleet(UpdateFull)
 	h.learnBaseline()
-	h.updateEndpoints(UpdateDelta, Endpoint{Replica: 1, Cell: 0, State: Draining}, Endpoint{Replica: 2, Cell: 1, State: Draining})
+	h.updateEndpoints(UpdateDelta,
+		Endpoint{Replica: 1, Cell: 0, State: Draining},
+		Endpoint{Replica: 2, Cell: 1, State: Draining})
 	h.advance(settings.DrainGrace+100, h.replyAfter(40))
 	h.sent = nil
 	suspended := h.submit(classDefault, 0)
@@ -210,7 +216,7 @@
 			t.Fatal("part sent to a suspended replica")
 		}
 	}
-	// In parts of 100 ms, by the capacity 5 s after the start.
+	// The allowance in parts of 100 ms, at the capacity 5 s after the start.
 	slowStart := settings.SlowStart
 	allowed := slowStart.WorkMultiple * slowStart.Window * (slowStart.InitialCapacity + 5000/slowStart.Duration) / 100
 	peak := peakWindowCountAt(h.sent, 2, slowStart.Window)
@@ -219,13 +225,13 @@
 	}
 }
 
-// TestManyBrokersShareASlowDiscoveryService guarantees that a large fleet that starts at one moment gets its
-// endpoint lists from a discovery service that serves 10 polls a second. Polls that wait until they fail use the
-// service up all the same, so a pace that is fine for one broker starves all of them.
+// TestManyBrokersShareASlowDiscoveryService checks that all brokers of a large fleet that start at the same time
+// receive their endpoint lists from a discovery service that serves 10 polls per second. Polls that time out in its
+// queue still take service time, so a poll rate that suits one broker would starve all of them.
 func TestManyBrokersShareASlowDiscoveryService(t *testing.T) {
 	for _, brokers := range []int{3, 20, 80, 200} {
 		t.Run(strconv.Itoa(brokers), func(t *testing.T) {
-			seconds := 3 + brokers*int(2*discoveryServiceMs)/1000 + 12 // twice the service time of all, and a delay
+			seconds := 3 + brokers*int(2*discoveryServiceMs)/1000 + 12 // twice the service time of all polls, and a delay
 			counts := countWatchingBrokers(t, brokers, brokers, seconds)
 			last := counts[len(counts)-1]
 			if last < brokers*9/10 {
@@ -234,15 +240,15 @@
 			t.Log(counts)
 		})
 	}
-	// The model can fail: 80 brokers that pace themselves as if they were 3 do not get through.
+	// The model can show the failure: most of 80 brokers that poll as often as brokers of a fleet of 3 would starve.
 	counts := countWatchingBrokers(t, 80, 3, 25)
 	if counts[len(counts)-1] > 60 {
-		t.Fatalf("80 unpaced brokers got through: %v", counts)
+		t.Fatalf("80 brokers that poll too often watch the list: %v", counts)
 	}
 }
 
-// TestFirstPollPrecedesMaxStaleness guarantees that, however many brokers there are, the first poll after a start
-// comes before the broker counts as notified of changes.
+// TestFirstPollPrecedesMaxStaleness checks that even a broker of a very large fleet first polls before MaxStaleness
+// has passed since its start, at which it counts as notified of changes.
 func TestFirstPollPrecedesMaxStaleness(t *testing.T) {
 	counts := countWatchingBrokers(t, 1, 2000, 9)
 	if counts[len(counts)-1] != 1 {
@@ -250,8 +256,8 @@
 	}
 }
 
-// TestPollBackoffGrows guarantees that delays after failed polls grow to a bound, which is higher in a large fleet
-// that has a list, are jittered by half at most, and start again after a success.
+// TestPollBackoffGrows checks that delays after failed polls grow up to a bound, which is higher in a large fleet
+// that has a list. They are jittered by at most half and start again after a success.
 func TestPollBackoffGrows(t *testing.T) {
 	for name, test := range map[string]struct {
 		brokers  int
--- a/internal/decision/scheduler/handover_test.go
+++ b/internal/decision/scheduler/handover_test.go
@@ -2,12 +2,12 @@
 
 import "testing"
 
-// peakWindowCount is the most parts sent to replica 1 within any window of so many ms.
+// peakWindowCount returns the largest number of attempts at replica 1 within any window of the given length.
 func peakWindowCount(attempts []*sentAttempt, windowMs float64) int {
 	return peakWindowCountAt(attempts, 1, windowMs)
 }
 
-// peakWindowCountAt is the same for any replica.
+// peakWindowCountAt returns the same for the given replica.
 func peakWindowCountAt(attempts []*sentAttempt, replica uint32, windowMs float64) int {
 	peak := 0
 	for _, first := range attempts {
@@ -23,7 +23,7 @@
 	return peak
 }
 
-// handoverSettings describes one shard with one cell, in which the tests put one warming and one warm replica.
+// handoverSettings returns settings with one shard in one cell. The tests list a warming and a warm replica there.
 func handoverSettings() Settings {
 	settings := testSettings()
 	settings.Cells = 1
@@ -32,7 +32,8 @@
 	return settings
 }
 
-// serveBusily submits more than a warming replica's quota takes, so that the quota binds.
+// serveBusily submits more work than fits into the quota of a warming replica, so that the quota limits what the
+// replica is sent.
 func serveBusily(h *harness, ms float64) {
 	for range int(ms / 50) {
 		for range 6 {
@@ -43,13 +44,15 @@
 	}
 }
 
-// TestHandOverSharesOneQuota guarantees that a handover between two processes of one broker spends the broker's
-// quota once: both together send a warming replica no more in any window than one process would. The old process
-// sends it nothing after the handover; the new one uses it in its first window, which a plain start would not.
+// TestHandOverSharesOneQuota checks a handover between two processes of one broker. Together they send a warming
+// replica no more in any window than one process would. The old process sends it nothing after the handover. The new
+// one uses it in its first window, which it would not after a start without a handover.
 func TestHandOverSharesOneQuota(t *testing.T) {
 	settings := handoverSettings()
 	listReplicas := func(h *harness, startedAt float64) {
-		h.updateEndpoints(UpdateCached, Endpoint{Replica: 1, State: Ready, StartedAt: startedAt}, Endpoint{Replica: 2, State: Ready})
+		h.updateEndpoints(UpdateCached,
+			Endpoint{Replica: 1, State: Ready, StartedAt: startedAt},
+			Endpoint{Replica: 2, State: Ready})
 	}
 	alone := newHarness(t, settings)
 	listReplicas(alone, alone.now-2000)
@@ -79,7 +82,7 @@
 	both := append(append([]*sentAttempt(nil), old.sent...), next.sent...)
 	peak := peakWindowCount(both, settings.SlowStart.Window)
 	if peak > peakAlone {
-		t.Fatalf("both processes sent the warming replica %d parts in a window, one alone sends %d", peak, peakAlone)
+		t.Fatalf("both processes sent the warming replica %d parts in a window, want at most %d", peak, peakAlone)
 	}
 	sentInFirstWindow := 0
 	for _, a := range next.sent {
@@ -88,14 +91,14 @@
 		}
 	}
 	if sentInFirstWindow == 0 {
-		t.Fatal("the new process waits for its first window in spite of the handover")
+		t.Fatal("the new process sent the warming replica nothing in its first window in spite of the handover")
 	}
 }
 
-// TestConcurrentProcessesShareOneQuota guarantees the same without a handover: a replica is suspended at two
-// processes of one broker, restarts meanwhile, and is resumed while it is warming up. As long as the new process is
-// informed that the old one serves beside it, both send it no more in any window than one would, and something; and
-// the new one uses it once the old one has handed over or is gone.
+// TestConcurrentProcessesShareOneQuota checks two processes of one broker without a handover. A replica is suspended,
+// restarts meanwhile, and is resumed while it is warming up. As long as the new process is informed that the old one
+// is active, both together send the replica no more in any window than one process would, but more than nothing. The
+// new process uses the replica once the old one has handed over or is gone.
 func TestConcurrentProcessesShareOneQuota(t *testing.T) {
 	for _, test := range []struct {
 		name       string
@@ -115,7 +118,9 @@
 			}
 			list := func(state ReplicaState, startedAt float64, processes ...*harness) {
 				for _, h := range processes {
-					h.updateEndpoints(UpdateFull, Endpoint{Replica: 1, State: state, StartedAt: startedAt}, Endpoint{Replica: 2, State: Ready})
+					h.updateEndpoints(UpdateFull,
+						Endpoint{Replica: 1, State: state, StartedAt: startedAt},
+						Endpoint{Replica: 2, State: Ready})
 				}
 			}
 			alone := newHarness(t, settings)
@@ -138,7 +143,7 @@
 			peakAlone := peakWindowCount(alone.sent, settings.SlowStart.Window)
 			peak := peakWindowCount(append(old.sent, next.sent...), settings.SlowStart.Window)
 			if peak > peakAlone || peak == 0 {
-				t.Fatalf("both processes sent the warming replica %d parts in a window, one alone sends %d", peak, peakAlone)
+				t.Fatalf("both processes sent the warming replica %d parts in a window, want 1 to %d", peak, peakAlone)
 			}
 			if test.handedOver {
 				next.scheduler.TakeOver(next.now, old.scheduler.HandOver(old.now))
@@ -146,7 +151,7 @@
 			next.sent = nil
 			serveBusily(next, 2*settings.SlowStart.Window)
 			if peakWindowCount(next.sent, settings.SlowStart.Window) == 0 {
-				t.Fatal("the new process does not use the warming replica")
+				t.Fatal("the new process sent the warming replica nothing")
 			}
 		})
 	}
--- a/internal/decision/scheduler/hedging_test.go
+++ b/internal/decision/scheduler/hedging_test.go
@@ -6,9 +6,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestStalledReplicaIsHedgedButSlowFleetIsNot guarantees that a part at a stalled replica is hedged once, elsewhere,
-// and its first attempt cancelled when the hedged request answers; and that a fleet which is slow as a whole gets
-// few hedged requests, and its replicas are not ejected.
+// TestStalledReplicaIsHedgedButSlowFleetIsNot checks that a part at a stalled replica is hedged once, at another
+// replica, and that its first attempt is cancelled when the hedged request succeeds. If the whole fleet is slow, few
+// hedged requests are sent and the replicas are not ejected.
 func TestStalledReplicaIsHedgedButSlowFleetIsNot(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
@@ -24,31 +24,31 @@
 	h.requireEnd(q, endAnswer)
 	attempts := q.parts[0].attempts
 	if len(attempts) != 2 || attempts[1].replica == first.replica || !first.cancelled {
-		t.Fatalf("want one hedged request elsewhere and the first attempt cancelled: %v", h.log)
+		t.Fatalf("want one hedged request at another replica and the first attempt cancelled: %v", h.log)
 	}
 	before := len(h.retries)
-	for range 40 { // all replicas are six times slower
+	for range 40 { // all replicas are six times slower than the baseline
 		h.submit(classDefault, 0, 1, 2, 3, 4, 5)
 		h.runRound()
 		h.advance(100, h.replyAfter(600))
 	}
 	hedged := len(h.retries) - before
 	if hedged > 12 {
-		t.Fatalf("%d hedged requests while the whole fleet is slow, want 12 at most", hedged)
+		t.Fatalf("%d hedged requests while the whole fleet is slow, want at most 12", hedged)
 	}
-	usable := 0
+	notEjected := 0
 	for _, r := range h.scheduler.replicas.ordered {
 		if h.scheduler.normalizedLatency(h.now, r) < ejectionLatency*h.scheduler.latency.fleetMedian {
-			usable++
+			notEjected++
 		}
 	}
-	if usable < 5 {
-		t.Fatalf("%d of 6 replicas usable while the whole fleet is slow, want 5 at least", usable)
+	if notEjected < 5 {
+		t.Fatalf("%d of 6 replicas not ejected while the whole fleet is slow, want at least 5", notEjected)
 	}
 }
 
-// TestLateIdempotentPartIsReassigned guarantees that, where hedged requests are not allowed, a late idempotent part
-// is cancelled and sent elsewhere a while after that, and a non-idempotent one is left alone.
+// TestLateIdempotentPartIsReassigned checks that, if hedging is not allowed, the attempt of a late idempotent part is
+// cancelled and a retry follows, not within the first 15 ms. A non-idempotent part is not reassigned.
 func TestLateIdempotentPartIsReassigned(t *testing.T) {
 	settings := testSettings()
 	settings.AllowHedging = false
@@ -71,13 +71,14 @@
 	attempts := idempotent.parts[0].attempts
 	others := nonIdempotent.parts[0].attempts
 	if len(attempts) != 2 || !attempts[0].cancelled || attempts[1].sentAt < attempts[0].sentAt+15 || len(others) != 1 {
-		t.Fatalf("%d attempts at the idempotent part, %d at the other; want 2 and 1", len(attempts), len(others))
+		t.Fatalf("%d attempts of the idempotent part, %d of the other, want 2 and 1; or the first was not cancelled, "+
+			"or the second followed it by less than 15 ms: %v", len(attempts), len(others), h.log)
 	}
 }
 
-// TestCongestionSuppressesHedging guarantees that hedged requests never feed congestion: none is sent while parts
+// TestCongestionSuppressesHedging checks that hedged requests do not increase congestion: none is sent while parts
 // are queued for the same replicas, nor in a slow fleet shortly after a rejection. Congestion of other replicas does
-// not stop them, or one weak set of replicas would lose what is late everywhere.
+// not prevent them; otherwise one weak set of replicas would prevent hedging in the whole fleet.
 func TestCongestionSuppressesHedging(t *testing.T) {
 	const (
 		none        = "none"
@@ -120,9 +121,9 @@
 	}
 }
 
-// TestRejectionsElsewhereDoNotPreventReassignment guarantees that a part at a stalled replica is reassigned while
-// other replicas reject parts all the time, as the fleet is fast and nothing is queued at its own. In a slow fleet
-// it is not.
+// TestRejectionsElsewhereDoNotPreventReassignment checks that a part at a stalled replica is reassigned although
+// other replicas reject parts all the time, as the fleet is fast and nothing is queued for the part's own replicas.
+// In a slow fleet it is not reassigned.
 func TestRejectionsElsewhereDoNotPreventReassignment(t *testing.T) {
 	for _, isSlow := range []bool{false, true} {
 		settings := testSettings()
@@ -150,7 +151,7 @@
 			h.advance(50, reply)
 		}
 		reassigned := 0
-		for range 20 { // ties are random, so that some parts go to the stalled replica
+		for range 20 { // ties are broken at random, so some parts are sent to the stalled replica
 			h.submit(classDefault, 3) // its replicas, 4 to 6, reject the first attempts
 			q := h.submit(classDefault, 0)
 			h.runRound()
