--- a/internal/decision/scheduler/idle_connections_test.go
+++ b/internal/decision/scheduler/idle_connections_test.go
@@ -6,16 +6,16 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// useAllConnections marks the connections to replicas 1 to 6 as used just now.
+// useAllConnections marks the connections to replicas 1 to 6 as last used now.
 func (h *harness) useAllConnections() {
 	for id := uint32(1); id <= 6; id++ {
 		h.scheduler.replicas.byID[id].lastUsedAt = h.now
 	}
 }
 
-// TestResetOfIdleConnectionDoesNotBlameReplica guarantees that a quick reset of an idle connection does not count
-// against its replica, that the part is retried at once, and that later sends close idle connections first, so that
-// no non-idempotent part is lost with one.
+// TestResetOfIdleConnectionDoesNotBlameReplica checks that an immediate reset of an idle connection does not count
+// against its replica and that the part is retried at once. Idle connections are closed before later attempts, so
+// that no non-idempotent part is lost with one.
 func TestResetOfIdleConnectionDoesNotBlameReplica(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
@@ -33,7 +33,7 @@
 	}
 	r := h.scheduler.replicas.byID[first.replica]
 	if !h.scheduler.isHealthy(h.now, r) || r.outliers.isUnreachable {
-		t.Fatal("the replica is blamed for its idle connection")
+		t.Fatal("the replica is blamed for the reset of its idle connection")
 	}
 	h.advance(200, h.replyAfter(90))
 	h.requireEnd(q, endAnswer)
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestConcurrentAttemptsShareIdleConnection guarantees that attempts sent beside one on an idle connection share its
-// fate: their resets are not blamed on the replica either.
+// TestConcurrentAttemptsShareIdleConnection checks that an attempt that joins another one on an idle connection
+// counts as lost with that connection: its reset is not blamed on the replica either.
 func TestConcurrentAttemptsShareIdleConnection(t *testing.T) {
 	settings := testSettings()
 	settings.CellsPerShard = 1
@@ -66,16 +66,16 @@
 	}
 	r := h.scheduler.replicas.byID[1]
 	if r.outliers.isUnreachable || !h.scheduler.isHealthy(h.now, r) {
-		t.Fatal("the replica is blamed for a second attempt on its idle connection")
+		t.Fatal("the replica is blamed for the reset of a second attempt on its idle connection")
 	}
 	h.runRound()
 	h.advance(300, h.replyAfter(90))
 	h.requireEnd(q, endAnswer)
 }
 
-// TestSilentIdleConnectionLossIsDetected guarantees that idle connections dropped in silence, on which attempts
-// stall, are found: they are closed before later sends, and the replicas stay in use. Dials that time out end that,
-// as new connections are expensive then.
+// TestSilentIdleConnectionLossIsDetected checks idle connections that were dropped without notice, so that attempts
+// on them stall. They are closed before later attempts, and the replicas stay healthy. Once dials time out, idle
+// connections are no longer closed, as new ones are expensive.
 func TestSilentIdleConnectionLossIsDetected(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
@@ -85,7 +85,7 @@
 		h.advance(3000, nil)
 		h.submit(classDefault, i)
 		h.runRound()
-		// Attempts on idle connections stall; retries, and all attempts once idle connections are closed, do not.
+		// Attempts on idle connections stall. Retries do not, nor do any attempts once idle connections are closed.
 		h.advance(1500, func(a *sentAttempt) {
 			if h.now >= a.sentAt+90 && (h.countIdleCloses() > 0 || a.number > 0) {
 				h.endAttempt(a, Succeeded)
@@ -114,8 +114,9 @@
 	}
 }
 
-// TestStalledReplicasAreNotIdleConnectionLoss guarantees that a broker that meets each of 60 replicas on an idle
-// connection anyway does not take a few stalled replicas for lost connections, but does where all stall.
+// TestStalledReplicasAreNotIdleConnectionLoss checks a broker with 60 replicas, whose connections to each of them are
+// mostly idle before an attempt. It does not mistake a few stalled replicas for lost connections, but closes idle
+// connections if attempts at all replicas stall.
 func TestStalledReplicasAreNotIdleConnectionLoss(t *testing.T) {
 	for _, test := range []struct {
 		stalled    uint32 // of 60 replicas
@@ -152,8 +153,8 @@
 	}
 }
 
-// TestIdleConnectionLossRate guarantees which ends of attempts raise and lower the loss rate, and from when on the
-// connection is blamed and not the replica.
+// TestIdleConnectionLossRate checks how the ends of attempts change the loss rate, and from which rate the connection
+// is blamed and not the replica.
 func TestIdleConnectionLossRate(t *testing.T) {
 	const idle, busy = idleConnectionMinMs, 0.0
 	for name, test := range map[string]struct {
--- a/internal/decision/scheduler/placement_test.go
+++ b/internal/decision/scheduler/placement_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestQueueingTimeIsSharedWithinPlacementGroup guarantees that what is queued at one shard tells how long a part of
-// another one with the same replicas would wait, and says nothing of other replicas.
+// TestQueueingTimeIsSharedWithinPlacementGroup checks that a call queued at one shard counts as the wait at the other
+// shards with the same replicas, and not at shards with other replicas.
 func TestQueueingTimeIsSharedWithinPlacementGroup(t *testing.T) {
 	settings := testSettings()
 	settings.Shards = 6
--- a/internal/decision/scheduler/retry_budget_test.go
+++ b/internal/decision/scheduler/retry_budget_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestRetriesStayWithinBudget guarantees that retries are made, but not beyond the budget where everything fails at
-// once; the harness checks the budget on every retry.
+// TestRetriesStayWithinBudget checks that retries are made, but not beyond the budget if every attempt fails at once.
+// The harness checks the budget on every retry.
 func TestRetriesStayWithinBudget(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
@@ -18,12 +18,12 @@
 		h.advance(30, func(a *sentAttempt) { h.endAttempt(a, Failed) })
 	}
 	if len(h.retries) == 0 {
-		t.Fatal("no retry was made")
+		t.Fatal("no part was retried")
 	}
 }
 
-// TestRetryBudgetFollowsArrivals guarantees that the budget is a fixed number and a share of what arrived in the
-// window, and that a window of 0 means no budget.
+// TestRetryBudgetFollowsArrivals checks that the budget is a fixed number plus a number proportional to the arrivals
+// in the window, and that a window of 0 means no budget.
 func TestRetryBudgetFollowsArrivals(t *testing.T) {
 	arrivals := eventWindow{1000, 1000, 1000, 1000}
 	for name, test := range map[string]struct {
--- a/internal/decision/scheduler/retry_test.go
+++ b/internal/decision/scheduler/retry_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestRetryRespectsIdempotency guarantees that a non-idempotent part is retried only while no attempt can have run,
-// and a part with an idempotency key only within its deduplication window.
+// TestRetryRespectsIdempotency checks that a non-idempotent part is retried only if no attempt can have run, and a
+// part with an idempotency key only within its deduplication window.
 func TestRetryRespectsIdempotency(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
@@ -11,7 +11,7 @@
 	nonIdempotent := h.submit(classNonIdempotent, 0)
 	h.runRound()
 	h.now += 5
-	h.endAttempt(h.inFlight[0], ConnectFailed) // it never ran, so it may be sent again
+	h.endAttempt(h.inFlight[0], ConnectFailed) // the part has not run, so it may be sent again
 	h.runRound()
 	attempts := len(nonIdempotent.parts[0].attempts)
 	if attempts != 2 {
@@ -33,8 +33,8 @@
 	}
 }
 
-// TestUnreachableReplicasDoNotExhaustAttempts guarantees that a short outage of all replicas of a shard does not use
-// up a query's attempts: here they refuse connections for 280 ms and come back.
+// TestUnreachableReplicasDoNotExhaustAttempts checks that a short outage of all replicas of a shard, which refuse
+// connections for 280 ms, does not use up the attempts of a part.
 func TestUnreachableReplicasDoNotExhaustAttempts(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
@@ -52,7 +52,7 @@
 	h.requireEnd(q, endAnswer)
 }
 
-// TestRejectingReplicasGetFewAttempts guarantees that retries do not feed the overload of replicas that reject.
+// TestRejectingReplicasGetFewAttempts checks that retries do not increase the overload of replicas that reject parts.
 func TestRejectingReplicasGetFewAttempts(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
@@ -63,12 +63,13 @@
 	h.advance(900, func(a *sentAttempt) { h.endAttempt(a, Rejected) })
 	sent := len(h.sent) - before
 	if sent > 6 {
-		t.Fatalf("%d attempts at rejecting replicas, want 6 at most", sent)
+		t.Fatalf("%d attempts at rejecting replicas, want at most 6", sent)
 	}
 }
 
-// TestReservePartSubstitutesFailedPart guarantees that, where less than all makes an answer complete, only what
-// suffices is asked, and another part is asked in place of a failed one without spending a retry.
+// TestReservePartSubstitutesFailedPart checks a class for which less than the whole weight makes an answer complete.
+// Only the parts that suffice are sent. A reserve part is sent in place of a failed one and does not count as a
+// retry.
 func TestReservePartSubstitutesFailedPart(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
@@ -76,19 +77,20 @@
 	h.runRound()
 	asked := len(h.sent)
 	if asked >= 9 || asked < 6 {
-		t.Fatalf("%d of 9 parts asked where 67%% make the answer complete", asked)
+		t.Fatalf("%d of 9 parts sent, want 6 to 8, as 67%% make the answer complete", asked)
 	}
 	h.now += 5
 	h.endAttempt(h.inFlight[0], Failed)
 	h.runRound()
 	if len(h.sent) != asked+1 || len(h.retries) != 0 {
-		t.Fatal("want a reserve part sent in place of the failed one, and no retry")
+		t.Fatalf("%d parts sent and %d retries after the failure, want 1 reserve part and no retry",
+			len(h.sent)-asked, len(h.retries))
 	}
 	h.advance(200, h.replyAfter(50))
 	h.requireEnd(q, endAnswer)
 }
 
-// TestFinishedPartIsNotRetried guarantees that a part whose result says PartDone is not sent again.
+// TestFinishedPartIsNotRetried checks that a part is not sent again after a result with PartDone.
 func TestFinishedPartIsNotRetried(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
