--- a/internal/decision/scheduler/example_test.go
+++ b/internal/decision/scheduler/example_test.go
@@ -7,7 +7,7 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-// printActions carries out actions by printing them, and notes which replicas parts were sent to.
+// printActions prints the actions of the scheduler and records the replicas that parts were sent to.
 type printActions struct{ sentTo []uint32 }
 
 func (p *printActions) Send(part uint64, replica uint32, timeoutMs float64) {
@@ -27,7 +27,7 @@
 func (p *printActions) WatchEndpoints()                {}
 func (p *printActions) Log(string)                     {}
 
-// A broker with one class of queries over two shards, each held by both of two replicas.
+// This example runs a broker with one class of queries and two shards. Two replicas hold both shards.
 func Example() {
 	actions := &printActions{}
 	class := scheduler.Class{
--- a/internal/decision/scheduler/fleet_model_test.go
+++ b/internal/decision/scheduler/fleet_model_test.go
@@ -9,10 +9,10 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-// The models of this file step many brokers together on virtual time. They show what is harmless in one broker and
-// harmful when all of them do it.
+// The models of this file run many brokers together on virtual time. They show behaviour that is harmless in one
+// broker and harmful in a whole fleet.
 
-// discardActions drops all actions but notes that the endpoint list was polled.
+// discardActions ignores all actions but records that the endpoint list was polled.
 type discardActions struct{ polled bool }
 
 func (d *discardActions) Send(uint64, uint32, float64) {}
@@ -31,28 +31,29 @@
 	discoveryQueueLength = 40
 )
 
-// discoveryService serves polls one after another. A poll fails once it has waited for the timeout, but is still
-// served in its turn; one that finds a full queue fails at once.
+// discoveryService serves polls one after another. A poll fails once it has waited for the timeout, but still takes
+// its service time. A poll that arrives while the queue is full fails at once.
 type discoveryService struct {
 	queue    []pollCall
-	servedAt float64 // when the first of the queue is served
+	servedAt float64 // when the first poll of the queue has been served
 }
 
+// pollCall is a poll of a broker that waits in the queue of the discovery service.
 type pollCall struct {
 	broker    int
 	arrivedAt float64
 }
 
-// discoveryModel is a number of brokers before one discovery service.
+// discoveryModel is a fleet of brokers that poll one discovery service.
 type discoveryModel struct {
 	service  discoveryService
 	brokers  []*Scheduler
 	actions  []*discardActions
-	timedOut []bool       // by broker: its last poll has failed
+	timedOut []bool       // by broker: whether its last poll has timed out
 	watching map[int]bool // the brokers that have been served
 }
 
-// newDiscoveryModel starts brokers at one moment with a cached list. Each takes itself for one of assumedBrokers.
+// newDiscoveryModel starts all brokers at the same time with a cached list. Each assumes a fleet of assumedBrokers.
 func newDiscoveryModel(t *testing.T, brokers, assumedBrokers int) *discoveryModel {
 	t.Helper()
 	m := &discoveryModel{timedOut: make([]bool, brokers), watching: map[int]bool{}}
@@ -75,7 +76,7 @@
 	return m
 }
 
-// countWatchingBrokers returns how many of so many brokers have a watch after each second.
+// countWatchingBrokers runs a discovery model and returns, for each second, how many brokers have a watch by then.
 func countWatchingBrokers(t *testing.T, brokers, assumedBrokers, seconds int) []int {
 	t.Helper()
 	m := newDiscoveryModel(t, brokers, assumedBrokers)
@@ -91,7 +92,7 @@
 	return counts
 }
 
-// serve ends the polls whose service is over; only those that have not timed out bring a list.
+// serve ends the polls that have been served. Only those that have not timed out deliver an update.
 func (m *discoveryModel) serve(now float64) {
 	service := &m.service
 	for len(service.queue) > 0 && now >= service.servedAt {
@@ -105,6 +106,7 @@
 	}
 }
 
+// failTimedOut reports the polls to their brokers as failed that have waited longer than the timeout.
 func (m *discoveryModel) failTimedOut(now float64) {
 	for _, call := range m.service.queue {
 		if now-call.arrivedAt > discoveryTimeoutMs && !m.timedOut[call.broker] {
@@ -114,7 +116,7 @@
 	}
 }
 
-// runRounds runs a round at each broker and takes the polls that they make.
+// runRounds runs a round at each broker and queues the polls that the brokers make.
 func (m *discoveryModel) runRounds(now float64) {
 	service := &m.service
 	for i, broker := range m.brokers {
@@ -138,16 +140,16 @@
 
 const (
 	modelPartWorkMs   = 18.0 // mean work of a part
-	modelReplicaSpeed = 2.0  // ms of work per ms that a warm replica does
+	modelReplicaSpeed = 2.0  // ms of work per ms of a warm replica
 )
 
-// fleetModel is a ring of replicas, which serve parts one after another, and the brokers before them.
+// fleetModel is a ring of replicas, which serve parts one after another, and the brokers that send them parts.
 type fleetModel struct {
 	settings Settings
 	now      float64
 	brokers  []*modelBroker
 	replicas []*modelReplica
-	endings  []*modelAttempt // attempts in flight, in order of their ends
+	inFlight []*modelAttempt // in the order of endsAt
 	random   *rand.Rand
 	nextID   uint64
 }
@@ -156,7 +158,7 @@
 	startedAt float64 // 0 for long ago
 	busyUntil float64
 	received  []workSample
-	attempts  int
+	attempts  int // number received since the last start
 }
 
 type modelAttempt struct {
@@ -174,7 +176,7 @@
 	discardActions
 	fleet     *fleetModel
 	scheduler *Scheduler
-	attempts  map[uint64][]*modelAttempt // by part
+	attempts  map[uint64][]*modelAttempt // by part ID
 }
 
 func newFleetModel(t *testing.T, brokers int) *fleetModel {
@@ -214,7 +216,7 @@
 	return f
 }
 
-// updateEndpoints informs all brokers of all replicas.
+// updateEndpoints sends all brokers a full update of the endpoint list.
 func (f *fleetModel) updateEndpoints() {
 	var endpoints []Endpoint
 	for i, r := range f.replicas {
@@ -225,14 +227,14 @@
 	}
 }
 
-// restart makes a replica start half a second ago. The brokers are informed by updateEndpoints.
+// restart sets the start of a replica to half a second ago. The brokers are informed by updateEndpoints.
 func (f *fleetModel) restart(r *modelReplica) {
 	r.startedAt = f.now - 500
 	r.attempts = 0
 	r.received = nil
 }
 
-// capacityAt is how many ms of work a replica does in a ms.
+// capacityAt returns the speed of a replica at a time, in ms of work per ms.
 func (f *fleetModel) capacityAt(r *modelReplica, at float64) float64 {
 	if r.startedAt == 0 {
 		return modelReplicaSpeed
@@ -242,7 +244,7 @@
 	return modelReplicaSpeed * (slowStart.InitialCapacity + (1-slowStart.InitialCapacity)*ramp)
 }
 
-// Send has the replica serve the part after all that it was sent before.
+// Send adds the part to the work of the replica, which serves it after everything that it was sent before.
 func (m *modelBroker) Send(part uint64, replica uint32, timeoutMs float64) {
 	f := m.fleet
 	r := f.replicas[replica]
@@ -263,31 +265,32 @@
 	m.attempts[part] = append(m.attempts[part], a)
 	work := modelPartWorkMs * (0.5 + f.random.Float64())
 	r.busyUntil = max(r.busyUntil, f.now) + work/f.capacityAt(r, f.now)
-	// A part alone has one core to itself, not the speed of all.
+	// A part runs on one core, so even alone it does not use the speed of all cores.
 	doneAt := max(r.busyUntil, f.now+work/f.capacityAt(r, f.now)*modelReplicaSpeed)
 	if doneAt < a.endsAt {
 		a.endsAt = doneAt
 		a.outcome = Succeeded
 	}
 	byEnd := func(x, y *modelAttempt) int { return cmp.Compare(x.endsAt, y.endsAt) }
-	i, _ := slices.BinarySearchFunc(f.endings, a, byEnd)
-	f.endings = slices.Insert(f.endings, i, a)
+	i, _ := slices.BinarySearchFunc(f.inFlight, a, byEnd)
+	f.inFlight = slices.Insert(f.inFlight, i, a)
 }
 
-// Cancel ends an attempt with the next tick. The replica does its work all the same.
+// Cancel ends an attempt at the next tick. The replica does its work nevertheless.
 func (m *modelBroker) Cancel(part uint64, attempt int) {
 	f := m.fleet
 	a := m.attempts[part][attempt]
 	if a.ended || a.outcome == Cancelled {
 		return
 	}
-	f.endings = slices.DeleteFunc(f.endings, func(other *modelAttempt) bool { return other == a })
+	f.inFlight = slices.DeleteFunc(f.inFlight, func(other *modelAttempt) bool { return other == a })
 	a.endsAt = f.now
 	a.outcome = Cancelled
-	f.endings = slices.Insert(f.endings, 0, a)
+	f.inFlight = slices.Insert(f.inFlight, 0, a)
 }
 
-// run steps the fleet for so many ms with queries of so many parts at a rate per second, over all brokers.
+// run runs the fleet for the given time, in ms. Over all brokers, queries with the given number of parts arrive at a
+// rate per second.
 func (f *fleetModel) run(ms, rate float64, parts int) {
 	for end := f.now + ms; f.now < end; f.now++ {
 		f.endAttempts()
@@ -301,10 +304,11 @@
 	}
 }
 
+// endAttempts reports the attempts that have ended to their brokers.
 func (f *fleetModel) endAttempts() {
-	for len(f.endings) > 0 && f.endings[0].endsAt <= f.now {
-		a := f.endings[0]
-		f.endings = f.endings[1:]
+	for len(f.inFlight) > 0 && f.inFlight[0].endsAt <= f.now {
+		a := f.inFlight[0]
+		f.inFlight = f.inFlight[1:]
 		a.ended = true
 		a.broker.scheduler.AttemptEnded(f.now, AttemptResult{
 			Part:    a.part,
@@ -316,7 +320,7 @@
 	}
 }
 
-// submit submits a query to a random broker, with parts at successive shards from a random one on.
+// submit submits a query to a random broker, with parts at successive shards that begin with a random one.
 func (f *fleetModel) submit(parts int) {
 	broker := f.brokers[f.random.Intn(len(f.brokers))]
 	f.nextID++
@@ -336,14 +340,14 @@
 	}
 }
 
-// allowanceAt is the work that all brokers may send a replica in the window that ends at a time.
+// allowanceAt returns the work that all brokers together may send a replica in the window that ends at a time.
 func (f *fleetModel) allowanceAt(r *modelReplica, at float64) float64 {
 	slowStart := f.settings.SlowStart
 	return f.capacityAt(r, at-slowStart.Window/2) * slowStart.WorkMultiple * slowStart.Window
 }
 
-// peakAllowanceUse is the most work that a replica was sent in any window that ended after a time, as a share of
-// the slow-start allowance there.
+// peakAllowanceUse returns the most work that a replica was sent in any window that ends after a time, as a share of
+// the allowance of that window.
 func (f *fleetModel) peakAllowanceUse(r *modelReplica, after float64) float64 {
 	peak := 0.0
 	for i, last := range r.received {
--- a/internal/decision/scheduler/invariants_test.go
+++ b/internal/decision/scheduler/invariants_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// runRandomEvents plays random events that the API allows. The harness checks the invariants on every action; in the
-// end every query must have its final answer and nothing must be left behind.
+// runRandomEvents feeds random events that the API allows to a scheduler. The harness checks the invariants on every
+// action. At the end, every query must have its final answer and the scheduler must hold neither queries nor parts.
 func runRandomEvents(t *testing.T, seed int64, settings Settings, steps int) *harness {
 	t.Helper()
 	h := newHarness(t, settings)
@@ -45,12 +45,13 @@
 	}
 	s := h.scheduler
 	if len(s.queries)+len(s.parts)+len(s.openQueries) != 0 {
-		t.Fatalf("left behind: %d queries, %d parts, %d open queries", len(s.queries), len(s.parts), len(s.openQueries))
+		t.Fatalf("state left after the last query: %d queries, %d parts, %d open queries", len(s.queries), len(s.parts),
+			len(s.openQueries))
 	}
 	return h
 }
 
-// submitRandomQuery submits a query of a random class, some of whose clients disconnect at once.
+// submitRandomQuery submits a query of a random class. Some clients disconnect at once.
 func (h *harness) submitRandomQuery(random *rand.Rand) {
 	var shards []int
 	for range 1 + random.Intn(5) {
@@ -66,7 +67,8 @@
 	}
 }
 
-// changeRandomEndpoint puts a replica into a random state; half of those that are ready have restarted.
+// changeRandomEndpoint changes a random replica to a random state. Half of the replicas that become ready have
+// restarted.
 func (h *harness) changeRandomEndpoint(random *rand.Rand) {
 	i := random.Intn(h.settings.Cells)
 	e := Endpoint{Replica: uint32(i + 1), Cell: i, State: ReplicaState(random.Intn(3))}
@@ -78,8 +80,8 @@
 	h.updateEndpoints(UpdateDelta, e)
 }
 
-// TestInvariantsHoldInLongRandomRuns guarantees the invariants of the package whatever the order of events, with and
-// without hedging, cancelling, shared calls and polling.
+// TestInvariantsHoldInLongRandomRuns checks the invariants of the package with random orders of events, with and
+// without hedging, cancellation, shared calls and polling.
 func TestInvariantsHoldInLongRandomRuns(t *testing.T) {
 	for seed := int64(1); seed <= 12; seed++ {
 		settings := testSettings()
@@ -97,11 +99,11 @@
 	}
 }
 
-// TestSameEventsGiveSameActions guarantees that a run can be replayed: nothing depends on the order of maps.
+// TestSameEventsGiveSameActions checks that a run can be replayed: nothing depends on the iteration order of maps.
 func TestSameEventsGiveSameActions(t *testing.T) {
 	first := runRandomEvents(t, 99, testSettings(), 800)
 	second := runRandomEvents(t, 99, testSettings(), 800)
 	if !reflect.DeepEqual(first.log, second.log) {
-		t.Fatal("the same events gave other actions")
+		t.Fatal("the same events resulted in different actions")
 	}
 }
--- a/internal/decision/scheduler/scheduler_bench_test.go
+++ b/internal/decision/scheduler/scheduler_bench_test.go
@@ -17,13 +17,13 @@
 	benchLatencyMs     = 20.0 // of every attempt, in virtual time
 )
 
-// benchAttempt is an attempt that the scheduler has sent.
+// benchAttempt is an attempt that the scheduler has started.
 type benchAttempt struct {
 	part    uint64
 	replica uint32
 }
 
-// benchActions records what the benchmark has to react to.
+// benchActions records the actions that the benchmark reacts to.
 type benchActions struct {
 	now      float64
 	timerAt  float64
@@ -77,14 +77,18 @@
 	}
 	var endpoints []scheduler.Endpoint
 	for i := range benchReplicas {
-		endpoints = append(endpoints, scheduler.Endpoint{Replica: uint32(i + 1), Cell: i % benchCells, State: scheduler.Ready})
+		endpoints = append(endpoints, scheduler.Endpoint{
+			Replica: uint32(i + 1),
+			Cell:    i % benchCells,
+			State:   scheduler.Ready,
+		})
 	}
 	s.EndpointsChanged(0, scheduler.UpdateFull, endpoints)
 	return s
 }
 
-// BenchmarkScheduler measures what one query of six parts costs a broker before a healthy fleet: it arrives, a round
-// sends its parts, all of them are answered after 20 ms of virtual time, and a round follows. The seed is fixed and
+// BenchmarkScheduler measures one query of six parts with a healthy fleet: the query arrives, a round sends its
+// parts, all of them are answered after 20 ms of virtual time, and another round follows. The seed is fixed and the
 // shards follow from the number of the query, so every run takes the same decisions.
 func BenchmarkScheduler(b *testing.B) {
 	actions := &benchActions{timerAt: math.Inf(1)}
--- a/internal/decision/scheduler/slow_start_test.go
+++ b/internal/decision/scheduler/slow_start_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestWarmingReplicaStaysWithinAllowance guarantees that a shard whose replicas have all just started is fed within
-// this broker's share of their allowance; the harness checks it on every send.
+// TestWarmingReplicaStaysWithinAllowance checks that replicas of a shard that have all just started are sent no more
+// than this broker's share of their allowance. The harness checks it on every attempt.
 func TestWarmingReplicaStaysWithinAllowance(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.listFleet(UpdateFull)
@@ -24,16 +24,18 @@
 	}
 }
 
-// TestRestartedBrokerWaitsOneAllowanceWindow guarantees that a restart of the broker does not spend an allowance
-// twice. What the process before sent a warming replica is not known and still counts there, so the new process
-// sends it nothing for one window, and then as usual.
+// TestRestartedBrokerWaitsOneAllowanceWindow checks that a restart of the broker does not spend an allowance twice.
+// The work that the previous process sent to a warming replica is unknown and still counts, so the new process sends
+// the replica nothing for one window. After that it does.
 func TestRestartedBrokerWaitsOneAllowanceWindow(t *testing.T) {
 	settings := testSettings()
 	settings.Cells = 1
 	settings.Shards = 1
 	settings.CellsPerShard = 1
 	h := newHarness(t, settings)
-	h.updateEndpoints(UpdateCached, Endpoint{Replica: 1, State: Ready, StartedAt: h.now - 2000}, Endpoint{Replica: 2, State: Ready})
+	h.updateEndpoints(UpdateCached,
+		Endpoint{Replica: 1, State: Ready, StartedAt: h.now - 2000},
+		Endpoint{Replica: 2, State: Ready})
 	sentToWarming := func(ms float64) int {
 		before := len(h.sent)
 		for range int(ms / 50) {
@@ -54,16 +56,16 @@
 	}
 }
 
-// fullAllowance is the work in ms that all brokers may send a warming replica of the greatest speed in the window
-// that ends so many ms after its start.
+// fullAllowance returns the work in ms that all brokers together may send a warming replica of the highest speed in
+// the window that ends ageMs after its start.
 func fullAllowance(slowStart SlowStartSettings, ageMs float64) float64 {
 	ramp := math.Min(1, ageMs/slowStart.Duration)
 	capacity := slowStart.InitialCapacity + (1-slowStart.InitialCapacity)*ramp
 	return maxReplicaSpeed * slowStart.WorkMultiple * capacity * slowStart.Window
 }
 
-// TestBrokersTogetherStayWithinAllowance guarantees that what all brokers send a warming replica is within its
-// allowance in every window, for two brokers or for tens, and that most of them get to use it.
+// TestBrokersTogetherStayWithinAllowance checks that all brokers together send a warming replica no more than its
+// allowance in any window, in fleets of 2 to 84 brokers, and that most brokers use the replica.
 func TestBrokersTogetherStayWithinAllowance(t *testing.T) {
 	for _, brokers := range []int{2, 22, 84} {
 		settings := testSettings()
@@ -98,9 +100,9 @@
 				brokersThatSent++
 			}
 		}
-		// The allowance of the whole slow start holds no more than about 80 slots of two parts.
+		// Not all 84 brokers need to: the allowance of the whole slow start is about 80 slots of two parts at most.
 		if 3*brokersThatSent < 2*brokers {
-			t.Errorf("%d brokers: only %d ever used the warming replica", brokers, brokersThatSent)
+			t.Errorf("%d brokers: only %d sent to the warming replica", brokers, brokersThatSent)
 		}
 		peak := 0.0 // work in a window as a share of the allowance
 		for _, last := range sent {
@@ -113,13 +115,13 @@
 			peak = math.Max(peak, sum/fullAllowance(slowStart, last.at-startedAt))
 		}
 		if peak > 1 || peak == 0 {
-			t.Errorf("%d brokers: %v of the allowance sent in a window", brokers, peak)
+			t.Errorf("%d brokers: %v of the allowance sent in a window, want more than 0 and at most 1", brokers, peak)
 		}
 	}
 }
 
-// TestWarmingReplicasBesideWarmOnesStayWithinAllowance guarantees the same where half of a shard's replicas are
-// warm: more brokers use a warming one then, as each sends it little, and all of them are busy.
+// TestWarmingReplicasBesideWarmOnesStayWithinAllowance checks the same if half of the replicas are warm and all
+// replicas are busy. More brokers then use a warming replica, as each sends it little.
 func TestWarmingReplicasBesideWarmOnesStayWithinAllowance(t *testing.T) {
 	settings := testSettings()
 	settings.BrokerCount = 84
@@ -137,7 +139,7 @@
 			h.updateEndpoints(UpdateDelta, e)
 		}
 		for end := h.now + settings.SlowStart.Duration; h.now < end; {
-			// All brokers together ask for 6 ms of work per ms, the most that three warm replicas can do.
+			// All brokers together request 6 ms of work per ms, the most that three warm replicas can do.
 			h.submit(classDefault, broker%6, (broker+3)%6)
 			h.runRound()
 			h.advance(2800, h.replyAfter(100))
@@ -149,25 +151,26 @@
 		}
 	}
 	if len(sent) < 40 {
-		t.Errorf("%d parts of all brokers sent to the warming replica, want 40 at least", len(sent))
+		t.Errorf("%d parts of all brokers sent to the warming replica, want at least 40", len(sent))
 	}
 	for _, at := range sent {
 		work := 100 * float64(countAfter(sent, at-settings.SlowStart.Window)-countAfter(sent, at))
 		if work > fullAllowance(settings.SlowStart, at-startedAt) {
-			t.Fatalf("%v ms of work sent in the window that ends %v ms after the start", work, at-startedAt)
+			t.Fatalf("%v ms of work sent in the window that ends %v ms after the start, want at most %v", work,
+				at-startedAt, fullAllowance(settings.SlowStart, at-startedAt))
 		}
 	}
 }
 
-// TestFleetUsesWarmingReplicaWithinAllowance guarantees that 80 brokers that hear at one moment of a replica's start
-// stay within its allowance together, in every window and also where no replica of a shard is warm, and that they
-// use what it can do. The replica is as slow to warm up as the rules allow.
+// TestFleetUsesWarmingReplicaWithinAllowance checks 80 brokers that are informed of a replica's start at the same
+// time. Together they stay within its allowance in every window, also if no replica of a shard is warm, and they use
+// its capacity. The replica warms up as slowly as the rules allow.
 func TestFleetUsesWarmingReplicaWithinAllowance(t *testing.T) {
 	for _, test := range []struct {
 		name    string
-		rate    float64 // queries of six parts a second; a warm replica serves 100 parts a second
-		minUse  float64 // share of what a warming replica can do that it is sent in its first 6 s
-		warming []int
+		rate    float64 // queries of six parts per second; a warm replica serves 100 parts per second
+		minUse  float64 // least share of its capacity that a warming replica is sent in its first 6 s
+		warming []int   // indices of the warming replicas
 	}{
 		{"one replica", 60, 0.35, []int{0}},
 		{"all replicas of a shard", 60, 0.35, []int{0, 1, 2}},
@@ -193,15 +196,16 @@
 				peak := f.peakAllowanceUse(r, begin)
 				t.Logf("replica %d: %.2f of its capacity used, at most %.2f of its allowance", i, use, peak)
 				if peak > 0.9 || use < test.minUse {
-					t.Errorf("replica %d: %.2f of its allowance, %.2f of its capacity used", i, peak, use)
+					t.Errorf("replica %d: %.2f of its allowance used, want at most 0.9; %.2f of its capacity used, "+
+						"want at least %.2f", i, peak, use, test.minUse)
 				}
 			}
 		})
 	}
 }
 
-// TestSlowStartQuotasFollowServedWork guarantees that the busier of 80 brokers have larger quotas of a starting
-// replica's allowance, and that all quotas together are within it.
+// TestSlowStartQuotasFollowServedWork checks that the busier of 80 brokers have larger quotas of a warming replica's
+// allowance, and that all quotas together are within it.
 func TestSlowStartQuotasFollowServedWork(t *testing.T) {
 	f := newFleetModel(t, 80)
 	f.run(4000, 80, 6)
@@ -221,13 +225,14 @@
 		largest = max(largest, quota)
 	}
 	allowance := f.allowanceAt(f.replicas[0], f.now)
-	t.Logf("%.2f of the allowance in all, quotas from %.1f to %.1f ms", sum/allowance, smallest, largest)
+	t.Logf("quotas of %.2f of the allowance in total, from %.1f to %.1f ms", sum/allowance, smallest, largest)
 	if sum > allowance || sum < 0.4*allowance || largest < 2*smallest {
-		t.Fatalf("quotas of %v ms of work in all, from %v to %v, of an allowance of %v", sum, smallest, largest, allowance)
+		t.Fatalf("quotas of %v ms of work in total, from %v to %v; want 0.4 to 1 of the allowance of %v and the largest "+
+			"at least twice the smallest", sum, smallest, largest, allowance)
 	}
 }
 
-// quotaInParts is the quota of a warming replica that a broker gets, in parts, where the even share is so many.
+// quotaInParts returns a broker's quota of a warming replica, in parts, if the even share is evenShare parts.
 func quotaInParts(evenShare float64, broker, brokers int, replicaID uint32) float64 {
 	const durationMs, windowMs, partWorkMs = 18_000.0, 1500.0, 100.0
 	settings := Settings{
@@ -251,10 +256,10 @@
 	return quotaMs / partWorkMs
 }
 
-// TestRoundedQuotasAddUpToAllowance guarantees that brokers that use all of their rounded quotas send no more in any
-// window than their shares add up to, and one part; with a tenth more brokers than each assumes, a tenth more and
-// one part. A slot depends on the replica and the broker alone: as it does not move, no window sees more than one,
-// whatever the brokers' clocks say.
+// TestRoundedQuotasAddUpToAllowance checks that the rounded quotas of all brokers exceed the sum of their even shares
+// by at most one part. If there are up to a tenth more brokers than each assumes, they exceed it by at most the
+// rounded-up quotas of the additional brokers and one part. A slot depends only on the replica and the broker, so it
+// is the same in every window and does not depend on the clocks of the brokers.
 func TestRoundedQuotasAddUpToAllowance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		assumed := rapid.IntRange(5, 1000).Draw(t, "assumed brokers")
@@ -268,12 +273,12 @@
 		allowance := float64(assumed) * evenShare
 		excess := float64(brokers-assumed) * (math.Floor(evenShare) + 1)
 		assert.LessOrEqual(t, sum, allowance+excess+1, "quotas of %d brokers", brokers)
-		assert.GreaterOrEqual(t, sum, allowance-1, "more than a part is lost to rounding")
+		assert.GreaterOrEqual(t, sum, allowance-1, "more than one part is lost by rounding")
 	})
 }
 
-// TestSlotsAreSpreadOverBrokers guarantees that, of many replicas that start at one moment, each broker has slots of
-// some, and none has many more than another.
+// TestSlotsAreSpreadOverBrokers checks that each broker has slots at some of many replicas that start at the same
+// time, and that no broker has many more slots than another.
 func TestSlotsAreSpreadOverBrokers(t *testing.T) {
 	const brokers, replicas, evenShare = 300, 120, 0.1
 	fewest := math.Inf(1)
