--- a/internal/control/adminops/handover.go
+++ b/internal/control/adminops/handover.go
@@ -14,9 +14,9 @@
 // SlowStartSender is the scheduler as the sender of slow-start traffic to warming backends.
 type SlowStartSender interface {
 	// HandOver stops sending to warming backends and returns the attempts of the last slow-start window.
-	HandOver() []scheduler.WarmupSend
+	HandOver() []scheduler.WarmupAttempt
 	// TakeOver counts attempts of a predecessor as the scheduler's own.
-	TakeOver(attempts []scheduler.WarmupSend)
+	TakeOver(attempts []scheduler.WarmupAttempt)
 	// OtherProcessActive reports that another process may be sending to warming backends: the scheduler sends them
 	// nothing for a window.
 	OtherProcessActive()
--- a/internal/control/adminops/handover_test.go
+++ b/internal/control/adminops/handover_test.go
@@ -19,11 +19,11 @@
 	takenOver   int // calls of TakeOver
 }
 
-var sampleAttempts = []scheduler.WarmupSend{{Replica: 7, AgeMs: 1, WorkMs: 10}}
+var sampleAttempts = []scheduler.WarmupAttempt{{Replica: 7, AgeMs: 1, WorkMs: 10}}
 
-func (s *slowStartSender) HandOver() []scheduler.WarmupSend { return sampleAttempts }
-func (s *slowStartSender) TakeOver([]scheduler.WarmupSend)  { s.takenOver++ }
-func (s *slowStartSender) OtherProcessActive()              { s.otherActive++ }
+func (s *slowStartSender) HandOver() []scheduler.WarmupAttempt { return sampleAttempts }
+func (s *slowStartSender) TakeOver([]scheduler.WarmupAttempt)  { s.takenOver++ }
+func (s *slowStartSender) OtherProcessActive()                 { s.otherActive++ }
 
 // enableHandover enables the handover by the record at path, for one of two brokers. listed tells whether the
 // backends of a record are listed at this process.
