--- a/internal/transport/discovery/connection.go
+++ b/internal/transport/discovery/connection.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// connectTimeoutMs bounds the TCP handshake; the timeout of the call bounds it too where that is shorter.
+	// connectTimeoutMs is the limit for the TCP handshake, unless the timeout of the call is shorter.
 	connectTimeoutMs = 1000.0
-	// maxResponseBytes bounds a response with its header. It leaves room for an indented list of 64 KiB.
+	// maxResponseBytes is the maximum size of a response with its header. An indented list of 64 KiB fits.
 	maxResponseBytes = 256 << 10
 
 	endpointListPath = "/catalog/members"
 )
 
-// inputEvents are the events on which the stream is read; an error or hang-up shows as the result of the read.
+// inputEvents are the epoll events after which the stream is read. The read itself reports an error or hang-up.
 const inputEvents = unix.EPOLLIN | unix.EPOLLRDHUP | unix.EPOLLHUP | unix.EPOLLERR
 
-// beginCall sends the next call, on the connection of the last one if that is still open.
+// beginCall starts the next call. It reuses the connection of the previous call if that is still open.
 func (w *Watcher) beginCall() {
 	call := w.poller.BeginCall(w.loop.Now())
 	w.inFlight = true
@@ -49,7 +49,7 @@
 	return fmt.Sprintf("%s?index=%d&wait=%.0f", endpointListPath, call.SinceRevision, call.Wait)
 }
 
-// connect starts a connection; Ready learns whether it succeeds. On an error there is no stream.
+// connect starts to open a connection; Ready handles the outcome. After an error, stream remains nil.
 func (w *Watcher) connect() error {
 	fd, err := loop.ConnectFreeing(w.address, w.freeDescriptor)
 	if err != nil {
@@ -64,7 +64,8 @@
 	return nil
 }
 
-// write sends what the kernel accepts of the pending request, once the connection is established.
+// write sends as much of the pending request as the kernel accepts. It does nothing before the connection is
+// established.
 func (w *Watcher) write() {
 	if !w.connected {
 		return
@@ -91,7 +92,7 @@
 	w.write()
 }
 
-// finishConnect reports whether the connection is established. The timeout of the call runs from then on.
+// finishConnect reports whether the connection is established, and starts the timeout of the call when it is.
 func (w *Watcher) finishConnect(events uint32) bool {
 	if err := loop.SocketError(w.stream.FD); err != nil {
 		w.failCall(logs.DiscoveryConnectFailed, err)
@@ -105,19 +106,19 @@
 	return true
 }
 
-// read handles what has arrived, and reports whether the connection is still open.
+// read handles the input that has arrived and reports whether the connection is still open.
 func (w *Watcher) read() bool {
 	peerClosed, err := w.stream.Read(maxResponseBytes)
 	stream := w.stream
-	answeredBefore := w.answered
+	answeredBefore := w.answeredCalls
 	w.readResponse(peerClosed)
 	if w.stream != stream {
 		return false
 	}
 	switch {
-	case peerClosed && w.answered > answeredBefore:
-		// Its end followed a response: the watch goes on over a new connection. The call that may be in flight was sent
-		// on this one and is made again.
+	case peerClosed && w.answeredCalls > answeredBefore:
+		// The service closed the connection after a response: the watch continues on a new connection. A call that is
+		// in flight was sent on the closed connection and is repeated.
 		w.closeConnection(logs.DiscoveryClosed, nil)
 		if w.inFlight {
 			w.beginCall()
@@ -144,6 +145,6 @@
 	w.stream.Close()
 	w.stream = nil
 	w.connected = false
-	w.log.ConnectionEnded(code, w.address, w.answered, err)
-	w.answered = 0
+	w.log.ConnectionEnded(code, w.address, w.answeredCalls, err)
+	w.answeredCalls = 0
 }
--- a/internal/transport/discovery/doc.go
+++ b/internal/transport/discovery/doc.go
@@ -1,11 +1,11 @@
 // Package discovery keeps a broker's endpoint list up to date.
 //
 // A Watcher calls the discovery service, or the discovery agent on the broker's machine, over HTTP/1.1 on the event
-// loop. When it calls and what a response means is decided by an endpointpoll.Poller; the Watcher does the I/O. A
-// Registry assigns replica numbers, knows addresses, applies suspensions, and remembers drains that an older list
-// must not undo.
+// loop. An endpointpoll.Poller decides when to call and how to handle a response; the Watcher does the I/O. A
+// Registry assigns replica numbers, stores addresses, applies suspensions, and remembers drains so that an older list
+// does not undo them.
 //
-// document.go is the only place that knows the form of the list on the wire.
+// document.go is the only file that depends on the wire format of the list.
 //
 // Everything in this package runs on the loop's thread and never blocks. Times are in ms: those of the loop's clock
 // unless a name says Unix.
--- a/internal/transport/discovery/document.go
+++ b/internal/transport/discovery/document.go
@@ -11,9 +11,10 @@
 
 // EndpointList mirrors the list on the wire.
 type EndpointList struct {
-	// Revision is the version of the list. It grows while the service runs and may restart from any value after that.
+	// Revision is the version of the list. It increases while the service runs and may continue from any value after
+	// the service has restarted.
 	Revision uint64 `json:"revision"`
-	// Complete says that Endpoints is the full list; otherwise it holds only the endpoints that have changed.
+	// Complete reports whether Endpoints is the full list; otherwise it holds only the endpoints that have changed.
 	Complete bool `json:"complete"`
 	// Endpoints are the listed backends, in no particular order.
 	Endpoints []EndpointRecord `json:"members"`
@@ -29,11 +30,11 @@
 	Zone string `json:"locality"`
 	// Cell is the index of the backend's cell, from 0.
 	Cell int `json:"cell"`
-	// Phase is one of the wire's words for the backend's state: SERVING, DRAINING or, only among changes, DELETED.
+	// Phase is the backend's state: SERVING, DRAINING or, only among changes, DELETED.
 	Phase string `json:"phase"`
 	// Size is the relative capacity of the backend; brokers do not use it.
 	Size float64 `json:"size"`
-	// StartedAtUnixMs is the last start of the backend's process as Unix time in ms; 0 means long ago.
+	// StartedAtUnixMs is the start time of the backend's process as Unix time in ms; 0 means long ago.
 	StartedAtUnixMs float64 `json:"up_since_ms"`
 }
 
@@ -45,7 +46,7 @@
 	"DELETED":  scheduler.Removed,
 }
 
-// ParseEndpointList decodes and validates a list. The error names the first fault.
+// ParseEndpointList decodes and validates a list. The error names the first invalid endpoint.
 func ParseEndpointList(text []byte) (EndpointList, error) {
 	var list EndpointList
 	if err := json.Unmarshal(text, &list); err != nil {
@@ -54,12 +55,12 @@
 	return list, list.Validate()
 }
 
-// Validate returns an error that names the first endpoint without an ID, with a negative cell, an unknown phase or, in
-// any phase but DELETED, an address that is no IP address and port.
+// Validate returns an error that names the first endpoint without an ID, with a negative cell, an unknown phase or,
+// in any phase but DELETED, an address that is no IP address and port.
 func (l EndpointList) Validate() error {
 	for _, record := range l.Endpoints {
 		if _, ok := stateOfPhase[record.Phase]; !ok || record.ID == "" || record.Cell < 0 {
-			return fmt.Errorf("%w: endpoint %q, cell %d, phase %q",
+			return fmt.Errorf("%w: endpoint %q, cell %d, phase %q: want an id, a cell of at least 0 and a known phase",
 				errMalformedList, record.ID, record.Cell, record.Phase)
 		}
 		if _, err := netip.ParseAddrPort(record.Address); err != nil && record.state() != scheduler.Removed {
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// updateKind says to the scheduler what a list that was read from discovery holds.
+// updateKind returns whether a list from discovery is the full list or a delta.
 func (l EndpointList) updateKind() scheduler.UpdateKind {
 	if l.Complete {
 		return scheduler.UpdateFull
@@ -77,12 +78,12 @@
 	return scheduler.UpdateDelta
 }
 
-// state is the state that the record's phase stands for.
+// state returns the replica state that corresponds to the record's phase.
 func (r EndpointRecord) state() scheduler.ReplicaState { return stateOfPhase[r.Phase] }
 
-// startedAt converts the start to the loop's clock, whose readings are Unix time plus clockOffsetMs. The result is 0
-// for long ago and positive otherwise.
-func (r EndpointRecord) startedAt(clockOffsetMs float64) float64 {
+// startedAtMs converts the start time to the loop's clock, which is Unix time plus clockOffsetMs. The result is 0 if
+// the backend started long ago, and positive otherwise.
+func (r EndpointRecord) startedAtMs(clockOffsetMs float64) float64 {
 	if r.StartedAtUnixMs <= 0 {
 		return 0
 	}
--- a/internal/transport/discovery/document_test.go
+++ b/internal/transport/discovery/document_test.go
@@ -21,13 +21,13 @@
 
 func TestParseEndpointListRejects(t *testing.T) {
 	for name, text := range map[string]string{
-		"no JSON":          `{"revision":`,
-		"no ID":            `{"members":[{"host_port":"10.1.0.18:8080","phase":"SERVING"}]}`,
-		"negative cell":    `{"members":[{"id":"s-1","host_port":"10.1.0.18:8080","cell":-1,"phase":"SERVING"}]}`,
-		"unknown phase":    `{"members":[{"id":"s-1","host_port":"10.1.0.18:8080","phase":"ASLEEP"}]}`,
-		"host name":        `{"members":[{"id":"s-1","host_port":"backend:8080","phase":"SERVING"}]}`,
-		"draining, no IP":  `{"members":[{"id":"s-1","host_port":"","phase":"DRAINING"}]}`,
-		"second one wrong": `{"members":[{"id":"s-1","phase":"DELETED"},{"id":"s-2","phase":"SERVING"}]}`,
+		"truncated JSON":          `{"revision":`,
+		"no ID":                   `{"members":[{"host_port":"10.1.0.18:8080","phase":"SERVING"}]}`,
+		"negative cell":           `{"members":[{"id":"s-1","host_port":"10.1.0.18:8080","cell":-1,"phase":"SERVING"}]}`,
+		"unknown phase":           `{"members":[{"id":"s-1","host_port":"10.1.0.18:8080","phase":"ASLEEP"}]}`,
+		"host name":               `{"members":[{"id":"s-1","host_port":"backend:8080","phase":"SERVING"}]}`,
+		"draining, no IP":         `{"members":[{"id":"s-1","host_port":"","phase":"DRAINING"}]}`,
+		"invalid second endpoint": `{"members":[{"id":"s-1","phase":"DELETED"},{"id":"s-2","phase":"SERVING"}]}`,
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := ParseEndpointList([]byte(text))
@@ -35,7 +35,7 @@
 		})
 	}
 	_, err := ParseEndpointList([]byte(`{"members":[{"id":"s-1","phase":"DELETED"}]}`))
-	assert.NoError(t, err, "a removed backend needs no address")
+	assert.NoError(t, err, "the address of a removed backend is optional")
 }
 
 func TestUpdateKind(t *testing.T) {
@@ -43,7 +43,7 @@
 	assert.Equal(t, scheduler.UpdateDelta, EndpointList{}.updateKind())
 }
 
-func TestStartedAt(t *testing.T) {
+func TestStartedAtMs(t *testing.T) {
 	for name, c := range map[string]struct{ startedAtUnixMs, clockOffsetMs, want float64 }{
 		"long ago":                     {0, -500, 0},
 		"after the clock's origin":     {1700, -500, 1200},
@@ -51,7 +51,7 @@
 		"exactly at the clock's start": {500, -500, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, c.want, EndpointRecord{StartedAtUnixMs: c.startedAtUnixMs}.startedAt(c.clockOffsetMs))
+			assert.Equal(t, c.want, EndpointRecord{StartedAtUnixMs: c.startedAtUnixMs}.startedAtMs(c.clockOffsetMs))
 		})
 	}
 }
--- a/internal/transport/discovery/drains.go
+++ b/internal/transport/discovery/drains.go
@@ -2,25 +2,25 @@
 
 import "ternstage/internal/decision/scheduler"
 
-// maxRememberedDrains bounds the drains that are remembered, in backends.
+// maxRememberedDrains is the maximum number of backends whose drains are remembered.
 const maxRememberedDrains = 4096
 
-// drain is what a list said when it reported a backend as draining or removed.
+// drain records that a list reported a backend as draining or removed, or no longer contained it.
 type drain struct {
-	startedAtUnixMs float64 // the backend's start
-	revision        uint64  // of the list
+	startedAtUnixMs float64 // start time of the drained process
+	revision        uint64  // highest revision of the lists that say so
 }
 
 // rememberedDrains holds the last drain of each backend, by backend ID.
 //
 // Invariant: a drain is in force until the backend restarts or a list of a higher revision reports the backend as
-// ready. So neither a service that serves from an older list nor one that has restarted, and counts revisions from
-// elsewhere, brings a drained backend back.
+// ready. So a drained backend does not become ready again because a discovery service serves an older list, or
+// because it has restarted and counts its revisions from another value.
 type rememberedDrains map[string]drain
 
-// stateOf returns the state in which the scheduler sees a record of the list of that revision, and remembers or forgets
-// the backend's drain accordingly.
-func (d rememberedDrains) stateOf(record EndpointRecord, revision uint64) scheduler.ReplicaState {
+// resolveState returns the state that the scheduler is given for a record of a list with this revision. It also
+// remembers or forgets the backend's drain.
+func (d rememberedDrains) resolveState(record EndpointRecord, revision uint64) scheduler.ReplicaState {
 	state := record.state()
 	last, drained := d[record.ID]
 	if state != scheduler.Ready {
@@ -34,8 +34,8 @@
 	return state
 }
 
-// remember records a drain. Beyond maxRememberedDrains the one of the lowest revision is forgotten, and among those of
-// one revision the one of the lowest ID.
+// remember records a drain. If there are more than maxRememberedDrains, it forgets the one with the lowest revision
+// and, among equal revisions, the lowest ID.
 func (d rememberedDrains) remember(id string, latest drain) {
 	d[id] = latest
 	if len(d) <= maxRememberedDrains {
--- a/internal/transport/discovery/drains_test.go
+++ b/internal/transport/discovery/drains_test.go
@@ -9,7 +9,7 @@
 	"ternstage/internal/decision/scheduler"
 )
 
-// TestRememberedDrain: after a drain at revision 43, which records count as ready again.
+// TestRememberedDrain: which records end a drain that was reported at revision 43.
 func TestRememberedDrain(t *testing.T) {
 	const startedAtUnixMs = 1000.0
 	for name, c := range map[string]struct {
@@ -27,9 +27,9 @@
 		t.Run(name, func(t *testing.T) {
 			drains := rememberedDrains{}
 			record := EndpointRecord{ID: "s-1", Phase: "DRAINING", StartedAtUnixMs: startedAtUnixMs}
-			assert.Equal(t, scheduler.Draining, drains.stateOf(record, 43))
+			assert.Equal(t, scheduler.Draining, drains.resolveState(record, 43))
 			record.Phase, record.StartedAtUnixMs = c.phase, c.startedAtUnixMs
-			assert.Equal(t, c.want, drains.stateOf(record, c.revision))
+			assert.Equal(t, c.want, drains.resolveState(record, c.revision))
 			if c.want == scheduler.Ready {
 				assert.Empty(t, drains, "the drain is no longer in force")
 			}
@@ -37,18 +37,19 @@
 	}
 }
 
-// TestDrainKeepsHighestRevision: an older list that repeats the drain does not lower the revision that ends it.
+// TestDrainKeepsHighestRevision: an older list that repeats the drain does not lower the drain's revision.
 func TestDrainKeepsHighestRevision(t *testing.T) {
 	drains := rememberedDrains{}
 	record := EndpointRecord{ID: "s-1", Phase: "DRAINING"}
-	drains.stateOf(record, 43)
-	drains.stateOf(record, 40)
+	drains.resolveState(record, 43)
+	drains.resolveState(record, 40)
 	record.Phase = "SERVING"
-	assert.Equal(t, scheduler.Draining, drains.stateOf(record, 42))
-	assert.Equal(t, scheduler.Ready, drains.stateOf(record, 44))
+	assert.Equal(t, scheduler.Draining, drains.resolveState(record, 42))
+	assert.Equal(t, scheduler.Ready, drains.resolveState(record, 44))
 }
 
-// TestRememberedDrainsAreBounded: beyond the bound the drain of the lowest revision goes, and of equals the lowest ID.
+// TestRememberedDrainsAreBounded: beyond the maximum, the drain with the lowest revision is forgotten, and among
+// equal revisions the one with the lowest ID.
 func TestRememberedDrainsAreBounded(t *testing.T) {
 	drains := rememberedDrains{}
 	for i := range maxRememberedDrains {
@@ -60,5 +61,5 @@
 	assert.NotContains(t, drains, "s-0000")
 	assert.Contains(t, drains, "s-0001")
 	drains.remember("s-late", drain{revision: 1})
-	assert.NotContains(t, drains, "s-late", "the new one has the lowest revision itself")
+	assert.NotContains(t, drains, "s-late", "the new drain has the lowest revision")
 }
--- a/internal/transport/discovery/registry.go
+++ b/internal/transport/discovery/registry.go
@@ -6,15 +6,15 @@
 	"ternstage/internal/decision/scheduler"
 )
 
-// Suspender knows which backends an operator keeps out of service.
+// Suspender reports which backends an operator has suspended.
 type Suspender interface {
-	// EndpointListed is called for each backend of each list that is applied, unless the list removes it.
+	// EndpointListed is called for each backend that an applied list names as ready or draining.
 	EndpointListed(id string)
-	// Suspended reports whether the backend is kept out of service.
+	// Suspended reports whether the backend is suspended.
 	Suspended(id string) bool
 }
 
-// Registry knows the backends of the endpoint list: their replica numbers, addresses and states.
+// Registry stores the backends of the endpoint list: their replica numbers, addresses and states.
 //
 // Invariants: two listed backends never share a number; every backend in listedStarts has an entry in numbers,
 // addresses and endpoints, and no other backend has one once Apply has returned.
@@ -22,13 +22,14 @@
 	zoneIndexes  map[string]int
 	numbers      map[string]uint32             // replica numbers by backend ID
 	addresses    map[uint32]string             // by replica number
-	listedStarts map[string]float64            // starts of the listed backends as Unix time in ms, by ID
+	listedStarts map[string]float64            // start times of the listed backends as Unix time in ms, by ID
 	endpoints    map[string]scheduler.Endpoint // listed backends before suspension, by ID
 	drains       rememberedDrains
 	suspender    Suspender
 }
 
-// NewRegistry returns an empty Registry. zones are the zone names of the settings; their order gives the zone indexes.
+// NewRegistry returns an empty Registry. zones are the zone names of the settings; their order gives the zone
+// indexes.
 func NewRegistry(zones []string) *Registry {
 	registry := &Registry{
 		zoneIndexes:  map[string]int{},
@@ -44,12 +45,12 @@
 	return registry
 }
 
-// SetSuspender makes the backends that suspender keeps out of service appear as draining, whatever the list says.
-// Without one no backend is suspended.
+// SetSuspender sets the source of suspensions. Suspended backends appear as draining even if the list says that they
+// are ready. Without a suspender, no backend is suspended.
 func (r *Registry) SetSuspender(suspender Suspender) { r.suspender = suspender }
 
-// Endpoint returns the scheduler's form of a listed backend, with its suspension applied. ok is false, and the endpoint
-// meaningless, for a backend that is not listed.
+// Endpoint returns a listed backend as the scheduler's endpoint, with its suspension applied. If the backend is not
+// listed, ok is false and the endpoint is meaningless.
 func (r *Registry) Endpoint(id string) (endpoint scheduler.Endpoint, ok bool) {
 	endpoint, ok = r.endpoints[id]
 	return r.applySuspension(id, endpoint), ok
@@ -67,7 +68,7 @@
 // Len returns the number of backends that are listed as ready or draining.
 func (r *Registry) Len() int { return len(r.listedStarts) }
 
-// Apply applies a validated list and returns its endpoints in the scheduler's form, removed ones included.
+// Apply applies a validated list and returns its endpoints, including removed ones, as the scheduler's endpoints.
 // clockOffsetMs is the loop's clock minus Unix time, in ms.
 func (r *Registry) Apply(list EndpointList, clockOffsetMs float64) []scheduler.Endpoint {
 	if list.Complete {
@@ -80,8 +81,8 @@
 			Replica:   r.assignNumber(record.ID),
 			Cell:      record.Cell,
 			Zone:      r.zoneIndexes[record.Zone],
-			StartedAt: record.startedAt(clockOffsetMs),
-			State:     r.drains.stateOf(record, list.Revision),
+			StartedAt: record.startedAtMs(clockOffsetMs),
+			State:     r.drains.resolveState(record, list.Revision),
 		}
 		r.store(record, endpoint)
 		endpoints = append(endpoints, r.applySuspension(record.ID, endpoint))
@@ -90,7 +91,7 @@
 	return endpoints
 }
 
-// store records a backend of an applied list as listed, or as not listed if it is removed.
+// store records that a backend of an applied list is listed, or that it no longer is if the list removes it.
 func (r *Registry) store(record EndpointRecord, endpoint scheduler.Endpoint) {
 	if endpoint.State == scheduler.Removed {
 		delete(r.listedStarts, record.ID)
@@ -104,7 +105,7 @@
 	}
 }
 
-// rememberAbsent remembers a drain for each listed backend that a full list does not name.
+// rememberAbsent remembers a drain for each listed backend that is missing from a full list.
 func (r *Registry) rememberAbsent(list EndpointList) {
 	present := make(map[string]bool, len(list.Endpoints))
 	for _, record := range list.Endpoints {
@@ -117,8 +118,8 @@
 	}
 }
 
-// forgetUnlisted drops the numbers of backends that are not listed, as backends come under new IDs all the time. One
-// that returns gets its old number again unless another ID with the same hash has taken it.
+// forgetUnlisted deletes the entries of backends that are not listed, since backends keep joining under new IDs. A
+// backend that returns gets its old number again unless another ID with the same hash has taken it.
 func (r *Registry) forgetUnlisted() {
 	for id, number := range r.numbers {
 		if _, ok := r.listedStarts[id]; !ok {
@@ -129,8 +130,8 @@
 	}
 }
 
-// assignNumber returns the replica number of a backend. It derives from the ID alone unless two hashes collide: the
-// brokers' schedulers rely on the same numbers to coordinate without messages.
+// assignNumber returns the replica number of a backend. The number depends on the ID alone unless two hashes collide:
+// the schedulers of all brokers rely on the same numbers to coordinate without messages.
 func (r *Registry) assignNumber(id string) uint32 {
 	if number, ok := r.numbers[id]; ok {
 		return number
@@ -138,7 +139,7 @@
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(id))
 	number := hash.Sum32()
-	for r.numberTaken(number) {
+	for r.isNumberTaken(number) {
 		number++
 	}
 	r.numbers[id] = number
@@ -146,7 +147,7 @@
 	return number
 }
 
-func (r *Registry) numberTaken(number uint32) bool {
+func (r *Registry) isNumberTaken(number uint32) bool {
 	_, taken := r.addresses[number]
 	return taken
 }
--- a/internal/transport/discovery/registry_test.go
+++ b/internal/transport/discovery/registry_test.go
@@ -31,7 +31,8 @@
 func (s *fakeSuspender) EndpointListed(id string) { s.listed = append(s.listed, id) }
 func (s *fakeSuspender) Suspended(id string) bool { return s.suspended[id] }
 
-// TestApplyTranslates: zones become indexes, starts move to the loop's clock, and numbers depend on the ID alone.
+// TestApplyTranslates: zones become indexes, start times are converted to the loop's clock, and numbers depend on the
+// ID alone.
 func TestApplyTranslates(t *testing.T) {
 	registry := NewRegistry([]string{"salt-lake", "howrah"})
 	record := EndpointRecord{ID: "s-1", Address: "10.1.0.18:8080", Zone: "howrah", Cell: 3, Phase: "DRAINING",
@@ -51,7 +52,8 @@
 	assert.Equal(t, want.Replica, number)
 }
 
-// TestApplyRemoves: a backend that a change removes, or a full list does not name, has no number, address or endpoint.
+// TestApplyRemoves: a backend that a change removes, or that is missing from a full list, has no number, address or
+// endpoint.
 func TestApplyRemoves(t *testing.T) {
 	for name, list := range map[string]EndpointList{
 		"removed by a change":      change(42, EndpointRecord{ID: "s-1", Phase: "DELETED"}),
@@ -75,7 +77,8 @@
 	}
 }
 
-// TestAbsentBackendStaysDrained: a full list without a backend drains it, and an older list does not undo that.
+// TestAbsentBackendStaysDrained: a backend that is missing from a full list is drained, and an older list does not
+// undo that.
 func TestAbsentBackendStaysDrained(t *testing.T) {
 	registry := NewRegistry(nil)
 	registry.Apply(fullList(41, ready("s-1", "10.1.0.18:8080")), 0)
--- a/internal/transport/discovery/watcher.go
+++ b/internal/transport/discovery/watcher.go
@@ -17,7 +17,8 @@
 
 // Core receives the updates of the endpoint list.
 type Core interface {
-	// EndpointsChanged passes on a list, or, with scheduler.UpdateFailed and no endpoints, the end of the watch.
+	// EndpointsChanged receives the endpoints of an applied list. With scheduler.UpdateFailed, and without endpoints,
+	// it reports the end of the watch.
 	EndpointsChanged(kind scheduler.UpdateKind, endpoints []scheduler.Endpoint)
 }
 
@@ -35,20 +36,20 @@
 	address        string
 	freeDescriptor func() bool
 
-	stream    *loop.Stream // nil without a connection
-	connected bool         // the TCP handshake of stream is done
-	answered  int          // calls answered on stream
+	stream        *loop.Stream // nil without a connection
+	connected     bool         // the TCP handshake of stream is done
+	answeredCalls int          // on stream
 
-	watching      bool // calls follow one another until one fails in a way that the scheduler is notified of
-	inFlight      bool // a call awaits its response
+	watching      bool // the list is followed; cleared when the scheduler is notified of a failed call
+	inFlight      bool // a call has no response yet
 	callTimer     *loop.Timer
 	nextCallTimer *loop.Timer
 	unresponsive  bool // the last call failed, and that has been logged
 }
 
-// NewWatcher returns a Watcher that makes no call until Watch, or until Start in the pushed mode. address is the IP
-// address and port of the service or agent. Where the process is out of descriptors, freeDescriptor closes a connection
-// that can be spared and reports whether it did; nil stands for none.
+// NewWatcher returns a Watcher that makes no call before Watch or, in the pushed mode, Start. address is the IP
+// address and port of the service or agent. freeDescriptor is called if the process has run out of descriptors: it
+// closes a connection that is not needed and reports whether it did. It may be nil.
 func NewWatcher(l *loop.Loop, core Core, log *logs.Log, registry *Registry, poller *endpointpoll.Poller, address string,
 	freeDescriptor func() bool) *Watcher {
 	w := &Watcher{
@@ -60,27 +61,30 @@
 		address:        address,
 		freeDescriptor: freeDescriptor,
 	}
-	w.callTimer = l.NewTimer(w.callTimedOut)
+	w.callTimer = l.NewTimer(w.handleCallTimeout)
 	w.nextCallTimer = l.NewTimer(w.callIfDue)
 	return w
 }
 
-// Start begins to read a pushed list, for which the scheduler does not call Watch. It does nothing for a polled list.
+// Start starts to follow a pushed list, for which the scheduler does not call Watch. It does nothing for a polled
+// list.
 func (w *Watcher) Start() {
 	if w.poller.Pushed() {
 		w.Watch()
 	}
 }
 
-// LoadCached applies the list that the configuration carries. It may be stale, so it goes to the scheduler as cached.
+// LoadCached applies the list from the configuration. The scheduler receives it as a cached list, since it may be
+// stale.
 func (w *Watcher) LoadCached(list EndpointList) {
 	w.poller.SetCached(list.Revision, len(list.Endpoints))
 	list.Complete = true
 	w.core.EndpointsChanged(scheduler.UpdateCached, w.registry.Apply(list, w.clockOffsetMs()))
 }
 
-// Watch begins to follow the list; it does nothing while the Watcher does so. It returns before any outcome, a failure
-// included, is passed on, since the scheduler calls it within a scheduling round.
+// Watch starts to follow the list; it does nothing if the list is being followed already. The scheduler calls Watch
+// within a scheduling round, so the first call is posted to the loop: Core receives no update or failure before Watch
+// returns.
 func (w *Watcher) Watch() {
 	if w.watching {
 		return
@@ -89,8 +93,8 @@
 	w.loop.Post(w.callIfDue)
 }
 
-// MoveTo continues at another address at once. The old connection is closed whatever is in flight on it, so that
-// neither a late response nor its end is taken for one of the new connection.
+// MoveTo continues at another address at once. The old connection is closed even if a call is in flight, so that a
+// late response or hang-up of the old connection is not attributed to the new one.
 func (w *Watcher) MoveTo(address string) {
 	w.closeConnection(logs.DiscoveryAddressChanged, nil)
 	w.poller.AddressChanged()
@@ -110,24 +114,24 @@
 	return w.loop.ReadClock() - float64(time.Now().UnixMicro())/1000
 }
 
-// callIfDue makes the next call unless MoveTo has made it meanwhile or the watch has ended.
+// callIfDue starts the next call unless MoveTo has already started one or the watch has ended.
 func (w *Watcher) callIfDue() {
 	if w.watching && !w.inFlight {
 		w.beginCall()
 	}
 }
 
-func (w *Watcher) callTimedOut() {
+func (w *Watcher) handleCallTimeout() {
 	w.failCall(logs.DiscoveryTimeout, errors.New("no response in time"))
 }
 
-// readResponse handles the response to the call in flight once it is complete. peerClosed says that no more input
+// readResponse handles the response to the call in flight once it is complete. peerClosed means that no more input
 // follows.
 func (w *Watcher) readResponse(peerClosed bool) {
 	response, err := httpresponse.Parse(w.stream.In, maxResponseBytes, peerClosed)
 	if err == nil && !response.Complete() {
 		if len(w.stream.In) >= maxResponseBytes {
-			w.failCall(logs.DiscoveryMalformed, fmt.Errorf("response over %d bytes", maxResponseBytes))
+			w.failCall(logs.DiscoveryMalformed, fmt.Errorf("response exceeds %d bytes", maxResponseBytes))
 		}
 		return
 	}
@@ -139,36 +143,36 @@
 		w.failCall(logs.DiscoveryMalformed, err)
 		return
 	}
-	w.answered++
+	w.answeredCalls++
 	w.stream.Consume(response.Size)
 	w.callTimer.Stop()
 	w.inFlight = false
 	w.logRecovery()
-	nextCallAt := w.applyList(list)
+	nextCallAtMs := w.applyList(list)
 	if response.Last {
 		w.closeConnection(logs.DiscoveryClosed, nil)
 	}
 	// Discovery ends a watch unless the next call comes within 200 ms.
-	if nextCallAt <= w.loop.Now() {
+	if nextCallAtMs <= w.loop.Now() {
 		w.beginCall()
 	} else {
-		w.nextCallTimer.Set(nextCallAt)
+		w.nextCallTimer.Set(nextCallAtMs)
 	}
 }
 
-// decode returns the list of a complete response, or why it has none.
+// decode returns the list in a complete response, or an error if the response has no valid list.
 func (w *Watcher) decode(response httpresponse.Response) (EndpointList, error) {
 	if !w.inFlight {
 		return EndpointList{}, errors.New("response without a call in flight")
 	}
 	if response.Status != http.StatusOK {
-		return EndpointList{}, fmt.Errorf("status %d", response.Status)
+		return EndpointList{}, fmt.Errorf("HTTP status %d, want 200", response.Status)
 	}
 	return ParseEndpointList(response.Body)
 }
 
 // applyList passes a list on unless the Poller rejects it, and returns when the next call is due.
-func (w *Watcher) applyList(list EndpointList) (nextCallAt float64) {
+func (w *Watcher) applyList(list EndpointList) (nextCallAtMs float64) {
 	next := w.poller.HandleResponse(w.loop.Now(), endpointpoll.Response{
 		Complete:      list.Complete,
 		Revision:      list.Revision,
@@ -184,8 +188,8 @@
 	return next.At
 }
 
-// failCall ends the call in flight, and its connection, without a usable list. The Poller decides whether the watch
-// ends too, of which the scheduler is notified, or goes on with another call. The list in force stays.
+// failCall ends the call in flight without a usable list, and closes its connection. The Poller decides whether the
+// watch ends, in which case the scheduler is notified, or continues with another call. The current list stays in use.
 func (w *Watcher) failCall(code logs.Code, err error) {
 	if w.stream == nil && !w.unresponsive {
 		w.log.ConnectionEnded(code, w.address, 0, err)
@@ -207,7 +211,7 @@
 	w.nextCallTimer.Set(next.At)
 }
 
-// logUnresponsive logs the first of several failures in a row.
+// logUnresponsive logs the first of consecutive failures.
 func (w *Watcher) logUnresponsive() {
 	if w.unresponsive {
 		return
--- a/internal/transport/discovery/watcher_test.go
+++ b/internal/transport/discovery/watcher_test.go
@@ -21,7 +21,8 @@
 
 const testTimeout = 10 * time.Second
 
-// fakeDiscovery answers the calls one after another, the last handler for all that follow, and records their targets.
+// fakeDiscovery answers each call with the next handler, and all calls after that with the last handler. It records
+// the targets of the calls.
 type fakeDiscovery struct {
 	address  string
 	mu       sync.Mutex
@@ -106,7 +107,7 @@
 	return &harness{eventLoop, core, watcher}
 }
 
-// runUntil runs the loop until a condition holds at the end of a scheduling round.
+// runUntil runs the loop until the condition holds at the end of a scheduling round.
 func (h *harness) runUntil(t *testing.T, condition func() bool) {
 	t.Helper()
 	expired := false
@@ -120,7 +121,7 @@
 		for {
 			select {
 			case <-ticker.C:
-				h.loop.Post(func() {}) // the condition may depend on what happens outside the loop
+				h.loop.Post(func() {}) // wakes the loop, as the condition may depend on other goroutines
 			case <-done:
 				return
 			}
@@ -170,7 +171,8 @@
 	assert.Equal(t, []scheduler.UpdateKind{scheduler.UpdateCached}, h.core.kinds)
 }
 
-// TestWatcherNotifiesFailure: the scheduler is notified once that a polled watch ended, and no call follows by itself.
+// TestWatcherNotifiesFailure: the scheduler is notified once that a polled watch has ended, and no other call
+// follows.
 func TestWatcherNotifiesFailure(t *testing.T) {
 	closed, err := loopback.Free()
 	require.NoError(t, err)
@@ -192,7 +194,8 @@
 	}
 }
 
-// TestWatcherKeepsCallingAgent: after failures of an agent the scheduler is not notified, and the full list comes next.
+// TestWatcherKeepsCallingAgent: the scheduler is not notified of failed calls to an agent, and the full list is
+// requested next.
 func TestWatcherKeepsCallingAgent(t *testing.T) {
 	fake := newFakeDiscovery(t, respondUnavailable, respondUnavailable,
 		respond(fullList(41, ready("s-1", "10.1.0.18:8080"))))
@@ -216,7 +219,7 @@
 	assert.Equal(t, 1, h.watcher.registry.Len())
 }
 
-// TestWatcherMoves: with a call in flight the watch goes on at the new address at once, with the full list.
+// TestWatcherMoves: a watch with a call in flight continues at the new address at once, with the full list.
 func TestWatcherMoves(t *testing.T) {
 	first := newFakeDiscovery(t, holdOpen)
 	second := newFakeDiscovery(t, respond(fullList(7, ready("s-1", "10.1.0.18:8080"))), holdOpen)
