--- a/internal/transport/shardcatalog/answer.go
+++ b/internal/transport/shardcatalog/answer.go
@@ -11,27 +11,28 @@
 	"ternstage/internal/transport/httpresponse"
 )
 
-// maxInlineBytes is the largest body that is parsed on the event loop. A larger one is parsed in another goroutine, so
-// that no request waits for it.
+// maxInlineBytes is the largest body that is parsed on the event loop. A larger one is parsed in another goroutine,
+// so that requests are not delayed.
 const maxInlineBytes = 128 << 10
 
-// handleInput takes the answer off the input, if it is complete. eof says that the catalogue has closed its side.
+// handleInput handles the answer in the input once it is complete. eof means that the catalogue has closed its side
+// of the connection.
 func (s *Source) handleInput(eof bool) {
 	response, err := httpresponse.Parse(s.stream.In, s.options.MaxAnswerBytes, eof)
 	if err == nil && !response.Complete() {
 		if len(s.stream.In) >= s.options.MaxAnswerBytes+maxHeaderBytes {
-			s.fail(logs.ShardMapMalformed, fmt.Errorf("answer over %d bytes", s.options.MaxAnswerBytes))
+			s.failCall(logs.ShardMapMalformed, fmt.Errorf("answer exceeds %d bytes", s.options.MaxAnswerBytes))
 		}
 		return
 	}
 	if err == nil && !s.inFlight {
-		err = errors.New("an answer to no call")
+		err = errors.New("answer without a call in flight")
 	}
 	if err == nil && response.Status != http.StatusOK {
-		err = fmt.Errorf("status %d", response.Status)
+		err = fmt.Errorf("HTTP status %d, want 200", response.Status)
 	}
 	if err != nil {
-		s.fail(logs.ShardMapMalformed, err)
+		s.failCall(logs.ShardMapMalformed, err)
 		return
 	}
 	s.sequence++
@@ -42,35 +43,35 @@
 	}
 	update, err := Parse(response.Body)
 	s.finishCall(response)
-	s.deliver(update, err)
+	s.deliverUpdate(update, err)
 }
 
-// finishCall ends the call that has been answered, and the connection if no other answer follows on it.
+// finishCall ends the answered call, and closes the connection if this was its last answer.
 func (s *Source) finishCall(response httpresponse.Response) {
 	s.stream.Consume(response.Size)
 	s.inFlight = false
 	s.deadlineMs = math.Inf(1)
-	s.answers++
+	s.answeredCalls++
 	if response.Last {
 		s.disconnect(logs.ShardMapClosed, nil)
 	}
 }
 
-// parseAndPost parses a body outside the event loop and delivers the update on it.
+// parseAndPost parses a body outside the event loop and posts the update to the loop.
 func (s *Source) parseAndPost(body []byte, sequence int) {
 	update, err := Parse(body)
 	s.loop.Post(func() {
 		if sequence == s.sequence && !s.closed {
-			s.deliver(update, err)
+			s.deliverUpdate(update, err)
 		}
 	})
 }
 
-// deliver hands an update to the sink and goes on with the next call. An update that cannot be parsed or is rejected
-// leaves the map in use as it was.
-func (s *Source) deliver(update Update, err error) {
+// deliverUpdate passes an update to the sink and schedules the next call. An update that cannot be parsed or is
+// rejected does not change the current map.
+func (s *Source) deliverUpdate(update Update, err error) {
 	if err == nil {
-		err = s.apply(update)
+		err = s.applyUpdate(update)
 	}
 	now := s.loop.Now()
 	if err != nil {
@@ -79,10 +80,10 @@
 	} else {
 		s.poller.Succeeded(now, s.sink.Epoch())
 	}
-	s.step()
+	s.runDue()
 }
 
-func (s *Source) apply(update Update) error {
+func (s *Source) applyUpdate(update Update) error {
 	if update.Snapshot != nil {
 		return s.sink.ApplySnapshot(*update.Snapshot)
 	}
--- a/internal/transport/shardcatalog/cache.go
+++ b/internal/transport/shardcatalog/cache.go
@@ -13,31 +13,32 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-// cacheWriteInterval is the least time between two writes of the file. A map that is a little old does no harm: after
-// a restart the first watch brings the rest.
+// cacheWriteInterval is the minimum interval between two writes of the file. A slightly outdated file does no harm:
+// after a restart, the first watch returns the changes since then or a snapshot.
 const cacheWriteInterval = time.Second
 
-// Cache stores the last map in a file, for the next process. It writes in a goroutine of its own; versions are
+// Cache stores the latest map in a file, for the next process. A separate goroutine writes the file; versions are
 // immutable, so it needs no lock on the map.
 type Cache struct {
 	path    string
 	onError func(error)
 
 	mutex   sync.Mutex
-	pending *cachedMap // the map to be written next; guarded by mutex
+	pending *cachedMap // the map to write next; nil if there is none; guarded by mutex
 
-	changed chan struct{} // holds a value while pending may be set
+	changed chan struct{} // holds a value if pending may be set
 	closing chan struct{} // closed by Close
 	closed  chan struct{} // closed when the goroutine has ended
 }
 
+// cachedMap is the content of a cache file.
 type cachedMap struct {
 	version *shardmap.Version
 	retired []shardmap.RetiredShard
 }
 
-// NewCache makes a cache in the file at path, whose directory must exist. onError is called for each write that
-// fails, in another goroutine. Close must be called to end the cache.
+// NewCache returns a Cache that uses the file at path, whose directory must exist. onError is called in another
+// goroutine for each write that fails. The caller must call Close.
 func NewCache(path string, onError func(error)) *Cache {
 	cache := &Cache{
 		path:    path,
@@ -50,8 +51,8 @@
 	return cache
 }
 
-// Load reads the map of the file; nil without an error if there is no file. A file that cannot be used is an error and
-// is not modified; the error matches ErrMalformedDocument if the file could be read.
+// Load returns the map in the file, or nil without an error if there is no file. It returns an error for a file that
+// cannot be used, and does not modify it; the error matches ErrMalformedDocument if the file was readable.
 func (c *Cache) Load() (*shardmap.Snapshot, error) {
 	text, err := os.ReadFile(c.path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -62,7 +63,7 @@
 	}
 	update, err := Parse(text)
 	if err == nil && update.Snapshot == nil {
-		err = fmt.Errorf("%w: no snapshot", ErrMalformedDocument)
+		err = fmt.Errorf("%w: changes instead of a snapshot", ErrMalformedDocument)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", c.path, err)
@@ -70,20 +71,20 @@
 	return update.Snapshot, nil
 }
 
-// Save has a version written soon, with the shards that were retired before it. It does not block; of versions saved
-// in quick succession only the last is written.
+// Save schedules a version to be written, with the shards that were retired before it. It does not block. Of several
+// versions saved in quick succession, only the last is written.
 func (c *Cache) Save(version *shardmap.Version, retired []shardmap.RetiredShard) {
 	c.mutex.Lock()
 	c.pending = &cachedMap{version: version, retired: retired}
 	c.mutex.Unlock()
 	select {
 	case c.changed <- struct{}{}:
-	default: // the goroutine has yet to take the last signal, and will find this version
+	default: // the goroutine has not received the previous signal yet, and will find this version
 	}
 }
 
-// Close writes the version that was saved last, if that has not been done, and ends the cache. It does not wait for the
-// interval between writes.
+// Close writes the last saved version, if it is not written yet, and stops the goroutine. It does not wait for
+// cacheWriteInterval to elapse.
 func (c *Cache) Close() {
 	close(c.closing)
 	<-c.closed
@@ -120,7 +121,7 @@
 	return saved
 }
 
-// write replaces the file atomically: a crash leaves the old content or the new one.
+// write replaces the file atomically: after a crash, it has either the old or the new content.
 func (c *Cache) write(saved *cachedMap) error {
 	text, err := json.Marshal(FormatSnapshot(saved.version, nil, saved.retired))
 	if err != nil {
@@ -137,7 +138,7 @@
 	}
 	if err != nil {
 		_ = os.Remove(file.Name())
-		return fmt.Errorf("shard map cache: %w", err)
+		return fmt.Errorf("write shard map cache: %w", err)
 	}
 	return nil
 }
--- a/internal/transport/shardcatalog/cache_test.go
+++ b/internal/transport/shardcatalog/cache_test.go
@@ -12,7 +12,7 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-// newMap is a map with the shards of largeDocument.
+// newMap returns a map with the shards of largeDocument.
 func newMap(t testing.TB, shards int) *shardmap.Map {
 	t.Helper()
 	text, err := json.Marshal(largeDocument(shards))
@@ -30,7 +30,7 @@
 	cache := NewCache(path, func(err error) { t.Error(err) })
 	snapshot, err := cache.Load()
 	require.NoError(t, err)
-	require.Nil(t, snapshot, "there is no file yet")
+	require.Nil(t, snapshot, "the file does not exist yet")
 
 	m := newMap(t, 4)
 	cache.Save(m.Current(), nil)
--- a/internal/transport/shardcatalog/connection.go
+++ b/internal/transport/shardcatalog/connection.go
@@ -10,13 +10,13 @@
 	"ternstage/internal/transport/loop"
 )
 
-// path is the resource of the catalogue.
-const path = "/catalog/slices"
+// cataloguePath is the path of the shard map at the catalogue.
+const cataloguePath = "/catalog/slices"
 
-// connectTimeoutMs is how long a connection may take to be established.
+// connectTimeoutMs is the limit for establishing a connection.
 const connectTimeoutMs = 1000.0
 
-// maxHeaderBytes is the largest size of what precedes the body of an answer, plus its framing, in bytes.
+// maxHeaderBytes is the maximum size of an answer's header and of the framing of its body.
 const maxHeaderBytes = 16 << 10
 
 const (
@@ -24,21 +24,21 @@
 	closeEvents = unix.EPOLLHUP | unix.EPOLLERR
 )
 
-// call sends a request, over a new connection if there is none.
-func (s *Source) call(request shardmap.PollRequest) {
+// beginCall sends a request. It opens a connection if there is none.
+func (s *Source) beginCall(request shardmap.PollRequest) {
 	now := s.loop.Now()
 	s.callTimeoutMs = request.TimeoutMs
 	s.deadlineMs = now + request.TimeoutMs
 	if s.stream == nil {
 		if err := s.connect(); err != nil {
-			s.fail(logs.ShardMapConnectFailed, err)
+			s.failCall(logs.ShardMapConnectFailed, err)
 			return
 		}
 		s.deadlineMs = now + connectTimeoutMs
 	}
-	target := path
+	target := cataloguePath
 	if !request.FullSnapshot {
-		target = fmt.Sprintf("%s?index=%d&wait=%d", path, request.SinceEpoch, int(request.WaitMs))
+		target = fmt.Sprintf("%s?index=%d&wait=%d", cataloguePath, request.SinceEpoch, int(request.WaitMs))
 	}
 	s.inFlight = true
 	s.sequence++
@@ -46,7 +46,7 @@
 	s.write()
 }
 
-// connect begins to establish a connection.
+// connect starts to open a connection; Ready handles the outcome.
 func (s *Source) connect() error {
 	descriptor, err := loop.Connect(s.options.Address)
 	if err != nil {
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// disconnect closes the connection, if there is one. err is what ended it; nil if that was no error.
+// disconnect closes the connection, if there is one, and logs its end. err is nil unless an error ended it.
 func (s *Source) disconnect(code logs.Code, err error) {
 	if s.stream == nil {
 		return
@@ -70,13 +70,13 @@
 	s.stream = nil
 	s.connected = false
 	s.inFlight = false
-	s.log.ConnectionEnded(code, s.options.Address, s.answers, err)
-	s.answers = 0
+	s.log.ConnectionEnded(code, s.options.Address, s.answeredCalls, err)
+	s.answeredCalls = 0
 }
 
-// Ready implements loop.Handler.
+// Ready handles events of the connection. It implements loop.Handler.
 func (s *Source) Ready(events uint32) {
-	defer s.schedule()
+	defer s.setTimer()
 	if !s.connected && !s.finishConnect(events) {
 		return
 	}
@@ -86,10 +86,10 @@
 	s.write()
 }
 
-// finishConnect reports whether the connection is established, from when the call's own timeout runs.
+// finishConnect reports whether the connection is established, and starts the timeout of the call when it is.
 func (s *Source) finishConnect(events uint32) bool {
 	if err := loop.SocketError(s.stream.FD); err != nil {
-		s.fail(logs.ShardMapConnectFailed, err)
+		s.failCall(logs.ShardMapConnectFailed, err)
 		return false
 	}
 	if events&unix.EPOLLOUT == 0 {
@@ -100,7 +100,7 @@
 	return true
 }
 
-// read takes what has arrived, and the answer in it, and reports whether the connection is still the same and open.
+// read handles the input that has arrived, and reports whether the connection is still open.
 func (s *Source) read() bool {
 	stream := s.stream
 	eof, err := stream.Read(s.options.MaxAnswerBytes + maxHeaderBytes)
@@ -110,9 +110,9 @@
 	}
 	switch {
 	case err != nil:
-		s.fail(logs.ShardMapReset, err)
+		s.failCall(logs.ShardMapReset, err)
 	case eof && s.inFlight:
-		s.fail(logs.ShardMapClosed, nil)
+		s.failCall(logs.ShardMapClosed, nil)
 	case eof:
 		s.disconnect(logs.ShardMapClosed, nil)
 	default:
@@ -121,13 +121,14 @@
 	return false
 }
 
-// write sends what is buffered, as far as the connection takes it.
+// write sends as much of the pending request as the kernel accepts. It does nothing before the connection is
+// established.
 func (s *Source) write() {
 	if !s.connected {
 		return
 	}
 	if err := s.stream.Flush(); err != nil {
-		s.fail(logs.ShardMapReset, err)
+		s.failCall(logs.ShardMapReset, err)
 		return
 	}
 	events := uint32(readEvents)
--- a/internal/transport/shardcatalog/doc.go
+++ b/internal/transport/shardcatalog/doc.go
@@ -1,9 +1,9 @@
-// Package shardcatalog polls the shard catalogue over HTTP/1.1 and caches its last map in a file.
+// Package shardcatalog polls the shard catalogue over HTTP/1.1 and caches the latest shard map in a file.
 //
-// GET /catalog/slices answers with a snapshot of the shard map. With the parameters index and wait the call is a watch:
-// the catalogue answers with the changes after that epoch, or with a snapshot, at the latest after wait ms.
-// api/asyncapi.yaml specifies the documents; document.go is the only file with the terms of the wire, and translates
-// both ways. shardmap.Poller decides when the catalogue is called and for what.
+// GET /catalog/slices returns a snapshot of the shard map. With the parameters index and wait, the call is a watch:
+// the catalogue returns the changes after epoch index, or a snapshot, after at most wait ms. api/asyncapi.yaml
+// specifies the documents; document.go is the only file that depends on their format, and translates in both
+// directions. shardmap.Poller decides when to call the catalogue and what to request.
 //
 // A Source delivers to a Sink:
 //
@@ -11,7 +11,7 @@
 //	source := shardcatalog.NewSource(loop, sink, log, options)
 //	source.Start()
 //
-// A Cache stores each new version, so that a broker that starts while the catalogue is down serves by the last map:
+// A Cache stores each new version, so that a broker that starts while the catalogue is down can use the latest map:
 //
 //	cache := shardcatalog.NewCache("/var/lib/ternstage/map.json", onError)
 //	snapshot, err := cache.Load()
--- a/internal/transport/shardcatalog/document.go
+++ b/internal/transport/shardcatalog/document.go
@@ -9,18 +9,19 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-// ErrMalformedDocument is matched by the errors of Parse and of Cache.Load for a text that is not a valid document.
+// ErrMalformedDocument is the error of Parse and Cache.Load, possibly wrapped, for a text that is not a valid
+// document.
 var ErrMalformedDocument = errors.New("malformed document of the shard catalogue")
 
 // Document is an answer of the catalogue, and the content of the cache file: a snapshot if Complete, else changes.
 type Document struct {
-	Epoch    uint64         `json:"epoch"`               // of the snapshot, or after the last change
+	Epoch    uint64         `json:"epoch"`               // epoch of the snapshot, or after the last change
 	Complete bool           `json:"complete"`            // the document is a snapshot
-	Buckets  int            `json:"districts,omitempty"` // of a snapshot
-	Backends []string       `json:"nodes,omitempty"`     // all that may hold shards; none allows any
-	Shards   []Shard        `json:"slices,omitempty"`    // of a snapshot
-	Retired  []RetiredShard `json:"retired,omitempty"`   // of a snapshot; the latest last
-	Changes  []Change       `json:"changes,omitempty"`   // in order
+	Buckets  int            `json:"districts,omitempty"` // number of buckets; only in a snapshot
+	Backends []string       `json:"nodes,omitempty"`     // all backends that may hold shards; empty allows any
+	Shards   []Shard        `json:"slices,omitempty"`    // only in a snapshot
+	Retired  []RetiredShard `json:"retired,omitempty"`   // only in a snapshot; the latest last
+	Changes  []Change       `json:"changes,omitempty"`   // in order; not in a snapshot
 }
 
 // RetiredShard is a shard that was split or merged. Its buckets are those from Lo up to, but not including, Hi.
@@ -39,7 +40,7 @@
 	State    string   `json:"state,omitempty"` // "serving" if absent
 	From     string   `json:"from,omitempty"`
 	To       string   `json:"to,omitempty"`
-	Since    uint64   `json:"since,omitempty"` // epoch of its last change; that of the snapshot if absent
+	Since    uint64   `json:"since,omitempty"` // epoch of its last change; the snapshot's epoch if absent
 	Parents  []int    `json:"parents,omitempty"`
 }
 
@@ -57,7 +58,7 @@
 	Replicas []string `json:"holders,omitempty"`
 }
 
-// stateNames are the states of a shard on the wire.
+// stateNames are the names of the states of a shard on the wire.
 var stateNames = [...]string{
 	shardmap.Serving:     "serving",
 	shardmap.Preparing:   "preparing",
@@ -65,7 +66,7 @@
 	shardmap.Retired:     "retired",
 }
 
-// kindNames are the kinds of change on the wire.
+// kindNames are the names of the kinds of change on the wire.
 var kindNames = [...]string{
 	shardmap.Split:    "split",
 	shardmap.Merge:    "merge",
@@ -76,22 +77,22 @@
 	shardmap.Assign:   "assign",
 }
 
-// Update is what a document says about the map: a snapshot, or changes.
+// Update is a decoded document: a snapshot of the map or changes to it.
 type Update struct {
-	Snapshot *shardmap.Snapshot // nil if the update is changes
+	Snapshot *shardmap.Snapshot // nil if the update consists of changes
 	Changes  []shardmap.Change  // in order; may be empty, as a watch may end without a change
-	Backends []string           // all that may hold shards; none allows any
+	Backends []string           // all backends that may hold shards; empty allows any
 }
 
-// Parse reads a document. Its error matches ErrMalformedDocument. What the document says about the map is not
-// validated.
+// Parse decodes a document. Its error matches ErrMalformedDocument. It does not check whether the snapshot or the
+// changes are consistent.
 func Parse(text []byte) (Update, error) {
 	var document Document
 	if err := json.Unmarshal(text, &document); err != nil {
 		return Update{}, fmt.Errorf("%w: %w", ErrMalformedDocument, err)
 	}
 	if document.Epoch == 0 {
-		return Update{}, fmt.Errorf("%w: no epoch", ErrMalformedDocument)
+		return Update{}, fmt.Errorf("%w: epoch is missing or 0", ErrMalformedDocument)
 	}
 	update := Update{Backends: document.Backends}
 	var err error
@@ -106,7 +107,7 @@
 	return update, nil
 }
 
-// changes translates the changes, the last of which must lead to the epoch of the document.
+// changes translates the changes. The epoch of the last one must be the epoch of the document.
 func (d *Document) changes() ([]shardmap.Change, error) {
 	var changes []shardmap.Change
 	for i, change := range d.Changes {
@@ -128,7 +129,7 @@
 		})
 	}
 	if count := len(changes); count > 0 && changes[count-1].Epoch != d.Epoch {
-		return nil, fmt.Errorf("changes up to epoch %d in a document of epoch %d", changes[count-1].Epoch, d.Epoch)
+		return nil, fmt.Errorf("last change has epoch %d, the document has epoch %d", changes[count-1].Epoch, d.Epoch)
 	}
 	return changes, nil
 }
@@ -158,7 +159,7 @@
 	return snapshot, nil
 }
 
-// parseState translates a state; an absent one is Serving.
+// parseState translates the name of a state; an absent name means Serving.
 func parseState(name string) (shardmap.State, error) {
 	if name == "" {
 		return shardmap.Serving, nil
@@ -170,8 +171,8 @@
 	return shardmap.State(state), nil
 }
 
-// FormatSnapshot is the document of a version. backends are all that may hold shards, none allows any; retired are the
-// shards that were retired before the version, the latest last.
+// FormatSnapshot returns the document for a version. backends are all backends that may hold shards; none allows any.
+// retired are the shards that were retired before the version, the latest last.
 func FormatSnapshot(version *shardmap.Version, backends []string, retired []shardmap.RetiredShard) Document {
 	document := Document{Epoch: version.Epoch, Complete: true, Buckets: version.Buckets, Backends: backends}
 	for shard := range version.All {
@@ -183,7 +184,7 @@
 	return document
 }
 
-// FormatChange is a change as documents have it.
+// FormatChange returns a change in the form that documents have.
 func FormatChange(change shardmap.Change) Change {
 	return Change{
 		Base:     change.Base,
@@ -199,8 +200,8 @@
 	}
 }
 
-// ShardsInMotion are the first limit shards with a move in progress, in the order of their ids, as documents have them.
-// It is never nil.
+// ShardsInMotion returns up to limit shards with a move in progress, ordered by id, in the form that documents have.
+// The result is never nil.
 func ShardsInMotion(m *shardmap.Map, limit int) []Shard {
 	shards := []Shard{}
 	for _, shard := range m.ShardsInMotion() {
--- a/internal/transport/shardcatalog/document_test.go
+++ b/internal/transport/shardcatalog/document_test.go
@@ -9,7 +9,7 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-// largeDocument is a snapshot at epoch 5 with shards of 8 buckets each.
+// largeDocument returns a snapshot at epoch 5 with shards of 8 buckets each.
 func largeDocument(shards int) Document {
 	document := Document{Epoch: 5, Complete: true, Buckets: 8 * shards}
 	for i := range shards {
@@ -18,7 +18,8 @@
 	return document
 }
 
-// The texts are those of the wire and of files that older versions have written.
+// TestDocumentsAreTranslatedBothWays guards the format of the wire and of the files that older versions have written:
+// a parsed document, formatted again, has the same text.
 func TestDocumentsAreTranslatedBothWays(t *testing.T) {
 	for name, text := range map[string]string{
 		"snapshot": `{"epoch":7,"complete":true,"districts":40,"nodes":["a","b","c"],"slices":[` +
@@ -45,7 +46,7 @@
 	}
 }
 
-// format makes the document of an update.
+// format returns the document of an update.
 func format(t *testing.T, update Update) Document {
 	t.Helper()
 	if update.Snapshot == nil {
@@ -63,11 +64,11 @@
 
 func TestMalformedDocumentsAreRejected(t *testing.T) {
 	for name, text := range map[string]string{
-		"no JSON":       `{`,
-		"no epoch":      `{"complete":true}`,
-		"unknown state": `{"epoch":1,"complete":true,"slices":[{"state":"lent"}]}`,
-		"unknown kind":  `{"epoch":1,"changes":[{"epoch":1,"kind":"lend"}]}`,
-		"other epoch":   `{"epoch":2,"changes":[{"epoch":1,"kind":"done"}]}`,
+		"truncated JSON":      `{`,
+		"no epoch":            `{"complete":true}`,
+		"unknown state":       `{"epoch":1,"complete":true,"slices":[{"state":"lent"}]}`,
+		"unknown kind":        `{"epoch":1,"changes":[{"epoch":1,"kind":"lend"}]}`,
+		"epochs do not match": `{"epoch":2,"changes":[{"epoch":1,"kind":"done"}]}`,
 	} {
 		_, err := Parse([]byte(text))
 		require.ErrorIs(t, err, ErrMalformedDocument, name)
@@ -89,7 +90,7 @@
 	require.Equal(t, 1, inMotion[1].ID)
 }
 
-// BenchmarkParse100000 is what a large answer costs outside the event loop.
+// BenchmarkParse100000 measures parsing a large answer, which is done outside the event loop.
 func BenchmarkParse100000(b *testing.B) {
 	text, err := json.Marshal(largeDocument(100_000))
 	require.NoError(b, err)
@@ -100,7 +101,7 @@
 	}
 }
 
-// BenchmarkReset100000 is what a large answer costs on the event loop.
+// BenchmarkReset100000 measures applying a large answer, which is done on the event loop.
 func BenchmarkReset100000(b *testing.B) {
 	text, err := json.Marshal(largeDocument(100_000))
 	require.NoError(b, err)
--- a/internal/transport/shardcatalog/source.go
+++ b/internal/transport/shardcatalog/source.go
@@ -9,26 +9,27 @@
 	"ternstage/internal/transport/loop"
 )
 
-// Sink applies the updates of the catalogue. An error means that the update was rejected as a whole.
+// Sink applies updates from the catalogue. An error means that the whole update was rejected.
 type Sink interface {
 	// ApplySnapshot replaces the map.
 	ApplySnapshot(shardmap.Snapshot) error
-	// ApplyChanges applies changes in order, all or none. backends are all that may hold shards; none allows any.
+	// ApplyChanges applies changes in order, all or none. backends are all backends that may hold shards; none allows
+	// any.
 	ApplyChanges(changes []shardmap.Change, backends []string) error
-	// Epoch is that of the map in use; 0 before the first snapshot.
+	// Epoch returns the epoch of the current map; 0 before the first snapshot.
 	Epoch() uint64
 }
 
 // Options configure a Source. There are no defaults.
 type Options struct {
 	Address        string                 // host:port of the catalogue; also sent as the Host header
-	MaxAnswerBytes int                    // largest body of an answer, in bytes; a longer one is malformed
-	Poller         shardmap.PollerOptions // when the catalogue is called
-	Seed           uint64                 // of the random delays
+	MaxAnswerBytes int                    // maximum size of an answer's body; a larger one is malformed
+	Poller         shardmap.PollerOptions // intervals and timeouts of the calls
+	Seed           uint64                 // seed of the random delays
 }
 
-// Source polls a catalogue over one connection and delivers updates to a Sink, all on the event loop. It connects for
-// the first call that has no connection, and keeps the connection for the calls that follow.
+// Source polls a catalogue over one connection and delivers updates to a Sink, all on the event loop. It opens a
+// connection for the first call and keeps it open for the calls that follow.
 type Source struct {
 	loop    *loop.Loop
 	sink    Sink
@@ -38,13 +39,15 @@
 	timer   *loop.Timer
 	closed  bool
 
-	stream    *loop.Stream // nil without a connection
-	connected bool         // the connection is established
-	answers   int          // complete answers on this connection
+	stream        *loop.Stream // nil without a connection
+	connected     bool         // the connection is established
+	answeredCalls int          // on this connection
 
-	inFlight      bool    // a call is in flight on the connection
-	deadlineMs    float64 // loop time by which the call must be answered or the connection established; infinite if none
-	callTimeoutMs float64 // of the call, from when it is sent
+	inFlight bool // a call is in flight on the connection
+	// deadlineMs is the loop time by which the call must be answered or the connection established; infinite if there
+	// is none.
+	deadlineMs    float64
+	callTimeoutMs float64 // timeout of the call, counted from when it is sent
 	// sequence counts calls and answers. An answer that is parsed in another goroutine is dropped if the sequence has
 	// moved on meanwhile.
 	sequence int
@@ -52,7 +55,7 @@
 
 var _ shardmap.Source = (*Source)(nil)
 
-// NewSource makes a source that makes no call before Start.
+// NewSource returns a Source that makes no call before Start.
 func NewSource(eventLoop *loop.Loop, sink Sink, log *logs.Log, options Options) *Source {
 	source := &Source{
 		loop:       eventLoop,
@@ -62,20 +65,20 @@
 		poller:     shardmap.NewPoller(options.Poller, options.Seed),
 		deadlineMs: math.Inf(1),
 	}
-	source.timer = eventLoop.NewTimer(source.step)
+	source.timer = eventLoop.NewTimer(source.runDue)
 	return source
 }
 
-// Start begins to poll.
-func (s *Source) Start() { s.step() }
+// Start starts polling.
+func (s *Source) Start() { s.runDue() }
 
-// NewerEpochSeen reports that a backend or client has a map of this epoch; see shardmap.Poller.NewerEpochSeen.
+// NewerEpochSeen records that a backend or client has a map of this epoch; see shardmap.Poller.NewerEpochSeen.
 func (s *Source) NewerEpochSeen(epoch uint64) {
 	s.poller.NewerEpochSeen(s.loop.Now(), epoch)
-	s.schedule()
+	s.setTimer()
 }
 
-// Close closes the connection and ends polling.
+// Close closes the connection and stops polling.
 func (s *Source) Close() {
 	s.closed = true
 	s.disconnect(logs.Shutdown, nil)
@@ -83,31 +86,31 @@
 	s.deadlineMs = math.Inf(1)
 }
 
-// schedule sets the timer to when step has something to do.
-func (s *Source) schedule() { s.timer.Set(min(s.deadlineMs, s.poller.NextAt())) }
+// setTimer sets the timer to the time at which runDue has to run next.
+func (s *Source) setTimer() { s.timer.Set(min(s.deadlineMs, s.poller.NextAt())) }
 
-// step fails a call that is past its deadline and makes the call that is due.
-func (s *Source) step() {
+// runDue fails a call that is past its deadline, and starts a call that is due.
+func (s *Source) runDue() {
 	now := s.loop.Now()
 	if s.inFlight && now >= s.deadlineMs {
-		s.fail(logs.ShardMapTimeout, errors.New("no answer in time"))
+		s.failCall(logs.ShardMapTimeout, errors.New("no answer in time"))
 	}
 	if request, due := s.poller.Next(now); due {
 		if request.CancelsPending {
 			s.disconnect(logs.ShardMapWatchCut, nil)
 		}
-		s.call(request)
+		s.beginCall(request)
 	}
-	s.schedule()
+	s.setTimer()
 }
 
-// fail ends the connection, and with it the call in flight, which the poller makes again after a delay.
-func (s *Source) fail(code logs.Code, err error) {
+// failCall closes the connection, which ends the call in flight. The poller repeats the call after a delay.
+func (s *Source) failCall(code logs.Code, err error) {
 	if s.stream == nil {
 		s.log.ConnectionEnded(code, s.options.Address, 0, err)
 	}
 	s.disconnect(code, err)
 	s.deadlineMs = math.Inf(1)
 	s.poller.Failed(s.loop.Now())
-	s.schedule()
+	s.setTimer()
 }
--- a/internal/transport/shardcatalog/source_test.go
+++ b/internal/transport/shardcatalog/source_test.go
@@ -21,14 +21,15 @@
 	"ternstage/internal/transport/loop"
 )
 
-const testPatience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-// reply is what the fake catalogue does with one call.
+// reply is how the fake catalogue handles one call.
 type reply struct {
-	raw   string // bytes of the answer; none: the call stays unanswered
-	close bool   // it closes the connection afterwards
+	raw   string // the bytes to send; empty leaves the call without an answer
+	close bool   // close the connection afterwards
 }
 
+// answer returns a reply with status 200 and a body.
 func answer(body string) reply {
 	return reply{raw: fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)}
 }
@@ -76,10 +77,10 @@
 	}
 }
 
-// recordingSink is a map, and says when an update has been applied.
+// recordingSink applies updates to a map and records them.
 type recordingSink struct {
 	m       *shardmap.Map
-	applied chan uint64
+	applied chan uint64 // epochs of the map after each applied update
 }
 
 func (s *recordingSink) ApplySnapshot(snapshot shardmap.Snapshot) error {
@@ -101,7 +102,7 @@
 
 func (s *recordingSink) Epoch() uint64 { return s.m.Current().Epoch }
 
-// sourceFixture is a source on a running loop, whose catalogue and map the test controls.
+// sourceFixture is a Source on a running loop, with a fake catalogue and a map.
 type sourceFixture struct {
 	t         *testing.T
 	catalogue *fakeCatalogue
@@ -110,7 +111,7 @@
 	source    *Source
 	log       *logs.Log
 	logPath   string
-	ended     chan error
+	loopEnded chan error // the result of loop.Run
 }
 
 func startSource(t *testing.T, watchTimeoutMs float64) *sourceFixture {
@@ -120,7 +121,7 @@
 		catalogue: newFakeCatalogue(t),
 		sink:      &recordingSink{m: shardmap.New(shardmap.Options{}), applied: make(chan uint64, 100)},
 		logPath:   filepath.Join(t.TempDir(), "log"),
-		ended:     make(chan error, 1),
+		loopEnded: make(chan error, 1),
 	}
 	file, err := os.Create(fixture.logPath)
 	require.NoError(t, err)
@@ -141,43 +142,43 @@
 		Seed: 7,
 	})
 	fixture.loop.Post(fixture.source.Start)
-	go func() { fixture.ended <- fixture.loop.Run() }()
+	go func() { fixture.loopEnded <- fixture.loop.Run() }()
 	return fixture
 }
 
-// call waits for the next call, which must be for the target, and gives it a reply.
-func (f *sourceFixture) call(target string, next reply) {
+// expectCall waits for the next call, requires its target and replies to it.
+func (f *sourceFixture) expectCall(target string, r reply) {
 	f.t.Helper()
 	select {
 	case got := <-f.catalogue.targets:
 		require.Equal(f.t, target, got)
-	case <-time.After(testPatience):
+	case <-time.After(testTimeout):
 		require.Fail(f.t, "no call for "+target)
 	}
-	f.catalogue.replies <- next
+	f.catalogue.replies <- r
 }
 
-// waitApplied waits until an update to an epoch has been applied.
+// waitApplied waits for the next applied update and requires its epoch.
 func (f *sourceFixture) waitApplied(epoch uint64) {
 	f.t.Helper()
 	select {
 	case got := <-f.sink.applied:
 		require.Equal(f.t, epoch, got)
-	case <-time.After(testPatience):
+	case <-time.After(testTimeout):
 		require.Fail(f.t, "no update was applied")
 	}
 }
 
 var logCode = regexp.MustCompile(`"code":"([A-Z]\d+)"(?:.*"served":(\d+))?`)
 
-// stop closes the source and returns what it has logged: codes, with the number of answers where a connection ended.
+// stop closes the source and returns the codes that it has logged, with the number of answers if a connection ended.
 func (f *sourceFixture) stop() []string {
 	f.t.Helper()
 	f.loop.Post(func() {
 		f.source.Close()
 		f.loop.Stop()
 	})
-	require.NoError(f.t, <-f.ended)
+	require.NoError(f.t, <-f.loopEnded)
 	close(f.catalogue.replies)
 	f.log.Close()
 	text, err := os.ReadFile(f.logPath)
@@ -205,14 +206,14 @@
 
 func TestSourceWatchesAfterASnapshot(t *testing.T) {
 	fixture := startSource(t, longWatchMs)
-	fixture.call(snapshotTarget, answer(snapshotBody(t, 4)))
+	fixture.expectCall(snapshotTarget, answer(snapshotBody(t, 4)))
 	fixture.waitApplied(5)
-	fixture.call(watchTarget(5), answer(
+	fixture.expectCall(watchTarget(5), answer(
 		`{"epoch":6,"complete":false,"changes":[{"base":5,"epoch":6,"kind":"assign","slice":0,"holders":["z"]}]}`))
 	fixture.waitApplied(6)
-	fixture.call(watchTarget(6), answer(`{"epoch":6,"complete":false}`)) // the watch ends without a change
+	fixture.expectCall(watchTarget(6), answer(`{"epoch":6,"complete":false}`)) // the watch ends without a change
 	fixture.waitApplied(6)
-	fixture.call(watchTarget(6), reply{})
+	fixture.expectCall(watchTarget(6), reply{})
 	require.Equal(t, []string{string(logs.Shutdown) + " 3"}, fixture.stop())
 }
 
@@ -220,22 +221,22 @@
 	body := snapshotBody(t, 5000)
 	require.Greater(t, len(body), maxInlineBytes)
 	fixture := startSource(t, longWatchMs)
-	fixture.call(snapshotTarget, answer(body))
+	fixture.expectCall(snapshotTarget, answer(body))
 	fixture.waitApplied(5)
-	fixture.call(watchTarget(5), reply{})
+	fixture.expectCall(watchTarget(5), reply{})
 	require.Equal(t, []string{string(logs.Shutdown) + " 1"}, fixture.stop())
 }
 
-func TestSourceAsksForASnapshotAfterARejectedUpdate(t *testing.T) {
+func TestSourceRequestsASnapshotAfterARejectedUpdate(t *testing.T) {
 	fixture := startSource(t, longWatchMs)
-	fixture.call(snapshotTarget, answer(snapshotBody(t, 4)))
+	fixture.expectCall(snapshotTarget, answer(snapshotBody(t, 4)))
 	fixture.waitApplied(5)
-	fixture.call(watchTarget(5), answer(
+	fixture.expectCall(watchTarget(5), answer(
 		`{"epoch":9,"complete":false,"changes":[{"base":7,"epoch":9,"kind":"handover","slice":0}]}`))
-	fixture.call(snapshotTarget, answer(`{`))
-	fixture.call(snapshotTarget, answer(snapshotBody(t, 4)))
+	fixture.expectCall(snapshotTarget, answer(`{`))
+	fixture.expectCall(snapshotTarget, answer(snapshotBody(t, 4)))
 	fixture.waitApplied(5)
-	fixture.call(watchTarget(5), reply{})
+	fixture.expectCall(watchTarget(5), reply{})
 	require.Equal(t, []string{
 		string(logs.ShardMapRejected),
 		string(logs.ShardMapRejected),
@@ -245,13 +246,13 @@
 
 func TestSourceConnectsAgainAfterAFailedCall(t *testing.T) {
 	fixture := startSource(t, longWatchMs)
-	fixture.call(snapshotTarget, reply{raw: "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"})
-	fixture.call(snapshotTarget, reply{raw: "no HTTP\r\n\r\n"})
-	fixture.call(snapshotTarget, reply{raw: "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{", close: true})
-	fixture.call(snapshotTarget, answer(snapshotBody(t, 4)))
+	fixture.expectCall(snapshotTarget, reply{raw: "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"})
+	fixture.expectCall(snapshotTarget, reply{raw: "no HTTP\r\n\r\n"})
+	fixture.expectCall(snapshotTarget, reply{raw: "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{", close: true})
+	fixture.expectCall(snapshotTarget, answer(snapshotBody(t, 4)))
 	fixture.waitApplied(5)
-	fixture.call(watchTarget(5), reply{close: true})
-	fixture.call(watchTarget(5), reply{})
+	fixture.expectCall(watchTarget(5), reply{close: true})
+	fixture.expectCall(watchTarget(5), reply{})
 	codes := fixture.stop()
 	require.Equal(t, []string{
 		string(logs.ShardMapMalformed) + " 0",
@@ -261,48 +262,48 @@
 		string(logs.ShardMapClosed) + " 1",
 		string(logs.Shutdown) + " 0",
 	}, codes[len(codes)-2:])
-	require.Len(t, codes, 5, "one line for each connection")
+	require.Len(t, codes, 5, "one log line for each connection")
 }
 
-func TestSourceTakesTheLastAnswerOfAConnection(t *testing.T) {
+func TestSourceAppliesTheLastAnswerOfAConnection(t *testing.T) {
 	fixture := startSource(t, longWatchMs)
 	body := snapshotBody(t, 4)
-	fixture.call(snapshotTarget, reply{
+	fixture.expectCall(snapshotTarget, reply{
 		raw:   fmt.Sprintf("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s", len(body), body),
 		close: true,
 	})
 	fixture.waitApplied(5)
-	fixture.call(watchTarget(5), reply{})
+	fixture.expectCall(watchTarget(5), reply{})
 	require.Equal(t, []string{string(logs.ShardMapClosed) + " 1", string(logs.Shutdown) + " 0"}, fixture.stop())
 }
 
 func TestSourceCancelsTheWatchForANewerEpoch(t *testing.T) {
 	fixture := startSource(t, longWatchMs)
-	fixture.call(snapshotTarget, answer(snapshotBody(t, 4)))
+	fixture.expectCall(snapshotTarget, answer(snapshotBody(t, 4)))
 	fixture.waitApplied(5)
-	fixture.call(watchTarget(5), reply{})
+	fixture.expectCall(watchTarget(5), reply{})
 	fixture.loop.Post(func() { fixture.source.NewerEpochSeen(6) })
-	fixture.call("/catalog/slices?index=5&wait=0", answer(
+	fixture.expectCall("/catalog/slices?index=5&wait=0", answer(
 		`{"epoch":6,"complete":false,"changes":[{"base":5,"epoch":6,"kind":"assign","slice":0,"holders":["z"]}]}`))
 	fixture.waitApplied(6)
-	fixture.call(watchTarget(6), reply{})
+	fixture.expectCall(watchTarget(6), reply{})
 	require.Equal(t, []string{string(logs.ShardMapWatchCut) + " 1", string(logs.Shutdown) + " 1"}, fixture.stop())
 }
 
-func TestSourceGivesUpACallThatIsNotAnswered(t *testing.T) {
+func TestSourceFailsACallThatTimesOut(t *testing.T) {
 	fixture := startSource(t, 1)
-	fixture.call(snapshotTarget, answer(snapshotBody(t, 4)))
+	fixture.expectCall(snapshotTarget, answer(snapshotBody(t, 4)))
 	fixture.waitApplied(5)
-	fixture.call("/catalog/slices?index=5&wait=1", reply{}) // fails 1 s after it was held for 1 ms
-	fixture.call("/catalog/slices?index=5&wait=1", reply{})
+	fixture.expectCall("/catalog/slices?index=5&wait=1", reply{}) // times out 1 s after its wait of 1 ms
+	fixture.expectCall("/catalog/slices?index=5&wait=1", reply{})
 	require.Equal(t, []string{string(logs.ShardMapTimeout) + " 1", string(logs.Shutdown) + " 0"}, fixture.stop())
 }
 
-func TestSourceRejectsAnAnswerBeyondTheBound(t *testing.T) {
+func TestSourceRejectsAnOversizedAnswer(t *testing.T) {
 	fixture := startSource(t, longWatchMs)
-	fixture.call(snapshotTarget, reply{raw: "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n{"})
-	fixture.call(snapshotTarget, answer(snapshotBody(t, 4)))
+	fixture.expectCall(snapshotTarget, reply{raw: "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n{"})
+	fixture.expectCall(snapshotTarget, answer(snapshotBody(t, 4)))
 	fixture.waitApplied(5)
-	fixture.call(watchTarget(5), reply{})
+	fixture.expectCall(watchTarget(5), reply{})
 	require.Equal(t, []string{string(logs.ShardMapMalformed) + " 0", string(logs.Shutdown) + " 1"}, fixture.stop())
 }
