--- a/cmd/simadapter/fixture_test.go
+++ b/cmd/simadapter/fixture_test.go
@@ -16,33 +16,33 @@
 	"worth": 1, "late_worth": 0.3}], "domain": {"sets": 2, "slices": 2, "width": 2, "per_call": 1},
 	"limits": {"parallel_tries": true, "try_limit": 3, "cancel": true}, "resolution_ms": 5, "unheard_of": {}}`
 
-// frame builds a batch.
-type frame struct {
+// frameBuilder builds the frame of a batch.
+type frameBuilder struct {
 	records []byte
 	tail    []byte
-	count   uint32 // of records
+	count   uint32 // number of records
 }
 
-// add adds a record, whose fields set writes; nil for a record without fields.
-func (f *frame) add(code simwire.EventCode, set func(record []byte)) {
+// add adds a record. setFields writes its fields; nil leaves them zero.
+func (f *frameBuilder) add(code simwire.EventCode, setFields func(record []byte)) {
 	record := make([]byte, simwire.EventSize)
 	record[0] = byte(code)
-	if set != nil {
-		set(record)
+	if setFields != nil {
+		setFields(record)
 	}
 	f.records = append(f.records, record...)
 	f.count++
 }
 
-// refer writes a reference to data, which it adds to the tail.
-func (f *frame) refer(field []byte, data []byte, elements int) {
+// putReference adds data to the tail and writes a reference to it into a field.
+func (f *frameBuilder) putReference(field []byte, data []byte, elements int) {
 	binary.LittleEndian.PutUint32(field, uint32(len(f.tail)))
 	binary.LittleEndian.PutUint32(field[4:], uint32(elements))
 	f.tail = append(f.tail, data...)
 }
 
 // bytes returns the frame.
-func (f *frame) bytes(number uint32, nowMs float64) []byte {
+func (f *frameBuilder) bytes(number uint32, nowMs float64) []byte {
 	header := make([]byte, simwire.HeaderSize)
 	binary.LittleEndian.PutUint32(header, number)
 	binary.LittleEndian.PutUint32(header[4:], f.count)
@@ -51,17 +51,17 @@
 	return append(append(header, f.records...), f.tail...)
 }
 
-// selectInstance names the instance of the records that follow.
-func (f *frame) selectInstance(id uint32) {
+// selectInstance adds the record that sets the instance of the records that follow.
+func (f *frameBuilder) selectInstance(id uint32) {
 	f.add(simwire.EventInstance, func(record []byte) { binary.LittleEndian.PutUint32(record[1:], id) })
 }
 
-// create starts an instance with two replicas, 10 in cell 0 and 11 in cell 1.
-func (f *frame) create(id uint32) {
+// create adds the records that start an instance with two replicas, 10 in cell 0 and 11 in cell 1.
+func (f *frameBuilder) create(id uint32) {
 	f.selectInstance(id)
 	f.add(simwire.EventCreate, func(record []byte) {
 		record[1] = 7 // the seed
-		f.refer(record[9:], []byte(settingsText), len(settingsText))
+		f.putReference(record[9:], []byte(settingsText), len(settingsText))
 	})
 	f.add(simwire.EventEndpointTable, func(record []byte) {
 		endpoints := make([]byte, 2*simwire.EndpointSize)
@@ -72,13 +72,13 @@
 		second[0] = 1
 		second[4] = 11
 		second[21] = byte(scheduler.Ready)
-		f.refer(record[2:], endpoints, 2)
+		f.putReference(record[2:], endpoints, 2)
 	})
 	f.add(simwire.EventEndpoints, func(record []byte) { record[1] = byte(scheduler.UpdateCached) })
 }
 
-// query adds a query with an id and its two parts, whose ids follow it.
-func (f *frame) query(instance uint32, id uint64, deadlineMs float64) {
+// query adds a query and its two parts, which have the next two ids.
+func (f *frameBuilder) query(instance uint32, id uint64, deadlineMs float64) {
 	f.selectInstance(instance)
 	for i, shard := range []float32{-1, 0, 1} {
 		f.add(simwire.EventRequest, func(record []byte) {
@@ -91,20 +91,21 @@
 	}
 }
 
-// succeed ends the first attempt of a part.
-func (f *frame) succeed(part uint64) {
+// succeed adds the success of the first attempt of a part.
+func (f *frameBuilder) succeed(part uint64) {
 	f.add(simwire.EventAttemptEnded, func(record []byte) {
 		binary.LittleEndian.PutUint64(record[1:], part)
 		binary.LittleEndian.PutUint16(record[15:], 200)
 	})
 }
 
-// day is 40 batches in which each instance starts, takes a query in every third batch and has a timer in each.
-func day(instances ...uint32) []byte {
+// sampleInput returns 40 batches. Each instance starts in the first one, receives a query in every third batch and a
+// timer in every batch.
+func sampleInput(instances ...uint32) []byte {
 	const batches = 40
 	var input []byte
 	for number := range uint32(batches) {
-		var f frame
+		var f frameBuilder
 		nowMs := 1000 + 10*float64(number)
 		for _, id := range instances {
 			if number == 0 {
@@ -121,8 +122,8 @@
 	return input
 }
 
-// play runs the adapter and returns the actions of each instance, record by record.
-func play(t *testing.T, input []byte) map[uint32][]string {
+// runAdapter runs the adapter on the input and returns the records of the actions of each instance.
+func runAdapter(t *testing.T, input []byte) map[uint32][]string {
 	t.Helper()
 	var out bytes.Buffer
 	require.NoError(t, run(bytes.NewReader(input), &out))
@@ -145,7 +146,7 @@
 	return actions
 }
 
-// countActions counts the records with a code.
+// countActions returns the number of records with a code.
 func countActions(records []string, code simwire.ActionCode) int {
 	count := 0
 	for _, record := range records {
--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -7,20 +7,20 @@
 	"ternstage/internal/transport/simwire"
 )
 
-// host holds the instances of this process. They share the tables of endpoints, which they only read, and the reply.
+// host holds the instances of this process. They share the endpoint tables, which they only read, and the reply.
 type host struct {
 	instances map[uint32]*instance
-	endpoints map[uint8][]scheduler.Endpoint // by the number of their table
+	endpoints map[uint8][]scheduler.Endpoint // by table number
 	reply     simwire.Reply
-	active    []*instance // with events in this batch, in the order of their first
+	active    []*instance // instances with events in this batch, in the order of their first event
 }
 
 func newHost() *host {
 	return &host{instances: map[uint32]*instance{}, endpoints: map[uint8][]scheduler.Endpoint{}}
 }
 
-// play passes the events of a batch to the schedulers and adds their actions to the reply.
-func (h *host) play(batch *simwire.Batch) error {
+// processBatch passes the events of a batch to the schedulers and adds their actions to the reply.
+func (h *host) processBatch(batch *simwire.Batch) error {
 	h.active = h.active[:0]
 	var current *instance
 	for i := range batch.Len() {
@@ -38,9 +38,9 @@
 			continue
 		}
 		if current == nil {
-			return frameError(batch, "record %d comes before any instance is named", i)
+			return frameError(batch, "record %d comes before an instance is selected", i)
 		}
-		if err := h.playEvent(current, batch, record); err != nil {
+		if err := h.processEvent(current, batch, record); err != nil {
 			return err
 		}
 	}
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// instance returns the instance with an id, which may not have a scheduler yet.
+// instance returns the instance with an id, and adds one without a scheduler if the id is new.
 func (h *host) instance(id uint32) *instance {
 	if h.instances[id] == nil {
 		h.instances[id] = &instance{id: id}
@@ -56,11 +56,12 @@
 	return h.instances[id]
 }
 
-// playEvent starts, ends or informs an instance. Events for one without a scheduler are ignored.
-func (h *host) playEvent(target *instance, batch *simwire.Batch, record simwire.Record) error {
+// processEvent starts or ends an instance, or forwards an event to it. Events for an instance without a scheduler are
+// ignored.
+func (h *host) processEvent(target *instance, batch *simwire.Batch, record simwire.Record) error {
 	switch record.Code() {
 	case simwire.EventCreate:
-		if err := target.create(record); err != nil {
+		if err := target.start(record); err != nil {
 			return err
 		}
 	case simwire.EventTeardown:
@@ -79,13 +80,13 @@
 		target.active = true
 		h.active = append(h.active, target)
 	}
-	return h.inform(target, batch.NowMs, record)
+	return h.forwardEvent(target, batch.NowMs, record)
 }
 
-// inform passes an event to an instance's scheduler. It has no use for the beginning of an answer, for probes and for
-// messages, as it asks for none of them.
-func (h *host) inform(target *instance, nowMs float64, record simwire.Record) error {
-	decider := target.scheduler
+// forwardEvent passes an event to an instance's scheduler. It ignores the beginning of an answer, the end of a probe
+// and messages, since the scheduler requests none of them.
+func (h *host) forwardEvent(target *instance, nowMs float64, record simwire.Record) error {
+	sched := target.scheduler
 	switch record.Code() {
 	case simwire.EventEndpoints:
 		update, err := record.EndpointUpdate()
@@ -96,36 +97,36 @@
 		if update.Kind != scheduler.UpdateFailed {
 			endpoints = h.endpoints[update.Table]
 		}
-		target.guard(func() { decider.EndpointsChanged(nowMs, update.Kind, endpoints) })
+		target.callScheduler(func() { sched.EndpointsChanged(nowMs, update.Kind, endpoints) })
 	case simwire.EventRequest:
 		request := record.Request()
 		if request.IsQuery() {
-			target.guard(func() { decider.QueryArrived(nowMs, request.Query()) })
+			target.callScheduler(func() { sched.QueryArrived(nowMs, request.Query()) })
 		} else {
-			target.guard(func() { decider.PartArrived(nowMs, request.Part()) })
+			target.callScheduler(func() { sched.PartArrived(nowMs, request.Part()) })
 		}
 	case simwire.EventAttemptEnded:
 		result, err := record.AttemptResult()
 		if err != nil {
 			return err
 		}
-		target.guard(func() { decider.AttemptEnded(nowMs, result) })
+		target.callScheduler(func() { sched.AttemptEnded(nowMs, result) })
 	case simwire.EventClientDisconnected:
-		target.guard(func() { decider.ClientDisconnected(nowMs, record.DisconnectedQuery()) })
+		target.callScheduler(func() { sched.ClientDisconnected(nowMs, record.DisconnectedQuery()) })
 	case simwire.EventTimer:
-		target.guard(func() { decider.TimerFired(nowMs) })
+		target.callScheduler(func() { sched.TimerFired(nowMs) })
 	}
 	return nil
 }
 
-// runRounds ends the batch: each active instance decides once, and its actions go into the reply.
+// runRounds ends the batch: it runs one scheduling round of each active instance and adds their actions to the reply.
 func (h *host) runRounds(nowMs float64) {
 	for _, target := range h.active {
 		target.active = false
 		if target.scheduler != nil {
-			target.guard(func() { target.scheduler.RunRound(nowMs) })
+			target.callScheduler(func() { target.scheduler.RunRound(nowMs) })
 		}
-		target.flush(&h.reply)
+		target.flushActions(&h.reply)
 	}
 }
 
--- a/cmd/simadapter/host_test.go
+++ b/cmd/simadapter/host_test.go
@@ -10,33 +10,33 @@
 )
 
 func TestInstancesDecideIndependently(t *testing.T) {
-	both := play(t, day(3, 5))
+	both := runAdapter(t, sampleInput(3, 5))
 	for _, id := range []uint32{3, 5} {
-		alone := play(t, day(id))[id]
+		alone := runAdapter(t, sampleInput(id))[id]
 		require.GreaterOrEqual(t, len(alone), 20)
-		assert.Equal(t, alone, both[id], "instance %d beside another", id)
+		assert.Equal(t, alone, both[id], "instance %d, alone and beside another", id)
 	}
 }
 
 func TestEventsWithoutASchedulerAreIgnored(t *testing.T) {
-	var f frame
+	var f frameBuilder
 	f.selectInstance(1)
 	f.add(simwire.EventTimer, nil)
-	f.add(simwire.EventEndpoints, func(record []byte) { record[1] = 9 }) // a form that is unknown
-	assert.Empty(t, play(t, f.bytes(1, 1000)))
+	f.add(simwire.EventEndpoints, func(record []byte) { record[1] = 9 }) // an unknown kind of update
+	assert.Empty(t, runAdapter(t, f.bytes(1, 1000)))
 }
 
-func TestTeardownVoidsTheActionsOfItsBatch(t *testing.T) {
-	var first, second frame
+func TestTeardownDiscardsTheActionsOfItsBatch(t *testing.T) {
+	var first, second frameBuilder
 	first.create(1)
 	first.query(1, 10, 2000)
 	second.selectInstance(1)
-	second.succeed(11) // both parts are answered: the query would be, too
+	second.succeed(11) // both parts succeed, so the scheduler answers the query
 	second.succeed(12)
-	with := play(t, append(first.bytes(1, 1000), second.bytes(2, 1010)...))[1]
+	withoutTeardown := runAdapter(t, append(first.bytes(1, 1000), second.bytes(2, 1010)...))[1]
 	second.add(simwire.EventTeardown, nil)
 	second.create(1)
-	without := play(t, append(first.bytes(1, 1000), second.bytes(2, 1010)...))[1]
-	assert.Equal(t, 1, countActions(with, simwire.ActionAnswer), "without a teardown")
-	assert.Zero(t, countActions(without, simwire.ActionAnswer), "with a teardown")
+	withTeardown := runAdapter(t, append(first.bytes(1, 1000), second.bytes(2, 1010)...))[1]
+	assert.Equal(t, 1, countActions(withoutTeardown, simwire.ActionAnswer), "without a teardown")
+	assert.Zero(t, countActions(withTeardown, simwire.ActionAnswer), "with a teardown")
 }
--- a/cmd/simadapter/instance.go
+++ b/cmd/simadapter/instance.go
@@ -9,16 +9,16 @@
 
 // instance is one broker of the simulation. It implements scheduler.Actions.
 //
-// It keeps the scheduler's actions until the end of the batch, as a teardown later in the batch voids them.
+// It keeps the scheduler's actions until the end of the batch, since a teardown later in the batch discards them.
 type instance struct {
 	id        uint32
 	scheduler *scheduler.Scheduler // nil before EventCreate, and after EventTeardown or a panic
 	actions   []func(*simwire.Reply)
-	active    bool // in host.active
+	active    bool // is in host.active
 }
 
-// create starts the instance anew.
-func (in *instance) create(record simwire.Record) error {
+// start gives the instance a new scheduler and discards the actions of an earlier one.
+func (in *instance) start(record simwire.Record) error {
 	in.actions = in.actions[:0]
 	seed, settings, err := record.Creation()
 	if err != nil {
@@ -31,17 +31,18 @@
 	return nil
 }
 
-// tearDown forgets all that the instance held.
+// tearDown discards the scheduler and its actions.
 func (in *instance) tearDown() {
 	in.scheduler = nil
 	in.actions = in.actions[:0]
 }
 
-// guard calls the scheduler. A panic ends the instance and becomes the wire's fault.
-func (in *instance) guard(call func()) {
+// callScheduler runs a call of the scheduler, unless the instance has none. A panic ends the instance and is reported
+// as a fault.
+func (in *instance) callScheduler(call func()) {
 	defer func() {
 		if failure := recover(); failure != nil {
-			in.add(func(reply *simwire.Reply) { reply.Fault(fmt.Sprint(failure)) })
+			in.addAction(func(reply *simwire.Reply) { reply.Fault(fmt.Sprint(failure)) })
 			in.scheduler = nil
 		}
 	}()
@@ -50,10 +51,10 @@
 	}
 }
 
-func (in *instance) add(action func(*simwire.Reply)) { in.actions = append(in.actions, action) }
+func (in *instance) addAction(action func(*simwire.Reply)) { in.actions = append(in.actions, action) }
 
-// flush moves the actions of the batch to the reply.
-func (in *instance) flush(reply *simwire.Reply) {
+// flushActions moves the actions of the batch to the reply.
+func (in *instance) flushActions(reply *simwire.Reply) {
 	if len(in.actions) > 0 {
 		reply.SelectInstance(in.id)
 	}
@@ -65,44 +66,44 @@
 
 // Send implements scheduler.Actions.
 func (in *instance) Send(part uint64, replica uint32, timeoutMs float64) {
-	in.add(func(reply *simwire.Reply) { reply.Send(part, timeoutMs, replica) })
+	in.addAction(func(reply *simwire.Reply) { reply.Send(part, timeoutMs, replica) })
 }
 
 // Cancel implements scheduler.Actions.
 func (in *instance) Cancel(part uint64, attempt int) {
-	in.add(func(reply *simwire.Reply) { reply.Cancel(part, uint16(attempt)) })
+	in.addAction(func(reply *simwire.Reply) { reply.Cancel(part, uint16(attempt)) })
 }
 
 // CloseIdleConnections implements scheduler.Actions.
 func (in *instance) CloseIdleConnections(replica uint32) {
-	in.add(func(reply *simwire.Reply) { reply.CloseIdleConnections(replica) })
+	in.addAction(func(reply *simwire.Reply) { reply.CloseIdleConnections(replica) })
 }
 
 // Answer implements scheduler.Actions.
 func (in *instance) Answer(query uint64, complete bool) {
-	in.add(func(reply *simwire.Reply) { reply.Answer(query, complete) })
+	in.addAction(func(reply *simwire.Reply) { reply.Answer(query, complete) })
 }
 
 // Reject implements scheduler.Actions.
 func (in *instance) Reject(query uint64, retryAfterMs float64) {
-	in.add(func(reply *simwire.Reply) { reply.Reject(query, retryAfterMs) })
+	in.addAction(func(reply *simwire.Reply) { reply.Reject(query, retryAfterMs) })
 }
 
 // Fail implements scheduler.Actions.
 func (in *instance) Fail(query uint64) {
-	in.add(func(reply *simwire.Reply) { reply.Fail(query) })
+	in.addAction(func(reply *simwire.Reply) { reply.Fail(query) })
 }
 
-// SetTimer implements scheduler.Actions. The timer's reference is not used: the scheduler tells by the time whether the
-// timer that it waits for has fired.
+// SetTimer implements scheduler.Actions. The timer's reference is not needed, as the scheduler compares times to find
+// out whether the timer that it waits for has fired.
 func (in *instance) SetTimer(afterMs float64) {
-	in.add(func(reply *simwire.Reply) { reply.SetTimer(afterMs, 0) })
+	in.addAction(func(reply *simwire.Reply) { reply.SetTimer(afterMs, 0) })
 }
 
 // WatchEndpoints implements scheduler.Actions.
-func (in *instance) WatchEndpoints() { in.add((*simwire.Reply).WatchEndpoints) }
+func (in *instance) WatchEndpoints() { in.addAction((*simwire.Reply).WatchEndpoints) }
 
 // Log implements scheduler.Actions.
 func (in *instance) Log(text string) {
-	in.add(func(reply *simwire.Reply) { reply.Log(text) })
+	in.addAction(func(reply *simwire.Reply) { reply.Log(text) })
 }
--- a/cmd/simadapter/instance_test.go
+++ b/cmd/simadapter/instance_test.go
@@ -24,9 +24,9 @@
 
 func TestPanicBecomesAFault(t *testing.T) {
 	in := newInstance(t)
-	in.guard(func() { panic("index out of range") })
+	in.callScheduler(func() { panic("index out of range") })
 	assert.Nil(t, in.scheduler)
-	in.guard(func() { t.Error("a call after the panic") })
+	in.callScheduler(func() { t.Error("a call after the panic") })
 
 	var reply simwire.Reply
 	reply.Reset(1)
@@ -53,7 +53,7 @@
 	in.WatchEndpoints()
 	in.Log("text")
 	var got, want simwire.Reply
-	in.flush(&got)
+	in.flushActions(&got)
 	assert.Empty(t, in.actions)
 	want.SelectInstance(4)
 	want.Send(1, 3, 2)
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -10,8 +10,8 @@
 	"ternstage/internal/transport/simwire"
 )
 
-// bufferSize is the size in bytes of the buffers of the input and the output.
-const bufferSize = 1 << 16
+// bufferBytes is the size of the buffers of the input and the output.
+const bufferBytes = 1 << 16
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
@@ -20,10 +20,10 @@
 	}
 }
 
-// run answers batches until the input ends. A malformed batch ends it with an error.
+// run replies to batches until the input ends. It returns an error for a malformed batch.
 func run(in io.Reader, out io.Writer) error {
-	reader := bufio.NewReaderSize(in, bufferSize)
-	writer := bufio.NewWriterSize(out, bufferSize)
+	reader := bufio.NewReaderSize(in, bufferBytes)
+	writer := bufio.NewWriterSize(out, bufferBytes)
 	h := newHost()
 	for {
 		batch, err := simwire.ReadBatch(reader)
@@ -34,7 +34,7 @@
 			return err
 		}
 		h.reply.Reset(batch.Number)
-		if err := h.play(batch); err != nil {
+		if err := h.processBatch(batch); err != nil {
 			return err
 		}
 		if _, err := h.reply.WriteTo(writer); err != nil {
--- a/internal/transport/simwire/codes.go
+++ b/internal/transport/simwire/codes.go
@@ -10,14 +10,14 @@
 	ActionSize      = 24 // of an action's record
 	EndpointSize    = 22 // of an endpoint in the tail
 
-	// maxFrameSize bounds what follows a header.
+	// maxFrameSize is the maximum size of a frame without its header.
 	maxFrameSize = 1 << 30
 )
 
 // maxEndpointTable is the highest number of an endpoint table.
 const maxEndpointTable = 15
 
-// EventCode says what an event's record holds.
+// EventCode is the type of an event's record.
 type EventCode uint8
 
 // The events, with their names on the wire.
@@ -32,11 +32,11 @@
 	EventTeardown           EventCode = 8  // TEARDOWN: an instance has been killed
 	EventMessage            EventCode = 9  // NOTE_FROM: a message of another instance
 	EventRequest            EventCode = 10 // REQ: a query or a part
-	EventEndpointTable      EventCode = 11 // POOL: endpoints, for all instances, to which EventEndpoints refers
+	EventEndpointTable      EventCode = 11 // POOL: endpoints that EventEndpoints of any instance refers to
 	EventClientDisconnected EventCode = 12 // CLIENT_GONE
 )
 
-// ActionCode says what an action's record holds.
+// ActionCode is the type of an action's record.
 type ActionCode uint8
 
 // The actions, with their names on the wire.
@@ -54,7 +54,7 @@
 	ActionWatchEndpoints       ActionCode = 14 // TRACK
 )
 
-// outcomes maps the codes of how an attempt ended.
+// outcomes maps the codes for the outcome of an attempt.
 var outcomes = map[uint16]scheduler.Outcome{
 	200: scheduler.Succeeded,
 	408: scheduler.TimedOut,
--- a/internal/transport/simwire/decode.go
+++ b/internal/transport/simwire/decode.go
@@ -10,23 +10,23 @@
 	"ternstage/internal/decision/scheduler"
 )
 
-// FrameError reports whether a frame is malformed.
+// FrameError is the error for a malformed frame.
 type FrameError struct {
 	// Number is the number of the frame.
 	Number uint32
-	// Err is the problem.
+	// Err says what is wrong with the frame.
 	Err error
 }
 
-// Error names the frame and the problem.
+// Error returns the number of the frame and the text of Err.
 func (e *FrameError) Error() string { return fmt.Sprintf("frame %d: %v", e.Number, e.Err) }
 
-// Unwrap returns the problem.
+// Unwrap returns Err.
 func (e *FrameError) Unwrap() error { return e.Err }
 
 // Batch is one frame of events, which all occur at the same time.
 type Batch struct {
-	// Number is the number of the batch, which its reply repeats.
+	// Number identifies the batch; its reply has the same number.
 	Number uint32
 	// NowMs is the time of the events.
 	NowMs float64
@@ -35,15 +35,15 @@
 	tail    []byte
 }
 
-// ReadBatch reads one frame. It returns io.EOF at a clean end of the input, and a FrameError or an error that wraps
-// io.ErrUnexpectedEOF for a malformed frame.
+// ReadBatch reads one frame. It returns io.EOF if the input ends before the frame, an error that wraps
+// io.ErrUnexpectedEOF if it ends within the header, and a *FrameError for any other malformed frame.
 func ReadBatch(in io.Reader) (*Batch, error) {
 	var header [HeaderSize]byte
 	if _, err := io.ReadFull(in, header[:]); err != nil {
 		if errors.Is(err, io.EOF) {
 			return nil, io.EOF
 		}
-		return nil, fmt.Errorf("frame header cut short: %w", err)
+		return nil, fmt.Errorf("frame header is truncated: %w", err)
 	}
 	fields := fieldReader{rest: header[:]}
 	batch := &Batch{Number: fields.uint32()}
@@ -51,17 +51,18 @@
 	size := uint64(fields.uint32())
 	batch.NowMs = fields.float64()
 	if recordCount*EventSize > size || size > maxFrameSize {
-		return nil, batch.errorf("%d records do not fit in %d bytes", recordCount, size)
+		return nil, batch.errorf("%d records need %d bytes, but the frame has %d and may have at most %d", recordCount,
+			recordCount*EventSize, size, maxFrameSize)
 	}
 	if math.IsNaN(batch.NowMs) || math.IsInf(batch.NowMs, 0) {
-		return nil, batch.errorf("the clock is not a number")
+		return nil, batch.errorf("time is %v, want a finite number", batch.NowMs)
 	}
 	body, err := io.ReadAll(io.LimitReader(in, int64(size)))
 	if err != nil {
 		return nil, &FrameError{Number: batch.Number, Err: err}
 	}
 	if uint64(len(body)) < size {
-		return nil, batch.errorf("cut short, %d of %d bytes", len(body), size)
+		return nil, batch.errorf("truncated after %d of %d bytes", len(body), size)
 	}
 	batch.records = body[:recordCount*EventSize]
 	batch.tail = body[recordCount*EventSize:]
@@ -72,7 +73,7 @@
 	return &FrameError{Number: b.Number, Err: fmt.Errorf(format, values...)}
 }
 
-// Len is the number of records.
+// Len returns the number of records.
 func (b *Batch) Len() int { return len(b.records) / EventSize }
 
 // Record returns the record at an index below Len.
@@ -80,27 +81,27 @@
 	return Record{batch: b, data: b.records[index*EventSize : (index+1)*EventSize]}
 }
 
-// tailBytes returns count elements of a size in bytes from an offset of the tail.
+// tailBytes returns count elements of elementSize bytes each, from an offset in the tail.
 func (b *Batch) tailBytes(offset, count uint32, elementSize int) ([]byte, error) {
 	start := uint64(offset)
 	length := uint64(count) * uint64(elementSize)
 	if start+length > uint64(len(b.tail)) {
-		return nil, b.errorf("%d bytes at %d lie beyond the tail of %d", length, start, len(b.tail))
+		return nil, b.errorf("reference to %d bytes at offset %d of a tail of %d bytes", length, start, len(b.tail))
 	}
 	return b.tail[start : start+length], nil
 }
 
-// Record is one event. Code tells which of the other methods decodes it; the result of any other method has no
-// meaning.
+// Record is one event. Its code determines which of the other methods decodes it; the results of the rest are
+// meaningless.
 type Record struct {
 	batch *Batch
 	data  []byte
 }
 
-// Code says what the record holds. It may be unknown.
+// Code returns the type of the record, which may be none of the known ones.
 func (r Record) Code() EventCode { return EventCode(r.data[0]) }
 
-// fields reads the fields after the code.
+// fields returns a reader of the fields after the code.
 func (r Record) fields() fieldReader { return fieldReader{rest: r.data[1:]} }
 
 // Instance decodes EventInstance: the instance of the records that follow.
@@ -109,7 +110,7 @@
 	return fields.uint32()
 }
 
-// Creation decodes EventCreate: the seed of the instance's random choices, and its settings.
+// Creation decodes EventCreate: the seed of the instance's random number generator, and its settings.
 func (r Record) Creation() (seed uint64, settings scheduler.Settings, err error) {
 	fields := r.fields()
 	seed = fields.uint64()
@@ -122,12 +123,12 @@
 	return seed, settings, err
 }
 
-// EndpointTable decodes EventEndpointTable: endpoints under a number, which replace those that had it before.
+// EndpointTable decodes EventEndpointTable: a table of endpoints, which replaces an earlier table of the same number.
 func (r Record) EndpointTable() (number uint8, endpoints []scheduler.Endpoint, err error) {
 	fields := r.fields()
 	number = fields.uint8()
 	if number > maxEndpointTable {
-		return 0, nil, r.batch.errorf("list number %d is out of range", number)
+		return 0, nil, r.batch.errorf("endpoint table number %d, want at most %d", number, maxEndpointTable)
 	}
 	offset := fields.uint32()
 	entries, err := r.batch.tailBytes(offset, fields.uint32(), EndpointSize)
@@ -161,7 +162,7 @@
 // EndpointUpdate is an update of an instance's endpoint list.
 type EndpointUpdate struct {
 	Kind scheduler.UpdateKind
-	// Table is the number of the table that holds the entries; none for scheduler.UpdateFailed.
+	// Table is the number of the table that holds the endpoints; meaningless for scheduler.UpdateFailed.
 	Table uint8
 }
 
@@ -170,7 +171,7 @@
 	fields := r.fields()
 	update := EndpointUpdate{Kind: scheduler.UpdateKind(fields.uint8())}
 	if update.Kind > scheduler.UpdateFailed {
-		return EndpointUpdate{}, r.batch.errorf("list form %d is unknown", update.Kind)
+		return EndpointUpdate{}, r.batch.errorf("endpoint update kind %d is unknown", update.Kind)
 	}
 	fields.skip(4) // the version of the list
 	update.Table = fields.uint8()
@@ -183,7 +184,7 @@
 	Class      int
 	Tenant     int
 	Key        uint64
-	Deadline   float64 // ms, of a query
+	DeadlineMs float64 // of a query
 	CostHint   float64
 	QueryGroup int
 	Shard      float64 // below 0 for a query
@@ -199,7 +200,7 @@
 	request.Class = int(fields.uint16())
 	request.Tenant = int(fields.uint32())
 	request.Key = fields.uint64()
-	request.Deadline = fields.float64()
+	request.DeadlineMs = fields.float64()
 	request.CostHint = fields.float64()
 	request.QueryGroup = int(fields.float32())
 	request.Shard = fields.float32()
@@ -208,23 +209,23 @@
 	return request
 }
 
-// IsQuery tells a query from a part.
+// IsQuery reports whether the request is a query rather than a part.
 func (r Request) IsQuery() bool { return r.Shard < 0 }
 
-// Query returns a query as the scheduler takes it.
+// Query returns the request as a query of the scheduler.
 func (r Request) Query() scheduler.Query {
 	return scheduler.Query{
 		ID:          r.ID,
 		QueryGroup:  r.QueryGroup,
 		Class:       r.Class,
 		Tenant:      r.Tenant,
-		Deadline:    r.Deadline,
+		Deadline:    r.DeadlineMs,
 		Key:         r.Key,
 		ClientRetry: r.Flags&flagClientRetry != 0,
 	}
 }
 
-// Part returns a part as the scheduler takes it.
+// Part returns the request as a part of the scheduler.
 func (r Request) Part() scheduler.Part {
 	return scheduler.Part{
 		ID:          r.ID,
@@ -237,7 +238,7 @@
 	}
 }
 
-// AttemptResult decodes EventAttemptEnded. The load report of the replica is not read.
+// AttemptResult decodes EventAttemptEnded. It ignores the load report of the replica.
 func (r Record) AttemptResult() (scheduler.AttemptResult, error) {
 	fields := r.fields()
 	var result scheduler.AttemptResult
@@ -249,19 +250,19 @@
 	result.PartDone = fields.uint8() != 0
 	outcome, ok := outcomes[code]
 	if !ok {
-		return scheduler.AttemptResult{}, r.batch.errorf("outcome %d is unknown", code)
+		return scheduler.AttemptResult{}, r.batch.errorf("outcome code %d is unknown", code)
 	}
 	result.Outcome = outcome
 	return result, nil
 }
 
-// DisconnectedQuery decodes EventClientDisconnected: the id of the query.
+// DisconnectedQuery decodes EventClientDisconnected: the id of the query whose client has disconnected.
 func (r Record) DisconnectedQuery() uint64 {
 	fields := r.fields()
 	return fields.uint64()
 }
 
-// fieldReader reads fields in their order. The caller makes sure that there are enough bytes.
+// fieldReader reads consecutive fields. The caller must make sure that there are enough bytes.
 type fieldReader struct{ rest []byte }
 
 func (f *fieldReader) skip(size int) { f.rest = f.rest[size:] }
--- a/internal/transport/simwire/doc.go
+++ b/internal/transport/simwire/doc.go
@@ -1,5 +1,5 @@
-// Package simwire is the codec of the simulator's binary frames and of the platform's settings, which both the
-// simulator and the configuration of a broker contain.
+// Package simwire encodes and decodes the simulator's binary frames. It also decodes the platform's settings, which
+// the simulator sends and the configuration of a broker contains.
 //
 // The simulator sends a Batch of events and reads one Reply of actions:
 //
@@ -20,15 +20,15 @@
 //		reply.WriteTo(out)
 //	}
 //
-// A frame is a header, records of a fixed size and a tail with what has no fixed size, to which records refer.
-// Numbers are little-endian and fields are not padded; a record is padded with zeros at its end. Times are in
-// milliseconds.
+// A frame consists of a header, records of a fixed size and a tail. The tail holds data of variable size, to which
+// records refer by offset. Numbers are little-endian. Fields are not aligned; a record is padded with zeros at its
+// end. Times are in milliseconds.
 //
 //   - codes.go: the codes of events, actions and outcomes, and the sizes.
 //   - decode.go: batches and their records as typed values.
 //   - encode.go: replies.
-//   - settings.go: the platform's settings as those of the scheduler.
+//   - settings.go: translates the platform's settings to those of the scheduler.
 //
-// The names of the wires are mapped to the terms of docs/GLOSSARY.md here and, for the settings that the scheduler
-// has no use for, in package config.
+// This package maps the names on the wire to the terms of docs/GLOSSARY.md. Package config does so for the settings
+// that the scheduler does not use.
 package simwire
--- a/internal/transport/simwire/encode_test.go
+++ b/internal/transport/simwire/encode_test.go
@@ -10,10 +10,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-func hexOf(text string) string { return hex.EncodeToString([]byte(text)) }
+func encodeHex(text string) string { return hex.EncodeToString([]byte(text)) }
 
-// encoded returns the frame of a reply.
-func encoded(t *testing.T, reply *Reply) []byte {
+// encodeReply returns the frame of a reply.
+func encodeReply(t *testing.T, reply *Reply) []byte {
 	t.Helper()
 	var out bytes.Buffer
 	written, err := reply.WriteTo(&out)
@@ -30,13 +30,13 @@
 	reply.SetTimer(500, 77)
 	reply.SelectInstance(5)
 	reply.Log("two servers known")
-	want := frame(t, "0c000000 05000000 89000000"+
+	want := decodeHex(t, "0c000000 05000000 89000000"+
 		actionRecord("0c 03000000")+
 		actionRecord("05 c4913a5df2e40000 0000000000005440 074a1203")+
 		actionRecord("04 0000000000407f40 4d000000")+
 		actionRecord("0c 05000000")+
-		actionRecord("08 00000000 11000000")+hexOf("two servers known"))
-	assert.Equal(t, want, encoded(t, &reply))
+		actionRecord("08 00000000 11000000")+encodeHex("two servers known"))
+	assert.Equal(t, want, encodeReply(t, &reply))
 }
 
 func TestEachActionMatchesTheWire(t *testing.T) {
@@ -64,8 +64,8 @@
 			reply.Reset(1)
 			c.act(&reply)
 			size := hex.EncodeToString([]byte{byte(ActionSize + len(c.tail))})
-			want := frame(t, "01000000 01000000"+size+"000000"+actionRecord(c.record)+hexOf(c.tail))
-			assert.Equal(t, want, encoded(t, &reply))
+			want := decodeHex(t, "01000000 01000000"+size+"000000"+actionRecord(c.record)+encodeHex(c.tail))
+			assert.Equal(t, want, encodeReply(t, &reply))
 		})
 	}
 }
@@ -75,9 +75,9 @@
 	reply.Reset(1)
 	reply.Log("ab")
 	reply.Log("c")
-	want := frame(t, "01000000 02000000 33000000"+actionRecord("08 00000000 02000000")+
-		actionRecord("08 02000000 01000000")+hexOf("abc"))
-	assert.Equal(t, want, encoded(t, &reply))
+	want := decodeHex(t, "01000000 02000000 33000000"+actionRecord("08 00000000 02000000")+
+		actionRecord("08 02000000 01000000")+encodeHex("abc"))
+	assert.Equal(t, want, encodeReply(t, &reply))
 }
 
 func TestResetEmptiesTheReply(t *testing.T) {
@@ -86,23 +86,23 @@
 	reply.SelectInstance(3)
 	reply.Log("ab")
 	reply.Reset(2)
-	assert.Equal(t, frame(t, "02000000 00000000 00000000"), encoded(t, &reply))
+	assert.Equal(t, decodeHex(t, "02000000 00000000 00000000"), encodeReply(t, &reply))
 	reply.SelectInstance(3)
-	assert.Equal(t, frame(t, "02000000 01000000 18000000"+actionRecord("0c 03000000")), encoded(t, &reply),
-		"the instance of the last reply is not that of this one")
+	assert.Equal(t, decodeHex(t, "02000000 01000000 18000000"+actionRecord("0c 03000000")), encodeReply(t, &reply),
+		"Reset forgets the selected instance")
 	reply.SelectInstance(3)
-	assert.Equal(t, frame(t, "02000000 01000000 18000000"+actionRecord("0c 03000000")), encoded(t, &reply),
-		"it is selected already")
+	assert.Equal(t, decodeHex(t, "02000000 01000000 18000000"+actionRecord("0c 03000000")), encodeReply(t, &reply),
+		"the instance is selected already")
 }
 
-// brokenPipe fails each write.
+// brokenPipe is a writer whose writes fail.
 type brokenPipe struct{}
 
 var errBroken = errors.New("broken pipe")
 
 func (brokenPipe) Write([]byte) (int, error) { return 0, errBroken }
 
-func TestWriteToTellsOfAnError(t *testing.T) {
+func TestWriteToReturnsTheError(t *testing.T) {
 	var reply Reply
 	_, err := reply.WriteTo(brokenPipe{})
 	assert.ErrorIs(t, err, errBroken)
--- a/internal/transport/simwire/fixture_test.go
+++ b/internal/transport/simwire/fixture_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// frame decodes a frame that is written in hexadecimal digits and white space.
-func frame(t *testing.T, text string) []byte {
+// decodeHex decodes a frame from hexadecimal digits and white space.
+func decodeHex(t *testing.T, text string) []byte {
 	t.Helper()
 	decoded, err := hex.DecodeString(strings.Join(strings.Fields(text), ""))
 	require.NoError(t, err)
@@ -28,15 +28,16 @@
 	return text + strings.Repeat("00", size-len(text)/2)
 }
 
-// tenSeconds is a clock of 10000 ms.
-const tenSeconds = "000000000088c340"
+// batchTime is the field of a header for a time of 10000 ms.
+const batchTime = "000000000088c340"
 
-// oneRecord reads a batch of one record and a tail of up to 255 bytes.
-func oneRecord(t *testing.T, text, tail string) Record {
+// decodeRecord returns the record of a batch with one record and a tail of up to 199 bytes.
+func decodeRecord(t *testing.T, text, tail string) Record {
 	t.Helper()
-	tailBytes := frame(t, tail)
+	tailBytes := decodeHex(t, tail)
 	size := hex.EncodeToString([]byte{byte(EventSize + len(tailBytes))})
-	batch, err := ReadBatch(bytes.NewReader(frame(t, "07000000 01000000"+size+"000000"+tenSeconds+eventRecord(text)+tail)))
+	raw := decodeHex(t, "07000000 01000000"+size+"000000"+batchTime+eventRecord(text)+tail)
+	batch, err := ReadBatch(bytes.NewReader(raw))
 	require.NoError(t, err)
 	require.Equal(t, 1, batch.Len())
 	return batch.Record(0)
--- a/internal/transport/simwire/settings.go
+++ b/internal/transport/simwire/settings.go
@@ -8,80 +8,82 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-// platformSettings mirrors the JSON of the settings that the scheduler uses. Times are in milliseconds.
+// platformSettings mirrors the JSON of the platform's settings, as far as the scheduler uses them. Times are in
+// milliseconds.
 type platformSettings struct {
-	Balancers      int                `json:"balancers"`
-	Me             int                `json:"me"`
-	Zone           int                `json:"zone"`
-	Categories     []platformCategory `json:"categories"`
-	Customers      []platformCustomer `json:"customers"`
-	Discovery      string             `json:"discovery"`
-	Domain         platformDomain     `json:"domain"`
-	Invariants     platformInvariants `json:"invariants"`
-	Limits         platformLimits     `json:"limits"`
-	OverShareWorth float64            `json:"over_share_worth"`
-	ResolutionMs   float64            `json:"resolution_ms"`
+	BrokerCount       int                `json:"balancers"`
+	BrokerIndex       int                `json:"me"`
+	LocalZone         int                `json:"zone"`
+	Classes           []platformClass    `json:"categories"`
+	Tenants           []platformTenant   `json:"customers"`
+	Discovery         string             `json:"discovery"`
+	Domain            platformDomain     `json:"domain"`
+	Invariants        platformInvariants `json:"invariants"`
+	Limits            platformLimits     `json:"limits"`
+	OverQuotaFactor   float64            `json:"over_share_worth"`
+	TimerResolutionMs float64            `json:"resolution_ms"`
 }
 
-type platformCategory struct {
-	AimMs         float64 `json:"aim_ms"`
-	DeadlineMs    float64 `json:"deadline_ms"`
-	DedupWindowMs float64 `json:"dedup_window_ms"`
-	Effect        string  `json:"effect"`
-	LateWorth     float64 `json:"late_worth"`
-	Worth         float64 `json:"worth"`
+type platformClass struct {
+	LatencyObjectiveMs float64 `json:"aim_ms"`
+	DeadlineMs         float64 `json:"deadline_ms"`
+	DedupWindowMs      float64 `json:"dedup_window_ms"`
+	Idempotency        string  `json:"effect"`
+	LateFactor         float64 `json:"late_worth"`
+	PriorityWeight     float64 `json:"worth"`
 }
 
-type platformCustomer struct {
-	AllowancePerS float64 `json:"allowance_per_s"`
+type platformTenant struct {
+	QueriesPerSecond float64 `json:"allowance_per_s"`
 }
 
-// platformDomain holds lists by the index of a category. They may be shorter than the list of categories.
+// platformDomain mirrors the JSON of "domain". Its lists are indexed by class and may be shorter than the list of
+// classes.
 type platformDomain struct {
-	CallCostMs      float64   `json:"call_cost_ms"`
-	CompleteFrom    []float64 `json:"complete_from"`
-	FetchParts      []int     `json:"fetch_parts"`
-	IncompleteWorth []float64 `json:"incomplete_worth"`
-	MinShare        []float64 `json:"min_share"`
-	PerCall         int       `json:"per_call"`
-	Sets            int       `json:"sets"`
-	Slices          int       `json:"slices"`
-	Width           int       `json:"width"`
+	CallOverheadMs      float64   `json:"call_cost_ms"`
+	CompletenessTargets []float64 `json:"complete_from"`
+	SecondStepParts     []int     `json:"fetch_parts"`
+	PartialFactors      []float64 `json:"incomplete_worth"`
+	MinCompleteness     []float64 `json:"min_share"`
+	MaxPartsPerCall     int       `json:"per_call"`
+	Cells               int       `json:"sets"`
+	Shards              int       `json:"slices"`
+	CellsPerShard       int       `json:"width"`
 }
 
 type platformInvariants struct {
-	AskWithinMs     float64 `json:"ask_within_ms"`
-	BudgetShare     float64 `json:"budget_share"`
-	SpareAttempts   float64 `json:"spare_attempts"`
-	ExtraWindowMs   float64 `json:"extra_window_ms"`
-	ColdFrom        float64 `json:"cold_from"`
-	WarmWithinMs    float64 `json:"warm_within_ms"`
-	DrainGraceMs    float64 `json:"drain_grace_ms"`
-	FallMultiple    float64 `json:"fall_multiple"`
-	FallMs          float64 `json:"fall_ms"`
-	GraceToAnswerMs float64 `json:"grace_to_answer_ms"`
+	MaxStalenessMs           float64 `json:"ask_within_ms"`
+	RetryBudgetRatio         float64 `json:"budget_share"`
+	RetryBudgetSpare         float64 `json:"spare_attempts"`
+	RetryBudgetWindowMs      float64 `json:"extra_window_ms"`
+	SlowStartInitialCapacity float64 `json:"cold_from"`
+	SlowStartMs              float64 `json:"warm_within_ms"`
+	DrainGraceMs             float64 `json:"drain_grace_ms"`
+	SlowStartWorkMultiple    float64 `json:"fall_multiple"`
+	SlowStartWindowMs        float64 `json:"fall_ms"`
+	AnswerGraceMs            float64 `json:"grace_to_answer_ms"`
 }
 
 type platformLimits struct {
-	Cancel          bool    `json:"cancel"`
-	ParallelTries   bool    `json:"parallel_tries"`
-	TryLimit        int     `json:"try_limit"`
-	RetryAfter      bool    `json:"retry_after"`
+	CanCancel       bool    `json:"cancel"`
+	AllowHedging    bool    `json:"parallel_tries"`
+	MaxAttempts     int     `json:"try_limit"`
+	SendRetryAfter  bool    `json:"retry_after"`
 	MaxRetryAfterMs float64 `json:"max_retry_after_ms"`
 }
 
-// pollDiscovery is the value of "discovery" where changes of the endpoint list have to be asked for.
+// pollDiscovery is the value of "discovery" if brokers have to poll for changes of the endpoint list.
 const pollDiscovery = "on_request"
 
-// idempotencies maps the values of "effect".
+// idempotencies maps the values of "effect" to those of the scheduler.
 var idempotencies = map[string]scheduler.Idempotency{
 	"read_like":       scheduler.Idempotent,
 	"idempotency_key": scheduler.IdempotentWithKey,
 	"non_idempotent":  scheduler.NonIdempotent,
 }
 
-// ParseSettings parses the platform's settings, as EventCreate and the configuration of a broker contain them, with the
-// placement that they state. It ignores names that the scheduler has no use for, and does not check ranges, which
+// ParseSettings decodes the platform's settings, which EventCreate and the configuration of a broker contain, and
+// derives the placement from them. It ignores names that the scheduler does not use. It does not check ranges;
 // scheduler.New does. Errors name the setting.
 func ParseSettings(text []byte) (scheduler.Settings, error) {
 	var decoded platformSettings
@@ -89,80 +91,81 @@
 		return scheduler.Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	settings := decoded.schedulerSettings()
-	for i := range decoded.Categories {
+	for i := range decoded.Classes {
 		class, err := decoded.class(i)
 		if err != nil {
 			return scheduler.Settings{}, fmt.Errorf("settings: %w", err)
 		}
 		settings.Classes = append(settings.Classes, class)
 	}
-	for _, customer := range decoded.Customers {
-		settings.TenantRates = append(settings.TenantRates, customer.AllowancePerS)
+	for _, tenant := range decoded.Tenants {
+		settings.TenantRates = append(settings.TenantRates, tenant.QueriesPerSecond)
 	}
 	return settings, nil
 }
 
-// schedulerSettings maps all but the classes and tenants.
+// schedulerSettings maps all settings except the classes and tenants.
 func (s *platformSettings) schedulerSettings() scheduler.Settings {
 	settings := scheduler.Settings{
-		OverQuotaFactor: s.OverShareWorth,
-		BrokerIndex:     s.Me,
-		BrokerCount:     s.Balancers,
-		LocalZone:       s.Zone,
-		TimerResolution: s.ResolutionMs,
-		Shards:          s.Domain.Slices,
-		Cells:           s.Domain.Sets,
-		CellsPerShard:   s.Domain.Width,
-		Placement:       shardmap.NewRingPlacement(s.Domain.Slices, s.Domain.Sets, s.Domain.Width),
-		MaxPartsPerCall: s.Domain.PerCall,
-		CallOverhead:    s.Domain.CallCostMs,
+		OverQuotaFactor: s.OverQuotaFactor,
+		BrokerIndex:     s.BrokerIndex,
+		BrokerCount:     s.BrokerCount,
+		LocalZone:       s.LocalZone,
+		TimerResolution: s.TimerResolutionMs,
+		Shards:          s.Domain.Shards,
+		Cells:           s.Domain.Cells,
+		CellsPerShard:   s.Domain.CellsPerShard,
+		Placement:       shardmap.NewRingPlacement(s.Domain.Shards, s.Domain.Cells, s.Domain.CellsPerShard),
+		MaxPartsPerCall: s.Domain.MaxPartsPerCall,
+		CallOverhead:    s.Domain.CallOverheadMs,
 		PollEndpoints:   s.Discovery == pollDiscovery,
-		MaxStaleness:    s.Invariants.AskWithinMs,
-		CanCancel:       s.Limits.Cancel,
-		AllowHedging:    s.Limits.ParallelTries,
-		MaxAttempts:     s.Limits.TryLimit,
+		MaxStaleness:    s.Invariants.MaxStalenessMs,
+		CanCancel:       s.Limits.CanCancel,
+		AllowHedging:    s.Limits.AllowHedging,
+		MaxAttempts:     s.Limits.MaxAttempts,
 		DrainGrace:      s.Invariants.DrainGraceMs,
 		SlowStart: scheduler.SlowStartSettings{
-			InitialCapacity: s.Invariants.ColdFrom,
-			Duration:        s.Invariants.WarmWithinMs,
-			WorkMultiple:    s.Invariants.FallMultiple,
-			Window:          s.Invariants.FallMs,
+			InitialCapacity: s.Invariants.SlowStartInitialCapacity,
+			Duration:        s.Invariants.SlowStartMs,
+			WorkMultiple:    s.Invariants.SlowStartWorkMultiple,
+			Window:          s.Invariants.SlowStartWindowMs,
 		},
 		RetryBudget: scheduler.RetryBudgetSettings{
-			Spare:  s.Invariants.SpareAttempts,
-			Ratio:  s.Invariants.BudgetShare,
-			Window: s.Invariants.ExtraWindowMs,
+			Spare:  s.Invariants.RetryBudgetSpare,
+			Ratio:  s.Invariants.RetryBudgetRatio,
+			Window: s.Invariants.RetryBudgetWindowMs,
 		},
-		AnswerGrace: s.Invariants.GraceToAnswerMs,
+		AnswerGrace: s.Invariants.AnswerGraceMs,
 	}
-	if s.Limits.RetryAfter {
+	if s.Limits.SendRetryAfter {
 		settings.MaxRetryAfter = s.Limits.MaxRetryAfterMs
 	}
 	return settings
 }
 
-// class maps the category at an index. What the domain does not state for it: an answer needs all of the weight, is
-// worth nothing if it is partial, and there is no second step.
+// class maps the class at an index. If the domain's lists have no value for it, an answer needs the whole weight, a
+// partial answer counts nothing and there is no second step.
 func (s *platformSettings) class(index int) (scheduler.Class, error) {
-	category := s.Categories[index]
-	idempotency, ok := idempotencies[category.Effect]
+	class := s.Classes[index]
+	idempotency, ok := idempotencies[class.Idempotency]
 	if !ok {
-		return scheduler.Class{}, fmt.Errorf("categories[%d].effect %q is unknown", index, category.Effect)
+		return scheduler.Class{}, fmt.Errorf("categories[%d].effect %q is unknown", index, class.Idempotency)
 	}
 	return scheduler.Class{
-		LatencyObjective:   category.AimMs,
-		Deadline:           category.DeadlineMs,
-		PriorityWeight:     category.Worth,
-		LateFactor:         category.LateWorth,
+		LatencyObjective:   class.LatencyObjectiveMs,
+		Deadline:           class.DeadlineMs,
+		PriorityWeight:     class.PriorityWeight,
+		LateFactor:         class.LateFactor,
 		Idempotency:        idempotency,
-		DedupWindow:        category.DedupWindowMs,
-		MinCompleteness:    elementOr(s.Domain.MinShare, index, 1),
-		CompletenessTarget: elementOr(s.Domain.CompleteFrom, index, 1),
-		PartialFactor:      elementOr(s.Domain.IncompleteWorth, index, 0),
-		SecondStepParts:    elementOr(s.Domain.FetchParts, index, 0),
+		DedupWindow:        class.DedupWindowMs,
+		MinCompleteness:    elementOr(s.Domain.MinCompleteness, index, 1),
+		CompletenessTarget: elementOr(s.Domain.CompletenessTargets, index, 1),
+		PartialFactor:      elementOr(s.Domain.PartialFactors, index, 0),
+		SecondStepParts:    elementOr(s.Domain.SecondStepParts, index, 0),
 	}, nil
 }
 
+// elementOr returns the element at an index, or absent if the list is too short.
 func elementOr[T any](list []T, index int, absent T) T {
 	if index < len(list) {
 		return list[index]
--- a/internal/transport/simwire/settings_test.go
+++ b/internal/transport/simwire/settings_test.go
@@ -10,9 +10,9 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-func TestParseSettingsNamesTheProblem(t *testing.T) {
+func TestParseSettingsNamesTheSetting(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
-		{"cut short", `{"categories": [`, "settings: unexpected end of JSON input"},
+		{"truncated JSON", `{"categories": [`, "settings: unexpected end of JSON input"},
 		{"an unknown effect", `{"categories": [{"effect": "odd"}]}`,
 			`settings: categories[0].effect "odd" is unknown`},
 		{"another unknown effect", `{"categories": [{"effect": "read_like"}, {}]}`,
@@ -86,7 +86,7 @@
 	}, settings)
 }
 
-func TestNoRetryAfterWithoutItsSwitch(t *testing.T) {
+func TestMaxRetryAfterIsZeroUnlessEnabled(t *testing.T) {
 	settings, err := ParseSettings([]byte(`{"limits": {"max_retry_after_ms": 37}}`))
 	require.NoError(t, err)
 	assert.Zero(t, settings.MaxRetryAfter)
