--- a/cmd/ternstage/admin.go
+++ b/cmd/ternstage/admin.go
@@ -16,19 +16,19 @@
 	"ternstage/internal/decision/maintenance"
 )
 
-// Exit codes of the admin commands. Several calls exit with the highest of theirs.
+// Exit codes of the admin commands. A command that makes several calls exits with the highest code of these calls.
 const (
 	exitYes      = 0
 	exitNo       = 1
 	exitNoAnswer = 2
-	// exitUsage is for a command line, or files that it names, that cannot be used: no call was made.
+	// exitUsage means that the command line, or a file that it names, cannot be used. No call was made.
 	exitUsage = 3
 )
 
-// defaultTimeout bounds all calls of one command.
+// defaultTimeout is the time limit for all calls of one command together.
 const defaultTimeout = 3 * time.Second
 
-// exitError ends the program with an exit code and no message: the command has printed its own.
+// exitError ends the program with an exit code. No message is printed, since the command has printed its own.
 type exitError int
 
 // Error implements error.
@@ -41,45 +41,45 @@
 	asJSON  bool
 }
 
-// adminCommand returns the commands that call the admin API of one process.
+// adminCommand returns the command with the sub-commands that call the admin API of one process.
 func adminCommand() *cobra.Command {
 	a := &admin{}
 	root := &cobra.Command{
 		Use:   "admin",
-		Short: "Call the admin API of a broker that serves",
-		Long: "Call the admin API of a broker that serves. Exit code 0: yes to all; 1: a no; 2: no answer in\n" +
-			"time; 3: the command line cannot be used. Each command may be repeated safely.",
+		Short: "Call the admin API of a running broker",
+		Long: "Call the admin API of a running broker. Exit code 0: every answer is yes; 1: an answer is no;\n" +
+			"2: no answer in time; 3: the command line cannot be used. Each command may be repeated safely.",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
 	flags := root.PersistentFlags()
 	flags.StringVar(&a.address, "mgmt", os.Getenv("BALANCER_MGMT"), "address of the admin API, HOST:PORT")
-	flags.DurationVar(&a.timeout, "within", defaultTimeout, "bound on the whole; calls without an answer are repeated")
+	flags.DurationVar(&a.timeout, "within", defaultTimeout, "time limit for all calls; those without an answer are repeated")
 	flags.BoolVar(&a.asJSON, "json", false, "print JSON")
 	root.AddCommand(
-		a.brokerCommand(adminclient.Ready, "Whether the process is ready to serve"),
-		a.brokerCommand(adminclient.Drain, "Send clients away; open connections are served and ended within 4 s"),
-		a.brokerCommand(adminclient.Activate, "Take clients again"),
-		a.backendCommand("suspend", "Take backends out until they are resumed, across restarts and upgrades",
+		a.brokerCommand(adminclient.Ready, "Print whether the process is ready to serve"),
+		a.brokerCommand(adminclient.Drain, "Send clients elsewhere; open connections are served and closed within 4 s"),
+		a.brokerCommand(adminclient.Activate, "End the drain and accept clients again"),
+		a.backendCommand("suspend", "Take backends out of service until resumed, also across restarts and upgrades",
 			adminclient.Suspend),
-		a.backendCommand("resume", "Put backends back", adminclient.Resume),
+		a.backendCommand("resume", "Put backends back into service", adminclient.Resume),
 		a.suspendedCommand("suspended"),
 		hiddenAlias(a.suspendedCommand("held")),
 	)
 	return root
 }
 
-// brokerCommand returns the command for a call that names no backend.
+// brokerCommand returns the command for a call that concerns the broker itself.
 func (a *admin) brokerCommand(call adminclient.Call, short string) *cobra.Command {
 	return &cobra.Command{
 		Use:   call.Name,
 		Short: short,
 		Args:  cobra.NoArgs,
-		RunE:  func(c *cobra.Command, _ []string) error { return a.run(c, call) },
+		RunE:  func(c *cobra.Command, _ []string) error { return a.runCalls(c, call) },
 	}
 }
 
-// backendCommand returns the command for a call on each of the backends that its arguments name.
+// backendCommand returns the command that makes a call for each backend that its arguments name.
 func (a *admin) backendCommand(name, short string, call func(id string) adminclient.Call) *cobra.Command {
 	return &cobra.Command{
 		Use:   name + " ID...",
@@ -93,7 +93,7 @@
 				}
 				calls = append(calls, call(id))
 			}
-			return a.run(c, calls...)
+			return a.runCalls(c, calls...)
 		},
 	}
 }
@@ -104,10 +104,11 @@
 	return command
 }
 
-// run makes calls one after the other and prints their outcomes. It returns an exitError unless all were successful.
-func (a *admin) run(c *cobra.Command, calls ...adminclient.Call) error {
+// runCalls makes calls one after the other and prints their outcomes. It returns an exitError unless all answers are
+// yes.
+func (a *admin) runCalls(c *cobra.Command, calls ...adminclient.Call) error {
 	if a.address == "" {
-		return errors.New("no address: say --mgmt HOST:PORT, or set BALANCER_MGMT")
+		return errors.New("no address: use --mgmt HOST:PORT or set BALANCER_MGMT")
 	}
 	ctx, cancel := context.WithTimeout(c.Context(), a.timeout)
 	defer cancel()
@@ -118,7 +119,7 @@
 		answers = append(answers, answer)
 		exitCode = max(exitCode, exitCodeOf(answer, err))
 	}
-	if err := a.print(c, answers, exitCode); err != nil {
+	if err := a.printAnswers(c, answers, exitCode); err != nil {
 		return err
 	}
 	if exitCode != exitYes {
@@ -137,14 +138,14 @@
 	return exitYes
 }
 
-func (a *admin) print(c *cobra.Command, answers []adminclient.Answer, exitCode int) error {
+func (a *admin) printAnswers(c *cobra.Command, answers []adminclient.Answer, exitCode int) error {
 	if a.asJSON {
 		return printJSON(c.OutOrStdout(), map[string]any{"mgmt": a.address, "calls": answers, "exit": exitCode})
 	}
 	const columnPadding = 2
 	table := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, columnPadding, ' ', 0)
 	for _, answer := range answers {
-		if _, err := fmt.Fprintf(table, "%s\t%s\t%s\t%s\n", answer.Call, answer.ID, verdict(answer),
+		if _, err := fmt.Fprintf(table, "%s\t%s\t%s\t%s\n", answer.Call, answer.ID, outcomeText(answer),
 			answer.Reason); err != nil {
 			return err
 		}
@@ -152,7 +153,7 @@
 	return table.Flush()
 }
 
-func verdict(answer adminclient.Answer) string {
+func outcomeText(answer adminclient.Answer) string {
 	switch {
 	case answer.OK:
 		return "yes"
--- a/cmd/ternstage/admin_suspended.go
+++ b/cmd/ternstage/admin_suspended.go
@@ -14,7 +14,7 @@
 	"ternstage/internal/decision/maintenance"
 )
 
-// storedState is what the processes of a broker have stored. Its JSON is what the command prints.
+// storedState is the state that the processes of a broker have stored. Its JSON is the output of the command.
 type storedState struct {
 	Suspended    []string `json:"suspended"`
 	Drained      bool     `json:"drained"`
@@ -26,7 +26,7 @@
 	var dir string
 	command := &cobra.Command{
 		Use:   name,
-		Short: "What is suspended or drained, as stored for the next process",
+		Short: "Print which backends are suspended and whether the broker is drained, as stored on disk",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			state, err := readStoredState(dir)
@@ -44,8 +44,8 @@
 	return command
 }
 
-// readStoredState reads the files in the broker's $TMPDIR. A missing file stores nothing; one that cannot be used is
-// an error that names it.
+// readStoredState reads the files in the broker's $TMPDIR. A missing file means that nothing is stored. For a file
+// that cannot be used, the error names the file.
 func readStoredState(dir string) (storedState, error) {
 	state := storedState{Suspended: []string{}}
 	path := filepath.Join(dir, suspensionsFile)
--- a/cmd/ternstage/admin_suspended_test.go
+++ b/cmd/ternstage/admin_suspended_test.go
@@ -12,7 +12,7 @@
 	"ternstage/internal/decision/maintenance"
 )
 
-// storedDir returns a directory with the files of a broker; nil stands for no file.
+// storedDir returns a directory with the stored files of a broker; nil means no file.
 func storedDir(t *testing.T, suspensions, drain []byte) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -25,8 +25,8 @@
 	return dir
 }
 
-// TestSuspendedAndItsAlias checks that the command prints and exits the same under its name and under its earlier
-// one.
+// TestSuspendedAndItsAlias checks that output and exit code are the same under the command's current and earlier
+// name.
 func TestSuspendedAndItsAlias(t *testing.T) {
 	suspensions := maintenance.EncodeSuspensions([]string{"s-1", "s-2"})
 	drain := maintenance.EncodeDrain(1796285471204.617)
@@ -51,8 +51,8 @@
 		{"nothing", nil, nil, nil, exitYes, "nothing\n", ""},
 		{"nothing as JSON", nil, nil, []string{"--json"}, exitYes,
 			"{\n  \"suspended\": [],\n  \"drained\": false\n}\n", ""},
-		{"torn suspensions", suspensions[:9], drain, nil, exitUsage, "", "torn or not JSON"},
-		{"torn drain", suspensions, drain[:9], []string{"--json"}, exitUsage, "", "torn or not JSON"},
+		{"truncated suspensions", suspensions[:9], drain, nil, exitUsage, "", "torn or not JSON"},
+		{"truncated drain", suspensions, drain[:9], []string{"--json"}, exitUsage, "", "torn or not JSON"},
 		{"an argument", nil, nil, []string{"s-1"}, exitUsage, "", "unknown command"},
 		{"an unknown flag", nil, nil, []string{"--none"}, exitUsage, "", "unknown flag"},
 	} {
--- a/cmd/ternstage/admin_test.go
+++ b/cmd/ternstage/admin_test.go
@@ -15,36 +15,36 @@
 	"github.com/stretchr/testify/require"
 )
 
-// runMain is set in processes in which the test binary is the program.
-const runMain = "TERNSTAGE_TEST_RUN_MAIN"
+// envRunMain is the environment variable that makes the test binary run as the program.
+const envRunMain = "TERNSTAGE_TEST_RUN_MAIN"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(runMain) != "" {
+	if os.Getenv(envRunMain) != "" {
 		main()
 		os.Exit(0)
 	}
 	os.Exit(m.Run())
 }
 
-// runAdmin runs `ternstage admin` and returns its exit code, what it printed and what it logged.
+// runAdmin runs `ternstage admin` and returns its exit code and output.
 func runAdmin(t *testing.T, args ...string) (exitCode int, stdout, stderr string) {
 	t.Helper()
 	program, err := os.Executable()
 	require.NoError(t, err)
 	command := exec.Command(program, append([]string{"admin"}, args...)...)
-	command.Env = append(os.Environ(), runMain+"=1", "BALANCER_MGMT=")
-	var out, log bytes.Buffer
-	command.Stdout, command.Stderr = &out, &log
+	command.Env = append(os.Environ(), envRunMain+"=1", "BALANCER_MGMT=")
+	var outBuffer, errBuffer bytes.Buffer
+	command.Stdout, command.Stderr = &outBuffer, &errBuffer
 	err = command.Run()
 	var exit *exec.ExitError
 	if err != nil {
 		require.True(t, errors.As(err, &exit), "%v", err)
 		exitCode = exit.ExitCode()
 	}
-	return exitCode, out.String(), log.String()
+	return exitCode, outBuffer.String(), errBuffer.String()
 }
 
-func TestHelpNamesSuspendedOnly(t *testing.T) {
+func TestHelpHidesTheAlias(t *testing.T) {
 	exitCode, stdout, _ := runAdmin(t, "--help")
 	assert.Equal(t, exitYes, exitCode)
 	assert.Contains(t, stdout, "\n  suspended ")
--- a/cmd/ternstage/serve_test.go
+++ b/cmd/ternstage/serve_test.go
@@ -16,7 +16,7 @@
 	program, err := os.Executable()
 	require.NoError(t, err)
 	command := exec.Command(program)
-	command.Env = append(append(os.Environ(), runMain+"=1", "BALANCER_NAME=", "BALANCER_LISTEN=", "BALANCER_DISCOVERY="),
+	command.Env = append(append(os.Environ(), envRunMain+"=1", "BALANCER_NAME=", "BALANCER_LISTEN=", "BALANCER_DISCOVERY="),
 		environment...)
 	text, err := command.CombinedOutput()
 	var exit *exec.ExitError
