--- a/cmd/ternstage/admin.go
+++ b/cmd/ternstage/admin.go
@@ -54,7 +54,7 @@
 	}
 	flags := root.PersistentFlags()
 	flags.StringVar(&a.address, "mgmt", os.Getenv("BALANCER_MGMT"), "address of the admin API, HOST:PORT")
-	flags.DurationVar(&a.timeout, "within", defaultTimeout, "time limit for all calls; those without an answer are repeated")
+	flags.DurationVar(&a.timeout, "within", defaultTimeout, "time limit for all calls; unanswered calls are repeated")
 	flags.BoolVar(&a.asJSON, "json", false, "print JSON")
 	root.AddCommand(
 		a.brokerCommand(adminclient.Ready, "Print whether the process is ready to serve"),
--- a/cmd/ternstage/broker.go
+++ b/cmd/ternstage/broker.go
@@ -23,11 +23,11 @@
 const (
 	// suspensionsFile stores the backends that operators have suspended.
 	suspensionsFile = "ternstage-held-leafs.json"
-	// handoverFile stores what the process that hands over had sent to warming backends.
+	// handoverFile stores the attempts that a process sent to warming backends before it handed over.
 	handoverFile = "ternstage-cold-sent.json"
 )
 
-// broker holds the parts of one broker. All but the log belong to the event loop.
+// broker holds the components of one broker. All but the log belong to the event loop.
 type broker struct {
 	config    *config.Config
 	features  *features
@@ -36,26 +36,26 @@
 
 	loop        *loop.Loop
 	endpoints   *discovery.Registry
-	shardMap    *shardmap.Map // nil where placement is fixed
+	shardMap    *shardmap.Map // nil if the placement is fixed
 	core        *core.Core
 	limits      connectionLimits
 	front       *httpfront.Server
-	flightFront *flight.Front // nil where it is switched off
-	backend     backend
+	flightFront *flight.Front // nil if it is disabled
+	transport   backendTransport
 	watcher     *discovery.Watcher
-	control     *adminops.Control // nil where there is no admin API
+	control     *adminops.Control // nil without an admin API
 
-	closers []func() // see onClose
+	closers []func() // called by close; see onClose
 }
 
-// backend is a core.Transport that the program can close.
-type backend interface {
+// backendTransport is a core.Transport that the program can close.
+type backendTransport interface {
 	core.Transport
 	Close()
 }
 
-// build makes the parts of the broker. Timers that are due together fire in the order in which they were made, and
-// the loop knows descriptors in the order in which they were added: the order of the steps is part of the behavior.
+// build creates the components of the broker. The order of the steps matters: timers that are due at the same time
+// fire in the order of their creation, and the loop keeps descriptors in the order in which they were added.
 func (b *broker) build() error {
 	if err := b.newCore(); err != nil {
 		return err
@@ -64,8 +64,8 @@
 	if err := b.listenClients(); err != nil {
 		return err
 	}
-	b.newBackend()
-	b.newEndpointList()
+	b.newTransport()
+	b.newWatcher()
 	if err := b.listenAdmin(); err != nil {
 		return err
 	}
@@ -75,10 +75,10 @@
 	return b.listenFlight()
 }
 
-// onClose has close call the function, before those that were given earlier.
+// onClose registers a function that close calls. Functions that are registered later are called earlier.
 func (b *broker) onClose(closer func()) { b.closers = append(b.closers, closer) }
 
-// close closes the parts that are closed however the run ends, the last one that was built first.
+// close calls the functions of onClose, the last one first. It is called however the run ends.
 func (b *broker) close() {
 	for i := len(b.closers) - 1; i >= 0; i-- {
 		b.closers[i]()
@@ -88,11 +88,11 @@
 // closeConnections closes the connections of clients, backends and discovery after the loop has ended.
 func (b *broker) closeConnections() {
 	b.front.Close()
-	b.backend.Close()
+	b.transport.Close()
 	b.watcher.Close()
 }
 
-// newCore makes the event loop and the core with its scheduler.
+// newCore creates the event loop and the core with its scheduler.
 func (b *broker) newCore() error {
 	eventLoop, err := loop.New()
 	if err != nil {
@@ -101,7 +101,7 @@
 	b.loop = eventLoop
 	clock := newCoreClock(eventLoop)
 	b.endpoints = discovery.NewRegistry(b.config.Zones)
-	b.useShardMap()
+	b.newShardMap()
 	b.core, err = core.New(b.config.Scheduler, b.config.Seed, core.Options{
 		MaxOpen:  b.config.MaxOpen,
 		Clock:    clock,
@@ -111,13 +111,14 @@
 	return err
 }
 
-// coreClock is the event loop as core sees it: one timer for all that core waits for.
+// coreClock adapts the event loop to core.Clock, with a single timer for everything that core waits for.
 type coreClock struct {
 	*loop.Loop
 	timer *loop.Timer
 }
 
-// newCoreClock makes the timer. It only wakes the loop up: a scheduling round ends every wake-up.
+// newCoreClock returns a coreClock. Its timer only wakes the loop up, since every wake-up ends with a scheduling
+// round.
 func newCoreClock(eventLoop *loop.Loop) *coreClock {
 	return &coreClock{Loop: eventLoop, timer: eventLoop.NewTimer(func() {})}
 }
@@ -139,7 +140,7 @@
 		MaxBufferedBytes: maxClientBytes(b.config),
 		Pages:            b.pages(),
 		InheritedFD:      b.config.InheritedFD,
-	}, b.ready)
+	}, b.isReady)
 	if err != nil {
 		return err
 	}
@@ -147,15 +148,15 @@
 	return nil
 }
 
-// ready reports whether the broker knows backends and, under resharding, where the shards are.
-func (b *broker) ready() bool {
+// isReady reports whether the broker has an endpoint list with backends and, with resharding, a shard map.
+func (b *broker) isReady() bool {
 	return b.endpoints.Len() > 0 && (b.shardMap == nil || b.core.Epoch() > 0)
 }
 
-// newBackend makes the client of the backends: frames or Flight.
-func (b *broker) newBackend() {
+// newTransport creates the client that sends parts to backends, by frames or by Flight.
+func (b *broker) newTransport() {
 	if b.features.flight.Backends {
-		b.backend = flight.NewBackendClient(b.loop, b.core, b.log, flight.BackendOptions{
+		b.transport = flight.NewBackendClient(b.loop, b.core, b.log, flight.BackendOptions{
 			StreamsPerConnection: b.config.StreamsPerConnection,
 			DialTimeoutMs:        b.config.DialTimeoutMs,
 			IdleTimeoutMs:        b.config.IdleTimeoutMs,
@@ -163,7 +164,7 @@
 		}, b.endpoints.Address)
 		return
 	}
-	b.backend = backendpool.NewPool(b.loop, b.core, b.log, backendpool.Options{
+	b.transport = backendpool.NewPool(b.loop, b.core, b.log, backendpool.Options{
 		MaxPartsPerCall:      b.config.Scheduler.MaxPartsPerCall,
 		StreamsPerConnection: b.config.StreamsPerConnection,
 		DialTimeoutMs:        b.config.DialTimeoutMs,
@@ -174,8 +175,9 @@
 	}, b.endpoints.Address)
 }
 
-// newEndpointList makes the watch of the endpoint list, which followEndpointList starts, and completes the core.
-func (b *broker) newEndpointList() {
+// newWatcher creates the watcher of the endpoint list, which followEndpointList starts, and attaches it and the
+// transport to the core.
+func (b *broker) newWatcher() {
 	settings := b.config.Scheduler
 	poller := endpointpoll.NewPoller(endpointpoll.Options{
 		Pushed:      !settings.PollEndpoints,
@@ -185,11 +187,11 @@
 	})
 	b.watcher = discovery.NewWatcher(b.loop, b.core, b.log, b.endpoints, poller, b.config.Discovery,
 		b.front.FreeDescriptor)
-	b.core.Attach(b.backend, b.watcher)
+	b.core.Attach(b.transport, b.watcher)
 }
 
-// listenAdmin opens the admin API, if the configuration has an address for it. Suspended backends are read before the
-// endpoint list, so that none of them is selected at the start.
+// listenAdmin opens the admin API if the configuration has an address for it. Suspensions are read before the
+// endpoint list, so that no suspended backend is selected at the start.
 func (b *broker) listenAdmin() error {
 	if b.config.AdminAddress == "" {
 		return nil
@@ -209,7 +211,8 @@
 	return nil
 }
 
-// inheritsListener reports whether the platform keeps the clients' listener: another process then takes over.
+// inheritsListener reports whether the platform passed an open listener for clients to this process. The platform
+// keeps that listener open, and another process takes it over when this one ends.
 func (b *broker) inheritsListener() bool { return b.config.InheritedFD > 0 }
 
 func (b *broker) handoverConfig() adminops.HandoverConfig {
@@ -229,7 +232,7 @@
 	return float64(at.UnixMicro()) / microsecondsPerMs
 }
 
-// followEndpointList applies the endpoints that the configuration names and follows discovery.
+// followEndpointList applies the endpoint list of the configuration and starts to follow discovery.
 func (b *broker) followEndpointList() {
 	b.watcher.LoadCached(b.config.KnownEndpoints)
 	b.watcher.Start()
--- a/cmd/ternstage/broker_test.go
+++ b/cmd/ternstage/broker_test.go
@@ -6,11 +6,11 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestPartsAreClosedInReverseOrder(t *testing.T) {
+func TestComponentsAreClosedInReverseOrder(t *testing.T) {
 	var closed []string
 	b := &broker{}
-	for _, part := range []string{"admin API", "cached map", "shard catalogue"} {
-		b.onClose(func() { closed = append(closed, part) })
+	for _, component := range []string{"admin API", "cached map", "shard catalogue"} {
+		b.onClose(func() { closed = append(closed, component) })
 	}
 	b.close()
 	assert.Equal(t, []string{"shard catalogue", "cached map", "admin API"}, closed)
--- a/cmd/ternstage/check.go
+++ b/cmd/ternstage/check.go
@@ -9,7 +9,8 @@
 	"ternstage/internal/config"
 )
 
-// check reads what serve would read and prints what it would do. Scripts may read what it prints: the texts stay.
+// check reads the files that serve would read and prints what they configure. Scripts may parse the output, so its
+// texts must not change.
 func check(c *cobra.Command, path, operatorFile string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/cmd/ternstage/check_test.go
+++ b/cmd/ternstage/check_test.go
@@ -8,13 +8,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-const checkedConfig = `{"name": "n1", "listen": "127.0.0.1:8080", "discovery": "127.0.0.1:8500", "seed": "5",
+const validConfig = `{"name": "n1", "listen": "127.0.0.1:8080", "discovery": "127.0.0.1:8500", "seed": "5",
 	"settings": {"discovery": "on_request", "resolution_ms": 5,
 		"categories": [{"name": "quote", "effect": "read_like", "aim_ms": 700, "deadline_ms": 1000, "worth": 1}],
 		"customers": [{"name": "acme", "allowance_per_s": 12.5}],
 		"domain": {"sets": 4, "slices": 8, "width": 3, "per_call": 1, "min_share": [0.7]}}}`
 
-// runCheck runs `ternstage check` and returns what it printed.
+// runCheck runs `ternstage check` and returns its output.
 func runCheck(t *testing.T, args ...string) (string, error) {
 	t.Helper()
 	for _, name := range []string{"BALANCER_NAME", "BALANCER_LISTEN", "BALANCER_DISCOVERY", "BALANCER_MGMT",
@@ -30,8 +30,8 @@
 	return output.String(), err
 }
 
-func TestCheckPrintsWhatServeWouldDo(t *testing.T) {
-	config := writeFile(t, "config.json", checkedConfig)
+func TestCheckPrintsTheConfiguration(t *testing.T) {
+	config := writeFile(t, "config.json", validConfig)
 	output, err := runCheck(t, config)
 	require.NoError(t, err)
 	assert.Equal(t, `n1 takes queries at 127.0.0.1:8080 and asks discovery at 127.0.0.1:8500
--- a/cmd/ternstage/features.go
+++ b/cmd/ternstage/features.go
@@ -7,19 +7,19 @@
 	"ternstage/internal/transport/flight"
 )
 
-// envOperator names the operator's file where the flag --operator does not.
+// envOperator is the environment variable that names the operator's file if the flag --operator is not used.
 const envOperator = "TERNSTAGE_OPERATOR"
 
-// features is what an installation switches on beside the platform's settings.
+// features holds the optional features that an installation enables in addition to the platform's settings.
 type features struct {
 	file   *operator.File // never nil; empty without an operator's file
 	flight flight.Config
-	// flightFromTOML reports whether Flight's section came from its earlier place, flight.toml.
+	// flightFromTOML reports whether flight was read from flight.toml, which the operator's file replaces.
 	flightFromTOML bool
 }
 
-// loadFeatures reads the operator's file at path or, if path is empty, the one that TERNSTAGE_OPERATOR names. Flight's
-// own file is read only if the operator's file has no section for Flight.
+// loadFeatures reads the operator's file at path or, if path is empty, the one that TERNSTAGE_OPERATOR names.
+// flight.toml is read only if the operator's file has no section for Flight.
 func loadFeatures(path string) (*features, error) {
 	if path == "" {
 		path = os.Getenv(envOperator)
--- a/cmd/ternstage/features_test.go
+++ b/cmd/ternstage/features_test.go
@@ -11,7 +11,7 @@
 	"ternstage/internal/transport/flight"
 )
 
-// writeFile writes a file of the test and returns its path.
+// writeFile writes a file to a temporary directory and returns its path.
 func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -23,20 +23,20 @@
 	missing := filepath.Join(t.TempDir(), "none.toml")
 	withFlight := writeFile(t, "operator.jsonnet", `{ flight: { enabled: true, listen: '127.0.0.1:7443', streams: 7 } }`)
 	withSharding := writeFile(t, "operator.jsonnet", `{ slices: { catalogue: '127.0.0.1:7700' } }`)
-	ownFile := writeFile(t, "flight.toml", "enabled = true\nlisten = \"127.0.0.1:7444\"\nconns = 9\n")
+	flightTOML := writeFile(t, "flight.toml", "enabled = true\nlisten = \"127.0.0.1:7444\"\nconns = 9\n")
 	sectionConfig := flight.Config{Enabled: true, Listen: "127.0.0.1:7443", StreamsPerConnection: 7, MaxConnections: 128}
-	ownConfig := flight.Config{Enabled: true, Listen: "127.0.0.1:7444", StreamsPerConnection: 128, MaxConnections: 9}
+	tomlConfig := flight.Config{Enabled: true, Listen: "127.0.0.1:7444", StreamsPerConnection: 128, MaxConnections: 9}
 	for _, c := range []struct {
 		name                       string
 		flag, envOperator, envTOML string
 		flight                     flight.Config
 		flightFromTOML, resharding bool
 	}{
-		{"nothing is named", "", "", missing, flight.Config{}, false, false},
-		{"the flag", withFlight, "", ownFile, sectionConfig, false, false},
-		{"the environment", "", withFlight, ownFile, sectionConfig, false, false},
-		{"the flag goes before the environment", withSharding, withFlight, missing, flight.Config{}, false, true},
-		{"Flight's own file", withSharding, "", ownFile, ownConfig, true, true},
+		{"no file", "", "", missing, flight.Config{}, false, false},
+		{"the flag", withFlight, "", flightTOML, sectionConfig, false, false},
+		{"the environment", "", withFlight, flightTOML, sectionConfig, false, false},
+		{"the flag takes precedence over the environment", withSharding, withFlight, missing, flight.Config{}, false, true},
+		{"flight.toml", withSharding, "", flightTOML, tomlConfig, true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Setenv(envOperator, c.envOperator)
@@ -50,13 +50,13 @@
 	}
 }
 
-func TestLoadFeaturesNamesAFileThatCannotBeUsed(t *testing.T) {
+func TestLoadFeaturesNamesTheInvalidFile(t *testing.T) {
 	t.Setenv(envFlight, "")
 	path := writeFile(t, "operator.jsonnet", `{ flight: { enabled: 'yes' } }`)
 	_, err := loadFeatures(path)
 	assert.ErrorContains(t, err, path)
-	ownFile := writeFile(t, "flight.toml", "unheard = 1\n")
-	t.Setenv(envFlight, ownFile)
+	flightTOML := writeFile(t, "flight.toml", "unheard = 1\n")
+	t.Setenv(envFlight, flightTOML)
 	_, err = loadFeatures("")
-	assert.ErrorContains(t, err, ownFile)
+	assert.ErrorContains(t, err, flightTOML)
 }
--- a/cmd/ternstage/flight.go
+++ b/cmd/ternstage/flight.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// defaultFlightFile is the file of Flight's settings, relative to the working directory.
+	// defaultFlightFile is the path of flight.toml, relative to the working directory.
 	defaultFlightFile = "deploy/flight.toml"
-	// envFlight names it if it is elsewhere.
+	// envFlight is the environment variable that names another path.
 	envFlight = "TERNSTAGE_FLIGHT"
 )
 
-// flightConfig maps the operator's section for Flight, with the defaults for what it leaves out.
+// flightConfig maps the section for Flight of the operator's file and adds the defaults for missing settings.
 func flightConfig(section *operator.Flight) flight.Config {
 	config := flight.Config{
 		Enabled:              section.Enabled,
@@ -29,7 +29,7 @@
 	return config
 }
 
-// loadFlightTOML reads Flight's own file and reports whether there is one. Without one Flight is off.
+// loadFlightTOML reads flight.toml and reports whether there is such a file. Without it, Flight is disabled.
 func loadFlightTOML() (config flight.Config, found bool, err error) {
 	path := os.Getenv(envFlight)
 	if path == "" {
@@ -41,7 +41,7 @@
 	return config, found, err
 }
 
-// listenFlight opens the front for Flight clients, if it is switched on.
+// listenFlight opens the front for Flight clients, if it is enabled.
 func (b *broker) listenFlight() error {
 	if !b.features.flight.Enabled {
 		return nil
--- a/cmd/ternstage/flight_test.go
+++ b/cmd/ternstage/flight_test.go
@@ -17,7 +17,7 @@
 		StreamsPerConnection: 2, MaxConnections: 3}))
 }
 
-func TestFlightIsOffUnlessItIsSwitchedOn(t *testing.T) {
+func TestFlightIsOffUnlessEnabled(t *testing.T) {
 	b := &broker{features: &features{}}
 	assert.NoError(t, b.listenFlight())
 	assert.Nil(t, b.flightFront)
--- a/cmd/ternstage/limits.go
+++ b/cmd/ternstage/limits.go
@@ -16,57 +16,57 @@
 const (
 	bytesPerMB = 1 << 20
 
-	// heapShare is the share of the memory limit that the Go heap may have. The rest is for the program's text, stacks
-	// and the kernel's buffers.
+	// heapShare is the share of the memory limit for the Go heap. The rest is for the program's text, stacks and the
+	// kernel's buffers.
 	heapShare = 0.6
-	// clientMemoryDivisor: one in so many bytes of the memory limit is for clients' requests and answers.
+	// clientMemoryDivisor divides the memory limit; the quotient is for requests of clients and their answers.
 	clientMemoryDivisor = 6
 
-	// minDescriptors is the number of descriptors with which the program starts even if the system allows fewer.
+	// minDescriptors is the number of descriptors that the program assumes even if the system allows fewer.
 	minDescriptors = 48
-	// reservedDescriptors are for the event loop, discovery, the log and the runtime.
+	// reservedDescriptors is the number of descriptors for the event loop, discovery, the log and the runtime.
 	reservedDescriptors = 24
-	// backendDescriptorDivisor: one in so many of the descriptors for connections is for backends.
+	// backendDescriptorDivisor divides the descriptors for connections; the quotient is for backends.
 	backendDescriptorDivisor = 4
-	// maxFlightDivisor: at most one in so many of the clients' descriptors is for Flight clients.
+	// maxFlightDivisor divides the descriptors for clients; at most the quotient is for Flight clients.
 	maxFlightDivisor = 2
 )
 
-// limitRuntime bounds the Go runtime by the limits of the platform.
+// limitRuntime applies the platform's limits for CPUs and memory to the Go runtime.
 func limitRuntime(cfg *config.Config) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Cores))))
 	debug.SetMemoryLimit(int64(float64(cfg.MemoryMB) * heapShare * bytesPerMB))
 }
 
-// maxClientBytes bounds what is buffered for clients at any moment, in bytes.
+// maxClientBytes returns the maximum number of bytes that are buffered for all clients together.
 func maxClientBytes(cfg *config.Config) int { return cfg.MemoryMB * bytesPerMB / clientMemoryDivisor }
 
-// connectionLimits say how many descriptors each kind of connection may hold at once.
+// connectionLimits holds the maximum number of descriptors in use for each kind of connection.
 type connectionLimits struct {
 	clients  int // HTTP
 	flight   int // Flight clients
 	backends int
 }
 
-// divideDescriptors divides the descriptors that the process may hold. Flight's connections, at most maxFlight, come
-// out of the clients' part.
-func divideDescriptors(total int, adminAPI, flightFront bool, maxFlight int) connectionLimits {
+// divideDescriptors divides the descriptors that the process may use. Those for Flight clients, at most maxFlight,
+// are taken from the clients' share.
+func divideDescriptors(total int, hasAdminAPI, hasFlightFront bool, maxFlight int) connectionLimits {
 	connections := total - reservedDescriptors
-	if adminAPI {
+	if hasAdminAPI {
 		const listener = 1
 		connections -= adminapi.MaxConnections + listener
 	}
 	limits := connectionLimits{flight: maxFlight, backends: connections / backendDescriptorDivisor}
 	limits.clients = connections - limits.backends
-	if flightFront {
+	if hasFlightFront {
 		limits.flight = min(maxFlight, limits.clients/maxFlightDivisor)
 		limits.clients -= limits.flight
 	}
 	return limits
 }
 
-// allowedDescriptors returns how many descriptors the process may hold: as many as configured, or what the system
-// allows if that is less, but never less than minDescriptors. The latter is logged.
+// allowedDescriptors returns the number of descriptors that the process may use: as many as configured, or the limit
+// of the system if that is lower, but at least minDescriptors. A lower limit of the system is logged.
 func allowedDescriptors(configured int, log *logs.Log) int {
 	var limit unix.Rlimit
 	err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit)
--- a/cmd/ternstage/limits_test.go
+++ b/cmd/ternstage/limits_test.go
@@ -17,11 +17,11 @@
 func TestDivideDescriptors(t *testing.T) {
 	const defaultMaxFlight = 128
 	for _, c := range []struct {
-		name        string
-		total       int
-		adminAPI    bool
-		flightFront bool
-		want        connectionLimits
+		name           string
+		total          int
+		hasAdminAPI    bool
+		hasFlightFront bool
+		want           connectionLimits
 	}{
 		{"HTTP only", 1024, false, false, connectionLimits{clients: 750, flight: 128, backends: 250}},
 		{"admin API", 1024, true, false, connectionLimits{clients: 702, flight: 128, backends: 233}},
@@ -30,7 +30,7 @@
 		{"all", 256, true, true, connectionLimits{clients: 63, flight: 63, backends: 41}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			assert.Equal(t, c.want, divideDescriptors(c.total, c.adminAPI, c.flightFront, defaultMaxFlight))
+			assert.Equal(t, c.want, divideDescriptors(c.total, c.hasAdminAPI, c.hasFlightFront, defaultMaxFlight))
 		})
 	}
 }
--- a/cmd/ternstage/main.go
+++ b/cmd/ternstage/main.go
@@ -17,12 +17,12 @@
 func main() {
 	command, err := rootCommand().ExecuteC()
 	if err != nil {
-		os.Exit(report(command, err))
+		os.Exit(reportError(command, err))
 	}
 }
 
-// report prints the error of a command, unless the command has printed its own, and returns the exit code.
-func report(command *cobra.Command, err error) int {
+// reportError prints the error of a command, unless it is an exitError, and returns the exit code.
+func reportError(command *cobra.Command, err error) int {
 	var exit exitError
 	if errors.As(err, &exit) {
 		return int(exit)
@@ -31,13 +31,13 @@
 	if errors.Is(err, config.ErrNotConfigured) {
 		fmt.Fprintln(os.Stderr, "To try it on an emulated fleet: make try. To serve: BALANCER_CONFIG=FILE ternstage")
 	}
-	if isAdmin(command) || command.HasParent() && isAdmin(command.Parent()) {
+	if isAdminCommand(command) || command.HasParent() && isAdminCommand(command.Parent()) {
 		return exitUsage
 	}
 	return exitFailure
 }
 
-func isAdmin(command *cobra.Command) bool { return command.Name() == "admin" }
+func isAdminCommand(command *cobra.Command) bool { return command.Name() == "admin" }
 
 // rootCommand returns the command line: without a sub-command it serves, as the platform starts it.
 func rootCommand() *cobra.Command {
@@ -45,30 +45,30 @@
 	runServe := func(*cobra.Command, []string) error { return serve(operatorFile) }
 	root := &cobra.Command{
 		Use:           "ternstage",
-		Short:         "A broker between many teams' services",
+		Short:         "Query broker for sharded and replicated backends",
 		Args:          cobra.NoArgs,
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		RunE:          runServe,
 	}
 	root.PersistentFlags().StringVar(&operatorFile, "operator", "",
-		"the operator's file (Jsonnet); "+envOperator+" names it otherwise, and without either none is read")
+		"the operator's file (Jsonnet); by default the file that "+envOperator+" names, if it is set")
 	root.AddCommand(
 		&cobra.Command{
 			Use:   "serve",
-			Short: "Serve, as BALANCER_CONFIG says",
+			Short: "Serve with the configuration that BALANCER_CONFIG names",
 			Args:  cobra.NoArgs,
 			RunE:  runServe,
 		},
 		&cobra.Command{
 			Use:   "check FILE",
-			Short: "Say what a configuration and the operator's file do",
+			Short: "Print a summary of a configuration and the operator's file",
 			Args:  cobra.ExactArgs(1),
 			RunE:  func(c *cobra.Command, args []string) error { return check(c, args[0], operatorFile) },
 		},
 		&cobra.Command{
 			Use:   "version",
-			Short: "Say which build this is",
+			Short: "Print the version of this build",
 			Args:  cobra.NoArgs,
 			RunE: func(c *cobra.Command, _ []string) error {
 				c.Println("ternstage", version())
@@ -81,7 +81,7 @@
 	return root
 }
 
-// version returns the commit that was built, as the go command notes it.
+// version returns the commit from which the program was built, as recorded by the go command, and the Go version.
 func version() string {
 	build, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/ternstage/main_test.go
+++ b/cmd/ternstage/main_test.go
@@ -25,7 +25,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			command, _, err := rootCommand().Find(c.args)
 			require.NoError(t, err)
-			assert.Equal(t, c.want, report(command, c.err))
+			assert.Equal(t, c.want, reportError(command, c.err))
 		})
 	}
 }
--- a/cmd/ternstage/serve.go
+++ b/cmd/ternstage/serve.go
@@ -14,7 +14,7 @@
 	"ternstage/internal/logs"
 )
 
-// serve runs the broker until SIGTERM or SIGINT has ended it.
+// serve runs the broker until it has shut down after SIGTERM or SIGINT.
 func serve(operatorFile string) error {
 	startedAt := time.Now()
 	signals := notifySignals()
@@ -54,8 +54,8 @@
 	terminate chan os.Signal // SIGTERM, SIGINT
 }
 
-// notifySignals has to be called before anything else: the default action of these signals would end the program while
-// it starts. A signal that comes before handleSignals is handled then.
+// notifySignals registers the signals. It must be called before anything else: by default, these signals would end
+// the program while it starts. A signal that arrives before handleSignals is called is handled when it is called.
 func notifySignals() processSignals {
 	signals := processSignals{reload: make(chan os.Signal, 1), terminate: make(chan os.Signal, 1)}
 	signal.Notify(signals.reload, unix.SIGHUP)
@@ -63,8 +63,8 @@
 	return signals
 }
 
-// handleSignals shuts the broker down for the first signal to terminate and reads the configuration again for each to
-// reload.
+// handleSignals starts to handle the signals: the first terminate signal shuts the broker down, and each reload
+// signal reloads the configuration.
 func (b *broker) handleSignals(signals processSignals) {
 	shutdown := newGracefulShutdown(b)
 	go func() {
--- a/cmd/ternstage/serve_test.go
+++ b/cmd/ternstage/serve_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// runServe runs the program without a sub-command and returns its exit code and what it printed.
+// runServe runs the program without a sub-command and returns its exit code and output.
 func runServe(t *testing.T, environment ...string) (exitCode int, output string) {
 	t.Helper()
 	program, err := os.Executable()
--- a/cmd/ternstage/sharding.go
+++ b/cmd/ternstage/sharding.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// reshardingPage is the path of the page about resharding, for people.
+	// reshardingPage is the path of the status page about resharding.
 	reshardingPage = "/_slices"
-	// maxShardsInMotion bounds the shards in motion that the page lists.
+	// maxShardsInMotion is the maximum number of shards in motion on the page.
 	maxShardsInMotion = 100
-	// maxCachedRetired bounds the retired shards that are stored with the cached map.
+	// maxCachedRetired is the maximum number of retired shards that are stored with the cached map.
 	maxCachedRetired = 4096
 )
 
-// useShardMap makes the shard map and has the scheduler place parts by it, if the operator's file names a shard
-// catalogue. Otherwise placement is fixed and the map stays nil.
-func (b *broker) useShardMap() {
+// newShardMap creates the shard map and makes it the placement of the scheduler, if the operator's file names a shard
+// catalogue. Otherwise the placement is fixed and the map stays nil.
+func (b *broker) newShardMap() {
 	sharding := b.features.file.Sharding
 	if sharding == nil {
 		return
@@ -36,7 +36,7 @@
 	b.config.Contracts.Resharding = true
 }
 
-// followCatalogue takes the cached map and follows the shard catalogue.
+// followCatalogue applies the cached map and starts to poll the shard catalogue. It does nothing without a shard map.
 func (b *broker) followCatalogue() {
 	if b.shardMap == nil {
 		return
@@ -56,8 +56,8 @@
 	b.onClose(source.Close)
 }
 
-// cacheShardMap applies the map that the last run stored and stores those that follow, until the returned function is
-// called. A file that cannot be used is logged; the catalogue then gives the first map.
+// cacheShardMap applies the map that the previous process stored, and stores each new version until the returned
+// function is called. A file that cannot be used is logged; the first map then comes from the catalogue.
 func (b *broker) cacheShardMap(sharding *operator.Sharding) (end func()) {
 	cache := shardcatalog.NewCache(sharding.CachePath, func(err error) {
 		b.log.Rejected(logs.ShardMapCacheFailed, "shard map not cached", err)
@@ -75,14 +75,15 @@
 	return cache.Close
 }
 
-// reshardingStatus is the page about resharding, whose JSON keeps the platform's words.
+// reshardingStatus is the JSON of the status page about resharding, whose names are those of the platform.
 type reshardingStatus struct {
 	shardmap.Stats
 	core.ReshardingStats
 	InMotion []shardcatalog.Shard `json:"moves"` // the first maxShardsInMotion
 }
 
-// pages returns the paths that the clients' front serves about optional features, and what writes their JSON.
+// pages returns the status pages of optional features that the HTTP front serves: a function that returns the page's
+// JSON, by path.
 func (b *broker) pages() map[string]func() []byte {
 	if b.shardMap == nil {
 		return nil
--- a/cmd/ternstage/sharding_test.go
+++ b/cmd/ternstage/sharding_test.go
@@ -14,17 +14,17 @@
 	"ternstage/internal/transport/discovery"
 )
 
-// shardedBroker returns a broker with a shard map, and a core that has not been attached.
+// shardedBroker returns a broker whose operator's file has this section. Its core is not attached to a transport.
 func shardedBroker(t *testing.T, sharding *operator.Sharding) *broker {
 	t.Helper()
-	cfg, err := config.Parse([]byte(checkedConfig), func(string) string { return "" }, false)
+	cfg, err := config.Parse([]byte(validConfig), func(string) string { return "" }, false)
 	require.NoError(t, err)
 	b := &broker{
 		config:    cfg,
 		features:  &features{file: &operator.File{Sharding: sharding}},
 		endpoints: discovery.NewRegistry(nil),
 	}
-	b.useShardMap()
+	b.newShardMap()
 	b.core, err = core.New(cfg.Scheduler, cfg.Seed, core.Options{ShardMap: b.shardMap})
 	require.NoError(t, err)
 	return b
@@ -39,14 +39,14 @@
 	assert.Empty(t, b.closers, "nothing was started")
 }
 
-func TestTheShardMapIsThePlacement(t *testing.T) {
+func TestShardMapIsThePlacement(t *testing.T) {
 	b := shardedBroker(t, &operator.Sharding{Catalogue: "127.0.0.1:7700"})
 	require.NotNil(t, b.shardMap)
 	assert.Same(t, b.shardMap, b.config.Scheduler.Placement)
 	assert.True(t, b.config.Contracts.Resharding)
 }
 
-func TestTheReshardingPageIsOneObject(t *testing.T) {
+func TestReshardingPageIsOneObject(t *testing.T) {
 	b := shardedBroker(t, &operator.Sharding{Catalogue: "127.0.0.1:7700"})
 	require.Contains(t, b.pages(), "/_slices")
 	text := b.pages()["/_slices"]()
--- a/cmd/ternstage/shutdown.go
+++ b/cmd/ternstage/shutdown.go
@@ -11,55 +11,58 @@
 // Times of the graceful shutdown, in milliseconds. The platform sends SIGKILL, at the earliest, killAfterDeadlineMs
 // after the longest deadline of a class, counted from SIGTERM.
 const (
-	// acceptMs is the time after SIGTERM in which new connections are accepted: clients may not know of it yet.
-	acceptMs = 650.0
-	// maxKillDelayMs: a longer deadline of a class does not put off SIGKILL further.
+	// minAcceptMs is the minimum time after SIGTERM in which new connections are accepted, as clients may not know of
+	// the shutdown yet. It does not apply if a successor accepts on the same socket.
+	minAcceptMs = 650.0
+	// maxKillDelayMs limits the longest deadline: a longer one does not delay SIGKILL further.
 	maxKillDelayMs = 3000.0
-	// killAfterDeadlineMs is how long after the longest deadline SIGKILL comes.
+	// killAfterDeadlineMs is the time between the longest deadline and SIGKILL.
 	killAfterDeadlineMs = 700.0
-	// answeredBeforeKillMs is how long before SIGKILL the last request has its answer.
+	// answeredBeforeKillMs is the time before SIGKILL at which the last request must be answered.
 	answeredBeforeKillMs = 150.0
-	// closedBeforeKillMs is how long before SIGKILL the broker no longer waits for clients to close their connections.
+	// closedBeforeKillMs is the time before SIGKILL at which the broker stops waiting for clients to close their idle
+	// connections.
 	closedBeforeKillMs = 80.0
-	// exitMs is the time after SIGTERM by which the program exits whatever is open.
+	// exitMs is the time after SIGTERM at which the program exits even if requests or connections are open.
 	exitMs = 60_000.0
-	// closeIdleAfterMs is the time after SIGTERM until which idle connections stay open where another process takes
-	// over the listener. Until then a connection that is used again ends with its answer, so that no client finds its
-	// connection closed under a request.
+	// closeIdleAfterMs is the time after SIGTERM until which idle connections stay open if a successor takes over the
+	// listener. A connection that is used again before that closes after its answer, so that no client loses a
+	// request because its connection is closed at the same time.
 	closeIdleAfterMs = 1000.0
-	// shutdownPollMs is how often the progress is checked.
+	// shutdownPollMs is the interval between checks of the progress.
 	shutdownPollMs = 10.0
 )
 
-// gracefulShutdown ends the program after SIGTERM. Clients use the connections that they have for as long as these stay
-// open, and the process that takes over may not be up yet: the broker serves for as long as what it accepts can be
-// answered before SIGKILL, then closes what is idle, answers all that is open and exits. Its methods are called on the
-// event loop. A second SIGTERM is ignored.
+// gracefulShutdown ends the program after SIGTERM. Clients use their connections for as long as these stay open, and
+// the successor may not be running yet. Therefore the broker keeps accepting requests for as long as it can answer
+// them before SIGKILL. Then it closes idle connections, answers all open requests and exits. Its methods must be
+// called on the event loop. A second SIGTERM is ignored.
 //
-// In order: health says no; the admin API says not ready and the slow-start sends are handed over; the deadline of
-// open requests is capped; after acceptMs the listener closes and idle connections end; the Flight front stops; once
-// nothing is open, or after exitMs, the loop ends, and serve closes connections, the closers in reverse, and the log.
+// The steps, in order: the health check fails; the admin API reports not ready and the attempts sent to warming
+// backends are handed over; the deadline of open requests is capped; after acceptMs, at the earliest, the listener
+// and idle connections are closed; the Flight front stops; once nothing is open, or after exitMs, the loop ends, and
+// serve closes the connections, calls the closers in reverse order and closes the log.
 type gracefulShutdown struct {
 	loop        *loop.Loop
 	core        *core.Core
 	front       *httpfront.Server
-	flightFront *flight.Front     // nil where it is switched off, and once it has stopped
-	control     *adminops.Control // nil where there is no admin API
+	flightFront *flight.Front     // nil if it is disabled or has stopped
+	control     *adminops.Control // nil without an admin API
 	pollTimer   *loop.Timer
 
-	// killDelayMs is the longest deadline of a class, as far as it puts off SIGKILL.
+	// killDelayMs is the longest deadline of a class, but at most maxKillDelayMs.
 	killDelayMs float64
-	// acceptMs is the time after SIGTERM in which connections are accepted.
+	// acceptMs is the minimum time after SIGTERM in which new connections are accepted.
 	acceptMs float64
-	// handsOver reports whether another process takes over the listener: connections are left to end by the answers that
-	// say so.
-	handsOver bool
+	// hasSuccessor reports whether another process takes over the listener. Connections then close after an answer
+	// that announces it.
+	hasSuccessor bool
 
-	beganAtMs      float64 // on the loop's clock; 0 before
+	beganAtMs      float64 // on the loop's clock; 0 before the shutdown
 	flightStopping bool
 }
 
-// newGracefulShutdown prepares the shutdown of a broker that is built. begin starts it.
+// newGracefulShutdown prepares the shutdown of a broker after build. begin starts it.
 func newGracefulShutdown(b *broker) *gracefulShutdown {
 	s := &gracefulShutdown{
 		loop:        b.loop,
@@ -68,12 +71,12 @@
 		flightFront: b.flightFront,
 		control:     b.control,
 		killDelayMs: min(b.config.Contracts.LongestDeadline(), maxKillDelayMs),
-		acceptMs:    acceptMs,
+		acceptMs:    minAcceptMs,
 	}
 	if b.inheritsListener() {
-		// The successor accepts on the same socket: connections that wait in it are left to it.
+		// The successor accepts on the same socket, so it takes the connections that wait there.
 		s.acceptMs = 0
-		s.handsOver = true
+		s.hasSuccessor = true
 	}
 	s.pollTimer = b.loop.NewTimer(s.poll)
 	return s
@@ -93,16 +96,16 @@
 	s.poll()
 }
 
-// poll takes the next step of the shutdown, if it is due, and stops the loop after the last.
+// poll runs the steps of the shutdown that are due, and stops the loop after the last one.
 func (s *gracefulShutdown) poll() {
 	elapsedMs := s.loop.Now() - s.beganAtMs
 	open, serving := s.front.ConnectionCounts()
-	if s.acceptEnded(elapsedMs, open) {
+	if s.isAcceptOver(elapsedMs, open) {
 		s.closeFronts(elapsedMs)
 		if serving == 0 && elapsedMs >= s.killDelayMs+killAfterDeadlineMs-closedBeforeKillMs {
-			open = 0 // clients that do not close idle connections are not waited for
+			open = 0 // does not wait any longer for clients to close idle connections
 		}
-		if s.done(open) || elapsedMs >= exitMs {
+		if s.isDone(open) || elapsedMs >= exitMs {
 			s.loop.Stop()
 			return
 		}
@@ -110,18 +113,19 @@
 	s.pollTimer.Set(s.loop.Now() + shutdownPollMs)
 }
 
-// acceptEnded reports whether nothing more is accepted: what came now might not be answered before SIGKILL, or no
-// client is left, or the successor accepts.
-func (s *gracefulShutdown) acceptEnded(elapsedMs float64, open int) bool {
+// isAcceptOver reports whether the broker stops accepting: a new request might not be answered before SIGKILL, or no
+// client is connected, or the successor accepts.
+func (s *gracefulShutdown) isAcceptOver(elapsedMs float64, open int) bool {
 	if elapsedMs >= max(s.killDelayMs, s.acceptMs) {
 		return true
 	}
-	return elapsedMs >= s.acceptMs && (open == 0 || s.handsOver)
+	return elapsedMs >= s.acceptMs && (open == 0 || s.hasSuccessor)
 }
 
+// closeFronts closes the listener, idle connections if they are due, and the Flight front.
 func (s *gracefulShutdown) closeFronts(elapsedMs float64) {
 	s.front.StopListening()
-	if !s.handsOver || elapsedMs >= closeIdleAfterMs {
+	if !s.hasSuccessor || elapsedMs >= closeIdleAfterMs {
 		s.front.CloseIdle()
 	}
 	if s.flightFront != nil && !s.flightStopping {
@@ -130,7 +134,7 @@
 	}
 }
 
-// done reports whether all requests are answered and all connections of clients closed.
-func (s *gracefulShutdown) done(open int) bool {
+// isDone reports whether all requests are answered and all connections of clients are closed.
+func (s *gracefulShutdown) isDone(open int) bool {
 	return s.core.OpenRequests() == 0 && s.flightFront == nil && open == 0
 }
