--- a/internal/transport/shardcatalog/source.go
+++ b/internal/transport/shardcatalog/source.go
@@ -29,7 +29,7 @@
 }
 
 // Source polls a catalogue over one connection and delivers updates to a Sink, all on the event loop. It opens a
-// connection for the first call and keeps it open for the calls that follow.
+// connection for a call if there is none, and keeps it open for the calls that follow.
 type Source struct {
 	loop    *loop.Loop
 	sink    Sink
@@ -49,7 +49,7 @@
 	deadlineMs    float64
 	callTimeoutMs float64 // timeout of the call, counted from when it is sent
 	// sequence counts calls and answers. An answer that is parsed in another goroutine is dropped if the sequence has
-	// moved on meanwhile.
+	// changed meanwhile.
 	sequence int
 }
 
