--- a/cmd/ternstage/serve_test.go
+++ b/cmd/ternstage/serve_test.go
@@ -10,13 +10,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// runServe runs the program without a sub-command and returns its exit code and what it printed.
+// runServe runs the program without a sub-command and returns its exit code and output.
 func runServe(t *testing.T, environment ...string) (exitCode int, output string) {
 	t.Helper()
 	program, err := os.Executable()
 	require.NoError(t, err)
 	command := exec.Command(program)
-	command.Env = append(append(os.Environ(), runMain+"=1", "BALANCER_NAME=", "BALANCER_LISTEN=", "BALANCER_DISCOVERY="),
+	command.Env = append(append(os.Environ(), envRunMain+"=1", "BALANCER_NAME=", "BALANCER_LISTEN=", "BALANCER_DISCOVERY="),
 		environment...)
 	text, err := command.CombinedOutput()
 	var exit *exec.ExitError
