--- a/internal/results/completeness/bounds.go
+++ b/internal/results/completeness/bounds.go
@@ -8,8 +8,8 @@
 	Low, High float64 // both included
 }
 
-// Exact reports whether the aggregate is known without error.
-func (b Bound) Exact() bool { return b.Known && b.Low == b.High }
+// IsExact reports whether the aggregate is known without error.
+func (b Bound) IsExact() bool { return b.Known && b.Low == b.High }
 
 // CountBound bounds the count of all rows, of which present ones are counted.
 func (r *Report) CountBound(present uint64) Bound {
--- a/internal/results/completeness/doc.go
+++ b/internal/results/completeness/doc.go
@@ -3,8 +3,8 @@
 //
 // New makes the Report of a query from its parts and from the summaries of their data that backends sent earlier:
 //
-//	report := completeness.New(parts, summaries, completeFrom)
-//	if !report.MeetsFloor(class.MinWeight, clause.MinWeight) {
+//	report := completeness.New(parts, summaries, completenessTarget)
+//	if !report.MeetsMinCompleteness(class.MinCompleteness, clause.MinCompleteness) {
 //		// No answer may be given.
 //	}
 //	certain := report.CertainRanks(order, positions)
--- a/internal/results/completeness/report.go
+++ b/internal/results/completeness/report.go
@@ -32,8 +32,8 @@
 }
 
 // New makes the report of a query's parts. An answer is complete if no part is missing and the weight that is present
-// is completeFrom or more.
-func New(parts []Part, summaries []*Summary, completeFrom float64) *Report {
+// is completenessTarget or more.
+func New(parts []Part, summaries []*Summary, completenessTarget float64) *Report {
 	report := &Report{summaries: map[shardmap.Range]*Summary{}}
 	for _, summary := range summaries {
 		if newest := report.summaries[summary.Buckets]; newest == nil || newest.Version < summary.Version {
@@ -51,12 +51,12 @@
 	byBuckets := func(a, b Part) int { return cmp.Compare(a.Buckets.Start, b.Buckets.Start) }
 	slices.SortFunc(report.Present, byBuckets)
 	slices.SortFunc(report.Missing, byBuckets)
-	report.Complete = len(parts) > 0 && report.Weight >= completeFrom-weightTolerance && len(report.Missing) == 0
+	report.Complete = len(parts) > 0 && report.Weight >= completenessTarget-weightTolerance && len(report.Missing) == 0
 	return report
 }
 
-// MeetsFloor reports whether an answer may be given: the weight that is present reaches the floor of the class and the
+// MeetsMinCompleteness reports whether an answer may be given: the weight that is present reaches the floor of the class and the
 // minimum that the client asks for.
-func (r *Report) MeetsFloor(floor, minWeight float64) bool {
+func (r *Report) MeetsMinCompleteness(floor, minWeight float64) bool {
 	return len(r.Present) > 0 && r.Weight >= max(floor, minWeight)-weightTolerance
 }
--- a/internal/results/completeness/report_test.go
+++ b/internal/results/completeness/report_test.go
@@ -151,10 +151,10 @@
 		for i := range 100 {
 			parts = append(parts, Part{Buckets: shardmap.Range{Start: i, End: i + 1}, Weight: 0.01, Present: i < present})
 		}
-		require.Equal(t, want, New(parts, nil, 1).MeetsFloor(0.7, 0), present)
-		require.False(t, New(parts, nil, 1).MeetsFloor(0.7, 0.72))
+		require.Equal(t, want, New(parts, nil, 1).MeetsMinCompleteness(0.7, 0), present)
+		require.False(t, New(parts, nil, 1).MeetsMinCompleteness(0.7, 0.72))
 	}
-	require.False(t, New(nil, nil, 1).MeetsFloor(0, 0), "nothing is present")
+	require.False(t, New(nil, nil, 1).MeetsMinCompleteness(0, 0), "nothing is present")
 }
 
 func BenchmarkState1000(b *testing.B) {
--- a/internal/results/cursor/cursor.go
+++ b/internal/results/cursor/cursor.go
@@ -16,7 +16,7 @@
 	QueryDigest  [32]byte        // Digest of the query
 	RanksCertain bool            // all ranks so far were certain
 	Tenant       string
-	ExpiresAt    int64 // Unix ms
+	ExpiresAtMs  int64 // Unix ms
 }
 
 // Digest identifies a query by its class and its clauses, in the form of merge.Clause.Canonical.
--- a/internal/results/cursor/fixture_test.go
+++ b/internal/results/cursor/fixture_test.go
@@ -31,6 +31,6 @@
 		Spans:       []Span{{0, 10, 3, 1}, {10, 20, 0, 0}, {20, 30, 4, 2}},
 		QueryDigest: Digest("compare", []byte("{}")),
 		Tenant:      "gangasagar-life",
-		ExpiresAt:   5000,
+		ExpiresAtMs: 5000,
 	}
 }
--- a/internal/results/cursor/seal.go
+++ b/internal/results/cursor/seal.go
@@ -8,10 +8,10 @@
 	"slices"
 )
 
-// MaxTextBytes is the length of the longest text of a cursor.
-const MaxTextBytes = 32 << 10
+// MaxSealedBytes is the length of the longest text of a cursor.
+const MaxSealedBytes = 32 << 10
 
-// Seal makes the text of a cursor. It returns ErrTooLong if that would exceed MaxTextBytes: there is no next page then.
+// Seal makes the text of a cursor. It returns ErrTooLong if that would exceed MaxSealedBytes: there is no next page then.
 func (r *KeyRing) Seal(c *Cursor) (string, error) {
 	text, err := c.encode()
 	if err != nil {
@@ -25,7 +25,7 @@
 	}
 	sealed := append(slices.Clone(header), nonce...)
 	sealed = aead.Seal(sealed, nonce, text, header)
-	if base64.RawURLEncoding.EncodedLen(len(sealed)) > MaxTextBytes {
+	if base64.RawURLEncoding.EncodedLen(len(sealed)) > MaxSealedBytes {
 		return "", ErrTooLong
 	}
 	return base64.RawURLEncoding.EncodeToString(sealed), nil
@@ -47,7 +47,7 @@
 		return nil, ErrOtherTenant
 	case subtle.ConstantTimeCompare(body.QueryDigest, queryDigest[:]) != 1:
 		return nil, ErrOtherQuery
-	case now >= body.ExpiresAt:
+	case now >= body.ExpiresAtMs:
 		return nil, ErrExpired
 	}
 	return body.cursor(), nil
@@ -55,7 +55,7 @@
 
 // unseal decrypts and authenticates the text of a cursor.
 func (r *KeyRing) unseal(text string) ([]byte, error) {
-	if len(text) > MaxTextBytes {
+	if len(text) > MaxSealedBytes {
 		return nil, ErrMalformed
 	}
 	raw, err := base64.RawURLEncoding.Strict().DecodeString(text)
--- a/internal/results/cursor/seal_test.go
+++ b/internal/results/cursor/seal_test.go
@@ -47,7 +47,7 @@
 		"other secret": {newKeyRing(t, newKey("a", 2)), text, sealed.Tenant, sealed.QueryDigest, 0, ErrNotAuthentic},
 		"empty":        {ring, "", sealed.Tenant, sealed.QueryDigest, 0, ErrMalformed},
 		"truncated":    {ring, text[:12], sealed.Tenant, sealed.QueryDigest, 0, ErrMalformed},
-		"too long":     {ring, strings.Repeat("A", MaxTextBytes+1), sealed.Tenant, sealed.QueryDigest, 0, ErrMalformed},
+		"too long":     {ring, strings.Repeat("A", MaxSealedBytes+1), sealed.Tenant, sealed.QueryDigest, 0, ErrMalformed},
 		"not base64":   {ring, "!" + text, sealed.Tenant, sealed.QueryDigest, 0, ErrMalformed},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/results/cursor/span.go
+++ b/internal/results/cursor/span.go
@@ -26,13 +26,13 @@
 // Changes are the buckets that a page reads otherwise than the page before. If there are any, the first page would
 // differ if it were read now. Spans have the version and shard epoch of now.
 type Changes struct {
-	Returned []Span // missing before, present now
-	Lost     []Span // present before, missing now
-	Updated  []Span // present at another data version
+	NowPresent []Span // missing before, present now
+	NowMissing []Span // present before, missing now
+	Updated    []Span // present at another data version
 }
 
 // Any reports whether there are changes.
-func (c *Changes) Any() bool { return len(c.Returned)+len(c.Lost)+len(c.Updated) > 0 }
+func (c *Changes) Any() bool { return len(c.NowPresent)+len(c.NowMissing)+len(c.Updated) > 0 }
 
 // Changes compares what the page before read with what this one reads. It compares buckets, whichever shards held them
 // then and hold them now.
@@ -51,9 +51,9 @@
 			}
 			switch {
 			case before.Version == 0:
-				changes.Returned = append(changes.Returned, common)
+				changes.NowPresent = append(changes.NowPresent, common)
 			case current.Version == 0:
-				changes.Lost = append(changes.Lost, common)
+				changes.NowMissing = append(changes.NowMissing, common)
 			default:
 				changes.Updated = append(changes.Updated, common)
 			}
--- a/internal/results/cursor/wire.go
+++ b/internal/results/cursor/wire.go
@@ -20,7 +20,7 @@
 	Spans        []Span        `cbor:"7,keyasint,omitempty"`
 	QueryDigest  []byte        `cbor:"8,keyasint"`
 	Tenant       []byte        `cbor:"9,keyasint"`
-	ExpiresAt    int64         `cbor:"10,keyasint"`
+	ExpiresAtMs  int64         `cbor:"10,keyasint"`
 	RanksCertain bool          `cbor:"11,keyasint,omitempty"`
 }
 
@@ -61,7 +61,7 @@
 		Spans:        joinAdjacent(c.Spans),
 		QueryDigest:  c.QueryDigest[:],
 		Tenant:       []byte(c.Tenant),
-		ExpiresAt:    c.ExpiresAt,
+		ExpiresAtMs:  c.ExpiresAtMs,
 		RanksCertain: c.RanksCertain,
 	}
 	if c.After != nil {
@@ -99,7 +99,7 @@
 		Spans:        b.Spans,
 		QueryDigest:  [32]byte(b.QueryDigest),
 		Tenant:       string(b.Tenant),
-		ExpiresAt:    b.ExpiresAt,
+		ExpiresAtMs:  b.ExpiresAtMs,
 		RanksCertain: b.RanksCertain,
 	}
 	if b.HasPosition {
--- a/internal/results/fetchplan/decide.go
+++ b/internal/results/fetchplan/decide.go
@@ -22,10 +22,10 @@
 
 // Decision is what to do next.
 type Decision struct {
-	Done      bool             // merge what is included: nothing is waited for
-	Hopeless  bool             // the floor cannot be reached: reject the query
-	Abandoned []shardmap.Range // shards that are no longer waited for
-	WakeAt    float64          // ms; unless Done, decide again at this time at the latest
+	Done         bool             // merge what is included: nothing is waited for
+	CannotAnswer bool             // the floor cannot be reached: reject the query
+	Abandoned    []shardmap.Range // shards that are no longer waited for
+	WakeAtMs     float64          // ms; unless Done, decide again at this time at the latest
 }
 
 // Decide decides whether to wait for the shards in flight.
@@ -34,26 +34,26 @@
 // flight are late, or when the time is up: as long as one is waited for, the others cost nothing.
 func (p *Plan) Decide(now float64) Decision {
 	present, possible := p.weights()
-	if possible < p.options.Floor-weightTolerance {
-		return Decision{Done: true, Hopeless: true}
+	if possible < p.options.MinCompleteness-weightTolerance {
+		return Decision{Done: true, CannotAnswer: true}
 	}
-	reached := present >= p.options.Floor-weightTolerance && present > 0
+	reached := present >= p.options.MinCompleteness-weightTolerance && present > 0
 	waiting := p.inFlight()
 	if len(waiting) == 0 {
-		return Decision{Done: true, Hopeless: !reached}
+		return Decision{Done: true, CannotAnswer: !reached}
 	}
 	lastCall := p.lastCall(reached, present)
 	switch {
 	case now >= lastCall && !reached:
-		return Decision{Done: true, Hopeless: true}
+		return Decision{Done: true, CannotAnswer: true}
 	case now >= lastCall:
 		return Decision{Done: true, Abandoned: abandon(waiting)}
 	case !reached:
-		return Decision{WakeAt: lastCall}
+		return Decision{WakeAtMs: lastCall}
 	}
-	wakeAt, wait := p.waitForLate(now, lastCall, waiting)
+	wakeAtMs, wait := p.waitForLate(now, lastCall, waiting)
 	if wait {
-		return Decision{WakeAt: wakeAt}
+		return Decision{WakeAtMs: wakeAtMs}
 	}
 	return Decision{Done: true, Abandoned: abandon(waiting)}
 }
@@ -61,9 +61,9 @@
 // lastCall is the time at which the answer must be sent. If the floor is reached and a partial answer now has at least
 // the worth of a late one, that is before the latency objective.
 func (p *Plan) lastCall(reached bool, present float64) float64 {
-	deadline := p.options.Deadline - p.options.Margin
-	if reached && p.options.PartialWorth*present >= p.options.LateWorth {
-		return min(deadline, p.options.LatencyObjective-p.options.Margin)
+	deadline := p.options.DeadlineMs - p.options.MarginMs
+	if reached && p.options.PartialFactor*present >= p.options.LateFactor {
+		return min(deadline, p.options.LatencyObjectiveMs-p.options.MarginMs)
 	}
 	return deadline
 }
@@ -71,18 +71,18 @@
 // waitForLate reports whether to wait for the shards in flight, and until when at the latest. A shard is late after a
 // multiple of the median latency. Once all are, a complete answer may still be worth waiting for, but no longer than
 // that time again.
-func (p *Plan) waitForLate(now, lastCall float64, waiting []*part) (wakeAt float64, wait bool) {
+func (p *Plan) waitForLate(now, lastCall float64, waiting []*part) (wakeAtMs float64, wait bool) {
 	lateAfter := p.lateAfter()
-	wakeAt = lastCall
+	wakeAtMs = lastCall
 	for _, part := range waiting {
 		lateAt := part.requestedAt + lateAfter
-		wakeAt = min(wakeAt, max(lateAt, now+minWakeMs))
+		wakeAtMs = min(wakeAtMs, max(lateAt, now+minWakeMs))
 		if now < lateAt {
-			return wakeAt, true
+			return wakeAtMs, true
 		}
 	}
 	giveUpAt := waiting[0].requestedAt + 2*lateAfter
-	if now < giveUpAt && p.options.PartialWorth < 1 {
+	if now < giveUpAt && p.options.PartialFactor < 1 {
 		return min(lastCall, giveUpAt), true
 	}
 	return 0, false
--- a/internal/results/fetchplan/decide_test.go
+++ b/internal/results/fetchplan/decide_test.go
@@ -18,7 +18,7 @@
 		weights = append(weights, 0.1)
 	}
 	options := newOptions(10)
-	options.Floor = 0.7
+	options.MinCompleteness = 0.7
 	plan, _ := New(0, options, shards, weights)
 	for i := range answered {
 		require.True(t, plan.RecordAnswer(20, shards[i], 1, false))
@@ -30,29 +30,29 @@
 	plan, shards := planOfTen(t, 6)
 	decision := plan.Decide(5000)
 	require.False(t, decision.Done, "six of ten do not reach 0.7")
-	require.Equal(t, 20_000-20.0, decision.WakeAt)
+	require.Equal(t, 20_000-20.0, decision.WakeAtMs)
 	require.True(t, plan.RecordAnswer(5000, shards[6], 1, false), "the seventh is late, and wanted")
 	decision = plan.Decide(5001)
-	require.True(t, decision.Done && !decision.Hopeless)
+	require.True(t, decision.Done && !decision.CannotAnswer)
 	require.Equal(t, shards[7:], decision.Abandoned)
 	require.False(t, plan.RecordAnswer(5002, shards[7], 1, false), "the answer of an abandoned shard is not wanted")
 }
 
 func TestLateShardsAreAbandonedAboveTheFloor(t *testing.T) {
 	plan, _ := planOfTen(t, 7)
-	require.Equal(t, Decision{WakeAt: 60}, plan.Decide(30), "three times the median of 20 ms")
-	require.Equal(t, Decision{WakeAt: 120}, plan.Decide(60))
+	require.Equal(t, Decision{WakeAtMs: 60}, plan.Decide(30), "three times the median of 20 ms")
+	require.Equal(t, Decision{WakeAtMs: 120}, plan.Decide(60))
 	require.True(t, plan.Decide(120).Done)
 }
 
 func TestHopelessBelowTheFloor(t *testing.T) {
 	plan, _ := planOfTen(t, 6)
-	require.Equal(t, Decision{Done: true, Hopeless: true}, plan.Decide(19_980), "at the deadline")
+	require.Equal(t, Decision{Done: true, CannotAnswer: true}, plan.Decide(19_980), "at the deadline")
 	plan, shards := planOfTen(t, 6)
 	for _, buckets := range shards[6:] {
 		plan.RecordFailure(buckets)
 	}
-	require.Equal(t, Decision{Done: true, Hopeless: true}, plan.Decide(21), "as soon as it is known")
+	require.Equal(t, Decision{Done: true, CannotAnswer: true}, plan.Decide(21), "as soon as it is known")
 }
 
 func TestDoneOnceAllHaveAnswered(t *testing.T) {
--- a/internal/results/fetchplan/doc.go
+++ b/internal/results/fetchplan/doc.go
@@ -6,9 +6,9 @@
 //	// Send the requests; tell the plan what comes:
 //	wanted := plan.RecordAnswer(now, buckets, rows, hasMore)
 //	plan.RecordFailure(buckets)
-//	// After that, and at decision.WakeAt:
+//	// After that, and at decision.WakeAtMs:
 //	decision := plan.Decide(now)
-//	// Once decision.Done, merge the batches for which plan.Included holds:
+//	// Once decision.Done, merge the batches for which plan.IsIncluded holds:
 //	requests = plan.RequestMore(now, page.NeedMore) // none: the page is final
 //
 // Each request counts rows from the position after which the page starts, and not from the request before, so that one
--- a/internal/results/fetchplan/fixture_test.go
+++ b/internal/results/fetchplan/fixture_test.go
@@ -72,12 +72,12 @@
 			}
 		}
 		for decision := plan.Decide(now); !decision.Done; decision = plan.Decide(now) {
-			require.Greater(t, decision.WakeAt, now, "a decision to wait says until when")
-			now = decision.WakeAt
+			require.Greater(t, decision.WakeAtMs, now, "a decision to wait says until when")
+			now = decision.WakeAtMs
 		}
 		var included []*merge.Batch
 		for buckets, batch := range batches {
-			if plan.Included(buckets) {
+			if plan.IsIncluded(buckets) {
 				included = append(included, batch)
 			}
 		}
@@ -92,6 +92,6 @@
 }
 
 func newOptions(limit int) Options {
-	return Options{Limit: limit, Floor: 0.7, LatencyObjective: 10_000, Deadline: 20_000, PartialWorth: 0.9,
-		LateWorth: 0.3, Margin: 20}
+	return Options{Limit: limit, MinCompleteness: 0.7, LatencyObjectiveMs: 10_000, DeadlineMs: 20_000, PartialFactor: 0.9,
+		LateFactor: 0.3, MarginMs: 20}
 }
--- a/internal/results/fetchplan/plan.go
+++ b/internal/results/fetchplan/plan.go
@@ -8,14 +8,14 @@
 
 // Options are what the plan of a page depends on. Times are ms of the caller's clock.
 type Options struct {
-	Limit             int     // rows of the page
-	Floor             float64 // least weight of an answer: the class's, or the client's if that is stricter
-	LatencyObjective  float64 // time until which an answer has its full worth
-	Deadline          float64 // time until which there must be an answer
-	PartialWorth      float64 // worth of a partial answer, for each share of weight that is present
-	LateWorth         float64 // worth of a complete answer after the latency objective
-	Margin            float64 // ms before objective and deadline at which the answer must be sent
-	MaxRowsPerRequest int     // bounds by how many rows a request exceeds the one before; 0 for no bound
+	Limit              int     // rows of the page
+	MinCompleteness    float64 // least weight of an answer: the class's, or the client's if that is stricter
+	LatencyObjectiveMs float64 // time until which an answer has its full worth
+	DeadlineMs         float64 // time until which there must be an answer
+	PartialFactor      float64 // worth of a partial answer, for each share of weight that is present
+	LateFactor         float64 // worth of a complete answer after the latency objective
+	MarginMs           float64 // ms before objective and deadline at which the answer must be sent
+	MaxRowsPerRequest  int     // bounds by how many rows a request exceeds the one before; 0 for no bound
 }
 
 // state is the state of a part.
@@ -129,8 +129,8 @@
 	return requests
 }
 
-// Included reports whether the rows of a shard are part of the answer.
-func (p *Plan) Included(buckets shardmap.Range) bool {
+// IsIncluded reports whether the rows of a shard are part of the answer.
+func (p *Plan) IsIncluded(buckets shardmap.Range) bool {
 	part := p.find(buckets)
 	return part != nil && part.state == answered
 }
--- a/internal/results/fetchplan/plan_test.go
+++ b/internal/results/fetchplan/plan_test.go
@@ -18,7 +18,7 @@
 		table := newTable(t, shards, rapid.IntRange(0, 15).Draw(t, "rows"),
 			func() int64 { return int64(rapid.IntRange(0, 20).Draw(t, "premium")) })
 		options := newOptions(limit)
-		options.Floor = 0.1
+		options.MinCompleteness = 0.1
 		options.MaxRowsPerRequest = rapid.IntRange(0, 5).Draw(t, "maxRows")
 		silent := map[shardmap.Range]bool{}
 		for _, buckets := range table.shards[1:] {
@@ -28,7 +28,7 @@
 		page := table.readPage(t, plan, requests, limit, func(buckets shardmap.Range) bool { return silent[buckets] })
 		var rows []merge.Row
 		for _, buckets := range table.shards {
-			require.Equal(t, !silent[buckets], plan.Included(buckets))
+			require.Equal(t, !silent[buckets], plan.IsIncluded(buckets))
 			if !silent[buckets] {
 				rows = append(rows, table.rows[buckets]...)
 			}
@@ -53,7 +53,7 @@
 	requests := plan.Reshard(7, shards[0], []shardmap.Range{{Start: 0, End: 4}, {Start: 4, End: 10}})
 	require.Len(t, requests, 2)
 	require.Zero(t, requests[0].Received)
-	require.False(t, plan.Included(shards[0]))
+	require.False(t, plan.IsIncluded(shards[0]))
 	require.False(t, plan.RecordAnswer(8, shards[0], 16, true), "the answer of the old shard is not wanted")
 	present, possible := plan.weights()
 	require.InDelta(t, 0.5, present, 1e-9)
--- a/internal/results/merge/batch.go
+++ b/internal/results/merge/batch.go
@@ -31,7 +31,7 @@
 			return err
 		}
 		if row.Bucket < batch.Buckets.Start || row.Bucket >= batch.Buckets.End {
-			return invalid(i, ErrForeignBucket, "%d, not of %v", row.Bucket, batch.Buckets)
+			return invalid(i, ErrUnrequestedBucket, "%d, not of %v", row.Bucket, batch.Buckets)
 		}
 		if i > 0 {
 			if err := o.validateSuccessor(i, &batch.Rows[i-1], row); err != nil {
--- a/internal/results/merge/batch_test.go
+++ b/internal/results/merge/batch_test.go
@@ -37,7 +37,7 @@
 		"wrong direction":   {func(b *Batch) { b.Rows[0].Values[1] = FloatOf(1) }, ErrOutOfOrder},
 		"duplicate row":     {func(b *Batch) { b.Rows[2] = b.Rows[1] }, ErrDuplicate},
 		"too many rows":     {func(b *Batch) { b.Rows = append(b.Rows, testRow(3, "d", 9, 1)) }, ErrTooMany},
-		"foreign bucket":    {func(b *Batch) { b.Rows[2].Bucket = 9 }, ErrForeignBucket},
+		"foreign bucket":    {func(b *Batch) { b.Rows[2].Bucket = 9 }, ErrUnrequestedBucket},
 	} {
 		t.Run(name, func(t *testing.T) {
 			batch := validBatch()
--- a/internal/results/merge/clause.go
+++ b/internal/results/merge/clause.go
@@ -14,12 +14,12 @@
 
 // Clause is what a client asks of a merge: the object "merge" of a query.
 type Clause struct {
-	Rank      []RankColumn      `json:"rank,omitempty"`
-	Page      *PageClause       `json:"page,omitempty"`
-	Aggregate []AggregateClause `json:"aggregate,omitempty"`
-	Group     []string          `json:"group,omitempty"` // columns
-	Filter    []Condition       `json:"filter,omitempty"`
-	MinWeight float64           `json:"least,omitempty"` // share of the query's weight, if stricter than the class's
+	Rank            []RankColumn      `json:"rank,omitempty"`
+	Page            *PageClause       `json:"page,omitempty"`
+	Aggregate       []AggregateClause `json:"aggregate,omitempty"`
+	Group           []string          `json:"group,omitempty"` // columns
+	Filter          []Condition       `json:"filter,omitempty"`
+	MinCompleteness float64           `json:"least,omitempty"` // share of the query's weight, if stricter than the class's
 }
 
 // RankColumn is one column of the rank.
--- a/internal/results/merge/clause_validation.go
+++ b/internal/results/merge/clause_validation.go
@@ -92,8 +92,8 @@
 		return invalidField("page.size", "%d, not 0 to %d", c.Page.Size, MaxPageSize)
 	case len(c.Group) > 0 && len(c.Aggregate) == 0:
 		return invalidField("group", "no aggregate")
-	case !(c.MinWeight >= 0 && c.MinWeight <= 1): // nor a NaN
-		return invalidField("least", "%v, not 0 to 1", c.MinWeight)
+	case !(c.MinCompleteness >= 0 && c.MinCompleteness <= 1): // nor a NaN
+		return invalidField("least", "%v, not 0 to 1", c.MinCompleteness)
 	}
 	return nil
 }
--- a/internal/results/merge/errors.go
+++ b/internal/results/merge/errors.go
@@ -7,17 +7,17 @@
 
 // Why rows, aggregates or sketches of a shard cannot be combined. A *ValidationError wraps one of them.
 var (
-	ErrSchemaMismatch   = errors.New("schema mismatch")
-	ErrCurrencyMismatch = errors.New("currency mismatch")
-	ErrNullRank         = errors.New("null in a rank column")
-	ErrInvalidNumber    = errors.New("not a valid number")
-	ErrOutOfOrder       = errors.New("rows out of order")
-	ErrTooMany          = errors.New("more than requested")
-	ErrDuplicate        = errors.New("duplicate")
-	ErrBeforePosition   = errors.New("row not after the requested position")
-	ErrForeignBucket    = errors.New("row of a bucket that was not requested")
-	ErrOverflow         = errors.New("sum overflows")
-	ErrInvalidSketch    = errors.New("invalid sketch")
+	ErrSchemaMismatch    = errors.New("schema mismatch")
+	ErrCurrencyMismatch  = errors.New("currency mismatch")
+	ErrNullRank          = errors.New("null in a rank column")
+	ErrInvalidNumber     = errors.New("not a valid number")
+	ErrOutOfOrder        = errors.New("rows out of order")
+	ErrTooMany           = errors.New("more than requested")
+	ErrDuplicate         = errors.New("duplicate")
+	ErrBeforePosition    = errors.New("row not after the requested position")
+	ErrUnrequestedBucket = errors.New("row of a bucket that was not requested")
+	ErrOverflow          = errors.New("sum overflows")
+	ErrInvalidSketch     = errors.New("invalid sketch")
 )
 
 // NoRow is the Row of a ValidationError that concerns no single row.
--- a/internal/results/merge/partial_test.go
+++ b/internal/results/merge/partial_test.go
@@ -73,7 +73,7 @@
 		want, _ := exact.Float64()
 		require.Equal(t, want, sum.Float)
 
-		quantiles, distinct, err := combined.Sketches()
+		quantiles, distinct, err := combined.EncodeSketches()
 		require.NoError(t, err)
 		restored, err := RestorePartialAggregate(column, combined.Count, sum, combined.Min, combined.Max, quantiles, distinct)
 		require.NoError(t, err)
--- a/internal/results/merge/sketch.go
+++ b/internal/results/merge/sketch.go
@@ -19,8 +19,8 @@
 	maxSketchBytes = 64 << 10
 )
 
-// Sketches encodes the two sketches as backends send them.
-func (p *PartialAggregate) Sketches() (quantiles, distinct []byte, err error) {
+// EncodeSketches encodes the two sketches as backends send them.
+func (p *PartialAggregate) EncodeSketches() (quantiles, distinct []byte, err error) {
 	p.quantiles.Encode(&quantiles, false)
 	distinct, err = p.distinct.MarshalBinary()
 	return quantiles, distinct, err
--- a/internal/results/merge/sketch_test.go
+++ b/internal/results/merge/sketch_test.go
@@ -12,7 +12,7 @@
 	for i := range 50 {
 		_ = sent.Add(FloatOf(float64(i)))
 	}
-	quantiles, distinct, _ := sent.Sketches()
+	quantiles, distinct, _ := sent.EncodeSketches()
 	f.Add(uint64(50), 1225.0, 0.0, 49.0, quantiles, distinct)
 	f.Add(uint64(1), math.NaN(), 2.0, 1.0, []byte{1, 2, 3}, []byte{2, 14, 0, 1, 0, 0, 0, 9})
 	f.Fuzz(func(t *testing.T, count uint64, sum, least, greatest float64, quantiles, distinct []byte) {
--- a/internal/results/pageread/combine.go
+++ b/internal/results/pageread/combine.go
@@ -55,7 +55,7 @@
 	included := slices.Clone(r.shards)
 	sortByBuckets(included)
 	return slices.DeleteFunc(included, func(s *shard) bool {
-		return s.batch == nil || !r.plan.Included(s.Buckets)
+		return s.batch == nil || !r.plan.IsIncluded(s.Buckets)
 	})
 }
 
--- a/internal/results/pageread/combine_test.go
+++ b/internal/results/pageread/combine_test.go
@@ -44,7 +44,7 @@
 func TestFloorCountsOnlyWhatCanBeMerged(t *testing.T) {
 	for floor, hopeless := range map[float64]bool{0.6: false, 0.7: true} {
 		query := newTable(t).query(3)
-		query.Plan.Floor = floor
+		query.Plan.MinCompleteness = floor
 		var parts []Part
 		for i := range 5 {
 			parts = append(parts, Part{Buckets: shardmap.Range{Start: i, End: i + 1}, Weight: 0.2})
@@ -59,7 +59,7 @@
 			require.NoError(t, reader.RecordAnswer(1, answer, request.Rows))
 		}
 		step := reader.Step(2)
-		require.Equal(t, hopeless, step.Hopeless)
+		require.Equal(t, hopeless, step.CannotAnswer)
 		if !hopeless {
 			require.Len(t, step.Result.Report.Missing, 2)
 			require.Contains(t, step.Result.Report.Missing[0].Detail, merge.ErrCurrencyMismatch.Error())
--- a/internal/results/pageread/doc.go
+++ b/internal/results/pageread/doc.go
@@ -6,10 +6,10 @@
 //	for {
 //		// Send the requests; tell the reader what comes, with RecordAnswer, RecordFailure and Reshard.
 //		step := reader.Step(now)
-//		if step.Result != nil || step.Hopeless {
+//		if step.Result != nil || step.CannotAnswer {
 //			break
 //		}
-//		requests = step.Requests // if there are none, step again on the next answer, or at step.WakeAt
+//		requests = step.Requests // if there are none, step again on the next answer, or at step.WakeAtMs
 //	}
 //
 // Which replica is asked, whether an attempt is retried and whether a query is rejected is for the caller to decide.
--- a/internal/results/pageread/fixture_test.go
+++ b/internal/results/pageread/fixture_test.go
@@ -72,9 +72,9 @@
 func (w *testTable) query(size int) Query {
 	return Query{
 		Clause: &merge.Clause{Rank: []merge.RankColumn{{Column: "premium"}}, Page: &merge.PageClause{Size: size}},
-		Epoch:  41, CompleteFrom: 1, Summaries: w.summaries,
-		Plan: fetchplan.Options{Floor: 0.1, LatencyObjective: 1000, Deadline: 2000, PartialWorth: 0.9, LateWorth: 0.3,
-			Margin: 20},
+		Epoch:  41, CompletenessTarget: 1, Summaries: w.summaries,
+		Plan: fetchplan.Options{MinCompleteness: 0.1, LatencyObjectiveMs: 1000, DeadlineMs: 2000, PartialFactor: 0.9, LateFactor: 0.3,
+			MarginMs: 20},
 	}
 }
 
@@ -116,14 +116,14 @@
 			}
 		}
 		step := reader.Step(now)
-		require.False(w.t, step.Hopeless)
+		require.False(w.t, step.CannotAnswer)
 		if step.Result != nil {
 			return step.Result
 		}
 		requests = step.Requests
 		if len(requests) == 0 {
-			require.Greater(w.t, step.WakeAt, now)
-			now = step.WakeAt
+			require.Greater(w.t, step.WakeAtMs, now)
+			now = step.WakeAtMs
 		}
 	}
 	require.Fail(w.t, "the page does not end")
--- a/internal/results/pageread/query.go
+++ b/internal/results/pageread/query.go
@@ -16,11 +16,11 @@
 
 // Query is what is read.
 type Query struct {
-	Clause       *merge.Clause
-	Epoch        uint64            // of the shard map by which this page begins
-	CompleteFrom float64           // weight of a complete answer
-	Plan         fetchplan.Options // but for Limit, which is the clause's
-	Summaries    []*completeness.Summary
+	Clause             *merge.Clause
+	Epoch              uint64            // of the shard map by which this page begins
+	CompletenessTarget float64           // weight of a complete answer
+	Plan               fetchplan.Options // but for Limit, which is the clause's
+	Summaries          []*completeness.Summary
 }
 
 // Part is the part of the query that one shard answers.
--- a/internal/results/pageread/result.go
+++ b/internal/results/pageread/result.go
@@ -26,7 +26,7 @@
 // if these were and nothing has changed since: a shard that has returned may hold rows that belong before them.
 func (r *Reader) result(order *merge.Order, page merge.Page) *Result {
 	parts, spans := r.describeShards()
-	report := completeness.New(parts, r.summaries, r.query.CompleteFrom)
+	report := completeness.New(parts, r.summaries, r.query.CompletenessTarget)
 	positions := make([]merge.Position, len(page.Rows))
 	for i, row := range page.Rows {
 		positions[i] = order.PositionOf(row)
--- a/internal/results/pageread/result_test.go
+++ b/internal/results/pageread/result_test.go
@@ -28,7 +28,7 @@
 	table.silent[cheapestShard] = false
 	second := table.readPage(6, first.Next)
 	require.Equal(t, 7, second.FirstRank)
-	require.Equal(t, []cursor.Span{{Start: 4, End: 6, Version: 1}}, second.Changes.Returned)
+	require.Equal(t, []cursor.Span{{Start: 4, End: 6, Version: 1}}, second.Changes.NowPresent)
 	require.False(t, second.Complete)
 	require.NotContains(t, second.Certain, true)
 	keys := append(keysOf(first.Rows), keysOf(second.Rows)...)
@@ -62,7 +62,7 @@
 	require.NotContains(t, first.Certain, false)
 	table.silent[cheapestShard] = true
 	second := table.readPage(6, first.Next)
-	require.Equal(t, []cursor.Span{{Start: 4, End: 6}}, second.Changes.Lost)
+	require.Equal(t, []cursor.Span{{Start: 4, End: 6}}, second.Changes.NowMissing)
 	require.False(t, second.Complete)
 	require.NotContains(t, second.Certain, true)
 	require.True(t, table.compare(first.Rows[5], second.Rows[0]) < 0, "pages stay in order")
--- a/internal/results/pageread/step.go
+++ b/internal/results/pageread/step.go
@@ -10,11 +10,11 @@
 
 // Step is what to do next.
 type Step struct {
-	Requests  []Request
-	Abandoned []shardmap.Range // shards that are no longer waited for
-	Result    *Result          // the page, once it is final
-	Hopeless  bool             // there can be no answer
-	WakeAt    float64          // ms; without requests, result or Hopeless: step again at this time at the latest
+	Requests     []Request
+	Abandoned    []shardmap.Range // shards that are no longer waited for
+	Result       *Result          // the page, once it is final
+	CannotAnswer bool             // there can be no answer
+	WakeAtMs     float64          // ms; without requests, result or CannotAnswer: step again at this time at the latest
 }
 
 // Step decides what follows from what has been recorded.
@@ -26,15 +26,15 @@
 			shard.reason = completeness.TimedOut
 		}
 	}
-	hopeless := Step{Hopeless: true, Abandoned: decision.Abandoned}
-	if decision.Hopeless {
+	hopeless := Step{CannotAnswer: true, Abandoned: decision.Abandoned}
+	if decision.CannotAnswer {
 		return hopeless
 	}
 	if !decision.Done {
-		return Step{WakeAt: decision.WakeAt}
+		return Step{WakeAtMs: decision.WakeAtMs}
 	}
 	inputs, ok := r.combinable()
-	if !ok || r.presentWeight() < r.query.Plan.Floor-weightTolerance {
+	if !ok || r.presentWeight() < r.query.Plan.MinCompleteness-weightTolerance {
 		return hopeless
 	}
 	page := inputs.order.Merge(inputs.batches, r.query.Plan.Limit)
--- a/internal/results/rows/groups.go
+++ b/internal/results/rows/groups.go
@@ -167,7 +167,7 @@
 	}
 	wire.Min = encodeValue(partial.Min)
 	wire.Max = encodeValue(partial.Max)
-	quantiles, distinct, err := partial.Sketches()
+	quantiles, distinct, err := partial.EncodeSketches()
 	if err != nil {
 		return wirePartial{}, err
 	}
