--- a/internal/results/completeness/bounds.go
+++ b/internal/results/completeness/bounds.go
@@ -53,21 +53,21 @@
 // MinBound is the minimum over all rows, given that over the present ones if there are any; else present counts for
 // nothing.
 func (r *Report) MinBound(present float64, anyPresent bool) Bound {
-	return r.extremeBound(present, anyPresent,
+	return r.boundExtreme(present, anyPresent,
 		func(summary *Summary) float64 { return summary.Min },
 		func(a, b float64) bool { return a < b })
 }
 
 // MaxBound is the maximum over all rows, like MinBound.
 func (r *Report) MaxBound(present float64, anyPresent bool) Bound {
-	return r.extremeBound(present, anyPresent,
+	return r.boundExtreme(present, anyPresent,
 		func(summary *Summary) float64 { return summary.Max },
 		func(a, b float64) bool { return a > b })
 }
 
-// extremeBound is the most extreme of a value and those of the summaries of missing parts, where moreExtreme compares
+// boundExtreme is the most extreme of a value and those of the summaries of missing parts, where moreExtreme compares
 // two values.
-func (r *Report) extremeBound(extreme float64, known bool, valueOf func(*Summary) float64,
+func (r *Report) boundExtreme(extreme float64, known bool, valueOf func(*Summary) float64,
 	moreExtreme func(a, b float64) bool) Bound {
 	for _, part := range r.Missing {
 		summary := r.summaryOf(part)
--- a/internal/results/completeness/certain.go
+++ b/internal/results/completeness/certain.go
@@ -6,7 +6,7 @@
 // part can hold a row before it. After a rank that is not certain no rank is.
 func (r *Report) CertainRanks(order *merge.Order, positions []merge.Position) []bool {
 	certain := make([]bool, len(positions))
-	first, known := r.firstMissing(order)
+	first, known := r.firstMissingPosition(order)
 	if !known {
 		return certain
 	}
@@ -19,9 +19,9 @@
 	return certain
 }
 
-// firstMissing is the first position that a row of a missing part can have, nil if the missing parts have no rows. It
+// firstMissingPosition is the first position that a row of a missing part can have, nil if the missing parts have no rows. It
 // is unknown if a missing part has no summary.
-func (r *Report) firstMissing(order *merge.Order) (first *merge.Position, known bool) {
+func (r *Report) firstMissingPosition(order *merge.Order) (first *merge.Position, known bool) {
 	for _, part := range r.Missing {
 		summary := r.summaryOf(part)
 		if summary == nil {
--- a/internal/results/completeness/report.go
+++ b/internal/results/completeness/report.go
@@ -57,6 +57,6 @@
 
 // MeetsMinCompleteness reports whether an answer may be given: the weight that is present reaches the floor of the class and the
 // minimum that the client asks for.
-func (r *Report) MeetsMinCompleteness(floor, minWeight float64) bool {
-	return len(r.Present) > 0 && r.Weight >= max(floor, minWeight)-weightTolerance
+func (r *Report) MeetsMinCompleteness(ofClass, ofClient float64) bool {
+	return len(r.Present) > 0 && r.Weight >= max(ofClass, ofClient)-weightTolerance
 }
--- a/internal/results/completeness/report_test.go
+++ b/internal/results/completeness/report_test.go
@@ -28,9 +28,9 @@
 		summary.Sum += float64(premium)
 	}
 	if len(s.premiums) > 0 {
-		least := slices.Min(s.premiums)
-		summary.FirstRank = []merge.Value{merge.IntOf(least)}
-		summary.Min = float64(least)
+		minimum := slices.Min(s.premiums)
+		summary.FirstRank = []merge.Value{merge.IntOf(minimum)}
+		summary.Min = float64(minimum)
 		summary.Max = float64(slices.Max(s.premiums))
 	}
 	return summary
@@ -64,27 +64,27 @@
 	return shard
 }
 
-// testFigures are the rows of some shards and the aggregates over them.
-type testFigures struct {
+// testTotals are the rows of some shards and the aggregates over them.
+type testTotals struct {
 	positions []merge.Position // in order
 	sum       float64
 	count     int
-	least     float64
+	minimum   float64
 }
 
-func figuresOf(order *merge.Order, shards []testShard) testFigures {
-	figures := testFigures{least: math.Inf(1)}
+func totalsOf(order *merge.Order, shards []testShard) testTotals {
+	totals := testTotals{minimum: math.Inf(1)}
 	for _, shard := range shards {
 		for i, premium := range shard.premiums {
-			figures.positions = append(figures.positions, merge.Position{Rank: []merge.Value{merge.IntOf(premium)},
+			totals.positions = append(totals.positions, merge.Position{Rank: []merge.Value{merge.IntOf(premium)},
 				Bucket: shard.part.Buckets.Start, Key: fmt.Sprint(i)})
-			figures.sum += float64(premium)
-			figures.count++
-			figures.least = min(figures.least, float64(premium))
+			totals.sum += float64(premium)
+			totals.count++
+			totals.minimum = min(totals.minimum, float64(premium))
 		}
 	}
-	slices.SortFunc(figures.positions, order.Compare)
-	return figures
+	slices.SortFunc(totals.positions, order.Compare)
+	return totals
 }
 
 // Whichever shards are missing and whatever is known of them, a certain rank is the true one and each bound holds the
@@ -110,8 +110,8 @@
 				presentShards = append(presentShards, shard)
 			}
 		}
-		all := figuresOf(order, shards)
-		present := figuresOf(order, presentShards)
+		all := totalsOf(order, shards)
+		present := totalsOf(order, presentShards)
 		report := New(parts, summaries, 1)
 		require.Equal(t, len(report.Missing) == 0, report.Complete)
 		for i, isCertain := range report.CertainRanks(order, present.positions) {
@@ -122,18 +122,18 @@
 				t.Fatalf("rank %d of a complete answer is not certain", i+1)
 			}
 		}
-		requireWithin := func(bound Bound, figure float64) {
+		requireWithin := func(bound Bound, want float64) {
 			t.Helper()
 			if bound.Known {
 				bounded++
-				require.LessOrEqual(t, bound.Low, figure)
-				require.GreaterOrEqual(t, bound.High, figure)
+				require.LessOrEqual(t, bound.Low, want)
+				require.GreaterOrEqual(t, bound.High, want)
 			}
 		}
 		requireWithin(report.CountBound(uint64(present.count)), float64(all.count))
 		requireWithin(report.SumBound(present.sum), all.sum)
-		if bound := report.MinBound(present.least, present.count > 0); bound.Known {
-			require.Equal(t, all.least, bound.Low)
+		if bound := report.MinBound(present.minimum, present.count > 0); bound.Known {
+			require.Equal(t, all.minimum, bound.Low)
 		}
 		if all.count > 0 {
 			requireWithin(report.MeanBound(present.sum, uint64(present.count)), all.sum/float64(all.count))
@@ -157,7 +157,7 @@
 	require.False(t, New(nil, nil, 1).MeetsMinCompleteness(0, 0), "nothing is present")
 }
 
-func BenchmarkState1000(b *testing.B) {
+func BenchmarkCertainRanks1000(b *testing.B) {
 	order := newOrder(b)
 	var parts []Part
 	var summaries []*Summary
--- a/internal/results/fetchplan/decide.go
+++ b/internal/results/fetchplan/decide.go
@@ -10,14 +10,14 @@
 	// weightTolerance is by how much sums of weights may fall short, as the platform's rules allow.
 	weightTolerance = 1e-4
 
-	// lateFactor times the median latency of the answers so far is when a shard is late.
-	lateFactor = 3.0
+	// lateLatencyMultiple times the median latency of the answers so far is when a shard is late.
+	lateLatencyMultiple = 3.0
 
-	// minLateMs is the least latency at which a shard is late, in ms.
-	minLateMs = 5.0
+	// minLateThresholdMs is the least latency at which a shard is late, in ms.
+	minLateThresholdMs = 5.0
 
-	// minWakeMs is the least time until the plan wants to decide again, in ms, while a shard is in flight.
-	minWakeMs = 1.0
+	// minWakeDelayMs is the least time until the plan wants to decide again, in ms, while a shard is in flight.
+	minWakeDelayMs = 1.0
 )
 
 // Decision is what to do next.
@@ -32,64 +32,64 @@
 //
 // Below the floor every shard is waited for until the deadline. From the floor on, waiting ends when all shards in
 // flight are late, or when the time is up: as long as one is waited for, the others cost nothing.
-func (p *Plan) Decide(now float64) Decision {
-	present, possible := p.weights()
+func (p *Plan) Decide(nowMs float64) Decision {
+	present, possible := p.sumWeights()
 	if possible < p.options.MinCompleteness-weightTolerance {
 		return Decision{Done: true, CannotAnswer: true}
 	}
-	reached := present >= p.options.MinCompleteness-weightTolerance && present > 0
-	waiting := p.inFlight()
-	if len(waiting) == 0 {
-		return Decision{Done: true, CannotAnswer: !reached}
+	meetsMinimum := present >= p.options.MinCompleteness-weightTolerance && present > 0
+	pending := p.partsInFlight()
+	if len(pending) == 0 {
+		return Decision{Done: true, CannotAnswer: !meetsMinimum}
 	}
-	lastCall := p.lastCall(reached, present)
+	sendByMs := p.sendBy(meetsMinimum, present)
 	switch {
-	case now >= lastCall && !reached:
+	case nowMs >= sendByMs && !meetsMinimum:
 		return Decision{Done: true, CannotAnswer: true}
-	case now >= lastCall:
-		return Decision{Done: true, Abandoned: abandon(waiting)}
-	case !reached:
-		return Decision{WakeAtMs: lastCall}
+	case nowMs >= sendByMs:
+		return Decision{Done: true, Abandoned: abandonParts(pending)}
+	case !meetsMinimum:
+		return Decision{WakeAtMs: sendByMs}
 	}
-	wakeAtMs, wait := p.waitForLate(now, lastCall, waiting)
+	wakeAtMs, wait := p.shouldWait(nowMs, sendByMs, pending)
 	if wait {
 		return Decision{WakeAtMs: wakeAtMs}
 	}
-	return Decision{Done: true, Abandoned: abandon(waiting)}
+	return Decision{Done: true, Abandoned: abandonParts(pending)}
 }
 
-// lastCall is the time at which the answer must be sent. If the floor is reached and a partial answer now has at least
+// sendBy is the time at which the answer must be sent. If the floor is reached and a partial answer now has at least
 // the worth of a late one, that is before the latency objective.
-func (p *Plan) lastCall(reached bool, present float64) float64 {
+func (p *Plan) sendBy(meetsMinimum bool, present float64) float64 {
 	deadline := p.options.DeadlineMs - p.options.MarginMs
-	if reached && p.options.PartialFactor*present >= p.options.LateFactor {
+	if meetsMinimum && p.options.PartialFactor*present >= p.options.LateFactor {
 		return min(deadline, p.options.LatencyObjectiveMs-p.options.MarginMs)
 	}
 	return deadline
 }
 
-// waitForLate reports whether to wait for the shards in flight, and until when at the latest. A shard is late after a
+// shouldWait reports whether to wait for the shards in flight, and until when at the latest. A shard is late after a
 // multiple of the median latency. Once all are, a complete answer may still be worth waiting for, but no longer than
 // that time again.
-func (p *Plan) waitForLate(now, lastCall float64, waiting []*part) (wakeAtMs float64, wait bool) {
-	lateAfter := p.lateAfter()
-	wakeAtMs = lastCall
-	for _, part := range waiting {
-		lateAt := part.requestedAt + lateAfter
-		wakeAtMs = min(wakeAtMs, max(lateAt, now+minWakeMs))
-		if now < lateAt {
+func (p *Plan) shouldWait(nowMs, sendByMs float64, pending []*part) (wakeAtMs float64, wait bool) {
+	lateThresholdMs := p.lateThreshold()
+	wakeAtMs = sendByMs
+	for _, part := range pending {
+		lateAtMs := part.requestedAtMs + lateThresholdMs
+		wakeAtMs = min(wakeAtMs, max(lateAtMs, nowMs+minWakeDelayMs))
+		if nowMs < lateAtMs {
 			return wakeAtMs, true
 		}
 	}
-	giveUpAt := waiting[0].requestedAt + 2*lateAfter
-	if now < giveUpAt && p.options.PartialFactor < 1 {
-		return min(lastCall, giveUpAt), true
+	abandonAtMs := pending[0].requestedAtMs + 2*lateThresholdMs
+	if nowMs < abandonAtMs && p.options.PartialFactor < 1 {
+		return min(sendByMs, abandonAtMs), true
 	}
 	return 0, false
 }
 
-// weights are the weight that is present, and that which is present or may still come.
-func (p *Plan) weights() (present, possible float64) {
+// sumWeights are the weight that is present, and that which is present or may still come.
+func (p *Plan) sumWeights() (present, possible float64) {
 	for _, part := range p.parts {
 		switch part.state {
 		case answered:
@@ -102,28 +102,28 @@
 	return present, possible
 }
 
-// inFlight are the parts that are waited for, in the order of the plan.
-func (p *Plan) inFlight() []*part {
-	var waiting []*part
+// partsInFlight are the parts that are waited for, in the order of the plan.
+func (p *Plan) partsInFlight() []*part {
+	var pending []*part
 	for _, part := range p.parts {
 		if part.state == inFlight {
-			waiting = append(waiting, part)
+			pending = append(pending, part)
 		}
 	}
-	return waiting
+	return pending
 }
 
-// lateAfter is after how many ms a shard is late; infinite as long as none has answered.
-func (p *Plan) lateAfter() float64 {
-	if len(p.latencies) == 0 {
+// lateThreshold is after how many ms a shard is late; infinite as long as none has answered.
+func (p *Plan) lateThreshold() float64 {
+	if len(p.latenciesMs) == 0 {
 		return math.Inf(1)
 	}
-	median := p.latencies[len(p.latencies)/2]
-	return max(lateFactor*median, minLateMs)
+	medianMs := p.latenciesMs[len(p.latenciesMs)/2]
+	return max(lateLatencyMultiple*medianMs, minLateThresholdMs)
 }
 
-// abandon abandons parts and returns their buckets.
-func abandon(parts []*part) []shardmap.Range {
+// abandonParts abandons parts and returns their buckets.
+func abandonParts(parts []*part) []shardmap.Range {
 	var buckets []shardmap.Range
 	for _, part := range parts {
 		part.state = abandoned
--- a/internal/results/fetchplan/fixture_test.go
+++ b/internal/results/fetchplan/fixture_test.go
@@ -45,35 +45,35 @@
 	return merge.Row{Bucket: bucket, Key: fmt.Sprintf("%06d", number), Values: []merge.Value{merge.IntOf(premium)}}
 }
 
-func (w *testTable) sort(rows []merge.Row) {
+func (table *testTable) sort(rows []merge.Row) {
 	slices.SortFunc(rows, func(a, b merge.Row) int {
-		return w.order.Compare(w.order.PositionOf(a), w.order.PositionOf(b))
+		return table.order.Compare(table.order.PositionOf(a), table.order.PositionOf(b))
 	})
 }
 
 // readPage carries a plan out to its end. Requests are answered 1 ms after each other, but for those to silent shards,
 // which never are.
-func (w *testTable) readPage(t require.TestingT, plan *Plan, requests []Request, limit int,
-	silent func(shardmap.Range) bool) merge.Page {
+func (table *testTable) readPage(t require.TestingT, plan *Plan, requests []Request, limit int,
+	unresponsive func(shardmap.Range) bool) merge.Page {
 	batches := map[shardmap.Range]*merge.Batch{}
-	now := 0.0
+	nowMs := 0.0
 	for round := 0; round < 200; round++ {
 		for _, request := range requests {
-			now++
-			if silent(request.Buckets) {
+			nowMs++
+			if unresponsive(request.Buckets) {
 				continue
 			}
-			rows := w.rows[request.Buckets]
+			rows := table.rows[request.Buckets]
 			count := min(request.Rows, len(rows))
 			hasMore := count < len(rows)
-			if plan.RecordAnswer(now, request.Buckets, count, hasMore) {
+			if plan.RecordAnswer(nowMs, request.Buckets, count, hasMore) {
 				batches[request.Buckets] = &merge.Batch{Buckets: request.Buckets, Schema: testSchema, Rows: rows[:count],
 					HasMore: hasMore}
 			}
 		}
-		for decision := plan.Decide(now); !decision.Done; decision = plan.Decide(now) {
-			require.Greater(t, decision.WakeAtMs, now, "a decision to wait says until when")
-			now = decision.WakeAtMs
+		for decision := plan.Decide(nowMs); !decision.Done; decision = plan.Decide(nowMs) {
+			require.Greater(t, decision.WakeAtMs, nowMs, "a decision to wait says until when")
+			nowMs = decision.WakeAtMs
 		}
 		var included []*merge.Batch
 		for buckets, batch := range batches {
@@ -81,8 +81,8 @@
 				included = append(included, batch)
 			}
 		}
-		page := w.order.Merge(included, limit)
-		requests = plan.RequestMore(now, page.NeedMore)
+		page := table.order.Merge(included, limit)
+		requests = plan.RequestMore(nowMs, page.NeedMore)
 		if len(page.NeedMore) == 0 {
 			return page
 		}
--- a/internal/results/fetchplan/plan.go
+++ b/internal/results/fetchplan/plan.go
@@ -30,13 +30,13 @@
 
 // part is the share of the page that one shard answers.
 type part struct {
-	buckets     shardmap.Range
-	weight      float64
-	state       state
-	requested   int     // rows, from the position after which the page starts
-	received    int     // rows of the last answer
-	hasMore     bool    // the shard has rows after those received
-	requestedAt float64 // ms; of the last request
+	buckets       shardmap.Range
+	weight        float64
+	state         state
+	requested     int     // rows, from the position after which the page starts
+	received      int     // rows of the last answer
+	hasMore       bool    // the shard has rows after those received
+	requestedAtMs float64 // ms; of the last request
 }
 
 // Request is what to request of a shard.
@@ -50,31 +50,31 @@
 type Plan struct {
 	options      Options
 	parts        []*part
-	latencies    []float64 // ms; of all answers, ascending
+	latenciesMs  []float64 // ms; of all answers, ascending
 	rowsReceived int
 	extraRounds  int
 }
 
 // New plans a page over shards of given weights. It returns the first requests.
-func New(now float64, options Options, shards []shardmap.Range, weights []float64) (*Plan, []Request) {
+func New(nowMs float64, options Options, shards []shardmap.Range, weights []float64) (*Plan, []Request) {
 	plan := &Plan{options: options}
-	rows := plan.firstRows(len(shards))
+	rows := plan.firstRequestRows(len(shards))
 	requests := make([]Request, 0, len(shards))
 	for i, buckets := range shards {
-		plan.parts = append(plan.parts, &part{buckets: buckets, weight: weights[i], requested: rows, requestedAt: now})
+		plan.parts = append(plan.parts, &part{buckets: buckets, weight: weights[i], requested: rows, requestedAtMs: nowMs})
 		requests = append(requests, Request{Buckets: buckets, Rows: rows})
 	}
 	return plan, requests
 }
 
-// index is the index of the part with exactly these buckets, or -1.
-func (p *Plan) index(buckets shardmap.Range) int {
+// partIndex is the index of the part with exactly these buckets, or -1.
+func (p *Plan) partIndex(buckets shardmap.Range) int {
 	return slices.IndexFunc(p.parts, func(part *part) bool { return part.buckets == buckets })
 }
 
-// find is the part with exactly these buckets, or nil.
-func (p *Plan) find(buckets shardmap.Range) *part {
-	i := p.index(buckets)
+// findPart is the part with exactly these buckets, or nil.
+func (p *Plan) findPart(buckets shardmap.Range) *part {
+	i := p.partIndex(buckets)
 	if i < 0 {
 		return nil
 	}
@@ -83,8 +83,8 @@
 
 // RecordAnswer records that a shard answered with rows, counted from the position after which the page starts. It
 // reports whether the answer is wanted; one of a shard that is not waited for must not be merged.
-func (p *Plan) RecordAnswer(now float64, buckets shardmap.Range, rows int, hasMore bool) bool {
-	part := p.find(buckets)
+func (p *Plan) RecordAnswer(nowMs float64, buckets shardmap.Range, rows int, hasMore bool) bool {
+	part := p.findPart(buckets)
 	if part == nil || part.state != inFlight {
 		return false
 	}
@@ -92,16 +92,16 @@
 	part.state = answered
 	part.received = rows
 	part.hasMore = hasMore
-	latency := now - part.requestedAt
-	i, _ := slices.BinarySearch(p.latencies, latency)
-	p.latencies = slices.Insert(p.latencies, i, latency)
+	latencyMs := nowMs - part.requestedAtMs
+	i, _ := slices.BinarySearch(p.latenciesMs, latencyMs)
+	p.latenciesMs = slices.Insert(p.latenciesMs, i, latencyMs)
 	return true
 }
 
 // RecordFailure records that a shard cannot be read. Rows that it gave before do not count either: without those that
 // follow them the page would skip rows.
 func (p *Plan) RecordFailure(buckets shardmap.Range) {
-	if part := p.find(buckets); part != nil && part.state != abandoned {
+	if part := p.findPart(buckets); part != nil && part.state != abandoned {
 		part.state = unavailable
 	}
 }
@@ -109,8 +109,8 @@
 // Reshard replaces a shard by those that hold its buckets after a split or merge, and returns the requests for these.
 // The rows of the old shard no longer count. A shard that is not part of the plan or is abandoned is left alone, and
 // nil returned.
-func (p *Plan) Reshard(now float64, buckets shardmap.Range, successors []shardmap.Range) []Request {
-	i := p.index(buckets)
+func (p *Plan) Reshard(nowMs float64, buckets shardmap.Range, successors []shardmap.Range) []Request {
+	i := p.partIndex(buckets)
 	if i < 0 || p.parts[i].state == abandoned {
 		return nil
 	}
@@ -119,10 +119,10 @@
 	requests := make([]Request, 0, len(successors))
 	for _, successor := range successors {
 		p.parts = append(p.parts, &part{
-			buckets:     successor,
-			weight:      old.weight * float64(successor.Size()) / float64(old.buckets.Size()),
-			requested:   old.requested,
-			requestedAt: now,
+			buckets:       successor,
+			weight:        old.weight * float64(successor.Size()) / float64(old.buckets.Size()),
+			requested:     old.requested,
+			requestedAtMs: nowMs,
 		})
 		requests = append(requests, Request{Buckets: successor, Rows: old.requested})
 	}
@@ -131,7 +131,7 @@
 
 // IsIncluded reports whether the rows of a shard are part of the answer.
 func (p *Plan) IsIncluded(buckets shardmap.Range) bool {
-	part := p.find(buckets)
+	part := p.findPart(buckets)
 	return part != nil && part.state == answered
 }
 
--- a/internal/results/fetchplan/plan_test.go
+++ b/internal/results/fetchplan/plan_test.go
@@ -20,16 +20,16 @@
 		options := newOptions(limit)
 		options.MinCompleteness = 0.1
 		options.MaxRowsPerRequest = rapid.IntRange(0, 5).Draw(t, "maxRows")
-		silent := map[shardmap.Range]bool{}
+		unresponsive := map[shardmap.Range]bool{}
 		for _, buckets := range table.shards[1:] {
-			silent[buckets] = rapid.IntRange(0, 4).Draw(t, "silent") == 0
+			unresponsive[buckets] = rapid.IntRange(0, 4).Draw(t, "unresponsive") == 0
 		}
 		plan, requests := New(0, options, table.shards, table.weights)
-		page := table.readPage(t, plan, requests, limit, func(buckets shardmap.Range) bool { return silent[buckets] })
+		page := table.readPage(t, plan, requests, limit, func(buckets shardmap.Range) bool { return unresponsive[buckets] })
 		var rows []merge.Row
 		for _, buckets := range table.shards {
-			require.Equal(t, !silent[buckets], plan.IsIncluded(buckets))
-			if !silent[buckets] {
+			require.Equal(t, !unresponsive[buckets], plan.IsIncluded(buckets))
+			if !unresponsive[buckets] {
 				rows = append(rows, table.rows[buckets]...)
 			}
 		}
@@ -55,7 +55,7 @@
 	require.Zero(t, requests[0].Received)
 	require.False(t, plan.IsIncluded(shards[0]))
 	require.False(t, plan.RecordAnswer(8, shards[0], 16, true), "the answer of the old shard is not wanted")
-	present, possible := plan.weights()
+	present, possible := plan.sumWeights()
 	require.InDelta(t, 0.5, present, 1e-9)
 	require.InDelta(t, 1, possible, 1e-9)
 	require.True(t, plan.RecordAnswer(8, requests[0].Buckets, 3, false))
--- a/internal/results/fetchplan/rows.go
+++ b/internal/results/fetchplan/rows.go
@@ -16,9 +16,9 @@
 	growthFactor = 2
 )
 
-// firstRows is how many rows to request first of each of some shards. It suffices for most shards of most pages, and is
+// firstRequestRows is how many rows to request first of each of some shards. It suffices for most shards of most pages, and is
 // far less than a page of each.
-func (p *Plan) firstRows(shards int) int {
+func (p *Plan) firstRequestRows(shards int) int {
 	if shards == 0 || p.options.Limit <= 0 {
 		return min(p.options.Limit, 1)
 	}
@@ -37,17 +37,17 @@
 
 // RequestMore returns requests for more rows of the shards that the merge needs more of. No other shard can add to the
 // page.
-func (p *Plan) RequestMore(now float64, shards []shardmap.Range) []Request {
+func (p *Plan) RequestMore(nowMs float64, shards []shardmap.Range) []Request {
 	var requests []Request
 	for _, buckets := range shards {
-		part := p.find(buckets)
+		part := p.findPart(buckets)
 		if part == nil || part.state != answered || !part.hasMore {
 			continue
 		}
 		additional := p.boundRows((growthFactor - 1) * max(part.requested, 1))
 		part.requested = part.received + min(additional, p.options.Limit)
 		part.state = inFlight
-		part.requestedAt = now
+		part.requestedAtMs = nowMs
 		requests = append(requests, Request{Buckets: buckets, Rows: part.requested, Received: part.received})
 	}
 	if len(requests) > 0 {
--- a/internal/results/merge/clause_test.go
+++ b/internal/results/merge/clause_test.go
@@ -69,8 +69,8 @@
 	require.False(t, equal(clause, `{"rank":[{"column":"a","order":"desc"}],"page":{"size":5},"filter":[{"column":"b","op":"lt","value":1.5}]}`))
 }
 
-// FuzzParse: a clause is an error, or its canonical form is a clause with the same canonical form.
-func FuzzParse(f *testing.F) {
+// FuzzParseClause: a clause is an error, or its canonical form is a clause with the same canonical form.
+func FuzzParseClause(f *testing.F) {
 	f.Add([]byte(fullClause))
 	f.Add([]byte(`{"aggregate":[{"name":"n","do":"count"}],"filter":[{"column":"a","op":"eq","value":1e400}]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
--- a/internal/results/merge/clause_validation.go
+++ b/internal/results/merge/clause_validation.go
@@ -42,7 +42,7 @@
 		validateCount("filter", len(c.Filter), MaxConditions)); err != nil {
 		return err
 	}
-	for _, validate := range []func() error{c.validateRank, c.validateScalars, c.validateGroup, c.validateAggregates,
+	for _, validate := range []func() error{c.validateRank, c.validatePageAndCompleteness, c.validateGroup, c.validateAggregates,
 		c.validateFilter} {
 		if err := validate(); err != nil {
 			return err
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// validateScalars checks which fields may be there together, the page and the minimum weight.
-func (c *Clause) validateScalars() error {
+// validatePageAndCompleteness checks which fields may be there together, the page and the minimum weight.
+func (c *Clause) validatePageAndCompleteness() error {
 	switch {
 	case (c.Page == nil) != (len(c.Rank) == 0):
 		return invalidField("page", "page and rank must be given together")
--- a/internal/results/merge/filter.go
+++ b/internal/results/merge/filter.go
@@ -40,8 +40,8 @@
 	if value.Kind == operand.Kind {
 		comparison = Compare(value, operand)
 	} else {
-		left, _ := value.number()
-		right, _ := operand.number()
+		left, _ := value.toFloat()
+		right, _ := operand.toFloat()
 		comparison = Compare(FloatOf(left), FloatOf(right))
 	}
 	switch c.Operator {
--- a/internal/results/merge/order.go
+++ b/internal/results/merge/order.go
@@ -57,7 +57,7 @@
 func (o *Order) CompareRanks(a, b []Value) int {
 	for i := range min(len(a), len(b)) {
 		if c := Compare(a[i], b[i]); c != 0 {
-			return o.directed(i, c)
+			return o.applyDirection(i, c)
 		}
 	}
 	return 0
@@ -72,14 +72,14 @@
 func (o *Order) compareRows(a, b *Row) int {
 	for i, column := range o.rankColumns {
 		if c := Compare(a.Values[column], b.Values[column]); c != 0 {
-			return o.directed(i, c)
+			return o.applyDirection(i, c)
 		}
 	}
 	return cmp.Or(cmp.Compare(a.Bucket, b.Bucket), cmp.Compare(a.Key, b.Key))
 }
 
-// directed reverses a comparison of the values of a rank column if that is descending.
-func (o *Order) directed(rankColumn, comparison int) int {
+// applyDirection reverses a comparison of the values of a rank column if that is descending.
+func (o *Order) applyDirection(rankColumn, comparison int) int {
 	if o.descending[rankColumn] {
 		return -comparison
 	}
--- a/internal/results/merge/page.go
+++ b/internal/results/merge/page.go
@@ -28,12 +28,12 @@
 	for _, batch := range batches {
 		page.HasMore = page.HasMore || batch.HasMore
 		if len(batch.Rows) > 0 {
-			inputs.list = append(inputs.list, input{batch: batch})
+			inputs.entries = append(inputs.entries, input{batch: batch})
 		}
 	}
 	heap.Init(inputs)
 	for len(page.Rows) < limit && inputs.Len() > 0 {
-		first := &inputs.list[0]
+		first := &inputs.entries[0]
 		page.Rows = append(page.Rows, first.batch.Rows[first.next])
 		page.Sources = append(page.Sources, first.batch.Buckets)
 		first.next++
@@ -45,7 +45,7 @@
 	}
 	page.HasMore = page.HasMore || inputs.Len() > 0
 	for _, batch := range batches {
-		if batch.HasMore && o.mayReach(batch, page.Rows, limit) {
+		if batch.HasMore && o.canExtendPage(batch, page.Rows, limit) {
 			page.NeedMore = append(page.NeedMore, batch.Buckets)
 		}
 	}
@@ -53,8 +53,8 @@
 	return page
 }
 
-// mayReach reports whether rows after those of a batch may belong to a page of limit rows.
-func (o *Order) mayReach(batch *Batch, page []Row, limit int) bool {
+// canExtendPage reports whether rows after those of a batch may belong to a page of limit rows.
+func (o *Order) canExtendPage(batch *Batch, page []Row, limit int) bool {
 	if limit <= 0 {
 		return false
 	}
--- a/internal/results/merge/partial.go
+++ b/internal/results/merge/partial.go
@@ -49,7 +49,7 @@
 	if value.Kind != p.Column.Kind {
 		return invalid(NoRow, ErrSchemaMismatch, "%s is %v, not %v", p.Column.Name, value.Kind, p.Column.Kind)
 	}
-	number, isNumber := value.number()
+	number, isNumber := value.toFloat()
 	if value.Kind == Float && (!isNumber || math.IsInf(number, 0)) {
 		return invalid(NoRow, ErrInvalidNumber, "%s", p.Column.Name)
 	}
@@ -68,18 +68,18 @@
 		p.floatSum.Add(p.floatSum, newExactSum().SetFloat64(number))
 	}
 	p.distinct.Insert([]byte(value.String()))
-	p.extend(value, value)
+	p.extendMinMax(value, value)
 	p.Count++
 	return nil
 }
 
-// extend makes Min and Max cover other values, before Count counts these.
-func (p *PartialAggregate) extend(least, greatest Value) {
-	if p.Count == 0 || Compare(least, p.Min) < 0 {
-		p.Min = least
+// extendMinMax makes Min and Max cover other values, before Count counts these.
+func (p *PartialAggregate) extendMinMax(minimum, maximum Value) {
+	if p.Count == 0 || Compare(minimum, p.Min) < 0 {
+		p.Min = minimum
 	}
-	if p.Count == 0 || Compare(greatest, p.Max) > 0 {
-		p.Max = greatest
+	if p.Count == 0 || Compare(maximum, p.Max) > 0 {
+		p.Max = maximum
 	}
 }
 
@@ -116,7 +116,7 @@
 	p.intSum = intSum
 	p.floatSum.Add(p.floatSum, other.floatSum)
 	if other.Count > 0 {
-		p.extend(other.Min, other.Max)
+		p.extendMinMax(other.Min, other.Max)
 	}
 	p.Count = count
 	return nil
--- a/internal/results/merge/partial_test.go
+++ b/internal/results/merge/partial_test.go
@@ -47,10 +47,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		column := Column{Name: "risk", Kind: Float}
 		values := rapid.SliceOfN(rapid.Float64Range(-1e300, 1e300), 1, 40).Draw(t, "values")
-		whole := newPartial(t, column)
+		unsplit := newPartial(t, column)
 		exact := new(big.Rat)
 		for _, x := range values {
-			require.NoError(t, whole.Add(FloatOf(x)))
+			require.NoError(t, unsplit.Add(FloatOf(x)))
 			exact.Add(exact, new(big.Rat).SetFloat64(x))
 		}
 		partials := make([]*PartialAggregate, rapid.IntRange(1, 6).Draw(t, "shards"))
@@ -69,7 +69,7 @@
 			require.NoError(t, partials[j].Combine(partial))
 		}
 		combined := partials[0]
-		sum := requireEqualAggregates(t, whole, combined)
+		sum := requireEqualAggregates(t, unsplit, combined)
 		want, _ := exact.Float64()
 		require.Equal(t, want, sum.Float)
 
--- a/internal/results/merge/sketch.go
+++ b/internal/results/merge/sketch.go
@@ -28,7 +28,7 @@
 
 // RestorePartialAggregate makes aggregates of what a backend sent: figures of count values and the two sketches, each
 // of which may be empty. Sketches that cannot be decoded are an error, also where the libraries panic.
-func RestorePartialAggregate(column Column, count uint64, sum, least, greatest Value, quantiles, distinct []byte) (
+func RestorePartialAggregate(column Column, count uint64, sum, minimum, maximum Value, quantiles, distinct []byte) (
 	partial *PartialAggregate, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -46,12 +46,12 @@
 	if count == 0 {
 		return partial, nil
 	}
-	if err := validateFigures(column, sum, least, greatest); err != nil {
+	if err := validateStatistics(column, sum, minimum, maximum); err != nil {
 		return nil, err
 	}
 	partial.Count = count
-	partial.Min = least
-	partial.Max = greatest
+	partial.Min = minimum
+	partial.Max = maximum
 	partial.intSum = sum.Int
 	if column.Kind == Float {
 		partial.floatSum.SetFloat64(sum.Float)
@@ -62,17 +62,17 @@
 	return partial, nil
 }
 
-// validateFigures checks the sum, minimum and maximum of one value or more. A text column has no sum.
-func validateFigures(column Column, sum, least, greatest Value) error {
-	for _, value := range []Value{least, greatest} {
+// validateStatistics checks the sum, minimum and maximum of one value or more. A text column has no sum.
+func validateStatistics(column Column, sum, minimum, maximum Value) error {
+	for _, value := range []Value{minimum, maximum} {
 		if value.Kind != column.Kind {
 			return invalid(NoRow, ErrSchemaMismatch, "%s is %v, not %v", column.Name, value.Kind, column.Kind)
 		}
 	}
-	number, isNumber := sum.number()
+	number, isNumber := sum.toFloat()
 	validSum := column.Kind == Text || sum.Kind == column.Kind && isNumber && !math.IsInf(number, 0)
-	if !validSum || Compare(least, greatest) > 0 {
-		return invalid(NoRow, ErrInvalidNumber, "%s: sum %v, minimum %v, maximum %v", column.Name, sum, least, greatest)
+	if !validSum || Compare(minimum, maximum) > 0 {
+		return invalid(NoRow, ErrInvalidNumber, "%s: sum %v, minimum %v, maximum %v", column.Name, sum, minimum, maximum)
 	}
 	return nil
 }
@@ -104,7 +104,7 @@
 	}
 	total := sketch.GetZeroCount()
 	for _, bins := range []store.Store{sketch.GetPositiveValueStore(), sketch.GetNegativeValueStore()} {
-		total, err = addBins(total, bins, expected)
+		total, err = addBinCounts(total, bins, expected)
 		if err != nil {
 			return err
 		}
@@ -115,11 +115,11 @@
 	return p.quantiles.MergeWith(sketch)
 }
 
-// addBins adds the counts of the bins to a total. It returns an error for a bin that no value can have, or whose count
+// addBinCounts adds the counts of the bins to a total. It returns an error for a bin that no value can have, or whose count
 // is not a finite number from 0.
-func addBins(total float64, bins store.Store, indexing mapping.IndexMapping) (float64, error) {
-	lowest := indexing.Index(indexing.MinIndexableValue())
-	highest := indexing.Index(indexing.MaxIndexableValue())
+func addBinCounts(total float64, bins store.Store, indexMapping mapping.IndexMapping) (float64, error) {
+	lowest := indexMapping.Index(indexMapping.MinIndexableValue())
+	highest := indexMapping.Index(indexMapping.MaxIndexableValue())
 	var err error
 	bins.ForEach(func(index int, count float64) (stop bool) {
 		if index < lowest || index > highest || !(count >= 0) || math.IsInf(count, 0) {
--- a/internal/results/merge/sketch_test.go
+++ b/internal/results/merge/sketch_test.go
@@ -15,8 +15,8 @@
 	quantiles, distinct, _ := sent.EncodeSketches()
 	f.Add(uint64(50), 1225.0, 0.0, 49.0, quantiles, distinct)
 	f.Add(uint64(1), math.NaN(), 2.0, 1.0, []byte{1, 2, 3}, []byte{2, 14, 0, 1, 0, 0, 0, 9})
-	f.Fuzz(func(t *testing.T, count uint64, sum, least, greatest float64, quantiles, distinct []byte) {
-		restored, err := RestorePartialAggregate(column, count, FloatOf(sum), FloatOf(least), FloatOf(greatest), quantiles,
+	f.Fuzz(func(t *testing.T, count uint64, sum, minimum, maximum float64, quantiles, distinct []byte) {
+		restored, err := RestorePartialAggregate(column, count, FloatOf(sum), FloatOf(minimum), FloatOf(maximum), quantiles,
 			distinct)
 		if err != nil {
 			return
--- a/internal/results/merge/value.go
+++ b/internal/results/merge/value.go
@@ -70,8 +70,8 @@
 	return 0
 }
 
-// number is the value as a float; ok is false for texts, null and NaN.
-func (v Value) number() (x float64, ok bool) {
+// toFloat is the value as a float; ok is false for texts, null and NaN.
+func (v Value) toFloat() (x float64, ok bool) {
 	switch v.Kind {
 	case Int:
 		return float64(v.Int), true
--- a/internal/results/pageread/aggregates.go
+++ b/internal/results/pageread/aggregates.go
@@ -20,11 +20,11 @@
 	Bound completeness.Bound
 }
 
-// aggregates computes what the clause asks for of combined groups.
-func (r *Reader) aggregates(combined *merge.Groups, report *completeness.Report) ([]Group, error) {
+// computeAggregates computes what the clause asks for of combined groups.
+func (r *Reader) computeAggregates(combined *merge.Groups, report *completeness.Report) ([]Group, error) {
 	clause := r.query.Clause
 	columns := AggregateColumns(clause)
-	bounded := len(report.Missing) == 0 || summariesBound(clause, columns)
+	canBound := len(report.Missing) == 0 || canBoundBySummaries(clause, columns)
 	sorted := combined.Sorted()
 	if len(sorted) == 0 && len(clause.Group) == 0 { // without grouping there is one group, also of no rows
 		group, err := combined.GetOrCreate(nil)
@@ -37,25 +37,25 @@
 	for _, group := range sorted {
 		computed := Group{Values: group.Values}
 		for i := range clause.Aggregate {
-			asked := &clause.Aggregate[i]
-			partial := group.Partials[slices.Index(columns, asked.Column)]
-			value, bound, err := compute(asked, partial, report)
+			requested := &clause.Aggregate[i]
+			partial := group.Partials[slices.Index(columns, requested.Column)]
+			value, bound, err := computeAggregate(requested, partial, report)
 			if err != nil {
 				return nil, err
 			}
-			if !bounded {
+			if !canBound {
 				bound = completeness.Bound{}
 			}
-			computed.Aggregates = append(computed.Aggregates, Aggregate{Name: asked.Name, Value: value, Bound: bound})
+			computed.Aggregates = append(computed.Aggregates, Aggregate{Name: requested.Name, Value: value, Bound: bound})
 		}
 		groups = append(groups, computed)
 	}
 	return groups, nil
 }
 
-// summariesBound reports whether summaries can bound the aggregates of a clause: they are of all rows of a shard, so it
+// canBoundBySummaries reports whether summaries can bound the aggregates of a clause: they are of all rows of a shard, so it
 // must neither filter nor group, and of one column.
-func summariesBound(clause *merge.Clause, columns []string) bool {
+func canBoundBySummaries(clause *merge.Clause, columns []string) bool {
 	named := 0
 	for _, column := range columns {
 		if column != "" {
@@ -65,32 +65,32 @@
 	return len(clause.Filter) == 0 && len(clause.Group) == 0 && named <= 1
 }
 
-// compute computes one aggregate and its bound. While parts are missing, quantiles and distinct counts have no bound;
+// computeAggregate computes one aggregate and its bound. While parts are missing, quantiles and distinct counts have no bound;
 // neither have aggregates of texts but the count.
-func compute(asked *merge.AggregateClause, partial *merge.PartialAggregate, report *completeness.Report) (
+func computeAggregate(requested *merge.AggregateClause, partial *merge.PartialAggregate, report *completeness.Report) (
 	value merge.Value, bound completeness.Bound, err error) {
 	sumValue, err := partial.Sum()
 	if err != nil {
 		return merge.Value{}, completeness.Bound{}, err
 	}
-	sum := number(sumValue)
+	sum := toFloat(sumValue)
 	value = sumValue
-	switch asked.Function {
+	switch requested.Function {
 	case merge.FunctionCount:
 		return merge.IntOf(int64(partial.Count)), report.CountBound(partial.Count), nil
 	case merge.FunctionSum:
 		bound = report.SumBound(sum)
 	case merge.FunctionMin:
 		value = partial.Min
-		bound = report.MinBound(number(partial.Min), partial.Count > 0)
+		bound = report.MinBound(toFloat(partial.Min), partial.Count > 0)
 	case merge.FunctionMax:
 		value = partial.Max
-		bound = report.MaxBound(number(partial.Max), partial.Count > 0)
+		bound = report.MaxBound(toFloat(partial.Max), partial.Count > 0)
 	case merge.FunctionMean:
 		value, err = partial.Mean()
 		bound = report.MeanBound(sum, partial.Count)
 	case merge.FunctionQuantile:
-		value, err = partial.Quantile(*asked.Quantile)
+		value, err = partial.Quantile(*requested.Quantile)
 	case merge.FunctionDistinct:
 		value = merge.IntOf(int64(partial.Distinct()))
 	}
@@ -100,8 +100,8 @@
 	return value, bound, err
 }
 
-// number is a value as a float; 0 for null and texts.
-func number(value merge.Value) float64 {
+// toFloat is a value as a float; 0 for null and texts.
+func toFloat(value merge.Value) float64 {
 	if value.Kind == merge.Int {
 		return float64(value.Int)
 	}
--- a/internal/results/pageread/aggregates_test.go
+++ b/internal/results/pageread/aggregates_test.go
@@ -30,7 +30,7 @@
 	}
 	reader, _ := New(0, query, parts, nil)
 	for i, part := range parts {
-		ofShard, ok := premiums[i]
+		shardPremiums, ok := premiums[i]
 		if !ok {
 			reader.RecordFailure(part.Buckets, completeness.Failed)
 			continue
@@ -38,7 +38,7 @@
 		groups := merge.NewGroups([]merge.Column{{Kind: merge.Int}, testSchema[0]}, 1)
 		group, err := groups.GetOrCreate(nil)
 		require.NoError(t, err)
-		for _, premium := range ofShard {
+		for _, premium := range shardPremiums {
 			require.NoError(t, group.Partials[0].Add(merge.IntOf(0)))
 			require.NoError(t, group.Partials[1].Add(merge.IntOf(premium)))
 		}
--- a/internal/results/pageread/combine.go
+++ b/internal/results/pageread/combine.go
@@ -10,20 +10,20 @@
 // MaxGroups bounds the groups of an answer.
 const MaxGroups = 1000
 
-// combinableInputs is what can be merged.
-type combinableInputs struct {
+// mergeInputs is what can be merged.
+type mergeInputs struct {
 	order   *merge.Order
 	batches []*merge.Batch
 	groups  *merge.Groups // combined; nil without aggregates
 }
 
-// combinable finds what can be merged of all shards that are included, and rejects the others: those with another
+// collectInputs finds what can be merged of all shards that are included, and rejects the others: those with another
 // schema than most of the weight has, and those with which a sum overflows or there are too many groups. ok is false if
 // nothing can be merged.
-func (r *Reader) combinable() (inputs combinableInputs, ok bool) {
+func (r *Reader) collectInputs() (inputs mergeInputs, ok bool) {
 	included := r.includedShards()
 	if len(included) == 0 {
-		return combinableInputs{}, false
+		return mergeInputs{}, false
 	}
 	schema := commonSchema(included)
 	for _, shard := range included {
@@ -44,7 +44,7 @@
 	}
 	order, err := merge.NewOrder(schema, r.query.Clause.SortColumns())
 	if err != nil {
-		return combinableInputs{}, false
+		return mergeInputs{}, false
 	}
 	inputs.order = order
 	return inputs, true
--- a/internal/results/pageread/combine_test.go
+++ b/internal/results/pageread/combine_test.go
@@ -42,7 +42,7 @@
 
 // Shards with another schema than most of the weight do not count towards the floor, also if they answer first.
 func TestFloorCountsOnlyWhatCanBeMerged(t *testing.T) {
-	for floor, hopeless := range map[float64]bool{0.6: false, 0.7: true} {
+	for floor, cannotAnswer := range map[float64]bool{0.6: false, 0.7: true} {
 		query := newTable(t).query(3)
 		query.Plan.MinCompleteness = floor
 		var parts []Part
@@ -59,8 +59,8 @@
 			require.NoError(t, reader.RecordAnswer(1, answer, request.Rows))
 		}
 		step := reader.Step(2)
-		require.Equal(t, hopeless, step.CannotAnswer)
-		if !hopeless {
+		require.Equal(t, cannotAnswer, step.CannotAnswer)
+		if !cannotAnswer {
 			require.Len(t, step.Result.Report.Missing, 2)
 			require.Contains(t, step.Result.Report.Missing[0].Detail, merge.ErrCurrencyMismatch.Error())
 		}
--- a/internal/results/pageread/fixture_test.go
+++ b/internal/results/pageread/fixture_test.go
@@ -30,7 +30,7 @@
 	shards       []shardmap.Range
 	shardEpochs  map[shardmap.Range]uint64
 	versions     map[shardmap.Range]uint64 // newest known; 0 is answered as 1
-	silent       map[shardmap.Range]bool   // shards that do not answer
+	unresponsive map[shardmap.Range]bool   // shards that do not answer
 	changeAnswer func(*rows.Answer)        // if not nil
 	summaries    []*completeness.Summary
 	answerErrors []error // of the answers of all pages
@@ -41,7 +41,7 @@
 	order, err := merge.NewOrder(testSchema, []merge.SortColumn{{Column: "premium"}})
 	require.NoError(t, err)
 	table := &testTable{t: t, order: order, shardEpochs: map[shardmap.Range]uint64{},
-		versions: map[shardmap.Range]uint64{}, silent: map[shardmap.Range]bool{}}
+		versions: map[shardmap.Range]uint64{}, unresponsive: map[shardmap.Range]bool{}}
 	for i, premium := range premiums {
 		table.rows = append(table.rows, merge.Row{Bucket: i % testBucketCount, Key: fmt.Sprintf("%03d", i),
 			Values: []merge.Value{merge.IntOf(premium)}})
@@ -53,80 +53,80 @@
 	return table
 }
 
-func (w *testTable) compare(a, b merge.Row) int {
-	return w.order.Compare(w.order.PositionOf(a), w.order.PositionOf(b))
+func (table *testTable) compare(a, b merge.Row) int {
+	return table.order.Compare(table.order.PositionOf(a), table.order.PositionOf(b))
 }
 
 // rowsAfter are the rows of some buckets after a position, or from the first if that is nil.
-func (w *testTable) rowsAfter(buckets shardmap.Range, after *merge.Position) []merge.Row {
+func (table *testTable) rowsAfter(buckets shardmap.Range, after *merge.Position) []merge.Row {
 	var found []merge.Row
-	for _, row := range w.rows {
+	for _, row := range table.rows {
 		inBuckets := buckets.Start <= row.Bucket && row.Bucket < buckets.End
-		if inBuckets && (after == nil || w.order.Compare(w.order.PositionOf(row), *after) > 0) {
+		if inBuckets && (after == nil || table.order.Compare(table.order.PositionOf(row), *after) > 0) {
 			found = append(found, row)
 		}
 	}
 	return found
 }
 
-func (w *testTable) query(size int) Query {
+func (table *testTable) query(size int) Query {
 	return Query{
 		Clause: &merge.Clause{Rank: []merge.RankColumn{{Column: "premium"}}, Page: &merge.PageClause{Size: size}},
-		Epoch:  41, CompletenessTarget: 1, Summaries: w.summaries,
+		Epoch:  41, CompletenessTarget: 1, Summaries: table.summaries,
 		Plan: fetchplan.Options{MinCompleteness: 0.1, LatencyObjectiveMs: 1000, DeadlineMs: 2000, PartialFactor: 0.9, LateFactor: 0.3,
 			MarginMs: 20},
 	}
 }
 
 // answer is the answer of a shard's backend.
-func (w *testTable) answer(request Request) *rows.Answer {
-	found := w.rowsAfter(request.Buckets, request.After)
+func (table *testTable) answer(request Request) *rows.Answer {
+	found := table.rowsAfter(request.Buckets, request.After)
 	count := min(request.Rows, len(found))
-	answer := &rows.Answer{Batch: merge.Batch{Buckets: request.Buckets, Version: max(w.versions[request.Buckets], 1),
+	answer := &rows.Answer{Batch: merge.Batch{Buckets: request.Buckets, Version: max(table.versions[request.Buckets], 1),
 		Schema: testSchema, Rows: slices.Clone(found[:count]), HasMore: count < len(found)}}
-	if w.changeAnswer != nil {
-		w.changeAnswer(answer)
+	if table.changeAnswer != nil {
+		table.changeAnswer(answer)
 	}
 	return answer
 }
 
 // readPage reads a page to its end. Requests are answered 1 ms after each other.
-func (w *testTable) readPage(size int, before *cursor.Cursor) *Result {
+func (table *testTable) readPage(size int, previous *cursor.Cursor) *Result {
 	var parts []Part
-	for _, buckets := range w.shards {
+	for _, buckets := range table.shards {
 		parts = append(parts, Part{Buckets: buckets, Weight: float64(buckets.Size()) / testBucketCount,
-			ShardEpoch: w.shardEpochs[buckets], Version: w.versions[buckets]})
+			ShardEpoch: table.shardEpochs[buckets], Version: table.versions[buckets]})
 	}
-	now := 0.0
-	reader, requests := New(now, w.query(size), parts, before)
+	nowMs := 0.0
+	reader, requests := New(nowMs, table.query(size), parts, previous)
 	for range 300 {
 		for _, request := range requests {
-			now++
-			if w.silent[request.Buckets] {
+			nowMs++
+			if table.unresponsive[request.Buckets] {
 				continue
 			}
-			answer := w.answer(request)
-			err := reader.RecordAnswer(now, answer, request.Rows)
+			answer := table.answer(request)
+			err := reader.RecordAnswer(nowMs, answer, request.Rows)
 			if err == nil {
 				continue
 			}
-			w.answerErrors = append(w.answerErrors, err)
-			if answer.Batch.Version < w.versions[request.Buckets] { // no replica has a newer one
+			table.answerErrors = append(table.answerErrors, err)
+			if answer.Batch.Version < table.versions[request.Buckets] { // no replica has a newer one
 				reader.RecordFailure(request.Buckets, completeness.Failed)
 			}
 		}
-		step := reader.Step(now)
-		require.False(w.t, step.CannotAnswer)
+		step := reader.Step(nowMs)
+		require.False(table.t, step.CannotAnswer)
 		if step.Result != nil {
 			return step.Result
 		}
 		requests = step.Requests
 		if len(requests) == 0 {
-			require.Greater(w.t, step.WakeAtMs, now)
-			now = step.WakeAtMs
+			require.Greater(table.t, step.WakeAtMs, nowMs)
+			nowMs = step.WakeAtMs
 		}
 	}
-	require.Fail(w.t, "the page does not end")
+	require.Fail(table.t, "the page does not end")
 	return nil
 }
 
--- a/internal/results/pageread/reader.go
+++ b/internal/results/pageread/reader.go
@@ -15,7 +15,7 @@
 // Reader reads one page.
 type Reader struct {
 	query     Query
-	before    *cursor.Cursor // of the page before; nil on the first
+	previous  *cursor.Cursor // of the page before; nil on the first
 	plan      *fetchplan.Plan
 	shards    []*shard
 	summaries []*completeness.Summary // of the query, and those that came with answers
@@ -31,8 +31,8 @@
 }
 
 // New begins to read a page: the first, or that after a cursor. It returns the first requests.
-func New(now float64, query Query, parts []Part, before *cursor.Cursor) (*Reader, []Request) {
-	reader := &Reader{query: query, before: before, summaries: slices.Clone(query.Summaries)}
+func New(nowMs float64, query Query, parts []Part, previous *cursor.Cursor) (*Reader, []Request) {
+	reader := &Reader{query: query, previous: previous, summaries: slices.Clone(query.Summaries)}
 	reader.query.Plan.Limit = 0
 	if page := query.Clause.Page; page != nil {
 		reader.query.Plan.Limit = page.Size
@@ -44,32 +44,32 @@
 		weights = append(weights, part.Weight)
 		reader.shards = append(reader.shards, newShard(part))
 	}
-	plan, requests := fetchplan.New(now, reader.query.Plan, buckets, weights)
+	plan, requests := fetchplan.New(nowMs, reader.query.Plan, buckets, weights)
 	reader.plan = plan
-	return reader, reader.requests(requests)
+	return reader, reader.toRequests(requests)
 }
 
 func newShard(part Part) *shard { return &shard{Part: part, reason: completeness.Rejected} }
 
-// requests adds the position after which the page starts to requests of the plan.
-func (r *Reader) requests(planned []fetchplan.Request) []Request {
+// toRequests adds the position after which the page starts to requests of the plan.
+func (r *Reader) toRequests(planned []fetchplan.Request) []Request {
 	requests := make([]Request, 0, len(planned))
 	for _, request := range planned {
-		requests = append(requests, Request{Buckets: request.Buckets, Rows: request.Rows, After: r.after()})
+		requests = append(requests, Request{Buckets: request.Buckets, Rows: request.Rows, After: r.startPosition()})
 	}
 	return requests
 }
 
-// after is the position after which the page starts; nil on the first page.
-func (r *Reader) after() *merge.Position {
-	if r.before == nil {
+// startPosition is the position after which the page starts; nil on the first page.
+func (r *Reader) startPosition() *merge.Position {
+	if r.previous == nil {
 		return nil
 	}
-	return r.before.After
+	return r.previous.After
 }
 
-// find is the shard with exactly these buckets, or nil.
-func (r *Reader) find(buckets shardmap.Range) *shard {
+// findShard is the shard with exactly these buckets, or nil.
+func (r *Reader) findShard(buckets shardmap.Range) *shard {
 	i := slices.IndexFunc(r.shards, func(s *shard) bool { return s.Buckets == buckets })
 	if i < 0 {
 		return nil
@@ -79,11 +79,11 @@
 
 // minVersion is the newest data version at which the page before read any of some buckets; 0 if it read none of them.
 func (r *Reader) minVersion(buckets shardmap.Range) uint64 {
-	if r.before == nil {
+	if r.previous == nil {
 		return 0
 	}
 	newest := uint64(0)
-	for _, span := range r.before.Spans {
+	for _, span := range r.previous.Spans {
 		if (shardmap.Range{Start: span.Start, End: span.End}).Overlaps(buckets) {
 			newest = max(newest, span.Version)
 		}
@@ -94,8 +94,8 @@
 // RecordAnswer records a backend's answer to a request for requested rows. An answer that is no longer wanted is
 // ignored. An error that wraps ErrStaleVersion leaves the shard in flight, so that another replica can be asked. After
 // any other error, a *merge.ValidationError, the shard is missing, and none of its rows are merged.
-func (r *Reader) RecordAnswer(now float64, answer *rows.Answer, requested int) error {
-	shard := r.find(answer.Batch.Buckets)
+func (r *Reader) RecordAnswer(nowMs float64, answer *rows.Answer, requested int) error {
+	shard := r.findShard(answer.Batch.Buckets)
 	if shard == nil {
 		return nil // it was split or merged meanwhile
 	}
@@ -107,7 +107,7 @@
 		r.reject(shard, err)
 		return err
 	}
-	if !r.plan.RecordAnswer(now, shard.Buckets, len(answer.Batch.Rows), answer.Batch.HasMore) {
+	if !r.plan.RecordAnswer(nowMs, shard.Buckets, len(answer.Batch.Rows), answer.Batch.HasMore) {
 		return nil
 	}
 	batch := answer.Batch
@@ -126,7 +126,7 @@
 	if err != nil {
 		return err
 	}
-	if err := order.Validate(&answer.Batch, r.after(), requested); err != nil {
+	if err := order.Validate(&answer.Batch, r.startPosition(), requested); err != nil {
 		return err
 	}
 	if len(r.query.Clause.Aggregate) > 0 && answer.Groups == nil {
@@ -146,7 +146,7 @@
 // RecordFailure records that a shard cannot be read, and why. If only a stale version of it came, that stays the
 // reason.
 func (r *Reader) RecordFailure(buckets shardmap.Range, reason completeness.Reason) {
-	shard := r.find(buckets)
+	shard := r.findShard(buckets)
 	if shard == nil {
 		return
 	}
@@ -159,8 +159,8 @@
 
 // Reshard replaces a shard by those that hold its buckets after a split, merge or move, and returns the requests for
 // these. What the old shard gave no longer counts.
-func (r *Reader) Reshard(now float64, buckets shardmap.Range, successors []Part) []Request {
-	old := r.find(buckets)
+func (r *Reader) Reshard(nowMs float64, buckets shardmap.Range, successors []Part) []Request {
+	old := r.findShard(buckets)
 	if old == nil {
 		return nil
 	}
@@ -168,7 +168,7 @@
 	for _, part := range successors {
 		ranges = append(ranges, part.Buckets)
 	}
-	requests := r.plan.Reshard(now, buckets, ranges)
+	requests := r.plan.Reshard(nowMs, buckets, ranges)
 	if requests == nil {
 		return nil
 	}
@@ -177,5 +177,5 @@
 		part.Weight = old.Weight * float64(part.Buckets.Size()) / float64(buckets.Size())
 		r.shards = append(r.shards, newShard(part))
 	}
-	return r.requests(requests)
+	return r.toRequests(requests)
 }
--- a/internal/results/pageread/result.go
+++ b/internal/results/pageread/result.go
@@ -22,9 +22,9 @@
 	Changes   cursor.Changes // since the page before
 }
 
-// result makes the result of a final page. A page's ranks continue those of the pages before, so they are certain only
+// buildResult makes the result of a final page. A page's ranks continue those of the pages before, so they are certain only
 // if these were and nothing has changed since: a shard that has returned may hold rows that belong before them.
-func (r *Reader) result(order *merge.Order, page merge.Page) *Result {
+func (r *Reader) buildResult(order *merge.Order, page merge.Page) *Result {
 	parts, spans := r.describeShards()
 	report := completeness.New(parts, r.summaries, r.query.CompletenessTarget)
 	positions := make([]merge.Position, len(page.Rows))
@@ -41,13 +41,13 @@
 	}
 	epoch := r.query.Epoch
 	ranksCertain := true
-	if r.before != nil {
-		epoch = r.before.Epoch
-		result.FirstRank = r.before.NextRank
-		result.Changes = r.before.Changes(spans)
+	if r.previous != nil {
+		epoch = r.previous.Epoch
+		result.FirstRank = r.previous.NextRank
+		result.Changes = r.previous.Changes(spans)
 		changed := result.Changes.Any()
 		result.Complete = result.Complete && !changed
-		ranksCertain = r.before.RanksCertain && !changed
+		ranksCertain = r.previous.RanksCertain && !changed
 		if !ranksCertain {
 			clear(result.Certain)
 		}
--- a/internal/results/pageread/result_test.go
+++ b/internal/results/pageread/result_test.go
@@ -18,14 +18,14 @@
 // Page two continues page one, repeats no row, and says that page one would now differ.
 func TestShardReturnsBetweenPages(t *testing.T) {
 	table := newTable(t, testPremiums()...)
-	table.silent[cheapestShard] = true
+	table.unresponsive[cheapestShard] = true
 	first := table.readPage(6, nil)
 	require.False(t, first.Complete)
 	require.Equal(t, []bool{false, false, false, false, false, false}, first.Certain, "it may hold the lowest premium")
 	require.InDelta(t, 0.8, first.Report.Weight, 1e-9)
 	require.Equal(t, completeness.TimedOut, first.Report.Missing[0].Reason)
 
-	table.silent[cheapestShard] = false
+	table.unresponsive[cheapestShard] = false
 	second := table.readPage(6, first.Next)
 	require.Equal(t, 7, second.FirstRank)
 	require.Equal(t, []cursor.Span{{Start: 4, End: 6, Version: 1}}, second.Changes.NowPresent)
@@ -42,7 +42,7 @@
 // A summary of the missing shard makes those ranks certain that come before its first row.
 func TestSummaryMakesRanksCertain(t *testing.T) {
 	table := newTable(t, testPremiums()...)
-	table.silent[cheapestShard] = true
+	table.unresponsive[cheapestShard] = true
 	table.versions[cheapestShard] = 3
 	table.shardEpochs[cheapestShard] = 2
 	summary := &completeness.Summary{Buckets: cheapestShard, Version: 3, ShardEpoch: 2, Count: 6,
@@ -60,7 +60,7 @@
 	first := table.readPage(6, nil)
 	require.True(t, first.Complete)
 	require.NotContains(t, first.Certain, false)
-	table.silent[cheapestShard] = true
+	table.unresponsive[cheapestShard] = true
 	second := table.readPage(6, first.Next)
 	require.Equal(t, []cursor.Span{{Start: 4, End: 6}}, second.Changes.NowMissing)
 	require.False(t, second.Complete)
@@ -90,12 +90,12 @@
 // drawShards splits the buckets into shards of which all but the first may be silent.
 func drawShards(t *rapid.T, table *testTable) {
 	table.shards = nil
-	table.silent = map[shardmap.Range]bool{}
+	table.unresponsive = map[shardmap.Range]bool{}
 	for start := 0; start < testBucketCount; {
 		buckets := shardmap.Range{Start: start, End: start + rapid.IntRange(1, testBucketCount-start).Draw(t, "size")}
 		table.shards = append(table.shards, buckets)
 		start = buckets.End
-		table.silent[buckets] = buckets.Start > 0 && rapid.IntRange(0, 9).Draw(t, "silent") == 0
+		table.unresponsive[buckets] = buckets.Start > 0 && rapid.IntRange(0, 9).Draw(t, "unresponsive") == 0
 	}
 }
 
@@ -109,15 +109,15 @@
 			premiums = append(premiums, int64(rapid.IntRange(0, 9).Draw(t, "premium")))
 		}
 		table := newTable(t, premiums...)
-		var before *cursor.Cursor
+		var previous *cursor.Cursor
 		var read []merge.Row
 		for pages := 0; pages < 60; pages++ {
 			drawShards(t, table)
-			page := table.readPage(rapid.IntRange(1, 9).Draw(t, "size"), before)
+			page := table.readPage(rapid.IntRange(1, 9).Draw(t, "size"), previous)
 			require.Equal(t, len(read)+1, page.FirstRank)
 			missing := 0
 			for _, buckets := range table.shards {
-				if table.silent[buckets] {
+				if table.unresponsive[buckets] {
 					missing++
 				}
 			}
@@ -133,8 +133,8 @@
 					require.Equal(t, table.rows[page.FirstRank+i-1].Key, row.Key)
 				}
 			}
-			before = page.Next
-			if before == nil {
+			previous = page.Next
+			if previous == nil {
 				return
 			}
 		}
--- a/internal/results/pageread/step.go
+++ b/internal/results/pageread/step.go
@@ -18,34 +18,34 @@
 }
 
 // Step decides what follows from what has been recorded.
-func (r *Reader) Step(now float64) Step {
-	decision := r.plan.Decide(now)
+func (r *Reader) Step(nowMs float64) Step {
+	decision := r.plan.Decide(nowMs)
 	for _, buckets := range decision.Abandoned {
-		if shard := r.find(buckets); shard != nil {
+		if shard := r.findShard(buckets); shard != nil {
 			shard.batch = nil
 			shard.reason = completeness.TimedOut
 		}
 	}
-	hopeless := Step{CannotAnswer: true, Abandoned: decision.Abandoned}
+	cannotAnswer := Step{CannotAnswer: true, Abandoned: decision.Abandoned}
 	if decision.CannotAnswer {
-		return hopeless
+		return cannotAnswer
 	}
 	if !decision.Done {
 		return Step{WakeAtMs: decision.WakeAtMs}
 	}
-	inputs, ok := r.combinable()
+	inputs, ok := r.collectInputs()
 	if !ok || r.presentWeight() < r.query.Plan.MinCompleteness-weightTolerance {
-		return hopeless
+		return cannotAnswer
 	}
 	page := inputs.order.Merge(inputs.batches, r.query.Plan.Limit)
-	if requests := r.plan.RequestMore(now, page.NeedMore); len(requests) > 0 {
-		return Step{Requests: r.requests(requests), Abandoned: decision.Abandoned}
+	if requests := r.plan.RequestMore(nowMs, page.NeedMore); len(requests) > 0 {
+		return Step{Requests: r.toRequests(requests), Abandoned: decision.Abandoned}
 	}
-	result := r.result(inputs.order, page)
+	result := r.buildResult(inputs.order, page)
 	if inputs.groups != nil {
-		groups, err := r.aggregates(inputs.groups, result.Report)
+		groups, err := r.computeAggregates(inputs.groups, result.Report)
 		if err != nil {
-			return hopeless // no answer rather than one without the aggregates that were asked for
+			return cannotAnswer // no answer rather than one without the aggregates that were asked for
 		}
 		result.Groups = groups
 	}
--- a/internal/results/rows/arrow_decode.go
+++ b/internal/results/rows/arrow_decode.go
@@ -14,7 +14,7 @@
 func DecodeArrow(record arrow.RecordBatch, request Request) (*Answer, error) {
 	answer := &Answer{Batch: merge.Batch{Buckets: request.Buckets}}
 	batch := &answer.Batch
-	buckets, keys, err := identities(record, request.MaxRows)
+	buckets, keys, err := findIdentityColumns(record, request.MaxRows)
 	if err != nil {
 		return nil, err
 	}
@@ -42,7 +42,7 @@
 	if err := metadata.decode(nameGroups, &groups); err != nil {
 		return nil, err
 	}
-	return answer, answer.decodeRest(summary, groups, &request)
+	return answer, answer.decodeSummaryAndGroups(summary, groups, &request)
 }
 
 // arrowMetadata is the metadata of a record batch's schema.
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// identities finds the columns with the buckets and keys of the rows.
-func identities(record arrow.RecordBatch, maxRows int) (*array.Int32, *array.String, error) {
+// findIdentityColumns finds the columns with the buckets and keys of the rows.
+func findIdentityColumns(record arrow.RecordBatch, maxRows int) (*array.Int32, *array.String, error) {
 	if record.NumRows() > int64(maxRows) {
 		return nil, nil, malformed("%d rows, %d were requested", record.NumRows(), maxRows)
 	}
--- a/internal/results/rows/groups.go
+++ b/internal/results/rows/groups.go
@@ -7,8 +7,8 @@
 	"ternstage/internal/results/merge"
 )
 
-// decodeRest decodes what an answer has beside its batch, which must have been decoded.
-func (a *Answer) decodeRest(summary *wireSummary, groups []wireGroup, request *Request) error {
+// decodeSummaryAndGroups decodes what an answer has beside its batch, which must have been decoded.
+func (a *Answer) decodeSummaryAndGroups(summary *wireSummary, groups []wireGroup, request *Request) error {
 	var err error
 	a.Summary, err = summary.decode(&a.Batch, request)
 	if err != nil {
@@ -75,14 +75,14 @@
 }
 
 // findColumns finds columns of a schema by name. Where rows may be counted, "" is a column of integers without a name.
-func findColumns(schema merge.Schema, names []string, mayCountRows bool) ([]merge.Column, error) {
+func findColumns(schema merge.Schema, names []string, allowRowCount bool) ([]merge.Column, error) {
 	columns := make([]merge.Column, len(names))
 	for i, name := range names {
 		index := schema.Index(name)
 		switch {
 		case index >= 0:
 			columns[i] = schema[index]
-		case name == "" && mayCountRows:
+		case name == "" && allowRowCount:
 			columns[i] = merge.Column{Kind: merge.Int}
 		default:
 			return nil, malformed("no column %q", name)
@@ -93,33 +93,33 @@
 
 // decode makes the aggregates of a column.
 func (w *wirePartial) decode(column merge.Column) (*merge.PartialAggregate, error) {
-	hasFigures := w.Count > 0 && column.Name != ""
-	var sum, least, greatest merge.Value
-	for _, figure := range []struct {
+	hasStatistics := w.Count > 0 && column.Name != ""
+	var sum, minimum, maximum merge.Value
+	for _, statistic := range []struct {
 		raw     json.RawMessage
 		decoded *merge.Value
 		absent  bool
 	}{
 		{w.Sum, &sum, column.Kind == merge.Text}, // texts have no sum; one that is sent does not matter
-		{w.Min, &least, false},
-		{w.Max, &greatest, false},
+		{w.Min, &minimum, false},
+		{w.Max, &maximum, false},
 	} {
-		if figure.absent {
+		if statistic.absent {
 			continue
 		}
 		var err error
-		*figure.decoded, err = decodeFigure(figure.raw, column.Kind, hasFigures)
+		*statistic.decoded, err = decodeStatistic(statistic.raw, column.Kind, hasStatistics)
 		if err != nil {
 			return nil, err
 		}
 	}
-	return merge.RestorePartialAggregate(column, w.Count, sum, least, greatest, w.Quantiles, w.Distinct)
+	return merge.RestorePartialAggregate(column, w.Count, sum, minimum, maximum, w.Quantiles, w.Distinct)
 }
 
-// decodeFigure decodes a sum, minimum or maximum, which must be there if the aggregate has figures and else not; it
+// decodeStatistic decodes a sum, minimum or maximum, which must be there if the aggregate has figures and else not; it
 // then is the zero of its kind.
-func decodeFigure(raw json.RawMessage, kind merge.Kind, hasFigures bool) (merge.Value, error) {
-	if !hasFigures {
+func decodeStatistic(raw json.RawMessage, kind merge.Kind, hasStatistics bool) (merge.Value, error) {
+	if !hasStatistics {
 		if len(raw) > 0 {
 			return merge.Value{}, errors.New("sum, minimum or maximum of no values")
 		}
--- a/internal/results/rows/json_decode.go
+++ b/internal/results/rows/json_decode.go
@@ -39,7 +39,7 @@
 	answer := decoder.answer
 	answer.Batch.Version = decoder.wire.Version
 	answer.Batch.HasMore = decoder.wire.More
-	return answer, answer.decodeRest(decoder.wire.Summary, decoder.wire.Groups, &request)
+	return answer, answer.decodeSummaryAndGroups(decoder.wire.Summary, decoder.wire.Groups, &request)
 }
 
 // decodeObject decodes the text, which must be one object.
--- a/internal/results/rows/json_test.go
+++ b/internal/results/rows/json_test.go
@@ -83,8 +83,8 @@
 	require.Less(t, allocations, 300.0)
 }
 
-// FuzzParseJSON: whatever a backend sends is an error, or an answer that is encoded and decoded without change.
-func FuzzParseJSON(f *testing.F) {
+// FuzzDecodeJSON: whatever a backend sends is an error, or an answer that is encoded and decoded without change.
+func FuzzDecodeJSON(f *testing.F) {
 	text, _ := newAnswer().EncodeJSON()
 	f.Add(text)
 	f.Add([]byte(`{"version":7,"schema":[{"name":"premium","kind":"float"}],"rows":[[1,"a","NaN"]]}`))
--- a/internal/results/rows/summary.go
+++ b/internal/results/rows/summary.go
@@ -18,9 +18,9 @@
 		Version:    batch.Version,
 		ShardEpoch: request.ShardEpoch,
 		Count:      w.Count,
-		Min:        orNaN(w.Min),
-		Max:        orNaN(w.Max),
-		Sum:        orNaN(w.Sum),
+		Min:        numberOrNaN(w.Min),
+		Max:        numberOrNaN(w.Max),
+		Sum:        numberOrNaN(w.Sum),
 	}
 	surplus := w.Count == 0 && len(w.FirstRank) > 0
 	incomplete := w.Count > 0 && len(w.FirstRank) != len(rank)
@@ -56,7 +56,7 @@
 	}
 }
 
-func orNaN(number *float64) float64 {
+func numberOrNaN(number *float64) float64 {
 	if number == nil {
 		return math.NaN()
 	}
