--- a/internal/results/merge/batch.go
+++ b/internal/results/merge/batch.go
@@ -6,7 +6,7 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-// Batch is what one shard returned: its next rows, in order.
+// Batch holds the next rows of one shard, in order.
 type Batch struct {
 	Buckets shardmap.Range
 	Version uint64 // of the shard's data
@@ -15,15 +15,15 @@
 	HasMore bool // the shard has rows after these
 }
 
-// Validate returns the first thing that is wrong with a batch for which at most maxRows rows after a position were
-// requested; a nil position requests rows from the first. A batch is validated as a whole before it is merged, so that
-// an answer holds all rows of a batch or none.
+// Validate checks a batch and returns an error for the first fault. At most maxRows rows after a position were
+// requested; a nil position means from the first row. A batch is validated as a whole before it is merged, so that an
+// answer holds all rows of a batch or none.
 func (o *Order) Validate(batch *Batch, after *Position, maxRows int) error {
 	if err := o.schema.CheckCompatible(batch.Schema); err != nil {
 		return err
 	}
 	if len(batch.Rows) > maxRows {
-		return invalid(NoRow, ErrTooMany, "%d rows, not %d", len(batch.Rows), maxRows)
+		return invalid(NoRow, ErrTooMany, "%d rows, %d were requested", len(batch.Rows), maxRows)
 	}
 	for i := range batch.Rows {
 		row := &batch.Rows[i]
@@ -31,36 +31,38 @@
 			return err
 		}
 		if row.Bucket < batch.Buckets.Start || row.Bucket >= batch.Buckets.End {
-			return invalid(i, ErrUnrequestedBucket, "%d, not of %v", row.Bucket, batch.Buckets)
+			return invalid(i, ErrUnrequestedBucket, "bucket %d is not in buckets %v", row.Bucket, batch.Buckets)
 		}
 		if i > 0 {
 			if err := o.validateSuccessor(i, &batch.Rows[i-1], row); err != nil {
 				return err
 			}
 		} else if after != nil && o.Compare(o.PositionOf(*row), *after) <= 0 {
-			return invalid(i, ErrBeforePosition, "%v", row.Values)
+			return invalid(i, ErrBeforePosition, "values %v", row.Values)
 		}
 	}
 	return nil
 }
 
-// validateValues checks the values of the row at an index against the schema and the rank columns.
+// validateValues checks the values of the row at an index against the schema, and those in rank columns for nulls and
+// NaNs.
 func (o *Order) validateValues(index int, row *Row) error {
 	if len(row.Values) != len(o.schema) {
-		return invalid(index, ErrSchemaMismatch, "%d values of %d columns", len(row.Values), len(o.schema))
+		return invalid(index, ErrSchemaMismatch, "%d values for %d columns", len(row.Values), len(o.schema))
 	}
 	for i, value := range row.Values {
 		if value.Kind != o.schema[i].Kind && value.Kind != Null {
-			return invalid(index, ErrSchemaMismatch, "%s is %v", o.schema[i].Name, value.Kind)
+			return invalid(index, ErrSchemaMismatch, "column %q: value of kind %v, not %v", o.schema[i].Name, value.Kind,
+				o.schema[i].Kind)
 		}
 	}
 	for _, column := range o.rankColumns {
 		value := row.Values[column]
 		if value.Kind == Null {
-			return invalid(index, ErrNullRank, "%s", o.schema[column].Name)
+			return invalid(index, ErrNullRank, "column %q", o.schema[column].Name)
 		}
 		if value.Kind == Float && math.IsNaN(value.Float) {
-			return invalid(index, ErrInvalidNumber, "%s", o.schema[column].Name)
+			return invalid(index, ErrInvalidNumber, "column %q: NaN", o.schema[column].Name)
 		}
 	}
 	return nil
@@ -73,7 +75,7 @@
 		return invalid(index, ErrDuplicate, "bucket %d, key %q", row.Bucket, row.Key)
 	}
 	if comparison > 0 {
-		return invalid(index, ErrOutOfOrder, "%v after %v", row.Values, previous.Values)
+		return invalid(index, ErrOutOfOrder, "values %v after %v", row.Values, previous.Values)
 	}
 	return nil
 }
--- a/internal/results/merge/batch_test.go
+++ b/internal/results/merge/batch_test.go
@@ -25,19 +25,19 @@
 		change func(*Batch)
 		is     error
 	}{
-		"other column":      {func(b *Batch) { b.Schema[2].Name = "x" }, ErrSchemaMismatch},
-		"other kind":        {func(b *Batch) { b.Schema[2].Kind = Int }, ErrSchemaMismatch},
-		"column missing":    {func(b *Batch) { b.Schema = b.Schema[:2] }, ErrSchemaMismatch},
-		"other currency":    {func(b *Batch) { b.Schema[0].Currency = "USD" }, ErrCurrencyMismatch},
-		"value missing":     {func(b *Batch) { b.Rows[1].Values = b.Rows[1].Values[:2] }, ErrSchemaMismatch},
-		"text for a number": {func(b *Batch) { b.Rows[1].Values[0] = TextOf("dear") }, ErrSchemaMismatch},
-		"null":              {func(b *Batch) { b.Rows[1].Values[0] = Value{} }, ErrNullRank},
-		"NaN":               {func(b *Batch) { b.Rows[1].Values[1] = FloatOf(math.NaN()) }, ErrInvalidNumber},
-		"out of order":      {func(b *Batch) { b.Rows[2].Values[0] = IntOf(0) }, ErrOutOfOrder},
-		"wrong direction":   {func(b *Batch) { b.Rows[0].Values[1] = FloatOf(1) }, ErrOutOfOrder},
-		"duplicate row":     {func(b *Batch) { b.Rows[2] = b.Rows[1] }, ErrDuplicate},
-		"too many rows":     {func(b *Batch) { b.Rows = append(b.Rows, testRow(3, "d", 9, 1)) }, ErrTooMany},
-		"foreign bucket":    {func(b *Batch) { b.Rows[2].Bucket = 9 }, ErrUnrequestedBucket},
+		"other column":       {func(b *Batch) { b.Schema[2].Name = "x" }, ErrSchemaMismatch},
+		"other kind":         {func(b *Batch) { b.Schema[2].Kind = Int }, ErrSchemaMismatch},
+		"column missing":     {func(b *Batch) { b.Schema = b.Schema[:2] }, ErrSchemaMismatch},
+		"other currency":     {func(b *Batch) { b.Schema[0].Currency = "USD" }, ErrCurrencyMismatch},
+		"value missing":      {func(b *Batch) { b.Rows[1].Values = b.Rows[1].Values[:2] }, ErrSchemaMismatch},
+		"text for a number":  {func(b *Batch) { b.Rows[1].Values[0] = TextOf("x") }, ErrSchemaMismatch},
+		"null":               {func(b *Batch) { b.Rows[1].Values[0] = Value{} }, ErrNullRank},
+		"NaN":                {func(b *Batch) { b.Rows[1].Values[1] = FloatOf(math.NaN()) }, ErrInvalidNumber},
+		"out of order":       {func(b *Batch) { b.Rows[2].Values[0] = IntOf(0) }, ErrOutOfOrder},
+		"wrong direction":    {func(b *Batch) { b.Rows[0].Values[1] = FloatOf(1) }, ErrOutOfOrder},
+		"duplicate row":      {func(b *Batch) { b.Rows[2] = b.Rows[1] }, ErrDuplicate},
+		"too many rows":      {func(b *Batch) { b.Rows = append(b.Rows, testRow(3, "d", 9, 1)) }, ErrTooMany},
+		"unrequested bucket": {func(b *Batch) { b.Rows[2].Bucket = 9 }, ErrUnrequestedBucket},
 	} {
 		t.Run(name, func(t *testing.T) {
 			batch := validBatch()
@@ -49,7 +49,7 @@
 		})
 	}
 	first := order.PositionOf(testRow(1, "a", 1, 5))
-	require.ErrorIs(t, order.Validate(validBatch(), &first, 3), ErrBeforePosition, "the position itself is not after it")
+	require.ErrorIs(t, order.Validate(validBatch(), &first, 3), ErrBeforePosition, "the first row is at the position, not after it")
 	_, err := NewOrder(testSchema, []SortColumn{{"age", false}})
 	require.ErrorIs(t, err, ErrSchemaMismatch)
 }
--- a/internal/results/merge/clause.go
+++ b/internal/results/merge/clause.go
@@ -9,46 +9,49 @@
 	"slices"
 )
 
-// This file maps the JSON names of a clause. Cursors are bound to the text that Canonical makes: the names, the order
-// of the fields and what is omitted must not change.
+// This file defines the JSON form of a clause. Cursors are bound to the encoding that Canonical returns, so the
+// names, the order of the fields and the omission of empty fields must not change.
 
-// Clause is what a client asks of a merge: the object "merge" of a query.
+// Clause is the "merge" object of a query: how the client wants the rows of the shards ranked, aggregated and
+// filtered.
 type Clause struct {
-	Rank            []RankColumn      `json:"rank,omitempty"`
-	Page            *PageClause       `json:"page,omitempty"`
-	Aggregate       []AggregateClause `json:"aggregate,omitempty"`
-	Group           []string          `json:"group,omitempty"` // columns
-	Filter          []Condition       `json:"filter,omitempty"`
-	MinCompleteness float64           `json:"least,omitempty"` // share of the query's weight, if stricter than the class's
+	Rank      []RankColumn      `json:"rank,omitempty"`
+	Page      *PageClause       `json:"page,omitempty"`
+	Aggregate []AggregateClause `json:"aggregate,omitempty"`
+	Group     []string          `json:"group,omitempty"` // columns
+	Filter    []Condition       `json:"filter,omitempty"`
+	// MinCompleteness is the least share of the query's weight to answer with. It applies if it is stricter than the
+	// class's.
+	MinCompleteness float64 `json:"least,omitempty"`
 }
 
-// RankColumn is one column of the rank.
+// RankColumn is one of the columns by which rows are ranked.
 type RankColumn struct {
 	Column string `json:"column"`
-	Order  string `json:"order,omitempty"` // "" is OrderAscending
+	Order  string `json:"order,omitempty"` // "" means OrderAscending
 }
 
-// The orders of a rank column.
+// Orders of a rank column.
 const (
 	OrderAscending  = "asc"
 	OrderDescending = "desc"
 )
 
-// PageClause is the size of a page, in rows, and the cursor of the page before; "" for the first page.
+// PageClause holds the size of a page in rows, and the cursor that the previous page returned; "" for the first page.
 type PageClause struct {
 	Size   int    `json:"size,omitempty"`
 	Cursor string `json:"cursor,omitempty"`
 }
 
-// AggregateClause is one aggregate.
+// AggregateClause is one requested aggregate.
 type AggregateClause struct {
-	Name     string   `json:"name"` // by which the answer names it
+	Name     string   `json:"name"` // of the aggregate in the answer
 	Function string   `json:"do"`
-	Column   string   `json:"of,omitempty"` // may be "" for FunctionCount: it then counts rows
-	Quantile *float64 `json:"q,omitempty"`  // 0 to 1; of FunctionQuantile alone
+	Column   string   `json:"of,omitempty"` // may be "" for FunctionCount, which then counts rows
+	Quantile *float64 `json:"q,omitempty"`  // 0 to 1; for FunctionQuantile only
 }
 
-// The functions of an aggregate.
+// Functions of an aggregate.
 const (
 	FunctionCount    = "count"
 	FunctionSum      = "sum"
@@ -59,14 +62,14 @@
 	FunctionDistinct = "distinct"
 )
 
-// Condition is one condition of the filter. Rows pass that meet all conditions.
+// Condition is one condition of the filter. A row passes the filter if it meets all conditions.
 type Condition struct {
 	Column   string          `json:"column"`
 	Operator string          `json:"op"`
-	Value    json.RawMessage `json:"value"` // see Operand
+	Value    json.RawMessage `json:"value"` // decoded by Operand
 }
 
-// The operators of a condition.
+// Operators of a condition.
 const (
 	OperatorEqual          = "eq"
 	OperatorNotEqual       = "ne"
@@ -76,7 +79,7 @@
 	OperatorGreaterOrEqual = "ge"
 )
 
-// ParseClause reads a clause. The error wraps ErrInvalidClause and names the first field that is wrong.
+// ParseClause decodes and validates a clause. Its error wraps ErrInvalidClause and names the first invalid field.
 func ParseClause(text []byte) (*Clause, error) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
@@ -90,7 +93,7 @@
 	return clause, clause.validate()
 }
 
-// SortColumns is the rank as NewOrder takes it.
+// SortColumns returns the rank in the form that NewOrder takes.
 func (c *Clause) SortColumns() []SortColumn {
 	columns := make([]SortColumn, len(c.Rank))
 	for i, rank := range c.Rank {
@@ -99,9 +102,9 @@
 	return columns
 }
 
-// Canonical encodes the clause without its page. Spacing, the order of names, the form of numbers and an omitted order
-// do not change the result. A cursor is bound to it, so that a client may change the size of pages from one page to the
-// next. The clause must be valid.
+// Canonical encodes the clause without its page. Spacing, the order of names, the form of numbers and an omitted
+// order do not change the result. A cursor is bound to this encoding, so a client may change the page size from one
+// page to the next. The clause must be valid.
 func (c *Clause) Canonical() []byte {
 	canonical := *c
 	canonical.Page = nil
@@ -119,7 +122,7 @@
 	}
 	text, err := json.Marshal(canonical)
 	if err != nil {
-		panic(err) // not of a valid clause
+		panic(err) // a valid clause can always be encoded
 	}
 	return text
 }
--- a/internal/results/merge/clause_test.go
+++ b/internal/results/merge/clause_test.go
@@ -20,7 +20,7 @@
 		"value":"x"}]}`))
 	require.NoError(t, err)
 	canonical, err := ParseClause(next.Canonical())
-	require.ErrorIs(t, err, ErrInvalidClause, "a rank without a page is invalid")
+	require.ErrorIs(t, err, ErrInvalidClause, "the canonical form has no page, and a rank without a page is invalid")
 	require.Equal(t, clause.Aggregate, canonical.Aggregate)
 }
 
@@ -53,7 +53,8 @@
 	}
 }
 
-// The canonical form depends on what is asked, not on how the JSON is written or on the size of the page.
+// The canonical form must not depend on the spelling of the JSON or on the page size. Otherwise the cursor of a page
+// would be rejected when the client asks for the next one.
 func TestCanonical(t *testing.T) {
 	equal := func(a, b string) bool {
 		t.Helper()
@@ -69,7 +70,7 @@
 	require.False(t, equal(clause, `{"rank":[{"column":"a","order":"desc"}],"page":{"size":5},"filter":[{"column":"b","op":"lt","value":1.5}]}`))
 }
 
-// FuzzParseClause: a clause is an error, or its canonical form is a clause with the same canonical form.
+// FuzzParseClause checks that a text is rejected, or that its canonical form parses and is canonical itself.
 func FuzzParseClause(f *testing.F) {
 	f.Add([]byte(fullClause))
 	f.Add([]byte(`{"aggregate":[{"name":"n","do":"count"}],"filter":[{"column":"a","op":"eq","value":1e400}]}`))
--- a/internal/results/merge/clause_validation.go
+++ b/internal/results/merge/clause_validation.go
@@ -6,14 +6,14 @@
 	"slices"
 )
 
-// Bounds of a clause.
+// Limits of a clause.
 const (
 	MaxRankColumns  = 8
 	MaxAggregates   = 32
 	MaxGroupColumns = 4
 	MaxConditions   = 16
 	MaxPageSize     = 1000 // rows
-	MaxNameBytes    = 64   // of the name of a column or aggregate
+	MaxNameBytes    = 64   // length of the name of a column or aggregate
 )
 
 var (
@@ -23,15 +23,15 @@
 		OperatorGreaterOrEqual}
 )
 
-// ErrInvalidClause is wrapped by the errors of ParseClause. Their texts go to clients.
+// ErrInvalidClause is wrapped by the errors of ParseClause. Clients see their texts.
 var ErrInvalidClause = errors.New("invalid merge clause")
 
-// invalidField makes an ErrInvalidClause for a field, which has its JSON name.
+// invalidField returns an ErrInvalidClause for the field with a JSON name.
 func invalidField(field, format string, args ...any) error {
 	return fmt.Errorf("%w: %s: %s", ErrInvalidClause, field, fmt.Sprintf(format, args...))
 }
 
-// validate returns an error for the first field that is wrong.
+// validate returns an error for the first invalid field.
 func (c *Clause) validate() error {
 	if len(c.Rank) == 0 && len(c.Aggregate) == 0 {
 		return invalidField("merge", "neither rank nor aggregate")
@@ -42,8 +42,8 @@
 		validateCount("filter", len(c.Filter), MaxConditions)); err != nil {
 		return err
 	}
-	for _, validate := range []func() error{c.validateRank, c.validatePageAndCompleteness, c.validateGroup, c.validateAggregates,
-		c.validateFilter} {
+	for _, validate := range []func() error{c.validateRank, c.validatePageAndCompleteness, c.validateGroup,
+		c.validateAggregates, c.validateFilter} {
 		if err := validate(); err != nil {
 			return err
 		}
@@ -83,7 +83,8 @@
 	return nil
 }
 
-// validatePageAndCompleteness checks which fields may be there together, the page and the minimum weight.
+// validatePageAndCompleteness checks that rank and page, and group and aggregate, are given together. It also checks
+// the page size and the minimum completeness.
 func (c *Clause) validatePageAndCompleteness() error {
 	switch {
 	case (c.Page == nil) != (len(c.Rank) == 0):
@@ -92,7 +93,7 @@
 		return invalidField("page.size", "%d, not 0 to %d", c.Page.Size, MaxPageSize)
 	case len(c.Group) > 0 && len(c.Aggregate) == 0:
 		return invalidField("group", "no aggregate")
-	case !(c.MinCompleteness >= 0 && c.MinCompleteness <= 1): // nor a NaN
+	case !(c.MinCompleteness >= 0 && c.MinCompleteness <= 1): // also rejects NaN
 		return invalidField("least", "%v, not 0 to 1", c.MinCompleteness)
 	}
 	return nil
@@ -130,7 +131,7 @@
 	return nil
 }
 
-// validateFunction checks the function and its arguments; field is that of the aggregate.
+// validateFunction checks the function, its column and its quantile. The field is the JSON name of the aggregate.
 func (a *AggregateClause) validateFunction(field string) error {
 	if !slices.Contains(functions, a.Function) {
 		return invalidField(field+".do", "%q, not one of %v", a.Function, functions)
--- a/internal/results/merge/errors.go
+++ b/internal/results/merge/errors.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Why rows, aggregates or sketches of a shard cannot be combined. A *ValidationError wraps one of them.
+// Reasons why the rows, aggregates or sketches of a shard cannot be combined. A *ValidationError wraps one of them.
 var (
 	ErrSchemaMismatch    = errors.New("schema mismatch")
 	ErrCurrencyMismatch  = errors.New("currency mismatch")
@@ -20,17 +20,17 @@
 	ErrInvalidSketch     = errors.New("invalid sketch")
 )
 
-// NoRow is the Row of a ValidationError that concerns no single row.
+// NoRow is the Row of a ValidationError that is not about a single row.
 const NoRow = -1
 
-// ValidationError is the first thing that is wrong with what a shard returned.
+// ValidationError describes the first fault found in the answer of a shard.
 type ValidationError struct {
 	Row    int // index in the batch, or NoRow
 	Detail string
 	Err    error // one of the package's error values
 }
 
-// Error contains the row, if there is one, the cause and the detail.
+// Error returns the row, if the fault is in one, then the cause and the detail.
 func (e *ValidationError) Error() string {
 	if e.Row < 0 {
 		return fmt.Sprintf("%v: %s", e.Err, e.Detail)
@@ -41,7 +41,7 @@
 // Unwrap returns the cause.
 func (e *ValidationError) Unwrap() error { return e.Err }
 
-// invalid makes a ValidationError.
+// invalid returns a ValidationError.
 func invalid(row int, err error, format string, args ...any) error {
 	return &ValidationError{Row: row, Detail: fmt.Sprintf(format, args...), Err: err}
 }
--- a/internal/results/merge/filter.go
+++ b/internal/results/merge/filter.go
@@ -6,7 +6,7 @@
 	"math"
 )
 
-// Operand is the value of a condition: a text, or a number, which is an integer if an int64 holds it.
+// Operand decodes the value of a condition. It is a text or a number; a number that fits an int64 is an integer.
 func (c Condition) Operand() (Value, error) {
 	var text string
 	if json.Unmarshal(c.Value, &text) == nil && len(c.Value) > 0 && c.Value[0] == '"' {
@@ -26,8 +26,9 @@
 	return FloatOf(float), nil
 }
 
-// Matches reports whether a value meets the condition. Null meets none, and a text and a number are not comparable and
-// meet none either. An integer and a float are compared as floats. NaN is unequal to every number.
+// Matches reports whether a value meets the condition. Null meets no condition. A text and a number cannot be
+// compared, so neither meets a condition on the other, not even an inequality. An integer and a float are compared as
+// floats. NaN is unequal to every number.
 func (c Condition) Matches(value Value) bool {
 	operand, err := c.Operand()
 	if err != nil || value.Kind == Null || (value.Kind == Text) != (operand.Kind == Text) {
--- a/internal/results/merge/groups.go
+++ b/internal/results/merge/groups.go
@@ -2,25 +2,25 @@
 
 import "slices"
 
-// Groups is aggregates by group. The number of groups is bounded.
+// Groups holds the aggregates of a query by group. The number of groups is bounded.
 type Groups struct {
-	columns   []Column // that are aggregated
+	columns   []Column // the aggregated ones
 	maxGroups int
-	byKey     map[string]*Group // by groupKey of the values
+	byKey     map[string]*Group // by groupKey of their values
 }
 
-// Group is the aggregates of one group.
+// Group holds the values that identify a group, and its aggregates.
 type Group struct {
-	Values   []Value             // of the columns by which rows are grouped
+	Values   []Value             // of the columns that rows are grouped by
 	Partials []*PartialAggregate // one for each aggregated column
 }
 
-// NewGroups makes an empty set of at most maxGroups groups.
+// NewGroups returns an empty set that can hold at most maxGroups groups.
 func NewGroups(columns []Column, maxGroups int) *Groups {
 	return &Groups{columns: columns, maxGroups: maxGroups, byKey: map[string]*Group{}}
 }
 
-// groupKey encodes the values of a group. It is unambiguous, as formatted values contain no zero byte.
+// groupKey encodes the values of a group. The encoding is unambiguous because formatted values contain no zero byte.
 func groupKey(values []Value) string {
 	var key []byte
 	for _, value := range values {
@@ -31,7 +31,8 @@
 	return string(key)
 }
 
-// GetOrCreate returns the group of the values. It makes one of no rows if there is none, or returns ErrTooMany.
+// GetOrCreate returns the group with the given values. If there is none, it creates one without rows. It returns
+// ErrTooMany if that would exceed the bound.
 func (g *Groups) GetOrCreate(values []Value) (*Group, error) {
 	key := groupKey(values)
 	if group := g.byKey[key]; group != nil {
@@ -52,7 +53,8 @@
 	return group, nil
 }
 
-// Insert adds a group. One that exists, or with another number of aggregates than columns, is an ErrDuplicate.
+// Insert adds a group. It returns ErrDuplicate if the group exists already, or if there is not one aggregate for each
+// column.
 func (g *Groups) Insert(values []Value, partials []*PartialAggregate) error {
 	before := len(g.byKey)
 	group, err := g.GetOrCreate(values)
@@ -66,10 +68,10 @@
 	return nil
 }
 
-// Columns are the aggregated columns.
+// Columns returns the aggregated columns.
 func (g *Groups) Columns() []Column { return g.columns }
 
-// Combine adds all groups of another shard, or, if it returns an error, none of them.
+// Combine adds all groups of another shard. If it returns an error, it has added none of them.
 func (g *Groups) Combine(other *Groups) error {
 	combined := NewGroups(g.columns, g.maxGroups)
 	for _, groups := range []*Groups{g, other} {
@@ -83,14 +85,16 @@
 	return nil
 }
 
-// add combines one group into that of the same values; after an error a part of it may have been added.
+// add combines a group with the one that has the same values. After an error some of its aggregates may have been
+// combined.
 func (g *Groups) add(group *Group) error {
 	target, err := g.GetOrCreate(group.Values)
 	if err != nil {
 		return err
 	}
 	if len(target.Partials) != len(group.Partials) {
-		return invalid(NoRow, ErrSchemaMismatch, "%d aggregates, not %d", len(group.Partials), len(target.Partials))
+		return invalid(NoRow, ErrSchemaMismatch, "group %v: %d aggregates, not %d", group.Values, len(group.Partials),
+			len(target.Partials))
 	}
 	for i, partial := range group.Partials {
 		if err := target.Partials[i].Combine(partial); err != nil {
@@ -100,7 +104,7 @@
 	return nil
 }
 
-// Sorted returns the groups in the order of their values.
+// Sorted returns the groups, ordered by their values.
 func (g *Groups) Sorted() []*Group {
 	sorted := make([]*Group, 0, len(g.byKey))
 	for _, group := range g.byKey {
--- a/internal/results/merge/heap.go
+++ b/internal/results/merge/heap.go
@@ -1,12 +1,12 @@
 package merge
 
-// input is a batch that is being merged.
+// input is a batch and how far it has been merged.
 type input struct {
 	batch *Batch
-	next  int // index of the first row that is not on the page yet; below len(batch.Rows)
+	next  int // index of the first row not yet on the page; less than len(batch.Rows)
 }
 
-// inputHeap is a heap of inputs for container/heap; the one with the first row is at the root.
+// inputHeap implements heap.Interface. The input whose next row comes first is at the root.
 type inputHeap struct {
 	order   *Order
 	entries []input
--- a/internal/results/merge/order.go
+++ b/internal/results/merge/order.go
@@ -5,31 +5,32 @@
 // SortColumn is one column of a rank.
 type SortColumn struct {
 	Column     string
-	Descending bool // the greatest value first
+	Descending bool // greatest value first
 }
 
-// Row is a row of a shard. Bucket and key together identify it.
+// Row is a row of a shard. Its bucket and key together identify it.
 type Row struct {
 	Bucket int
 	Key    string
 	Values []Value // one for each column of the schema
 }
 
-// Order is a total order of rows: the rank columns, then the bucket, then the key. Bucket and key belong to the row and
-// not to the shard that holds it, so the order does not depend on how buckets are split into shards.
+// Order is a total order of rows: by the rank columns, then the bucket, then the key. Bucket and key are properties
+// of the row, whichever shard holds it, so the order does not depend on how buckets are split into shards.
 type Order struct {
 	schema      Schema
 	rankColumns []int  // indices in the schema
 	descending  []bool // for each rank column
 }
 
-// NewOrder makes an order of the rows of a schema. A rank column that the schema lacks is an ErrSchemaMismatch.
+// NewOrder returns an order of rows with the given schema. It returns ErrSchemaMismatch if the schema lacks a rank
+// column.
 func NewOrder(schema Schema, rank []SortColumn) (*Order, error) {
 	order := &Order{schema: schema}
 	for _, sortColumn := range rank {
 		index := schema.Index(sortColumn.Column)
 		if index < 0 {
-			return nil, invalid(NoRow, ErrSchemaMismatch, "no rank column %q", sortColumn.Column)
+			return nil, invalid(NoRow, ErrSchemaMismatch, "rank column %q is not in the schema", sortColumn.Column)
 		}
 		order.rankColumns = append(order.rankColumns, index)
 		order.descending = append(order.descending, sortColumn.Descending)
@@ -37,14 +38,14 @@
 	return order, nil
 }
 
-// Position is a row's position in an order. The next page starts after the position of the last row.
+// Position is the place of a row in an order. The next page starts after the position of the last row.
 type Position struct {
 	Rank   []Value // values of the rank columns
 	Bucket int
 	Key    string
 }
 
-// PositionOf is the position of a row.
+// PositionOf returns the position of a row.
 func (o *Order) PositionOf(row Row) Position {
 	position := Position{Rank: make([]Value, len(o.rankColumns)), Bucket: row.Bucket, Key: row.Key}
 	for i, column := range o.rankColumns {
@@ -53,7 +54,7 @@
 	return position
 }
 
-// CompareRanks compares the rank columns of two positions alone.
+// CompareRanks compares only the values of the rank columns of two positions.
 func (o *Order) CompareRanks(a, b []Value) int {
 	for i := range min(len(a), len(b)) {
 		if c := Compare(a[i], b[i]); c != 0 {
@@ -63,12 +64,12 @@
 	return 0
 }
 
-// Compare orders two positions.
+// Compare compares two positions.
 func (o *Order) Compare(a, b Position) int {
 	return cmp.Or(o.CompareRanks(a.Rank, b.Rank), cmp.Compare(a.Bucket, b.Bucket), cmp.Compare(a.Key, b.Key))
 }
 
-// compareRows orders two rows like Compare orders their positions, without allocating these.
+// compareRows compares two rows as Compare does their positions, but without allocating the positions.
 func (o *Order) compareRows(a, b *Row) int {
 	for i, column := range o.rankColumns {
 		if c := Compare(a.Values[column], b.Values[column]); c != 0 {
@@ -78,7 +79,7 @@
 	return cmp.Or(cmp.Compare(a.Bucket, b.Bucket), cmp.Compare(a.Key, b.Key))
 }
 
-// applyDirection reverses a comparison of the values of a rank column if that is descending.
+// applyDirection negates the comparison of two values of a rank column if the column is descending.
 func (o *Order) applyDirection(rankColumn, comparison int) int {
 	if o.descending[rankColumn] {
 		return -comparison
--- a/internal/results/merge/page.go
+++ b/internal/results/merge/page.go
@@ -8,20 +8,20 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-// Page is rows in order.
+// Page holds the merged rows of a page, in order.
 type Page struct {
 	Rows     []Row
-	Sources  []shardmap.Range // for each row, the buckets of its batch
-	NeedMore []shardmap.Range // batches whose next rows may belong to the page, by buckets; none once it is final
-	HasMore  bool             // there are rows after the page
+	Sources  []shardmap.Range // buckets of the batch of each row
+	NeedMore []shardmap.Range // buckets of batches whose next rows may belong to the page; empty for a final page
+	HasMore  bool             // whether there are rows after the page
 }
 
-// Merge puts batches that passed Validate into one page of at most limit rows. A batch whose shard has more rows is
-// listed in NeedMore if the page is not full or all rows of the batch come before the page's last row; no other shard
-// can add to the page.
+// Merge merges batches that passed Validate into one page of at most limit rows. NeedMore lists each batch whose
+// shard has more rows, if the page is not full or all rows of the batch come before the last row of the page. Other
+// shards cannot add to the page.
 //
-// The result depends neither on the order of the batches nor on how buckets are split into shards. Merge allocates the
-// page and one heap entry for each batch.
+// The result depends neither on the order of the batches nor on how buckets are split into shards. Merge allocates
+// only the page and one heap entry for each batch.
 func (o *Order) Merge(batches []*Batch, limit int) Page {
 	inputs := &inputHeap{order: o}
 	page := Page{}
@@ -53,7 +53,7 @@
 	return page
 }
 
-// canExtendPage reports whether rows after those of a batch may belong to a page of limit rows.
+// canExtendPage reports whether rows that follow those of a batch may belong to a page of limit rows.
 func (o *Order) canExtendPage(batch *Batch, page []Row, limit int) bool {
 	if limit <= 0 {
 		return false
--- a/internal/results/merge/page_test.go
+++ b/internal/results/merge/page_test.go
@@ -12,7 +12,7 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-// drawRows draws rows with few premiums, so that ties cross the borders of shards and pages.
+// drawRows draws rows with few different premiums, so that ties span shards and pages.
 func drawRows(t *rapid.T, order *Order) []Row {
 	var rows []Row
 	for i := range rapid.IntRange(0, 60).Draw(t, "rows") {
@@ -36,8 +36,8 @@
 	return shards
 }
 
-// drawPage reads the next page of sorted rows: it splits the buckets anew, and draws the limit of the page and how many
-// rows the first round asks of each shard.
+// drawPage reads the next page of the sorted rows. It splits the buckets into new shards, and draws the page limit
+// and how many rows the first round requests of each shard.
 func drawPage(t *rapid.T, order *Order, sorted []Row, after *Position) (page Page, limit int) {
 	limit = rapid.IntRange(1, 12).Draw(t, "limit")
 	firstRows := rapid.IntRange(0, 5).Draw(t, "first")
@@ -59,14 +59,14 @@
 		}
 		for _, buckets := range page.NeedMore {
 			i := slices.IndexFunc(batches, func(batch *Batch) bool { return batch.Buckets == buckets })
-			require.True(t, batches[i].HasMore, "only shards that have more rows are asked for them")
+			require.True(t, batches[i].HasMore, "only shards that have more rows are listed")
 			batches[i] = readBatch(order, sorted, buckets, after, len(batches[i].Rows)+max(firstRows, 1))
 		}
 	}
 }
 
-// Pages of any size return every row once and in order, in a bounded number of rounds, however the buckets are split
-// into shards, also if that changes from one page to the next.
+// Pages of any size must return every row once, in order and in a bounded number of rounds, even if the buckets are
+// split into other shards between pages.
 func TestPagesAgreeHoweverBucketsAreSplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		order := newOrder(t, SortColumn{"premium", rapid.Bool().Draw(t, "descending")}, SortColumn{"risk", false})
--- a/internal/results/merge/partial.go
+++ b/internal/results/merge/partial.go
@@ -9,23 +9,24 @@
 	"github.com/axiomhq/hyperloglog"
 )
 
-// exactSumBits is the precision at which sums of up to 2^64 float64 are exact: their exponents are -1074 to 1023.
+// exactSumBits is a precision at which the sum of up to 2^64 float64 values is exact. Their exponents range from
+// -1074 to 1023.
 const exactSumBits = 2200
 
-// PartialAggregate is the aggregates of one column over some rows of a group. Those of several shards combine in any
-// order with the same result.
+// PartialAggregate holds the aggregates of one column over some rows of a group. Partial aggregates of several shards
+// can be combined in any order with the same result.
 type PartialAggregate struct {
 	Column   Column
-	Count    uint64 // of rows with a value
+	Count    uint64 // rows in which the column is not null
 	Min, Max Value  // null if Count is 0
 
-	intSum    int64      // of an Int column
-	floatSum  *big.Float // of a Float column, with exactSumBits
+	intSum    int64      // for an Int column
+	floatSum  *big.Float // for a Float column, with a precision of exactSumBits
 	quantiles *ddsketch.DDSketch
 	distinct  *hyperloglog.Sketch
 }
 
-// NewPartialAggregate makes the aggregates of no rows.
+// NewPartialAggregate returns the aggregates of a column over no rows.
 func NewPartialAggregate(column Column) (*PartialAggregate, error) {
 	quantiles, err := ddsketch.NewDefaultDDSketch(QuantileAccuracy)
 	if err != nil {
@@ -41,26 +42,27 @@
 
 func newExactSum() *big.Float { return new(big.Float).SetPrec(exactSumBits) }
 
-// Add adds one value; null counts for nothing. A value that cannot be added is an error and changes nothing.
+// Add adds one value; it ignores null. It returns an error and changes nothing if the value cannot be added.
 func (p *PartialAggregate) Add(value Value) error {
 	if value.Kind == Null {
 		return nil
 	}
 	if value.Kind != p.Column.Kind {
-		return invalid(NoRow, ErrSchemaMismatch, "%s is %v, not %v", p.Column.Name, value.Kind, p.Column.Kind)
+		return invalid(NoRow, ErrSchemaMismatch, "column %q: value of kind %v, not %v", p.Column.Name, value.Kind,
+			p.Column.Kind)
 	}
 	number, isNumber := value.toFloat()
 	if value.Kind == Float && (!isNumber || math.IsInf(number, 0)) {
-		return invalid(NoRow, ErrInvalidNumber, "%s", p.Column.Name)
+		return invalid(NoRow, ErrInvalidNumber, "column %q: %v", p.Column.Name, number)
 	}
-	intSum, overflow := addInts(p.intSum, value.Int) // Int is 0 in values of other kinds
+	intSum, overflow := addInts(p.intSum, value.Int) // value.Int is 0 for other kinds
 	if overflow {
-		return invalid(NoRow, ErrOverflow, "%s", p.Column.Name)
+		return invalid(NoRow, ErrOverflow, "column %q", p.Column.Name)
 	}
 	if isNumber {
-		// The sketch rejects the greatest floats; it is unchanged then.
+		// The sketch rejects floats close to MaxFloat64 and then stays unchanged.
 		if err := p.quantiles.Add(number); err != nil {
-			return invalid(NoRow, ErrInvalidSketch, "%s: %v", p.Column.Name, err)
+			return invalid(NoRow, ErrInvalidSketch, "column %q: %v", p.Column.Name, err)
 		}
 	}
 	p.intSum = intSum
@@ -73,7 +75,7 @@
 	return nil
 }
 
-// extendMinMax makes Min and Max cover other values, before Count counts these.
+// extendMinMax extends Min and Max to cover further values. It must be called before Count includes these.
 func (p *PartialAggregate) extendMinMax(minimum, maximum Value) {
 	if p.Count == 0 || Compare(minimum, p.Min) < 0 {
 		p.Min = minimum
@@ -96,20 +98,20 @@
 	}
 	intSum, overflow := addInts(p.intSum, other.intSum)
 	if overflow {
-		return invalid(NoRow, ErrOverflow, "%s", p.Column.Name)
+		return invalid(NoRow, ErrOverflow, "column %q", p.Column.Name)
 	}
 	count, carry := bits.Add64(p.Count, other.Count, 0)
 	if carry != 0 {
-		return invalid(NoRow, ErrOverflow, "count of %s", p.Column.Name)
+		return invalid(NoRow, ErrOverflow, "count of column %q", p.Column.Name)
 	}
-	// A merge that fails may have changed its receiver, hence the copies.
+	// A failed merge may change its receiver, so merge into copies.
 	quantiles := p.quantiles.Copy()
 	if err := quantiles.MergeWith(other.quantiles); err != nil {
-		return invalid(NoRow, ErrInvalidSketch, "%s: %v", p.Column.Name, err)
+		return invalid(NoRow, ErrInvalidSketch, "column %q: %v", p.Column.Name, err)
 	}
 	distinct := p.distinct.Clone()
 	if err := distinct.Merge(other.distinct); err != nil {
-		return invalid(NoRow, ErrInvalidSketch, "%s: %v", p.Column.Name, err)
+		return invalid(NoRow, ErrInvalidSketch, "column %q: %v", p.Column.Name, err)
 	}
 	p.quantiles = quantiles
 	p.distinct = distinct
@@ -122,19 +124,19 @@
 	return nil
 }
 
-// Sum is the sum of the values, rounded once; ErrOverflow if no float64 holds it.
+// Sum returns the sum of the values. A sum of floats is rounded once, and ErrOverflow if it exceeds a float64.
 func (p *PartialAggregate) Sum() (Value, error) {
 	if p.Column.Kind == Int {
 		return IntOf(p.intSum), nil
 	}
 	sum, _ := p.floatSum.Float64()
 	if math.IsInf(sum, 0) {
-		return Value{}, invalid(NoRow, ErrOverflow, "%s", p.Column.Name)
+		return Value{}, invalid(NoRow, ErrOverflow, "column %q", p.Column.Name)
 	}
 	return FloatOf(sum), nil
 }
 
-// Mean is the mean of the values; null if there are none.
+// Mean returns the mean of the values, or null if there are none.
 func (p *PartialAggregate) Mean() (Value, error) {
 	if p.Count == 0 {
 		return Value{}, nil
@@ -145,23 +147,23 @@
 	}
 	mean, _ := sum.Quo(sum, newExactSum().SetUint64(p.Count)).Float64()
 	if math.IsInf(mean, 0) {
-		return Value{}, invalid(NoRow, ErrOverflow, "%s", p.Column.Name)
+		return Value{}, invalid(NoRow, ErrOverflow, "column %q", p.Column.Name)
 	}
 	return FloatOf(mean), nil
 }
 
-// Quantile is the value below which a share of the values lies, from 0 to 1, within QuantileAccuracy; null if there are
-// no values.
+// Quantile returns the value below which a share of the values lies, or null if there are none. The share is 0 to 1,
+// and the relative error is at most QuantileAccuracy.
 func (p *PartialAggregate) Quantile(share float64) (Value, error) {
 	if p.Count == 0 {
 		return Value{}, nil
 	}
 	quantile, err := p.quantiles.GetValueAtQuantile(share)
 	if err != nil {
-		return Value{}, invalid(NoRow, ErrInvalidSketch, "%s: %v", p.Column.Name, err)
+		return Value{}, invalid(NoRow, ErrInvalidSketch, "column %q: %v", p.Column.Name, err)
 	}
 	return FloatOf(quantile), nil
 }
 
-// Distinct estimates the number of distinct values.
+// Distinct returns an estimate of the number of distinct values.
 func (p *PartialAggregate) Distinct() uint64 { return p.distinct.Estimate() }
--- a/internal/results/merge/partial_test.go
+++ b/internal/results/merge/partial_test.go
@@ -19,7 +19,8 @@
 	return partial
 }
 
-// requireEqualAggregates checks that both aggregates have the same sum and figures, and returns the sum.
+// requireEqualAggregates checks that both aggregates have the same sum, count, minimum, maximum, quantiles and
+// distinct count. It returns the sum.
 func requireEqualAggregates(t *rapid.T, want, got *PartialAggregate) Value {
 	t.Helper()
 	wantSum, err := want.Sum()
@@ -41,8 +42,8 @@
 	return gotSum
 }
 
-// Aggregates are the same however the values are split into shards and in whatever order these arrive. Sums of floats
-// are the exact ones, rounded once, which no order of float additions yields.
+// Aggregates must not depend on how values are split into shards or in which order the shards answer. Adding floats
+// one by one depends on the order, so sums of floats must be exact and rounded once.
 func TestAggregatesDoNotDependOnTheOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		column := Column{Name: "risk", Kind: Float}
@@ -60,7 +61,7 @@
 		for _, x := range values {
 			require.NoError(t, partials[rapid.IntRange(0, len(partials)-1).Draw(t, "shard")].Add(FloatOf(x)))
 		}
-		// Any two are combined into one until one is left: a tree of any shape.
+		// Combine any two until one is left, which tests combination trees of any shape.
 		for len(partials) > 1 {
 			i := rapid.IntRange(0, len(partials)-1).Draw(t, "i")
 			partial := partials[i]
@@ -85,7 +86,7 @@
 	column := Column{Name: "premium", Kind: Int, Currency: "INR"}
 	partial := newPartial(t, column)
 	require.NoError(t, partial.Add(IntOf(math.MaxInt64-5)))
-	require.NoError(t, partial.Add(Value{}), "null counts for nothing")
+	require.NoError(t, partial.Add(Value{}), "null is ignored")
 	require.ErrorIs(t, partial.Add(IntOf(6)), ErrOverflow)
 	require.ErrorIs(t, partial.Add(FloatOf(6)), ErrSchemaMismatch)
 	other := newPartial(t, column)
@@ -106,7 +107,7 @@
 	partial := newPartial(t, Column{Name: "risk", Kind: Float})
 	require.ErrorIs(t, partial.Add(FloatOf(math.NaN())), ErrInvalidNumber)
 	require.ErrorIs(t, partial.Add(FloatOf(math.Inf(1))), ErrInvalidNumber)
-	require.ErrorIs(t, partial.Add(FloatOf(math.MaxFloat64)), ErrInvalidSketch, "beyond what the quantiles can hold")
+	require.ErrorIs(t, partial.Add(FloatOf(math.MaxFloat64)), ErrInvalidSketch, "beyond the range of the quantile sketch")
 	sum, err := partial.Sum()
 	require.NoError(t, err)
 	require.Zero(t, sum.Float)
--- a/internal/results/merge/sketch_test.go
+++ b/internal/results/merge/sketch_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// FuzzRestore: whatever aggregates a backend sends, they are an error or can be combined.
+// FuzzRestore checks that aggregates of any content are rejected or can be combined.
 func FuzzRestore(f *testing.F) {
 	column := Column{Name: "risk", Kind: Float}
 	sent, _ := NewPartialAggregate(column)
--- a/internal/results/merge/value.go
+++ b/internal/results/merge/value.go
@@ -9,21 +9,21 @@
 // Kind is the type of a value.
 type Kind uint8
 
-// The kinds of values. Cursors contain their numbers: they must not change.
+// Kinds of values. Cursors contain these numbers, so they must not change.
 const (
 	Null Kind = iota
-	Int       // also money, in minor units; the column then names its currency
+	Int       // also amounts of money, in minor units of the currency of the column
 	Float
 	Text
 )
 
-// kindNames are the names of kinds in the schemas that backends send.
+// kindNames lists the names of the kinds in the schemas that backends send.
 var kindNames = [...]string{"null", "int", "float", "text"}
 
-// String is the name of the kind.
+// String returns the name of the kind.
 func (k Kind) String() string { return kindNames[k] }
 
-// Value is one value of a row. Only the field that belongs to its kind is set; the zero value is null.
+// Value is one value of a row. Only the field for its kind is set; the zero value is null.
 type Value struct {
 	Kind  Kind
 	Int   int64
@@ -31,16 +31,17 @@
 	Text  string
 }
 
-// IntOf makes an integer value.
+// IntOf returns an integer value.
 func IntOf(x int64) Value { return Value{Kind: Int, Int: x} }
 
-// FloatOf makes a float value.
+// FloatOf returns a float value.
 func FloatOf(x float64) Value { return Value{Kind: Float, Float: x} }
 
-// TextOf makes a text value.
+// TextOf returns a text value.
 func TextOf(x string) Value { return Value{Kind: Text, Text: x} }
 
-// String formats a value. Distinct counts, group keys and canonical clauses are made of this form: it must not change.
+// String formats a value. Distinct counts, group keys and canonical clauses depend on this form, so it must not
+// change.
 func (v Value) String() string {
 	switch v.Kind {
 	case Int:
@@ -53,8 +54,8 @@
 	return "null"
 }
 
-// Compare orders two values of one kind, and values of different kinds by kind, null first. NaN has no place in the
-// order and must have been rejected before.
+// Compare compares two values. Values of different kinds are ordered by kind, null first. NaN has no place in the
+// order and must be rejected before.
 func Compare(a, b Value) int {
 	if a.Kind != b.Kind {
 		return cmp.Compare(a.Kind, b.Kind)
@@ -70,7 +71,7 @@
 	return 0
 }
 
-// toFloat is the value as a float; ok is false for texts, null and NaN.
+// toFloat returns the value as a float. It returns false for texts, null and NaN.
 func (v Value) toFloat() (x float64, ok bool) {
 	switch v.Kind {
 	case Int:
