--- a/internal/results/rows/answer.go
+++ b/internal/results/rows/answer.go
@@ -9,34 +9,34 @@
 	"ternstage/internal/results/merge"
 )
 
-// Bounds of what a backend may send.
+// Limits of what a backend may send.
 const (
 	MaxColumns   = 64
-	MaxTextBytes = 4 << 10 // of a text or a row's key
+	MaxTextBytes = 4 << 10 // length of a text, or of the key of a row
 )
 
-// ErrMalformed is wrapped by all errors of decoding.
+// ErrMalformed is wrapped by all decoding errors.
 var ErrMalformed = errors.New("malformed rows")
 
-// malformed makes an ErrMalformed.
+// malformed returns an error that wraps ErrMalformed.
 func malformed(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrMalformed, fmt.Sprintf(format, args...))
 }
 
-// Answer is what a backend sends for one shard.
+// Answer is the answer of a backend for one shard.
 type Answer struct {
 	Batch   merge.Batch
 	Groups  *merge.Groups         // nil if no aggregates were requested
-	Summary *completeness.Summary // of all rows of the shard; nil if the backend states none
+	Summary *completeness.Summary // of all rows of the shard; nil if the backend sent none
 }
 
-// Request is what was requested of a shard.
+// Request describes what was requested of a shard.
 type Request struct {
 	Buckets          shardmap.Range
-	ShardEpoch       uint64 // epoch of the shard's last change
+	ShardEpoch       uint64 // epoch of the last change of the shard
 	MaxRows          int
-	RankColumns      []string // names, in the order of the rank
-	AggregateColumns []string // names, in the order in which aggregates are sent; "" counts rows
-	GroupColumns     []string // names, in the order in which values of groups are sent
+	RankColumns      []string // names, in rank order
+	AggregateColumns []string // names, in the order in which backends send aggregates; "" counts rows
+	GroupColumns     []string // names, in the order in which backends send group values
 	MaxGroups        int
 }
--- a/internal/results/rows/arrow_decode.go
+++ b/internal/results/rows/arrow_decode.go
@@ -10,7 +10,7 @@
 	"ternstage/internal/results/merge"
 )
 
-// DecodeArrow decodes the Arrow form of an answer. The texts of the answer are in the memory of the record batch.
+// DecodeArrow decodes the Arrow form of an answer. The texts of the answer share memory with the record batch.
 func DecodeArrow(record arrow.RecordBatch, request Request) (*Answer, error) {
 	answer := &Answer{Batch: merge.Batch{Buckets: request.Buckets}}
 	batch := &answer.Batch
@@ -21,11 +21,11 @@
 	metadata := arrowMetadata(record.Schema().Metadata())
 	batch.Version, err = strconv.ParseUint(metadata.get(nameVersion), 10, 64)
 	if err != nil || batch.Version == 0 {
-		return nil, malformed("version %.20q", metadata.get(nameVersion))
+		return nil, malformed("version %.20q, not a positive integer", metadata.get(nameVersion))
 	}
 	batch.HasMore, err = strconv.ParseBool(metadata.get(nameMore))
 	if err != nil {
-		return nil, malformed("more %.20q", metadata.get(nameMore))
+		return nil, malformed("more %.20q, not a boolean", metadata.get(nameMore))
 	}
 	batch.Rows, err = decodeIdentities(buckets, keys, record.Schema().NumFields()-identityColumns)
 	if err != nil {
@@ -45,16 +45,16 @@
 	return answer, answer.decodeSummaryAndGroups(summary, groups, &request)
 }
 
-// arrowMetadata is the metadata of a record batch's schema.
+// arrowMetadata is the schema metadata of a record batch.
 type arrowMetadata arrow.Metadata
 
-// get is the value of a name; "" if there is none.
+// get returns the value of a name, or "" if there is none.
 func (m arrowMetadata) get(name string) string {
 	value, _ := arrow.Metadata(m).GetValue(name)
 	return value
 }
 
-// decode decodes the JSON value of a name, if there is one.
+// decode decodes the JSON value of a name into target. It does nothing if there is no value.
 func (m arrowMetadata) decode(name string, target any) error {
 	text := m.get(name)
 	if text == "" {
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// findIdentityColumns finds the columns with the buckets and keys of the rows.
+// findIdentityColumns returns the columns with the buckets and the keys of the rows.
 func findIdentityColumns(record arrow.RecordBatch, maxRows int) (*array.Int32, *array.String, error) {
 	if record.NumRows() > int64(maxRows) {
 		return nil, nil, malformed("%d rows, %d were requested", record.NumRows(), maxRows)
@@ -88,13 +88,13 @@
 	return buckets, keys, nil
 }
 
-// decodeIdentities makes rows with their buckets and keys, and room for the values of some columns.
+// decodeIdentities returns rows with their buckets and keys, and with null values for the given number of columns.
 func decodeIdentities(buckets *array.Int32, keys *array.String, columns int) ([]merge.Row, error) {
 	rows := make([]merge.Row, keys.Len())
 	for i := range rows {
 		key := keys.Value(i)
 		if len(key) > MaxTextBytes {
-			return nil, malformed("row %d: a key of %d bytes", i, len(key))
+			return nil, malformed("row %d: key of %d bytes, not at most %d", i, len(key), MaxTextBytes)
 		}
 		rows[i] = merge.Row{Bucket: int(buckets.Value(i)), Key: key, Values: make([]merge.Value, columns)}
 	}
@@ -106,18 +106,19 @@
 	for i := range record.Schema().NumFields() - identityColumns {
 		field := record.Schema().Field(identityColumns + i)
 		if batch.Schema.Index(field.Name) >= 0 || field.Name == "" {
-			return malformed("column %.40q: duplicate or without a name", field.Name)
+			return malformed("column %.40q: duplicate or empty name", field.Name)
 		}
 		kind, valueAt := columnReader(record.Column(identityColumns + i))
 		if valueAt == nil {
-			return malformed("column %.40q: %v", field.Name, field.Type)
+			return malformed("column %.40q: type %v, not int64, float64 or utf8", field.Name, field.Type)
 		}
 		currency, _ := field.Metadata.GetValue(metadataCurrency)
 		batch.Schema = append(batch.Schema, merge.Column{Name: field.Name, Kind: kind, Currency: currency})
 		for row := range batch.Rows {
 			value := valueAt(row)
 			if len(value.Text) > MaxTextBytes {
-				return malformed("row %d: %s: a text of %d bytes", row, field.Name, len(value.Text))
+				return malformed("row %d: column %.40q: text of %d bytes, not at most %d", row, field.Name, len(value.Text),
+					MaxTextBytes)
 			}
 			batch.Rows[row].Values[i] = value
 		}
@@ -125,8 +126,8 @@
 	return nil
 }
 
-// columnReader returns the kind of a column and a function that reads its value in a row; nil for a type that is not
-// among those of the wire.
+// columnReader returns the kind of a column and a function that reads its value in a row. The function is nil if
+// backends must not send columns of that type.
 func columnReader(column arrow.Array) (merge.Kind, func(row int) merge.Value) {
 	orNull := func(read func(row int) merge.Value) func(row int) merge.Value {
 		return func(row int) merge.Value {
--- a/internal/results/rows/arrow_encode.go
+++ b/internal/results/rows/arrow_encode.go
@@ -12,7 +12,7 @@
 	"ternstage/internal/results/merge"
 )
 
-// EncodeArrow encodes an answer in the form that DecodeArrow decodes. The caller releases the record batch.
+// EncodeArrow encodes an answer in the form that DecodeArrow decodes. The caller must release the record batch.
 func (a *Answer) EncodeArrow() (arrow.RecordBatch, error) {
 	metadata, err := a.encodeMetadata()
 	if err != nil {
@@ -23,7 +23,8 @@
 	defer builder.Release()
 	for i, row := range a.Batch.Rows {
 		if len(row.Values) != len(a.Batch.Schema) || row.Bucket < 0 || row.Bucket > math.MaxInt32 {
-			return nil, malformed("row %d: %d values, district %d", i, len(row.Values), row.Bucket)
+			return nil, malformed("row %d: %d values for %d columns, or district %d not an int32 from 0", i, len(row.Values),
+				len(a.Batch.Schema), row.Bucket)
 		}
 		builder.Field(0).(*array.Int32Builder).Append(int32(row.Bucket))
 		builder.Field(1).(*array.StringBuilder).Append(row.Key)
@@ -34,7 +35,7 @@
 	return builder.NewRecordBatch(), nil
 }
 
-// encodeMetadata encodes what an answer has beside its rows.
+// encodeMetadata encodes the version, the summary, the groups and whether the shard has more rows.
 func (a *Answer) encodeMetadata() (arrow.Metadata, error) {
 	names := []string{nameVersion, nameMore}
 	values := []string{strconv.FormatUint(a.Batch.Version, 10), strconv.FormatBool(a.Batch.HasMore)}
@@ -61,7 +62,7 @@
 	return arrow.NewMetadata(names, values), nil
 }
 
-// arrowTypes are the types of the columns of each kind.
+// arrowTypes maps the kinds of columns to Arrow types.
 var arrowTypes = map[merge.Kind]arrow.DataType{
 	merge.Int:   arrow.PrimitiveTypes.Int64,
 	merge.Float: arrow.PrimitiveTypes.Float64,
@@ -83,7 +84,7 @@
 	return fields
 }
 
-// appendValue appends a value to a column; one of another kind than the column's becomes null.
+// appendValue appends a value to a column, or null if the value is of another kind than the column.
 func appendValue(builder array.Builder, value merge.Value) {
 	switch builder := builder.(type) {
 	case *array.Int64Builder:
--- a/internal/results/rows/arrow_test.go
+++ b/internal/results/rows/arrow_test.go
@@ -19,7 +19,7 @@
 	require.Equal(t, answer, decoded)
 }
 
-// buildRecord makes a record batch of some fields whose columns are filled by a function.
+// buildRecord builds a record batch with the given fields, whose columns the function fills.
 func buildRecord(t *testing.T, fill func(*array.RecordBuilder), metadata arrow.Metadata, fields ...arrow.Field,
 ) arrow.RecordBatch {
 	t.Helper()
--- a/internal/results/rows/groups.go
+++ b/internal/results/rows/groups.go
@@ -7,7 +7,7 @@
 	"ternstage/internal/results/merge"
 )
 
-// decodeSummaryAndGroups decodes what an answer has beside its batch, which must have been decoded.
+// decodeSummaryAndGroups decodes the summary and the groups of an answer. The batch must have been decoded.
 func (a *Answer) decodeSummaryAndGroups(summary *wireSummary, groups []wireGroup, request *Request) error {
 	var err error
 	a.Summary, err = summary.decode(&a.Batch, request)
@@ -38,8 +38,8 @@
 	for i := range groups {
 		group := &groups[i]
 		if len(group.Values) != len(grouping) || len(group.Partials) != len(aggregated) || i >= request.MaxGroups {
-			return nil, malformed("groups[%d]: %d values and %d aggregates, of at most %d groups", i, len(group.Values),
-				len(group.Partials), request.MaxGroups)
+			return nil, malformed("groups[%d]: %d values and %d aggregates, not %d and %d, or more than %d groups", i,
+				len(group.Values), len(group.Partials), len(grouping), len(aggregated), request.MaxGroups)
 		}
 		values, partials, err := group.decode(i, grouping, aggregated)
 		if err != nil {
@@ -52,7 +52,8 @@
 	return decoded, nil
 }
 
-// decode decodes the group at an index, which has a value and an aggregate for each column.
+// decode decodes the group at an index. The group must have one value for each grouping column and one aggregate for
+// each aggregated column.
 func (w *wireGroup) decode(index int, grouping, aggregated []merge.Column) (
 	[]merge.Value, []*merge.PartialAggregate, error) {
 	values := make([]merge.Value, len(grouping))
@@ -74,7 +75,8 @@
 	return values, partials, nil
 }
 
-// findColumns finds columns of a schema by name. Where rows may be counted, "" is a column of integers without a name.
+// findColumns returns the columns of a schema with the given names. If allowRowCount is true, the name "" stands for
+// an integer column without a name, which counts rows.
 func findColumns(schema merge.Schema, names []string, allowRowCount bool) ([]merge.Column, error) {
 	columns := make([]merge.Column, len(names))
 	for i, name := range names {
@@ -91,7 +93,7 @@
 	return columns, nil
 }
 
-// decode makes the aggregates of a column.
+// decode decodes the aggregates of a column.
 func (w *wirePartial) decode(column merge.Column) (*merge.PartialAggregate, error) {
 	hasStatistics := w.Count > 0 && column.Name != ""
 	var sum, minimum, maximum merge.Value
@@ -100,7 +102,7 @@
 		decoded *merge.Value
 		absent  bool
 	}{
-		{w.Sum, &sum, column.Kind == merge.Text}, // texts have no sum; one that is sent does not matter
+		{w.Sum, &sum, column.Kind == merge.Text}, // texts have no sum; one that is sent is ignored
 		{w.Min, &minimum, false},
 		{w.Max, &maximum, false},
 	} {
@@ -116,12 +118,12 @@
 	return merge.RestorePartialAggregate(column, w.Count, sum, minimum, maximum, w.Quantiles, w.Distinct)
 }
 
-// decodeStatistic decodes a sum, minimum or maximum, which must be there if the aggregate has figures and else not; it
-// then is the zero of its kind.
+// decodeStatistic decodes a sum, minimum or maximum. If hasStatistics is false, it must be absent, and the zero value
+// of the kind is returned. Otherwise it must be present.
 func decodeStatistic(raw json.RawMessage, kind merge.Kind, hasStatistics bool) (merge.Value, error) {
 	if !hasStatistics {
 		if len(raw) > 0 {
-			return merge.Value{}, errors.New("sum, minimum or maximum of no values")
+			return merge.Value{}, errors.New("sum, minimum or maximum given for no values")
 		}
 		return merge.Value{Kind: kind}, nil
 	}
@@ -131,7 +133,7 @@
 	return decodeValue(raw, kind)
 }
 
-// encodeGroups is the inverse of decodeGroups; nil of nil.
+// encodeGroups is the inverse of decodeGroups. It returns nil for nil groups.
 func encodeGroups(groups *merge.Groups) ([]wireGroup, error) {
 	if groups == nil {
 		return nil, nil
@@ -151,7 +153,7 @@
 	return encoded, nil
 }
 
-// encodePartial is the inverse of wirePartial.decode. Texts have neither a sum nor quantiles.
+// encodePartial is the inverse of wirePartial.decode. A text column has neither a sum nor quantiles.
 func encodePartial(partial *merge.PartialAggregate) (wirePartial, error) {
 	wire := wirePartial{Count: partial.Count}
 	if partial.Count == 0 || partial.Column.Name == "" {
--- a/internal/results/rows/groups_test.go
+++ b/internal/results/rows/groups_test.go
@@ -8,7 +8,7 @@
 	"ternstage/internal/results/merge"
 )
 
-// newGroupedAnswer has two groups, x of two rows and y of one, and the request that it answers.
+// newGroupedAnswer returns an answer with two groups, x of two rows and y of one, and the request that it answers.
 func newGroupedAnswer(t *testing.T) (*Answer, Request) {
 	t.Helper()
 	answer := newAnswer()
@@ -62,7 +62,7 @@
 	require.NoError(t, err)
 	request.MaxGroups = 1
 	_, err = DecodeJSON(text, request)
-	require.ErrorIs(t, err, ErrMalformed, "more groups than the bound")
+	require.ErrorIs(t, err, ErrMalformed, "more groups than MaxGroups")
 	request.MaxGroups = 3
 	request.AggregateColumns = nil
 	_, err = DecodeJSON(text, request)
--- a/internal/results/rows/json_decode.go
+++ b/internal/results/rows/json_decode.go
@@ -9,11 +9,11 @@
 	"ternstage/internal/results/merge"
 )
 
-// jsonDecoder decodes one answer, member by member.
+// jsonDecoder decodes one answer member by member.
 type jsonDecoder struct {
 	json    *json.Decoder
 	request *Request
-	seen    map[string]bool // names of the members so far
+	seen    map[string]bool // names of the members decoded so far
 	wire    wireAnswer
 	answer  *Answer
 }
@@ -42,7 +42,7 @@
 	return answer, answer.decodeSummaryAndGroups(decoder.wire.Summary, decoder.wire.Groups, &request)
 }
 
-// decodeObject decodes the text, which must be one object.
+// decodeObject decodes the input, which must be one object.
 func (d *jsonDecoder) decodeObject() error {
 	if token, err := d.json.Token(); err != nil || token != json.Delim('{') {
 		return malformed("no object")
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// decodeMember decodes the value of the member with a name.
+// decodeMember decodes the value of the member with the given name.
 func (d *jsonDecoder) decodeMember(name string) error {
 	switch name {
 	case nameVersion:
@@ -111,14 +111,15 @@
 	for i, column := range columns {
 		kind, ok := wireKinds[column.Kind]
 		if !ok || column.Name == "" || schema.Index(column.Name) >= 0 {
-			return nil, malformed("schema[%d]: name %.40q, kind %.10q", i, column.Name, column.Kind)
+			return nil, malformed("schema[%d]: name %.40q is empty or a duplicate, or kind %.10q is unknown", i, column.Name,
+				column.Kind)
 		}
 		schema = append(schema, merge.Column{Name: column.Name, Kind: kind, Currency: column.Currency})
 	}
 	return schema, nil
 }
 
-// decodeRows decodes rows one by one, so that it can stop at the first that was not requested, however many follow.
+// decodeRows decodes rows one at a time and stops at the first beyond maxRows, however many follow.
 func decodeRows(decoder *json.Decoder, schema merge.Schema, maxRows int) ([]merge.Row, error) {
 	if token, err := decoder.Token(); err != nil || token != json.Delim('[') {
 		return nil, malformed("rows: no array")
@@ -150,7 +151,8 @@
 	row := merge.Row{Values: make([]merge.Value, len(schema))}
 	if json.Unmarshal(raw[0], &row.Bucket) != nil || json.Unmarshal(raw[1], &row.Key) != nil ||
 		len(row.Key) > MaxTextBytes {
-		return merge.Row{}, malformed("rows[%d]: district %.20s, key %.40s", index, raw[0], raw[1])
+		return merge.Row{}, malformed("rows[%d]: district %.20s not an integer, or key %.40s not a text or too long", index,
+			raw[0], raw[1])
 	}
 	for i, column := range schema {
 		value, err := decodeValue(raw[identityColumns+i], column.Kind)
--- a/internal/results/rows/json_test.go
+++ b/internal/results/rows/json_test.go
@@ -37,11 +37,11 @@
 	text, err := answer.EncodeJSON()
 	require.NoError(t, err)
 	decoded, err := DecodeJSON(text, newRequest(2, testRank))
-	require.NoError(t, err, "merge rejects NaN, not the decoder")
+	require.NoError(t, err, "NaN is rejected by merge, not by the decoder")
 	require.True(t, math.IsNaN(decoded.Batch.Rows[0].Values[1].Float))
 }
 
-// testSchemaJSON is the version and schema of malformed answers.
+// testSchemaJSON holds the version and schema members of malformed answers.
 const testSchemaJSON = `"version":7,"schema":[{"name":"premium","kind":"int"}]`
 
 func TestDecodeJSONErrors(t *testing.T) {
@@ -76,14 +76,15 @@
 	}
 }
 
-// Decoding stops at the first row that was not requested: it does not hold all rows before it counts them.
+// Decoding must stop at the first row beyond the requested number. If it decoded all rows before counting them, its
+// memory use would grow with the answer and not with the request.
 func TestDecodeJSONStopsAtTheFirstRowTooMany(t *testing.T) {
 	endless := `{` + testSchemaJSON + `,"rows":[` + strings.Repeat(`[10,"a",1],`, 1_000_000)
 	allocations := testing.AllocsPerRun(1, func() { _, _ = DecodeJSON([]byte(endless), newRequest(2, testRank[:1])) })
 	require.Less(t, allocations, 300.0)
 }
 
-// FuzzDecodeJSON: whatever a backend sends is an error, or an answer that is encoded and decoded without change.
+// FuzzDecodeJSON checks that any input is rejected, or is an answer that stays the same when encoded and decoded.
 func FuzzDecodeJSON(f *testing.F) {
 	text, _ := newAnswer().EncodeJSON()
 	f.Add(text)
--- a/internal/results/rows/summary.go
+++ b/internal/results/rows/summary.go
@@ -7,7 +7,7 @@
 	"ternstage/internal/results/merge"
 )
 
-// decode makes the summary of the shard that a batch is from; nil of nil.
+// decode decodes the summary that came with a batch. It returns nil if there is none.
 func (w *wireSummary) decode(batch *merge.Batch, request *Request) (*completeness.Summary, error) {
 	if w == nil {
 		return nil, nil
@@ -25,24 +25,24 @@
 	surplus := w.Count == 0 && len(w.FirstRank) > 0
 	incomplete := w.Count > 0 && len(w.FirstRank) != len(rank)
 	if surplus || incomplete || summary.Min > summary.Max {
-		return nil, malformed("summary: %d least values of %d rank columns, %d rows, minimum %v, maximum %v",
+		return nil, malformed("summary: %d least values for %d rank columns and %d rows, minimum %v, maximum %v",
 			len(w.FirstRank), len(rank), w.Count, summary.Min, summary.Max)
 	}
 	for i, raw := range w.FirstRank {
 		column := batch.Schema.Index(rank[i])
 		if column < 0 {
-			return nil, malformed("summary: no rank column %q", rank[i])
+			return nil, malformed("summary: rank column %q is not in the schema", rank[i])
 		}
 		value, err := decodeValue(raw, batch.Schema[column].Kind)
 		if err != nil || value.Kind == merge.Null || value.Kind == merge.Float && math.IsNaN(value.Float) {
-			return nil, malformed("summary: least[%d]: %.40s", i, raw)
+			return nil, malformed("summary: least[%d]: %.40s is not a value of kind %v", i, raw, batch.Schema[column].Kind)
 		}
 		summary.FirstRank = append(summary.FirstRank, value)
 	}
 	return summary, nil
 }
 
-// encodeSummary is the inverse of decode; nil of nil.
+// encodeSummary is the inverse of decode. It returns nil for a nil summary.
 func encodeSummary(summary *completeness.Summary) *wireSummary {
 	if summary == nil {
 		return nil
--- a/internal/results/rows/value.go
+++ b/internal/results/rows/value.go
@@ -9,13 +9,13 @@
 	"ternstage/internal/results/merge"
 )
 
-// The JSON forms of null and of floats that JSON cannot represent.
+// JSON forms of null and of floats that JSON cannot represent.
 const (
 	jsonNull = "null"
 	jsonNaN  = `"NaN"`
 )
 
-// decodeValue decodes a value of a kind, or null. That a rank column has no NaN is for merge to check.
+// decodeValue decodes null or a value of the given kind. It accepts NaN; merge rejects NaN in rank columns.
 func decodeValue(raw json.RawMessage, kind merge.Kind) (merge.Value, error) {
 	text := string(bytes.TrimSpace(raw))
 	if text == jsonNull {
@@ -57,7 +57,7 @@
 	return merge.TextOf(decoded), nil
 }
 
-// encodeValue is the inverse of decodeValue, but that it encodes infinite floats as NaN too.
+// encodeValue is the inverse of decodeValue, except that it also encodes infinite floats as NaN.
 func encodeValue(value merge.Value) json.RawMessage {
 	switch {
 	case value.Kind == merge.Null:
@@ -65,7 +65,7 @@
 	case value.Kind == merge.Float && (math.IsNaN(value.Float) || math.IsInf(value.Float, 0)):
 		return json.RawMessage(jsonNaN)
 	case value.Kind == merge.Text:
-		text, _ := json.Marshal(value.Text) // a string has no error
+		text, _ := json.Marshal(value.Text) // encoding a string cannot fail
 		return text
 	}
 	return json.RawMessage(value.String())
--- a/internal/results/rows/wire.go
+++ b/internal/results/rows/wire.go
@@ -6,17 +6,17 @@
 	"ternstage/internal/results/merge"
 )
 
-// The JSON form of an answer, with the schema before the rows:
+// The JSON form of an answer has the schema before the rows:
 //
 //	{"version":7,"schema":[...],"rows":[[bucket,"key",value,...],...],"more":true,"groups":[...],"summary":{...}}
 //
-// A float that JSON cannot represent is the text "NaN".
+// A float that JSON cannot represent is the string "NaN".
 //
-// The Arrow form is a record batch of the columns district (int32) and key (utf8), then int64, float64 and utf8
-// columns. Metadata of its schema has version, more, and in their JSON form summary and groups; metadata of a column of
-// money has currency.
+// The Arrow form is a record batch with the columns district (int32) and key (utf8), then int64, float64 and utf8
+// columns. The schema metadata contains version, more, and summary and groups in their JSON form. The metadata of a
+// column of money contains currency.
 
-// The names of an answer's members, in JSON and in Arrow metadata.
+// Names of the members of an answer, in JSON and in Arrow metadata.
 const (
 	nameVersion = "version"
 	nameSchema  = "schema"
@@ -26,17 +26,17 @@
 	nameSummary = "summary"
 )
 
-// Further names of the Arrow form.
+// Names that only the Arrow form has.
 const (
 	metadataCurrency = "currency"
 	columnBucket     = "district"
 	columnKey        = "key"
 )
 
-// identityColumns is how many columns, the bucket and the key, are before those of the schema.
+// identityColumns is the number of columns, bucket and key, before those of the schema.
 const identityColumns = 2
 
-// wireAnswer is an answer in JSON, but for its rows.
+// wireAnswer is the JSON form of an answer without its rows.
 type wireAnswer struct {
 	Version uint64       `json:"version"`
 	Schema  []wireColumn `json:"schema"`
@@ -45,14 +45,14 @@
 	Groups  []wireGroup  `json:"groups,omitempty"`
 }
 
-// wireColumn is a column of the schema.
+// wireColumn is the JSON form of a column of the schema.
 type wireColumn struct {
 	Name     string `json:"name"`
-	Kind     string `json:"kind"` // of wireKinds
+	Kind     string `json:"kind"` // a key of wireKinds
 	Currency string `json:"currency,omitempty"`
 }
 
-// wireSummary is a summary; its version and buckets are those of the answer.
+// wireSummary is the JSON form of a summary. It has the version and buckets of the answer.
 type wireSummary struct {
 	Count     uint64            `json:"count"`
 	FirstRank []json.RawMessage `json:"least,omitempty"`
@@ -61,13 +61,14 @@
 	Sum       *float64          `json:"sum,omitempty"`
 }
 
-// wireGroup is a group: the values by which rows are grouped, and an aggregate for each aggregated column.
+// wireGroup is the JSON form of a group: the values of the grouping columns, and the aggregates of each aggregated
+// column.
 type wireGroup struct {
 	Values   []json.RawMessage `json:"by,omitempty"`
 	Partials []wirePartial     `json:"of"`
 }
 
-// wirePartial is the aggregates of a column. The sketches are base64.
+// wirePartial is the JSON form of the aggregates of a column. The sketches are in base64.
 type wirePartial struct {
 	Count     uint64          `json:"count"`
 	Sum       json.RawMessage `json:"sum,omitempty"`
@@ -77,5 +78,5 @@
 	Distinct  []byte          `json:"distinct,omitempty"`
 }
 
-// wireKinds are the names of kinds; merge.Kind.String is the inverse.
+// wireKinds maps the names of kinds to kinds. merge.Kind.String is the inverse.
 var wireKinds = map[string]merge.Kind{"int": merge.Int, "float": merge.Float, "text": merge.Text}
