--- a/internal/results/completeness/bounds.go
+++ b/internal/results/completeness/bounds.go
@@ -2,16 +2,16 @@
 
 import "math"
 
-// Bound is the range in which an aggregate over all rows lies. The zero value is unknown.
+// Bound is the range of an aggregate over all rows, present and missing. The zero value means that no range is known.
 type Bound struct {
 	Known     bool
-	Low, High float64 // both included
+	Low, High float64 // inclusive
 }
 
-// IsExact reports whether the aggregate is known without error.
+// IsExact reports whether the bound is a single value.
 func (b Bound) IsExact() bool { return b.Known && b.Low == b.High }
 
-// CountBound bounds the count of all rows, of which present ones are counted.
+// CountBound bounds the count of all rows, given the count of the present ones.
 func (r *Report) CountBound(present uint64) Bound {
 	bound := Bound{Known: true, Low: float64(present), High: float64(present)}
 	for _, part := range r.Missing {
@@ -25,8 +25,8 @@
 	return bound
 }
 
-// SumBound bounds the sum over all rows, given that over the present ones. Where a summary has no sum, its count,
-// minimum and maximum bound it.
+// SumBound bounds the sum over all rows, given the sum over the present ones. For a summary without a sum it uses the
+// count, minimum and maximum.
 func (r *Report) SumBound(present float64) Bound {
 	bound := Bound{Known: true, Low: present, High: present}
 	for _, part := range r.Missing {
@@ -35,7 +35,7 @@
 		case summary == nil:
 			return Bound{}
 		case summary.Count == 0:
-			// No rows change no sum.
+			// Without rows the sum stays the same.
 		case !math.IsNaN(summary.Sum):
 			bound.Low += summary.Sum
 			bound.High += summary.Sum
@@ -50,23 +50,23 @@
 	return bound
 }
 
-// MinBound is the minimum over all rows, given that over the present ones if there are any; else present counts for
-// nothing.
+// MinBound returns the minimum over all rows, given the minimum over the present ones. If anyPresent is false, it
+// ignores present.
 func (r *Report) MinBound(present float64, anyPresent bool) Bound {
 	return r.boundExtreme(present, anyPresent,
 		func(summary *Summary) float64 { return summary.Min },
 		func(a, b float64) bool { return a < b })
 }
 
-// MaxBound is the maximum over all rows, like MinBound.
+// MaxBound returns the maximum over all rows. Its parameters are like those of MinBound.
 func (r *Report) MaxBound(present float64, anyPresent bool) Bound {
 	return r.boundExtreme(present, anyPresent,
 		func(summary *Summary) float64 { return summary.Max },
 		func(a, b float64) bool { return a > b })
 }
 
-// boundExtreme is the most extreme of a value and those of the summaries of missing parts, where moreExtreme compares
-// two values.
+// boundExtreme returns the most extreme of a value, if that is known, and the values in the summaries of missing
+// parts. moreExtreme reports whether a is more extreme than b.
 func (r *Report) boundExtreme(extreme float64, known bool, valueOf func(*Summary) float64,
 	moreExtreme func(a, b float64) bool) Bound {
 	for _, part := range r.Missing {
@@ -89,7 +89,7 @@
 	return Bound{Known: known, Low: extreme, High: extreme}
 }
 
-// MeanBound bounds the mean over all rows, given the sum and count over the present ones.
+// MeanBound bounds the mean over all rows, given the sum and the count over the present ones.
 func (r *Report) MeanBound(presentSum float64, presentCount uint64) Bound {
 	count := r.CountBound(presentCount)
 	sum := r.SumBound(presentSum)
--- a/internal/results/completeness/certain.go
+++ b/internal/results/completeness/certain.go
@@ -2,8 +2,8 @@
 
 import "ternstage/internal/results/merge"
 
-// CertainRanks reports for each of an answer's positions, which are in order, whether its rank is certain: no missing
-// part can hold a row before it. After a rank that is not certain no rank is.
+// CertainRanks reports for each position of an answer, given in order, whether its rank is certain. A rank is certain
+// if no missing part can hold a row before it. If one rank is uncertain, all after it are, too.
 func (r *Report) CertainRanks(order *merge.Order, positions []merge.Position) []bool {
 	certain := make([]bool, len(positions))
 	first, known := r.firstMissingPosition(order)
@@ -19,8 +19,8 @@
 	return certain
 }
 
-// firstMissingPosition is the first position that a row of a missing part can have, nil if the missing parts have no rows. It
-// is unknown if a missing part has no summary.
+// firstMissingPosition returns the first position that a row of a missing part can have, or nil if the missing parts
+// have no rows. It returns known as false if a missing part has no applicable summary.
 func (r *Report) firstMissingPosition(order *merge.Order) (first *merge.Position, known bool) {
 	for _, part := range r.Missing {
 		summary := r.summaryOf(part)
@@ -30,7 +30,7 @@
 		if summary.Count == 0 {
 			continue
 		}
-		// The first row's bucket and key are not known: it may be of the first bucket and have any key.
+		// Bucket and key of the first row are not known, so assume the first bucket and the lowest key.
 		lowest := merge.Position{Rank: summary.FirstRank, Bucket: part.Buckets.Start}
 		if first == nil || order.Compare(lowest, *first) < 0 {
 			first = &lowest
--- a/internal/results/completeness/certain_test.go
+++ b/internal/results/completeness/certain_test.go
@@ -9,12 +9,13 @@
 	"ternstage/internal/results/merge"
 )
 
-// The first rank is certain only if the missing shard cannot hold a row of a lower premium.
-func TestFirstRankIsCertainOnlyByAnApplicableSummary(t *testing.T) {
+// The first rank must be certain only if the missing shard cannot hold a row with a lower premium. A summary of older
+// data, of other buckets or from before a split must not make it certain.
+func TestFirstRankIsCertainOnlyWithApplicableSummary(t *testing.T) {
 	order := newOrder(t)
 	positions := []merge.Position{{Rank: []merge.Value{merge.IntOf(10)}, Bucket: 2, Key: "k"}}
 	for name, test := range map[string]struct {
-		summary *Summary // its change is made to one that applies, with a first premium of 11
+		summary *Summary // applies to the missing part, first premium 11; changed by change
 		change  func(summary *Summary, missing *Part)
 		want    bool
 	}{
@@ -49,7 +50,7 @@
 	}
 }
 
-// newSummary applies to the missing part of the test.
+// newSummary returns a summary that applies to the missing part of the test.
 func newSummary() *Summary {
 	return &Summary{Buckets: shardmap.Range{Start: 5, End: 9}, Version: 8, ShardEpoch: 2, Count: 3,
 		FirstRank: []merge.Value{merge.IntOf(11)}}
--- a/internal/results/completeness/fixture_test.go
+++ b/internal/results/completeness/fixture_test.go
@@ -11,7 +11,7 @@
 // A fixed seed makes every run draw the same cases; -rapid.seed=0 on the command line draws new ones.
 func init() { _ = flag.Set("rapid.seed", "20261201") }
 
-// newOrder ranks rows by premium, the least first.
+// newOrder returns an order of rows by premium, lowest first.
 func newOrder(t require.TestingT) *merge.Order {
 	if helper, ok := t.(interface{ Helper() }); ok {
 		helper.Helper()
--- a/internal/results/completeness/reason.go
+++ b/internal/results/completeness/reason.go
@@ -1,19 +1,19 @@
 package completeness
 
-// Reason is why a part is missing.
+// Reason tells why a part is missing.
 type Reason uint8
 
-// The reasons.
+// Reasons for a missing part.
 const (
-	Rejected     Reason = iota // rejected by the backends, or never sent
-	TimedOut                   // no answer in time
+	Rejected     Reason = iota // the backends rejected the part, or it was never sent
+	TimedOut                   // no answer arrived in time
 	Failed                     // the backend or the connection to it failed
 	NotHolder                  // no backend held the buckets
 	Malformed                  // the answer cannot be combined with the others
-	StaleVersion               // only an older data version than that of the page before was available
+	StaleVersion               // only an older data version than that of the previous page was available
 )
 
-// reasonNames are the names of reasons in answers.
+// reasonNames lists the names of reasons in answers.
 var reasonNames = [...]string{
 	Rejected:     "refused",
 	TimedOut:     "timed-out",
@@ -23,5 +23,5 @@
 	StaleVersion: "older-version",
 }
 
-// String is the name of the reason in answers.
+// String returns the name of the reason in answers.
 func (r Reason) String() string { return reasonNames[r] }
--- a/internal/results/completeness/report.go
+++ b/internal/results/completeness/report.go
@@ -7,32 +7,32 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-// weightTolerance is by how much sums of weights may fall short, as the platform's rules allow.
+// weightTolerance is how far a sum of weights may fall short of a limit, as the platform's rules allow.
 const weightTolerance = 1e-4
 
-// Part is the part of a query that one shard answers. Its buckets are present or missing together.
+// Part is the part of a query that one shard answers. Its buckets are either all present or all missing.
 type Part struct {
 	Buckets    shardmap.Range
 	Weight     float64 // share of the query's weight
 	Present    bool
-	Version    uint64 // of the data that was read; of a missing part the newest known, 0 if none is
+	Version    uint64 // data version that was read; for a missing part the newest known one, or 0
 	ShardEpoch uint64 // epoch of the last change of the shard that holds the buckets
-	Reason     Reason // of a missing part
-	Detail     string // of a Malformed one: what is wrong with its answer
+	Reason     Reason // for a missing part
+	Detail     string // for Malformed: the fault in the answer
 }
 
-// Report is how complete an answer is.
+// Report describes how complete an answer is.
 type Report struct {
 	Weight   float64 // share of the query's weight that is present
 	Complete bool
-	Present  []Part // in the order of their buckets
-	Missing  []Part // in the order of their buckets
+	Present  []Part // ordered by bucket
+	Missing  []Part // ordered by bucket
 
-	summaries map[shardmap.Range]*Summary // the newest of each range of buckets
+	summaries map[shardmap.Range]*Summary // the newest for each range of buckets
 }
 
-// New makes the report of a query's parts. An answer is complete if no part is missing and the weight that is present
-// is completenessTarget or more.
+// New creates the report of a query from its parts. An answer is complete if no part is missing and the present
+// weight reaches completenessTarget.
 func New(parts []Part, summaries []*Summary, completenessTarget float64) *Report {
 	report := &Report{summaries: map[shardmap.Range]*Summary{}}
 	for _, summary := range summaries {
@@ -55,8 +55,8 @@
 	return report
 }
 
-// MeetsMinCompleteness reports whether an answer may be given: the weight that is present reaches the floor of the class and the
-// minimum that the client asks for.
+// MeetsMinCompleteness reports whether an answer may be given. The present weight must reach the minimum completeness
+// of the class and that of the client, and at least one part must be present.
 func (r *Report) MeetsMinCompleteness(ofClass, ofClient float64) bool {
 	return len(r.Present) > 0 && r.Weight >= max(ofClass, ofClient)-weightTolerance
 }
--- a/internal/results/completeness/report_test.go
+++ b/internal/results/completeness/report_test.go
@@ -13,14 +13,14 @@
 	"ternstage/internal/results/merge"
 )
 
-// testShard is a shard with its premiums in order, and what the broker knows of it.
+// testShard is a shard with its premiums, in order, and the summary that the broker has of it.
 type testShard struct {
 	part     Part
 	premiums []int64
 	summary  *Summary // may be nil or outdated
 }
 
-// trueSummary is the summary that the shard's backend states.
+// trueSummary returns a correct summary of the rows of the shard, as its backend sends it.
 func (s *testShard) trueSummary() *Summary {
 	summary := &Summary{Buckets: s.part.Buckets, Version: s.part.Version, ShardEpoch: s.part.ShardEpoch,
 		Count: uint64(len(s.premiums)), Min: math.NaN(), Max: math.NaN()}
@@ -36,8 +36,8 @@
 	return summary
 }
 
-// drawShard draws whether the shard is present, its premiums, and a summary that is true, outdated or absent. What an
-// outdated one states is wrong.
+// drawShard draws whether the shard is present, its premiums, and whether its summary is true, outdated or absent.
+// Outdated summaries contain false values.
 func drawShard(t *rapid.T, bucket int) testShard {
 	shard := testShard{part: Part{Buckets: shardmap.Range{Start: bucket, End: bucket + 1}, Weight: 1, Version: 5,
 		ShardEpoch: 3, Present: rapid.IntRange(0, 3).Draw(t, "present") > 0}}
@@ -64,7 +64,7 @@
 	return shard
 }
 
-// testTotals are the rows of some shards and the aggregates over them.
+// testTotals holds the positions of the rows of some shards and the aggregates over them.
 type testTotals struct {
 	positions []merge.Position // in order
 	sum       float64
@@ -87,9 +87,9 @@
 	return totals
 }
 
-// Whichever shards are missing and whatever is known of them, a certain rank is the true one and each bound holds the
-// true figure. Outdated summaries count for nothing.
-func TestReportClaimsNothingUntrue(t *testing.T) {
+// A rank reported as certain must be the true one, and each bound must include the true aggregate, whichever shards
+// are missing and whatever is known of them. Using an outdated summary would break this.
+func TestReportedRanksAndBoundsAreTrue(t *testing.T) {
 	certain := 0
 	bounded := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -143,9 +143,9 @@
 	require.Positive(t, bounded)
 }
 
-// An answer with exactly the floor's weight may be given and one with a bucket less may not; a stricter minimum of the
-// client counts.
-func TestMeetsFloor(t *testing.T) {
+// An answer with exactly the minimum completeness of the class may be given. One with a bucket less may not, nor one
+// below a stricter minimum of the client.
+func TestMeetsMinCompleteness(t *testing.T) {
 	for present, want := range map[int]bool{69: false, 70: true, 71: true} {
 		var parts []Part
 		for i := range 100 {
--- a/internal/results/cursor/cursor_test.go
+++ b/internal/results/cursor/cursor_test.go
@@ -6,6 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestDigestKeepsClassAndClausesApart(t *testing.T) {
+// If the digest were of class and clauses joined, a cursor would be valid for other queries, too.
+func TestDigestSeparatesClassAndClauses(t *testing.T) {
 	require.NotEqual(t, Digest("ab", []byte("c")), Digest("a", []byte("bc")))
 }
--- a/internal/results/cursor/errors.go
+++ b/internal/results/cursor/errors.go
@@ -2,7 +2,7 @@
 
 import "errors"
 
-// What can be wrong with a cursor. The texts go to clients and reveal nothing of its content.
+// Errors of Seal and Open. Clients see their texts, which reveal nothing about the content of a cursor.
 var (
 	ErrMalformed    = errors.New("malformed cursor")
 	ErrUnknownKey   = errors.New("cursor sealed with an unknown key")
--- a/internal/results/cursor/keyring.go
+++ b/internal/results/cursor/keyring.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	maxKeyNameBytes = 32 // a byte of the cursor holds the length
+	maxKeyNameBytes = 32 // must fit the length byte of a sealed cursor
 	secretBytes     = 32 // AES-256
-	maxKeys         = 2  // a new key and the one before, whose cursors are still in use
+	maxKeys         = 2  // the new key, and the previous one for cursors that are still in use
 )
 
-// Key is one key of the operator's file.
+// Key is one of the keys in the operator's file.
 type Key struct {
-	Name   string // 1 to 32 bytes; readable in the cursor
+	Name   string // 1 to 32 bytes; not encrypted in sealed cursors
 	Secret []byte // 32 bytes
 }
 
-// KeyRing is the keys in service. The first one seals, all open.
+// KeyRing holds the keys in use. The first one seals cursors, all of them open cursors.
 type KeyRing struct {
-	sealingKey string // name
-	ciphers    map[string]cipher.AEAD
+	sealingKey string                 // name of the first key
+	ciphers    map[string]cipher.AEAD // by key name
 	nonces     io.Reader
 }
 
-// NewKeyRing makes a ring of one key or two with different names. Nonces are read from a cryptographically secure
-// source.
+// NewKeyRing returns a ring of one or two keys with different names. The nonces must come from a cryptographically
+// secure source.
 func NewKeyRing(keys []Key, nonces io.Reader) (*KeyRing, error) {
 	if len(keys) < 1 || len(keys) > maxKeys {
 		return nil, fmt.Errorf("%d cursor keys, not 1 to %d", len(keys), maxKeys)
--- a/internal/results/cursor/seal.go
+++ b/internal/results/cursor/seal.go
@@ -8,10 +8,11 @@
 	"slices"
 )
 
-// MaxSealedBytes is the length of the longest text of a cursor.
+// MaxSealedBytes is the maximum length of a sealed cursor in its base64 form.
 const MaxSealedBytes = 32 << 10
 
-// Seal makes the text of a cursor. It returns ErrTooLong if that would exceed MaxSealedBytes: there is no next page then.
+// Seal returns the sealed form of a cursor. It returns ErrTooLong if that exceeds MaxSealedBytes; there can be no
+// next page then.
 func (r *KeyRing) Seal(c *Cursor) (string, error) {
 	text, err := c.encode()
 	if err != nil {
@@ -31,9 +32,9 @@
 	return base64.RawURLEncoding.EncodeToString(sealed), nil
 }
 
-// Open reads the text of a cursor that a client sends with a query at now, in Unix ms. The error is one of the
-// package's error values.
-func (r *KeyRing) Open(text, tenant string, queryDigest [32]byte, now int64) (*Cursor, error) {
+// Open opens a sealed cursor that a client sent with a query at nowMs, in Unix ms. It returns one of the error values
+// of this package if the cursor is not valid for that query.
+func (r *KeyRing) Open(text, tenant string, queryDigest [32]byte, nowMs int64) (*Cursor, error) {
 	plain, err := r.unseal(text)
 	if err != nil {
 		return nil, err
@@ -47,13 +48,13 @@
 		return nil, ErrOtherTenant
 	case subtle.ConstantTimeCompare(body.QueryDigest, queryDigest[:]) != 1:
 		return nil, ErrOtherQuery
-	case now >= body.ExpiresAtMs:
+	case nowMs >= body.ExpiresAtMs:
 		return nil, ErrExpired
 	}
 	return body.cursor(), nil
 }
 
-// unseal decrypts and authenticates the text of a cursor.
+// unseal authenticates and decrypts a sealed cursor.
 func (r *KeyRing) unseal(text string) ([]byte, error) {
 	if len(text) > MaxSealedBytes {
 		return nil, ErrMalformed
--- a/internal/results/cursor/seal_test.go
+++ b/internal/results/cursor/seal_test.go
@@ -18,7 +18,7 @@
 	require.NotContains(t, text, "gangasagar")
 	again, err := ring.Seal(sealed)
 	require.NoError(t, err)
-	require.NotEqual(t, text, again, "two texts of one cursor cannot be told to be the same")
+	require.NotEqual(t, text, again, "a client cannot tell that two sealed cursors are equal")
 	sealed.After = nil
 	text, err = ring.Seal(sealed)
 	require.NoError(t, err)
@@ -37,7 +37,7 @@
 		text   string
 		tenant string
 		digest [32]byte
-		now    int64
+		nowMs  int64
 		want   error
 	}{
 		"expired":      {ring, text, sealed.Tenant, sealed.QueryDigest, 5000, ErrExpired},
@@ -51,7 +51,7 @@
 		"not base64":   {ring, "!" + text, sealed.Tenant, sealed.QueryDigest, 0, ErrMalformed},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := test.ring.Open(test.text, test.tenant, test.digest, test.now)
+			_, err := test.ring.Open(test.text, test.tenant, test.digest, test.nowMs)
 			require.ErrorIs(t, err, test.want)
 		})
 	}
@@ -73,7 +73,9 @@
 	}
 }
 
-func TestSealJoinsSpansAndBoundsTheText(t *testing.T) {
+// A cursor must stay short if many adjacent shards were read at one version. If they cannot be joined, the cursor
+// must be rejected as too long rather than grow without bound.
+func TestSealJoinsSpansAndLimitsLength(t *testing.T) {
 	ring := newKeyRing(t, newKey("a", 1))
 	sealed := newCursor()
 	sealed.Spans = nil
@@ -90,7 +92,7 @@
 	require.ErrorIs(t, err, ErrTooLong)
 }
 
-// FuzzOpen: any other text than a sealed one is an error or a cursor with a valid rank.
+// FuzzOpen checks that a text other than the sealed cursor is rejected or has a valid rank.
 func FuzzOpen(f *testing.F) {
 	ring := newKeyRing(f, newKey("a", 1))
 	sealed := newCursor()
--- a/internal/results/cursor/span.go
+++ b/internal/results/cursor/span.go
@@ -1,14 +1,15 @@
 package cursor
 
-// Span is buckets from Start to End, End not included, as a page read them. It is sealed with its CBOR keys.
+// Span records how a page read the buckets from Start to End, without End. The struct tags are the keys in sealed
+// cursors.
 type Span struct {
 	Start      int    `cbor:"1,keyasint"`
 	End        int    `cbor:"2,keyasint"`
-	Version    uint64 `cbor:"3,keyasint,omitempty"` // of the data; 0 if the buckets were missing
+	Version    uint64 `cbor:"3,keyasint,omitempty"` // data version; 0 if the buckets were missing
 	ShardEpoch uint64 `cbor:"4,keyasint,omitempty"` // epoch of the last change of the shard that held them
 }
 
-// joinAdjacent joins spans that follow each other and were read alike, so that sealed cursors stay short.
+// joinAdjacent joins adjacent spans with equal version and shard epoch, so that sealed cursors stay short.
 func joinAdjacent(spans []Span) []Span {
 	var joined []Span
 	for _, span := range spans {
@@ -23,19 +24,19 @@
 	return joined
 }
 
-// Changes are the buckets that a page reads otherwise than the page before. If there are any, the first page would
-// differ if it were read now. Spans have the version and shard epoch of now.
+// Changes lists the buckets that a page reads differently than the previous page did. If there are any, the first
+// page would differ if it were read now. The spans have the current version and shard epoch.
 type Changes struct {
-	NowPresent []Span // missing before, present now
-	NowMissing []Span // present before, missing now
-	Updated    []Span // present at another data version
+	NowPresent []Span // missing on the previous page
+	NowMissing []Span // present on the previous page
+	Updated    []Span // present on both pages, at different data versions
 }
 
-// Any reports whether there are changes.
+// Any reports whether there are any changes.
 func (c *Changes) Any() bool { return len(c.NowPresent)+len(c.NowMissing)+len(c.Updated) > 0 }
 
-// Changes compares what the page before read with what this one reads. It compares buckets, whichever shards held them
-// then and hold them now.
+// Changes compares what the previous page read with what this page reads. It compares buckets, so it does not matter
+// which shards held them then or hold them now.
 func (c *Cursor) Changes(now []Span) Changes {
 	var changes Changes
 	for _, before := range c.Spans {
--- a/internal/results/cursor/span_test.go
+++ b/internal/results/cursor/span_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Of the three spans of a cursor the missing one returns in part, one is lost in part and one is updated in part, while
-// the buckets are split into other shards.
+// The shards between the two pages are split differently. Part of the missing span is present now, part of another
+// span is missing, and part of the third has a new version.
 func TestChanges(t *testing.T) {
 	before := newCursor()
 	changes := before.Changes([]Span{{0, 5, 3, 9}, {5, 15, 0, 9}, {15, 25, 4, 9}, {25, 30, 5, 9}})
--- a/internal/results/cursor/wire.go
+++ b/internal/results/cursor/wire.go
@@ -8,8 +8,8 @@
 	"ternstage/internal/results/merge"
 )
 
-// sealedBody is the CBOR map that is sealed; Span is a part of it. Cursors live longer than the process that sealed
-// them: keys and types must not change.
+// sealedBody is the CBOR map in a sealed cursor; Span is a part of it. Cursors outlive the process that sealed them,
+// so keys and types must not change.
 type sealedBody struct {
 	Epoch        uint64        `cbor:"1,keyasint"`
 	NextRank     int           `cbor:"2,keyasint"`
@@ -33,7 +33,7 @@
 }
 
 var (
-	// encoding is deterministic: the same cursor has the same size on every broker.
+	// encoding is deterministic, so that a cursor has the same size on every broker.
 	encoding = mustMode(cbor.CoreDetEncOptions().EncMode())
 
 	decoding = mustMode(cbor.DecOptions{
@@ -48,12 +48,12 @@
 
 func mustMode[Mode any](mode Mode, err error) Mode {
 	if err != nil {
-		panic(err) // the options are constant
+		panic(err) // cannot happen: the options are constant
 	}
 	return mode
 }
 
-// encode makes the text to be sealed.
+// encode returns the CBOR map that is sealed.
 func (c *Cursor) encode() ([]byte, error) {
 	body := sealedBody{
 		Epoch:        c.Epoch,
@@ -79,7 +79,7 @@
 	return text, nil
 }
 
-// decode reads what encode made. A body that cannot be read was sealed by a broker of another version.
+// decode is the inverse of encode. A body that cannot be decoded was sealed by a broker of another version.
 func decode(text []byte) (*sealedBody, error) {
 	body := &sealedBody{}
 	if err := decoding.Unmarshal(text, body); err != nil {
@@ -91,7 +91,7 @@
 	return body, nil
 }
 
-// cursor makes the cursor of a body.
+// cursor returns the cursor that the body describes.
 func (b *sealedBody) cursor() *Cursor {
 	c := &Cursor{
 		Epoch:        b.Epoch,
--- a/internal/results/cursor/wire_test.go
+++ b/internal/results/cursor/wire_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Cursors that clients hold must stay readable: the sealed form does not change. Nonces are 12 bytes of 7.
+// Clients hold cursors across upgrades, so the sealed form must not change. Each nonce is 12 bytes of 7.
 func TestSealedForm(t *testing.T) {
 	nonces := bytes.NewReader(bytes.Repeat([]byte{7}, 24))
 	ring, err := NewKeyRing([]Key{newKey("a", 1)}, nonces)
