--- a/internal/results/fetchplan/decide.go
+++ b/internal/results/fetchplan/decide.go
@@ -7,31 +7,32 @@
 )
 
 const (
-	// weightTolerance is by how much sums of weights may fall short, as the platform's rules allow.
+	// weightTolerance is how far a sum of weights may fall short of a limit, as the platform's rules allow.
 	weightTolerance = 1e-4
 
-	// lateLatencyMultiple times the median latency of the answers so far is when a shard is late.
+	// lateLatencyMultiple is the multiple of the median latency, over the answers so far, after which a shard is late.
 	lateLatencyMultiple = 3.0
 
-	// minLateThresholdMs is the least latency at which a shard is late, in ms.
+	// minLateThresholdMs is the lowest latency, in ms, at which a shard can be late.
 	minLateThresholdMs = 5.0
 
-	// minWakeDelayMs is the least time until the plan wants to decide again, in ms, while a shard is in flight.
+	// minWakeDelayMs is the shortest time, in ms, until the next decision while a shard is in flight.
 	minWakeDelayMs = 1.0
 )
 
-// Decision is what to do next.
+// Decision tells the caller what to do next.
 type Decision struct {
-	Done         bool             // merge what is included: nothing is waited for
-	CannotAnswer bool             // the floor cannot be reached: reject the query
-	Abandoned    []shardmap.Range // shards that are no longer waited for
-	WakeAtMs     float64          // ms; unless Done, decide again at this time at the latest
+	Done         bool             // merge the included shards, and do not wait any longer
+	CannotAnswer bool             // reject the query: the minimum completeness cannot be reached
+	Abandoned    []shardmap.Range // shards whose answers are no longer wanted
+	WakeAtMs     float64          // unless Done, call Decide again by this time
 }
 
 // Decide decides whether to wait for the shards in flight.
 //
-// Below the floor every shard is waited for until the deadline. From the floor on, waiting ends when all shards in
-// flight are late, or when the time is up: as long as one is waited for, the others cost nothing.
+// Below the minimum completeness it waits for every shard until the deadline. Once the minimum is met, it waits until
+// all shards in flight are late or the time to answer has come. While it waits for one shard, waiting for the others
+// costs nothing.
 func (p *Plan) Decide(nowMs float64) Decision {
 	present, possible := p.sumWeights()
 	if possible < p.options.MinCompleteness-weightTolerance {
@@ -58,8 +59,9 @@
 	return Decision{Done: true, Abandoned: abandonParts(pending)}
 }
 
-// sendBy is the time at which the answer must be sent. If the floor is reached and a partial answer now has at least
-// the worth of a late one, that is before the latency objective.
+// sendBy returns the time by which the answer must be sent, in ms. It is MarginMs before the latency objective if the
+// minimum completeness is met and a partial answer in time counts at least as much as a complete late one. Otherwise
+// it is MarginMs before the deadline.
 func (p *Plan) sendBy(meetsMinimum bool, present float64) float64 {
 	deadline := p.options.DeadlineMs - p.options.MarginMs
 	if meetsMinimum && p.options.PartialFactor*present >= p.options.LateFactor {
@@ -68,9 +70,9 @@
 	return deadline
 }
 
-// shouldWait reports whether to wait for the shards in flight, and until when at the latest. A shard is late after a
-// multiple of the median latency. Once all are, a complete answer may still be worth waiting for, but no longer than
-// that time again.
+// shouldWait reports whether to wait for the shards in flight, and until when at most. A shard is late after a
+// multiple of the median latency. Once all shards in flight are late, a complete answer may still be worth the wait,
+// but at most for the same time again.
 func (p *Plan) shouldWait(nowMs, sendByMs float64, pending []*part) (wakeAtMs float64, wait bool) {
 	lateThresholdMs := p.lateThreshold()
 	wakeAtMs = sendByMs
@@ -88,7 +90,8 @@
 	return 0, false
 }
 
-// sumWeights are the weight that is present, and that which is present or may still come.
+// sumWeights returns the weight of the shards that have answered, and that weight plus the weight of the shards in
+// flight.
 func (p *Plan) sumWeights() (present, possible float64) {
 	for _, part := range p.parts {
 		switch part.state {
@@ -102,7 +105,7 @@
 	return present, possible
 }
 
-// partsInFlight are the parts that are waited for, in the order of the plan.
+// partsInFlight returns the parts in flight, in the order of the plan.
 func (p *Plan) partsInFlight() []*part {
 	var pending []*part
 	for _, part := range p.parts {
@@ -113,7 +116,7 @@
 	return pending
 }
 
-// lateThreshold is after how many ms a shard is late; infinite as long as none has answered.
+// lateThreshold returns the time in ms after which a shard is late. It is infinite until a shard has answered.
 func (p *Plan) lateThreshold() float64 {
 	if len(p.latenciesMs) == 0 {
 		return math.Inf(1)
@@ -122,7 +125,7 @@
 	return max(lateLatencyMultiple*medianMs, minLateThresholdMs)
 }
 
-// abandonParts abandons parts and returns their buckets.
+// abandonParts marks parts as abandoned and returns their buckets.
 func abandonParts(parts []*part) []shardmap.Range {
 	var buckets []shardmap.Range
 	for _, part := range parts {
--- a/internal/results/fetchplan/decide_test.go
+++ b/internal/results/fetchplan/decide_test.go
@@ -8,7 +8,7 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-// planOfTen plans a page over ten shards with the floor at 0.7; the first ones have answered after 20 ms.
+// planOfTen plans a page over ten shards with a minimum completeness of 0.7. The first ones answered after 20 ms.
 func planOfTen(t *testing.T, answered int) (*Plan, []shardmap.Range) {
 	t.Helper()
 	var shards []shardmap.Range
@@ -26,33 +26,33 @@
 	return plan, shards
 }
 
-func TestNoShardIsAbandonedBelowTheFloor(t *testing.T) {
+func TestNoShardIsAbandonedBelowMinCompleteness(t *testing.T) {
 	plan, shards := planOfTen(t, 6)
 	decision := plan.Decide(5000)
 	require.False(t, decision.Done, "six of ten do not reach 0.7")
 	require.Equal(t, 20_000-20.0, decision.WakeAtMs)
-	require.True(t, plan.RecordAnswer(5000, shards[6], 1, false), "the seventh is late, and wanted")
+	require.True(t, plan.RecordAnswer(5000, shards[6], 1, false), "the answer of the seventh is late but wanted")
 	decision = plan.Decide(5001)
 	require.True(t, decision.Done && !decision.CannotAnswer)
 	require.Equal(t, shards[7:], decision.Abandoned)
 	require.False(t, plan.RecordAnswer(5002, shards[7], 1, false), "the answer of an abandoned shard is not wanted")
 }
 
-func TestLateShardsAreAbandonedAboveTheFloor(t *testing.T) {
+func TestLateShardsAreAbandonedAboveMinCompleteness(t *testing.T) {
 	plan, _ := planOfTen(t, 7)
 	require.Equal(t, Decision{WakeAtMs: 60}, plan.Decide(30), "three times the median of 20 ms")
 	require.Equal(t, Decision{WakeAtMs: 120}, plan.Decide(60))
 	require.True(t, plan.Decide(120).Done)
 }
 
-func TestHopelessBelowTheFloor(t *testing.T) {
+func TestCannotAnswerBelowMinCompleteness(t *testing.T) {
 	plan, _ := planOfTen(t, 6)
 	require.Equal(t, Decision{Done: true, CannotAnswer: true}, plan.Decide(19_980), "at the deadline")
 	plan, shards := planOfTen(t, 6)
 	for _, buckets := range shards[6:] {
 		plan.RecordFailure(buckets)
 	}
-	require.Equal(t, Decision{Done: true, CannotAnswer: true}, plan.Decide(21), "as soon as it is known")
+	require.Equal(t, Decision{Done: true, CannotAnswer: true}, plan.Decide(21), "as soon as the minimum cannot be reached")
 }
 
 func TestDoneOnceAllHaveAnswered(t *testing.T) {
--- a/internal/results/fetchplan/fixture_test.go
+++ b/internal/results/fetchplan/fixture_test.go
@@ -16,7 +16,7 @@
 
 var testSchema = merge.Schema{{Name: "premium", Kind: merge.Int}}
 
-// testTable is a table whose buckets are shards, one each, of equal weights.
+// testTable is a table of shards with one bucket each and equal weights.
 type testTable struct {
 	order   *merge.Order
 	shards  []shardmap.Range
@@ -24,7 +24,7 @@
 	rows    map[shardmap.Range][]merge.Row // in order
 }
 
-// newTable makes a table; drawPremium gives the premium of each row.
+// newTable creates a table. drawPremium returns the premium of each row.
 func newTable(t require.TestingT, shards, rowsPerShard int, drawPremium func() int64) *testTable {
 	order, err := merge.NewOrder(testSchema, []merge.SortColumn{{Column: "premium"}})
 	require.NoError(t, err)
@@ -51,8 +51,8 @@
 	})
 }
 
-// readPage carries a plan out to its end. Requests are answered 1 ms after each other, but for those to silent shards,
-// which never are.
+// readPage executes a plan until the page is final. The shards answer at intervals of 1 ms, except for unresponsive
+// ones, which never answer.
 func (table *testTable) readPage(t require.TestingT, plan *Plan, requests []Request, limit int,
 	unresponsive func(shardmap.Range) bool) merge.Page {
 	batches := map[shardmap.Range]*merge.Batch{}
@@ -72,7 +72,7 @@
 			}
 		}
 		for decision := plan.Decide(nowMs); !decision.Done; decision = plan.Decide(nowMs) {
-			require.Greater(t, decision.WakeAtMs, nowMs, "a decision to wait says until when")
+			require.Greater(t, decision.WakeAtMs, nowMs, "a decision to wait names a later time")
 			nowMs = decision.WakeAtMs
 		}
 		var included []*merge.Batch
@@ -87,11 +87,11 @@
 			return page
 		}
 	}
-	require.Fail(t, "the page does not end")
+	require.Fail(t, "the page does not become final")
 	return merge.Page{}
 }
 
 func newOptions(limit int) Options {
-	return Options{Limit: limit, MinCompleteness: 0.7, LatencyObjectiveMs: 10_000, DeadlineMs: 20_000, PartialFactor: 0.9,
-		LateFactor: 0.3, MarginMs: 20}
+	return Options{Limit: limit, MinCompleteness: 0.7, LatencyObjectiveMs: 10_000, DeadlineMs: 20_000,
+		PartialFactor: 0.9, LateFactor: 0.3, MarginMs: 20}
 }
--- a/internal/results/fetchplan/plan.go
+++ b/internal/results/fetchplan/plan.go
@@ -6,16 +6,16 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-// Options are what the plan of a page depends on. Times are ms of the caller's clock.
+// Options configures the plan of a page. Points in time are ms of the caller's clock.
 type Options struct {
-	Limit              int     // rows of the page
-	MinCompleteness    float64 // least weight of an answer: the class's, or the client's if that is stricter
-	LatencyObjectiveMs float64 // time until which an answer has its full worth
-	DeadlineMs         float64 // time until which there must be an answer
-	PartialFactor      float64 // worth of a partial answer, for each share of weight that is present
-	LateFactor         float64 // worth of a complete answer after the latency objective
-	MarginMs           float64 // ms before objective and deadline at which the answer must be sent
-	MaxRowsPerRequest  int     // bounds by how many rows a request exceeds the one before; 0 for no bound
+	Limit              int     // maximum number of rows on the page
+	MinCompleteness    float64 // least weight of an answer, of the class or of the client, whichever is stricter
+	LatencyObjectiveMs float64 // time until which an answer counts with its full priority weight
+	DeadlineMs         float64 // time by which the query must be answered
+	PartialFactor      float64 // fraction of the priority weight that a partial answer counts, times its weight
+	LateFactor         float64 // fraction of the priority weight that an answer after the objective counts
+	MarginMs           float64 // how long before the objective or deadline the answer must be sent
+	MaxRowsPerRequest  int     // maximum number of rows beyond those of the previous request; 0 for no limit
 }
 
 // state is the state of a part.
@@ -33,29 +33,29 @@
 	buckets       shardmap.Range
 	weight        float64
 	state         state
-	requested     int     // rows, from the position after which the page starts
-	received      int     // rows of the last answer
+	requested     int     // number of rows, from the start position of the page
+	received      int     // number of rows in the last answer
 	hasMore       bool    // the shard has rows after those received
-	requestedAtMs float64 // ms; of the last request
+	requestedAtMs float64 // time of the last request
 }
 
-// Request is what to request of a shard.
+// Request tells how many rows to request of a shard.
 type Request struct {
 	Buckets  shardmap.Range
-	Rows     int // from the position after which the page starts
-	Received int // how many of these have been received before
+	Rows     int // number of rows, from the start position of the page
+	Received int // number of these rows that were received earlier
 }
 
-// Plan is the plan of one page.
+// Plan is the plan of one page and its progress.
 type Plan struct {
 	options      Options
 	parts        []*part
-	latenciesMs  []float64 // ms; of all answers, ascending
+	latenciesMs  []float64 // of all answers, ascending
 	rowsReceived int
 	extraRounds  int
 }
 
-// New plans a page over shards of given weights. It returns the first requests.
+// New plans a page over shards with the given weights. It returns the plan and the first requests.
 func New(nowMs float64, options Options, shards []shardmap.Range, weights []float64) (*Plan, []Request) {
 	plan := &Plan{options: options}
 	rows := plan.firstRequestRows(len(shards))
@@ -67,12 +67,12 @@
 	return plan, requests
 }
 
-// partIndex is the index of the part with exactly these buckets, or -1.
+// partIndex returns the index of the part with exactly these buckets, or -1.
 func (p *Plan) partIndex(buckets shardmap.Range) int {
 	return slices.IndexFunc(p.parts, func(part *part) bool { return part.buckets == buckets })
 }
 
-// findPart is the part with exactly these buckets, or nil.
+// findPart returns the part with exactly these buckets, or nil.
 func (p *Plan) findPart(buckets shardmap.Range) *part {
 	i := p.partIndex(buckets)
 	if i < 0 {
@@ -81,8 +81,8 @@
 	return p.parts[i]
 }
 
-// RecordAnswer records that a shard answered with rows, counted from the position after which the page starts. It
-// reports whether the answer is wanted; one of a shard that is not waited for must not be merged.
+// RecordAnswer records that a shard answered with the given number of rows, counted from the start position of the
+// page. It reports whether the answer is wanted. The answer of a shard that is not in flight must not be merged.
 func (p *Plan) RecordAnswer(nowMs float64, buckets shardmap.Range, rows int, hasMore bool) bool {
 	part := p.findPart(buckets)
 	if part == nil || part.state != inFlight {
@@ -98,17 +98,17 @@
 	return true
 }
 
-// RecordFailure records that a shard cannot be read. Rows that it gave before do not count either: without those that
-// follow them the page would skip rows.
+// RecordFailure records that a shard cannot be read. Rows that it returned earlier do not count either: the rows
+// after them are unknown, so the page could skip rows.
 func (p *Plan) RecordFailure(buckets shardmap.Range) {
 	if part := p.findPart(buckets); part != nil && part.state != abandoned {
 		part.state = unavailable
 	}
 }
 
-// Reshard replaces a shard by those that hold its buckets after a split or merge, and returns the requests for these.
-// The rows of the old shard no longer count. A shard that is not part of the plan or is abandoned is left alone, and
-// nil returned.
+// Reshard replaces a shard by those that hold its buckets after a split or merge, and returns the requests for the
+// new shards. The rows of the old shard no longer count. If the shard is not in the plan or has been abandoned,
+// Reshard changes nothing and returns nil.
 func (p *Plan) Reshard(nowMs float64, buckets shardmap.Range, successors []shardmap.Range) []Request {
 	i := p.partIndex(buckets)
 	if i < 0 || p.parts[i].state == abandoned {
@@ -129,14 +129,14 @@
 	return requests
 }
 
-// IsIncluded reports whether the rows of a shard are part of the answer.
+// IsIncluded reports whether the rows of a shard are to be merged into the page.
 func (p *Plan) IsIncluded(buckets shardmap.Range) bool {
 	part := p.findPart(buckets)
 	return part != nil && part.state == answered
 }
 
-// RowsReceived is how many rows came, each counted once.
+// RowsReceived returns the number of received rows. Rows that were received repeatedly count once.
 func (p *Plan) RowsReceived() int { return p.rowsReceived }
 
-// ExtraRounds is how often shards were asked for more rows.
+// ExtraRounds returns how many times shards were asked for more rows.
 func (p *Plan) ExtraRounds() int { return p.extraRounds }
--- a/internal/results/fetchplan/plan_test.go
+++ b/internal/results/fetchplan/plan_test.go
@@ -10,8 +10,8 @@
 	"ternstage/internal/results/merge"
 )
 
-// With some shards silent the page is the true one over the shards that are included.
-func TestPageIsThatOfTheIncludedShards(t *testing.T) {
+// The page must have the first rows of the included shards, even if other shards do not answer.
+func TestPageHasFirstRowsOfIncludedShards(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shards := rapid.IntRange(1, 12).Draw(t, "shards")
 		limit := rapid.IntRange(0, 20).Draw(t, "limit")
@@ -43,7 +43,8 @@
 	})
 }
 
-// A shard that is split between two requests of a page is read anew as its halves; its old rows do not count.
+// If a shard is split between two requests of a page, the rows from before the split must not be merged, and both
+// halves must be read from the start.
 func TestSplitBetweenTwoRequests(t *testing.T) {
 	shards := []shardmap.Range{{Start: 0, End: 10}, {Start: 10, End: 20}}
 	plan, _ := New(0, newOptions(10), shards, []float64{0.5, 0.5})
--- a/internal/results/fetchplan/rows.go
+++ b/internal/results/fetchplan/rows.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// evenShareFactor and deviationFactor give the rows of first requests: multiples of an even share of the page, and
-	// of its square root, the standard deviation of a count with that mean.
+	// The first request to a shard asks for evenShareFactor times an even share of the page, plus deviationFactor times
+	// the square root of that share. The root is the standard deviation of a count with that mean.
 	evenShareFactor = 1.5
 	deviationFactor = 1.0
 
-	// growthFactor is by what a request exceeds the one before.
+	// growthFactor is the ratio of the rows of a request to those of the previous one, before limits.
 	growthFactor = 2
 )
 
-// firstRequestRows is how many rows to request first of each of some shards. It suffices for most shards of most pages, and is
-// far less than a page of each.
+// firstRequestRows returns how many rows to request first of each shard. That is enough for most shards of most
+// pages, and far less than a page from each.
 func (p *Plan) firstRequestRows(shards int) int {
 	if shards == 0 || p.options.Limit <= 0 {
 		return min(p.options.Limit, 1)
@@ -26,7 +26,8 @@
 	return p.boundRows(int(math.Ceil(evenShareFactor*evenShare + deviationFactor*math.Sqrt(evenShare))))
 }
 
-// boundRows bounds additional rows of a request: at least 1, at most a page and MaxRowsPerRequest.
+// boundRows limits the additional rows of a request: to at least 1, at most a page, and at most MaxRowsPerRequest if
+// that is set.
 func (p *Plan) boundRows(rows int) int {
 	rows = min(rows, p.options.Limit)
 	if p.options.MaxRowsPerRequest > 0 {
@@ -35,8 +36,8 @@
 	return max(rows, 1)
 }
 
-// RequestMore returns requests for more rows of the shards that the merge needs more of. No other shard can add to the
-// page.
+// RequestMore returns requests for more rows of the given shards, those that the merge listed in NeedMore. Other
+// shards cannot add rows to the page.
 func (p *Plan) RequestMore(nowMs float64, shards []shardmap.Range) []Request {
 	var requests []Request
 	for _, buckets := range shards {
--- a/internal/results/fetchplan/rows_test.go
+++ b/internal/results/fetchplan/rows_test.go
@@ -9,12 +9,12 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-// For a page of 50 rows over 200 shards of 100,000 rows not many more rows are received than the page has.
+// A page of 50 rows over 200 shards must not transfer many more rows than the page has.
 func TestFewRowsAreReceivedForAPage(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	const shards, rowsPerShard, limit = 200, 100_000, 50
 	table := newTable(t, shards, 0, nil)
-	for _, buckets := range table.shards { // 200 rows of each suffice: the least of so many draws
+	for _, buckets := range table.shards { // the lowest 200 of the 100,000 rows of a shard are enough
 		premium := int64(0)
 		for i := range 200 {
 			premium += int64(random.ExpFloat64() * 1e6 / rowsPerShard)
@@ -24,7 +24,7 @@
 	plan, requests := New(0, newOptions(limit), table.shards, table.weights)
 	page := table.readPage(t, plan, requests, limit, func(shardmap.Range) bool { return false })
 	require.Len(t, page.Rows, limit)
-	require.Less(t, plan.RowsReceived(), 300, "a page of each shard would be 10,000")
+	require.Less(t, plan.RowsReceived(), 300, "a page from each shard would be 10,000 rows")
 	t.Logf("%d rows received for a page of %d over %d shards, in %d extra rounds", plan.RowsReceived(), limit, shards,
 		plan.ExtraRounds())
 }
--- a/internal/results/pageread/aggregates.go
+++ b/internal/results/pageread/aggregates.go
@@ -7,26 +7,26 @@
 	"ternstage/internal/results/merge"
 )
 
-// Group is the aggregates of one group, in the order of the clause.
+// Group holds the aggregates of one group, in the order of the clause.
 type Group struct {
-	Values     []merge.Value // of the columns by which rows are grouped
+	Values     []merge.Value // of the columns that rows are grouped by
 	Aggregates []Aggregate
 }
 
-// Aggregate is one aggregate over the rows that are present, and its bound over all rows.
+// Aggregate is one aggregate over the present rows, with its bound over all rows.
 type Aggregate struct {
 	Name  string
 	Value merge.Value
 	Bound completeness.Bound
 }
 
-// computeAggregates computes what the clause asks for of combined groups.
+// computeAggregates computes the aggregates that the clause requests from the combined groups.
 func (r *Reader) computeAggregates(combined *merge.Groups, report *completeness.Report) ([]Group, error) {
 	clause := r.query.Clause
 	columns := AggregateColumns(clause)
 	canBound := len(report.Missing) == 0 || canBoundBySummaries(clause, columns)
 	sorted := combined.Sorted()
-	if len(sorted) == 0 && len(clause.Group) == 0 { // without grouping there is one group, also of no rows
+	if len(sorted) == 0 && len(clause.Group) == 0 { // without grouping there is one group, even without rows
 		group, err := combined.GetOrCreate(nil)
 		if err != nil {
 			return nil, err
@@ -53,20 +53,20 @@
 	return groups, nil
 }
 
-// canBoundBySummaries reports whether summaries can bound the aggregates of a clause: they are of all rows of a shard, so it
-// must neither filter nor group, and of one column.
+// canBoundBySummaries reports whether summaries can bound the aggregates of a clause. A summary covers all rows of a
+// shard and one column, so the clause must have no filter, no grouping and at most one aggregated column.
 func canBoundBySummaries(clause *merge.Clause, columns []string) bool {
-	named := 0
+	namedColumns := 0
 	for _, column := range columns {
 		if column != "" {
-			named++
+			namedColumns++
 		}
 	}
-	return len(clause.Filter) == 0 && len(clause.Group) == 0 && named <= 1
+	return len(clause.Filter) == 0 && len(clause.Group) == 0 && namedColumns <= 1
 }
 
-// computeAggregate computes one aggregate and its bound. While parts are missing, quantiles and distinct counts have no bound;
-// neither have aggregates of texts but the count.
+// computeAggregate computes one aggregate and its bound. Quantiles and distinct counts have no bound while parts are
+// missing. Of the aggregates of texts, only the count has a bound.
 func computeAggregate(requested *merge.AggregateClause, partial *merge.PartialAggregate, report *completeness.Report) (
 	value merge.Value, bound completeness.Bound, err error) {
 	sumValue, err := partial.Sum()
@@ -100,7 +100,7 @@
 	return value, bound, err
 }
 
-// toFloat is a value as a float; 0 for null and texts.
+// toFloat returns a value as a float; 0 for null and texts.
 func toFloat(value merge.Value) float64 {
 	if value.Kind == merge.Int {
 		return float64(value.Int)
--- a/internal/results/pageread/aggregates_test.go
+++ b/internal/results/pageread/aggregates_test.go
@@ -15,7 +15,8 @@
 	{"name":"least","do":"min","of":"premium"},{"name":"mean","do":"mean","of":"premium"},
 	{"name":"median","do":"quantile","of":"premium","q":0.5},{"name":"kinds","do":"distinct","of":"premium"}]}`
 
-// aggregateThree reads the aggregates of three shards with the premiums given by bucket; one without any entry fails.
+// aggregateThree reads the aggregates of three shards with the given premiums by bucket. A shard without an entry
+// fails.
 func aggregateThree(t *testing.T, premiums map[int][]int64, summaries ...*completeness.Summary) *Result {
 	t.Helper()
 	clause, err := merge.ParseClause([]byte(aggregateClause))
@@ -50,7 +51,7 @@
 	return step.Result
 }
 
-// aggregatesByName are the aggregates of a result's only group.
+// aggregatesByName returns the aggregates of the only group of a result.
 func aggregatesByName(t *testing.T, result *Result) map[string]Aggregate {
 	t.Helper()
 	require.Len(t, result.Groups, 1)
@@ -86,11 +87,11 @@
 	require.Equal(t, exactly(20), aggregates["total"].Bound)
 	require.Equal(t, exactly(5), aggregates["n"].Bound)
 	require.Equal(t, Aggregate{"least", merge.IntOf(3), exactly(1)}, aggregates["least"],
-		"the value is that of the rows that are present, the bound that of all rows")
+		"the value is over the present rows, the bound over all rows")
 	require.False(t, aggregates["median"].Bound.Known)
 }
 
-// A shard with which the sum overflows is missing; the aggregate is that of the others.
+// A shard that makes the sum overflow must be missing, and the others must still be aggregated.
 func TestOverflowRejectsTheShard(t *testing.T) {
 	result := aggregateThree(t, map[int][]int64{0: {1 << 62}, 1: {1 << 62}, 2: {3}})
 	require.Equal(t, merge.IntOf(1<<62+3), aggregatesByName(t, result)["total"].Value)
--- a/internal/results/pageread/combine.go
+++ b/internal/results/pageread/combine.go
@@ -7,18 +7,18 @@
 	"ternstage/internal/results/merge"
 )
 
-// MaxGroups bounds the groups of an answer.
+// MaxGroups is the maximum number of groups in an answer.
 const MaxGroups = 1000
 
-// mergeInputs is what can be merged.
+// mergeInputs holds the answers that can be merged.
 type mergeInputs struct {
 	order   *merge.Order
 	batches []*merge.Batch
 	groups  *merge.Groups // combined; nil without aggregates
 }
 
-// collectInputs finds what can be merged of all shards that are included, and rejects the others: those with another
-// schema than most of the weight has, and those with which a sum overflows or there are too many groups. ok is false if
+// collectInputs collects the answers of included shards that can be merged. It rejects answers whose schema differs
+// from the common one, and answers with which a sum overflows or there are too many groups. It returns ok as false if
 // nothing can be merged.
 func (r *Reader) collectInputs() (inputs mergeInputs, ok bool) {
 	included := r.includedShards()
@@ -50,7 +50,7 @@
 	return inputs, true
 }
 
-// includedShards are the shards whose answers the plan includes, in the order of their buckets.
+// includedShards returns the shards whose answers the plan includes, ordered by bucket.
 func (r *Reader) includedShards() []*shard {
 	included := slices.Clone(r.shards)
 	sortByBuckets(included)
@@ -63,8 +63,8 @@
 	slices.SortFunc(shards, func(a, b *shard) int { return cmp.Compare(a.Buckets.Start, b.Buckets.Start) })
 }
 
-// commonSchema is the schema that most weight of some shards has; of equals that of the first buckets. The order in
-// which answers arrive does not matter.
+// commonSchema returns the schema that shards with the most weight have. Among schemas of equal weight it returns
+// that of the first buckets, so the result does not depend on the order in which answers arrive.
 func commonSchema(shards []*shard) merge.Schema {
 	type candidate struct {
 		schema merge.Schema
--- a/internal/results/pageread/combine_test.go
+++ b/internal/results/pageread/combine_test.go
@@ -14,7 +14,8 @@
 
 var dollarSchema = merge.Schema{{Name: "premium", Kind: merge.Int, Currency: "USD"}}
 
-// A shard whose answer cannot be combined is missing, with the reason, and the others are answered.
+// A shard whose answer cannot be merged must be missing, with a reason, and the page must have the rows of the
+// others.
 func TestMalformedAnswerIsReported(t *testing.T) {
 	for name, change := range map[string]func(*merge.Batch){
 		"out of order":  func(batch *merge.Batch) { slices.Reverse(batch.Rows) },
@@ -34,17 +35,18 @@
 			require.Equal(t, completeness.Malformed, page.Report.Missing[0].Reason)
 			require.NotEmpty(t, page.Report.Missing[0].Detail)
 			for _, row := range page.Rows {
-				require.False(t, row.Bucket == 4 || row.Bucket == 5, "none of its rows is on the page")
+				require.False(t, row.Bucket == 4 || row.Bucket == 5, "no row of the malformed answer is on the page")
 			}
 		})
 	}
 }
 
-// Shards with another schema than most of the weight do not count towards the floor, also if they answer first.
-func TestFloorCountsOnlyWhatCanBeMerged(t *testing.T) {
-	for floor, cannotAnswer := range map[float64]bool{0.6: false, 0.7: true} {
+// Shards that do not have the common schema must not count towards the minimum completeness, even if they answer
+// first.
+func TestMinCompletenessCountsOnlyMergeableAnswers(t *testing.T) {
+	for minCompleteness, cannotAnswer := range map[float64]bool{0.6: false, 0.7: true} {
 		query := newTable(t).query(3)
-		query.Plan.MinCompleteness = floor
+		query.Plan.MinCompleteness = minCompleteness
 		var parts []Part
 		for i := range 5 {
 			parts = append(parts, Part{Buckets: shardmap.Range{Start: i, End: i + 1}, Weight: 0.2})
--- a/internal/results/pageread/fixture_test.go
+++ b/internal/results/pageread/fixture_test.go
@@ -29,14 +29,14 @@
 	rows         []merge.Row // in order
 	shards       []shardmap.Range
 	shardEpochs  map[shardmap.Range]uint64
-	versions     map[shardmap.Range]uint64 // newest known; 0 is answered as 1
+	versions     map[shardmap.Range]uint64 // newest known version; backends answer with 1 instead of 0
 	unresponsive map[shardmap.Range]bool   // shards that do not answer
 	changeAnswer func(*rows.Answer)        // if not nil
 	summaries    []*completeness.Summary
-	answerErrors []error // of the answers of all pages
+	answerErrors []error // returned by RecordAnswer, on all pages
 }
 
-// newTable makes a table of five shards with a row for each premium; row i is of bucket i modulo 10.
+// newTable creates a table of five shards with one row per premium. Row i is in bucket i modulo 10.
 func newTable(t require.TestingT, premiums ...int64) *testTable {
 	order, err := merge.NewOrder(testSchema, []merge.SortColumn{{Column: "premium"}})
 	require.NoError(t, err)
@@ -57,7 +57,7 @@
 	return table.order.Compare(table.order.PositionOf(a), table.order.PositionOf(b))
 }
 
-// rowsAfter are the rows of some buckets after a position, or from the first if that is nil.
+// rowsAfter returns the rows of some buckets that are after a position, or all if the position is nil.
 func (table *testTable) rowsAfter(buckets shardmap.Range, after *merge.Position) []merge.Row {
 	var found []merge.Row
 	for _, row := range table.rows {
@@ -73,12 +73,12 @@
 	return Query{
 		Clause: &merge.Clause{Rank: []merge.RankColumn{{Column: "premium"}}, Page: &merge.PageClause{Size: size}},
 		Epoch:  41, CompletenessTarget: 1, Summaries: table.summaries,
-		Plan: fetchplan.Options{MinCompleteness: 0.1, LatencyObjectiveMs: 1000, DeadlineMs: 2000, PartialFactor: 0.9, LateFactor: 0.3,
-			MarginMs: 20},
+		Plan: fetchplan.Options{MinCompleteness: 0.1, LatencyObjectiveMs: 1000, DeadlineMs: 2000, PartialFactor: 0.9,
+			LateFactor: 0.3, MarginMs: 20},
 	}
 }
 
-// answer is the answer of a shard's backend.
+// answer returns the answer of the backend of a shard.
 func (table *testTable) answer(request Request) *rows.Answer {
 	found := table.rowsAfter(request.Buckets, request.After)
 	count := min(request.Rows, len(found))
@@ -90,7 +90,7 @@
 	return answer
 }
 
-// readPage reads a page to its end. Requests are answered 1 ms after each other.
+// readPage reads a page until it is final. The shards answer at intervals of 1 ms.
 func (table *testTable) readPage(size int, previous *cursor.Cursor) *Result {
 	var parts []Part
 	for _, buckets := range table.shards {
@@ -111,7 +111,7 @@
 				continue
 			}
 			table.answerErrors = append(table.answerErrors, err)
-			if answer.Batch.Version < table.versions[request.Buckets] { // no replica has a newer one
+			if answer.Batch.Version < table.versions[request.Buckets] { // no replica has a newer version
 				reader.RecordFailure(request.Buckets, completeness.Failed)
 			}
 		}
@@ -126,7 +126,7 @@
 			nowMs = step.WakeAtMs
 		}
 	}
-	require.Fail(table.t, "the page does not end")
+	require.Fail(table.t, "the page does not become final")
 	return nil
 }
 
@@ -141,7 +141,7 @@
 // cheapestShard is the shard of buckets 4 and 5.
 var cheapestShard = shardmap.Range{Start: 4, End: 6}
 
-// testPremiums are 30 premiums with the lowest, of key 004, in the cheapest shard.
+// testPremiums returns 30 premiums. The lowest has key 004 and is in cheapestShard.
 func testPremiums() []int64 {
 	var premiums []int64
 	for i := range 30 {
--- a/internal/results/pageread/query.go
+++ b/internal/results/pageread/query.go
@@ -10,16 +10,16 @@
 	"ternstage/internal/results/merge"
 )
 
-// ErrStaleVersion is wrapped by the error for an answer of an older data version than the page before read. Another
-// replica may have the newer one.
-var ErrStaleVersion = errors.New("older data version than that of the page before")
+// ErrStaleVersion is wrapped by the error for an answer of an older data version than the previous page read. Another
+// replica may have the newer version.
+var ErrStaleVersion = errors.New("older data version than that of the previous page")
 
-// Query is what is read.
+// Query describes the query and the page to read.
 type Query struct {
 	Clause             *merge.Clause
-	Epoch              uint64            // of the shard map by which this page begins
-	CompletenessTarget float64           // weight of a complete answer
-	Plan               fetchplan.Options // but for Limit, which is the clause's
+	Epoch              uint64            // of the shard map when this page begins
+	CompletenessTarget float64           // weight from which an answer is complete
+	Plan               fetchplan.Options // Limit is ignored; the clause has the page size
 	Summaries          []*completeness.Summary
 }
 
@@ -27,20 +27,20 @@
 type Part struct {
 	Buckets    shardmap.Range
 	Weight     float64
-	ShardEpoch uint64 // epoch of the shard's last change
-	Version    uint64 // newest data version known; 0 if none is
+	ShardEpoch uint64 // epoch of the last change of the shard
+	Version    uint64 // newest known data version, or 0
 }
 
-// Request is what to request of a shard: the first rows after a position, those requested before included, so that one
-// answer is of one data version.
+// Request tells what to request of a shard: the first rows after a position, including those that were requested
+// earlier. Thus all rows of an answer are of one data version.
 type Request struct {
 	Buckets shardmap.Range
 	Rows    int
 	After   *merge.Position // nil on the first page
 }
 
-// AggregateColumns are the columns that a clause aggregates, each once; "" counts rows. Backends send aggregates in
-// this order.
+// AggregateColumns returns the columns that a clause aggregates, without duplicates; "" counts rows. Backends send
+// aggregates in this order.
 func AggregateColumns(clause *merge.Clause) []string {
 	var columns []string
 	for i := range clause.Aggregate {
--- a/internal/results/pageread/reader.go
+++ b/internal/results/pageread/reader.go
@@ -15,22 +15,22 @@
 // Reader reads one page.
 type Reader struct {
 	query     Query
-	previous  *cursor.Cursor // of the page before; nil on the first
+	previous  *cursor.Cursor // of the previous page; nil on the first page
 	plan      *fetchplan.Plan
 	shards    []*shard
-	summaries []*completeness.Summary // of the query, and those that came with answers
+	summaries []*completeness.Summary // those of the query, and those received with answers
 }
 
 // shard is a part and what its shard has answered.
 type shard struct {
 	Part
-	batch  *merge.Batch        // nil while it is missing
-	groups *merge.Groups       // of the batch's answer
-	reason completeness.Reason // while batch is nil: why
-	detail string              // of a malformed answer
+	batch  *merge.Batch        // nil while the shard is missing
+	groups *merge.Groups       // aggregates of the same answer
+	reason completeness.Reason // why the shard is missing, while batch is nil
+	detail string              // the fault in a malformed answer
 }
 
-// New begins to read a page: the first, or that after a cursor. It returns the first requests.
+// New starts to read a page: the first one, or the one after a cursor. It returns the reader and the first requests.
 func New(nowMs float64, query Query, parts []Part, previous *cursor.Cursor) (*Reader, []Request) {
 	reader := &Reader{query: query, previous: previous, summaries: slices.Clone(query.Summaries)}
 	reader.query.Plan.Limit = 0
@@ -51,7 +51,7 @@
 
 func newShard(part Part) *shard { return &shard{Part: part, reason: completeness.Rejected} }
 
-// toRequests adds the position after which the page starts to requests of the plan.
+// toRequests adds the start position of the page to requests of the plan.
 func (r *Reader) toRequests(planned []fetchplan.Request) []Request {
 	requests := make([]Request, 0, len(planned))
 	for _, request := range planned {
@@ -60,7 +60,7 @@
 	return requests
 }
 
-// startPosition is the position after which the page starts; nil on the first page.
+// startPosition returns the position after which the page starts, or nil on the first page.
 func (r *Reader) startPosition() *merge.Position {
 	if r.previous == nil {
 		return nil
@@ -68,7 +68,7 @@
 	return r.previous.After
 }
 
-// findShard is the shard with exactly these buckets, or nil.
+// findShard returns the shard with exactly these buckets, or nil.
 func (r *Reader) findShard(buckets shardmap.Range) *shard {
 	i := slices.IndexFunc(r.shards, func(s *shard) bool { return s.Buckets == buckets })
 	if i < 0 {
@@ -77,7 +77,8 @@
 	return r.shards[i]
 }
 
-// minVersion is the newest data version at which the page before read any of some buckets; 0 if it read none of them.
+// minVersion returns the newest data version at which the previous page read any of some buckets, or 0 if it read
+// none of them.
 func (r *Reader) minVersion(buckets shardmap.Range) uint64 {
 	if r.previous == nil {
 		return 0
@@ -91,17 +92,18 @@
 	return newest
 }
 
-// RecordAnswer records a backend's answer to a request for requested rows. An answer that is no longer wanted is
-// ignored. An error that wraps ErrStaleVersion leaves the shard in flight, so that another replica can be asked. After
-// any other error, a *merge.ValidationError, the shard is missing, and none of its rows are merged.
+// RecordAnswer records the answer of a backend to a request for the given number of rows. It ignores an answer that
+// is no longer wanted. After an error that wraps ErrStaleVersion, the shard stays in flight, so that another replica
+// can be asked. After any other error, which is a *merge.ValidationError, the shard is missing and none of its rows
+// are merged.
 func (r *Reader) RecordAnswer(nowMs float64, answer *rows.Answer, requested int) error {
 	shard := r.findShard(answer.Batch.Buckets)
 	if shard == nil {
-		return nil // it was split or merged meanwhile
+		return nil // the shard was split or merged meanwhile
 	}
 	if minVersion := r.minVersion(shard.Buckets); answer.Batch.Version < minVersion {
 		shard.reason = completeness.StaleVersion
-		return fmt.Errorf("%w: %d, not %d", ErrStaleVersion, answer.Batch.Version, minVersion)
+		return fmt.Errorf("%w: version %d, not at least %d", ErrStaleVersion, answer.Batch.Version, minVersion)
 	}
 	if err := r.validate(answer, requested); err != nil {
 		r.reject(shard, err)
@@ -120,7 +122,7 @@
 	return nil
 }
 
-// validate checks an answer by itself; that it has the same schema as others is for commonSchema to check.
+// validate checks an answer on its own. collectInputs compares its schema with those of other answers.
 func (r *Reader) validate(answer *rows.Answer, requested int) error {
 	order, err := merge.NewOrder(answer.Batch.Schema, r.query.Clause.SortColumns())
 	if err != nil {
@@ -135,7 +137,7 @@
 	return nil
 }
 
-// reject makes a shard missing because of its answer.
+// reject marks a shard as missing because its answer is malformed.
 func (r *Reader) reject(shard *shard, err error) {
 	shard.batch = nil
 	shard.reason = completeness.Malformed
@@ -143,8 +145,8 @@
 	r.plan.RecordFailure(shard.Buckets)
 }
 
-// RecordFailure records that a shard cannot be read, and why. If only a stale version of it came, that stays the
-// reason.
+// RecordFailure records that a shard cannot be read, and why. If the shard answered with a stale version before,
+// StaleVersion remains the reason.
 func (r *Reader) RecordFailure(buckets shardmap.Range, reason completeness.Reason) {
 	shard := r.findShard(buckets)
 	if shard == nil {
@@ -158,7 +160,7 @@
 }
 
 // Reshard replaces a shard by those that hold its buckets after a split, merge or move, and returns the requests for
-// these. What the old shard gave no longer counts.
+// the new shards. What the old shard returned no longer counts.
 func (r *Reader) Reshard(nowMs float64, buckets shardmap.Range, successors []Part) []Request {
 	old := r.findShard(buckets)
 	if old == nil {
--- a/internal/results/pageread/result.go
+++ b/internal/results/pageread/result.go
@@ -9,21 +9,22 @@
 	"ternstage/internal/results/merge"
 )
 
-// Result is a page.
+// Result is a final page.
 type Result struct {
 	Rows      []merge.Row
-	Sources   []shardmap.Range // for each row, the buckets of the shard that it came from
-	FirstRank int              // rank of the first row, from 1
-	Certain   []bool           // for each row, whether its rank is certain
+	Sources   []shardmap.Range // buckets of the shard that each row came from
+	FirstRank int              // rank of the first row; ranks start at 1
+	Certain   []bool           // whether the rank of each row is certain
 	Report    *completeness.Report
-	Complete  bool           // the report is complete and nothing has changed since the page before
+	Complete  bool           // whether the report is complete and nothing has changed since the previous page
 	Next      *cursor.Cursor // without tenant, digest and expiry; nil if there is no next page
-	Groups    []Group        // in the order of their values
-	Changes   cursor.Changes // since the page before
+	Groups    []Group        // ordered by their values
+	Changes   cursor.Changes // since the previous page
 }
 
-// buildResult makes the result of a final page. A page's ranks continue those of the pages before, so they are certain only
-// if these were and nothing has changed since: a shard that has returned may hold rows that belong before them.
+// buildResult returns the result of a final page. The ranks of a page continue those of the previous pages. They are
+// certain only if those ranks were certain and nothing has changed since: a shard that was missing and is now present
+// may hold rows that belong on earlier pages.
 func (r *Reader) buildResult(order *merge.Order, page merge.Page) *Result {
 	parts, spans := r.describeShards()
 	report := completeness.New(parts, r.summaries, r.query.CompletenessTarget)
@@ -65,7 +66,7 @@
 	return result
 }
 
-// describeShards describes the shards, in the order of their buckets, for the report and for the next page.
+// describeShards describes the shards, ordered by bucket, for the report and for the next page.
 func (r *Reader) describeShards() ([]completeness.Part, []cursor.Span) {
 	sortByBuckets(r.shards)
 	var parts []completeness.Part
--- a/internal/results/pageread/result_test.go
+++ b/internal/results/pageread/result_test.go
@@ -14,14 +14,15 @@
 	"ternstage/internal/results/rows"
 )
 
-// The shard with the lowest premium is missing from page one, which so has no certain rank, and returns before page two.
-// Page two continues page one, repeats no row, and says that page one would now differ.
+// The shard with the lowest premium is missing on page one and answers on page two. Page one must have no certain
+// rank. Page two must continue page one without repeating rows, and report that page one would now differ.
 func TestShardReturnsBetweenPages(t *testing.T) {
 	table := newTable(t, testPremiums()...)
 	table.unresponsive[cheapestShard] = true
 	first := table.readPage(6, nil)
 	require.False(t, first.Complete)
-	require.Equal(t, []bool{false, false, false, false, false, false}, first.Certain, "it may hold the lowest premium")
+	require.Equal(t, []bool{false, false, false, false, false, false}, first.Certain,
+		"the missing shard may hold the lowest premium")
 	require.InDelta(t, 0.8, first.Report.Weight, 1e-9)
 	require.Equal(t, completeness.TimedOut, first.Report.Missing[0].Reason)
 
@@ -33,13 +34,14 @@
 	require.NotContains(t, second.Certain, true)
 	keys := append(keysOf(first.Rows), keysOf(second.Rows)...)
 	require.Len(t, slices.Compact(slices.Sorted(slices.Values(keys))), 12, "no row is repeated")
-	require.NotContains(t, keys, "004", "a row of the returned shard that belongs before page two is on no page")
+	require.NotContains(t, keys, "004", "a row that belongs on page one must not be on page two")
 	last := table.order.PositionOf(first.Rows[5])
 	rest := table.rowsAfter(shardmap.Range{Start: 0, End: testBucketCount}, &last)
 	require.Equal(t, keysOf(rest[:6]), keysOf(second.Rows), "no row after page one is skipped")
 }
 
-// A summary of the missing shard makes those ranks certain that come before its first row.
+// A summary of a missing shard must make the ranks before its first row certain. Without it, one unresponsive shard
+// would leave all ranks uncertain.
 func TestSummaryMakesRanksCertain(t *testing.T) {
 	table := newTable(t, testPremiums()...)
 	table.unresponsive[cheapestShard] = true
@@ -49,10 +51,11 @@
 		FirstRank: []merge.Value{merge.IntOf(104)}}
 	table.summaries = []*completeness.Summary{summary}
 	page := table.readPage(6, nil)
-	require.Equal(t, []bool{true, true, true}, page.Certain[:3], "its first premium is above the first three")
+	require.Equal(t, []bool{true, true, true}, page.Certain[:3],
+		"the first premium of the missing shard is above the first three")
 	require.False(t, page.Certain[5])
 	summary.Version = 2
-	require.False(t, table.readPage(6, nil).Certain[0], "a summary of an older version does not count")
+	require.False(t, table.readPage(6, nil).Certain[0], "a summary of an older version does not apply")
 }
 
 func TestShardIsLostBetweenPages(t *testing.T) {
@@ -68,7 +71,8 @@
 	require.True(t, table.compare(first.Rows[5], second.Rows[0]) < 0, "pages stay in order")
 }
 
-// On page two a replica answers at an older data version than page one read, then at a newer one.
+// On page two a replica answers first with an older data version than page one read, then with a newer one. The older
+// one must be rejected, and the newer one reported as a change.
 func TestDataVersionOfPageTwo(t *testing.T) {
 	table := newTable(t, testPremiums()...)
 	table.versions[cheapestShard] = 5
@@ -87,7 +91,7 @@
 	require.Equal(t, []cursor.Span{{Start: 4, End: 6, Version: 6}}, second.Changes.Updated)
 }
 
-// drawShards splits the buckets into shards of which all but the first may be silent.
+// drawShards splits the buckets into shards. All but the first may be unresponsive.
 func drawShards(t *rapid.T, table *testTable) {
 	table.shards = nil
 	table.unresponsive = map[shardmap.Range]bool{}
@@ -99,8 +103,8 @@
 	}
 }
 
-// Over any table, with shards split anew and silent at random between pages, no row is repeated, all pages are in order,
-// a certain rank is the true one, and only a complete page is reported as complete.
+// Shards are split anew and become unresponsive at random between pages. No row may be repeated, all pages must be in
+// order, a certain rank must be the true one, and only a complete page may be reported as complete.
 func TestPagesAgree(t *testing.T) {
 	certain := 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/results/pageread/step.go
+++ b/internal/results/pageread/step.go
@@ -5,19 +5,19 @@
 	"ternstage/internal/results/completeness"
 )
 
-// weightTolerance is by how much sums of weights may fall short, as the platform's rules allow.
+// weightTolerance is how far a sum of weights may fall short of a limit, as the platform's rules allow.
 const weightTolerance = 1e-4
 
-// Step is what to do next.
+// Step tells the caller what to do next.
 type Step struct {
 	Requests     []Request
-	Abandoned    []shardmap.Range // shards that are no longer waited for
-	Result       *Result          // the page, once it is final
-	CannotAnswer bool             // there can be no answer
-	WakeAtMs     float64          // ms; without requests, result or CannotAnswer: step again at this time at the latest
+	Abandoned    []shardmap.Range // shards whose answers are no longer wanted
+	Result       *Result          // the page; nil until it is final
+	CannotAnswer bool             // reject the query: no answer is possible
+	WakeAtMs     float64          // without Requests, Result or CannotAnswer: call Step again by this time
 }
 
-// Step decides what follows from what has been recorded.
+// Step decides what to do next from the answers and failures recorded so far.
 func (r *Reader) Step(nowMs float64) Step {
 	decision := r.plan.Decide(nowMs)
 	for _, buckets := range decision.Abandoned {
@@ -45,14 +45,14 @@
 	if inputs.groups != nil {
 		groups, err := r.computeAggregates(inputs.groups, result.Report)
 		if err != nil {
-			return cannotAnswer // no answer rather than one without the aggregates that were asked for
+			return cannotAnswer // an answer must have all requested aggregates
 		}
 		result.Groups = groups
 	}
 	return Step{Result: result, Abandoned: decision.Abandoned}
 }
 
-// presentWeight is the weight of the shards that are not missing.
+// presentWeight returns the weight of the shards that are not missing.
 func (r *Reader) presentWeight() float64 {
 	weight := 0.0
 	for _, shard := range r.shards {
