--- a/internal/results/fetchplan/decide.go
+++ b/internal/results/fetchplan/decide.go
@@ -63,11 +63,11 @@
 // minimum completeness is met and a partial answer in time counts at least as much as a complete late one. Otherwise
 // it is MarginMs before the deadline.
 func (p *Plan) sendBy(meetsMinimum bool, present float64) float64 {
-	deadline := p.options.DeadlineMs - p.options.MarginMs
+	deadlineMs := p.options.DeadlineMs - p.options.MarginMs
 	if meetsMinimum && p.options.PartialFactor*present >= p.options.LateFactor {
-		return min(deadline, p.options.LatencyObjectiveMs-p.options.MarginMs)
+		return min(deadlineMs, p.options.LatencyObjectiveMs-p.options.MarginMs)
 	}
-	return deadline
+	return deadlineMs
 }
 
 // shouldWait reports whether to wait for the shards in flight, and until when at most. A shard is late after a
