--- a/internal/results/completeness/report_test.go
+++ b/internal/results/completeness/report_test.go
@@ -13,14 +13,14 @@
 	"ternstage/internal/results/merge"
 )
 
-// testShard is a shard with its premiums in order, and what the broker knows of it.
+// testShard is a shard with its premiums, in order, and the summary that the broker has of it.
 type testShard struct {
 	part     Part
 	premiums []int64
 	summary  *Summary // may be nil or outdated
 }
 
-// trueSummary is the summary that the shard's backend states.
+// trueSummary returns a correct summary of the rows of the shard, as its backend sends it.
 func (s *testShard) trueSummary() *Summary {
 	summary := &Summary{Buckets: s.part.Buckets, Version: s.part.Version, ShardEpoch: s.part.ShardEpoch,
 		Count: uint64(len(s.premiums)), Min: math.NaN(), Max: math.NaN()}
@@ -28,16 +28,16 @@
 		summary.Sum += float64(premium)
 	}
 	if len(s.premiums) > 0 {
-		least := slices.Min(s.premiums)
-		summary.FirstRank = []merge.Value{merge.IntOf(least)}
-		summary.Min = float64(least)
+		minimum := slices.Min(s.premiums)
+		summary.FirstRank = []merge.Value{merge.IntOf(minimum)}
+		summary.Min = float64(minimum)
 		summary.Max = float64(slices.Max(s.premiums))
 	}
 	return summary
 }
 
-// drawShard draws whether the shard is present, its premiums, and a summary that is true, outdated or absent. What an
-// outdated one states is wrong.
+// drawShard draws whether the shard is present, its premiums, and whether its summary is true, outdated or absent.
+// Outdated summaries contain false values.
 func drawShard(t *rapid.T, bucket int) testShard {
 	shard := testShard{part: Part{Buckets: shardmap.Range{Start: bucket, End: bucket + 1}, Weight: 1, Version: 5,
 		ShardEpoch: 3, Present: rapid.IntRange(0, 3).Draw(t, "present") > 0}}
@@ -64,32 +64,32 @@
 	return shard
 }
 
-// testFigures are the rows of some shards and the aggregates over them.
-type testFigures struct {
+// testTotals holds the positions of the rows of some shards and the aggregates over them.
+type testTotals struct {
 	positions []merge.Position // in order
 	sum       float64
 	count     int
-	least     float64
+	minimum   float64
 }
 
-func figuresOf(order *merge.Order, shards []testShard) testFigures {
-	figures := testFigures{least: math.Inf(1)}
+func totalsOf(order *merge.Order, shards []testShard) testTotals {
+	totals := testTotals{minimum: math.Inf(1)}
 	for _, shard := range shards {
 		for i, premium := range shard.premiums {
-			figures.positions = append(figures.positions, merge.Position{Rank: []merge.Value{merge.IntOf(premium)},
+			totals.positions = append(totals.positions, merge.Position{Rank: []merge.Value{merge.IntOf(premium)},
 				Bucket: shard.part.Buckets.Start, Key: fmt.Sprint(i)})
-			figures.sum += float64(premium)
-			figures.count++
-			figures.least = min(figures.least, float64(premium))
+			totals.sum += float64(premium)
+			totals.count++
+			totals.minimum = min(totals.minimum, float64(premium))
 		}
 	}
-	slices.SortFunc(figures.positions, order.Compare)
-	return figures
+	slices.SortFunc(totals.positions, order.Compare)
+	return totals
 }
 
-// Whichever shards are missing and whatever is known of them, a certain rank is the true one and each bound holds the
-// true figure. Outdated summaries count for nothing.
-func TestReportClaimsNothingUntrue(t *testing.T) {
+// A rank reported as certain must be the true one, and each bound must include the true aggregate, whichever shards
+// are missing and whatever is known of them. Using an outdated summary would break this.
+func TestReportedRanksAndBoundsAreTrue(t *testing.T) {
 	certain := 0
 	bounded := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -110,8 +110,8 @@
 				presentShards = append(presentShards, shard)
 			}
 		}
-		all := figuresOf(order, shards)
-		present := figuresOf(order, presentShards)
+		all := totalsOf(order, shards)
+		present := totalsOf(order, presentShards)
 		report := New(parts, summaries, 1)
 		require.Equal(t, len(report.Missing) == 0, report.Complete)
 		for i, isCertain := range report.CertainRanks(order, present.positions) {
@@ -122,18 +122,18 @@
 				t.Fatalf("rank %d of a complete answer is not certain", i+1)
 			}
 		}
-		requireWithin := func(bound Bound, figure float64) {
+		requireWithin := func(bound Bound, want float64) {
 			t.Helper()
 			if bound.Known {
 				bounded++
-				require.LessOrEqual(t, bound.Low, figure)
-				require.GreaterOrEqual(t, bound.High, figure)
+				require.LessOrEqual(t, bound.Low, want)
+				require.GreaterOrEqual(t, bound.High, want)
 			}
 		}
 		requireWithin(report.CountBound(uint64(present.count)), float64(all.count))
 		requireWithin(report.SumBound(present.sum), all.sum)
-		if bound := report.MinBound(present.least, present.count > 0); bound.Known {
-			require.Equal(t, all.least, bound.Low)
+		if bound := report.MinBound(present.minimum, present.count > 0); bound.Known {
+			require.Equal(t, all.minimum, bound.Low)
 		}
 		if all.count > 0 {
 			requireWithin(report.MeanBound(present.sum, uint64(present.count)), all.sum/float64(all.count))
@@ -143,21 +143,21 @@
 	require.Positive(t, bounded)
 }
 
-// An answer with exactly the floor's weight may be given and one with a bucket less may not; a stricter minimum of the
-// client counts.
-func TestMeetsFloor(t *testing.T) {
+// An answer with exactly the minimum completeness of the class may be given. One with a bucket less may not, nor one
+// below a stricter minimum of the client.
+func TestMeetsMinCompleteness(t *testing.T) {
 	for present, want := range map[int]bool{69: false, 70: true, 71: true} {
 		var parts []Part
 		for i := range 100 {
 			parts = append(parts, Part{Buckets: shardmap.Range{Start: i, End: i + 1}, Weight: 0.01, Present: i < present})
 		}
-		require.Equal(t, want, New(parts, nil, 1).MeetsFloor(0.7, 0), present)
-		require.False(t, New(parts, nil, 1).MeetsFloor(0.7, 0.72))
+		require.Equal(t, want, New(parts, nil, 1).MeetsMinCompleteness(0.7, 0), present)
+		require.False(t, New(parts, nil, 1).MeetsMinCompleteness(0.7, 0.72))
 	}
-	require.False(t, New(nil, nil, 1).MeetsFloor(0, 0), "nothing is present")
+	require.False(t, New(nil, nil, 1).MeetsMinCompleteness(0, 0), "nothing is present")
 }
 
-func BenchmarkState1000(b *testing.B) {
+func BenchmarkCertainRanks1000(b *testing.B) {
 	order := newOrder(b)
 	var parts []Part
 	var summaries []*Summary
--- a/internal/results/fetchplan/fixture_test.go
+++ b/internal/results/fetchplan/fixture_test.go
@@ -16,7 +16,7 @@
 
 var testSchema = merge.Schema{{Name: "premium", Kind: merge.Int}}
 
-// testTable is a table whose buckets are shards, one each, of equal weights.
+// testTable is a table of shards with one bucket each and equal weights.
 type testTable struct {
 	order   *merge.Order
 	shards  []shardmap.Range
@@ -24,7 +24,7 @@
 	rows    map[shardmap.Range][]merge.Row // in order
 }
 
-// newTable makes a table; drawPremium gives the premium of each row.
+// newTable creates a table. drawPremium returns the premium of each row.
 func newTable(t require.TestingT, shards, rowsPerShard int, drawPremium func() int64) *testTable {
 	order, err := merge.NewOrder(testSchema, []merge.SortColumn{{Column: "premium"}})
 	require.NoError(t, err)
@@ -45,53 +45,53 @@
 	return merge.Row{Bucket: bucket, Key: fmt.Sprintf("%06d", number), Values: []merge.Value{merge.IntOf(premium)}}
 }
 
-func (w *testTable) sort(rows []merge.Row) {
+func (table *testTable) sort(rows []merge.Row) {
 	slices.SortFunc(rows, func(a, b merge.Row) int {
-		return w.order.Compare(w.order.PositionOf(a), w.order.PositionOf(b))
+		return table.order.Compare(table.order.PositionOf(a), table.order.PositionOf(b))
 	})
 }
 
-// readPage carries a plan out to its end. Requests are answered 1 ms after each other, but for those to silent shards,
-// which never are.
-func (w *testTable) readPage(t require.TestingT, plan *Plan, requests []Request, limit int,
-	silent func(shardmap.Range) bool) merge.Page {
+// readPage executes a plan until the page is final. The shards answer at intervals of 1 ms, except for unresponsive
+// ones, which never answer.
+func (table *testTable) readPage(t require.TestingT, plan *Plan, requests []Request, limit int,
+	unresponsive func(shardmap.Range) bool) merge.Page {
 	batches := map[shardmap.Range]*merge.Batch{}
-	now := 0.0
+	nowMs := 0.0
 	for round := 0; round < 200; round++ {
 		for _, request := range requests {
-			now++
-			if silent(request.Buckets) {
+			nowMs++
+			if unresponsive(request.Buckets) {
 				continue
 			}
-			rows := w.rows[request.Buckets]
+			rows := table.rows[request.Buckets]
 			count := min(request.Rows, len(rows))
 			hasMore := count < len(rows)
-			if plan.RecordAnswer(now, request.Buckets, count, hasMore) {
+			if plan.RecordAnswer(nowMs, request.Buckets, count, hasMore) {
 				batches[request.Buckets] = &merge.Batch{Buckets: request.Buckets, Schema: testSchema, Rows: rows[:count],
 					HasMore: hasMore}
 			}
 		}
-		for decision := plan.Decide(now); !decision.Done; decision = plan.Decide(now) {
-			require.Greater(t, decision.WakeAt, now, "a decision to wait says until when")
-			now = decision.WakeAt
+		for decision := plan.Decide(nowMs); !decision.Done; decision = plan.Decide(nowMs) {
+			require.Greater(t, decision.WakeAtMs, nowMs, "a decision to wait names a later time")
+			nowMs = decision.WakeAtMs
 		}
 		var included []*merge.Batch
 		for buckets, batch := range batches {
-			if plan.Included(buckets) {
+			if plan.IsIncluded(buckets) {
 				included = append(included, batch)
 			}
 		}
-		page := w.order.Merge(included, limit)
-		requests = plan.RequestMore(now, page.NeedMore)
+		page := table.order.Merge(included, limit)
+		requests = plan.RequestMore(nowMs, page.NeedMore)
 		if len(page.NeedMore) == 0 {
 			return page
 		}
 	}
-	require.Fail(t, "the page does not end")
+	require.Fail(t, "the page does not become final")
 	return merge.Page{}
 }
 
 func newOptions(limit int) Options {
-	return Options{Limit: limit, Floor: 0.7, LatencyObjective: 10_000, Deadline: 20_000, PartialWorth: 0.9,
-		LateWorth: 0.3, Margin: 20}
+	return Options{Limit: limit, MinCompleteness: 0.7, LatencyObjectiveMs: 10_000, DeadlineMs: 20_000,
+		PartialFactor: 0.9, LateFactor: 0.3, MarginMs: 20}
 }
--- a/internal/results/merge/page.go
+++ b/internal/results/merge/page.go
@@ -8,32 +8,32 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-// Page is rows in order.
+// Page holds the merged rows of a page, in order.
 type Page struct {
 	Rows     []Row
-	Sources  []shardmap.Range // for each row, the buckets of its batch
-	NeedMore []shardmap.Range // batches whose next rows may belong to the page, by buckets; none once it is final
-	HasMore  bool             // there are rows after the page
+	Sources  []shardmap.Range // buckets of the batch of each row
+	NeedMore []shardmap.Range // buckets of batches whose next rows may belong to the page; empty for a final page
+	HasMore  bool             // whether there are rows after the page
 }
 
-// Merge puts batches that passed Validate into one page of at most limit rows. A batch whose shard has more rows is
-// listed in NeedMore if the page is not full or all rows of the batch come before the page's last row; no other shard
-// can add to the page.
+// Merge merges batches that passed Validate into one page of at most limit rows. NeedMore lists each batch whose
+// shard has more rows, if the page is not full or all rows of the batch come before the last row of the page. Other
+// shards cannot add to the page.
 //
-// The result depends neither on the order of the batches nor on how buckets are split into shards. Merge allocates the
-// page and one heap entry for each batch.
+// The result depends neither on the order of the batches nor on how buckets are split into shards. Merge allocates
+// only the page and one heap entry for each batch.
 func (o *Order) Merge(batches []*Batch, limit int) Page {
 	inputs := &inputHeap{order: o}
 	page := Page{}
 	for _, batch := range batches {
 		page.HasMore = page.HasMore || batch.HasMore
 		if len(batch.Rows) > 0 {
-			inputs.list = append(inputs.list, input{batch: batch})
+			inputs.entries = append(inputs.entries, input{batch: batch})
 		}
 	}
 	heap.Init(inputs)
 	for len(page.Rows) < limit && inputs.Len() > 0 {
-		first := &inputs.list[0]
+		first := &inputs.entries[0]
 		page.Rows = append(page.Rows, first.batch.Rows[first.next])
 		page.Sources = append(page.Sources, first.batch.Buckets)
 		first.next++
@@ -45,7 +45,7 @@
 	}
 	page.HasMore = page.HasMore || inputs.Len() > 0
 	for _, batch := range batches {
-		if batch.HasMore && o.mayReach(batch, page.Rows, limit) {
+		if batch.HasMore && o.canExtendPage(batch, page.Rows, limit) {
 			page.NeedMore = append(page.NeedMore, batch.Buckets)
 		}
 	}
@@ -53,8 +53,8 @@
 	return page
 }
 
-// mayReach reports whether rows after those of a batch may belong to a page of limit rows.
-func (o *Order) mayReach(batch *Batch, page []Row, limit int) bool {
+// canExtendPage reports whether rows that follow those of a batch may belong to a page of limit rows.
+func (o *Order) canExtendPage(batch *Batch, page []Row, limit int) bool {
 	if limit <= 0 {
 		return false
 	}
--- a/internal/results/pageread/aggregates.go
+++ b/internal/results/pageread/aggregates.go
@@ -7,26 +7,26 @@
 	"ternstage/internal/results/merge"
 )
 
-// Group is the aggregates of one group, in the order of the clause.
+// Group holds the aggregates of one group, in the order of the clause.
 type Group struct {
-	Values     []merge.Value // of the columns by which rows are grouped
+	Values     []merge.Value // of the columns that rows are grouped by
 	Aggregates []Aggregate
 }
 
-// Aggregate is one aggregate over the rows that are present, and its bound over all rows.
+// Aggregate is one aggregate over the present rows, with its bound over all rows.
 type Aggregate struct {
 	Name  string
 	Value merge.Value
 	Bound completeness.Bound
 }
 
-// aggregates computes what the clause asks for of combined groups.
-func (r *Reader) aggregates(combined *merge.Groups, report *completeness.Report) ([]Group, error) {
+// computeAggregates computes the aggregates that the clause requests from the combined groups.
+func (r *Reader) computeAggregates(combined *merge.Groups, report *completeness.Report) ([]Group, error) {
 	clause := r.query.Clause
 	columns := AggregateColumns(clause)
-	bounded := len(report.Missing) == 0 || summariesBound(clause, columns)
+	canBound := len(report.Missing) == 0 || canBoundBySummaries(clause, columns)
 	sorted := combined.Sorted()
-	if len(sorted) == 0 && len(clause.Group) == 0 { // without grouping there is one group, also of no rows
+	if len(sorted) == 0 && len(clause.Group) == 0 { // without grouping there is one group, even without rows
 		group, err := combined.GetOrCreate(nil)
 		if err != nil {
 			return nil, err
@@ -37,60 +37,60 @@
 	for _, group := range sorted {
 		computed := Group{Values: group.Values}
 		for i := range clause.Aggregate {
-			asked := &clause.Aggregate[i]
-			partial := group.Partials[slices.Index(columns, asked.Column)]
-			value, bound, err := compute(asked, partial, report)
+			requested := &clause.Aggregate[i]
+			partial := group.Partials[slices.Index(columns, requested.Column)]
+			value, bound, err := computeAggregate(requested, partial, report)
 			if err != nil {
 				return nil, err
 			}
-			if !bounded {
+			if !canBound {
 				bound = completeness.Bound{}
 			}
-			computed.Aggregates = append(computed.Aggregates, Aggregate{Name: asked.Name, Value: value, Bound: bound})
+			computed.Aggregates = append(computed.Aggregates, Aggregate{Name: requested.Name, Value: value, Bound: bound})
 		}
 		groups = append(groups, computed)
 	}
 	return groups, nil
 }
 
-// summariesBound reports whether summaries can bound the aggregates of a clause: they are of all rows of a shard, so it
-// must neither filter nor group, and of one column.
-func summariesBound(clause *merge.Clause, columns []string) bool {
-	named := 0
+// canBoundBySummaries reports whether summaries can bound the aggregates of a clause. A summary covers all rows of a
+// shard and one column, so the clause must have no filter, no grouping and at most one aggregated column.
+func canBoundBySummaries(clause *merge.Clause, columns []string) bool {
+	namedColumns := 0
 	for _, column := range columns {
 		if column != "" {
-			named++
+			namedColumns++
 		}
 	}
-	return len(clause.Filter) == 0 && len(clause.Group) == 0 && named <= 1
+	return len(clause.Filter) == 0 && len(clause.Group) == 0 && namedColumns <= 1
 }
 
-// compute computes one aggregate and its bound. While parts are missing, quantiles and distinct counts have no bound;
-// neither have aggregates of texts but the count.
-func compute(asked *merge.AggregateClause, partial *merge.PartialAggregate, report *completeness.Report) (
+// computeAggregate computes one aggregate and its bound. Quantiles and distinct counts have no bound while parts are
+// missing. Of the aggregates of texts, only the count has a bound.
+func computeAggregate(requested *merge.AggregateClause, partial *merge.PartialAggregate, report *completeness.Report) (
 	value merge.Value, bound completeness.Bound, err error) {
 	sumValue, err := partial.Sum()
 	if err != nil {
 		return merge.Value{}, completeness.Bound{}, err
 	}
-	sum := number(sumValue)
+	sum := toFloat(sumValue)
 	value = sumValue
-	switch asked.Function {
+	switch requested.Function {
 	case merge.FunctionCount:
 		return merge.IntOf(int64(partial.Count)), report.CountBound(partial.Count), nil
 	case merge.FunctionSum:
 		bound = report.SumBound(sum)
 	case merge.FunctionMin:
 		value = partial.Min
-		bound = report.MinBound(number(partial.Min), partial.Count > 0)
+		bound = report.MinBound(toFloat(partial.Min), partial.Count > 0)
 	case merge.FunctionMax:
 		value = partial.Max
-		bound = report.MaxBound(number(partial.Max), partial.Count > 0)
+		bound = report.MaxBound(toFloat(partial.Max), partial.Count > 0)
 	case merge.FunctionMean:
 		value, err = partial.Mean()
 		bound = report.MeanBound(sum, partial.Count)
 	case merge.FunctionQuantile:
-		value, err = partial.Quantile(*asked.Quantile)
+		value, err = partial.Quantile(*requested.Quantile)
 	case merge.FunctionDistinct:
 		value = merge.IntOf(int64(partial.Distinct()))
 	}
@@ -100,8 +100,8 @@
 	return value, bound, err
 }
 
-// number is a value as a float; 0 for null and texts.
-func number(value merge.Value) float64 {
+// toFloat returns a value as a float; 0 for null and texts.
+func toFloat(value merge.Value) float64 {
 	if value.Kind == merge.Int {
 		return float64(value.Int)
 	}
