--- a/cmd/ternstage/broker.go
+++ b/cmd/ternstage/broker.go
@@ -27,7 +27,7 @@
 	handoverFile = "ternstage-cold-sent.json"
 )
 
-// broker holds the components of one broker. All but the log belong to the event loop.
+// broker holds the components of one broker. All components but the log may be used only on the event loop.
 type broker struct {
 	config    *config.Config
 	features  *features
@@ -71,14 +71,14 @@
 	}
 	b.followEndpointList()
 	b.followCatalogue()
-	b.loop.OnRoundEnd(b.core.RunRound)
+	b.loop.OnWakeUpEnd(b.core.RunRound)
 	return b.listenFlight()
 }
 
 // onClose registers a function that close calls. Functions that are registered later are called earlier.
 func (b *broker) onClose(closer func()) { b.closers = append(b.closers, closer) }
 
-// close calls the functions of onClose, the last one first. It is called however the run ends.
+// close calls the functions that were registered with onClose, the last one first. It is called however the run ends.
 func (b *broker) close() {
 	for i := len(b.closers) - 1; i >= 0; i-- {
 		b.closers[i]()
--- a/internal/control/adminapi/server_test.go
+++ b/internal/control/adminapi/server_test.go
@@ -40,7 +40,7 @@
 	address, err := unix.Getsockname(api.listenerFD)
 	require.NoError(t, err)
 	s.address = fmt.Sprintf("127.0.0.1:%d", address.(*unix.SockaddrInet4).Port)
-	eventLoop.OnRoundEnd(func() {})
+	eventLoop.OnWakeUpEnd(func() {})
 	ended := make(chan error)
 	go func() { ended <- eventLoop.Run() }()
 	t.Cleanup(func() {
--- a/internal/transport/backendpool/answers_test.go
+++ b/internal/transport/backendpool/answers_test.go
@@ -163,7 +163,7 @@
 	sender := &batchSender{loop: eventLoop, backend: backend}
 	pool := newPool(eventLoop, sender, 1000, backend.listener.Addr().String())
 	sender.pool = pool
-	eventLoop.OnRoundEnd(pool.Flush)
+	eventLoop.OnWakeUpEnd(pool.Flush)
 	sender.send(6)
 	pool.Flush()
 	require.NoError(t, eventLoop.Run())
--- a/internal/transport/discovery/watcher_test.go
+++ b/internal/transport/discovery/watcher_test.go
@@ -127,7 +127,7 @@
 			}
 		}
 	}()
-	h.loop.OnRoundEnd(func() {
+	h.loop.OnWakeUpEnd(func() {
 		if expired || condition() {
 			h.loop.Stop()
 		}
--- a/internal/transport/loop/doc.go
+++ b/internal/transport/loop/doc.go
@@ -5,7 +5,7 @@
 // request. Other threads access the loop only through Post.
 //
 // At the end of each wake-up, after all pending events have been handled, the loop calls the function set with
-// OnRoundEnd, which runs the scheduling round.
+// OnWakeUpEnd, which runs the scheduling round.
 //
 // Times are float64 milliseconds on the loop's monotonic clock. The clock reads ClockStart when the loop is created.
 package loop
--- a/internal/transport/loop/listener.go
+++ b/internal/transport/loop/listener.go
@@ -13,7 +13,7 @@
 
 // Listen opens a non-blocking TCP listener on one IP address and port.
 func Listen(address string) (fd int, err error) {
-	socketAddress, family, err := resolve(address)
+	socketAddress, family, err := parseSocketAddress(address)
 	if err != nil {
 		return -1, err
 	}
--- a/internal/transport/loop/loop.go
+++ b/internal/transport/loop/loop.go
@@ -28,7 +28,7 @@
 
 // Loop is an event loop on top of epoll. Post is the only method that other threads may call.
 //
-// Invariant: onRoundEnd runs once per wake-up, after the handlers of all events, the posted functions and the due
+// Invariant: onWakeUpEnd runs once per wake-up, after the handlers of all events, the posted functions and the due
 // timers of the wake-up.
 type Loop struct {
 	epollFD       int
@@ -37,12 +37,12 @@
 	registrations map[int32]registration // by descriptor
 	lastSerial    int32
 	timers        []*Timer
-	onRoundEnd    func()
+	onWakeUpEnd   func()
 	stopped       bool
 
-	wakeup wakeup
-	mu     sync.Mutex // guards posted
-	posted []func()
+	eventFD eventFD
+	mu      sync.Mutex // guards posted
+	posted  []func()
 }
 
 // New returns a loop without timers. Its only registration is the eventfd for Post.
@@ -51,7 +51,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("create epoll instance: %w", err)
 	}
-	wake, err := newWakeup()
+	wake, err := newEventFD()
 	if err != nil {
 		return nil, err
 	}
@@ -60,7 +60,7 @@
 		startedAt:     time.Now(),
 		now:           ClockStart,
 		registrations: map[int32]registration{},
-		wakeup:        wake,
+		eventFD:       wake,
 	}
 	if err := l.Add(wake.fd, unix.EPOLLIN, wake); err != nil {
 		return nil, err
@@ -75,8 +75,8 @@
 // ReadClock reads the monotonic clock and returns the current time in ms.
 func (l *Loop) ReadClock() float64 { return ClockStart + float64(time.Since(l.startedAt))/1e6 }
 
-// OnRoundEnd sets the function that the loop calls at the end of each wake-up. By default there is none.
-func (l *Loop) OnRoundEnd(runRound func()) { l.onRoundEnd = runRound }
+// OnWakeUpEnd sets the function that the loop calls at the end of each wake-up. By default there is none.
+func (l *Loop) OnWakeUpEnd(runRound func()) { l.onWakeUpEnd = runRound }
 
 // Stop makes Run return at the end of the current wake-up.
 func (l *Loop) Stop() { l.stopped = true }
@@ -87,8 +87,8 @@
 		if err := l.pollUntilCurrent(); err != nil {
 			return err
 		}
-		if l.onRoundEnd != nil {
-			l.onRoundEnd()
+		if l.onWakeUpEnd != nil {
+			l.onWakeUpEnd()
 		}
 	}
 	return nil
--- a/internal/transport/loop/loop_test.go
+++ b/internal/transport/loop/loop_test.go
@@ -53,7 +53,7 @@
 		})))
 		require.NoError(t, unix.Shutdown(remote, unix.SHUT_WR))
 	}
-	l.OnRoundEnd(func() {
+	l.OnWakeUpEnd(func() {
 		rounds++
 		assert.Len(t, handled, connections)
 		l.Stop()
@@ -82,7 +82,7 @@
 		require.NoError(t, unix.Shutdown(client, unix.SHUT_RDWR))
 	})))
 	writeByte(t, slowRemote)
-	l.OnRoundEnd(func() {
+	l.OnWakeUpEnd(func() {
 		assert.True(t, disconnected)
 		l.Stop()
 	})
--- a/internal/transport/loop/post.go
+++ b/internal/transport/loop/post.go
@@ -6,26 +6,26 @@
 	"golang.org/x/sys/unix"
 )
 
-// wakeup is an eventfd that interrupts the loop's wait for events.
-type wakeup struct{ fd int }
+// eventFD is an eventfd that interrupts the loop's wait for events.
+type eventFD struct{ fd int }
 
-func newWakeup() (wakeup, error) {
+func newEventFD() (eventFD, error) {
 	fd, err := unix.Eventfd(0, unix.EFD_CLOEXEC|unix.EFD_NONBLOCK)
 	if err != nil {
-		return wakeup{}, fmt.Errorf("create eventfd: %w", err)
+		return eventFD{}, fmt.Errorf("create eventfd: %w", err)
 	}
-	return wakeup{fd}, nil
+	return eventFD{fd}, nil
 }
 
 // signal makes the eventfd readable. It may be called from any thread.
-func (w wakeup) signal() {
-	_, _ = unix.Write(w.fd, []byte{1, 0, 0, 0, 0, 0, 0, 0})
+func (e eventFD) signal() {
+	_, _ = unix.Write(e.fd, []byte{1, 0, 0, 0, 0, 0, 0, 0})
 }
 
 // Ready resets the eventfd. runPosted runs the posted work.
-func (w wakeup) Ready(uint32) {
+func (e eventFD) Ready(uint32) {
 	var counter [8]byte
-	_, _ = unix.Read(w.fd, counter[:])
+	_, _ = unix.Read(e.fd, counter[:])
 }
 
 // Post queues work for the loop and wakes the loop up. Any thread may call it, including the loop's own. Post does
@@ -36,7 +36,7 @@
 	wasEmpty := len(l.posted) == 1
 	l.mu.Unlock()
 	if wasEmpty {
-		l.wakeup.signal()
+		l.eventFD.signal()
 	}
 }
 
--- a/internal/transport/loop/post_test.go
+++ b/internal/transport/loop/post_test.go
@@ -35,7 +35,7 @@
 			l.Stop()
 		})
 	})
-	l.OnRoundEnd(func() { rounds++ })
+	l.OnWakeUpEnd(func() { rounds++ })
 	require.NoError(t, l.Run())
 	assert.Equal(t, 1, ranInRound)
 }
--- a/internal/transport/loop/socket.go
+++ b/internal/transport/loop/socket.go
@@ -9,9 +9,9 @@
 )
 
 // Connect starts to open a non-blocking TCP connection to an IP address and port. The descriptor becomes writable
-// when the connection is established or has failed. SocketError returns nil in the first case.
+// when the connection is established or has failed; SocketError then returns nil or the reason of the failure.
 func Connect(address string) (fd int, err error) {
-	socketAddress, family, err := resolve(address)
+	socketAddress, family, err := parseSocketAddress(address)
 	if err != nil {
 		return -1, err
 	}
@@ -68,9 +68,9 @@
 	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 }
 
-// resolve parses an IP address and port. Host names are not supported. An IPv4-mapped IPv6 address is treated as
-// IPv4.
-func resolve(address string) (socketAddress unix.Sockaddr, family int, err error) {
+// parseSocketAddress parses an IP address and port. Host names are not supported. An IPv4-mapped IPv6 address is
+// treated as IPv4.
+func parseSocketAddress(address string) (socketAddress unix.Sockaddr, family int, err error) {
 	addrPort, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, 0, fmt.Errorf("address %q: %w", address, err)
--- a/internal/transport/loop/stream.go
+++ b/internal/transport/loop/stream.go
@@ -18,7 +18,8 @@
 	maxIdleBufferBytes = 4 * readBytes
 )
 
-// readBuffer is shared by all streams. They run on the loop's thread and keep no reference to the buffer.
+// readBuffer is shared by all streams. Streams are used only on the loop's thread and keep no reference to the
+// buffer.
 var readBuffer [readBytes]byte
 
 // Stream is a non-blocking connection with buffered input and output.
@@ -78,8 +79,8 @@
 	return count > 0
 }
 
-// peek checks for input without consuming it. It returns 1 if there is any; otherwise it returns 0 or less and the
-// socket's error.
+// peek checks for input without consuming it. It returns 1 if there is input. Otherwise it returns 0 or less, and the
+// socket's error if there is one.
 func (s *Stream) peek() (int, error) {
 	var next [1]byte
 	count, _, err := unix.Recvfrom(s.FD, next[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
