--- a/internal/config/environment.go
+++ b/internal/config/environment.go
@@ -23,7 +23,7 @@
 	if !isReload || f.Discovery == "" {
 		overrideString(&f.Discovery, env(envDiscovery))
 	}
-	overrideString(&f.Mgmt, env(envMgmt))
+	overrideString(&f.AdminAddress, env(envMgmt))
 }
 
 func overrideString(setting *string, value string) {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -13,18 +13,18 @@
 
 // file is the JSON form of the configuration. A limit that is omitted is nil.
 type file struct {
-	Name      string `json:"name"`
-	Listen    string `json:"listen"`
-	Discovery string `json:"discovery"`
-	Mgmt      string `json:"mgmt"`
-	Seed      string `json:"seed"`
-	Limits    struct {
-		Cores    *float64 `json:"cores"`
-		MemoryMB *int     `json:"memory_mb"`
-		Sockets  *int     `json:"sockets"`
+	Name         string `json:"name"`
+	Listen       string `json:"listen"`
+	Discovery    string `json:"discovery"`
+	AdminAddress string `json:"mgmt"`
+	Seed         string `json:"seed"`
+	Limits       struct {
+		Cores          *float64 `json:"cores"`
+		MemoryMB       *int     `json:"memory_mb"`
+		MaxDescriptors *int     `json:"sockets"`
 	} `json:"limits"`
-	Known    discovery.EndpointList `json:"known"`
-	Settings json.RawMessage        `json:"settings"`
+	KnownEndpoints discovery.EndpointList `json:"known"`
+	Settings       json.RawMessage        `json:"settings"`
 }
 
 // toConfig returns the configuration without the settings, the seed and the inherited descriptor.
@@ -33,12 +33,12 @@
 		Name:           f.Name,
 		Listen:         f.Listen,
 		Discovery:      f.Discovery,
-		AdminAddress:   f.Mgmt,
+		AdminAddress:   f.AdminAddress,
 		InheritedFD:    noInheritedFD,
 		Cores:          valueOr(f.Limits.Cores, defaultCores),
 		MemoryMB:       valueOr(f.Limits.MemoryMB, defaultMemoryMB),
-		MaxDescriptors: valueOr(f.Limits.Sockets, defaultMaxDescriptors),
-		KnownEndpoints: f.Known,
+		MaxDescriptors: valueOr(f.Limits.MaxDescriptors, defaultMaxDescriptors),
+		KnownEndpoints: f.KnownEndpoints,
 	}
 }
 
@@ -54,31 +54,32 @@
 // platformSettings is the JSON form of the settings that the scheduler does not use. Package simwire decodes those of
 // the scheduler. The settings of a class that clients can see are decoded here.
 type platformSettings struct {
-	Areas      []string          `json:"areas"`
-	Categories []category        `json:"categories"`
-	Customers  []contract.Tenant `json:"customers"`
-	Callers    struct {
+	Zones   []string          `json:"areas"`
+	Classes []category        `json:"categories"`
+	Tenants []contract.Tenant `json:"customers"`
+	Callers struct {
 		MarksRetry bool `json:"marks_retry"`
 	} `json:"callers"`
 	Domain struct {
-		MinShare []float64 `json:"min_share"` // by index of Categories
+		MinCompleteness []float64 `json:"min_share"` // by index of Classes
 	} `json:"domain"`
 	Limits platformLimits `json:"limits"`
 }
 
+// category is the JSON form of a class.
 type category struct {
-	Name       string  `json:"name"`
-	Effect     string  `json:"effect"`
-	AimMs      float64 `json:"aim_ms"`
-	DeadlineMs float64 `json:"deadline_ms"`
+	Name               string  `json:"name"`
+	Idempotency        string  `json:"effect"`
+	LatencyObjectiveMs float64 `json:"aim_ms"`
+	DeadlineMs         float64 `json:"deadline_ms"`
 }
 
-// platformLimits holds limits; 0 stands for the default of each.
+// platformLimits is the JSON form of the limits. A limit of 0 stands for its default.
 type platformLimits struct {
-	MaxOpen       int     `json:"max_open"`
-	Multiplex     int     `json:"multiplex"`
-	DialTimeoutMs float64 `json:"dial_timeout_ms"`
-	KeepaliveMs   float64 `json:"keepalive_ms"`
+	MaxOpen              int     `json:"max_open"`
+	StreamsPerConnection int     `json:"multiplex"`
+	DialTimeoutMs        float64 `json:"dial_timeout_ms"`
+	IdleTimeoutMs        float64 `json:"keepalive_ms"`
 }
 
 // applySettings decodes and validates the settings and sets the fields of c that come from them.
@@ -99,28 +100,29 @@
 	if err := decoded.validate(); err != nil {
 		return settingError("settings", err)
 	}
-	c.Zones = decoded.Areas
+	c.Zones = decoded.Zones
 	c.MaxOpen = decoded.Limits.MaxOpen
-	c.StreamsPerConnection = nonZeroOr(decoded.Limits.Multiplex, defaultStreamsPerConnection)
+	c.StreamsPerConnection = nonZeroOr(decoded.Limits.StreamsPerConnection, defaultStreamsPerConnection)
 	c.DialTimeoutMs = nonZeroOr(decoded.Limits.DialTimeoutMs, defaultDialTimeoutMs)
-	c.IdleTimeoutMs = nonZeroOr(decoded.Limits.KeepaliveMs, defaultIdleTimeoutMs)
-	c.Contracts = contract.New(decoded.classes(), decoded.Customers, decoded.Callers.MarksRetry)
+	c.IdleTimeoutMs = nonZeroOr(decoded.Limits.IdleTimeoutMs, defaultIdleTimeoutMs)
+	c.Contracts = contract.New(decoded.classes(), decoded.Tenants, decoded.Callers.MarksRetry)
 	return nil
 }
 
-// classes returns the categories as classes. A category without a min_share needs an answer with all of its weight.
+// classes returns the classes as package contract uses them. A class without a min_share needs an answer with all of
+// the weight.
 func (s *platformSettings) classes() []contract.Class {
-	classes := make([]contract.Class, 0, len(s.Categories))
-	for i, category := range s.Categories {
+	classes := make([]contract.Class, 0, len(s.Classes))
+	for i, class := range s.Classes {
 		minCompleteness := 1.0
-		if i < len(s.Domain.MinShare) {
-			minCompleteness = s.Domain.MinShare[i]
+		if i < len(s.Domain.MinCompleteness) {
+			minCompleteness = s.Domain.MinCompleteness[i]
 		}
 		classes = append(classes, contract.Class{
-			Name:               category.Name,
-			Idempotency:        category.Effect,
-			LatencyObjectiveMs: category.AimMs,
-			DeadlineMs:         category.DeadlineMs,
+			Name:               class.Name,
+			Idempotency:        class.Idempotency,
+			LatencyObjectiveMs: class.LatencyObjectiveMs,
+			DeadlineMs:         class.DeadlineMs,
 			MinCompleteness:    minCompleteness,
 		})
 	}
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -77,16 +77,16 @@
 // validate checks the values that package simwire and the scheduler do not check.
 func (s *platformSettings) validate() error {
 	limits := s.Limits
-	if limits.MaxOpen < 0 || limits.Multiplex < 0 || limits.DialTimeoutMs < 0 || limits.KeepaliveMs < 0 {
+	if limits.MaxOpen < 0 || limits.StreamsPerConnection < 0 || limits.DialTimeoutMs < 0 || limits.IdleTimeoutMs < 0 {
 		return settingError("limits", errNegativeLimit)
 	}
-	for i, category := range s.Categories {
-		if category.Name == "" {
+	for i, class := range s.Classes {
+		if class.Name == "" {
 			return settingError(elementName("categories", i, "name"), ErrMissing)
 		}
 	}
-	for i, customer := range s.Customers {
-		if customer.Name == "" {
+	for i, tenant := range s.Tenants {
+		if tenant.Name == "" {
 			return settingError(elementName("customers", i, "name"), ErrMissing)
 		}
 	}
