--- a/cmd/ternstage/shutdown.go
+++ b/cmd/ternstage/shutdown.go
@@ -14,8 +14,8 @@
 	// minAcceptMs is the minimum time after SIGTERM in which new connections are accepted, as clients may not know of
 	// the shutdown yet. It does not apply if a successor accepts on the same socket.
 	minAcceptMs = 650.0
-	// maxKillDelayMs limits the longest deadline: a longer one does not delay SIGKILL further.
-	maxKillDelayMs = 3000.0
+	// maxDeadlineMs is the maximum of longestDeadlineMs: a longer deadline does not delay SIGKILL further.
+	maxDeadlineMs = 3000.0
 	// killAfterDeadlineMs is the time between the longest deadline and SIGKILL.
 	killAfterDeadlineMs = 700.0
 	// answeredBeforeKillMs is the time before SIGKILL at which the last request must be answered.
@@ -26,8 +26,8 @@
 	// exitMs is the time after SIGTERM at which the program exits even if requests or connections are open.
 	exitMs = 60_000.0
 	// closeIdleAfterMs is the time after SIGTERM until which idle connections stay open if a successor takes over the
-	// listener. A connection that is used again before that closes after its answer, so that no client loses a
-	// request because its connection is closed at the same time.
+	// listener. A connection that is used again earlier closes after its answer, so that no client loses a request
+	// because its connection is closed at the same time.
 	closeIdleAfterMs = 1000.0
 	// shutdownPollMs is the interval between checks of the progress.
 	shutdownPollMs = 10.0
@@ -35,13 +35,18 @@
 
 // gracefulShutdown ends the program after SIGTERM. Clients use their connections for as long as these stay open, and
 // the successor may not be running yet. Therefore the broker keeps accepting requests for as long as it can answer
-// them before SIGKILL. Then it closes idle connections, answers all open requests and exits. Its methods must be
-// called on the event loop. A second SIGTERM is ignored.
+// them before SIGKILL. Then it closes idle connections, answers all open requests and exits. A second SIGTERM is
+// ignored. The methods of gracefulShutdown must be called on the event loop.
 //
-// The steps, in order: the health check fails; the admin API reports not ready and the attempts sent to warming
-// backends are handed over; the deadline of open requests is capped; after acceptMs, at the earliest, the listener
-// and idle connections are closed; the Flight front stops; once nothing is open, or after exitMs, the loop ends, and
-// serve closes the connections, calls the closers in reverse order and closes the log.
+// The steps, in order:
+//
+//  1. The health check fails.
+//  2. The admin API reports not ready, and the attempts sent to warming backends are handed over.
+//  3. The deadline of open requests is capped.
+//  4. After acceptMs, at the earliest, the listener and idle connections are closed.
+//  5. The Flight front stops.
+//  6. Once nothing is open, or after exitMs, the loop ends. serve then closes the connections, calls the closers in
+//     reverse order and closes the log.
 type gracefulShutdown struct {
 	loop        *loop.Loop
 	core        *core.Core
@@ -50,8 +55,9 @@
 	control     *adminops.Control // nil without an admin API
 	pollTimer   *loop.Timer
 
-	// killDelayMs is the longest deadline of a class, but at most maxKillDelayMs.
-	killDelayMs float64
+	// longestDeadlineMs is the longest deadline of a class, but at most maxDeadlineMs. SIGKILL comes no earlier than
+	// longestDeadlineMs + killAfterDeadlineMs after SIGTERM.
+	longestDeadlineMs float64
 	// acceptMs is the minimum time after SIGTERM in which new connections are accepted.
 	acceptMs float64
 	// hasSuccessor reports whether another process takes over the listener. Connections then close after an answer
@@ -65,13 +71,13 @@
 // newGracefulShutdown prepares the shutdown of a broker after build. begin starts it.
 func newGracefulShutdown(b *broker) *gracefulShutdown {
 	s := &gracefulShutdown{
-		loop:        b.loop,
-		core:        b.core,
-		front:       b.front,
-		flightFront: b.flightFront,
-		control:     b.control,
-		killDelayMs: min(b.config.Contracts.LongestDeadline(), maxKillDelayMs),
-		acceptMs:    minAcceptMs,
+		loop:              b.loop,
+		core:              b.core,
+		front:             b.front,
+		flightFront:       b.flightFront,
+		control:           b.control,
+		longestDeadlineMs: min(b.config.Contracts.LongestDeadline(), maxDeadlineMs),
+		acceptMs:          minAcceptMs,
 	}
 	if b.inheritsListener() {
 		// The successor accepts on the same socket, so it takes the connections that wait there.
@@ -92,20 +98,20 @@
 	if s.control != nil {
 		s.control.Stop()
 	}
-	s.core.SetFinalAnswerDeadline(s.beganAtMs + s.killDelayMs + killAfterDeadlineMs - answeredBeforeKillMs)
+	s.core.SetFinalAnswerDeadline(s.beganAtMs + s.longestDeadlineMs + killAfterDeadlineMs - answeredBeforeKillMs)
 	s.poll()
 }
 
 // poll runs the steps of the shutdown that are due, and stops the loop after the last one.
 func (s *gracefulShutdown) poll() {
 	elapsedMs := s.loop.Now() - s.beganAtMs
-	open, serving := s.front.ConnectionCounts()
-	if s.isAcceptOver(elapsedMs, open) {
+	openConnections, serving := s.front.ConnectionCounts()
+	if s.isAcceptOver(elapsedMs, openConnections) {
 		s.closeFronts(elapsedMs)
-		if serving == 0 && elapsedMs >= s.killDelayMs+killAfterDeadlineMs-closedBeforeKillMs {
-			open = 0 // does not wait any longer for clients to close idle connections
+		if serving == 0 && elapsedMs >= s.longestDeadlineMs+killAfterDeadlineMs-closedBeforeKillMs {
+			openConnections = 0 // does not wait any longer for clients to close idle connections
 		}
-		if s.isDone(open) || elapsedMs >= exitMs {
+		if s.isDone(openConnections) || elapsedMs >= exitMs {
 			s.loop.Stop()
 			return
 		}
@@ -113,13 +119,13 @@
 	s.pollTimer.Set(s.loop.Now() + shutdownPollMs)
 }
 
-// isAcceptOver reports whether the broker stops accepting: a new request might not be answered before SIGKILL, or no
-// client is connected, or the successor accepts.
-func (s *gracefulShutdown) isAcceptOver(elapsedMs float64, open int) bool {
-	if elapsedMs >= max(s.killDelayMs, s.acceptMs) {
+// isAcceptOver reports whether the broker stops accepting. It does so when a new request might not be answered before
+// SIGKILL. It does so earlier, but not before acceptMs, if no client is connected or the successor accepts.
+func (s *gracefulShutdown) isAcceptOver(elapsedMs float64, openConnections int) bool {
+	if elapsedMs >= max(s.longestDeadlineMs, s.acceptMs) {
 		return true
 	}
-	return elapsedMs >= s.acceptMs && (open == 0 || s.hasSuccessor)
+	return elapsedMs >= s.acceptMs && (openConnections == 0 || s.hasSuccessor)
 }
 
 // closeFronts closes the listener, idle connections if they are due, and the Flight front.
@@ -135,6 +141,6 @@
 }
 
 // isDone reports whether all requests are answered and all connections of clients are closed.
-func (s *gracefulShutdown) isDone(open int) bool {
-	return s.core.OpenRequests() == 0 && s.flightFront == nil && open == 0
+func (s *gracefulShutdown) isDone(openConnections int) bool {
+	return s.core.OpenRequests() == 0 && s.flightFront == nil && openConnections == 0
 }
--- a/cmd/ternstage/shutdown_test.go
+++ b/cmd/ternstage/shutdown_test.go
@@ -22,7 +22,7 @@
 		{"the successor accepts", 0, 1, true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := &gracefulShutdown{killDelayMs: 1000, acceptMs: minAcceptMs, hasSuccessor: c.hasSuccessor}
+			s := &gracefulShutdown{longestDeadlineMs: 1000, acceptMs: minAcceptMs, hasSuccessor: c.hasSuccessor}
 			if c.hasSuccessor {
 				s.acceptMs = 0
 			}
@@ -32,7 +32,7 @@
 }
 
 func TestAcceptLastsLongerThanAShortDeadline(t *testing.T) {
-	s := &gracefulShutdown{killDelayMs: 100, acceptMs: minAcceptMs}
+	s := &gracefulShutdown{longestDeadlineMs: 100, acceptMs: minAcceptMs}
 	assert.False(t, s.isAcceptOver(649, 1))
 	assert.True(t, s.isAcceptOver(650, 1))
 }
