--- a/internal/transport/backendpool/connection_end.go
+++ b/internal/transport/backendpool/connection_end.go
@@ -47,8 +47,9 @@
 	return scheduler.ConnectionReset
 }
 
-// endLostPart ends a part whose connection was closed. A pending rejection ends as Rejected instead of outcome. It is
-// attributed to the connection limit if the backend closed or reset the connection.
+// endLostPart ends a part whose connection was closed, with the given outcome. If the part's rejection is pending,
+// the part ends as Rejected instead; the rejection is attributed to the connection limit if the backend closed or
+// reset the connection.
 func (c *connection) endLostPart(part *part, outcome scheduler.Outcome, code logs.Code, connectionOnly bool) {
 	part.ended = true
 	part.attempt.ConnectionOnly = connectionOnly
@@ -61,19 +62,22 @@
 	c.pool.core.AttemptEndedLater(part.attempt, outcome)
 }
 
-// attributeLoss reports whether only this connection broke while the backend is up. There are two such cases. Either
-// the connection broke as soon as it was used after an idle time; had the backend's process ended, the connection
-// would have been closed earlier. attributeLoss records this case in idleRisk. Or another connection to the backend
-// is open. Without this distinction the backend would count as lost, and as warming up when it serves again.
+// attributeLoss reports whether only this connection broke while the backend is up. There are two such cases:
+//
+//   - The connection broke as soon as it was used after an idle time. If the backend's process had ended, the
+//     connection would have been closed earlier. attributeLoss records this case in idleRisk.
+//   - Another connection to the backend is open.
+//
+// Without this distinction the backend would count as lost, and as warming up when it serves again.
 func (c *connection) attributeLoss(code logs.Code) (connectionOnly bool) {
 	if code != logs.BackendReset && code != logs.BackendClosed && code != logs.BackendConnectFailed {
 		return false
 	}
 	now := c.pool.loop.Now()
 	if len(c.calls) == 1 && c.calls[0].isEncoded() {
-		only := c.calls[0]
-		if now-only.sentAt < immediateLossMs && only.idleBeforeMs > immediateLossMs {
-			c.pool.idleRisk.record(now, only.idleBeforeMs, true)
+		onlyCall := c.calls[0]
+		if now-onlyCall.sentAt < immediateLossMs && onlyCall.idleBeforeMs > immediateLossMs {
+			c.pool.idleRisk.record(now, onlyCall.idleBeforeMs, true)
 			return true
 		}
 	}
--- a/internal/transport/backendpool/connection_limit_test.go
+++ b/internal/transport/backendpool/connection_limit_test.go
@@ -31,7 +31,7 @@
 			s.adjust(broker, backend, now)
 			current := s.limits[broker].current(now)
 			if current < 1 || current > maxUnsharedConnections {
-				t.Fatalf("limit %d", current)
+				t.Fatalf("limit %d, want 1 to %d", current, maxUnsharedConnections)
 			}
 		}
 	}
--- a/internal/transport/backendpool/idle_risk.go
+++ b/internal/transport/backendpool/idle_risk.go
@@ -29,15 +29,15 @@
 // rate above maxLossRate. The zero value is ready to use.
 type idleRisk struct {
 	lossRates [idleSlotCount]float64 // as of updatedAt
-	updatedAt [idleSlotCount]float64
+	updatedAt [idleSlotCount]float64 // loop time in ms
 }
 
-// idleSlot returns the slot of an idle time.
+// idleSlot returns the index of the slot that contains an idle time.
 func idleSlot(idleMs float64) int {
 	return min(max(int(math.Log2(max(idleMs, 1))), 0), idleSlotCount-1)
 }
 
-// record updates the loss rate with a call on a connection that was idle for idleMs before. lost means that the
+// record updates the loss rate after a call on a connection that had been idle for idleMs. lost means that the
 // connection broke as soon as it was used.
 func (r *idleRisk) record(now, idleMs float64, lost bool) {
 	slot := idleSlot(idleMs)
