--- a/internal/transport/flight/attempt.go
+++ b/internal/transport/flight/attempt.go
@@ -25,8 +25,8 @@
 	stateAborted              // the call provably has not started and never will
 )
 
-// attempt is one DoGet to a backend. It is the Handle of the core.Attempt that it embeds, and only reads the fields
-// of that until the attempt ends.
+// attempt is one DoGet to a backend. It is the Handle of the core.Attempt that it embeds. Until the attempt ends, the
+// fields of the core.Attempt are only read.
 type attempt struct {
 	*core.Attempt
 	connection *backendConnection
@@ -36,10 +36,10 @@
 	// Set before the goroutine starts and constant from then on.
 	cancel      context.CancelFunc // ends the goroutine; nil before it starts
 	remaining   time.Duration      // until the deadline
-	startWindow time.Duration      // for the call to start; afterwards the attempt is aborted
+	startWindow time.Duration      // within which the call must start; otherwise the attempt is aborted
 
-	// backendEpoch is the epoch of a backend that does not hold the shard. It belongs to the goroutine until that posts
-	// the outcome.
+	// backendEpoch is the epoch of the backend's shard map if the backend does not hold the shard; 0 otherwise. Only
+	// the goroutine uses it until the outcome is posted.
 	backendEpoch uint64
 }
 
@@ -121,8 +121,7 @@
 	return scheduler.Succeeded, answer
 }
 
-// answerValue returns a copy of the value, which is in the first column of the first row, and whether there is a
-// valid one.
+// answerValue returns a copy of the value in the first column of the first row, and whether there is a valid value.
 func answerValue(record arrow.RecordBatch) ([]byte, bool) {
 	if record.NumCols() < 1 || record.NumRows() < 1 {
 		return nil, false
--- a/internal/transport/flight/backend_client.go
+++ b/internal/transport/flight/backend_client.go
@@ -12,8 +12,8 @@
 type Outcomes interface {
 	// AttemptEnded reports an outcome. value is the answer if the attempt succeeded, and nil otherwise.
 	AttemptEnded(attempt *core.Attempt, outcome scheduler.Outcome, value []byte)
-	// AttemptEndedLater queues an outcome without a value. It is for use within a call by core, which must not be called
-	// back at once.
+	// AttemptEndedLater queues an outcome without a value. It is for use while core calls the transport, since core
+	// must not be called back from within its own call.
 	AttemptEndedLater(attempt *core.Attempt, outcome scheduler.Outcome)
 }
 
@@ -30,7 +30,7 @@
 }
 
 // BackendClient sends attempts to backends over Flight. It implements core.Transport. Each attempt is a separate
-// DoGet, since a Flight call carries only one ticket. Its methods must be called on the loop.
+// DoGet, since a Flight call carries only one ticket. The methods of BackendClient must be called on the loop.
 type BackendClient struct {
 	loop    Loop
 	core    Outcomes
--- a/internal/transport/flight/front.go
+++ b/internal/transport/flight/front.go
@@ -19,12 +19,12 @@
 	"ternstage/internal/logs"
 )
 
-// Core answers the queries of clients. Its methods are called on the loop. *core.Core implements it.
+// Core answers the requests of clients. Its methods are called on the loop. *core.Core implements it.
 type Core interface {
-	// Submit submits a query. It returns an error if the query is invalid. The final answer is passed to the Deliver
-	// method of the request's Client.
+	// Submit submits a request. It returns an error if the request is invalid. The final answer is passed to the
+	// Deliver method of the request's Client.
 	Submit(request *core.Request) error
-	// ClientDisconnected informs core that the client of a submitted query no longer waits, which ends the query.
+	// ClientDisconnected informs core that the client of a submitted request no longer waits, which ends the request.
 	ClientDisconnected(request *core.Request)
 }
 
@@ -99,8 +99,8 @@
 // Deliver implements core.Client.
 func (c *clientCall) Deliver(answer core.Answer) { c.answer <- answer }
 
-// DoGet implements the Flight service. It answers a query: the ticket is the query's body, the call's metadata its
-// envelope and the call's deadline its deadline. Errors are gRPC statuses (see front_answer.go).
+// DoGet implements the Flight service. It answers a request: the ticket is the request's body, the call's metadata is
+// its envelope, and the call's deadline is its deadline. Errors are gRPC statuses (see front_answer.go).
 func (f *Front) DoGet(ticket *flight.Ticket, stream flight.FlightService_DoGetServer) error {
 	ctx := stream.Context()
 	envelope, err := parseEnvelope(ctx)
@@ -131,7 +131,7 @@
 	return sendAnswer(stream, answer)
 }
 
-// submit submits the query to core. It runs on the loop. The time for which the call has waited for the loop counts
+// submit submits the request to core. It runs on the loop. The time for which the call has waited for the loop counts
 // against the client's timeout.
 func (c *clientCall) submit(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
@@ -166,8 +166,8 @@
 	return core.Answer{}, status.FromContextError(ctx.Err()).Err()
 }
 
-// GetFlightInfo implements the Flight service. It returns this broker as the only endpoint of a query, with the
-// descriptor's command as the ticket.
+// GetFlightInfo implements the Flight service. It returns this broker as the only Flight endpoint of a request, with
+// the descriptor's command as the ticket.
 func (f *Front) GetFlightInfo(_ context.Context, descriptor *flight.FlightDescriptor) (*flight.FlightInfo, error) {
 	command := descriptor.GetCmd()
 	if descriptor.GetType() != flight.DescriptorCMD || len(command) == 0 || len(command) > maxTicketBytes {
@@ -183,7 +183,7 @@
 }
 
 // GetSchema implements the Flight service. It returns the schema of answers without the additional columns that
-// answers have while shards move.
+// answers have during resharding.
 func (f *Front) GetSchema(context.Context, *flight.FlightDescriptor) (*flight.SchemaResult, error) {
 	return &flight.SchemaResult{Schema: serializedAnswerSchema()}, nil
 }
--- a/internal/transport/httpfront/read.go
+++ b/internal/transport/httpfront/read.go
@@ -7,7 +7,8 @@
 	// size, and the framing of its chunks.
 	maxInputBytes = maxHeaderBytes + maxBodyBytes + maxFramingBytes
 
-	// maxFramingBytes is the maximum size in bytes of the framing of a body's chunks. More is answered 413.
+	// maxFramingBytes is the maximum size in bytes of the framing of a body's chunks. A request that exceeds it is
+	// answered with 413.
 	maxFramingBytes = 8 << 10
 
 	continueResponse = "HTTP/1.1 100 Continue\r\n\r\n"
@@ -32,9 +33,9 @@
 
 // readInput reads the input that has arrived, up to maxInputBytes. eof reports whether the client has ended its side.
 //
-// If the input fills up behind an open request, that request becomes the last of the connection, and all other input
-// is discarded. The connection must still be read, as a disconnect of the client is noticed only by reading. This
-// bounds memory, and spares backends work for a client that has disconnected.
+// If the input reaches maxInputBytes while a request is open, that request becomes the last of the connection, and
+// all other input is discarded, which bounds memory. The connection is still read, as a disconnect of the client is
+// noticed only by reading. Noticing it spares backends work for a client that has disconnected.
 func (c *connection) readInput() (eof bool, err error) {
 	if !c.ending.closeAfterOutput {
 		eof, err = c.stream.Read(maxInputBytes)
@@ -61,8 +62,8 @@
 	}
 }
 
-// serveBuffered serves the requests in the input until core has to answer one, or until the rest of one has not
-// arrived yet. It may close the connection.
+// serveBuffered serves the requests in the input, up to the first one that core has to answer or that has not arrived
+// in full. It may close the connection.
 func (c *connection) serveBuffered() {
 	for c.canServe() {
 		request, sizeBytes, err := c.incoming.parser.next(c.stream.In)
@@ -86,7 +87,8 @@
 	}
 }
 
-// canServe reports whether the next request may be served: no request is open, and the client reads its answers.
+// canServe reports whether the next request may be served: there is input, no request is open, the connection is not
+// ending, and the client reads its answers.
 func (c *connection) canServe() bool {
 	return c.openRequest == nil && !c.ending.closeAfterOutput && !c.ending.closed &&
 		len(c.stream.In) > 0 && len(c.stream.Out) < maxOutputBytes
@@ -95,13 +97,13 @@
 // handleIncompleteRequest handles a request that has not arrived in full. It rejects the request if there is no space
 // for its rest, and sends 100 Continue once if the client waits for that (RFC 9110, 10.1.1).
 func (c *connection) handleIncompleteRequest() {
-	header := c.incoming.parser.request
+	request := c.incoming.parser.request // nil until its header has arrived
 	switch {
 	case len(c.stream.In) >= maxInputBytes:
 		c.reject(errBodyTooLarge)
 	case c.server.bufferedBytes > c.server.maxBufferedBytes:
 		c.reject(errBufferLimit)
-	case header != nil && header.expectContinue && !c.incoming.continueSent:
+	case request != nil && request.expectContinue && !c.incoming.continueSent:
 		c.incoming.continueSent = true
 		c.stream.Out = append(c.stream.Out, continueResponse...)
 	}
--- a/internal/transport/httpfront/shutdown.go
+++ b/internal/transport/httpfront/shutdown.go
@@ -7,12 +7,12 @@
 )
 
 // shutdownRequestTimeoutMs is the time in milliseconds for the rest of a request to arrive once the listener is
-// closed. It runs from the close or from the request's first byte, whichever is later. After it the client is
-// answered 503.
+// closed. It counts from the closing of the listener or from the request's first byte, whichever is later. A request
+// that exceeds it is answered with 503.
 const shutdownRequestTimeoutMs = 300.0
 
-// BeginShutdown makes health checks fail because the program shuts down. Requests on open and new connections are
-// still served.
+// BeginShutdown makes health checks fail for the rest of the run, and CanServe return false. Requests on open and new
+// connections are still served.
 func (s *Server) BeginShutdown() { s.shuttingDown = true }
 
 // SetDraining makes health checks fail, or succeed again if on is false. Requests on open and new connections are
@@ -23,8 +23,8 @@
 func (s *Server) CloseAfterResponse(on bool) { s.closeAfterResponse = on }
 
 // StopListening closes the listener. From then on connections are closed after their next answer. Connections in the
-// kernel's queue are accepted first, as closing the listener would reset them. Those of an inherited listener are
-// left to the process that takes over. A repeated call does nothing.
+// listener's accept queue are accepted first, as closing the listener would reset them. Connections in the queue of
+// an inherited listener are left to the process that takes over. A repeated call does nothing.
 func (s *Server) StopListening() {
 	if s.listenerFD < 0 {
 		return
@@ -38,9 +38,9 @@
 	s.acceptTimer.Stop()
 }
 
-// CloseIdle closes idle connections after a last read. Once the listener is closed, it also answers 503 to requests
-// of which the rest does not arrive within shutdownRequestTimeoutMs. Call it repeatedly until ConnectionCounts
-// returns no serving connection.
+// CloseIdle closes idle connections after a last read. Once the listener is closed, it also answers with 503 the
+// requests that exceed shutdownRequestTimeoutMs. Call it repeatedly until ConnectionCounts returns no serving
+// connection.
 //
 // A request that a client sends at the moment of the close is not read, and the client has to send it again on a new
 // connection. CloseIdle is therefore only for connections on which no answer with Connection: close can be sent.
--- a/internal/transport/httpfront/shutdown_test.go
+++ b/internal/transport/httpfront/shutdown_test.go
@@ -10,6 +10,8 @@
 	"ternstage/internal/core"
 )
 
+// TestShutdown checks that, once the listener is closed, a connection closes after its next answer, CloseIdle closes
+// an idle connection, and an incomplete request is rejected after shutdownRequestTimeoutMs.
 func TestShutdown(t *testing.T) {
 	f := startServer(t, Options{MaxConnections: 10, MaxBufferedBytes: 1 << 20})
 	idle, busy, incomplete, active := f.dial(t), f.dial(t), f.dial(t), f.dial(t)
