--- a/internal/transport/discovery/registry.go
+++ b/internal/transport/discovery/registry.go
@@ -91,7 +91,7 @@
 	return endpoints
 }
 
-// store records that a backend of an applied list is listed, or that it no longer is if the list removes it.
+// store records that a backend of an applied list is listed, or no longer listed if its state is Removed.
 func (r *Registry) store(record EndpointRecord, endpoint scheduler.Endpoint) {
 	if endpoint.State == scheduler.Removed {
 		delete(r.listedStarts, record.ID)
@@ -105,7 +105,7 @@
 	}
 }
 
-// rememberAbsent remembers a drain for each listed backend that is missing from a full list.
+// rememberAbsent remembers a drain for each listed backend that a full list no longer contains.
 func (r *Registry) rememberAbsent(list EndpointList) {
 	present := make(map[string]bool, len(list.Endpoints))
 	for _, record := range list.Endpoints {
@@ -143,7 +143,7 @@
 		number++
 	}
 	r.numbers[id] = number
-	r.addresses[number] = ""
+	r.addresses[number] = "" // marks the number as taken until store sets the address
 	return number
 }
 
@@ -152,7 +152,7 @@
 	return taken
 }
 
-// applySuspension returns a ready endpoint as draining if its backend is suspended.
+// applySuspension returns a ready endpoint as draining if its backend is suspended, and any other endpoint unchanged.
 func (r *Registry) applySuspension(id string, endpoint scheduler.Endpoint) scheduler.Endpoint {
 	if r.suspender != nil && endpoint.State == scheduler.Ready && r.suspender.Suspended(id) {
 		endpoint.State = scheduler.Draining
--- a/internal/transport/discovery/watcher.go
+++ b/internal/transport/discovery/watcher.go
@@ -17,8 +17,8 @@
 
 // Core receives the updates of the endpoint list.
 type Core interface {
-	// EndpointsChanged receives the endpoints of an applied list. With scheduler.UpdateFailed, and without endpoints,
-	// it reports the end of the watch.
+	// EndpointsChanged receives the endpoints of an applied list. A call with scheduler.UpdateFailed and no endpoints
+	// reports that the watch has ended.
 	EndpointsChanged(kind scheduler.UpdateKind, endpoints []scheduler.Endpoint)
 }
 
@@ -93,8 +93,8 @@
 	w.loop.Post(w.callIfDue)
 }
 
-// MoveTo continues at another address at once. The old connection is closed even if a call is in flight, so that a
-// late response or hang-up of the old connection is not attributed to the new one.
+// MoveTo continues the watch at another address at once. The old connection is closed even if a call is in flight, so
+// that a late response or hang-up of the old connection is not attributed to the new one.
 func (w *Watcher) MoveTo(address string) {
 	w.closeConnection(logs.DiscoveryAddressChanged, nil)
 	w.poller.AddressChanged()
@@ -109,7 +109,7 @@
 	w.failCall(logs.Shutdown, nil)
 }
 
-// clockOffsetMs is the loop's clock minus Unix time.
+// clockOffsetMs returns the loop's clock minus Unix time, in ms.
 func (w *Watcher) clockOffsetMs() float64 {
 	return w.loop.ReadClock() - float64(time.Now().UnixMicro())/1000
 }
@@ -152,7 +152,7 @@
 	if response.Last {
 		w.closeConnection(logs.DiscoveryClosed, nil)
 	}
-	// Discovery ends a watch unless the next call comes within 200 ms.
+	// The discovery service ends a watch unless the next call comes within 200 ms.
 	if nextCallAtMs <= w.loop.Now() {
 		w.beginCall()
 	} else {
@@ -171,7 +171,7 @@
 	return ParseEndpointList(response.Body)
 }
 
-// applyList passes a list on unless the Poller rejects it, and returns when the next call is due.
+// applyList passes a list to Core unless the Poller rejects it. It returns the time at which the next call is due.
 func (w *Watcher) applyList(list EndpointList) (nextCallAtMs float64) {
 	next := w.poller.HandleResponse(w.loop.Now(), endpointpoll.Response{
 		Complete:      list.Complete,
--- a/internal/transport/shardcatalog/source.go
+++ b/internal/transport/shardcatalog/source.go
@@ -11,10 +11,10 @@
 
 // Sink applies updates from the catalogue. An error means that the whole update was rejected.
 type Sink interface {
-	// ApplySnapshot replaces the map.
+	// ApplySnapshot replaces the map by a snapshot.
 	ApplySnapshot(shardmap.Snapshot) error
-	// ApplyChanges applies changes in order, all or none. backends are all backends that may hold shards; none allows
-	// any.
+	// ApplyChanges applies changes in order, all or none. backends are the only backends that may hold shards; if it
+	// is empty, any backend may.
 	ApplyChanges(changes []shardmap.Change, backends []string) error
 	// Epoch returns the epoch of the current map; 0 before the first snapshot.
 	Epoch() uint64
@@ -44,8 +44,8 @@
 	answeredCalls int          // on this connection
 
 	inFlight bool // a call is in flight on the connection
-	// deadlineMs is the loop time by which the call must be answered or the connection established; infinite if there
-	// is none.
+	// deadlineMs is the loop time by which the call must be answered or the connection established; infinite while
+	// nothing is awaited.
 	deadlineMs    float64
 	callTimeoutMs float64 // timeout of the call, counted from when it is sent
 	// sequence counts calls and answers. An answer that is parsed in another goroutine is dropped if the sequence has
--- a/internal/transport/simwire/settings.go
+++ b/internal/transport/simwire/settings.go
@@ -24,6 +24,7 @@
 	TimerResolutionMs float64            `json:"resolution_ms"`
 }
 
+// platformClass mirrors the JSON of an element of "categories".
 type platformClass struct {
 	LatencyObjectiveMs float64 `json:"aim_ms"`
 	DeadlineMs         float64 `json:"deadline_ms"`
@@ -33,6 +34,7 @@
 	PriorityWeight     float64 `json:"worth"`
 }
 
+// platformTenant mirrors the JSON of an element of "customers".
 type platformTenant struct {
 	QueriesPerSecond float64 `json:"allowance_per_s"`
 }
@@ -51,6 +53,7 @@
 	CellsPerShard       int       `json:"width"`
 }
 
+// platformInvariants mirrors the JSON of "invariants".
 type platformInvariants struct {
 	MaxStalenessMs           float64 `json:"ask_within_ms"`
 	RetryBudgetRatio         float64 `json:"budget_share"`
@@ -64,6 +67,7 @@
 	AnswerGraceMs            float64 `json:"grace_to_answer_ms"`
 }
 
+// platformLimits mirrors the JSON of "limits".
 type platformLimits struct {
 	CanCancel       bool    `json:"cancel"`
 	AllowHedging    bool    `json:"parallel_tries"`
@@ -143,8 +147,8 @@
 	return settings
 }
 
-// class maps the class at an index. If the domain's lists have no value for it, an answer needs the whole weight, a
-// partial answer counts nothing and there is no second step.
+// class maps the class at an index. If the domain's lists have no value for the class, an answer needs all of its
+// weight, a partial answer does not count, and there is no second step.
 func (s *platformSettings) class(index int) (scheduler.Class, error) {
 	class := s.Classes[index]
 	idempotency, ok := idempotencies[class.Idempotency]
