--- a/internal/control/adminops/drain.go
+++ b/internal/control/adminops/drain.go
@@ -108,8 +108,8 @@
 	}
 }
 
-// readDrain returns when the stored drain began, limited to nowUnixMs, and false if there is no file. It returns an
-// error, with nowUnixMs and true, if there is a file that cannot be read.
+// readDrain returns the time at which the stored drain began, at most nowUnixMs, and whether there is a file. If
+// there is a file that cannot be read, it returns nowUnixMs, true and an error.
 func readDrain(path string, nowUnixMs float64) (sinceUnixMs float64, found bool, err error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
--- a/internal/control/adminops/handover.go
+++ b/internal/control/adminops/handover.go
@@ -17,8 +17,8 @@
 	HandOver() []scheduler.WarmupAttempt
 	// TakeOver counts attempts of a predecessor as the scheduler's own.
 	TakeOver(attempts []scheduler.WarmupAttempt)
-	// OtherProcessActive reports that another process may be sending to warming backends: the scheduler sends them
-	// nothing for a window.
+	// OtherProcessActive informs the scheduler that another process may be sending to warming backends. The scheduler
+	// then sends nothing to them until TakeOver, or until a slow-start window has passed since the last such call.
 	OtherProcessActive()
 }
 
@@ -49,8 +49,8 @@
 	current    statefile.Fingerprint // of the record that was last read
 	unusable   statefile.Fingerprint // of a record that cannot be read, which is logged once
 	pending    *handover.Record      // the record that is not yet applied or ignored; nil if there is none
-	waitLogged bool
-	finished   bool // a record was applied, or written by this process: no further one is read
+	waitLogged bool                  // it was logged that a record waits for its backends to be listed
+	finished   bool                  // a record was applied, or written by this process: no further record is read
 }
 
 func newHandoverExchange(log *logs.Log, config HandoverConfig) *handoverExchange {
@@ -75,8 +75,8 @@
 	h.log.Info("slow-start sends handed over", zap.Int("sent", len(attempts)), zap.Error(err))
 }
 
-// poll takes over from a predecessor once its record can be applied. Until then it notifies the scheduler at each
-// poll while another process serves, because each of the two would use the whole slow-start quota.
+// poll applies the record of a predecessor once that is possible. Until then, while another process serves, each poll
+// calls OtherProcessActive, because otherwise each of the two processes would use the whole slow-start quota.
 func (h *handoverExchange) poll() {
 	otherServes := h.otherProcess.detect()
 	if h.finished {
@@ -91,7 +91,8 @@
 	}
 }
 
-// readRecord reads the record into pending if it has changed. It returns false if it has changed and cannot be read.
+// readRecord reads the record into pending if the file has changed. It returns false if the file has changed and
+// cannot be read.
 func (h *handoverExchange) readRecord() (readable bool) {
 	fingerprint, err := statefile.Stat(h.config.Path)
 	if err != nil || fingerprint == h.current || fingerprint == h.unusable {
@@ -116,7 +117,7 @@
 	return handover.Decode(text)
 }
 
-// decide applies or ignores the pending record, or leaves it pending until its backends are listed here.
+// decide applies or ignores the pending record, or leaves it pending until the record's backends are listed here.
 func (h *handoverExchange) decide() {
 	nowUnixMs := unixNowMs()
 	switch h.successor.Decide(h.pending, nowUnixMs) {
--- a/internal/control/adminops/suspensions.go
+++ b/internal/control/adminops/suspensions.go
@@ -80,7 +80,7 @@
 }
 
 // notStoredResult returns the result of a change that is in force here but could not be stored for the next process.
-// It is a 500, so that the operator repeats the call. Its text is part of the admin API and must not change.
+// Its status is 500, so that the operator repeats the call. Its text is part of the admin API and must not change.
 func notStoredResult(err error) maintenance.CallResult {
 	return maintenance.CallResult{
 		Status:  http.StatusInternalServerError,
@@ -135,7 +135,7 @@
 	s.notify(append(added, resumed...)...)
 }
 
-// logUnusable logs a file that cannot be used: once for each fingerprint, and every time without a fingerprint.
+// logUnusable logs that the file cannot be used: once for each fingerprint, and every time without a fingerprint.
 func (s *suspensionStore) logUnusable(fingerprint statefile.Fingerprint, err error) {
 	if fingerprint != s.unusable || fingerprint == (statefile.Fingerprint{}) {
 		s.log.Warn("suspensions not read: those in force stay", zap.String("file", s.path), zap.Error(err))
@@ -143,7 +143,7 @@
 	s.unusable = fingerprint
 }
 
-// save stores the table.
+// save writes the table to the file, and records the new fingerprint so that refresh does not apply the file again.
 func (s *suspensionStore) save() error {
 	if err := statefile.Write(s.path, maintenance.EncodeSuspensions(s.table.IDs())); err != nil {
 		return err
@@ -154,8 +154,8 @@
 	return nil
 }
 
-// notify notifies the scheduler, by an endpoint list update, of backends that were suspended or resumed. It is called
-// before the call is answered, so that the drain grace of a suspended backend has begun by then.
+// notify notifies the scheduler, by an endpoint list update, of backends that were suspended or resumed. It runs
+// before the operator's call is answered, so that the drain grace of a suspended backend has begun by then.
 func (s *suspensionStore) notify(ids ...string) {
 	endpoints := make([]scheduler.Endpoint, 0, len(ids))
 	for _, id := range ids {
--- a/internal/jsonnetfile/schema.go
+++ b/internal/jsonnetfile/schema.go
@@ -35,7 +35,8 @@
 	return location + ": " + strings.Join(e.Field, ".") + ": " + e.Problem
 }
 
-// validate validates the result of evaluating a text. It returns a FieldError if the result violates the schema.
+// validate checks result, the JSON to which text evaluates, against the schema. It returns a *FieldError if result
+// violates the schema.
 func validate(name, text, schema, result string) error {
 	compiled, err := compileSchema(schema)
 	if err != nil {
@@ -84,9 +85,9 @@
 	return invalid
 }
 
-// lineOf returns the line, from 1, of the first field in the text with the last name of the path. If the text has no
-// such field, for example because an expression computes its name, it looks for the name before that in the path, and
-// so on. It returns 0 if the text has none of them.
+// lineOf returns the line, from 1, of the first field in the text that is named by the last element of the path
+// field. If the text has no such field, for example because an expression computes its name, lineOf looks for the
+// element before it, and so on. It returns 0 if the text has none of them.
 func lineOf(text string, field []string) int {
 	for i := len(field) - 1; i >= 0; i-- {
 		key := regexp.MustCompile(`(?m)^[^#]*?\b` + regexp.QuoteMeta(field[i]) + `\b['"]?\s*\+?:`)
--- a/internal/store/statefile/lock.go
+++ b/internal/store/statefile/lock.go
@@ -12,8 +12,9 @@
 // lock, as each change replaces it.
 const lockSuffix = ".lock"
 
-// A change under a lock takes about 0.2 ms. A holder that keeps the lock for longer than 2 ms, the product of these
-// constants, was probably stopped during its change. The wait blocks the event loop, and so is kept short.
+// The maximum wait for a lock is 2 ms, the product of these constants. It is short because the wait blocks the event
+// loop. A change under a lock takes about 0.2 ms, so a process that holds the lock for longer than the maximum wait
+// was probably stopped during its change.
 const (
 	lockAttempts      = 20
 	lockRetryInterval = 100 * time.Microsecond
@@ -62,9 +63,9 @@
 // Close releases the lock, if it is held, and closes the file. The file itself stays.
 func (l *LockFile) Close() { _ = unix.Close(l.fd) }
 
-// Lock takes the lock of the state file at path, by the lock file "path.lock". It waits for 2 ms at most and returns
-// a *LockedError when another process holds the lock for longer. Any other error means that the lock file cannot be
-// opened. Close the lock to release it.
+// Lock takes the lock of the state file at path, using the lock file "path.lock". It waits for 2 ms at most and
+// returns a *LockedError if another process holds the lock for longer. Any other error means that the lock file
+// cannot be opened. Close the lock to release it.
 func Lock(path string) (*LockFile, error) {
 	lock, err := OpenLock(path + lockSuffix)
 	if err != nil {
