--- a/internal/results/fetchplan/decide.go
+++ b/internal/results/fetchplan/decide.go
@@ -13,7 +13,7 @@
 	// lateLatencyMultiple is the multiple of the median latency, over the answers so far, after which a shard is late.
 	lateLatencyMultiple = 3.0
 
-	// minLateThresholdMs is the lowest latency, in ms, at which a shard can be late.
+	// minLateThresholdMs is the minimum latency, in ms, after which a shard is late.
 	minLateThresholdMs = 5.0
 
 	// minWakeDelayMs is the shortest time, in ms, until the next decision while a shard is in flight.
@@ -22,7 +22,7 @@
 
 // Decision tells the caller what to do next.
 type Decision struct {
-	Done         bool             // merge the included shards, and do not wait any longer
+	Done         bool             // merge the shards that have answered, and do not wait any longer
 	CannotAnswer bool             // reject the query: the minimum completeness cannot be reached
 	Abandoned    []shardmap.Range // shards whose answers are no longer wanted
 	WakeAtMs     float64          // unless Done, call Decide again by this time
--- a/internal/results/merge/batch.go
+++ b/internal/results/merge/batch.go
@@ -15,9 +15,9 @@
 	HasMore bool // the shard has rows after these
 }
 
-// Validate checks a batch and returns an error for the first fault. At most maxRows rows after a position were
-// requested; a nil position means from the first row. A batch is validated as a whole before it is merged, so that an
-// answer holds all rows of a batch or none.
+// Validate checks a batch and returns an error for the first fault. maxRows is the number of rows that were
+// requested. after is the position after which they were requested; nil means from the first row. A batch is
+// validated as a whole before it is merged, so that an answer holds all rows of a batch or none.
 func (o *Order) Validate(batch *Batch, after *Position, maxRows int) error {
 	if err := o.schema.CheckCompatible(batch.Schema); err != nil {
 		return err
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// validateValues checks the values of the row at an index against the schema, and those in rank columns for nulls and
-// NaNs.
+// validateValues checks the values of the row at an index against the schema. It also checks that rank columns have
+// no nulls or NaNs.
 func (o *Order) validateValues(index int, row *Row) error {
 	if len(row.Values) != len(o.schema) {
 		return invalid(index, ErrSchemaMismatch, "%d values for %d columns", len(row.Values), len(o.schema))
--- a/internal/results/pageread/combine_test.go
+++ b/internal/results/pageread/combine_test.go
@@ -14,8 +14,8 @@
 
 var dollarSchema = merge.Schema{{Name: "premium", Kind: merge.Int, Currency: "USD"}}
 
-// A shard whose answer cannot be merged must be missing, with a reason, and the page must have the rows of the
-// others.
+// TestMalformedAnswerIsReported checks that a shard whose answer cannot be merged is missing, with a reason, and that
+// the page has the rows of the others.
 func TestMalformedAnswerIsReported(t *testing.T) {
 	for name, change := range map[string]func(*merge.Batch){
 		"out of order":  func(batch *merge.Batch) { slices.Reverse(batch.Rows) },
@@ -41,8 +41,8 @@
 	}
 }
 
-// Shards that do not have the common schema must not count towards the minimum completeness, even if they answer
-// first.
+// TestMinCompletenessCountsOnlyMergeableAnswers checks that shards that do not have the common schema do not count
+// towards the minimum completeness, even if they answer first.
 func TestMinCompletenessCountsOnlyMergeableAnswers(t *testing.T) {
 	for minCompleteness, cannotAnswer := range map[float64]bool{0.6: false, 0.7: true} {
 		query := newTable(t).query(3)
--- a/internal/results/pageread/reader.go
+++ b/internal/results/pageread/reader.go
@@ -21,11 +21,11 @@
 	summaries []*completeness.Summary // those of the query, and those received with answers
 }
 
-// shard is a part and what its shard has answered.
+// shard is the part of the query that one shard answers, and the last answer to it.
 type shard struct {
 	Part
 	batch  *merge.Batch        // nil while the shard is missing
-	groups *merge.Groups       // aggregates of the same answer
+	groups *merge.Groups       // aggregates of the answer that batch comes from
 	reason completeness.Reason // why the shard is missing, while batch is nil
 	detail string              // the fault in a malformed answer
 }
@@ -49,6 +49,8 @@
 	return reader, reader.toRequests(requests)
 }
 
+// newShard returns a shard without an answer. Unless another reason is recorded, Rejected is the reason why it is
+// missing.
 func newShard(part Part) *shard { return &shard{Part: part, reason: completeness.Rejected} }
 
 // toRequests adds the start position of the page to requests of the plan.
@@ -77,8 +79,8 @@
 	return r.shards[i]
 }
 
-// minVersion returns the newest data version at which the previous page read any of some buckets, or 0 if it read
-// none of them.
+// minVersion returns the newest data version at which the previous page read any of the given buckets, or 0 if it
+// read none of them.
 func (r *Reader) minVersion(buckets shardmap.Range) uint64 {
 	if r.previous == nil {
 		return 0
@@ -160,7 +162,7 @@
 }
 
 // Reshard replaces a shard by those that hold its buckets after a split, merge or move, and returns the requests for
-// the new shards. What the old shard returned no longer counts.
+// the new shards. The answer of the old shard no longer counts.
 func (r *Reader) Reshard(nowMs float64, buckets shardmap.Range, successors []Part) []Request {
 	old := r.findShard(buckets)
 	if old == nil {
