--- a/internal/lab/world/fleet.go
+++ b/internal/lab/world/fleet.go
@@ -26,9 +26,9 @@
 	state             scheduler.ReplicaState
 	gen               int  // counts the starts and stops of its process
 	incomingMoves     int  // shards that are being moved to it
-	hasFault          bool // an injected fault lasts
+	hasFault          bool // an injected fault has not ended
 	zone              int
-	stalledUntil      float64     // parts that would finish earlier finish then
+	stalledUntil      float64     // ms; parts that would finish earlier finish at this time
 	smoothedServiceMs float64     // moving average of the service time of parts, without their wait
 	loadReport        string      // load report sent with answers, as last measured; "" if it sends none
 	listeners         listenerSet // nil in virtual time
@@ -50,7 +50,7 @@
 
 // timedVersion is a version of the shard map and the time from which it was current.
 type timedVersion struct {
-	since   float64
+	since   float64 // ms
 	version *shardmap.Version
 }
 
@@ -68,12 +68,12 @@
 	changeCount      int
 	movePacer        shardmap.HandoverPacer
 	cutZone          int       // zone that is cut off from the others, -1 for none
-	agentSilentUntil []float64 // by broker: its discovery agent does not respond until then
-	agentUpdatedAt   []float64 // by broker: when its agent last got an endpoint event
-	linksCutUntil    []float64 // by broker: its links to all backends are cut until then
+	agentSilentUntil []float64 // ms, by broker: its discovery agent does not respond until then
+	agentUpdatedAt   []float64 // ms, by broker: when its agent last got an endpoint event
+	linksCutUntil    []float64 // ms, by broker: its links to all backends are cut until then
 
-	// Load reports and shard map changes draw from sources of their own, so that runs with and without them
-	// have the same faults.
+	// Load reports and shard map changes draw from random sources of their own, so that runs with and without load
+	// reports and changes have the same faults.
 	loadReportRand *rand.Rand
 	changeRand     *rand.Rand
 }
@@ -402,14 +402,15 @@
 	}
 }
 
-// agentReadMs is the time in which a broker has read an update from its agent, which it polls every 100 ms.
+// agentReadMs is the time within which a broker reads an update from its agent. The broker polls the agent every
+// 100 ms.
 const agentReadMs = 150.0
 
-// ledgerStepMs is the interval at which the ledger closes a step.
+// ledgerStepMs is the length of a step of the ledger.
 const ledgerStepMs = 100.0
 
-// recordSlowStartAllowance records the work that warming backends could have been sent in this step: their
-// present capacity times the overload factor that a backend withstands.
+// recordSlowStartAllowance records the work that warming backends could have been sent in the step that ends now:
+// their present capacity times the overload factor that a backend withstands.
 func (f *fleet) recordSlowStartAllowance() {
 	s := f.world
 	for _, n := range f.backends {
@@ -455,7 +456,7 @@
 	}
 }
 
-// measureLoad renews the load report at intervals; in between, answers carry the last one.
+// measureLoad measures the load report at intervals. In between, answers carry the last report.
 func (n *backend) measureLoad() {
 	s := n.world
 	n.loadReport = fmt.Sprintf("inflight=%d,latency_ms=%.1f,queue=%d", n.Out(), n.smoothedServiceMs, n.Waiting())
@@ -469,8 +470,8 @@
 	n.scheduleFinish(j, done, n.gen)
 }
 
-// scheduleFinish finishes a part at a time, or at the end of a stall if the backend is stalled then. The part does
-// not finish if the process ends first.
+// scheduleFinish schedules the end of a part for the time at, or for the end of a stall if the backend is stalled at
+// that time. The part does not finish if the process ends first.
 func (n *backend) scheduleFinish(j *model.Job, at float64, gen int) {
 	s := n.world
 	s.schedule(at, func() {
@@ -613,7 +614,7 @@
 // silenceAgent stops a broker's discovery agent from responding.
 func (f *fleet) silenceAgent(target int, durationMs float64) {
 	s := f.world
-	// The checker takes an update that the agent has as known to the broker, so the broker needs time to read it.
+	// The checker assumes that the broker knows each update that its agent has, so the broker needs time to read it.
 	if s.e.Pushed && s.now < f.agentUpdatedAt[target]+agentReadMs {
 		s.schedule(f.agentUpdatedAt[target]+agentReadMs, func() { f.silenceAgent(target, durationMs) })
 	} else if s.e.Pushed {
@@ -633,7 +634,7 @@
 	})
 }
 
-// isolateZone cuts a zone off from the others, one zone at a time.
+// isolateZone cuts a zone off from the others. It does nothing while another zone is cut off.
 func (f *fleet) isolateZone(target int, durationMs float64) {
 	s := f.world
 	if f.cutZone >= 0 || s.e.Zones < 2 {
@@ -691,7 +692,7 @@
 	}
 }
 
-// stallUntil stalls the backend again and again, for 200 to 500 ms each time, until a time.
+// stallUntil stalls the backend every 1 to 3 s, for 200 to 500 ms each time, until the time until.
 func (n *backend) stallUntil(until float64) {
 	s := n.world
 	if s.now >= until {
@@ -702,7 +703,7 @@
 	s.schedule(s.now+1000+2000*s.faultRand.Float64(), func() { n.stallUntil(until) })
 }
 
-// clearFault ends a fault of the backend; a stopped process stays stopped.
+// clearFault ends the fault of the backend. A process that has ended stays down.
 func (n *backend) clearFault() {
 	n.hasFault = false
 	if n.Trouble != model.Down {
--- a/internal/lab/world/live.go
+++ b/internal/lab/world/live.go
@@ -26,11 +26,11 @@
 const (
 	startTimeout = 20 * time.Second // until a broker passes its health check
 	stopTimeout  = 20 * time.Second // from SIGTERM until a broker's process exits
-	inboxSize    = 4096
-	liveTailMs   = 2500.0 // after the last arrival; longer than the deadline of any class
-	memoryMB     = 192
-	maxFiles     = 1024
-	maxLogBytes  = 2000 // of a broker's log in an error message
+	inboxSize    = 4096             // posted functions that can wait
+	liveTailMs   = 2500.0           // after the last arrival; longer than the deadline of any class
+	memoryMB     = 192              // of a broker
+	maxFiles     = 1024             // file descriptors of a broker
+	maxLogBytes  = 2000             // of a broker's log in an error message
 
 	// recheckMs is the delay after which a part that seems to be in flight twice is checked again. A cancellation
 	// and the next attempt come over two connections, and may be read in either order.
@@ -49,8 +49,8 @@
 type live struct {
 	opts  LiveOptions
 	inbox chan func()
-	start time.Time // real time at clockStartMs
-	done  chan struct{}
+	start time.Time     // real time at clockStartMs
+	done  chan struct{} // closed when the run is over
 }
 
 // post has the event loop run a function. It reports false if the run is over.
@@ -63,7 +63,7 @@
 	}
 }
 
-// unixMs converts a time of the world to Unix time.
+// unixMs converts a time of the world to Unix time in ms.
 func (l *live) unixMs(at float64) int64 { return l.start.UnixMilli() + int64(at-clockStartMs) }
 
 // RunLive runs the experiment in real time against processes of the broker, over loopback sockets. It calls
@@ -88,7 +88,7 @@
 	}()
 	var brokers []*processBroker
 	for i := range s.e.Brokers {
-		b, err := newProcess(s, i)
+		b, err := newProcessBroker(s, i)
 		if err != nil {
 			return result.Summary{}, err
 		}
@@ -151,7 +151,7 @@
 	return err
 }
 
-// runUntil runs the event loop, scheduled events and posted functions, in real time until isOver reports true.
+// runUntil runs the event loop in real time until isOver reports true: it runs scheduled events and posted functions.
 func (s *World) runUntil(ctx context.Context, isOver func() bool) {
 	t := time.NewTimer(time.Hour)
 	defer t.Stop()
@@ -186,9 +186,9 @@
 	discovery   *discoveryServer
 	cmd         *exec.Cmd
 	exited      chan error
-	gen         int
-	alive       bool
-	healthy     bool
+	gen         int  // counts the ends of its process
+	alive       bool // the process has been started, and has not been killed or stopped
+	healthy     bool // the process has passed its health check
 	client      client
 	log         *os.File
 	initialList *discovery.EndpointList
@@ -196,7 +196,8 @@
 	baseFault   relay.Fault                    // of the relays while its links are not cut
 }
 
-func newProcess(s *World, i int) (*processBroker, error) {
+// newProcessBroker prepares a broker; start starts its process.
+func newProcessBroker(s *World, i int) (*processBroker, error) {
 	b := &processBroker{world: s, index: i, name: fmt.Sprintf("broker-%d", i)}
 	if e := s.e; e.HasLinks() {
 		b.relays = map[*zoneListener]*relay.Relay{}
@@ -280,7 +281,7 @@
 // addStats implements broker. It adds nothing, as fetchStats fetches the statistics at the end of the run.
 func (b *processBroker) addStats(*result.Summary) {}
 
-// start starts a process. The process reads its cached shard map from its own file.
+// start starts a process. It ignores the cached shard map, as the process reads one from its own file.
 func (b *processBroker) start(*shardmap.Version) {
 	s := b.world
 	if s.stopped {
@@ -387,7 +388,7 @@
 	}
 }
 
-// submit sends a query; its end is posted to the event loop.
+// submit sends a query. The end of the query is posted to the event loop.
 func (b *processBroker) submit(q *query, r *core.Request) error {
 	s, gen, id := b.world, b.gen, q.ask.ID
 	timeout := time.Duration((q.ask.Deadline - s.now) * 1e6)
@@ -430,7 +431,7 @@
 			filepath.Join(dir, b.name+".map")), 0o600))
 }
 
-// settings returns the broker's configuration in the platform's format.
+// settings returns the content of the broker's configuration file, in the platform's format.
 func (b *processBroker) settings() map[string]any {
 	e := b.world.e
 	var classes []any
--- a/internal/lab/world/virtual.go
+++ b/internal/lab/world/virtual.go
@@ -25,8 +25,8 @@
 	core           *core.Core
 	shardMap       *shardmap.Map
 	mapPoller      *shardmap.Poller
-	dirty          bool
-	wakeAt         float64
+	dirty          bool        // a scheduling round is due at the end of this moment
+	wakeAt         float64     // ms; infinite if core waits for no time
 	pending        []*dispatch // until Flush
 	inFlight       []*dispatch // in the order of sending
 	seenEvents     int         // endpoint events that core has received
@@ -52,8 +52,8 @@
 	attempt   *core.Attempt
 	backend   *backend
 	job       *model.Job
-	arrivesAt float64
-	atBackend bool // it has reached the backend, and the checker counts it as in flight
+	arrivesAt float64 // ms
+	atBackend bool    // it has reached the backend, and the checker counts it as in flight
 	ended     bool
 }
 
@@ -209,7 +209,8 @@
 // RequestEnded implements core.Log.
 func (b *virtualBroker) RequestEnded(*core.Request, core.Answer) {}
 
-// Watch implements core.EndpointList. The full list arrives first, then its changes as the broker is notified of them.
+// Watch implements core.EndpointList. The full list arrives first, then its changes as the broker is notified of
+// them.
 func (b *virtualBroker) Watch() {
 	s, gen := b.world, b.gen
 	if b.listRequested {
@@ -287,7 +288,7 @@
 	})
 }
 
-// applyAgentList passes on to core what the agent has: the full list or the events since the last call.
+// applyAgentList passes the agent's list to core: the full list, or the events since the last call.
 func (b *virtualBroker) applyAgentList(full bool) {
 	s, kind := b.world, scheduler.UpdateDelta
 	var endpoints []scheduler.Endpoint
@@ -313,7 +314,8 @@
 	}
 }
 
-// notify implements broker. If the list is pushed, the agent gets the events, and the broker polls them from it.
+// notify implements broker. If the list is pushed, the agent gets the events, and the broker polls the agent for
+// them.
 func (b *virtualBroker) notify(upTo int) {
 	if s := b.world; s.e.Pushed && b.agentEvents < upTo {
 		if until := s.fleet.agentSilentUntil[b.index]; until > s.now { // a silent agent gets no updates either
@@ -445,7 +447,7 @@
 	return false
 }
 
-// remove takes the dispatch out of flight; a later outcome is ignored.
+// remove removes the dispatch from those in flight. A later outcome is ignored.
 func (d *dispatch) remove() {
 	d.ended = true
 	if i := slices.Index(d.broker.inFlight, d); i >= 0 {
