--- a/internal/decision/scheduler/admission.go
+++ b/internal/decision/scheduler/admission.go
@@ -11,8 +11,9 @@
 	// clientRetryPriorityFactor is the fraction of its priority that a client retry keeps. Part of the client's time
 	// has passed, and the cause of the earlier rejection may persist.
 	clientRetryPriorityFactor = 0.25
-	// shortClientRetryRatio is the fraction of the mean time left of first requests below which a client retry counts
-	// as short of time: its client's earlier requests have used up part of the class's deadline.
+	// shortClientRetryRatio is a fraction of the mean time that first requests have until their deadline. A client
+	// retry with less time than that is short of time: its client's earlier requests have used up part of the class's
+	// deadline.
 	shortClientRetryRatio = 0.97
 
 	// A shard counts as congested when its calls have waited longer than a share of the latency objective. That share
@@ -25,8 +26,8 @@
 	// availabilityObjectiveShare is the share of the latency objective within which a replica must become available
 	// for a part; otherwise admission counts the part as missing.
 	availabilityObjectiveShare = 0.5
-	// baseFleetLimitShare is the share of the fleet's cost limit that queries of priority 0 may use. Each unit of
-	// relative priority adds the whole limit once more.
+	// baseFleetLimitShare is the share of the fleet's cost limit that queries of priority 0 may use. The relative
+	// priority of a query is added to this share, so a relative priority of 1 adds the whole limit.
 	baseFleetLimitShare = 0.5
 
 	// weightTolerance allows for rounding errors in sums of weights. It is half the error that the platform accepts.
@@ -48,15 +49,15 @@
 
 // admissionLoad is the load that admission compares with its limits for one query.
 type admissionLoad struct {
-	priority      float64 // the query's priority divided by the highest of all classes
-	limit         float64 // cost in flight up to which queries of this priority are admitted
-	cost          float64 // total cost of the query's parts
-	queuedWeight  float64 // weight of the parts, scaled by the queue wait at their shards
-	missingWeight float64 // weight of the parts that no replica can take in time
+	relativePriority float64 // the query's priority divided by the highest priority weight of all classes
+	limit            float64 // cost in flight up to which queries of this priority are admitted
+	cost             float64 // total cost of the query's parts
+	queuedWeight     float64 // weight of the parts, scaled by the queue wait at their shards
+	missingWeight    float64 // weight of the parts that no replica can take in time
 }
 
 // QueryArrived registers a query. The caller reports its parts before the next round, which admits or rejects the
-// query.
+// query. QueryArrived ignores a query whose id is in use, and fails a query of an unknown class.
 func (s *Scheduler) QueryArrived(now float64, in Query) {
 	s.recordArrival(now)
 	if s.queries[in.ID] != nil {
@@ -117,19 +118,19 @@
 }
 
 // lowerClientRetryPriority lowers the priority of client retries, which protects against retry storms. The class's
-// deadline covers a client's first request and all of its retries. If a retry has less time left than first requests
-// usually have, its latency objective is counted from the first request; its priority falls further if the objective
-// cannot be met any more. A retry may be misclassified if its client sets a shorter deadline. First requests only
-// update the mean time left.
+// deadline covers a client's first request and all of its client retries. If a client retry has less time left than
+// first requests usually have, its latency objective is counted from the first request. Its priority falls further if
+// this objective can no longer be met. A client retry may be misclassified if its client sets a shorter deadline.
+// First requests only update the mean time left.
 func (s *Scheduler) lowerClientRetryPriority(now float64, q *query) {
-	meanFirstRequestMs := &s.meanFirstRequestMs[q.Class]
-	remaining := q.Deadline - now
+	meanTimeLeftMs := &s.meanFirstRequestTimeLeftMs[q.Class]
+	remainingMs := q.Deadline - now
 	if !q.ClientRetry {
-		*meanFirstRequestMs += (remaining - *meanFirstRequestMs) * meanGain
+		*meanTimeLeftMs += (remainingMs - *meanTimeLeftMs) * meanGain
 		return
 	}
 	q.priority *= clientRetryPriorityFactor
-	if remaining >= *meanFirstRequestMs*shortClientRetryRatio {
+	if remainingMs >= *meanTimeLeftMs*shortClientRetryRatio {
 		return
 	}
 	q.objectiveAt = min(q.objectiveAt, q.Deadline-q.class.Deadline+q.class.LatencyObjective)
@@ -156,15 +157,15 @@
 	}
 	load := s.measureLoad(now, q)
 	q.expectedLastPartMs = fleetshare.ExpectedLastPartMs(s.latency.medianPartMs(), len(q.parts))
-	rejected := notRejected
+	reason := notRejected
 	if q.step == 0 {
-		rejected = s.checkAdmission(now, q, load)
+		reason = s.checkAdmission(now, q, load)
 	}
-	if rejected != notRejected && (s.fleetLimit.inFlight > load.limit || load.queuedWeight > 0) {
+	if reason != notRejected && (s.fleetLimit.costInFlight > load.limit || load.queuedWeight > 0) {
 		s.lastOverloadAt = now
 	}
 	hasNoTimeLeft := now >= q.Deadline-s.answerMarginMs
-	if rejected != notRejected || len(q.parts) == 0 || hasNoTimeLeft {
+	if reason != notRejected || len(q.parts) == 0 || hasNoTimeLeft {
 		s.endStep(now, q)
 		return
 	}
@@ -189,12 +190,13 @@
 	return s.queueWaitMs(now, p) / (q.class.LatencyObjective * allowedShare)
 }
 
-// relativePriority returns a query's priority divided by the highest of all classes.
+// relativePriority returns a query's priority divided by the highest priority weight of all classes.
 func (s *Scheduler) relativePriority(q *query) float64 { return q.priority / s.maxPriority }
 
-// measureLoad sums up the cost of a query's parts and the state of their replicas.
+// measureLoad returns the cost of a query's parts, the weight of those that are queued or missing, and the limit for
+// the query's priority.
 func (s *Scheduler) measureLoad(now float64, q *query) admissionLoad {
-	load := admissionLoad{priority: s.relativePriority(q)}
+	load := admissionLoad{relativePriority: s.relativePriority(q)}
 	availableBy := now + availabilityObjectiveShare*q.class.LatencyObjective
 	for _, p := range q.parts {
 		load.cost += p.cost
@@ -203,32 +205,33 @@
 			load.missingWeight += p.Weight
 		}
 	}
-	load.limit = s.fleetLimit.maxCost * (baseFleetLimitShare + load.priority)
+	load.limit = s.fleetLimit.maxCost * (baseFleetLimitShare + load.relativePriority)
 	return load
 }
 
-// checkAdmission returns why a query is rejected, if it is. It sheds queries of low priority first. Signs of overload
-// are calls that wait at the shards and, in a large fleet, the cost in flight and the fraction of attempts that
-// backends accept. A query whose cost exceeds the limit is admitted only after a pacing delay. A query with parts
-// missing is rejected unless its class accepts an answer without them.
+// checkAdmission returns the reason why a query is rejected, or notRejected. It rejects queries of low priority
+// first. Signs of overload are calls that wait at the shards and, in a large fleet, the cost in flight and the
+// fraction of attempts that backends accept. A query whose cost exceeds the limit is admitted only after a pacing
+// delay. A query with parts missing is rejected unless its class accepts an answer without them.
 func (s *Scheduler) checkAdmission(now float64, q *query, load admissionLoad) rejection {
-	remaining := q.Deadline - s.answerMarginMs - now
-	if s.deadlines.IsTooLate(remaining, q.expectedLastPartMs) {
+	remainingMs := q.Deadline - s.answerMarginMs - now
+	if s.deadlines.IsTooLate(remainingMs, q.expectedLastPartMs) {
 		return rejectedTooLate
 	}
 	maxMissingWeight := 1 - q.class.MinCompleteness + weightTolerance
 	if load.missingWeight > 0 && max(load.missingWeight, load.queuedWeight) > maxMissingWeight {
 		return rejectedMissingParts
 	}
-	if s.fleetLimit.inFlight > load.limit {
+	if s.fleetLimit.costInFlight > load.limit {
 		return rejectedOverLimit
 	}
-	// A query that costs n times the limit delays the next admission by n-1 times the median latency of a part.
+	// A query that costs n times the limit is rejected until n-1 times the median latency of a part has passed since
+	// the last admission.
 	pacingMs := (load.cost/load.limit - 1) * s.latency.overloadMedian * s.latency.meanPartBaselineMs
 	if now < s.lastAdmittedAt+pacingMs {
 		return rejectedPacing
 	}
-	if s.throttle.ShouldReject(load.priority, s.random.Float64) {
+	if s.throttle.ShouldReject(load.relativePriority, s.random.Float64) {
 		return rejectedThrottled
 	}
 	return notRejected
--- a/internal/decision/scheduler/admission_test.go
+++ b/internal/decision/scheduler/admission_test.go
@@ -326,7 +326,7 @@
 		s := h.scheduler
 		s.latency.meanPartBaselineMs = 100
 		s.lastAdmittedAt = h.now
-		s.fleetLimit.inFlight = test.inFlight
+		s.fleetLimit.costInFlight = test.inFlight
 		s.throttle.RecordResult(test.failedWork, false)
 		deadline := h.now + test.remainingMs
 		q := &query{Query: Query{Deadline: deadline}, class: &settings.Classes[test.class], expectedLastPartMs: 100}
--- a/internal/decision/scheduler/availability.go
+++ b/internal/decision/scheduler/availability.go
@@ -16,7 +16,7 @@
 	if s.slowStart.handedOver {
 		return math.Inf(1)
 	}
-	firstWindowEnd := s.slowStart.startedAt + s.slowStart.settings.Window
+	firstWindowEnd := s.slowStart.sentWorkKnownSince + s.slowStart.settings.Window
 	if now < firstWindowEnd {
 		return firstWindowEnd
 	}
--- a/internal/decision/scheduler/completion.go
+++ b/internal/decision/scheduler/completion.go
@@ -31,9 +31,9 @@
 	s.openQueries = removeEnded(s.openQueries)
 }
 
-// endIfDecided ends the present step of a query that is complete. It also ends one that can no longer become complete
-// once waiting for more parts is useless: all parts that can arrive have arrived, or even they are too few for a
-// partial answer.
+// endIfDecided ends the present step of a query that is complete. It also ends the step of a query that can no longer
+// become complete once waiting for more parts is useless. That is so if all parts that can still arrive have arrived,
+// or if all of them together are too few for a partial answer.
 func (s *Scheduler) endIfDecided(now float64, q *query) {
 	reachable := 0.0
 	for _, p := range q.parts {
@@ -62,7 +62,7 @@
 	case s.isPartialAnswerDue(now, q):
 		s.endStep(now, q)
 	case now > max(q.objectiveAt, q.arrivedAt) && q.hasQueuedPart():
-		s.endStep(now, q) // the query is late and its part not even sent; other queries take precedence
+		s.endStep(now, q) // the query is late and a part of it is still queued; other queries take precedence
 	}
 	return q.ended
 }
--- a/internal/decision/scheduler/concurrency_limit.go
+++ b/internal/decision/scheduler/concurrency_limit.go
@@ -22,9 +22,9 @@
 // grows additively with answers at normal latency. A slow answer lowers it to the cost in flight, at most once per
 // round trip.
 type replicaLimit struct {
-	inFlight float64 // cost of this broker's attempts in flight at the replica
-	maxCost  float64
-	cutAt    float64 // time of the last cut; attempts sent before it do not cut the limit again
+	costInFlight float64 // cost of this broker's attempts in flight at the replica
+	maxCost      float64
+	cutAt        float64 // time of the last cut; attempts sent before it do not cut the limit again
 }
 
 // cut lowers the limit to the cost in flight unless the limit was cut after the attempt had been sent.
@@ -37,7 +37,7 @@
 
 // lowerToInFlight lowers the limit to the cost in flight, but not below the minimum.
 func (l *replicaLimit) lowerToInFlight() {
-	l.maxCost = max(minReplicaMaxCost, min(l.maxCost, l.inFlight))
+	l.maxCost = max(minReplicaMaxCost, min(l.maxCost, l.costInFlight))
 }
 
 // lowerToMin lowers the limit to the minimum unless it was cut after the attempt had been sent. Otherwise a stalled
@@ -56,7 +56,7 @@
 		l.cut(now, a.sentAt)
 		return
 	}
-	if l.inFlight >= l.maxCost*replicaLimitMinUtilization {
+	if l.costInFlight >= l.maxCost*replicaLimitMinUtilization {
 		l.maxCost += replicaLimitStep * a.part.cost / l.maxCost
 	}
 }
@@ -64,9 +64,9 @@
 // fleetLimit limits this broker's cost in flight over all replicas to what the fleet serves at a useful latency. Only
 // brokers of large fleets cut it; others detect overload by the queues of each shard.
 type fleetLimit struct {
-	inFlight float64 // cost of all attempts in flight
-	maxCost  float64 // +Inf until it is cut for the first time
-	cutAt    float64
+	costInFlight float64 // cost of all attempts in flight
+	maxCost      float64 // +Inf until it is cut for the first time
+	cutAt        float64
 }
 
 func newFleetLimit() fleetLimit { return fleetLimit{maxCost: math.Inf(1)} }
@@ -79,7 +79,7 @@
 func (s *Scheduler) cutFleetLimit(now, sentAt float64) {
 	limit := &s.fleetLimit
 	if s.isLargeFleet() && limit.cutAt < sentAt {
-		limit.maxCost = max(minFleetMaxCost, fleetLimitCutFactor*min(limit.maxCost, limit.inFlight))
+		limit.maxCost = max(minFleetMaxCost, fleetLimitCutFactor*min(limit.maxCost, limit.costInFlight))
 		limit.cutAt = now
 	}
 }
--- a/internal/decision/scheduler/concurrency_limit_test.go
+++ b/internal/decision/scheduler/concurrency_limit_test.go
@@ -61,14 +61,14 @@
 		limitCost: 1,
 	}
 	r.inFlight = []*attempt{stalled, next}
-	r.limit.inFlight = 3
+	r.limit.costInFlight = 3
 	h.scheduler.learn(h.now, next, AttemptResult{Outcome: Succeeded, Latency: 60})
-	if r.limit.inFlight != 1 || !stalled.overtaken || stalled.limitCost != 0 {
-		t.Fatalf("cost in flight %v, overtaken %v; want 1 and true", r.limit.inFlight, stalled.overtaken)
+	if r.limit.costInFlight != 1 || !stalled.overtaken || stalled.limitCost != 0 {
+		t.Fatalf("cost in flight %v, overtaken %v; want 1 and true", r.limit.costInFlight, stalled.overtaken)
 	}
 	h.scheduler.learn(h.now, next, AttemptResult{Outcome: Succeeded, Latency: 60})
-	if r.limit.inFlight != 1 {
-		t.Fatalf("cost in flight %v after a second success, want 1: subtracted twice", r.limit.inFlight)
+	if r.limit.costInFlight != 1 {
+		t.Fatalf("cost in flight %v after a second success, want 1: subtracted twice", r.limit.costInFlight)
 	}
 }
 
@@ -165,18 +165,18 @@
 		isQueueing bool
 		want       float64
 	}{
-		"normal, in use":        {replicaLimit{inFlight: 5, maxCost: 10}, false, 10.1},
-		"normal, not in use":    {replicaLimit{inFlight: 4, maxCost: 10}, false, 10},
-		"queueing":              {replicaLimit{inFlight: 5, maxCost: 10}, true, 5},
-		"queueing, minimum":     {replicaLimit{inFlight: 0.5, maxCost: 10}, true, minReplicaMaxCost},
-		"queueing, over limit":  {replicaLimit{inFlight: 20, maxCost: 10}, true, 10},
-		"queueing, already cut": {replicaLimit{inFlight: 5, maxCost: 10, cutAt: 160}, true, 10},
+		"normal, in use":        {replicaLimit{costInFlight: 5, maxCost: 10}, false, 10.1},
+		"normal, not in use":    {replicaLimit{costInFlight: 4, maxCost: 10}, false, 10},
+		"queueing":              {replicaLimit{costInFlight: 5, maxCost: 10}, true, 5},
+		"queueing, minimum":     {replicaLimit{costInFlight: 0.5, maxCost: 10}, true, minReplicaMaxCost},
+		"queueing, over limit":  {replicaLimit{costInFlight: 20, maxCost: 10}, true, 10},
+		"queueing, already cut": {replicaLimit{costInFlight: 5, maxCost: 10, cutAt: 160}, true, 10},
 	} {
 		limit := test.limit
 		limit.observe(200, &attempt{part: &part{cost: 2}, sentAt: 150}, test.isQueueing)
 		assert.InDelta(t, test.want, limit.maxCost, 1e-9, name)
 	}
-	stalled := replicaLimit{inFlight: 5, maxCost: 10}
+	stalled := replicaLimit{costInFlight: 5, maxCost: 10}
 	stalled.lowerToMin(200, 150)
 	assert.Equal(t, minReplicaMaxCost, stalled.maxCost)
 }
@@ -190,7 +190,7 @@
 	} {
 		s := &Scheduler{settings: Settings{BrokerCount: brokers}, fleetLimit: newFleetLimit()}
 		for i, cut := range []struct{ inFlight, now, sentAt float64 }{{100, 200, 150}, {50, 210, 150}, {1, 300, 250}} {
-			s.fleetLimit.inFlight = cut.inFlight
+			s.fleetLimit.costInFlight = cut.inFlight
 			s.cutFleetLimit(cut.now, cut.sentAt)
 			assert.Equal(t, wants[i], s.fleetLimit.maxCost, "%d brokers, cut %d", brokers, i)
 		}
--- a/internal/decision/scheduler/dispatch.go
+++ b/internal/decision/scheduler/dispatch.go
@@ -55,13 +55,13 @@
 		replica:     r,
 		call:        call,
 		sentAt:      now,
-		replicaCost: r.limit.inFlight + p.cost,
+		replicaCost: r.limit.costInFlight + p.cost,
 		limitCost:   p.cost,
 		idleMs:      idleMs,
 	}
-	r.limit.inFlight = a.replicaCost
+	r.limit.costInFlight = a.replicaCost
 	r.inFlight = append(r.inFlight, a)
-	s.fleetLimit.inFlight += p.cost
+	s.fleetLimit.costInFlight += p.cost
 	p.queued = false
 	p.attempts = append(p.attempts, a)
 	p.attemptsInFlight++
--- a/internal/decision/scheduler/endpoint_list.go
+++ b/internal/decision/scheduler/endpoint_list.go
@@ -11,8 +11,8 @@
 const (
 	// pollBackoffMaxMs is the longest delay after a failed poll in a small fleet. The first delay is a third of it.
 	pollBackoffMaxMs = 1500.0
-	// Large fleets have longer delays. The delay that follows one of pollBackoffMaxMs is pollBackoffFirstGrowth times
-	// as long. A delay that exceeds pollBackoffMaxMs adds pollBackoffGrowth times the excess to that.
+	// pollBackoffGrowth and pollBackoffFirstGrowth determine the longer delays of large fleets. A delay that exceeds
+	// pollBackoffMaxMs by x is followed by one of pollBackoffFirstGrowth*pollBackoffMaxMs + pollBackoffGrowth*x.
 	pollBackoffGrowth      = 6.0
 	pollBackoffFirstGrowth = 1.2
 	// pollServiceMs is the time that the discovery service is assumed to need for one poll. The brokers of a large
@@ -31,7 +31,7 @@
 
 // endpointPoll holds when the endpoint list is polled next.
 type endpointPoll struct {
-	backoffMs float64 // last delay after a failure; 0 after a success
+	backoffMs float64 // last delay after a failure, before jitter; 0 after a success
 	dueAt     float64 // time of the next poll; +Inf while a watch runs or no poll is needed
 }
 
@@ -42,9 +42,9 @@
 }
 
 // schedulePollAfterFailure schedules the next poll after a failed one. The delay grows and is jittered, so that the
-// polls of a fleet do not keep the service from recovering. It stays short in a small fleet, which must receive
-// changes within seconds after the service has recovered, and while there is no list, as nothing can be served
-// without one.
+// polls of a fleet do not keep the service from recovering. The delay stays short in a small fleet, which must
+// receive changes within seconds after the service has recovered. It also stays short while there is no list, as
+// nothing can be served without one.
 func (s *Scheduler) schedulePollAfterFailure(now float64) {
 	fleetMs := s.fleetPollMs()
 	if len(s.replicas.ordered) == 0 {
@@ -55,30 +55,31 @@
 	s.poll.dueAt = now + s.poll.backoffMs*(0.5+0.5*s.random.Float64())
 }
 
-// nextPollBackoffMs returns the delay that follows one of lastMs. Delays start at the time of one poll of every
-// broker, but between a third of pollBackoffMaxMs and the whole of it. They double up to pollBackoffMaxMs and then
-// grow faster.
+// nextPollBackoffMs returns the delay that follows one of lastMs. fleetMs is the time of one poll of every broker.
+// The first delay is fleetMs, but at least a third of pollBackoffMaxMs and at most pollBackoffMaxMs. Delays double up
+// to pollBackoffMaxMs and then grow faster.
 func nextPollBackoffMs(lastMs, fleetMs float64) float64 {
 	doubled := min(max(2*lastMs, fleetMs), pollBackoffMaxMs)
 	beyondMax := pollBackoffGrowth*lastMs - (pollBackoffGrowth-pollBackoffFirstGrowth)*pollBackoffMaxMs
 	return max(beyondMax, doubled, pollBackoffMaxMs/3)
 }
 
-// fleetBackoffBoundMs returns the longest delay that the size of the fleet allows: twice the time of one poll of
-// every broker less pollBackoffMaxMs, but at least pollBackoffMaxMs.
+// fleetBackoffBoundMs returns the longest delay that the size of the fleet allows: 2*fleetMs - pollBackoffMaxMs, but
+// at least pollBackoffMaxMs. fleetMs is the time of one poll of every broker.
 func fleetBackoffBoundMs(fleetMs float64) float64 {
 	return max(pollBackoffMaxMs, 2*fleetMs-pollBackoffMaxMs)
 }
 
-// stalenessBackoffBoundMs returns the longest delay that MaxStaleness allows, after which this broker counts as
-// notified of changes.
+// stalenessBackoffBoundMs returns the longest delay that MaxStaleness allows. This broker counts as notified of every
+// change once MaxStaleness has passed since its last poll.
 func (s *Scheduler) stalenessBackoffBoundMs(fleetMs float64) float64 {
 	staleness := s.settings.MaxStaleness
 	return max(staleness/3, 2*min(fleetMs, staleness), s.settings.TimerResolution)
 }
 
 // schedulePollAfterUpdate resets the backoff after an update from a poll or watch. A cached list is followed by a
-// poll, as it may be stale. It may be so at every broker at the same time, so the polls of a large fleet are spread.
+// poll, as it may be stale. All brokers may start with a cached list at the same time, so the polls of a large fleet
+// are spread.
 func (s *Scheduler) schedulePollAfterUpdate(now float64, kind UpdateKind, entries int) {
 	s.poll.backoffMs = 0
 	s.poll.dueAt = math.Inf(1)
@@ -97,13 +98,13 @@
 		return
 	}
 	s.actions.WatchEndpoints()
-	// Polls again if there is no answer at all.
+	// Without any answer, the poll is repeated at this time.
 	s.poll.dueAt = now + cmp.Or(s.settings.MaxStaleness/2, math.Inf(1))
 }
 
 // EndpointsChanged applies an update of the endpoint list or reports that a poll failed.
 func (s *Scheduler) EndpointsChanged(now float64, kind UpdateKind, entries []Endpoint) {
-	s.slowStart.startedAt = cmp.Or(s.slowStart.startedAt, now)
+	s.slowStart.sentWorkKnownSince = cmp.Or(s.slowStart.sentWorkKnownSince, now)
 	if kind == UpdateFailed {
 		s.schedulePollAfterFailure(now)
 		return
@@ -121,7 +122,7 @@
 	clear(s.replicasByGroup)
 }
 
-// apply updates a replica with its entry in the endpoint list.
+// apply updates a replica with its entry in the endpoint list, or adds it if it is not known.
 func (t *replicaTable) apply(e Endpoint) {
 	r := t.byID[e.Replica]
 	if r == nil {
@@ -149,8 +150,8 @@
 	}
 }
 
-// refresh updates the drain state of each replica, deletes removed replicas without attempts in flight, and groups
-// the replicas that are not removed by cell.
+// refresh updates the drain state of each replica, deletes removed replicas without attempts in flight, and fills
+// byCell with the replicas that are not removed.
 func (t *replicaTable) refresh(now float64) {
 	slices.SortFunc(t.ordered, func(x, y *replica) int { return cmp.Compare(x.Replica, y.Replica) })
 	t.byCell = map[int][]*replica{}
--- a/internal/decision/scheduler/handover.go
+++ b/internal/decision/scheduler/handover.go
@@ -33,7 +33,7 @@
 // OtherProcessActive reports that another process of the same broker serves at the same time and has not handed over.
 // What it sends to warming replicas is unknown here but uses up the same quota. So this process sends them nothing
 // until the other process has handed over, or until one window has passed since the last such report.
-func (s *Scheduler) OtherProcessActive(now float64) { s.slowStart.startedAt = now }
+func (s *Scheduler) OtherProcessActive(now float64) { s.slowStart.sentWorkKnownSince = now }
 
 // TakeOver counts what the predecessor sent to warming replicas as sent by this process. It also ends the wait of one
 // window that follows a start, as the predecessor sends them nothing more. Invalid attempts and those at unknown
@@ -46,5 +46,5 @@
 			r.warmup.sent = append(r.warmup.sent, workSample{at: now - sent.AgeMs, workMs: sent.WorkMs})
 		}
 	}
-	s.slowStart.startedAt = math.Inf(-1)
+	s.slowStart.sentWorkKnownSince = math.Inf(-1)
 }
--- a/internal/decision/scheduler/hedging.go
+++ b/internal/decision/scheduler/hedging.go
@@ -3,20 +3,21 @@
 const (
 	// maxParallelAttempts is the number of attempts of a part that may be in flight at once.
 	maxParallelAttempts = 2
-	// hedgeDelayFactor is the multiple of its expected latency that an attempt may take before it is late.
+	// hedgeDelayFactor is the multiple of its expected latency that an attempt may take before it is late. The
+	// expected latency is scaled by the fleet's median normalized latency.
 	hedgeDelayFactor = 2.5
 	// hedgeObjectiveShare is the share of the objective that must have passed before late parts of a query are hedged
 	// or reassigned.
 	hedgeObjectiveShare = 0.3
 
-	// The hedge budget bounds hedged requests and reassignments within a window of hedgeWindowMs: hedgeBudgetSpare,
-	// and hedgeBudgetRatio more for each query or part that arrives. The platform requires no such bound; the broker
-	// limits itself.
+	// The hedge budget limits the number of hedged requests and reassignments within a window of hedgeWindowMs. The
+	// limit is hedgeBudgetSpare plus hedgeBudgetRatio for each query or part that arrives in the window. The platform
+	// requires no such limit; the broker limits itself.
 	hedgeWindowMs    = 2000
 	hedgeBudgetSpare = 4.0
 	hedgeBudgetRatio = 0.05
 
-	// recentOverloadMs is the time after a sign of overload in which the next two limits apply.
+	// recentOverloadMs is the time after a sign of overload in which maxHedgingMedian and maxReassignmentMedian apply.
 	recentOverloadMs = 1000
 	// maxHedgingMedian and maxReassignmentMedian are the highest median normalized latencies of the fleet at which
 	// parts are hedged or reassigned after a sign of overload. Reassignments have the lower limit, as they discard an
@@ -37,8 +38,8 @@
 	return now-a.sentAt > hedgeDelayFactor*s.latency.fleetMedian*s.expectedLatencyMs(a)
 }
 
-// handleIfLate updates the latency of the replica's zone once when an attempt becomes late, and covers the late
-// attempt as soon as enough of the objective has passed.
+// handleIfLate updates the latency of the replica's zone once when an attempt becomes late. It covers the late
+// attempt (see coverLateAttempt) as soon as enough of the objective has passed.
 func (s *Scheduler) handleIfLate(now float64, p *part, a *attempt) {
 	if !s.isLate(now, a) {
 		return
@@ -56,7 +57,7 @@
 }
 
 // coverLateAttempt queues a substitute part, sends a hedged request or reassigns the late attempt. It does the first
-// of these that is possible and reports whether there was one.
+// of these that is possible, and reports whether any was.
 func (s *Scheduler) coverLateAttempt(now float64, p *part, a *attempt) bool {
 	if s.queueSubstitute(now, p.query) {
 		return true
@@ -108,8 +109,8 @@
 		return false
 	}
 	s.hedges.add(now, hedgeWindowMs)
-	// Once nothing is in flight at the replica, its latency estimate decays before it is healthy again. The failure
-	// rate still keeps non-idempotent parts away.
+	// Once nothing is in flight at the replica, its latency estimate decays, although the replica may not have
+	// recovered. The failure rate then still keeps non-idempotent parts away.
 	a.replica.observeNonIdempotent(now, p.query.class, reassignmentFailureShare)
 	s.actions.Cancel(p.ID, a.number)
 	return true
--- a/internal/decision/scheduler/learning.go
+++ b/internal/decision/scheduler/learning.go
@@ -9,8 +9,8 @@
 	}
 	delete(s.attempts, key)
 	s.endAttempt(now, a, result)
-	a.replica.limit.inFlight -= a.limitCost
-	s.fleetLimit.inFlight -= a.part.cost
+	a.replica.limit.costInFlight -= a.limitCost
+	s.fleetLimit.costInFlight -= a.part.cost
 }
 
 // endAttempt updates the estimates with the result of an attempt. It then marks the part as arrived, queues a
@@ -134,7 +134,7 @@
 	for _, a := range r.inFlight {
 		if a.sentAt < sentAt {
 			a.overtaken = true
-			r.limit.inFlight -= a.limitCost
+			r.limit.costInFlight -= a.limitCost
 			a.limitCost = 0
 		}
 	}
--- a/internal/decision/scheduler/outlier_detection.go
+++ b/internal/decision/scheduler/outlier_detection.go
@@ -21,9 +21,11 @@
 	// openCircuitParts is the time, in units of a mean part's work, for which a replica's circuit stays open after a
 	// lost connection.
 	openCircuitParts = 3.0
-	// rejectionCircuitParts is the same time after a rejection.
+	// rejectionCircuitParts is the time, in units of a mean part's work, for which a replica's circuit stays open after
+	// a rejection.
 	rejectionCircuitParts = 1.0
-	// rejectionLatencyFactor is the multiple of the queueing threshold that a rejection counts as normalized latency.
+	// rejectionLatencyFactor is the normalized latency that is recorded for a rejection, as a multiple of the queueing
+	// threshold.
 	rejectionLatencyFactor = 2.0
 )
 
@@ -60,9 +62,9 @@
 	o.isCountedAsSlow = false
 }
 
-// isHealthy reports whether a replica is ready and not an outlier. It excludes draining, slow, stalled, failing and
-// unreachable replicas. A replica without a fault that failed by chance is avoided until its failure rate has
-// decayed.
+// isHealthy reports whether a replica is ready and not an outlier. Draining, slow, stalled, failing and unreachable
+// replicas are not healthy, except that a slow one may be due for a trial request. A replica that failed only by
+// chance is not healthy until its failure rate has decayed.
 func (s *Scheduler) isHealthy(now float64, r *replica) bool {
 	if r.State != Ready || s.decayedEstimate(r.outliers.failureRate, now) >= ejectionFailureRate {
 		return false
@@ -92,8 +94,9 @@
 
 // observeSlowness detects slow and stalled replicas by the normalized latency of an attempt that has ended. The
 // attempts that were in flight during a stall end late together or are cancelled. An attempt sent after their end is
-// a trial request. One trial at normal latency ends the ejection. After each slow trial the replica waits twice as
-// long for the next one, so that a short pause ejects it only briefly and a slow replica receives few parts.
+// a trial request. One trial at normal latency ends the ejection. After each slow trial the replica waits at least
+// twice as long for the next one, up to estimateHalfLifeMaxMs. So a short pause ejects it only briefly, and a slow
+// replica receives few parts.
 func (s *Scheduler) observeSlowness(now float64, a *attempt, normalized float64) {
 	r := a.replica
 	outliers := &r.outliers
@@ -104,7 +107,7 @@
 		}
 		return
 	}
-	// An attempt that was sent before the last slow end was delayed by the same stall; it does not count as a trial.
+	// An attempt that was sent before lastSlowAt was delayed by the same stall and does not count as a trial.
 	if a.sentAt > outliers.lastSlowAt || outliers.consecutiveSlowTrials == 0 {
 		outliers.consecutiveSlowTrials++
 	}
@@ -120,8 +123,8 @@
 	r.observeNonIdempotent(now, class, failure)
 }
 
-// observeNonIdempotent updates the failure rate that non-idempotent parts consider. Successes of other classes do not
-// count.
+// observeNonIdempotent updates the failure rate that non-idempotent parts consider. failure is 1 for a failure, 0 for
+// a success, and reassignmentFailureShare for a reassignment. Successes of other classes do not count.
 func (r *replica) observeNonIdempotent(now float64, class *Class, failure float64) {
 	if failure <= 0 && class.Idempotency != NonIdempotent {
 		return
--- a/internal/decision/scheduler/outlier_detection_test.go
+++ b/internal/decision/scheduler/outlier_detection_test.go
@@ -64,7 +64,8 @@
 		})
 	}
 	if failed > 3 || served < 20 {
-		t.Fatalf("the replica failed %d parts of the class and served %d of others", failed, served)
+		t.Fatalf("the replica failed %d parts of the class and served %d others, want 3 at most and 20 at least",
+			failed, served)
 	}
 }
 
@@ -184,7 +185,7 @@
 	trial := &attempt{part: &part{}, replica: r, call: &callInFlight{}, sentAt: h.now, overtaken: true}
 	r.inFlight = []*attempt{trial}
 	if s.isHealthy(h.now, r) {
-		t.Fatal("a second request allowed beside a trial")
+		t.Fatal("a second attempt allowed beside a trial")
 	}
 	r.inFlight = nil
 	for backoff := trialBackoffParts; backoff < 8*trialBackoffParts; backoff *= 2 {
@@ -224,7 +225,7 @@
 	cancelAttempt(h.now - 30*s.latency.baseline)
 	latency := s.normalizedLatency(h.now, r)
 	if latency < ejectionLatency*s.latency.fleetMedian || !s.isHealthy(h.now, r) {
-		t.Fatalf("normalized latency %v, and no trial", latency)
+		t.Fatalf("normalized latency %v; want a latency of an ejected replica and a trial", latency)
 	}
 	for backoff := trialBackoffParts; backoff < 8*trialBackoffParts; backoff *= 2 {
 		h.now += estimateHalfLifeMaxMs
@@ -256,12 +257,12 @@
 // this broker alone, or that becomes slower and slower and finally dies. The replica is fully used again soon after
 // it recovers.
 func TestUnresponsiveAndDegradingReplicasAreReadmitted(t *testing.T) {
-	for name, reply := range map[string]func(h *harness, a *sentAttempt, since float64){
+	for name, reply := range map[string]func(h *harness, a *sentAttempt, sinceFaultMs float64){
 		"unresponsive": func(*harness, *sentAttempt, float64) {},
-		"degrading": func(h *harness, a *sentAttempt, since float64) {
-			if since > 4000 {
+		"degrading": func(h *harness, a *sentAttempt, sinceFaultMs float64) {
+			if sinceFaultMs > 4000 {
 				h.endAttempt(a, ConnectFailed)
-			} else if h.now >= a.sentAt+100+since/3 {
+			} else if h.now >= a.sentAt+100+sinceFaultMs/3 {
 				h.endAttempt(a, Succeeded)
 			}
 		},
@@ -328,7 +329,7 @@
 	before := relativeLoad(2000)
 	stalled.busyUntil = f.now + 400
 	_ = relativeLoad(1000)
-	recoveredAfter := -1 // in units of 500 ms
+	recoveredAfter := -1 // in units of 500 ms; -1 if the replica has not recovered
 	peak := 0.0
 	for i := range 12 {
 		load := relativeLoad(500)
--- a/internal/decision/scheduler/queues.go
+++ b/internal/decision/scheduler/queues.go
@@ -8,19 +8,20 @@
 
 const (
 	// queueThresholdRatio is the constant R of Rein (Reda et al., "Rein: Taming Tail Latency in Key-Value Stores via
-	// Multiget Scheduling", EuroSys 2017). The threshold of queue i, in cost, is R to the power of i.
+	// Multiget Scheduling", EuroSys 2017). The threshold of queue i, counted from 1, is R to the power of i, in cost.
 	queueThresholdRatio = 1.5
-	// promotionObjectiveShare is the share of the class's latency objective after which a queued call is promoted to
-	// the fastest queue.
+	// promotionObjectiveShare is the share of the class's latency objective, counted from the arrival of the query,
+	// after which a queued call is promoted to the fastest queue.
 	promotionObjectiveShare = 0.5
-	// denseShards is the number of shard ids, from 0, whose queues are kept while empty, with their position in the
-	// round robin.
+	// denseShards is the number of shard ids, from 0, whose queues are kept while they are empty. These shards also
+	// keep their position in the round robin.
 	denseShards = 4096
 	// callBufferSize is the number of calls per query that are built without allocating a slice.
 	callBufferSize = 16
 )
 
-// queueRates are the quanta of deficit round robin, in cost per visit, from the fastest queue to the slowest.
+// queueRates are the rates of the queues, from the fastest to the slowest: their quanta in deficit round robin, in
+// cost per visit.
 var queueRates = [...]float64{5, 4, 3, 2}
 
 const queueCount = len(queueRates)
@@ -44,8 +45,8 @@
 	isActive       bool // whether queueTable.active contains it
 }
 
-// queueTable holds the queues of all shards with queued calls. The work of a round is proportional to the number of
-// active shards, not of all shards.
+// queueTable holds the queues of the active shards, which are those with queued calls, and empty queues of dense
+// shards. The work of a round is proportional to the number of active shards, not of all shards.
 type queueTable struct {
 	dense    []*shardQueues       // by shard id, below denseShards
 	sparse   map[int]*shardQueues // the other shards, while they have queued calls
@@ -122,8 +123,8 @@
 	return true
 }
 
-// refresh drops calls without parts that are still queued, promotes those that have waited too long to the fastest
-// queue, and updates oldestQueuedAt.
+// refresh drops the calls of which no part is queued any more, promotes the calls that have waited too long to the
+// fastest queue, and updates oldestQueuedAt.
 func (q *shardQueues) refresh(now float64) {
 	q.oldestQueuedAt = now
 	for queue := range q.fifo {
@@ -131,12 +132,12 @@
 	}
 }
 
-// refreshQueue returns the calls that stay in the given queue.
+// refreshQueue does the work of refresh for one queue and returns the calls that stay in that queue.
 func (q *shardQueues) refreshQueue(now float64, queue int) []*queuedCall {
 	calls := q.fifo[queue]
 	staying := calls[:0]
 	for _, call := range calls {
-		if !call.isWanted() {
+		if !call.hasQueuedPart() {
 			continue
 		}
 		q.oldestQueuedAt = min(q.oldestQueuedAt, call.queuedAt)
@@ -150,7 +151,7 @@
 	return staying
 }
 
-func (c *queuedCall) isWanted() bool {
+func (c *queuedCall) hasQueuedPart() bool {
 	return slices.ContainsFunc(c.parts, func(p *part) bool { return p.queued })
 }
 
@@ -189,8 +190,8 @@
 	q.fifo[queue] = calls[1:]
 }
 
-// bottleneckQueue returns the queue for a query's most expensive call: the first queue whose threshold exceeds the
-// cost.
+// bottleneckQueue returns the queue for a query's bottleneck, which is its most expensive call: the first queue whose
+// threshold exceeds the cost, or the last queue if none does.
 func bottleneckQueue(cost float64) int {
 	queue := 0
 	for threshold := queueThresholdRatio; cost >= threshold && queue < queueCount-1; threshold *= queueThresholdRatio {
@@ -199,14 +200,15 @@
 	return queue
 }
 
-// slackQueue returns the queue for a call whose cost is the given ratio of the bottleneck's. It chooses the queue
-// whose rate, relative to that of the bottleneck's queue, is nearest to the ratio, so that both calls finish
-// together. The queue is never faster than the bottleneck's.
-func slackQueue(bottleneck int, ratio float64) int {
-	best := bottleneck
+// slackQueue returns the queue for a call other than the bottleneck. fastest is the bottleneck's queue, and ratio is
+// the call's cost divided by the bottleneck's. slackQueue chooses the queue whose rate, divided by that of the
+// bottleneck's queue, is nearest to the ratio, so that both calls finish together. The queue is never faster than the
+// bottleneck's.
+func slackQueue(fastest int, ratio float64) int {
+	best := fastest
 	smallestGap := 1.0
-	for queue := bottleneck; queue < queueCount; queue++ {
-		gap := math.Abs(ratio - queueRates[queue]/queueRates[bottleneck])
+	for queue := fastest; queue < queueCount; queue++ {
+		gap := math.Abs(ratio - queueRates[queue]/queueRates[fastest])
 		if gap < smallestGap {
 			best = queue
 			smallestGap = gap
--- a/internal/decision/scheduler/replica_selection.go
+++ b/internal/decision/scheduler/replica_selection.go
@@ -9,10 +9,10 @@
 	otherZonePenalty = 0.5
 	// tieNoise is the range of the random term of a tie break, which keeps brokers from choosing in lockstep.
 	tieNoise = 0.15
-	// pacedReplicaLatency is the multiple of the fleet's median latency above which a replica is sent attempts at a
-	// pace.
+	// pacedReplicaLatency is the multiple of the fleet's median latency above which the attempts at a replica are
+	// paced (see isAllowedByPacing).
 	pacedReplicaLatency = 1.8
-	// assumedConcurrency is the number of parts that a replica is assumed to serve concurrently, for that pace.
+	// assumedConcurrency is the number of parts that a paced replica is assumed to serve concurrently.
 	assumedConcurrency = 2.0
 )
 
@@ -22,7 +22,7 @@
 	tierHealthy                = 0
 	tierAvoidedByNonIdempotent = 0.5 // healthy, but with a failure rate or latency that non-idempotent parts avoid
 	tierOutlier                = 1
-	tierAlreadyAttempted       = 2 // added to one of the others
+	tierAlreadyAttempted       = 2
 )
 
 // selection is the replica selected for a part, and whether any replica of its tier has capacity.
@@ -54,13 +54,13 @@
 func (s *Scheduler) selectReplica(now float64, p *part, cost float64, avoidAttempted bool) selection {
 	var best selection
 	var bestRank rank
-	isExpensive := s.callsAreExpensive()
+	callsAreExpensive := s.callsAreExpensive()
 	for _, r := range s.replicasOf(p.Shard) {
 		if s.availableAt(now, r, cost) > now {
 			continue
 		}
 		latency := s.normalizedLatency(now, r)
-		candidate := s.rankReplica(now, r, p, latency, isExpensive)
+		candidate := s.rankReplica(now, r, p, latency, callsAreExpensive)
 		if avoidAttempted && p.attemptedAt(r) {
 			candidate.tier += tierAlreadyAttempted
 		}
@@ -80,13 +80,13 @@
 }
 
 // rankReplica returns the rank of a replica for a part. It draws exactly one random number.
-func (s *Scheduler) rankReplica(now float64, r *replica, p *part, latency float64, isExpensive bool) rank {
+func (s *Scheduler) rankReplica(now float64, r *replica, p *part, latency float64, callsAreExpensive bool) rank {
 	result := rank{
 		tier:     tierHealthy,
 		calls:    float64(r.callsInFlight),
 		tieBreak: latency + failureTieWeight*s.decayedEstimate(r.outliers.failureRate, now) + tieNoise*s.random.Float64(),
 	}
-	if isExpensive && s.canJoinCall(r) {
+	if callsAreExpensive && s.canJoinCall(r) {
 		result.calls-- // joining a call of this round adds none
 		result.tieBreak -= s.settings.CallOverhead / s.meanPartWorkMs()
 	}
@@ -118,8 +118,9 @@
 	return r.currentRound == s.round && call.partsInFlight > 0 && call.parts < s.settings.MaxPartsPerCall
 }
 
-// hasCapacity reports whether a replica can be sent more work now: it is not queueing and below its limit. A replica
-// without attempts of this broker in flight accepts one at any latency, so that queued parts cannot deadlock.
+// hasCapacity reports whether a replica can be sent more work now: its circuit is closed, it is not queueing, and the
+// cost in flight is below its limit. A replica without attempts of this broker in flight is sent one at any latency
+// if pacing allows, so that queued parts cannot deadlock.
 func (s *Scheduler) hasCapacity(now float64, r *replica, latency float64) bool {
 	if now < r.circuitOpenUntil {
 		return false
@@ -128,7 +129,7 @@
 	if hasNothingInFlight && s.isAllowedByPacing(now, r, latency) {
 		return true
 	}
-	return latency <= s.latency.queueingLatency && (hasNothingInFlight || r.limit.inFlight < r.limit.maxCost)
+	return latency <= s.latency.queueingLatency && (hasNothingInFlight || r.limit.costInFlight < r.limit.maxCost)
 }
 
 // isAllowedByPacing reports whether an attempt may go to a replica at which this broker has none in flight. In a
--- a/internal/decision/scheduler/scheduler.go
+++ b/internal/decision/scheduler/scheduler.go
@@ -48,12 +48,12 @@
 	hedges      eventWindow // hedged requests and reassignments
 	arrivals    eventWindow // queries and parts that arrived
 
-	lastOverloadAt     float64   // time of the last rejection by a replica, or by admission because of load
-	lastAdmittedAt     float64   // time of the last admission
-	meanFirstRequestMs []float64 // by class: mean time between arrival and deadline of first requests
-	maxPriority        float64   // highest priority weight of all classes
-	answerMarginMs     float64   // how long before a query's deadline its final answer is sent
-	timerAt            float64   // when the timer is due; +Inf if none is set
+	lastOverloadAt             float64   // time of the last rejection by a replica, or by admission because of load
+	lastAdmittedAt             float64   // time of the last admission
+	meanFirstRequestTimeLeftMs []float64 // by class: mean time between arrival and deadline of first requests
+	maxPriority                float64   // highest priority weight of all classes
+	answerMarginMs             float64   // how long before a query's deadline its final answer is sent
+	timerAt                    float64   // when the timer is due; +Inf if none is set
 }
 
 // New creates the scheduler of one broker. The seed determines its random numbers. The error names the first setting
@@ -69,30 +69,30 @@
 	settings.BrokerCount = max(1, settings.BrokerCount)
 	maxPriority, minObjectiveMs := classBounds(settings.Classes)
 	return &Scheduler{
-		settings:              settings,
-		actions:               actions,
-		random:                splitmix.New(seed),
-		queries:               map[uint64]*query{},
-		queriesByGroup:        map[int]*query{},
-		parts:                 map[uint64]*part{},
-		attempts:              map[attemptKey]*attempt{},
-		queues:                newQueueTable(),
-		replicas:              newReplicaTable(),
-		oldestQueuedAtByGroup: map[int]float64{},
-		poll:                  endpointPoll{dueAt: math.Inf(1)},
-		latency:               newLatencyEstimator(minObjectiveMs),
-		zones:                 newZoneLatencies(),
-		fleetLimit:            newFleetLimit(),
-		slowStart:             newSlowStart(settings.SlowStart, settings.BrokerCount),
-		throttle:              fleetshare.NewClientThrottle(settings.BrokerCount),
-		deadlines:             fleetshare.NewDeadlineAdmission(settings.BrokerCount),
-		tenants:               newTenantQuotas(settings.TenantRates, settings.BrokerCount),
-		retryBudget:           retryBudget{settings: settings.RetryBudget},
-		lastOverloadAt:        math.Inf(-1),
-		meanFirstRequestMs:    make([]float64, len(settings.Classes)),
-		maxPriority:           maxPriority,
-		answerMarginMs:        finalAnswerMarginMs + settings.TimerResolution,
-		timerAt:               math.Inf(1),
+		settings:                   settings,
+		actions:                    actions,
+		random:                     splitmix.New(seed),
+		queries:                    map[uint64]*query{},
+		queriesByGroup:             map[int]*query{},
+		parts:                      map[uint64]*part{},
+		attempts:                   map[attemptKey]*attempt{},
+		queues:                     newQueueTable(),
+		replicas:                   newReplicaTable(),
+		oldestQueuedAtByGroup:      map[int]float64{},
+		poll:                       endpointPoll{dueAt: math.Inf(1)},
+		latency:                    newLatencyEstimator(minObjectiveMs),
+		zones:                      newZoneLatencies(),
+		fleetLimit:                 newFleetLimit(),
+		slowStart:                  newSlowStart(settings.SlowStart, settings.BrokerCount),
+		throttle:                   fleetshare.NewClientThrottle(settings.BrokerCount),
+		deadlines:                  fleetshare.NewDeadlineAdmission(settings.BrokerCount),
+		tenants:                    newTenantQuotas(settings.TenantRates, settings.BrokerCount),
+		retryBudget:                retryBudget{settings: settings.RetryBudget},
+		lastOverloadAt:             math.Inf(-1),
+		meanFirstRequestTimeLeftMs: make([]float64, len(settings.Classes)),
+		maxPriority:                maxPriority,
+		answerMarginMs:             finalAnswerMarginMs + settings.TimerResolution,
+		timerAt:                    math.Inf(1),
 	}, nil
 }
 
--- a/internal/decision/scheduler/slow_start.go
+++ b/internal/decision/scheduler/slow_start.go
@@ -13,8 +13,8 @@
 	usedAllowanceShare = 0.7
 	// minUnroundedQuotaParts is the quota, in mean parts, below which quotas are rounded to whole parts.
 	minUnroundedQuotaParts = 2.0
-	// slotStride distributes the slots of successive replicas among the brokers. It is the fractional part of the
-	// golden ratio.
+	// slotStride is the distance between the slots of successive replicas (see warmupQuotaMs), which distributes them
+	// among the brokers. It is the fractional part of the golden ratio.
 	slotStride = 0.618
 	// maxReplicaSpeed is the highest estimate of a warm replica's speed, in ms of work per ms.
 	maxReplicaSpeed = 2.0
@@ -39,17 +39,17 @@
 }
 
 // slowStart limits the work that is sent to replicas that are warming up. A replica that started lately has a
-// fraction of its full capacity, which grows linearly. All brokers together may send it a multiple of its present
-// capacity within a window, which is its allowance. Each broker uses its quota of the allowance.
+// fraction of its full capacity, which grows linearly. Its allowance is the work that all brokers together may send
+// it within a window: a multiple of its present capacity. Each broker uses its quota of the allowance.
 type slowStart struct {
 	settings SlowStartSettings
 	quota    fleetshare.SlowStartQuota
 	// replicaSpeed is the highest observed speed of a warm replica, in ms of work per ms; at least 1.
 	replicaSpeed float64
-	// startedAt is when discovery first answered or failed, or when another process last shared the quota; -Inf after
-	// TakeOver. Work sent in the window before this time is unknown here and counts all the same, so warming replicas
-	// are sent nothing in the window after it.
-	startedAt float64
+	// sentWorkKnownSince is when discovery first answered or failed, or when another process last shared the quota;
+	// -Inf after TakeOver. Work sent in the window before this time is unknown here but counts toward the allowance,
+	// so warming replicas are sent nothing in the window after this time.
+	sentWorkKnownSince float64
 	// handedOver is set once another process has taken over. Warming replicas are then sent nothing by this one.
 	handedOver bool
 }
@@ -79,8 +79,8 @@
 	return s.settings.WorkMultiple * s.settings.Window * capacity
 }
 
-// observeReplicaSpeed raises the speed estimate to the cost that a replica had in flight when it served a part faster
-// than the baseline, up to maxReplicaSpeed.
+// observeReplicaSpeed raises the speed estimate to replicaCost, up to maxReplicaSpeed. The caller passes the cost
+// that a replica had in flight when it served a part faster than the baseline.
 func (s *slowStart) observeReplicaSpeed(replicaCost float64) {
 	s.replicaSpeed = max(s.replicaSpeed, min(replicaCost, maxReplicaSpeed))
 }
@@ -99,15 +99,15 @@
 // warmingReplicaAvailableAt returns when enough of the work sent to a warming replica has left the window for a part
 // of the given cost to fit into this broker's quota. It returns +Inf if the part needs more than the whole quota.
 func (s *Scheduler) warmingReplicaAvailableAt(now float64, r *replica, cost float64) float64 {
-	remaining, needed := s.warmupQuotaMs(now, r, cost)
+	remainingMs, neededMs := s.warmupQuotaMs(now, r, cost)
 	window := s.slowStart.settings.Window
 	sent := r.warmup.sent
-	for i := len(sent) - 1; remaining >= needed; i-- {
+	for i := len(sent) - 1; remainingMs >= neededMs; i-- {
 		if i < 0 || sent[i].at < now-window {
 			return now
 		}
-		remaining -= sent[i].workMs
-		if remaining < needed {
+		remainingMs -= sent[i].workMs
+		if remainingMs < neededMs {
 			return sent[i].at + window + s.settings.TimerResolution
 		}
 	}
@@ -115,8 +115,9 @@
 }
 
 // warmupQuotaMs returns this broker's quota of a warming replica's allowance in any window, and how much of it a part
-// needs, both in ms of work. A small quota is rounded to whole mean parts. Whether it is rounded up depends on a slot
-// that follows from the broker and the replica, so that the quotas of all brokers still add up to the allowance.
+// needs, both in ms of work. A small quota is rounded to whole mean parts, and a part of any cost then needs one of
+// them. Whether the quota is rounded up depends on a slot that follows from the broker and the replica, so that the
+// quotas of all brokers still add up to the allowance.
 func (s *Scheduler) warmupQuotaMs(now float64, r *replica, cost float64) (quotaMs, neededMs float64) {
 	allowance := s.slowStart.allowanceMs(now, r)
 	brokers := float64(s.settings.BrokerCount)
--- a/internal/decision/scheduler/slow_start_test.go
+++ b/internal/decision/scheduler/slow_start_test.go
@@ -250,7 +250,7 @@
 		costs:     costModel{meanHint: partWorkMs},
 		slowStart: newSlowStart(settings.SlowStart, brokers),
 	}
-	s.slowStart.startedAt = -durationMs
+	s.slowStart.sentWorkKnownSince = -durationMs
 	r := &replica{Endpoint: Endpoint{Replica: replicaID}, warmup: warmupState{startedAt: 1}}
 	quotaMs, _ := s.warmupQuotaMs(1, r, 1)
 	return quotaMs / partWorkMs
