--- a/internal/decision/shardmap/not_holder.go
+++ b/internal/decision/shardmap/not_holder.go
@@ -3,7 +3,7 @@
 // The delays before the next attempt of a segment, once every replica of its shard has replied not-holder.
 const (
 	newerEpochWaitMs    = 400.0 // longest wait for the newer epoch that a backend reported
-	notHolderDelayMinMs = 10.0  // first delay if no newer epoch was reported; it doubles with each further reply
+	notHolderDelayMinMs = 10.0  // first delay if no newer epoch was reported; doubles with each further reply
 	notHolderDelayMaxMs = 160.0 // limit of the doubled delay
 )
 
@@ -29,8 +29,8 @@
 // backendEpoch. consecutiveReplies counts the not-holder replies to the segment in a row, this one included.
 //
 // A move replaces only one of several replicas, so the others are asked without delay. A delay follows only after as
-// many replies as the shard has replicas. By then all have been asked, as the scheduler puts the replica of the last
-// attempt at the end of its order.
+// many replies as the shard has replicas. By then all have been asked, as the scheduler prefers replicas that the
+// part was not sent to.
 func (m *Map) OnNotHolder(segment Segment, routedEpoch, backendEpoch uint64, consecutiveReplies int) RetryWait {
 	m.stats.NotHolder++
 	shard := m.shards[segment.Shard]
--- a/internal/decision/shardmap/poller.go
+++ b/internal/decision/shardmap/poller.go
@@ -16,16 +16,17 @@
 
 // Poller decides when to call the source of the shard map and what to request. It keeps one watch call in flight, and
 // backs off after failures. It requests a snapshot first, and again after an update that could not be applied. When a
-// newer epoch is reported, it polls without waiting for the watch, once for all reports of that epoch: a hinted poll.
+// newer epoch is reported, it makes a hinted poll: a call that does not wait for the watch. Further reports of that
+// epoch add none while a hinted poll is scheduled.
 //
 // It is a state machine without a clock or I/O. The caller passes the time, in ms of any monotonic clock, makes the
-// calls that Next returns, and reports how each ended with Succeeded, Rejected or Failed. At most one call is in
+// calls that Next returns, and reports how each ended with Succeeded, AnswerInvalid or Failed. At most one call is in
 // flight.
 type Poller struct {
 	options PollerOptions
 	random  splitmix.Source
 
-	epoch         uint64 // in use
+	epoch         uint64 // epoch of the map in use
 	needsSnapshot bool   // the next call requests a snapshot
 
 	inFlight         bool    // a call is in flight
@@ -98,9 +99,9 @@
 	return isHinted || now >= p.nextCallAt
 }
 
-// NewerEpochSeen records that a backend or client has a map of this epoch. It schedules a hinted poll, unless a call
-// other than a watch is in flight, whose answer comes soon. It ignores epochs up to the one in use, and epochs for
-// which a hinted poll is scheduled already.
+// NewerEpochSeen records that a backend or client has a map of this epoch. It schedules a hinted poll, except while a
+// call other than a watch is in flight, as the answer to such a call comes soon. It ignores epochs up to the one in
+// use, and epochs for which a hinted poll is scheduled already.
 func (p *Poller) NewerEpochSeen(now float64, epoch uint64) {
 	isPollScheduled := !math.IsInf(p.hintedPollAt, 1)
 	if epoch <= p.epoch || epoch <= p.hintedEpoch && isPollScheduled {
@@ -134,9 +135,9 @@
 	}
 }
 
-// Rejected records that the answer to the call was invalid. The next call requests a snapshot. It is due at once
-// after invalid changes, and after a backoff if it was a snapshot that was invalid.
-func (p *Poller) Rejected(now float64) {
+// AnswerInvalid records that the answer to the call was invalid. The next call requests a snapshot. It is due at once
+// after invalid changes, and after a backoff if a snapshot was invalid.
+func (p *Poller) AnswerInvalid(now float64) {
 	wasSnapshot := p.needsSnapshot
 	p.needsSnapshot = true
 	p.inFlight = false
@@ -156,8 +157,8 @@
 // HintedPolls returns how many calls were made because a newer epoch had been reported.
 func (p *Poller) HintedPolls() uint64 { return p.hintedPolls }
 
-// hintedPollIntervalMs returns the shortest interval between two hinted polls, in ms. It doubles while they bring
-// nothing new, so that a client that names an epoch which does not exist cannot overload the source.
+// hintedPollIntervalMs returns the shortest interval between two hinted polls, in ms. It doubles while hinted polls
+// bring no newer epoch, so that a client that names a nonexistent epoch cannot overload the source.
 func (p *Poller) hintedPollIntervalMs() float64 {
 	intervalMs := p.options.MinIntervalMs
 	doubledMs := intervalMs * float64(int(1)<<min(p.fruitlessPolls, maxDoublings))
--- a/internal/decision/shardmap/poller_test.go
+++ b/internal/decision/shardmap/poller_test.go
@@ -24,10 +24,10 @@
 	require.Equal(t, watch, request)
 	require.True(t, due)
 
-	poller.Rejected(5)
+	poller.AnswerInvalid(5)
 	request, due = poller.Next(5)
 	require.True(t, due && request.FullSnapshot, "after invalid changes a snapshot is requested at once")
-	poller.Rejected(6)
+	poller.AnswerInvalid(6)
 	_, due = poller.Next(6)
 	require.False(t, due, "after an invalid snapshot the next call is delayed")
 	require.GreaterOrEqual(t, poller.NextAt(), 6+DefaultPollerOptions.BackoffMinMs/2)
--- a/internal/lab/world/virtual.go
+++ b/internal/lab/world/virtual.go
@@ -389,7 +389,7 @@
 	case apply == nil:
 		b.mapPoller.Failed(b.world.now)
 	case apply(b.core) != nil:
-		b.mapPoller.Rejected(b.world.now)
+		b.mapPoller.AnswerInvalid(b.world.now)
 	default:
 		b.mapPoller.Succeeded(b.world.now, b.core.Epoch())
 		b.markDirty()
--- a/internal/transport/shardcatalog/answer.go
+++ b/internal/transport/shardcatalog/answer.go
@@ -76,7 +76,7 @@
 	now := s.loop.Now()
 	if err != nil {
 		s.log.Rejected(logs.ShardMapRejected, "shard map rejected", err)
-		s.poller.Rejected(now)
+		s.poller.AnswerInvalid(now)
 	} else {
 		s.poller.Succeeded(now, s.sink.Epoch())
 	}
