--- a/internal/decision/endpointpoll/poller.go
+++ b/internal/decision/endpointpoll/poller.go
@@ -50,7 +50,7 @@
 // so the next call requests the full list.
 func (p *Poller) AddressChanged() { p.hasRevision = false }
 
-// BeginCall records the start of a call and describes the call.
+// BeginCall records the start of a call and returns what to request.
 func (p *Poller) BeginCall(now float64) Call {
 	p.callStartedAt = now
 	p.stats.Calls++
@@ -67,13 +67,13 @@
 	return call
 }
 
-// HandleResponse ends the call in flight with the well-formed list that answered it.
+// HandleResponse ends the call in flight, which the given well-formed list has answered. It returns what to do next.
 func (p *Poller) HandleResponse(now float64, response Response) Next {
 	switch {
 	case !response.Complete && (!p.hasRevision || response.Revision < p.revision):
-		return p.rejectStale()
+		return p.discardStale()
 	case response.Complete && response.EndpointCount == 0 && p.hasEndpoints:
-		return p.rejectEmpty(now)
+		return p.discardEmpty(now)
 	}
 	p.revision = response.Revision
 	p.hasRevision = true
@@ -92,24 +92,25 @@
 	return next
 }
 
-// rejectStale handles an incremental response that cannot be applied to the cached list. A service that has restarted
-// or lost its state counts revisions from another start, and its changes do not cover the other endpoints.
-func (p *Poller) rejectStale() Next {
+// discardStale handles an incremental response that cannot be applied to the cached list. A service that has
+// restarted or lost its state may count revisions from a lower number, and its changes do not cover the other
+// endpoints.
+func (p *Poller) discardStale() Next {
 	p.hasRevision = false
 	p.stats.Stale++
-	return Next{At: p.callStartedAt + p.retryIntervalMs(), Err: ErrStaleRevision}
+	return Next{At: p.callStartedAt + p.fullListDelayMs(), Err: ErrStaleRevision}
 }
 
-// rejectEmpty handles a full list without endpoints. A service that has just started sends such a list, so the cached
-// list and all drain notifications stay in effect.
-func (p *Poller) rejectEmpty(now float64) Next {
+// discardEmpty handles a full list without endpoints while the cached list has some. A service that has just started
+// sends such a list, so the cached list and all drain notifications stay in effect.
+func (p *Poller) discardEmpty(now float64) Next {
 	p.hasRevision = false
 	p.stats.Empty++
-	return Next{At: now + p.retryIntervalMs(), Err: ErrEmptyList}
+	return Next{At: now + p.fullListDelayMs(), Err: ErrEmptyList}
 }
 
 // HandleFailure ends the call in flight without a usable list: the connection was refused or reset, or the response
-// was malformed or timed out.
+// was malformed or timed out. It returns what to do next.
 //
 // A timeout means that the connection is dead, whereas an overloaded service refuses or resets connections. Therefore
 // a polled watch that timed out is reopened after a short delay, which differs between brokers. This does not
@@ -126,8 +127,8 @@
 	return Next{At: max(now, p.callStartedAt+p.periodMs)}
 }
 
-// retryIntervalMs returns the delay before the full list is requested after a rejected list.
-func (p *Poller) retryIntervalMs() float64 {
+// fullListDelayMs returns the delay, in ms, before the full list is requested after a list was discarded.
+func (p *Poller) fullListDelayMs() float64 {
 	if p.pushed {
 		return max(minWatchIntervalMs, p.periodMs)
 	}
--- a/internal/decision/fleetshare/slow_start_quota.go
+++ b/internal/decision/fleetshare/slow_start_quota.go
@@ -7,7 +7,7 @@
 	ownWorkShare = 1.0
 	// idleShare is the fraction of its even share that a broker gets without any served work.
 	idleShare = 0.25
-	// minHistoryMs is the length of the history from which on the served work counts; until then the quota is the
+	// minHistoryMs is the shortest history with which the served work counts. With a shorter history the quota is the
 	// even share.
 	minHistoryMs = 1500.0
 	// historyHalfLifeMs is the half-life of the history.
@@ -20,7 +20,7 @@
 //
 // All brokers together may send a warming backend its allowance: a multiple of a fraction c of the work that it does
 // when warm. Each broker takes the same multiple of c of the work that the mean warm backend recently served for it.
-// Summed over all brokers, this work is what the mean warm backend serves at all: its load u, at most 1. Therefore
+// Summed over all brokers, this is all the work that the mean warm backend serves: its load u, at most 1. Therefore
 //
 //	sum of quotas <= (ownWorkShare*u + idleShare*0.7/cores) * allowance
 //
@@ -28,15 +28,16 @@
 // to a load of 0.82, beyond which a fleet answers late, and never above 1.18 times the allowance.
 //
 // Quotas for served work do not depend on the number of brokers. Brokers that are down, or a broker whose settings
-// name a wrong number, therefore change little. A broker with eight times the mean traffic has eight times the quota.
+// give a wrong number of brokers, therefore change little. A broker with eight times the mean traffic has eight times
+// the quota.
 // In small fleets the quota is the even share.
 type SlowStartQuota struct {
 	weight        float64 // see largeFleetWeight
 	updatedAt     float64 // ms; when the history was last updated; 0 before the first call of Advance
 	pendingWorkMs float64 // work served by warm backends since updatedAt
-	historyMs     float64 // decayed: length of the history
-	servedMs      float64 // decayed: work served
-	offeredMs     float64 // decayed: time of all warm backends in which the work was served
+	historyMs     float64 // length of the history, decayed
+	servedMs      float64 // work that warm backends served for this broker in the history, decayed
+	offeredMs     float64 // length of the history times the number of warm backends, decayed
 }
 
 // NewSlowStartQuota returns the quota of one broker in a fleet of brokerCount.
--- a/internal/decision/maintenance/suspensions.go
+++ b/internal/decision/maintenance/suspensions.go
@@ -5,12 +5,12 @@
 const (
 	// MaxSuspended is the maximum number of backends that are suspended at once. Beyond it, Suspend answers 507.
 	MaxSuspended = 1024
-	// MaxKnownIDs is the maximum number of known ids from endpoint lists. Beyond it, the oldest is forgotten.
+	// MaxKnownIDs is the maximum number of known ids from endpoint lists. Beyond it, the oldest id is forgotten.
 	MaxKnownIDs = 16384
 )
 
 // Suspensions is the set of suspended backends, together with the known ids: those that an endpoint list ever named.
-// A backend that is missing from the list for a while can be suspended; an unknown id is taken for a mistyped one.
+// A known backend that is missing from the present list can be suspended. An unknown id is taken for a mistyped one.
 //
 // Invariants: at most MaxSuspended ids are suspended and at most MaxKnownIDs are known; each id is valid (see
 // ValidID); an id stays suspended even if it is forgotten.
@@ -54,8 +54,8 @@
 	return ok
 }
 
-// Suspend suspends the backend id. It answers 400 to an invalid id, 404 to an id that was never listed, and 507 if
-// MaxSuspended backends are suspended.
+// Suspend suspends the backend id. It answers 400 to an invalid id, 404 to an unknown id, and 507 if MaxSuspended
+// backends are suspended.
 func (s *Suspensions) Suspend(id string) CallResult {
 	switch {
 	case !ValidID(id):
@@ -71,8 +71,8 @@
 	return resultDone
 }
 
-// Resume ends the suspension of the backend id. It answers 400 to an invalid id, and 404 to an id that is not
-// suspended and was never listed.
+// Resume ends the suspension of the backend id. It answers 400 to an invalid id, and 404 to an unknown id that is not
+// suspended.
 func (s *Suspensions) Resume(id string) CallResult {
 	switch {
 	case !ValidID(id):
@@ -97,7 +97,7 @@
 }
 
 // Replace replaces the set of suspended backends by ids, which another process of the broker has stored. It returns
-// the ids that this adds and those that it resumes, both sorted. It ignores invalid ids and those beyond
+// the ids that were added to the set and those that were resumed, both sorted. It ignores invalid ids and ids beyond
 // MaxSuspended. An added id becomes known, as only a listed backend can have been suspended.
 func (s *Suspensions) Replace(ids []string) (added, resumed []string) {
 	target := map[string]struct{}{}
