--- a/internal/contract/query.go
+++ b/internal/contract/query.go
@@ -43,7 +43,7 @@
 	// keyDigits is the number of hexadecimal digits in the key of a part.
 	keyDigits = 16
 
-	microsPerMilli = 1000
+	microsPerMilli = 1000 // microseconds per millisecond
 )
 
 // Envelope holds the fields of a request that a front reads from outside the body.
@@ -64,7 +64,7 @@
 	if err != nil {
 		return nil, err
 	}
-	query, err := c.parseBody(jsonBody)
+	parsed, err := c.parseBody(jsonBody)
 	if err != nil {
 		return nil, err
 	}
@@ -74,17 +74,17 @@
 		Tenant:         tenant,
 		Deadline:       now + min(envelope.ClientTimeout, c.Classes[class].DeadlineMs),
 		ClientRetry:    envelope.ClientRetry && c.ClientsMarkRetries,
-		Payload:        []byte(*query.Q),
+		Payload:        []byte(*parsed.Q),
 		IdempotencyKey: envelope.IdempotencyKey,
-		Parts:          make([]core.Part, 0, len(query.Shards)),
+		Parts:          make([]core.Part, 0, len(parsed.Shards)),
 	}
-	if c.Resharding && query.Epoch != nil {
-		if err := json.Unmarshal(query.Epoch, &request.Epoch); err != nil {
-			return nil, fmt.Errorf("%w: epoch %.40s", ErrMalformed, query.Epoch)
+	if c.Resharding && parsed.Epoch != nil {
+		if err := json.Unmarshal(parsed.Epoch, &request.Epoch); err != nil {
+			return nil, fmt.Errorf("%w: epoch %.40s", ErrMalformed, parsed.Epoch)
 		}
 	}
-	for i := range query.Shards {
-		part, err := parsePart(&query.Shards[i])
+	for i := range parsed.Shards {
+		part, err := parsePart(&parsed.Shards[i])
 		if err != nil {
 			return nil, err
 		}
@@ -120,15 +120,16 @@
 
 // parseBody parses a JSON body and checks that it has a query text and at least one part.
 func (c *Contracts) parseBody(jsonBody []byte) (*body, error) {
-	query := &body{}
-	if err := errors.Join(c.checkUnambiguous(jsonBody), json.Unmarshal(jsonBody, query)); err != nil {
+	parsed := &body{}
+	if err := errors.Join(c.checkUnambiguous(jsonBody), json.Unmarshal(jsonBody, parsed)); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
-	// encoding/json replaces half of a surrogate pair by the replacement character.
-	if query.Q == nil || strings.ContainsRune(*query.Q, utf8.RuneError) || len(query.Shards) == 0 {
+	// encoding/json replaces half of a surrogate pair by the replacement character, so a text with that character is
+	// rejected.
+	if parsed.Q == nil || strings.ContainsRune(*parsed.Q, utf8.RuneError) || len(parsed.Shards) == 0 {
 		return nil, fmt.Errorf("%w: q or shards missing, or q is no text", ErrMalformed)
 	}
-	return query, nil
+	return parsed, nil
 }
 
 // parsePart checks a part of a body and converts its cost from microseconds to ms.
--- a/internal/core/completion.go
+++ b/internal/core/completion.go
@@ -64,8 +64,8 @@
 	return values
 }
 
-// removeRequest removes a request from the open ones. It withdraws the request's parts and releases its version of
-// the shard map.
+// removeRequest removes a request from the open requests, withdraws its parts, and releases its version of the shard
+// map.
 func (c *Core) removeRequest(request *Request) {
 	delete(c.openRequests, request.queryID)
 	delete(c.openRequestIDs, request.ID)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -29,21 +29,21 @@
 	openRequestIDs map[string]bool       // the clients' ids of openRequests
 	parts          map[uint64]*partState // by id; without the parts withdrawn after a disconnect
 	openCount      int                   // number of open requests plus number of their parts
-	finalAnswerBy  float64               // latest deadline of requests submitted from now on
+	finalAnswerBy  float64               // limit of the deadlines of requests, applied when they are submitted; ms
 	counts         Counts
 
-	inFlight             map[attemptKey]*Attempt // attempts whose end has not been reported to the scheduler
+	inFlight             map[attemptKey]*Attempt // attempts whose end the scheduler does not know yet
 	deadlines            deadlineHeap            // attempts that have not ended
 	endedAttempts        []endedAttempt          // to be reported to the scheduler in the next round
 	disconnectedRequests []*Request              // to be reported to the scheduler in the next round
-	timerAt              float64                 // when the scheduler's timer fires; +Inf for never
+	timerAt              float64                 // when the scheduler's timer fires, in ms of the clock; +Inf for never
 
 	// Under resharding.
 	shardMap              *shardmap.Map // nil where placement is fixed
 	partsByShard          map[shardmap.ShardID][]*partState
-	pausedParts           []*partState // parts that wait for a newer map before a retry
-	onNewerMap            func(epoch uint64)
-	onMapChanged          func(*shardmap.Version)
+	pausedParts           []*partState            // parts that wait for a newer map before a retry
+	onNewerMap            func(epoch uint64)      // called when a client or a backend knows a newer map
+	onMapChanged          func(*shardmap.Version) // called after a new version has been taken into use; nil for none
 	reshardingStats       ReshardingStats
 	loggedDroppedVersions uint64 // total of dropped map versions when it was last logged
 	notifiedEpoch         uint64 // epoch of the last map that the scheduler was notified of
@@ -100,8 +100,8 @@
 	c.endpoints = endpoints
 }
 
-// SetFinalAnswerDeadline limits the deadlines of requests submitted from now on to the given time of the loop's
-// clock, at which the process ends. By default there is no limit.
+// SetFinalAnswerDeadline limits the deadlines of requests submitted from now on to the given time, at which the
+// process ends, in ms of the loop's clock. By default there is no limit.
 func (c *Core) SetFinalAnswerDeadline(at float64) { c.finalAnswerBy = at }
 
 // EndpointsChanged passes a change of the endpoint list to the scheduler.
--- a/internal/core/resharding.go
+++ b/internal/core/resharding.go
@@ -18,9 +18,9 @@
 // Package shardmap decides where the segment may be sent, and tracks which buckets have arrived.
 type segmentState struct {
 	shardmap.Segment
-	clientPart      *clientPart // the client's part that the segment belongs to
-	notHolderStreak int         // number of consecutive attempts that ended as NotHolder
-	resumeEpoch     uint64      // epoch of the map that ends the pause; 0 if the segment does not wait for one
+	clientPart           *clientPart // the client's part that the segment belongs to
+	consecutiveNotHolder int         // number of consecutive attempts that ended as NotHolder
+	resumeEpoch          uint64      // epoch of the map that ends the pause; 0 if the segment does not wait for one
 }
 
 // admitSegments binds a request to the map in use and passes its segments to the scheduler as parts.
@@ -74,8 +74,8 @@
 	}
 }
 
-// countArrival records the buckets of a part that has arrived, and logs a line if they had arrived before. It does
-// nothing where placement is fixed.
+// countArrival records the buckets of a part that has arrived. It counts a duplicate and logs a line if the buckets
+// had arrived before. It does nothing where placement is fixed.
 func (c *Core) countArrival(part *partState) {
 	if part.segment == nil {
 		return
@@ -86,9 +86,9 @@
 	}
 }
 
-// handleNotHolder counts the consecutive attempts of a part that ended as NotHolder. After such an outcome the
-// shard map decides whether a newer map is read and whether the part pauses until then. handleNotHolder returns the
-// time in ms for which the part is not retried, which is 0 after any other outcome.
+// handleNotHolder counts the consecutive attempts of a part that ended as NotHolder. After such an outcome the shard
+// map decides whether a newer map is requested, and whether the part pauses until that map is in use. handleNotHolder
+// returns the longest time, in ms, for which the part is not retried, and 0 after any other outcome.
 func (c *Core) handleNotHolder(attempt *Attempt, outcome scheduler.Outcome) float64 {
 	part := attempt.part
 	segment := part.segment
@@ -96,11 +96,11 @@
 		return 0
 	}
 	if outcome != scheduler.NotHolder {
-		segment.notHolderStreak = 0
+		segment.consecutiveNotHolder = 0
 		return 0
 	}
-	segment.notHolderStreak++
-	wait := c.shardMap.OnNotHolder(segment.Segment, attempt.Epoch, attempt.BackendEpoch, segment.notHolderStreak)
+	segment.consecutiveNotHolder++
+	wait := c.shardMap.OnNotHolder(segment.Segment, attempt.Epoch, attempt.BackendEpoch, segment.consecutiveNotHolder)
 	if wait.ReadEpoch > 0 {
 		c.onNewerMap(wait.ReadEpoch)
 	}
--- a/internal/core/resharding_test.go
+++ b/internal/core/resharding_test.go
@@ -10,8 +10,8 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-// A non-idempotent part is in flight when its shard moves. The answer of its former replica counts, no other attempt
-// is sent meanwhile, and only a part that provably never ran is sent to the new replica.
+// TestNonIdempotentPartInFlightWhenItsShardMoves checks that the answer of the former replica counts, that no other
+// attempt is sent meanwhile, and that only a part that provably never ran is sent to the new replica.
 func TestNonIdempotentPartInFlightWhenItsShardMoves(t *testing.T) {
 	for name, test := range map[string]struct {
 		outcome scheduler.Outcome
@@ -68,7 +68,8 @@
 	})
 }
 
-// A part whose shard was split is replaced by two parts, which count only together.
+// TestHalfOfASplitPartDoesNotCount checks that a part whose shard was split is replaced by two parts, which count
+// only together.
 func TestHalfOfASplitPartDoesNotCount(t *testing.T) {
 	broker := newFixture(t)
 	client := broker.submit(idempotentClass, 1, 0, 1, 2, 3)
@@ -99,6 +100,8 @@
 	}
 }
 
+// TestBothHalvesOfASplitPartCompleteIt checks that the values of both halves are in the answer under the shard that
+// the client named, and that nothing of the request is left afterwards.
 func TestBothHalvesOfASplitPartCompleteIt(t *testing.T) {
 	broker := newFixture(t)
 	client := broker.submit(idempotentClass, 1, 0, 1)
@@ -120,8 +123,8 @@
 	require.Empty(t, broker.core.inFlight)
 }
 
-// A merged shard answers two parts of a request. Each attempt requests the buckets of its own part, so that no bucket
-// counts twice.
+// TestMergedShardAnswersForTwoParts checks that each attempt at a merged shard requests the buckets of its own part,
+// so that no bucket of the two parts counts twice.
 func TestMergedShardAnswersForTwoParts(t *testing.T) {
 	broker := newFixture(t)
 	broker.splitFirstShard()
@@ -142,8 +145,8 @@
 	require.Zero(t, broker.core.ReshardingStats().Duplicates)
 }
 
-// A shard moves from one backend to another and back while an attempt sent before the first move is in flight. The
-// answer to that attempt counts exactly once.
+// TestShardMovesAwayAndBackWhileAttemptInFlight checks that the answer to an attempt counts exactly once if the shard
+// moves to another backend and back, and is then split, while the attempt is in flight.
 func TestShardMovesAwayAndBackWhileAttemptInFlight(t *testing.T) {
 	broker := newFixture(t)
 	client := broker.submit(nonIdempotentClass, 1, 0)
@@ -157,9 +160,9 @@
 	require.Len(t, broker.attempts, 1)
 }
 
-// A backend does not hold the part's shard and knows a newer map. The broker requests that map and retries the part
-// at the other replica at once. Once all replicas have replied so, the part waits until the map of that epoch is in
-// use.
+// TestPartWaitsForNewerMapOfBackend checks what follows if a backend does not hold the part's shard and knows a newer
+// map. The broker requests that map and retries the part at the other replica at once. Once all replicas have replied
+// not-holder, the part waits until the map of that epoch is in use.
 func TestPartWaitsForNewerMapOfBackend(t *testing.T) {
 	broker := newFixture(t)
 	client := broker.submit(nonIdempotentClass, 1, 0)
