--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -69,7 +69,7 @@
 				}
 			}
 			c.Print(s.Table())
-			passed, faults := s.Judge(e.Expect)
+			passed, faults := s.CheckBounds(e.Expect)
 			for _, f := range faults {
 				c.Println("FAILED:", f)
 			}
@@ -180,7 +180,7 @@
 	if err != nil {
 		return s, of, fmt.Errorf("%w (logs in %s)", err, dir)
 	}
-	if s.Broken() > 0 {
+	if s.Violations() > 0 {
 		c.PrintErrln("the brokers' logs are in", dir)
 		return s, of, nil
 	}
@@ -191,7 +191,7 @@
 func line(c *cobra.Command, second int, r result.Summary) {
 	c.PrintErrf("%4d s: %d taken, %d answered, %d refused, %d failed, "+
 		"p50 %.0f ms, p99 %.0f ms, %d changes, worth %.3f\n",
-		second, r.Taken, r.Answered, r.Refused, r.Failed, r.P50, r.P99, r.Changes, r.Worth)
+		second, r.Received, r.Answered, r.Rejected, r.Failed, r.P50Ms, r.P99Ms, r.Changes, r.EarnedShare)
 }
 
 // upCommand is the first thing a new user runs.
@@ -214,20 +214,20 @@
 			ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
 			c.Printf("%d nodes, %d brokers, %d slices over %s; configurations and logs are in %s; ctrl-C ends it\n",
-				e.Nodes,
-				e.Brokers, e.Slices, wire, dir)
+				e.Backends,
+				e.Brokers, e.Shards, wire, dir)
 			s, err := world.New(e, uint64(time.Now().UnixNano())).RunLive(ctx,
 				world.LiveOptions{Binary: binary, Dir: dir, Flight: wire == "flight"},
 				func(_ int, r result.Summary) {
 					c.Printf("%s answered %d, refused %d, failed %d, p50 %.0f ms, p99 %.0f ms, %d slices at epoch %d, "+
 						"%d rules broken\n",
-						time.Now().Format(time.TimeOnly), r.Answered, r.Refused, r.Failed, r.P50, r.P99, r.Slices, r.Epochs,
-						r.Broken())
+						time.Now().Format(time.TimeOnly), r.Answered, r.Rejected, r.Failed, r.P50Ms, r.P99Ms, r.Shards, r.Epochs,
+						r.Violations())
 				})
 			if err != nil && !errors.Is(err, context.Canceled) {
 				return err
 			}
-			if n := s.Broken(); n > 0 {
+			if n := s.Violations(); n > 0 {
 				return fmt.Errorf("rules were broken %d times: %s", n, strings.Join(s.Notes, "; "))
 			}
 			return os.RemoveAll(dir)
--- a/internal/lab/exp/exp.go
+++ b/internal/lab/exp/exp.go
@@ -29,93 +29,93 @@
 
 // Class is a class of queries.
 type Class struct {
-	Name     string  `json:"name"`
-	Effect   string  `json:"effect"`
-	Share    float64 `json:"share"`
-	Parts    Span    `json:"parts"`
-	Work     Span    `json:"work"`
-	Aim      float64 `json:"aim"`
-	Deadline float64 `json:"deadline"`
-	Worth    float64 `json:"worth"`
-	Late     float64 `json:"late_worth"`
-	Floor    float64 `json:"floor"`
-	Partial  float64 `json:"partial_worth"`
+	Name             string  `json:"name"`
+	Effect           string  `json:"effect"`
+	Share            float64 `json:"share"`
+	Parts            Span    `json:"parts"`
+	Work             Span    `json:"work"`
+	LatencyObjective float64 `json:"aim"`
+	Deadline         float64 `json:"deadline"`
+	PriorityWeight   float64 `json:"worth"`
+	LateFactor       float64 `json:"late_worth"`
+	MinCompleteness  float64 `json:"floor"`
+	PartialFactor    float64 `json:"partial_worth"`
 }
 
 // Once tells that a part of the class must not run twice.
-func (c Class) Once() bool { return c.Effect == "non_idempotent" }
+func (c Class) NonIdempotent() bool { return c.Effect == "non_idempotent" }
 
 // Experiment is one experiment. Times are ms.
 type Experiment struct {
-	Name      string  `json:"name"`
-	Seconds   float64 `json:"seconds"`
-	Arm       string  `json:"arm"`
-	SighupMS  float64 `json:"sighup_ms"`
-	Nodes     int     `json:"nodes"`
-	Brokers   int     `json:"brokers"`
-	Slices    int     `json:"slices"`
-	Districts int     `json:"districts"`
-	Reach     int     `json:"reach"`
-	Rate      float64 `json:"rate"`
-	Tries     int     `json:"tries"`
-	Retries   int     `json:"retries"`
-	History   int     `json:"history"` // retired slices that a broker remembers; 0: as many as the product
-	Client    Span    `json:"client_news_ms"`
-	Zones     int     `json:"zones"`        // nodes and brokers stand in so many, in turn
-	Cross     Span    `json:"cross"`        // ms one way between them
-	Copies    bool    `json:"copies"`       // a second copy may be out, where a repeat is safe
-	Pushed    bool    `json:"pushed"`       // the list is pushed to an agent beside each broker
-	Script    []Event `json:"script"`       // what goes wrong when, besides what is drawn
-	Told      int     `json:"told_brokers"` // how many brokers each is told there are; 0: as many as there are
-	Traffic   struct {
-		Hot  float64 `json:"hot"`  // x the mean: what the first broker is asked for; 0: as the others
-		Idle float64 `json:"idle"` // share of the brokers, the last ones, that are asked for nothing
+	Name              string  `json:"name"`
+	Seconds           float64 `json:"seconds"`
+	Arm               string  `json:"arm"`
+	SighupMs          float64 `json:"sighup_ms"`
+	Backends          int     `json:"nodes"`
+	Brokers           int     `json:"brokers"`
+	Shards            int     `json:"slices"`
+	BucketsPerShard   int     `json:"districts"`
+	ReplicasPerShard  int     `json:"reach"`
+	Rate              float64 `json:"rate"`
+	MaxAttempts       int     `json:"tries"`
+	ClientRetries     int     `json:"retries"`
+	RetiredShards     int     `json:"history"` // retired slices that a broker remembers; 0: as many as the product
+	ClientMapAge      Span    `json:"client_news_ms"`
+	Zones             int     `json:"zones"`        // nodes and brokers stand in so many, in turn
+	CrossZoneDelay    Span    `json:"cross"`        // ms one way between them
+	AllowHedging      bool    `json:"copies"`       // a second copy may be out, where a repeat is safe
+	PushEndpoints     bool    `json:"pushed"`       // the list is pushed to an agent beside each broker
+	Script            []Event `json:"script"`       // what goes wrong when, besides what is drawn
+	ConfiguredBrokers int     `json:"told_brokers"` // how many brokers each is told there are; 0: as many as there are
+	Traffic           struct {
+		HotFactor float64 `json:"hot"`  // x the mean: what the first broker is asked for; 0: as the others
+		IdleShare float64 `json:"idle"` // share of the brokers, the last ones, that are asked for nothing
 	} `json:"traffic"`
 	Clocks struct {
-		Apart float64 `json:"apart"` // ms: brokers' clocks are up to so far from the true time
-		Jump  float64 `json:"jump"`  // ms by which the first broker's is ahead
+		MaxOffset   float64 `json:"apart"` // ms: brokers' clocks are up to so far from the true time
+		FirstOffset float64 `json:"jump"`  // ms by which the first broker's is ahead
 	} `json:"clocks"`
 	Links struct { // live: relays on the links between brokers and nodes
-		Delay  Span    `json:"delay"`  // ms by which what goes over them is late, one way
-		Repeat float64 `json:"repeat"` // share of answers that come twice
+		Delay          Span    `json:"delay"`  // ms by which what goes over them is late, one way
+		DuplicateShare float64 `json:"repeat"` // share of answers that come twice
 	} `json:"links"`
 	Classes []Class `json:"classes"`
-	Node    struct {
-		Cores        int     `json:"cores"`
-		Room         int     `json:"room"`
-		ColdFrom     float64 `json:"cold_from"`
-		Warm         float64 `json:"warm"`
-		FallMultiple float64 `json:"fall_multiple"`
-		FallFor      float64 `json:"fall_for"`
-		Pause        Span    `json:"pause"` // how long each stands still by itself; 0: never
-		PauseEvery   Span    `json:"pause_every"`
-		ReportEvery  Span    `json:"report_every"` // ms between measures of load; 0: none told
+	Backend struct {
+		Cores            int     `json:"cores"`
+		QueueLimit       int     `json:"room"`
+		InitialCapacity  float64 `json:"cold_from"`
+		WarmUp           float64 `json:"warm"`
+		OverloadMultiple float64 `json:"fall_multiple"`
+		OverloadWindow   float64 `json:"fall_for"`
+		Pause            Span    `json:"pause"` // how long each stands still by itself; 0: never
+		PauseInterval    Span    `json:"pause_every"`
+		ReportInterval   Span    `json:"report_every"` // ms between measures of load; 0: none told
 	} `json:"node"`
 	Changes struct {
-		Every    float64 `json:"every"` // 0: none
-		Copy     Span    `json:"copy"`
-		Handover Span    `json:"handover"`
-		Abort    float64 `json:"abort"`
-		Split    float64 `json:"split"`
-		Merge    float64 `json:"merge"`
-		Move     float64 `json:"move"`
+		Interval     float64 `json:"every"` // 0: none
+		CopyTime     Span    `json:"copy"`
+		HandoverTime Span    `json:"handover"`
+		AbortShare   float64 `json:"abort"`
+		Split        float64 `json:"split"`
+		Merge        float64 `json:"merge"`
+		Move         float64 `json:"move"`
 	} `json:"changes"`
-	News struct {
-		List      Span    `json:"list"`
-		Node      Span    `json:"node"`
-		Catalogue Span    `json:"catalogue"`
-		Lost      float64 `json:"lost"`
-		Twice     float64 `json:"twice"`
-		Spoilt    float64 `json:"spoilt"`
-		Outages   []struct {
+	Updates struct {
+		EndpointListDelay Span    `json:"list"`
+		BackendDelay      Span    `json:"node"`
+		CatalogueDelay    Span    `json:"catalogue"`
+		LostShare         float64 `json:"lost"`
+		DuplicateShare    float64 `json:"twice"`
+		MalformedShare    float64 `json:"spoilt"`
+		Outages           []struct {
 			At  float64 `json:"at"`
 			For float64 `json:"for"`
 		} `json:"outages"`
 	} `json:"news"`
-	Troubles struct {
-		Every float64  `json:"every"` // 0: none
-		For   Span     `json:"for"`
-		Kinds []string `json:"kinds"`
+	Faults struct {
+		Interval float64  `json:"every"` // 0: none
+		For      Span     `json:"for"`
+		Kinds    []string `json:"kinds"`
 	} `json:"troubles"`
 	Expect map[string]Bound `json:"expect"`
 }
@@ -149,87 +149,87 @@
 	if err := jsonnetfile.LoadText(path, text, api.ExperimentSchema, vars, e); err != nil {
 		return nil, err
 	}
-	e.defaults()
-	if e.Reach > e.Nodes {
-		return nil, fmt.Errorf("%s: reach: %d holders of %d nodes", path, e.Reach, e.Nodes)
+	e.applyDefaults()
+	if e.ReplicasPerShard > e.Backends {
+		return nil, fmt.Errorf("%s: reach: %d holders of %d nodes", path, e.ReplicasPerShard, e.Backends)
 	}
 	for i, v := range e.Script {
 		most := map[string]int{"zone_cut": e.Zones, "broker": e.Brokers, "silent": e.Brokers,
 			"link_cut": e.Brokers}[v.Kind]
 		if most == 0 {
-			most = e.Nodes
+			most = e.Backends
 		}
 		if v.On < 0 || v.On >= most {
 			return nil, fmt.Errorf("%s: script[%d]: %s on %d of %d", path, i, v.Kind, v.On, most)
 		}
 	}
 	for i, c := range e.Classes {
-		if int(c.Parts[0]) < 1 || c.Parts[1] < c.Parts[0] || int(c.Parts[1]) > e.Slices || c.Deadline < c.Aim {
+		if int(c.Parts[0]) < 1 || c.Parts[1] < c.Parts[0] || int(c.Parts[1]) > e.Shards || c.Deadline < c.LatencyObjective {
 			return nil, fmt.Errorf("%s: classes[%d]: parts %v of %d slices, aim %v, deadline %v", path, i, c.Parts,
-				e.Slices, c.Aim, c.Deadline)
+				e.Shards, c.LatencyObjective, c.Deadline)
 		}
 	}
 	return e, nil
 }
 
-func set[T comparable](to *T, v T) {
+func setDefault[T comparable](to *T, v T) {
 	var zero T
 	if *to == zero {
 		*to = v
 	}
 }
 
-func (e *Experiment) defaults() {
-	set(&e.Arm, Follow)
-	set(&e.SighupMS, 10_000)
-	set(&e.Districts, 16)
-	set(&e.Reach, min(3, e.Nodes))
-	set(&e.Tries, 4)
-	set(&e.Client, Span{0, 2000})
-	set(&e.Node.Cores, 2)
-	set(&e.Node.Room, 64)
-	set(&e.Node.ColdFrom, 0.21)
-	set(&e.Node.Warm, 18_000)
-	set(&e.Node.FallMultiple, 2.5)
-	set(&e.Node.FallFor, 1500)
-	set(&e.Changes.Copy, Span{200, 1500})
-	set(&e.Changes.Handover, Span{100, 800})
+func (e *Experiment) applyDefaults() {
+	setDefault(&e.Arm, Follow)
+	setDefault(&e.SighupMs, 10_000)
+	setDefault(&e.BucketsPerShard, 16)
+	setDefault(&e.ReplicasPerShard, min(3, e.Backends))
+	setDefault(&e.MaxAttempts, 4)
+	setDefault(&e.ClientMapAge, Span{0, 2000})
+	setDefault(&e.Backend.Cores, 2)
+	setDefault(&e.Backend.QueueLimit, 64)
+	setDefault(&e.Backend.InitialCapacity, 0.21)
+	setDefault(&e.Backend.WarmUp, 18_000)
+	setDefault(&e.Backend.OverloadMultiple, 2.5)
+	setDefault(&e.Backend.OverloadWindow, 1500)
+	setDefault(&e.Changes.CopyTime, Span{200, 1500})
+	setDefault(&e.Changes.HandoverTime, Span{100, 800})
 	if e.Changes.Split+e.Changes.Merge+e.Changes.Move == 0 {
 		e.Changes.Split, e.Changes.Merge, e.Changes.Move = 1, 1, 2
 	}
-	set(&e.News.List, Span{500, 3000})
-	set(&e.News.Node, Span{2, 150})
-	set(&e.News.Catalogue, Span{2, 150})
-	set(&e.Troubles.For, Span{2000, 6000})
-	set(&e.Zones, 1)
-	set(&e.Cross, Span{0.4, 0.8})
-	set(&e.Node.PauseEvery, Span{4900, 8700})
+	setDefault(&e.Updates.EndpointListDelay, Span{500, 3000})
+	setDefault(&e.Updates.BackendDelay, Span{2, 150})
+	setDefault(&e.Updates.CatalogueDelay, Span{2, 150})
+	setDefault(&e.Faults.For, Span{2000, 6000})
+	setDefault(&e.Zones, 1)
+	setDefault(&e.CrossZoneDelay, Span{0.4, 0.8})
+	setDefault(&e.Backend.PauseInterval, Span{4900, 8700})
 	for i := range e.Classes {
-		set(&e.Classes[i].Worth, 1)
-		set(&e.Classes[i].Floor, 1)
+		setDefault(&e.Classes[i].PriorityWeight, 1)
+		setDefault(&e.Classes[i].MinCompleteness, 1)
 	}
 }
 
 // NodeOptions are the figures of a node.
-func (e *Experiment) NodeOptions() model.Options {
-	return model.Options{Cores: e.Node.Cores, Room: e.Node.Room, ColdFrom: e.Node.ColdFrom, Warm: e.Node.Warm,
-		FallMultiple: e.Node.FallMultiple, FallFor: e.Node.FallFor}
+func (e *Experiment) BackendOptions() model.Options {
+	return model.Options{Cores: e.Backend.Cores, QueueLimit: e.Backend.QueueLimit, InitialCapacity: e.Backend.InitialCapacity, WarmUp: e.Backend.WarmUp,
+		OverloadMultiple: e.Backend.OverloadMultiple, OverloadWindow: e.Backend.OverloadWindow}
 }
 
 // Settings are what a broker's module is told.
 func (e *Experiment) Settings(me int, layout scheduler.Placement) scheduler.Settings {
-	told := e.ToldBrokers()
-	s := scheduler.Settings{BrokerIndex: me % told, BrokerCount: told, TimerResolution: 5, Shards: e.Slices, Cells: e.Nodes, CellsPerShard: e.Reach,
-		LocalZone: e.ZoneOf(me), AllowHedging: e.Copies,
-		Placement: layout, MaxPartsPerCall: 1, PollEndpoints: !e.Pushed, MaxStaleness: 10_000, CanCancel: true, MaxAttempts: e.Tries,
+	told := e.BrokerCount()
+	s := scheduler.Settings{BrokerIndex: me % told, BrokerCount: told, TimerResolution: 5, Shards: e.Shards, Cells: e.Backends, CellsPerShard: e.ReplicasPerShard,
+		LocalZone: e.ZoneOf(me), AllowHedging: e.AllowHedging,
+		Placement: layout, MaxPartsPerCall: 1, PollEndpoints: !e.PushEndpoints, MaxStaleness: 10_000, CanCancel: true, MaxAttempts: e.MaxAttempts,
 		MaxRetryAfter: 1000, DrainGrace: 1000, SlowStart: scheduler.SlowStartSettings{
-			InitialCapacity: e.Node.ColdFrom, Duration: e.Node.Warm, WorkMultiple: e.Node.FallMultiple, Window: e.Node.FallFor},
+			InitialCapacity: e.Backend.InitialCapacity, Duration: e.Backend.WarmUp, WorkMultiple: e.Backend.OverloadMultiple, Window: e.Backend.OverloadWindow},
 		AnswerGrace: 20}
 	for _, c := range e.Classes {
-		k := scheduler.Class{LatencyObjective: c.Aim, Deadline: c.Deadline, PriorityWeight: c.Worth, LateFactor: c.Late, MinCompleteness: c.Floor,
+		k := scheduler.Class{LatencyObjective: c.LatencyObjective, Deadline: c.Deadline, PriorityWeight: c.PriorityWeight, LateFactor: c.LateFactor, MinCompleteness: c.MinCompleteness,
 			CompletenessTarget: 1,
-			PartialFactor:      c.Partial}
-		if c.Once() && e.Arm != Naive {
+			PartialFactor:      c.PartialFactor}
+		if c.NonIdempotent() && e.Arm != Naive {
 			k.Idempotency = scheduler.NonIdempotent
 		}
 		s.Classes = append(s.Classes, k)
@@ -239,39 +239,39 @@
 
 // HasLinks tells that relays stand on the links between brokers and nodes.
 func (e *Experiment) HasLinks() bool {
-	return e.Links.Delay[1] > 0 || e.Links.Repeat > 0 ||
+	return e.Links.Delay[1] > 0 || e.Links.DuplicateShare > 0 ||
 		slices.ContainsFunc(e.Script, func(v Event) bool { return v.Kind == "link_cut" })
 }
 
 // ToldBrokers is how many brokers each is told there are.
-func (e *Experiment) ToldBrokers() int {
-	if e.Told > 0 {
-		return e.Told
+func (e *Experiment) BrokerCount() int {
+	if e.ConfiguredBrokers > 0 {
+		return e.ConfiguredBrokers
 	}
 	return e.Brokers
 }
 
 // ClockOf is by how much a broker's clock is ahead of the true time, in ms.
-func (e *Experiment) ClockOf(broker int) float64 {
-	if broker == 0 && e.Clocks.Jump != 0 {
-		return e.Clocks.Jump
+func (e *Experiment) ClockOffset(broker int) float64 {
+	if broker == 0 && e.Clocks.FirstOffset != 0 {
+		return e.Clocks.FirstOffset
 	}
-	return e.Clocks.Apart * (2*float64(broker*67%e.Brokers)/float64(e.Brokers) - 1)
+	return e.Clocks.MaxOffset * (2*float64(broker*67%e.Brokers)/float64(e.Brokers) - 1)
 }
 
 // ZoneOf is the zone of the node or broker of that number.
 func (e *Experiment) ZoneOf(i int) int { return i % e.Zones }
 
 // NodeID is the name of a node.
-func NodeID(i int) string { return fmt.Sprintf("node-%d", i) }
+func BackendID(i int) string { return fmt.Sprintf("node-%d", i) }
 
 // Map is the map at the start: slices in a row, each on Reach nodes of a ring.
-func (e *Experiment) Map() shardmap.Snapshot {
-	w := shardmap.Snapshot{Epoch: 1, Buckets: e.Slices * e.Districts}
-	for i := range e.Slices {
-		s := &shardmap.Shard{ID: i, Range: shardmap.Range{Start: i * e.Districts, End: (i + 1) * e.Districts}}
-		for j := range e.Reach {
-			s.Replicas = append(s.Replicas, NodeID((i+j)%e.Nodes))
+func (e *Experiment) InitialMap() shardmap.Snapshot {
+	w := shardmap.Snapshot{Epoch: 1, Buckets: e.Shards * e.BucketsPerShard}
+	for i := range e.Shards {
+		s := &shardmap.Shard{ID: i, Range: shardmap.Range{Start: i * e.BucketsPerShard, End: (i + 1) * e.BucketsPerShard}}
+		for j := range e.ReplicasPerShard {
+			s.Replicas = append(s.Replicas, BackendID((i+j)%e.Backends))
 		}
 		w.Shards = append(w.Shards, s)
 	}
--- a/internal/lab/ledger/ledger.go
+++ b/internal/lab/ledger/ledger.go
@@ -7,152 +7,154 @@
 
 // Broker is what one broker did.
 type Broker struct {
-	Sent, Busy                 int // parts sent; of them turned away as busy
-	Answered, Refused, Without int // queries by how they ended; without: failed
+	PartsSent, PartsRejected   int // parts sent; of them turned away as busy
+	Answered, Rejected, Failed int // queries by how they ended; without: failed
 }
 
 // Ended is how many of its queries have ended.
-func (b Broker) Ended() int { return b.Answered + b.Refused + b.Without }
+func (b Broker) Ended() int { return b.Answered + b.Rejected + b.Failed }
 
 // Cold is what a cold node was sent and might have been sent in some time.
-type Cold struct{ Used, May float64 }
+type Allowance struct{ Used, Allowed float64 }
 
 // Share is how much of it was used, 0 if nothing might be sent.
-func (c Cold) Share() float64 {
-	if c.May <= 0 {
+func (c Allowance) Share() float64 {
+	if c.Allowed <= 0 {
 		return 0
 	}
-	return c.Used / c.May
+	return c.Used / c.Allowed
 }
 
 // Moment is what was counted in some time from At on, in ms.
-type Moment struct {
-	At, For             float64
-	Cold                Cold
-	Sent, Busy, Refused int // parts, and queries
+type Interval struct {
+	StartMs, DurationMs                        float64
+	Allowance                                  Allowance
+	PartsSent, PartsRejected, RequestsRejected int // parts, and queries
 }
 
 // Node is what became of a node while it was cold.
-type Node struct {
-	Cold
-	Users   map[int]bool // brokers that sent it something
-	Refused int          // parts that it turned away
+type Backend struct {
+	Allowance
+	Brokers       map[int]bool // brokers that sent it something
+	PartsRejected int          // parts that it turned away
 }
 
 // mostMoments bounds the moments that are kept: beyond it two become one.
-const mostMoments = 1024
+const maxIntervals = 1024
 
 // Ledger is the counts of a run. Its memory is one entry for each broker, for each node that was cold with at
 // most one for each broker in it, and mostMoments.
 type Ledger struct {
-	Brokers []Broker
-	Nodes   map[string]*Node
-	Moments []Moment
-	All     Cold // over the whole run
-	Short   Cold // of the steps in which a query was refused
-	now     Moment
-	width   int // steps in a moment
-	steps   int
+	Brokers          []Broker
+	Backends         map[string]*Backend
+	Intervals        []Interval
+	Total            Allowance // over the whole run
+	WhileRejecting   Allowance // of the steps in which a query was refused
+	current          Interval
+	stepsPerInterval int // steps in a moment
+	steps            int
 }
 
 // New makes a ledger for so many brokers.
 func New(brokers int) *Ledger {
-	return &Ledger{Brokers: make([]Broker, brokers), Nodes: map[string]*Node{}, width: 1}
+	return &Ledger{Brokers: make([]Broker, brokers), Backends: map[string]*Backend{}, stepsPerInterval: 1}
 }
 
 // node is a cold node's entry.
-func (l *Ledger) node(name string) *Node {
-	n := l.Nodes[name]
+func (l *Ledger) backend(name string) *Backend {
+	n := l.Backends[name]
 	if n == nil {
-		n = &Node{Users: map[int]bool{}}
-		l.Nodes[name] = n
+		n = &Backend{Brokers: map[int]bool{}}
+		l.Backends[name] = n
 	}
 	return n
 }
 
 // Sent notes a part that a broker sent.
-func (l *Ledger) Sent(broker int) {
-	l.Brokers[broker].Sent++
-	l.now.Sent++
+func (l *Ledger) PartSent(broker int) {
+	l.Brokers[broker].PartsSent++
+	l.current.PartsSent++
 }
 
 // Busy notes that a part was turned away, by the cold node of that name, or by a warm one if it is empty.
-func (l *Ledger) Busy(broker int, cold string) {
-	l.Brokers[broker].Busy++
-	if l.now.Busy++; cold != "" {
-		l.node(cold).Refused++
+func (l *Ledger) PartRejected(broker int, cold string) {
+	l.Brokers[broker].PartsRejected++
+	if l.current.PartsRejected++; cold != "" {
+		l.backend(cold).PartsRejected++
 	}
 }
 
 // Answered notes an answered query of a broker.
-func (l *Ledger) Answered(broker int) { l.Brokers[broker].Answered++ }
+func (l *Ledger) RequestAnswered(broker int) { l.Brokers[broker].Answered++ }
 
 // Refused notes a refusal; the step counts as one in which nodes were short.
-func (l *Ledger) Refused(broker int) {
-	l.Brokers[broker].Refused++
-	l.now.Refused++
+func (l *Ledger) RequestRejected(broker int) {
+	l.Brokers[broker].Rejected++
+	l.current.RequestsRejected++
 }
 
 // Failed notes a failure.
-func (l *Ledger) Failed(broker int) { l.Brokers[broker].Without++ }
+func (l *Ledger) RequestFailed(broker int) { l.Brokers[broker].Failed++ }
 
 // Cold notes work that reached a cold node from a broker.
-func (l *Ledger) Cold(node string, broker int, work float64) {
-	l.now.Cold.Used += work
-	n := l.node(node)
+func (l *Ledger) WorkSent(node string, broker int, work float64) {
+	l.current.Allowance.Used += work
+	n := l.backend(node)
 	n.Used += work
-	n.Users[broker] = true
+	n.Brokers[broker] = true
 }
 
 // May notes that a cold node might be sent so much work in this step.
-func (l *Ledger) May(node string, work float64) {
-	l.now.Cold.May += work
-	l.node(node).May += work
+func (l *Ledger) WorkAllowed(node string, work float64) {
+	l.current.Allowance.Allowed += work
+	l.backend(node).Allowed += work
 }
 
 // Step ends a step of so many ms.
-func (l *Ledger) Step(at, took float64) {
-	m := l.now
-	l.All = l.All.and(m.Cold)
-	if m.Refused > 0 {
-		l.Short = l.Short.and(m.Cold)
+func (l *Ledger) EndStep(at, took float64) {
+	m := l.current
+	l.Total = l.Total.plus(m.Allowance)
+	if m.RequestsRejected > 0 {
+		l.WhileRejecting = l.WhileRejecting.plus(m.Allowance)
 	}
-	l.now = Moment{}
-	m.At, m.For = at, took
-	if l.steps%l.width == 0 {
-		if len(l.Moments) == mostMoments {
-			l.halve()
+	l.current = Interval{}
+	m.StartMs, m.DurationMs = at, took
+	if l.steps%l.stepsPerInterval == 0 {
+		if len(l.Intervals) == maxIntervals {
+			l.mergeIntervals()
 		}
-		l.Moments = append(l.Moments, m)
+		l.Intervals = append(l.Intervals, m)
 	} else {
-		last := &l.Moments[len(l.Moments)-1]
-		*last = last.and(m)
+		last := &l.Intervals[len(l.Intervals)-1]
+		*last = last.plus(m)
 	}
 	l.steps++
 }
 
 // halve makes one moment of two, and of all that follow as long ones.
-func (l *Ledger) halve() {
-	for i := range len(l.Moments) / 2 {
-		l.Moments[i] = l.Moments[2*i].and(l.Moments[2*i+1])
+func (l *Ledger) mergeIntervals() {
+	for i := range len(l.Intervals) / 2 {
+		l.Intervals[i] = l.Intervals[2*i].plus(l.Intervals[2*i+1])
 	}
-	l.Moments = l.Moments[:len(l.Moments)/2]
-	l.width *= 2
+	l.Intervals = l.Intervals[:len(l.Intervals)/2]
+	l.stepsPerInterval *= 2
 }
 
-func (c Cold) and(o Cold) Cold { return Cold{c.Used + o.Used, c.May + o.May} }
+func (c Allowance) plus(o Allowance) Allowance {
+	return Allowance{c.Used + o.Used, c.Allowed + o.Allowed}
+}
 
 // and is two moments as one, of which the first came first.
-func (m Moment) and(o Moment) Moment {
-	return Moment{m.At, m.For + o.For, m.Cold.and(o.Cold), m.Sent + o.Sent, m.Busy + o.Busy,
-		m.Refused + o.Refused}
+func (m Interval) plus(o Interval) Interval {
+	return Interval{m.StartMs, m.DurationMs + o.DurationMs, m.Allowance.plus(o.Allowance), m.PartsSent + o.PartsSent, m.PartsRejected + o.PartsRejected,
+		m.RequestsRejected + o.RequestsRejected}
 }
 
 // BusyParts is how many parts were turned away, and their share of those sent.
-func (l *Ledger) BusyParts() (n int, share float64) {
+func (l *Ledger) RejectedParts() (n int, share float64) {
 	sent := 0
 	for _, b := range l.Brokers {
-		n, sent = n+b.Busy, sent+b.Sent
+		n, sent = n+b.PartsRejected, sent+b.PartsSent
 	}
 	return n, float64(n) / math.Max(1, float64(sent))
 }
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -15,11 +15,11 @@
 	"golang.org/x/sys/unix"
 )
 
-var given atomic.Int64
+var addressCount atomic.Int64
 
 // Own is an address of its own with port 0, to listen at.
 func Own() string {
-	n, pid := int(given.Add(1)), os.Getpid()
+	n, pid := int(addressCount.Add(1)), os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d:0", 1+pid%250, n/250%250, 1+n%250)
 }
 
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -14,7 +14,7 @@
 // CI must say the same every time; -rapid.seed=0 on the command line draws new histories.
 func init() { _ = flag.Set("rapid.seed", "20261201") }
 
-var options = Options{Cores: 2, Room: 4, ColdFrom: 0.2, Warm: 10_000, FallMultiple: 2.5, FallFor: 1500}
+var options = Options{Cores: 2, QueueLimit: 4, InitialCapacity: 0.2, WarmUp: 10_000, OverloadMultiple: 2.5, OverloadWindow: 1500}
 
 func first(t require.TestingT) *shardmap.Map {
 	m := shardmap.New(shardmap.Options{})
@@ -46,19 +46,19 @@
 		ran := 0
 		for _, id := range []string{"a", "c"} {
 			n := New(id, options, v, 1)
-			j := &Job{Query: "q", Districts: shardmap.Range{Start: 10, End: 20}, Epoch: v.Epoch, Work: 10}
-			if end, done := n.Arrive(5, j); end == None && done > 0 {
+			j := &Job{RequestID: "q", Buckets: shardmap.Range{Start: 10, End: 20}, Epoch: v.Epoch, Work: 10}
+			if end, done := n.Arrive(5, j); end == NoOutcome && done > 0 {
 				ran++
 			} else {
-				require.Equal(t, Moved, end)
+				require.Equal(t, NotHolder, end)
 			}
 		}
 		require.Equal(t, 1, ran, "epoch %d", v.Epoch)
 	}
 	// A part routed by news that the node has not heard is not its to run, whoever it thinks it is.
 	n := New("a", options, views[0], 1)
-	end, _ := n.Arrive(5, &Job{Districts: shardmap.Range{Start: 10, End: 20}, Epoch: 3, Work: 10})
-	require.Equal(t, Moved, end)
+	end, _ := n.Arrive(5, &Job{Buckets: shardmap.Range{Start: 10, End: 20}, Epoch: 3, Work: 10})
+	require.Equal(t, NotHolder, end)
 }
 
 // What waits at a node when its slice is handed over is given back, and never runs there.
@@ -67,18 +67,18 @@
 	n := New("a", options, m.Current(), 1)
 	var jobs []*Job
 	for i := range 4 {
-		j := &Job{Query: fmt.Sprint(i), Districts: shardmap.Range{Start: 0, End: 10}, Epoch: 1, Work: 10}
+		j := &Job{RequestID: fmt.Sprint(i), Buckets: shardmap.Range{Start: 0, End: 10}, Epoch: 1, Work: 10}
 		_, _ = n.Arrive(float64(i), j)
 		jobs = append(jobs, j)
 	}
 	change(t, m, shardmap.Change{Kind: shardmap.Move, Shard: 0, From: "a", To: "c"})
 	change(t, m, shardmap.Change{Kind: shardmap.Handover, Shard: 0})
-	n.Learn(m.Current())
+	n.UpdateMap(m.Current())
 	end, moved, next, _ := n.Finish(10, jobs[0])
 	require.Equal(t, OK, end, "what had begun is finished")
 	require.Equal(t, jobs[2:], moved)
 	require.Nil(t, next)
-	require.EqualValues(t, 2, n.Ran)
+	require.EqualValues(t, 2, n.PartsRun)
 }
 
 func TestColdNodeFallsOverAndWarmOneDoesNot(t *testing.T) {
@@ -87,9 +87,9 @@
 		n := New("a", options, m.Current(), 1)
 		n.Started = started
 		for i := range 60 {
-			_, _ = n.Arrive(100_000+float64(i)*20, &Job{Districts: shardmap.Range{Start: 0, End: 10}, Epoch: 1, Work: 70})
+			_, _ = n.Arrive(100_000+float64(i)*20, &Job{Buckets: shardmap.Range{Start: 0, End: 10}, Epoch: 1, Work: 70})
 		}
-		return n.Fallen
+		return n.Overloaded
 	}
 	require.True(t, press(99_000))
 	require.False(t, press(0))
@@ -102,7 +102,7 @@
 func handover(t *rapid.T, fenced bool) {
 	m := first(t)
 	views := []*shardmap.Version{m.Current()}
-	nodes := map[string]*Node{}
+	nodes := map[string]*Backend{}
 	for _, id := range []string{"a", "b", "c"} {
 		nodes[id] = New(id, options, m.Current(), 1)
 	}
@@ -131,7 +131,7 @@
 		},
 		"node hears": func(t *rapid.T) {
 			n := nodes[rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "node")]
-			n.Learn(rapid.SampledFrom(views).Draw(t, "view")) // news comes late, twice and out of order
+			n.UpdateMap(rapid.SampledFrom(views).Draw(t, "view")) // news comes late, twice and out of order
 		},
 		"broker hears": func(t *rapid.T) { broker = max(broker, rapid.IntRange(0, len(views)-1).Draw(t, "view")) },
 		"node restarts": func(t *rapid.T) { // with whatever map it finds; what it had is gone
@@ -145,19 +145,19 @@
 			}
 			s := views[broker].ShardAt(5)
 			to := rapid.SampledFrom(s.Executors()).Draw(t, "to")
-			j := &Job{Districts: shardmap.Range{Start: 0, End: 10}, Epoch: s.Since, Work: 1}
+			j := &Job{Buckets: shardmap.Range{Start: 0, End: 10}, Epoch: s.Since, Work: 1}
 			if !fenced {
 				j.Epoch = 0 // the node says err where it does not hold the districts, and the broker sends again
 			}
 			clock += 100
 			end, done := nodes[to].Arrive(clock, j)
-			if end == None && done > 0 {
+			if end == NoOutcome && done > 0 {
 				ran++
 				if _, _, _, _ = nodes[to].Finish(done, j); rapid.Bool().Draw(t, "answer lost") && !fenced {
 					return // whoever takes that for an error sends again
 				}
 			}
-			settled = end != Moved && end != Err && end != Busy
+			settled = end != NotHolder && end != Failed && end != Rejected
 		},
 		"": func(t *rapid.T) {
 			require.LessOrEqual(t, ran, 1, "the part ran twice")
--- a/internal/lab/relay/relay.go
+++ b/internal/lab/relay/relay.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	dialMost  = time.Second
-	chunk     = 32 << 10
-	queueMost = 256     // pieces that wait in a direction: beyond it the sender is held back
-	frameMost = 1 << 20 // a longer frame is passed on as it is, and never again
-	frameHead = 4
+	dialTimeout      = time.Second
+	chunkBytes       = 32 << 10
+	maxQueuedPieces  = 256     // pieces that wait in a direction: beyond it the sender is held back
+	maxFrameBytes    = 1 << 20 // a longer frame is passed on as it is, and never again
+	frameHeaderBytes = 4
 )
 
 // Fault is what a relay does to its link now. The zero Fault passes on all at once.
 type Fault struct {
-	Cut    bool          // nothing gets through, and nobody is told; new connections come up and stay silent
-	Delay  time.Duration // each piece waits so long
-	Spread time.Duration // and up to so much more, by chance; pieces keep their order
-	Repeat float64       // share of the target's frames (a length of four bytes, then so many) sent once more
+	Cut            bool          // nothing gets through, and nobody is told; new connections come up and stay silent
+	Delay          time.Duration // each piece waits so long
+	Jitter         time.Duration // and up to so much more, by chance; pieces keep their order
+	DuplicateShare float64       // share of the target's frames (a length of four bytes, then so many) sent once more
 }
 
 // Relay is one link.
@@ -36,21 +36,21 @@
 	frames bool // what the target sends comes in frames
 	ln     net.Listener
 
-	mu     sync.Mutex
-	fault  Fault
-	healed *sync.Cond // broadcast when the fault changes or the relay closes
-	pairs  map[*pair]struct{}
-	closed bool
-	stats  Stats
+	mu      sync.Mutex
+	fault   Fault
+	changed *sync.Cond // broadcast when the fault changes or the relay closes
+	links   map[*link]struct{}
+	closed  bool
+	stats   Stats
 }
 
 // Stats are what a relay has counted.
-type Stats struct{ Conns, Pieces, Repeated, Reset int }
+type Stats struct{ Conns, Pieces, Duplicated, Reset int }
 
 // pair is a connection and the one that it goes on as.
-type pair struct {
-	in, out net.Conn
-	lost    bool // something did not get through while it was cut: it is reset once the way is back
+type link struct {
+	client, server net.Conn
+	hasLost        bool // something did not get through while it was cut: it is reset once the way is back
 }
 
 // New starts a relay to a target. frames tells that what the target sends comes in frames, to be repeated.
@@ -59,8 +59,8 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{target: target, frames: frames, ln: ln, pairs: map[*pair]struct{}{}}
-	r.healed = sync.NewCond(&r.mu)
+	r := &Relay{target: target, frames: frames, ln: ln, links: map[*link]struct{}{}}
+	r.changed = sync.NewCond(&r.mu)
 	go r.accept()
 	return r, nil
 }
@@ -82,21 +82,21 @@
 	defer r.mu.Unlock()
 	r.fault = f
 	if !f.Cut {
-		for p := range r.pairs {
-			if p.lost {
+		for p := range r.links {
+			if p.hasLost {
 				r.stats.Reset++
 				p.reset()
 			}
 		}
 	}
-	r.healed.Broadcast()
+	r.changed.Broadcast()
 }
 
 // Reset ends all connections of the link.
 func (r *Relay) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for p := range r.pairs {
+	for p := range r.links {
 		r.stats.Reset++
 		p.reset()
 	}
@@ -108,14 +108,14 @@
 	defer r.mu.Unlock()
 	r.closed = true
 	_ = r.ln.Close()
-	for p := range r.pairs {
+	for p := range r.links {
 		p.reset()
 	}
-	r.healed.Broadcast()
+	r.changed.Broadcast()
 }
 
-func (p *pair) reset() {
-	for _, c := range []net.Conn{p.in, p.out} {
+func (p *link) reset() {
+	for _, c := range []net.Conn{p.client, p.server} {
 		if t, ok := c.(*net.TCPConn); ok {
 			_ = t.SetLinger(0)
 			_ = t.Close()
@@ -135,31 +135,31 @@
 
 // serve passes on one connection. In a cut it comes up here and goes nowhere until the way is back.
 func (r *Relay) serve(in net.Conn) {
-	p := &pair{in: in}
+	p := &link{client: in}
 	r.mu.Lock()
-	r.pairs[p] = struct{}{}
+	r.links[p] = struct{}{}
 	r.stats.Conns++
 	for r.fault.Cut && !r.closed {
-		p.lost = true
-		r.healed.Wait()
+		p.hasLost = true
+		r.changed.Wait()
 	}
-	gone := r.closed || p.lost
+	gone := r.closed || p.hasLost
 	r.mu.Unlock()
 	defer func() {
 		r.mu.Lock()
-		delete(r.pairs, p)
+		delete(r.links, p)
 		r.mu.Unlock()
 		p.reset()
 	}()
 	if gone {
 		return
 	}
-	out, err := net.DialTimeout("tcp", r.target, dialMost)
+	out, err := net.DialTimeout("tcp", r.target, dialTimeout)
 	if err != nil {
 		return
 	}
 	r.mu.Lock()
-	p.out = out
+	p.server = out
 	gone = r.closed
 	r.mu.Unlock()
 	if gone {
@@ -168,8 +168,8 @@
 	}
 	var both sync.WaitGroup
 	both.Add(2)
-	go func() { defer both.Done(); r.pass(p, in, out, false) }()
-	go func() { defer both.Done(); r.pass(p, out, in, r.frames) }()
+	go func() { defer both.Done(); r.forward(p, in, out, false) }()
+	go func() { defer both.Done(); r.forward(p, out, in, r.frames) }()
 	both.Wait()
 }
 
@@ -180,14 +180,14 @@
 }
 
 // pass carries one direction until it ends.
-func (r *Relay) pass(p *pair, from, to net.Conn, frames bool) {
-	queue := make(chan piece, queueMost)
+func (r *Relay) forward(p *link, from, to net.Conn, frames bool) {
+	queue := make(chan piece, maxQueuedPieces)
 	go func() {
 		defer close(queue)
 		last := time.Time{}
 		put := func(data []byte) {
-			f := r.now()
-			due := time.Now().Add(f.Delay + time.Duration(rand.Float64()*float64(f.Spread)))
+			f := r.currentFault()
+			due := time.Now().Add(f.Delay + time.Duration(rand.Float64()*float64(f.Jitter)))
 			if due.Before(last) {
 				due = last
 			}
@@ -202,7 +202,7 @@
 			data, whole, err := read(from)
 			if len(data) > 0 {
 				put(data)
-				if whole && r.again() {
+				if whole && r.shouldDuplicate() {
 					put(data)
 				}
 			}
@@ -216,7 +216,7 @@
 	}()
 	for x := range queue {
 		time.Sleep(time.Until(x.due))
-		if !r.through(p) {
+		if !r.countPiece(p) {
 			for range queue { // what comes in a cut is lost
 			}
 			return
@@ -232,52 +232,52 @@
 	}
 }
 
-func (r *Relay) now() Fault {
+func (r *Relay) currentFault() Fault {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.fault
 }
 
 // again tells whether a frame goes out once more.
-func (r *Relay) again() bool {
+func (r *Relay) shouldDuplicate() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.fault.Repeat <= 0 || rand.Float64() >= r.fault.Repeat {
+	if r.fault.DuplicateShare <= 0 || rand.Float64() >= r.fault.DuplicateShare {
 		return false
 	}
-	r.stats.Repeated++
+	r.stats.Duplicated++
 	return true
 }
 
 // through counts a piece, or notes that it is lost.
-func (r *Relay) through(p *pair) bool {
+func (r *Relay) countPiece(p *link) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.fault.Cut {
-		p.lost = true
+		p.hasLost = true
 		return false
 	}
 	r.stats.Pieces++
-	return !p.lost
+	return !p.hasLost
 }
 
 func readChunk(c net.Conn) ([]byte, bool, error) {
-	b := make([]byte, chunk)
+	b := make([]byte, chunkBytes)
 	n, err := c.Read(b)
 	return b[:n], false, err
 }
 
 // readFrame reads one frame; whole tells that it is one.
 func readFrame(c net.Conn) (data []byte, whole bool, err error) {
-	b := make([]byte, frameHead, 512)
+	b := make([]byte, frameHeaderBytes, 512)
 	if n, err := io.ReadFull(c, b); err != nil {
 		return b[:n], false, err
 	}
 	n := binary.BigEndian.Uint32(b)
-	if n > frameMost {
+	if n > maxFrameBytes {
 		return b, false, nil
 	}
 	b = append(b, make([]byte, n)...)
-	got, err := io.ReadFull(c, b[frameHead:])
-	return b[:frameHead+got], err == nil, err
+	got, err := io.ReadFull(c, b[frameHeaderBytes:])
+	return b[:frameHeaderBytes+got], err == nil, err
 }
--- a/internal/lab/relay/relay_test.go
+++ b/internal/lab/relay/relay_test.go
@@ -67,7 +67,7 @@
 	r, c, _ := start(t, true)
 	_, _ = c.Write([]byte(hello))
 	assert.Equal(t, hello, get(t, c, len(hello)))
-	r.Set(Fault{Delay: 60 * time.Millisecond, Spread: 20 * time.Millisecond})
+	r.Set(Fault{Delay: 60 * time.Millisecond, Jitter: 20 * time.Millisecond})
 	at := time.Now()
 	_, _ = c.Write([]byte(hello))
 	assert.Equal(t, hello, get(t, c, len(hello)))
@@ -76,12 +76,12 @@
 
 func TestRepeatsWholeFrames(t *testing.T) {
 	r, c, came := start(t, true)
-	r.Set(Fault{Repeat: 1})
+	r.Set(Fault{DuplicateShare: 1})
 	_, _ = c.Write([]byte(hello))
 	assert.Equal(t, hello+hello, get(t, c, 2*len(hello)))
 	assert.Equal(t, hello, <-came, "what goes to the target goes once")
 	assert.Empty(t, came)
-	assert.Equal(t, 1, r.Stats().Repeated)
+	assert.Equal(t, 1, r.Stats().Duplicated)
 }
 
 // TestCutIsSilentAndResetsLater: nothing gets through and nobody is told; new connections come up and stay silent; once
--- a/internal/lab/result/charts.go
+++ b/internal/lab/result/charts.go
@@ -16,20 +16,20 @@
 
 // Point is where a run stood after so many seconds, counted from its start.
 type Point struct {
-	Second                           int
-	Taken, Answered, Refused, Failed int
-	Changes                          int
-	Worth                            float64
+	Second                               int
+	Received, Answered, Rejected, Failed int
+	Changes                              int
+	EarnedShare                          float64
 }
 
 // PointOf is a point of a run's summary so far.
 func PointOf(second int, s Summary) Point {
-	return Point{second, s.Taken, s.Answered, s.Refused, s.Failed, s.Changes, s.Worth}
+	return Point{second, s.Received, s.Answered, s.Rejected, s.Failed, s.Changes, s.EarnedShare}
 }
 
 const (
-	chartWide = 18 * vg.Centimeter
-	chartHigh = 9 * vg.Centimeter
+	chartWidth  = 18 * vg.Centimeter
+	chartHeight = 9 * vg.Centimeter
 )
 
 // WriteSeries keeps the course of a run: series.csv, and charts of what was answered, refused and failed in
@@ -43,9 +43,9 @@
 	w := csv.NewWriter(f)
 	_ = w.Write([]string{"second", "taken", "answered", "refused", "failed", "changes", "worth"})
 	for _, p := range points {
-		_ = w.Write([]string{strconv.Itoa(p.Second), strconv.Itoa(p.Taken), strconv.Itoa(p.Answered),
-			strconv.Itoa(p.Refused), strconv.Itoa(p.Failed), strconv.Itoa(p.Changes),
-			strconv.FormatFloat(p.Worth, 'f', 6, 64)})
+		_ = w.Write([]string{strconv.Itoa(p.Second), strconv.Itoa(p.Received), strconv.Itoa(p.Answered),
+			strconv.Itoa(p.Rejected), strconv.Itoa(p.Failed), strconv.Itoa(p.Changes),
+			strconv.FormatFloat(p.EarnedShare, 'f', 6, 64)})
 	}
 	if w.Flush(); w.Error() != nil {
 		return w.Error()
@@ -63,13 +63,13 @@
 		return out
 	}
 	if err := plotutil.AddLines(ends, "answered", rate(func(p Point) int { return p.Answered }),
-		"refused", rate(func(p Point) int { return p.Refused }), "failed",
+		"refused", rate(func(p Point) int { return p.Rejected }), "failed",
 		rate(func(p Point) int { return p.Failed }),
 		"changes of the map", rate(func(p Point) int { return p.Changes })); err != nil {
 		return err
 	}
 	ends.Legend.Top = true
-	if err := ends.Save(chartWide, chartHigh, filepath.Join(dir, "ends.svg")); err != nil {
+	if err := ends.Save(chartWidth, chartHeight, filepath.Join(dir, "ends.svg")); err != nil {
 		return err
 	}
 	worth := plot.New()
@@ -77,20 +77,20 @@
 		"share"
 	var xy plotter.XYs
 	for _, p := range points {
-		xy = append(xy, plotter.XY{X: float64(p.Second), Y: p.Worth})
+		xy = append(xy, plotter.XY{X: float64(p.Second), Y: p.EarnedShare})
 	}
 	if err := plotutil.AddLines(worth, xy); err != nil {
 		return err
 	}
 	worth.Y.Min, worth.Y.Max = 0, 1.02
-	return worth.Save(chartWide, chartHigh, filepath.Join(dir, "worth.svg"))
+	return worth.Save(chartWidth, chartHeight, filepath.Join(dir, "worth.svg"))
 }
 
 // WriteRuns draws the worth of each seed.
 func WriteRuns(dir string, s Summary) error {
 	var worth plotter.Values
 	for _, r := range s.Runs {
-		worth = append(worth, r.Worth)
+		worth = append(worth, r.EarnedShare)
 	}
 	if len(worth) < 2 {
 		return nil
@@ -103,18 +103,18 @@
 		return err
 	}
 	p.Add(h)
-	return p.Save(chartWide, chartHigh, filepath.Join(dir, "seeds.svg"))
+	return p.Save(chartWidth, chartHeight, filepath.Join(dir, "seeds.svg"))
 }
 
-var page = template.Must(template.New("report").Parse(`<!DOCTYPE html>
+var reportTemplate = template.Must(template.New("report").Parse(`<!DOCTYPE html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Summary.Name}}</title>
 <style>body{font-family:sans-serif;margin:2em;max-width:60em}td,th{padding:.1em .8em;text-align:right}
 td:first-child,th:first-child{text-align:left}.bad{color:#b00}img{max-width:100%}</style></head><body>
 <h1>{{.Summary.Name}}: {{.Summary.Arm}}, {{.Summary.Mode}}</h1>
-<p{{if .Summary.Broken}} class="bad"{{end}}>
-{{if .Summary.Broken}}Rules were broken {{.Summary.Broken}} times.{{else}}No rule was broken.{{end}}
-{{.Summary.Taken}} queries were taken: {{.Summary.Answered}} answered, {{.Summary.Refused}} refused,
-{{.Summary.Failed}} failed. Worth in time over worth asked: {{printf "%.4f" .Summary.Worth}}.</p>
+<p{{if .Summary.Violations}} class="bad"{{end}}>
+{{if .Summary.Violations}}Rules were broken {{.Summary.Violations}} times.{{else}}No rule was broken.{{end}}
+{{.Summary.Received}} queries were taken: {{.Summary.Answered}} answered, {{.Summary.Rejected}} refused,
+{{.Summary.Failed}} failed. Worth in time over worth asked: {{printf "%.4f" .Summary.EarnedShare}}.</p>
 {{range .Summary.Notes}}<p class="bad">{{.}}</p>{{end}}
 {{range .Charts}}<p><img src="{{.}}" alt="{{.}}"></p>{{end}}
 <table><tr><th>figure</th><th>value</th></tr>
@@ -122,8 +122,8 @@
 {{end}}</table>
 {{if .Summary.Runs}}<h2>Seeds</h2><table><tr><th>seed</th><th>taken</th><th>answered</th><th>refused</th>
 <th>failed</th><th>changes</th><th>p99 ms</th><th>worth</th></tr>
-{{range .Summary.Runs}}<tr><td>{{.Seed}}</td><td>{{.Taken}}</td><td>{{.Answered}}</td><td>{{.Refused}}</td>
-<td>{{.Failed}}</td><td>{{.Changes}}</td><td>{{printf "%.1f" .P99}}</td><td>{{printf "%.4f" .Worth}}</td></tr>
+{{range .Summary.Runs}}<tr><td>{{.Seed}}</td><td>{{.Received}}</td><td>{{.Answered}}</td><td>{{.Rejected}}</td>
+<td>{{.Failed}}</td><td>{{.Changes}}</td><td>{{printf "%.1f" .P99Ms}}</td><td>{{printf "%.4f" .EarnedShare}}</td></tr>
 {{end}}</table>{{end}}
 </body></html>
 `))
@@ -138,13 +138,13 @@
 		return err
 	}
 	var charts []string
-	for _, name := range []string{"ends.svg", "worth.svg", "seeds.svg", coldChart, brokersChart} {
+	for _, name := range []string{"ends.svg", "worth.svg", "seeds.svg", warmupChart, brokersChart} {
 		if _, err := os.Stat(filepath.Join(dir, name)); err == nil {
 			charts = append(charts, name)
 		}
 	}
 	var rows []Row
-	for _, name := range s.names() {
+	for _, name := range s.figureNames() {
 		rows = append(rows, Row{name, strconv.FormatFloat(s.Figures()[name], 'g', 8, 64)})
 	}
 	f, err := os.Create(filepath.Join(dir, "report.html"))
@@ -152,7 +152,7 @@
 		return err
 	}
 	defer func() { _ = f.Close() }()
-	return page.Execute(f, struct {
+	return reportTemplate.Execute(f, struct {
 		Summary Summary
 		Charts  []string
 		Rows    []Row
@@ -165,7 +165,7 @@
 		a.Name, a.Arm,
 		b.Name, b.Arm)
 	x, y := a.Figures(), b.Figures()
-	for _, name := range a.names() {
+	for _, name := range a.figureNames() {
 		ratio := "-"
 		if x[name] != 0 {
 			ratio = strconv.FormatFloat(y[name]/x[name], 'f', 3, 64)
--- a/internal/lab/result/fleet.go
+++ b/internal/lab/result/fleet.go
@@ -18,7 +18,7 @@
 
 // The charts of a fleet.
 const (
-	coldChart    = "cold.svg"
+	warmupChart  = "cold.svg"
 	brokersChart = "brokers.svg"
 )
 
@@ -28,19 +28,19 @@
 	itoa, ftoa := strconv.Itoa, func(x float64) string { return strconv.FormatFloat(x, 'f', 1, 64) }
 	moments := [][]string{{"at_ms", "for_ms", "cold_may_ms", "cold_sent_ms", "parts_sent", "parts_busy",
 		"queries_refused"}}
-	for _, m := range l.Moments {
-		moments = append(moments, []string{ftoa(m.At), ftoa(m.For), ftoa(m.Cold.May), ftoa(m.Cold.Used),
-			itoa(m.Sent), itoa(m.Busy), itoa(m.Refused)})
+	for _, m := range l.Intervals {
+		moments = append(moments, []string{ftoa(m.StartMs), ftoa(m.DurationMs), ftoa(m.Allowance.Allowed), ftoa(m.Allowance.Used),
+			itoa(m.PartsSent), itoa(m.PartsRejected), itoa(m.RequestsRejected)})
 	}
 	nodes := [][]string{{"node", "may_ms", "sent_ms", "brokers", "parts_busy"}}
-	for _, name := range slices.Sorted(maps.Keys(l.Nodes)) {
-		n := l.Nodes[name]
-		nodes = append(nodes, []string{name, ftoa(n.May), ftoa(n.Used), itoa(len(n.Users)), itoa(n.Refused)})
+	for _, name := range slices.Sorted(maps.Keys(l.Backends)) {
+		n := l.Backends[name]
+		nodes = append(nodes, []string{name, ftoa(n.Allowed), ftoa(n.Used), itoa(len(n.Brokers)), itoa(n.PartsRejected)})
 	}
 	brokers := [][]string{{"broker", "parts_sent", "parts_busy", "answered", "refused", "failed"}}
 	for i, b := range l.Brokers {
-		brokers = append(brokers, []string{itoa(i), itoa(b.Sent), itoa(b.Busy), itoa(b.Answered),
-			itoa(b.Refused), itoa(b.Without)})
+		brokers = append(brokers, []string{itoa(i), itoa(b.PartsSent), itoa(b.PartsRejected), itoa(b.Answered),
+			itoa(b.Rejected), itoa(b.Failed)})
 	}
 	for name, rows := range map[string][][]string{"moments.csv": moments, "nodes.csv": nodes,
 		"brokers.csv": brokers} {
@@ -48,7 +48,7 @@
 			return err
 		}
 	}
-	if err := drawCold(filepath.Join(dir, coldChart), l.Moments); err != nil {
+	if err := drawWarmup(filepath.Join(dir, warmupChart), l.Intervals); err != nil {
 		return err
 	}
 	return drawBrokers(filepath.Join(dir, brokersChart), l.Brokers)
@@ -64,13 +64,13 @@
 }
 
 // drawCold draws over time what cold nodes might be sent and were, as cores, and queries refused a second.
-func drawCold(path string, moments []ledger.Moment) error {
+func drawWarmup(path string, moments []ledger.Interval) error {
 	var may, used, refused plotter.XYs
 	for _, m := range moments {
-		s := m.At / 1000
-		may = append(may, plotter.XY{X: s, Y: m.Cold.May / m.For})
-		used = append(used, plotter.XY{X: s, Y: m.Cold.Used / m.For})
-		refused = append(refused, plotter.XY{X: s, Y: float64(m.Refused) * 1000 / m.For})
+		s := m.StartMs / 1000
+		may = append(may, plotter.XY{X: s, Y: m.Allowance.Allowed / m.DurationMs})
+		used = append(used, plotter.XY{X: s, Y: m.Allowance.Used / m.DurationMs})
+		refused = append(refused, plotter.XY{X: s, Y: float64(m.RequestsRejected) * 1000 / m.DurationMs})
 	}
 	if len(may) < 2 {
 		return nil
@@ -83,7 +83,7 @@
 	if err != nil {
 		return err
 	}
-	return p.Save(chartWide, chartHigh, path)
+	return p.Save(chartWidth, chartHeight, path)
 }
 
 // drawBrokers draws what share of its queries each broker answered, from the least to the most.
@@ -109,5 +109,5 @@
 		return err
 	}
 	p.Y.Min, p.Y.Max = 0, 1.02
-	return p.Save(chartWide, chartHigh, path)
+	return p.Save(chartWidth, chartHeight, path)
 }
--- a/internal/lab/result/golden_test.go
+++ b/internal/lab/result/golden_test.go
@@ -59,39 +59,39 @@
 
 var kept = map[string]result.Summary{
 	"every": {Name: "mass", Arm: "sighup", Seed: 103, Mode: "live",
-		Counts: check.Counts{Taken: 106, Answered: 107, Refused: 108, Failed: 109, Lost: 110, BindTwice: 111,
-			Overlaps: 112, FalselyWhole: 113, Short: 114, WrongValue: 115, CountedTwice: 116, DrainLate: 117,
-			ColdFallen: 118},
-		Changes: 119, Epochs: 120, Slices: 121, KeptMax: 122, Caught: 123, Replaced: 124, SplitParts: 125, Moved: 126,
-		Disagree: 127, Refusals: 128, Reads: 129, Stale: 130, Behind: 131, OpenEnd: 132, P50: 133.25, P99: 134.25,
-		Worth: 135.25, Busy: 136, BusyShare: 137.25, ColdUsed: 138.25, ColdShort: 139.25, Fairness: 140.25,
+		Counts: check.Counts{Received: 106, Answered: 107, Rejected: 108, Failed: 109, Lost: 110, RanTwice: 111,
+			Overlaps: 112, FalselyComplete: 113, BelowMinCompleteness: 114, WrongValues: 115, CountedTwice: 116, SentAfterDrain: 117,
+			WarmingOverloaded: 118},
+		Changes: 119, Epochs: 120, Shards: 121, MaxVersionsKept: 122, PartsInFlight: 123, PartsReplaced: 124, PartsSplit: 125, NotHolder: 126,
+		NotHolderSameEpoch: 127, MapsRejected: 128, HintReads: 129, StaleRequests: 130, BehindRequests: 131, OpenAtEnd: 132, P50Ms: 133.25, P99Ms: 134.25,
+		EarnedShare: 135.25, PartsRejected: 136, PartsRejectedShare: 137.25, WarmupUsed: 138.25, WarmupUsedRejecting: 139.25, Fairness: 140.25,
 		WallS: 141.25, SimulatedS: 142.25, Notes: []string{"q00000917: lost", "s-1: drain"}},
 	"follow": {Name: "reshard", Arm: "follow", Seed: 4, Mode: "sim",
-		Counts:  check.Counts{Taken: 859, Answered: 849, Refused: 8, Failed: 1},
-		Changes: 70, Epochs: 71, Slices: 27, KeptMax: 5, Caught: 21, Moved: 47, Refusals: 1, Reads: 5, Behind: 1,
-		P50: 29.279, P99: 276.479, Worth: 0.988373, ColdUsed: 0.19131654662786834, ColdShort: 0.09881719432262286,
+		Counts:  check.Counts{Received: 859, Answered: 849, Rejected: 8, Failed: 1},
+		Changes: 70, Epochs: 71, Shards: 27, MaxVersionsKept: 5, PartsInFlight: 21, NotHolder: 47, MapsRejected: 1, HintReads: 5, BehindRequests: 1,
+		P50Ms: 29.279, P99Ms: 276.479, EarnedShare: 0.988373, WarmupUsed: 0.19131654662786834, WarmupUsedRejecting: 0.09881719432262286,
 		Fairness: 0.9999743696945055, WallS: 0.194568941, SimulatedS: 22.992404328758944},
 	"mass": {Name: "mass", Arm: "follow", Seed: 1, Mode: "sim",
-		Counts: check.Counts{Taken: 758, Answered: 549, Refused: 209}, Epochs: 1, Slices: 8, KeptMax: 1, P50: 56.927,
-		P99: 679.423, Worth: 0.832674, ColdUsed: 0.20332013344056166, ColdShort: 0.20332013344056166,
+		Counts: check.Counts{Received: 758, Answered: 549, Rejected: 209}, Epochs: 1, Shards: 8, MaxVersionsKept: 1, P50Ms: 56.927,
+		P99Ms: 679.423, EarnedShare: 0.832674, WarmupUsed: 0.20332013344056166, WarmupUsedRejecting: 0.20332013344056166,
 		Fairness: 0.9994714048949503, WallS: 0.458450379, SimulatedS: 17.247052450411488},
 	"naive": {Name: "reshard", Arm: "naive", Seed: 3, Mode: "sim",
-		Counts:  check.Counts{Taken: 3028, Answered: 884, Refused: 2144, BindTwice: 2},
-		Changes: 159, Epochs: 161, Slices: 59, KeptMax: 1, Behind: 2138, P50: 16.959, P99: 289.03043989431967,
-		Worth: 0.5263775931307795, ColdUsed: 0.03379728481816663, ColdShort: 0.025337664296146194,
+		Counts:  check.Counts{Received: 3028, Answered: 884, Rejected: 2144, RanTwice: 2},
+		Changes: 159, Epochs: 161, Shards: 59, MaxVersionsKept: 1, BehindRequests: 2138, P50Ms: 16.959, P99Ms: 289.03043989431967,
+		EarnedShare: 0.5263775931307795, WarmupUsed: 0.03379728481816663, WarmupUsedRejecting: 0.025337664296146194,
 		Fairness: 0.9958312917491314, WallS: 0.7699354389999999, SimulatedS: 40,
 		Notes: []string{"q00000917: districts 0-16 ran again at node-1",
 			"q00000339: districts 0-16 ran again at node-0"},
 		Runs: []result.Summary{
 			{Name: "reshard", Arm: "naive", Seed: 3, Mode: "sim",
-				Counts:  check.Counts{Taken: 1416, Answered: 456, Refused: 960, BindTwice: 1},
-				Changes: 82, Epochs: 83, Slices: 26, KeptMax: 1, Behind: 959, P50: 16.959, P99: 293.119, Worth: 0.562021,
+				Counts:  check.Counts{Received: 1416, Answered: 456, Rejected: 960, RanTwice: 1},
+				Changes: 82, Epochs: 83, Shards: 26, MaxVersionsKept: 1, BehindRequests: 959, P50Ms: 16.959, P99Ms: 293.119, EarnedShare: 0.562021,
 				Fairness: 0.9999230591675003, WallS: 0.390561801, SimulatedS: 20,
 				Notes: []string{"q00000917: districts 0-16 ran again at node-1"}},
 			{Name: "reshard", Arm: "naive", Seed: 4, Mode: "sim",
-				Counts:  check.Counts{Taken: 1612, Answered: 428, Refused: 1184, BindTwice: 1},
-				Changes: 77, Epochs: 78, Slices: 33, KeptMax: 1, Behind: 1179, P50: 16.959, P99: 285.439, Worth: 0.495068,
-				ColdUsed: 0.06348522235074971, ColdShort: 0.047594570402438384, Fairness: 0.9922370345131449,
+				Counts:  check.Counts{Received: 1612, Answered: 428, Rejected: 1184, RanTwice: 1},
+				Changes: 77, Epochs: 78, Shards: 33, MaxVersionsKept: 1, BehindRequests: 1179, P50Ms: 16.959, P99Ms: 285.439, EarnedShare: 0.495068,
+				WarmupUsed: 0.06348522235074971, WarmupUsedRejecting: 0.047594570402438384, Fairness: 0.9922370345131449,
 				WallS: 0.379373638, SimulatedS: 20,
 				Notes: []string{"q00000339: districts 0-16 ran again at node-0"}}}},
 }
@@ -132,13 +132,13 @@
 	for name, n := range map[string]int{"follow": 22, "mass": 17, "naive": 0} {
 		var points []result.Point
 		for _, r := range rows(t, "second,taken,answered,refused,failed,changes,worth", name, "series.csv") {
-			points = append(points, result.Point{Second: whole(t, r[0]), Taken: whole(t, r[1]), Answered: whole(t, r[2]),
-				Refused: whole(t, r[3]), Failed: whole(t, r[4]), Changes: whole(t, r[5]), Worth: number(t, r[6])})
+			points = append(points, result.Point{Second: whole(t, r[0]), Received: whole(t, r[1]), Answered: whole(t, r[2]),
+				Rejected: whole(t, r[3]), Failed: whole(t, r[4]), Changes: whole(t, r[5]), EarnedShare: number(t, r[6])})
 		}
 		require.Len(t, points, n, name)
 		if n > 0 {
 			last, s := points[n-1], kept[name]
-			s.Worth = last.Worth
+			s.EarnedShare = last.EarnedShare
 			assert.Equal(t, result.PointOf(last.Second, s), last, "%s ends as its summary says", name)
 		}
 		dir := t.TempDir()
@@ -153,24 +153,24 @@
 		l := ledger.New(0)
 		for i, r := range rows(t, "broker,parts_sent,parts_busy,answered,refused,failed", name, "brokers.csv") {
 			require.Equal(t, i, whole(t, r[0]))
-			l.Brokers = append(l.Brokers, ledger.Broker{Sent: whole(t, r[1]), Busy: whole(t, r[2]),
-				Answered: whole(t, r[3]), Refused: whole(t, r[4]), Without: whole(t, r[5])})
+			l.Brokers = append(l.Brokers, ledger.Broker{PartsSent: whole(t, r[1]), PartsRejected: whole(t, r[2]),
+				Answered: whole(t, r[3]), Rejected: whole(t, r[4]), Failed: whole(t, r[5])})
 		}
 		for _, r := range rows(t, "node,may_ms,sent_ms,brokers,parts_busy", name, "nodes.csv") {
-			c := &ledger.Node{Cold: ledger.Cold{May: number(t, r[1]), Used: number(t, r[2])}, Users: map[int]bool{},
-				Refused: whole(t, r[4])}
+			c := &ledger.Backend{Allowance: ledger.Allowance{Allowed: number(t, r[1]), Used: number(t, r[2])}, Brokers: map[int]bool{},
+				PartsRejected: whole(t, r[4])}
 			for i := range whole(t, r[3]) {
-				c.Users[i] = true
+				c.Brokers[i] = true
 			}
-			l.Nodes[r[0]] = c
+			l.Backends[r[0]] = c
 		}
 		for _, r := range rows(t, "at_ms,for_ms,cold_may_ms,cold_sent_ms,parts_sent,parts_busy,queries_refused", name,
 			"moments.csv") {
-			l.Moments = append(l.Moments, ledger.Moment{At: number(t, r[0]), For: number(t, r[1]),
-				Cold: ledger.Cold{May: number(t, r[2]), Used: number(t, r[3])}, Sent: whole(t, r[4]), Busy: whole(t, r[5]),
-				Refused: whole(t, r[6])})
+			l.Intervals = append(l.Intervals, ledger.Interval{StartMs: number(t, r[0]), DurationMs: number(t, r[1]),
+				Allowance: ledger.Allowance{Allowed: number(t, r[2]), Used: number(t, r[3])}, PartsSent: whole(t, r[4]), PartsRejected: whole(t, r[5]),
+				RequestsRejected: whole(t, r[6])})
 		}
-		require.Equal(t, n, [3]int{len(l.Brokers), len(l.Nodes), len(l.Moments)}, name)
+		require.Equal(t, n, [3]int{len(l.Brokers), len(l.Backends), len(l.Intervals)}, name)
 		answered := 0
 		for _, b := range l.Brokers {
 			answered += b.Answered
@@ -234,8 +234,8 @@
 			assert.Contains(t, page, n)
 		}
 		for _, r := range kept[name].Runs {
-			assert.Contains(t, page, fmt.Sprintf("<tr><td>%d</td><td>%d</td><td>%d</td><td>%d</td>", r.Seed, r.Taken,
-				r.Answered, r.Refused))
+			assert.Contains(t, page, fmt.Sprintf("<tr><td>%d</td><td>%d</td><td>%d</td><td>%d</td>", r.Seed, r.Received,
+				r.Answered, r.Rejected))
 		}
 	}
 }
--- a/internal/lab/result/result.go
+++ b/internal/lab/result/result.go
@@ -23,43 +23,43 @@
 	Seed uint64 `json:"seed"`
 	Mode string `json:"mode"`
 	check.Counts
-	Changes    int       `json:"changes"`
-	Epochs     int       `json:"epochs"`
-	Slices     int       `json:"slices_end"`
-	KeptMax    int       `json:"versions_kept_max"`
-	Caught     int       `json:"parts_caught"`   // were out when their slice was retired
-	Replaced   int       `json:"parts_replaced"` // went on as parts of other slices
-	SplitParts int       `json:"parts_split"`
-	Moved      int       `json:"moved"` // nodes' word that they do not hold a part's districts
-	Disagree   int       `json:"moved_same_epoch"`
-	Refusals   int       `json:"maps_refused"`
-	Reads      uint64    `json:"hint_reads"`
-	Stale      int       `json:"stale_requests"`
-	Behind     int       `json:"behind_requests"` // named slices of a newer map than the broker's
-	OpenEnd    int       `json:"open_at_end"`
-	P50        float64   `json:"p50_ms"`
-	P99        float64   `json:"p99_ms"`
-	Worth      float64   `json:"worth"`
-	Busy       int       `json:"busy"`       // parts that nodes turned away; in virtual time
-	BusyShare  float64   `json:"busy_share"` // of those sent
-	ColdUsed   float64   `json:"cold_used"`  // of what cold nodes may be sent: how much they were
-	ColdShort  float64   `json:"cold_short"` // the same while queries were refused
-	Fairness   float64   `json:"fairness"`   // Jain's index over brokers of the share of queries answered
-	WallS      float64   `json:"wall_s"`
-	SimulatedS float64   `json:"simulated_s"`
-	Notes      []string  `json:"notes,omitempty"`
-	Runs       []Summary `json:"runs,omitempty"`
+	Changes             int       `json:"changes"`
+	Epochs              int       `json:"epochs"`
+	Shards              int       `json:"slices_end"`
+	MaxVersionsKept     int       `json:"versions_kept_max"`
+	PartsInFlight       int       `json:"parts_caught"`   // were out when their slice was retired
+	PartsReplaced       int       `json:"parts_replaced"` // went on as parts of other slices
+	PartsSplit          int       `json:"parts_split"`
+	NotHolder           int       `json:"moved"` // nodes' word that they do not hold a part's districts
+	NotHolderSameEpoch  int       `json:"moved_same_epoch"`
+	MapsRejected        int       `json:"maps_refused"`
+	HintReads           uint64    `json:"hint_reads"`
+	StaleRequests       int       `json:"stale_requests"`
+	BehindRequests      int       `json:"behind_requests"` // named slices of a newer map than the broker's
+	OpenAtEnd           int       `json:"open_at_end"`
+	P50Ms               float64   `json:"p50_ms"`
+	P99Ms               float64   `json:"p99_ms"`
+	EarnedShare         float64   `json:"worth"`
+	PartsRejected       int       `json:"busy"`       // parts that nodes turned away; in virtual time
+	PartsRejectedShare  float64   `json:"busy_share"` // of those sent
+	WarmupUsed          float64   `json:"cold_used"`  // of what cold nodes may be sent: how much they were
+	WarmupUsedRejecting float64   `json:"cold_short"` // the same while queries were refused
+	Fairness            float64   `json:"fairness"`   // Jain's index over brokers of the share of queries answered
+	WallS               float64   `json:"wall_s"`
+	SimulatedS          float64   `json:"simulated_s"`
+	Notes               []string  `json:"notes,omitempty"`
+	Runs                []Summary `json:"runs,omitempty"`
 }
 
 // Add adds what a broker counted.
 func (s *Summary) Add(m core.ReshardingStats, t shardmap.Stats) {
-	s.Caught += int(m.InFlight)
-	s.Replaced += int(m.Replaced)
-	s.SplitParts += int(m.Split)
-	s.Behind += int(m.Behind)
-	s.Moved += int(t.NotHolder)
-	s.Disagree += int(t.SameEpoch)
-	s.Refusals += int(t.Rejected)
+	s.PartsInFlight += int(m.InFlight)
+	s.PartsReplaced += int(m.Replaced)
+	s.PartsSplit += int(m.Split)
+	s.BehindRequests += int(m.Behind)
+	s.NotHolder += int(t.NotHolder)
+	s.NotHolderSameEpoch += int(t.SameEpoch)
+	s.MapsRejected += int(t.Rejected)
 }
 
 // Sum puts runs together: counts are added, worth and latencies are means, weighted by what was taken.
@@ -74,40 +74,40 @@
 	out.Name, out.Arm, out.Seed, out.Mode, out.Runs = runs[0].Name, runs[0].Arm, runs[0].Seed, runs[0].Mode, runs
 	o := reflect.ValueOf(&out).Elem()
 	for _, r := range runs {
-		addInts(o, reflect.ValueOf(r))
-		w := float64(r.Taken)
-		out.Worth += r.Worth * w
-		out.P50 += r.P50 * w
-		out.P99 += r.P99 * w
-		out.BusyShare += r.BusyShare * w
-		out.ColdUsed, out.ColdShort = out.ColdUsed+r.ColdUsed*w, out.ColdShort+r.ColdShort*w
+		addCounts(o, reflect.ValueOf(r))
+		w := float64(r.Received)
+		out.EarnedShare += r.EarnedShare * w
+		out.P50Ms += r.P50Ms * w
+		out.P99Ms += r.P99Ms * w
+		out.PartsRejectedShare += r.PartsRejectedShare * w
+		out.WarmupUsed, out.WarmupUsedRejecting = out.WarmupUsed+r.WarmupUsed*w, out.WarmupUsedRejecting+r.WarmupUsedRejecting*w
 		out.Fairness += r.Fairness * w
 		out.WallS += r.WallS
 		out.SimulatedS += r.SimulatedS
 		out.Notes = append(out.Notes, r.Notes[:min(len(r.Notes), 2)]...)
 	}
 	out.Notes = out.Notes[:min(len(out.Notes), 40)]
-	out.KeptMax = 0
+	out.MaxVersionsKept = 0
 	for _, r := range runs {
-		out.KeptMax = max(out.KeptMax, r.KeptMax)
+		out.MaxVersionsKept = max(out.MaxVersionsKept, r.MaxVersionsKept)
 	}
-	if n := float64(max(out.Taken, 1)); true {
-		out.Worth, out.P50, out.P99 = out.Worth/n, out.P50/n, out.P99/n
-		out.BusyShare, out.Fairness = out.BusyShare/n, out.Fairness/n
-		out.ColdUsed, out.ColdShort = out.ColdUsed/n, out.ColdShort/n
+	if n := float64(max(out.Received, 1)); true {
+		out.EarnedShare, out.P50Ms, out.P99Ms = out.EarnedShare/n, out.P50Ms/n, out.P99Ms/n
+		out.PartsRejectedShare, out.Fairness = out.PartsRejectedShare/n, out.Fairness/n
+		out.WarmupUsed, out.WarmupUsedRejecting = out.WarmupUsed/n, out.WarmupUsedRejecting/n
 	}
 	return out
 }
 
-func addInts(to, from reflect.Value) {
+func addCounts(to, from reflect.Value) {
 	for i := range from.NumField() {
 		switch f := from.Field(i); f.Kind() {
 		case reflect.Int:
 			to.Field(i).SetInt(to.Field(i).Int() + f.Int())
 		case reflect.Struct:
-			addInts(to.Field(i), f)
+			addCounts(to.Field(i), f)
 		}
-		if from.Type().Field(i).Name == "Reads" {
+		if from.Type().Field(i).Name == "HintReads" {
 			to.Field(i).SetUint(to.Field(i).Uint() + from.Field(i).Uint())
 		}
 	}
@@ -129,9 +129,9 @@
 }
 
 // Judge names the bounds that the summary does not keep, and the rules that were broken.
-func (s Summary) Judge(bounds map[string]exp.Bound) (passed int, faults []string) {
+func (s Summary) CheckBounds(bounds map[string]exp.Bound) (passed int, faults []string) {
 	figures := s.Figures()
-	if n := s.Broken(); n > 0 {
+	if n := s.Violations(); n > 0 {
 		faults = append(faults, fmt.Sprintf("rules were broken %d times: %s", n, strings.Join(s.Notes[:min(3,
 			len(s.Notes))], "; ")))
 	} else {
@@ -160,7 +160,7 @@
 }
 
 // names are the figures' names in order.
-func (s Summary) names() []string {
+func (s Summary) figureNames() []string {
 	var names []string
 	for name := range s.Figures() {
 		if name != "seed" {
@@ -176,7 +176,7 @@
 	figures := s.Figures()
 	var b strings.Builder
 	fmt.Fprintf(&b, "| %s, %s, %s, seed %d | |\n| --- | --- |\n", s.Name, s.Arm, s.Mode, s.Seed)
-	for _, name := range s.names() {
+	for _, name := range s.figureNames() {
 		fmt.Fprintf(&b, "| %s | %.8g |\n", name, figures[name])
 	}
 	return b.String()
--- a/internal/lab/world/fleet.go
+++ b/internal/lab/world/fleet.go
@@ -19,7 +19,7 @@
 
 // backend is an emulated backend.
 type backend struct {
-	*model.Node
+	*model.Backend
 	world             *World
 	index             int
 	number            uint32
@@ -80,21 +80,21 @@
 
 func newFleet(s *World, seed uint64) *fleet {
 	f := &fleet{world: s, byName: map[string]uint32{},
-		shardMap: shardmap.New(shardmap.Options{MaxRetired: s.e.History}), nextShard: s.e.Slices,
+		shardMap: shardmap.New(shardmap.Options{MaxRetired: s.e.RetiredShards}), nextShard: s.e.Shards,
 		changeRand: rand.New(rand.NewPCG(seed, 4)), loadReportRand: rand.New(rand.NewPCG(seed, 5)),
 		cutZone: -1, agentSilentUntil: make([]float64, s.e.Brokers),
 		linksCutUntil: make([]float64, s.e.Brokers), agentUpdatedAt: make([]float64, s.e.Brokers),
-		movePacer: shardmap.HandoverPacer{MaxConcurrent: 2, InitialCapacity: s.e.Node.ColdFrom, WarmupMs: s.e.Node.Warm}}
-	if _, err := f.shardMap.Reset(s.e.Map()); err != nil {
+		movePacer: shardmap.HandoverPacer{MaxConcurrent: 2, InitialCapacity: s.e.Backend.InitialCapacity, WarmupMs: s.e.Backend.WarmUp}}
+	if _, err := f.shardMap.Reset(s.e.InitialMap()); err != nil {
 		panic(err) // exp.Load has checked the experiment
 	}
 	f.mapHistory = []timedVersion{{0, f.shardMap.Current()}}
-	for i := range s.e.Nodes {
-		id := exp.NodeID(i)
+	for i := range s.e.Backends {
+		id := exp.BackendID(i)
 		f.byName[id] = uint32(i + 1)
 		f.backends = append(f.backends, &backend{world: s, index: i, number: uint32(i + 1), zone: s.e.ZoneOf(i),
-			state: scheduler.Ready,
-			Node:  model.New(id, s.e.NodeOptions(), f.shardMap.Current(), seed*1009+uint64(i))})
+			state:   scheduler.Ready,
+			Backend: model.New(id, s.e.BackendOptions(), f.shardMap.Current(), seed*1009+uint64(i))})
 	}
 	return f
 }
@@ -102,24 +102,24 @@
 // scheduleEvents schedules shard map changes, faults, load reports and pauses of the run.
 func (f *fleet) scheduleEvents() {
 	s := f.world
-	if s.e.Changes.Every > 0 {
+	if s.e.Changes.Interval > 0 {
 		s.schedule(s.now+2000, f.applyRandomChange)
 	}
-	if s.e.Troubles.Every > 0 && len(s.e.Troubles.Kinds) > 0 {
+	if s.e.Faults.Interval > 0 && len(s.e.Faults.Kinds) > 0 {
 		s.schedule(s.now+3000, f.injectRandomFault)
 	}
 	s.schedule(s.now+ledgerStepMs, f.recordSlowStartAllowance)
 	for _, v := range s.e.Script {
 		s.schedule(s.now+v.At, func() { f.injectFault(v.Kind, v.On, v.For, true) })
 	}
-	if s.e.Node.ReportEvery[1] > 0 {
+	if s.e.Backend.ReportInterval[1] > 0 {
 		for _, n := range f.backends {
 			n.measureLoad()
 		}
 	}
-	if s.e.Node.Pause[1] > 0 {
+	if s.e.Backend.Pause[1] > 0 {
 		for _, n := range f.backends {
-			s.schedule(s.now+s.e.Node.PauseEvery[1]*s.faultRand.Float64(), n.pauseRepeatedly)
+			s.schedule(s.now+s.e.Backend.PauseInterval[1]*s.faultRand.Float64(), n.pauseRepeatedly)
 		}
 	}
 }
@@ -127,7 +127,7 @@
 // versionAt returns the map version that a reader of the catalogue had at a time. During an outage it is the
 // version from before the outage.
 func (f *fleet) versionAt(at float64) *shardmap.Version {
-	for _, o := range f.world.e.News.Outages {
+	for _, o := range f.world.e.Updates.Outages {
 		if elapsed := at - clockStartMs; elapsed >= o.At && elapsed < o.At+o.For {
 			at = clockStartMs + o.At
 		}
@@ -158,9 +158,9 @@
 	}
 	for _, n := range f.backends {
 		gen := n.gen
-		s.schedule(s.now+s.e.News.Node.Draw(s.networkRand), func() {
+		s.schedule(s.now+s.e.Updates.BackendDelay.Draw(s.networkRand), func() {
 			if gen == n.gen {
-				n.Learn(v)
+				n.UpdateMap(v)
 			}
 		})
 	}
@@ -185,7 +185,7 @@
 // fail if the call fails.
 func (f *fleet) poll(call shardmap.PollRequest, fail func(), deliver func(catalogueAnswer)) {
 	s := f.world
-	if s.networkRand.Float64() < s.e.News.Lost { // the answer is lost
+	if s.networkRand.Float64() < s.e.Updates.LostShare { // the answer is lost
 		s.schedule(s.now+call.TimeoutMs, fail)
 		return
 	}
@@ -200,9 +200,9 @@
 			return
 		}
 		response := f.currentAnswer(call)
-		s.schedule(s.now+s.e.News.Catalogue.Draw(s.networkRand), func() { deliver(response) })
-		if s.networkRand.Float64() < s.e.News.Twice { // a duplicate arrives later and out of order
-			s.schedule(s.now+500+s.e.News.Catalogue.Draw(s.networkRand), func() { deliver(response) })
+		s.schedule(s.now+s.e.Updates.CatalogueDelay.Draw(s.networkRand), func() { deliver(response) })
+		if s.networkRand.Float64() < s.e.Updates.DuplicateShare { // a duplicate arrives later and out of order
+			s.schedule(s.now+500+s.e.Updates.CatalogueDelay.Draw(s.networkRand), func() { deliver(response) })
 		}
 	}
 	s.schedule(s.now+s.networkDelay(), func() {
@@ -212,7 +212,7 @@
 		}
 		f.watchers = append(f.watchers, answer)
 		s.schedule(s.now+call.WaitMs, answer)
-		for _, o := range s.e.News.Outages { // watches end when the catalogue goes down
+		for _, o := range s.e.Updates.Outages { // watches end when the catalogue goes down
 			if at := clockStartMs + o.At; at > s.now && at < s.now+call.WaitMs {
 				s.schedule(at, answer)
 			}
@@ -222,7 +222,7 @@
 
 // isCatalogueDown reports whether the catalogue is in an outage.
 func (f *fleet) isCatalogueDown() bool {
-	for _, o := range f.world.e.News.Outages {
+	for _, o := range f.world.e.Updates.Outages {
 		if at := f.world.now - clockStartMs; at >= o.At && at < o.At+o.For {
 			return true
 		}
@@ -234,14 +234,14 @@
 func (f *fleet) currentAnswer(call shardmap.PollRequest) catalogueAnswer {
 	s := f.world
 	cur := f.shardMap.Current()
-	a := catalogueAnswer{epoch: cur.Epoch, malformed: s.networkRand.Float64() < s.e.News.Spoilt}
+	a := catalogueAnswer{epoch: cur.Epoch, malformed: s.networkRand.Float64() < s.e.Updates.MalformedShare}
 	i := slices.IndexFunc(f.changeLog, func(x shardmap.Change) bool { return x.Base == call.SinceEpoch })
 	if call.FullSnapshot || i < 0 && cur.Epoch != call.SinceEpoch {
 		a.version, a.retired = cur, f.shardMap.Retired(maxRetiredShards)
 		return a
 	}
 	if i >= 0 {
-		if s.networkRand.Float64() < s.e.News.Twice {
+		if s.networkRand.Float64() < s.e.Updates.DuplicateShare {
 			i = max(0, i-2) // includes changes that the caller already has
 		}
 		a.changes = slices.Clone(f.changeLog[i:])
@@ -291,7 +291,7 @@
 	if s.now >= s.endMs {
 		return
 	}
-	s.schedule(s.now+s.e.Changes.Every*(0.5+f.changeRand.Float64()), f.applyRandomChange)
+	s.schedule(s.now+s.e.Changes.Interval*(0.5+f.changeRand.Float64()), f.applyRandomChange)
 	c := s.e.Changes
 	for range 8 {
 		v := f.shardMap.Current()
@@ -325,8 +325,8 @@
 	s := f.world
 	to := f.backends[f.changeRand.IntN(len(f.backends))]
 	from := at.Replicas[f.changeRand.IntN(len(at.Replicas))]
-	heldBuckets, meanBuckets := 0, f.shardMap.Current().Buckets*s.e.Reach/len(f.backends)
-	if to.Cold(s.now) {
+	heldBuckets, meanBuckets := 0, f.shardMap.Current().Buckets*s.e.ReplicasPerShard/len(f.backends)
+	if to.IsWarmingUp(s.now) {
 		f.shardMap.Current().All(func(x *shardmap.Shard) bool {
 			if x.Executes(to.ID) {
 				heldBuckets += x.Size()
@@ -338,8 +338,8 @@
 		Buckets: heldBuckets, HandoversInProgress: to.incomingMoves}, at.Size(), meanBuckets) {
 		return false
 	}
-	abort := f.changeRand.Float64() < s.e.Changes.Abort
-	return f.moveShard(at, from, to, s.e.Changes.Copy.Draw(f.changeRand), s.e.Changes.Handover.Draw(f.changeRand),
+	abort := f.changeRand.Float64() < s.e.Changes.AbortShare
+	return f.moveShard(at, from, to, s.e.Changes.CopyTime.Draw(f.changeRand), s.e.Changes.HandoverTime.Draw(f.changeRand),
 		abort, abort && f.changeRand.IntN(2) == 0)
 }
 
@@ -394,7 +394,7 @@
 	upTo := len(f.endpointEvents)
 	for _, b := range s.brokers {
 		gen := b.generation()
-		s.schedule(s.now+s.e.News.List.Draw(s.networkRand), func() {
+		s.schedule(s.now+s.e.Updates.EndpointListDelay.Draw(s.networkRand), func() {
 			if gen == b.generation() {
 				b.notify(upTo)
 			}
@@ -413,44 +413,44 @@
 func (f *fleet) recordSlowStartAllowance() {
 	s := f.world
 	for _, n := range f.backends {
-		if n.Cold(s.now) && !n.Fallen && n.Trouble != model.Down && n.Trouble != model.Drain {
-			s.ledger.May(n.ID, s.e.Node.FallMultiple*n.Capacity(s.now)*ledgerStepMs)
+		if n.IsWarmingUp(s.now) && !n.Overloaded && n.Fault != model.Down && n.Fault != model.Draining {
+			s.ledger.WorkAllowed(n.ID, s.e.Backend.OverloadMultiple*n.Capacity(s.now)*ledgerStepMs)
 		}
 	}
-	if s.ledger.Step(s.now-ledgerStepMs-clockStartMs, ledgerStepMs); s.now < s.endMs {
+	if s.ledger.EndStep(s.now-ledgerStepMs-clockStartMs, ledgerStepMs); s.now < s.endMs {
 		s.schedule(s.now+ledgerStepMs, f.recordSlowStartAllowance)
 	}
 }
 
 // responder receives a backend's answer to a part.
-type responder interface{ respond(end model.End) }
+type responder interface{ respond(end model.Outcome) }
 
 // receive takes a part that has reached the backend.
 func (n *backend) receive(j *model.Job) {
 	s := n.world
-	s.check.Came(j.Query, j.Districts)
+	s.check.AttemptArrived(j.RequestID, j.Buckets)
 	warmingUp := ""
-	if n.Cold(s.now) && n.Trouble != model.Drain {
+	if n.IsWarmingUp(s.now) && n.Fault != model.Draining {
 		warmingUp = n.ID
 	}
-	wasFallen := n.Fallen
+	wasFallen := n.Overloaded
 	end, done := n.Arrive(s.now, j)
-	if q := s.queries[j.Query]; q != nil && q.broker != nil {
-		s.ledger.Sent(q.broker.number())
+	if q := s.queries[j.RequestID]; q != nil && q.broker != nil {
+		s.ledger.PartSent(q.broker.number())
 		if warmingUp != "" {
-			s.ledger.Cold(warmingUp, q.broker.number(), j.Work)
+			s.ledger.WorkSent(warmingUp, q.broker.number(), j.Work)
 		}
-		if end == model.Busy {
-			s.ledger.Busy(q.broker.number(), warmingUp)
+		if end == model.Rejected {
+			s.ledger.PartRejected(q.broker.number(), warmingUp)
 		}
 	}
 	switch {
-	case n.Fallen && !wasFallen:
-		s.check.Fell(n.ID, n.Cold(s.now))
+	case n.Overloaded && !wasFallen:
+		s.check.BackendOverloaded(n.ID, n.IsWarmingUp(s.now))
 		s.fleet.stopBackend(n)
-	case end == model.None && done > 0:
+	case end == model.NoOutcome && done > 0:
 		n.partStarted(j, done)
-	case end != model.None:
+	case end != model.NoOutcome:
 		j.Context.(responder).respond(end)
 	}
 }
@@ -458,14 +458,14 @@
 // measureLoad renews the load report at intervals; in between, answers carry the last one.
 func (n *backend) measureLoad() {
 	s := n.world
-	n.loadReport = fmt.Sprintf("inflight=%d,latency_ms=%.1f,queue=%d", n.Out(), n.smoothedServiceMs, n.Waiting())
-	s.schedule(s.now+s.e.Node.ReportEvery.Draw(s.fleet.loadReportRand), n.measureLoad)
+	n.loadReport = fmt.Sprintf("inflight=%d,latency_ms=%.1f,queue=%d", n.PartCount(), n.smoothedServiceMs, n.QueueLength())
+	s.schedule(s.now+s.e.Backend.ReportInterval.Draw(s.fleet.loadReportRand), n.measureLoad)
 }
 
 // partStarted records that a part runs from now and schedules its end at done.
 func (n *backend) partStarted(j *model.Job, done float64) {
 	n.smoothedServiceMs += (done - n.world.now - n.smoothedServiceMs) / 8
-	n.world.check.Ran(n.ID, j.Query, j.Districts, j.Once, n.heldBuckets(j))
+	n.world.check.PartStarted(n.ID, j.RequestID, j.Buckets, j.NonIdempotent, n.heldBuckets(j))
 	n.scheduleFinish(j, done, n.gen)
 }
 
@@ -488,9 +488,9 @@
 func (n *backend) finishPart(j *model.Job) {
 	end, moved, next, nextDone := n.Finish(n.world.now, j)
 	for _, m := range moved {
-		m.Context.(responder).respond(model.Moved)
+		m.Context.(responder).respond(model.NotHolder)
 	}
-	if end != model.None {
+	if end != model.NoOutcome {
 		j.Context.(responder).respond(end)
 	}
 	if next != nil {
@@ -504,8 +504,8 @@
 	if s.now >= s.endMs {
 		return
 	}
-	n.stalledUntil = max(n.stalledUntil, s.now+s.e.Node.Pause.Draw(s.faultRand))
-	s.schedule(s.now+s.e.Node.PauseEvery.Draw(s.faultRand), n.pauseRepeatedly)
+	n.stalledUntil = max(n.stalledUntil, s.now+s.e.Backend.Pause.Draw(s.faultRand))
+	s.schedule(s.now+s.e.Backend.PauseInterval.Draw(s.faultRand), n.pauseRepeatedly)
 }
 
 // canReach reports whether messages get from one zone to another.
@@ -520,11 +520,11 @@
 	if s.e.Arm != exp.Follow && !s.Fault.Unfenced {
 		return true // parts carry no epoch, and backends reject buckets that they do not hold
 	}
-	i := slices.IndexFunc(s.fleet.mapHistory, func(p timedVersion) bool { return p.version.Epoch == j.View })
+	i := slices.IndexFunc(s.fleet.mapHistory, func(p timedVersion) bool { return p.version.Epoch == j.MapEpoch })
 	if i < 0 {
 		return true // the version is no longer kept
 	}
-	for at := j.Districts.Start; at < j.Districts.End; {
+	for at := j.Buckets.Start; at < j.Buckets.End; {
 		x := s.fleet.mapHistory[i].version.ShardAt(at)
 		if !x.Executes(n.ID) {
 			return false
@@ -567,8 +567,8 @@
 	if s.now >= s.endMs {
 		return
 	}
-	s.schedule(s.now+s.e.Troubles.Every*(0.5+s.faultRand.Float64()), f.injectRandomFault)
-	kind := s.e.Troubles.Kinds[s.faultRand.IntN(len(s.e.Troubles.Kinds))]
+	s.schedule(s.now+s.e.Faults.Interval*(0.5+s.faultRand.Float64()), f.injectRandomFault)
+	kind := s.e.Faults.Kinds[s.faultRand.IntN(len(s.e.Faults.Kinds))]
 	target := s.faultRand.IntN(len(f.backends))
 	switch kind {
 	case "broker", "silent", "link_cut":
@@ -576,7 +576,7 @@
 	case "zone_cut":
 		target = s.faultRand.IntN(s.e.Zones)
 	}
-	f.injectFault(kind, target, s.e.Troubles.For.Draw(s.faultRand), false)
+	f.injectFault(kind, target, s.e.Faults.For.Draw(s.faultRand), false)
 }
 
 // injectFault injects a fault into a backend, a zone or a broker. A random fault is skipped when too much has
@@ -614,9 +614,9 @@
 func (f *fleet) silenceAgent(target int, durationMs float64) {
 	s := f.world
 	// The checker takes an update that the agent has as known to the broker, so the broker needs time to read it.
-	if s.e.Pushed && s.now < f.agentUpdatedAt[target]+agentReadMs {
+	if s.e.PushEndpoints && s.now < f.agentUpdatedAt[target]+agentReadMs {
 		s.schedule(f.agentUpdatedAt[target]+agentReadMs, func() { f.silenceAgent(target, durationMs) })
-	} else if s.e.Pushed {
+	} else if s.e.PushEndpoints {
 		f.agentSilentUntil[target] = max(f.agentSilentUntil[target], s.now+durationMs)
 	}
 }
@@ -666,7 +666,7 @@
 // than one, have a fault.
 func (f *fleet) injectBackendFault(kind string, n *backend, durationMs float64, scripted bool) {
 	s := f.world
-	if n.hasFault || n.Fallen || !scripted && (n.Cold(s.now) || f.faultyBackends() > max(1, len(f.backends)/6)) {
+	if n.hasFault || n.Overloaded || !scripted && (n.IsWarmingUp(s.now) || f.faultyBackends() > max(1, len(f.backends)/6)) {
 		return
 	}
 	n.hasFault = true
@@ -674,19 +674,19 @@
 	case "stand":
 		n.stallUntil(s.now + durationMs)
 	case "vanish":
-		n.Trouble = model.Hang // it no longer responds, and the endpoint list still has it as ready
+		n.Fault = model.Hang // it no longer responds, and the endpoint list still has it as ready
 		s.schedule(s.now+durationMs, func() { f.stopBackend(n); f.restartBackend(n); n.hasFault = false })
 	case "down":
 		f.stopBackend(n)
 		s.schedule(s.now+durationMs, func() { f.restartBackend(n); n.hasFault = false })
 	case "drain":
 		f.publish(n, scheduler.Draining)
-		wait := s.e.News.List[1] + 1200
-		s.schedule(s.now+wait, func() { n.Trouble = model.Drain })
+		wait := s.e.Updates.EndpointListDelay[1] + 1200
+		s.schedule(s.now+wait, func() { n.Fault = model.Draining })
 		s.schedule(s.now+wait+1500, func() { f.stopBackend(n) })
 		s.schedule(s.now+wait+1500+durationMs, func() { f.restartBackend(n); n.hasFault = false })
 	default:
-		n.Trouble = map[string]model.Trouble{"hang": model.Hang, "slow": model.Slow, "fail": model.Fail}[kind]
+		n.Fault = map[string]model.Fault{"hang": model.Hang, "slow": model.Slow, "fail": model.Fail}[kind]
 		s.schedule(s.now+durationMs, n.clearFault)
 	}
 }
@@ -705,7 +705,7 @@
 // clearFault ends a fault of the backend; a stopped process stays stopped.
 func (n *backend) clearFault() {
 	n.hasFault = false
-	if n.Trouble != model.Down {
-		n.Trouble = model.Sound
+	if n.Fault != model.Down {
+		n.Fault = model.Healthy
 	}
 }
--- a/internal/lab/world/live.go
+++ b/internal/lab/world/live.go
@@ -76,7 +76,7 @@
 	l := &live{opts: o, inbox: make(chan func(), inboxSize), start: time.Now(), done: make(chan struct{})}
 	defer close(l.done)
 	s.mode, s.live = "live", l
-	s.check.Later = func(look func()) { s.schedule(s.now+recheckMs, look) }
+	s.check.Recheck = func(look func()) { s.schedule(s.now+recheckMs, look) }
 	startedAt := time.Now()
 	if err := s.openListeners(); err != nil {
 		return result.Summary{}, err
@@ -201,7 +201,7 @@
 	if e := s.e; e.HasLinks() {
 		b.relays = map[*zoneListener]*relay.Relay{}
 		b.baseFault = relay.Fault{Delay: time.Duration(e.Links.Delay[0] * 1e6),
-			Spread: time.Duration((e.Links.Delay[1] - e.Links.Delay[0]) * 1e6), Repeat: e.Links.Repeat}
+			Jitter: time.Duration((e.Links.Delay[1] - e.Links.Delay[0]) * 1e6), DuplicateShare: e.Links.DuplicateShare}
 	}
 	var err error
 	for _, to := range []*string{&b.addr, &b.grpcAddr} {
@@ -270,7 +270,7 @@
 			for _, r := range p.relays {
 				stats := r.Stats()
 				sum = relay.Stats{Conns: sum.Conns + stats.Conns, Pieces: sum.Pieces + stats.Pieces,
-					Repeated: sum.Repeated + stats.Repeated, Reset: sum.Reset + stats.Reset}
+					Duplicated: sum.Duplicated + stats.Duplicated, Reset: sum.Reset + stats.Reset}
 			}
 		}
 	}
@@ -286,7 +286,7 @@
 	if s.stopped {
 		return
 	}
-	s.check.Restarted(s.now, b.name)
+	s.check.BrokerRestarted(s.now, b.name)
 	if b.initialList == nil { // later processes start with the same list
 		list := b.discovery.endpointList(0, true)
 		b.initialList = &list
@@ -327,7 +327,7 @@
 	<-b.exited
 	for _, q := range b.world.queries {
 		if q.broker == broker(b) && q.gen == b.gen && !q.ended {
-			b.world.check.Void(q.ask.ID)
+			b.world.check.WaiveAnswer(q.ask.ID)
 		}
 	}
 	b.gen++
@@ -383,7 +383,7 @@
 	var mapStats shardmap.Stats
 	if errors.Join(json.Unmarshal(text, &resharding), json.Unmarshal(text, &mapStats)) == nil {
 		r.Add(resharding, mapStats)
-		r.KeptMax = max(r.KeptMax, mapStats.MaxRetainedVersions)
+		r.MaxVersionsKept = max(r.MaxVersionsKept, mapStats.MaxRetainedVersions)
 	}
 }
 
@@ -437,13 +437,13 @@
 	var minShares, completeFrom, partial []float64
 	var fetchParts []int
 	for _, c := range e.Classes {
-		classes = append(classes, map[string]any{"name": c.Name, "effect": c.Effect, "aim_ms": c.Aim,
-			"deadline_ms": c.Deadline, "worth": c.Worth, "late_worth": c.Late, "dedup_window_ms": 0})
-		minShares, completeFrom, partial = append(minShares, c.Floor), append(completeFrom, 1), append(partial, c.Partial)
+		classes = append(classes, map[string]any{"name": c.Name, "effect": c.Effect, "aim_ms": c.LatencyObjective,
+			"deadline_ms": c.Deadline, "worth": c.PriorityWeight, "late_worth": c.LateFactor, "dedup_window_ms": 0})
+		minShares, completeFrom, partial = append(minShares, c.MinCompleteness), append(completeFrom, 1), append(partial, c.PartialFactor)
 		fetchParts = append(fetchParts, 0)
 	}
 	mode, zones := "on_request", []string{}
-	if e.Pushed {
+	if e.PushEndpoints {
 		mode = "pushed"
 	}
 	for i := range e.Zones {
@@ -453,19 +453,19 @@
 		"seed":   fmt.Sprintf("%016x", b.world.seed+uint64(b.index)*7919+uint64(b.gen)),
 		"limits": map[string]any{"cores": 1, "memory_mb": memoryMB, "sockets": maxFiles},
 		"known":  b.initialList,
-		"settings": map[string]any{"areas": zones, "balancers": e.ToldBrokers(), "me": b.index % e.ToldBrokers(),
+		"settings": map[string]any{"areas": zones, "balancers": e.BrokerCount(), "me": b.index % e.BrokerCount(),
 			"zone":          e.ZoneOf(b.index),
 			"resolution_ms": 5, "callers": map[string]any{"marks_retry": true}, "discovery": mode,
 			"categories": classes, "customers": []any{},
-			"domain": map[string]any{"per_call": 1, "sets": e.Nodes, "slices": e.Slices, "width": e.Reach,
+			"domain": map[string]any{"per_call": 1, "sets": e.Backends, "slices": e.Shards, "width": e.ReplicasPerShard,
 				"complete_from": completeFrom, "fetch_parts": fetchParts, "incomplete_worth": partial, "min_share": minShares},
-			"invariants": map[string]any{"ask_within_ms": askWithinMs, "cold_from": e.Node.ColdFrom,
+			"invariants": map[string]any{"ask_within_ms": askWithinMs, "cold_from": e.Backend.InitialCapacity,
 				"drain_grace_ms": 1000,
-				"fall_ms":        e.Node.FallFor, "fall_multiple": e.Node.FallMultiple, "grace_to_answer_ms": 20,
-				"warm_within_ms": e.Node.Warm},
+				"fall_ms":        e.Backend.OverloadWindow, "fall_multiple": e.Backend.OverloadMultiple, "grace_to_answer_ms": 20,
+				"warm_within_ms": e.Backend.WarmUp},
 			"limits": map[string]any{"cancel": true, "dial_timeout_ms": 250, "keepalive_ms": 30000, "max_open": 4000,
-				"max_retry_after_ms": 1000, "multiplex": 32, "parallel_tries": e.Copies, "retry_after": true,
-				"try_limit": e.Tries}}}
+				"max_retry_after_ms": 1000, "multiplex": 32, "parallel_tries": e.AllowHedging, "retry_after": true,
+				"try_limit": e.MaxAttempts}}}
 }
 
 func (b *processBroker) number() int { return b.index }
--- a/internal/lab/world/servers.go
+++ b/internal/lab/world/servers.go
@@ -41,16 +41,16 @@
 // notify makes endpoint events visible, up to an index, and answers the calls that wait for them.
 func (d *discoveryServer) notify(upTo int) {
 	s := d.world
-	if until := s.fleet.agentSilentUntil[d.broker.index]; s.e.Pushed && until > s.now {
+	if until := s.fleet.agentSilentUntil[d.broker.index]; s.e.PushEndpoints && until > s.now {
 		// A silent agent gets no updates either.
 		s.schedule(until, func() { d.notify(upTo) })
 		return
 	}
-	if s.e.Pushed && d.visibleEvents < upTo { // what the agent has counts as known
+	if s.e.PushEndpoints && d.visibleEvents < upTo { // what the agent has counts as known
 		s.fleet.agentUpdatedAt[d.broker.index] = s.now
 		for _, n := range s.fleet.endpointEvents[d.visibleEvents:upTo] {
 			if n.state != scheduler.Ready {
-				s.check.Told(s.now, d.broker.name, n.backend.ID)
+				s.check.DrainNotified(s.now, d.broker.name, n.backend.ID)
 			}
 		}
 	}
@@ -127,10 +127,10 @@
 		d.recordNotified(l)
 		answer <- l
 	}
-	if s.e.Pushed && s.fleet.agentSilentUntil[d.broker.index] > s.now {
+	if s.e.PushEndpoints && s.fleet.agentSilentUntil[d.broker.index] > s.now {
 		return // the call is never answered
 	}
-	if full || index < firstRevision+d.visibleEvents || s.e.Pushed {
+	if full || index < firstRevision+d.visibleEvents || s.e.PushEndpoints {
 		reply()
 		return
 	}
@@ -143,9 +143,9 @@
 	s := d.world
 	for _, m := range l.Endpoints {
 		if m.Phase == "SERVING" && !s.Fault.IgnoreDrain {
-			s.check.Untold(d.broker.name, m.ID)
+			s.check.ReadyNotified(d.broker.name, m.ID)
 		} else if m.Phase != "SERVING" {
-			s.check.Told(s.now, d.broker.name, m.ID)
+			s.check.DrainNotified(s.now, d.broker.name, m.ID)
 		}
 	}
 }
--- a/internal/lab/world/sockets.go
+++ b/internal/lab/world/sockets.go
@@ -164,29 +164,29 @@
 	id       string // of the part
 	job      *model.Job
 	inFlight bool
-	reply    func(end model.End, epoch uint64)
+	reply    func(end model.Outcome, epoch uint64)
 }
 
 // receive passes a part from a connection to the backend, or returns nil if the part is lost. It runs in the
 // event loop.
 func (l *zoneListener) receive(id, query string, r shardmap.Range, epoch uint64,
-	reply func(model.End, uint64)) *receivedPart {
+	reply func(model.Outcome, uint64)) *receivedPart {
 	n, s := l.backend, l.backend.world
 	q := s.queries[query]
-	if q == nil || n.Trouble == model.Down || n.Fallen || l.dropIfCut() {
+	if q == nil || n.Fault == model.Down || n.Overloaded || l.dropIfCut() {
 		return nil
 	}
 	p := &receivedPart{listener: l, backend: n, id: id, inFlight: true, reply: reply}
-	p.job = &model.Job{Query: query, Class: q.ask.Class, Once: q.ask.Once, Districts: r, Epoch: epoch,
+	p.job = &model.Job{RequestID: query, Class: q.ask.Class, NonIdempotent: q.ask.NonIdempotent, Buckets: r, Epoch: epoch,
 		Work: q.workOf(r), Context: p}
-	s.check.Sent(s.now, q.broker.id(), n.ID)
+	s.check.AttemptSent(s.now, q.broker.id(), n.ID)
 	l.inFlight[p] = struct{}{}
 	n.receive(p.job)
 	return p
 }
 
 // respond implements responder.
-func (p *receivedPart) respond(end model.End) {
+func (p *receivedPart) respond(end model.Outcome) {
 	if p.inFlight {
 		if p.removeInFlight(); !p.listener.dropIfCut() {
 			p.reply(end, p.backend.Epoch())
@@ -199,7 +199,7 @@
 	if p != nil && p.inFlight {
 		p.inFlight = false
 		delete(p.listener.inFlight, p)
-		p.backend.world.check.Gone(p.job.Query, p.job.Districts)
+		p.backend.world.check.AttemptEnded(p.job.RequestID, p.job.Buckets)
 	}
 }
 
@@ -312,7 +312,7 @@
 func (c *frameConn) receivePart(id string, buckets shardmap.Range, epoch uint64) {
 	l := c.listener
 	query, _, _ := strings.Cut(id, ".")
-	p := l.receive(id, query, buckets, epoch, func(end model.End, epoch uint64) {
+	p := l.receive(id, query, buckets, epoch, func(end model.Outcome, epoch uint64) {
 		delete(c.inFlight, id)
 		select {
 		case c.out <- encodeAnswer(id, end, epoch, cmp.Or(l.backend.loadReport, "-"), model.Value(query, buckets)):
@@ -346,9 +346,9 @@
 }
 
 // encodeAnswer encodes the answer to a part as a frame.
-func encodeAnswer(id string, end model.End, epoch uint64, report, value string) []byte {
-	words := map[model.End]string{model.OK: "ok 17", model.Err: "err 0", model.Busy: "busy 0",
-		model.Moved: "moved " + strconv.FormatUint(epoch, 10)}
+func encodeAnswer(id string, end model.Outcome, epoch uint64, report, value string) []byte {
+	words := map[model.Outcome]string{model.OK: "ok 17", model.Failed: "err 0", model.Rejected: "busy 0",
+		model.NotHolder: "moved " + strconv.FormatUint(epoch, 10)}
 	text := id + " " + words[end] + " " + report + "\n"
 	if end == model.OK {
 		text += value
@@ -376,7 +376,7 @@
 		return status.Error(codes.InvalidArgument, "the ticket cannot be used")
 	}
 	type ended struct {
-		end   model.End
+		end   model.Outcome
 		epoch uint64
 	}
 	s, n, r := f.listener.backend.world, f.listener.backend, shardmap.Range{Start: q.Lo, End: q.Hi}
@@ -384,7 +384,7 @@
 	answer := make(chan ended, 1)
 	var p *receivedPart // owned by the event loop
 	s.live.post(func() {
-		p = f.listener.receive(q.ID, query, r, q.E, func(end model.End, epoch uint64) { answer <- ended{end, epoch} })
+		p = f.listener.receive(q.ID, query, r, q.E, func(end model.Outcome, epoch uint64) { answer <- ended{end, epoch} })
 	})
 	select {
 	case a := <-answer:
@@ -403,13 +403,13 @@
 }
 
 // sendDoc sends the answer to a part as a record or as a status.
-func sendDoc(out flight.FlightService_DoGetServer, end model.End, epoch uint64, value string) error {
+func sendDoc(out flight.FlightService_DoGetServer, end model.Outcome, epoch uint64, value string) error {
 	switch end {
-	case model.Err:
+	case model.Failed:
 		return status.Error(codes.Internal, "err")
-	case model.Busy:
+	case model.Rejected:
 		return status.Error(codes.ResourceExhausted, "busy")
-	case model.Moved:
+	case model.NotHolder:
 		st, err := status.New(codes.FailedPrecondition, "moved").WithDetails(&errdetails.ErrorInfo{Reason: "MOVED",
 			Domain: "ternstage", Metadata: map[string]string{"epoch": strconv.FormatUint(epoch, 10)}})
 		if err != nil {
--- a/internal/lab/world/virtual.go
+++ b/internal/lab/world/virtual.go
@@ -68,9 +68,9 @@
 // start starts its process, with a cached shard map unless that is nil.
 func (b *virtualBroker) start(cached *shardmap.Version) {
 	s := b.world
-	s.check.Restarted(s.now, b.name)
+	s.check.BrokerRestarted(s.now, b.name)
 	b.listedBackends = map[uint32]bool{}
-	b.shardMap = shardmap.New(shardmap.Options{MaxRetired: s.e.History,
+	b.shardMap = shardmap.New(shardmap.Options{MaxRetired: s.e.RetiredShards,
 		ReplicaNumber: func(name string) (uint32, bool) {
 			n := s.fleet.byName[name]
 			return n, n > 0 && b.listedBackends[n]
@@ -84,7 +84,7 @@
 	b.core.Attach(b, b)
 	b.wakeAt, b.seenEvents, b.nextPollAt = math.Inf(1), 0, math.Inf(1)
 	b.mapPoller = shardmap.NewPoller(shardmap.DefaultPollerOptions, b.seed+uint64(b.gen))
-	if s.e.Pushed {
+	if s.e.PushEndpoints {
 		b.agentPoller = endpointpoll.NewPoller(endpointpoll.Options{Pushed: true, DrainGrace: drainGraceMs})
 		b.pollAgent(b.gen)
 	} else {
@@ -114,7 +114,7 @@
 		_ = b.core.ApplySnapshot(snapshotOf(f.shardMap.Current(), f.shardMap.Retired(maxRetiredShards)))
 	}
 	b.markDirty()
-	b.world.schedule(b.world.now+b.world.e.SighupMS, func() { b.reloadPeriodically(gen) })
+	b.world.schedule(b.world.now+b.world.e.SighupMs, func() { b.reloadPeriodically(gen) })
 }
 
 // kill ends its process. The checker expects no answers to its requests any more.
@@ -124,7 +124,7 @@
 		addMapStats(b.pastMapStats, b.shardMap.Stats()), max(b.pastMaxVersions, b.maxVersions())
 	for _, q := range s.queries {
 		if q.broker == broker(b) && q.gen == b.gen && !q.ended {
-			s.check.Void(q.ask.ID)
+			s.check.WaiveAnswer(q.ask.ID)
 		}
 	}
 	for _, d := range b.inFlight {
@@ -159,12 +159,12 @@
 }
 
 func (b *virtualBroker) addStats(r *result.Summary) {
-	r.KeptMax = max(r.KeptMax, b.maxVersions(), b.pastMaxVersions)
+	r.MaxVersionsKept = max(r.MaxVersionsKept, b.maxVersions(), b.pastMaxVersions)
 	r.Add(b.pastResharding, b.pastMapStats)
 	if b.core != nil {
 		r.Add(b.core.ReshardingStats(), b.shardMap.Stats())
-		r.Reads += b.mapPoller.HintedPolls()
-		r.OpenEnd += b.core.OpenRequests()
+		r.HintReads += b.mapPoller.HintedPolls()
+		r.OpenAtEnd += b.core.OpenRequests()
 	}
 }
 
@@ -239,16 +239,16 @@
 		delete(b.listedBackends, n.number)
 	}
 	if state == scheduler.Ready {
-		s.check.Untold(b.name, n.ID)
+		s.check.ReadyNotified(b.name, n.ID)
 	} else {
-		s.check.Told(s.now, b.name, n.ID)
+		s.check.DrainNotified(s.now, b.name, n.ID)
 		if s.Fault.IgnoreDrain {
 			state = scheduler.Ready
 		}
 	}
 	started := n.Started
 	if started > 0 {
-		started += s.e.ClockOf(b.index) // the broker's clock is off by this
+		started += s.e.ClockOffset(b.index) // the broker's clock is off by this
 	}
 	if s.Fault.HideStarts {
 		started = 0
@@ -315,7 +315,7 @@
 
 // notify implements broker. If the list is pushed, the agent gets the events, and the broker polls them from it.
 func (b *virtualBroker) notify(upTo int) {
-	if s := b.world; s.e.Pushed && b.agentEvents < upTo {
+	if s := b.world; s.e.PushEndpoints && b.agentEvents < upTo {
 		if until := s.fleet.agentSilentUntil[b.index]; until > s.now { // a silent agent gets no updates either
 			s.schedule(until, func() { b.notify(upTo) })
 			return
@@ -323,12 +323,12 @@
 		s.fleet.agentUpdatedAt[b.index] = s.now
 		for _, n := range s.fleet.endpointEvents[b.agentEvents:upTo] { // what the agent has counts as known
 			if n.state != scheduler.Ready {
-				s.check.Told(s.now, b.name, n.backend.ID)
+				s.check.DrainNotified(s.now, b.name, n.backend.ID)
 			}
 		}
 		b.agentEvents = upTo
 	}
-	if b.world.e.Pushed {
+	if b.world.e.PushEndpoints {
 		return
 	}
 	if b.core == nil || b.seenEvents >= upTo || len(b.listedBackends) == 0 {
@@ -457,14 +457,14 @@
 func (d *dispatch) reportGone() {
 	if d.atBackend {
 		d.atBackend = false
-		d.broker.world.check.Gone(d.attempt.Request, d.attempt.Buckets)
+		d.broker.world.check.AttemptEnded(d.attempt.Request, d.attempt.Buckets)
 	}
 }
 
 // send sends the part to its backend.
 func (d *dispatch) send() {
 	s := d.broker.world
-	s.check.Sent(s.now, d.broker.name, d.backend.ID)
+	s.check.AttemptSent(s.now, d.broker.name, d.backend.ID)
 	d.broker.inFlight = append(d.broker.inFlight, d)
 	d.arrivesAt = s.now + s.zoneDelay(d.broker.zone, d.backend.zone)
 	s.schedule(d.arrivesAt, d.arrive)
@@ -477,11 +477,11 @@
 	if !s.fleet.canReach(d.broker.zone, n.zone) || s.fleet.linksCutUntil[d.broker.index] > s.now {
 		return // lost without an error
 	}
-	if n.Trouble == model.Down || n.Fallen || q == nil {
+	if n.Fault == model.Down || n.Overloaded || q == nil {
 		d.returnOutcome(scheduler.ConnectFailed, nil)
 		return
 	}
-	d.job = &model.Job{Query: d.attempt.Request, Class: q.ask.Class, Once: q.ask.Once, Districts: d.attempt.Buckets,
+	d.job = &model.Job{RequestID: d.attempt.Request, Class: q.ask.Class, NonIdempotent: q.ask.NonIdempotent, Buckets: d.attempt.Buckets,
 		Epoch: d.attempt.Epoch, Work: q.workOf(d.attempt.Buckets), Context: d}
 	d.job.Unfenced = s.Fault.Unfenced
 	if s.e.Arm != exp.Follow {
@@ -492,16 +492,16 @@
 }
 
 // respond implements responder.
-func (d *dispatch) respond(end model.End) {
+func (d *dispatch) respond(end model.Outcome) {
 	d.reportGone()
 	switch end {
 	case model.OK:
 		d.returnOutcome(scheduler.Succeeded, []byte(model.Value(d.attempt.Request, d.attempt.Buckets)))
-	case model.Err:
+	case model.Failed:
 		d.returnOutcome(scheduler.Failed, nil)
-	case model.Busy:
+	case model.Rejected:
 		d.returnOutcome(scheduler.Rejected, nil)
-	case model.Moved:
+	case model.NotHolder:
 		d.attempt.BackendEpoch = d.backend.Epoch()
 		d.returnOutcome(scheduler.NotHolder, nil)
 	}
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -125,9 +125,9 @@
 		loadRand: rand.New(rand.NewPCG(seed, 1)), networkRand: rand.New(rand.NewPCG(seed, 2)),
 		faultRand: rand.New(rand.NewPCG(seed, 3)), check: check.New(), queries: map[string]*query{},
 		latency: hdrhistogram.New(1, 60_000_000, 3)}
-	s.check.Copies = e.Copies
-	if !e.Pushed {
-		s.check.Unasked = askWithinMs
+	s.check.AllowHedging = e.AllowHedging
+	if !e.PushEndpoints {
+		s.check.FirstPollMs = askWithinMs
 	}
 	s.ledger = ledger.New(e.Brokers)
 	s.fleet = newFleet(s, seed)
@@ -150,7 +150,7 @@
 // zoneDelay draws the one-way delay of a message between two zones.
 func (s *World) zoneDelay(a, b int) float64 {
 	if a != b {
-		return s.e.Cross.Draw(s.networkRand)
+		return s.e.CrossZoneDelay.Draw(s.networkRand)
 	}
 	return s.networkDelay()
 }
@@ -206,14 +206,14 @@
 // Summary returns the results so far.
 func (s *World) Summary() result.Summary {
 	r := result.Summary{Mode: s.mode, Name: s.e.Name, Arm: s.e.Arm, Counts: s.check.Counts, Notes: s.check.Notes,
-		Changes: s.fleet.changeCount, Epochs: int(s.fleet.shardMap.Current().Epoch), Stale: s.staleRequests,
-		P50: float64(s.latency.ValueAtQuantile(50)) / 1000, P99: float64(s.latency.ValueAtQuantile(99)) / 1000,
-		SimulatedS: (s.now - clockStartMs) / 1000, Slices: s.fleet.shardMap.Current().Len()}
-	r.Busy, r.BusyShare = s.ledger.BusyParts()
-	r.ColdUsed, r.ColdShort = s.ledger.All.Share(), s.ledger.Short.Share()
+		Changes: s.fleet.changeCount, Epochs: int(s.fleet.shardMap.Current().Epoch), StaleRequests: s.staleRequests,
+		P50Ms: float64(s.latency.ValueAtQuantile(50)) / 1000, P99Ms: float64(s.latency.ValueAtQuantile(99)) / 1000,
+		SimulatedS: (s.now - clockStartMs) / 1000, Shards: s.fleet.shardMap.Current().Len()}
+	r.PartsRejected, r.PartsRejectedShare = s.ledger.RejectedParts()
+	r.WarmupUsed, r.WarmupUsedRejecting = s.ledger.Total.Share(), s.ledger.WhileRejecting.Share()
 	r.Fairness = s.ledger.Fairness(minFairnessQueries)
 	if s.weights[1] > 0 {
-		r.Worth = math.Round(s.weights[0]/s.weights[1]*1e6) / 1e6
+		r.EarnedShare = math.Round(s.weights[0]/s.weights[1]*1e6) / 1e6
 	}
 	for _, b := range s.brokers {
 		b.addStats(&r)
@@ -227,7 +227,7 @@
 // query is a request of a client and its state. It implements core.Client.
 type query struct {
 	world    *World
-	ask      *check.Ask
+	ask      *check.Request
 	class    exp.Class
 	work     []float64 // actual cost by part
 	firstDue float64   // arrival of the first request; client retries keep it
@@ -252,14 +252,14 @@
 	c := s.e.Classes[i]
 	n := int(c.Parts[0]) + s.loadRand.IntN(int(c.Parts[1]-c.Parts[0])+1)
 	// The client's shard map may be stale.
-	v := s.fleet.versionAt(s.now - s.e.Client.Draw(s.loadRand))
+	v := s.fleet.versionAt(s.now - s.e.ClientMapAge.Draw(s.loadRand))
 	at, weightSum := v.ShardAt(s.loadRand.IntN(v.Buckets)), 0.0
-	q := &query{world: s, class: c, firstDue: s.now, isFirst: true, ask: &check.Ask{Class: i, Once: c.Once(),
-		Floor:    c.Floor,
-		Deadline: s.now + c.Deadline*(0.6+0.4*s.loadRand.Float64())}}
+	q := &query{world: s, class: c, firstDue: s.now, isFirst: true, ask: &check.Request{Class: i, NonIdempotent: c.NonIdempotent(),
+		MinCompleteness: c.MinCompleteness,
+		Deadline:        s.now + c.Deadline*(0.6+0.4*s.loadRand.Float64())}}
 	for range min(n, v.Len()) {
 		weight := 0.5 + s.loadRand.Float64()
-		q.ask.Parts = append(q.ask.Parts, check.Part{Shard: at.ID, Weight: weight, Districts: at.Range})
+		q.ask.Parts = append(q.ask.Parts, check.Part{Shard: at.ID, Weight: weight, Buckets: at.Range})
 		q.work = append(q.work, c.Work.Draw(s.loadRand))
 		weightSum += weight
 		at = v.ShardAt(at.End % v.Buckets)
@@ -267,15 +267,15 @@
 	for i := range q.ask.Parts {
 		q.ask.Parts[i].Weight /= weightSum
 	}
-	s.weights[1] += c.Worth
+	s.weights[1] += c.PriorityWeight
 	s.send(q, v.Epoch)
 }
 
 // send submits a query to a broker that is up, if there is one.
 func (s *World) send(q *query, epoch uint64) {
 	s.lastID++
-	first, activeBrokers := s.lastID, len(s.brokers)-int(s.e.Traffic.Idle*float64(len(s.brokers)))
-	if hot := s.e.Traffic.Hot; hot > 1 && s.loadRand.Float64()*float64(activeBrokers) < hot {
+	first, activeBrokers := s.lastID, len(s.brokers)-int(s.e.Traffic.IdleShare*float64(len(s.brokers)))
+	if hot := s.e.Traffic.HotFactor; hot > 1 && s.loadRand.Float64()*float64(activeBrokers) < hot {
 		first = 0
 	}
 	for i := range activeBrokers {
@@ -298,15 +298,15 @@
 	}
 	id := q.ask.ID
 	s.queries[id] = q
-	s.check.Asked(q.ask)
+	s.check.RequestReceived(q.ask)
 	if err := q.broker.submit(q, r); err != nil {
 		q.retryStaleMap()
 		return
 	}
-	s.schedule(q.ask.Deadline+100, func() { s.check.Over(id) })
+	s.schedule(q.ask.Deadline+100, func() { s.check.CloseRequest(id) })
 	s.schedule(q.ask.Deadline+forgetAfterMs, func() {
 		delete(s.queries, id)
-		s.check.Forget(id)
+		s.check.ForgetRuns(id)
 	})
 }
 
@@ -314,20 +314,20 @@
 // current shard map and retries once.
 func (q *query) retryStaleMap() {
 	s, id := q.world, q.ask.ID
-	s.check.Taken--
-	s.check.Void(id)
-	s.check.Over(id)
+	s.check.Received--
+	s.check.WaiveAnswer(id)
+	s.check.CloseRequest(id)
 	delete(s.queries, id)
 	if s.staleRequests++; q.retries >= 1 {
 		return
 	}
-	retry, ask := *q, q.ask.Anew()
+	retry, ask := *q, q.ask.ClientRetry()
 	retry.retries++
 	retry.ask, retry.broker = ask, nil
 	v := s.fleet.shardMap.Current()
 	for i, p := range ask.Parts {
-		now := v.ShardAt(p.Districts.Start)
-		ask.Parts[i] = check.Part{Shard: now.ID, Weight: p.Weight, Districts: now.Range}
+		now := v.ShardAt(p.Buckets.Start)
+		ask.Parts[i] = check.Part{Shard: now.ID, Weight: p.Weight, Buckets: now.Range}
 	}
 	if areShardsDistinct(ask.Parts) {
 		s.send(&retry, v.Epoch)
@@ -358,36 +358,36 @@
 	q.ended = true
 	switch a.Kind {
 	case core.Rejected:
-		s.check.Refusal(s.now, id)
-		s.ledger.Refused(q.broker.number())
+		s.check.RequestRejected(s.now, id)
+		s.ledger.RequestRejected(q.broker.number())
 		q.retryRejected(a.RetryAfter)
 	case core.Failed:
-		s.check.Failure(s.now, id)
-		s.ledger.Failed(q.broker.number())
+		s.check.RequestFailed(s.now, id)
+		s.ledger.RequestFailed(q.broker.number())
 	default:
-		s.ledger.Answered(q.broker.number())
-		hits := make([]check.Hit, 0, len(a.Values))
+		s.ledger.RequestAnswered(q.broker.number())
+		hits := make([]check.Value, 0, len(a.Values))
 		for _, v := range a.Values {
-			hits = append(hits, check.Hit{Shard: v.Shard, Districts: v.Buckets, Doc: string(v.Doc)})
+			hits = append(hits, check.Value{Shard: v.Shard, Buckets: v.Buckets, Doc: string(v.Doc)})
 		}
 		if n := len(hits); n > 0 {
 			switch {
 			case s.Fault.DropHit:
 				hits = hits[:n-1]
 			case s.Fault.ForeignValue:
-				hits[n-1].Doc = model.Value("q0", hits[n-1].Districts)
+				hits[n-1].Doc = model.Value("q0", hits[n-1].Buckets)
 			case s.Fault.DuplicateValue:
 				hits = append(hits, hits[n-1])
 			}
 		}
-		share := s.check.Answer(s.now, id, a.Complete || s.Fault.MarkComplete, hits)
+		share := s.check.RequestAnswered(s.now, id, a.Complete || s.Fault.MarkComplete, hits)
 		_ = s.latency.RecordValue(int64((s.now - q.firstDue) * 1000))
-		weight := q.class.Worth
+		weight := q.class.PriorityWeight
 		if share < 1-1e-4 {
-			weight *= q.class.Partial * share
+			weight *= q.class.PartialFactor * share
 		}
-		if s.now > q.firstDue+q.class.Aim {
-			weight *= q.class.Late
+		if s.now > q.firstDue+q.class.LatencyObjective {
+			weight *= q.class.LateFactor
 		}
 		s.weights[0] += weight
 	}
@@ -397,10 +397,10 @@
 func (q *query) retryRejected(afterMs float64) {
 	s := q.world
 	at := s.now + max(afterMs, 1)
-	if q.retries >= s.e.Retries || at >= q.firstDue+q.class.Deadline {
+	if q.retries >= s.e.ClientRetries || at >= q.firstDue+q.class.Deadline {
 		return
 	}
-	retry, ask := *q, q.ask.Anew()
+	retry, ask := *q, q.ask.ClientRetry()
 	retry.ask, retry.isFirst, retry.ended, retry.broker = ask, false, false, nil
 	retry.retries++
 	ask.Deadline = q.firstDue + q.class.Deadline
@@ -410,8 +410,8 @@
 // workOf returns the work of a range of buckets of the query.
 func (q *query) workOf(r shardmap.Range) float64 {
 	for i, p := range q.ask.Parts {
-		if p.Districts.Contains(r) {
-			return q.work[i] * float64(r.Size()) / float64(p.Districts.Size())
+		if p.Buckets.Contains(r) {
+			return q.work[i] * float64(r.Size()) / float64(p.Buckets.Size())
 		}
 	}
 	return 1
--- a/internal/lab/world/world_test.go
+++ b/internal/lab/world/world_test.go
@@ -48,21 +48,21 @@
 	t.Parallel()
 	e := loadExperiment(t, exp.Follow, 1000, 40)
 	s := runSeeds(e, 1, 16, Fault{})
-	_, faults := s.Judge(e.Expect)
+	_, faults := s.CheckBounds(e.Expect)
 	require.Empty(t, faults)
 	require.Greater(t, s.Changes, 16*20)
-	require.Positive(t, s.Moved)
-	require.Zero(t, s.OpenEnd)
+	require.Positive(t, s.NotHolder)
+	require.Zero(t, s.OpenAtEnd)
 	unchanged := runSeeds(loadExperiment(t, exp.Follow, 0, 40), 1, 16, Fault{})
-	require.InDelta(t, unchanged.Worth, s.Worth, 0.03)
+	require.InDelta(t, unchanged.EarnedShare, s.EarnedShare, 0.03)
 	often := loadExperiment(t, exp.Follow, 100, 40)
 	s = runSeeds(often, 1, 16, Fault{})
-	_, faults = s.Judge(often.Expect)
+	_, faults = s.CheckBounds(often.Expect)
 	require.Empty(t, faults)
-	require.Positive(t, s.Caught, "parts were in flight when their shard was retired")
-	require.Positive(t, s.Replaced)
-	require.Positive(t, s.SplitParts)
-	require.Positive(t, s.Refusals, "malformed maps were rejected")
+	require.Positive(t, s.PartsInFlight, "parts were in flight when their shard was retired")
+	require.Positive(t, s.PartsReplaced)
+	require.Positive(t, s.PartsSplit)
+	require.Positive(t, s.MapsRejected, "malformed maps were rejected")
 }
 
 // TestSameSeedGivesSameRun guards against results that depend on anything but the experiment and the seed.
@@ -73,7 +73,7 @@
 	a.WallS, b.WallS = 0, 0
 	require.Equal(t, a, b)
 	c := New(e, 8).Run(nil)
-	require.NotEqual(t, a.Taken, c.Taken)
+	require.NotEqual(t, a.Received, c.Received)
 }
 
 // TestArmsWithoutEpochsPerformWorse: without epochs, the arm that reloads on SIGHUP rejects and fails more requests,
@@ -83,9 +83,9 @@
 	follow := runSeeds(loadExperiment(t, exp.Follow, 1000, 40), 1, 6, Fault{})
 	sighup := runSeeds(loadExperiment(t, exp.Sighup, 1000, 40), 1, 6, Fault{})
 	naive := runSeeds(loadExperiment(t, exp.Naive, 1000, 40), 1, 6, Fault{})
-	require.Less(t, sighup.Worth, follow.Worth-0.05)
-	require.Positive(t, naive.BindTwice)
-	require.Zero(t, follow.Broken(), follow.Notes)
+	require.Less(t, sighup.EarnedShare, follow.EarnedShare-0.05)
+	require.Positive(t, naive.RanTwice)
+	require.Zero(t, follow.Violations(), follow.Notes)
 }
 
 // TestCheckersDetectFaults guards against checkers that let through the violation that they exist for.
@@ -96,22 +96,22 @@
 		count func(result.Summary) int
 	}{
 		"lost":                          {Fault{LoseAnswer: true}, func(s result.Summary) int { return s.Lost }},
-		"falsely complete":              {Fault{MarkComplete: true}, func(s result.Summary) int { return s.FalselyWhole }},
-		"short":                         {Fault{DropHit: true}, func(s result.Summary) int { return s.Short }},
-		"wrong value":                   {Fault{ForeignValue: true}, func(s result.Summary) int { return s.WrongValue }},
+		"falsely complete":              {Fault{MarkComplete: true}, func(s result.Summary) int { return s.FalselyComplete }},
+		"short":                         {Fault{DropHit: true}, func(s result.Summary) int { return s.BelowMinCompleteness }},
+		"wrong value":                   {Fault{ForeignValue: true}, func(s result.Summary) int { return s.WrongValues }},
 		"counted twice":                 {Fault{DuplicateValue: true}, func(s result.Summary) int { return s.CountedTwice }},
-		"late drain":                    {Fault{IgnoreDrain: true}, func(s result.Summary) int { return s.DrainLate }},
+		"late drain":                    {Fault{IgnoreDrain: true}, func(s result.Summary) int { return s.SentAfterDrain }},
 		"two attempts at once":          {Fault{DuplicateAttempt: true}, func(s result.Summary) int { return s.Overlaps }},
-		"non-idempotent part run twice": {Fault{DuplicateAttempt: true}, func(s result.Summary) int { return s.BindTwice }},
+		"non-idempotent part run twice": {Fault{DuplicateAttempt: true}, func(s result.Summary) int { return s.RanTwice }},
 		"buckets not held":              {Fault{Unfenced: true}, func(s result.Summary) int { return s.Overlaps }},
-		"overloaded while warming up":   {Fault{HideStarts: true}, func(s result.Summary) int { return s.ColdFallen }},
+		"overloaded while warming up":   {Fault{HideStarts: true}, func(s result.Summary) int { return s.WarmingOverloaded }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			e := loadExperiment(t, exp.Follow, 700, 40)
 			if c.f.HideStarts {
-				e.Rate, e.Node.ColdFrom, e.Node.FallMultiple, e.Node.FallFor = 120, 0.05, 1, 1000
-				e.Troubles.Kinds = []string{"down"}
+				e.Rate, e.Backend.InitialCapacity, e.Backend.OverloadMultiple, e.Backend.OverloadWindow = 120, 0.05, 1, 1000
+				e.Faults.Kinds = []string{"down"}
 			}
 			s := runSeeds(e, 1, 3, c.f)
 			require.Positive(t, c.count(s), fmt.Sprint(s.Counts))
@@ -137,7 +137,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			e := loadExperiment(t, exp.Follow, 0, 20)
-			e.Troubles.Every, e.News.Outages = 0, nil
+			e.Faults.Interval, e.Updates.Outages = 0, nil
 			s := New(e, 11)
 			f := s.fleet
 			at := f.shardMap.Current().Shard(3)
@@ -155,7 +155,7 @@
 					f.shardMap.Current().All(func(x *shardmap.Shard) bool {
 						up := 0
 						for _, id := range x.Executors() {
-							if f.backends[f.byName[id]-1].Trouble != model.Down {
+							if f.backends[f.byName[id]-1].Fault != model.Down {
 								up++
 							}
 						}
@@ -165,8 +165,8 @@
 				})
 			}
 			r := s.Run(nil)
-			require.Zero(t, r.Broken(), r.Notes)
-			require.Greater(t, r.Worth, 0.97)
+			require.Zero(t, r.Violations(), r.Notes)
+			require.Greater(t, r.EarnedShare, 0.97)
 			end := f.shardMap.Current().Shard(3)
 			require.Equal(t, shardmap.Serving, end.State)
 			if c.moved {
@@ -183,13 +183,13 @@
 func TestHandoversToWarmingBackendsArePaced(t *testing.T) {
 	t.Parallel()
 	e := loadExperiment(t, exp.Follow, 150, 40)
-	e.Changes.Split, e.Changes.Merge, e.Changes.Move, e.News.Outages = 0, 0, 1, nil
-	e.Rate, e.Troubles.Every, e.Troubles.Kinds = 90, 3000, []string{"down"}
-	e.Troubles.For = exp.Span{500, 1000}
+	e.Changes.Split, e.Changes.Merge, e.Changes.Move, e.Updates.Outages = 0, 0, 1, nil
+	e.Rate, e.Faults.Interval, e.Faults.Kinds = 90, 3000, []string{"down"}
+	e.Faults.For = exp.Span{500, 1000}
 	s := runSeeds(e, 1, 6, Fault{})
-	require.Zero(t, s.Broken(), s.Notes)
+	require.Zero(t, s.Violations(), s.Notes)
 	require.Greater(t, s.Changes, 600)
-	require.Greater(t, s.Worth, 0.9)
+	require.Greater(t, s.EarnedShare, 0.9)
 }
 
 // TestLongCatalogueOutage: during an outage of 30 s handovers go on, and after it the brokers receive about 200
@@ -197,14 +197,14 @@
 func TestLongCatalogueOutage(t *testing.T) {
 	t.Parallel()
 	e := loadExperiment(t, exp.Follow, 250, 50)
-	e.News.Outages = e.News.Outages[:1]
-	e.News.Outages[0].At, e.News.Outages[0].For = 10_000, 30_000
-	e.Troubles.Kinds = []string{"hang", "slow", "fail", "drain"}
+	e.Updates.Outages = e.Updates.Outages[:1]
+	e.Updates.Outages[0].At, e.Updates.Outages[0].For = 10_000, 30_000
+	e.Faults.Kinds = []string{"hang", "slow", "fail", "drain"}
 	s := runSeeds(e, 1, 4, Fault{})
-	require.Zero(t, s.Broken(), s.Notes)
-	require.Positive(t, s.Moved)
-	require.Greater(t, s.Worth, 0.7)
-	require.Zero(t, s.OpenEnd)
+	require.Zero(t, s.Violations(), s.Notes)
+	require.Positive(t, s.NotHolder)
+	require.Greater(t, s.EarnedShare, 0.7)
+	require.Zero(t, s.OpenAtEnd)
 }
 
 // TestManyChangesRetainNoState guards against state that accumulates with shard map changes: what is retained at the
@@ -212,7 +212,7 @@
 func TestManyChangesRetainNoState(t *testing.T) {
 	t.Parallel()
 	e := loadExperiment(t, exp.Follow, 15, 160)
-	e.Rate, e.Troubles.Every, e.News.Outages, e.History = 20, 0, nil, 1024
+	e.Rate, e.Faults.Interval, e.Updates.Outages, e.RetiredShards = 20, 0, nil, 1024
 	s := New(e, 3)
 	var half, last uint64
 	end := s.Run(func(second int, r result.Summary) {
@@ -225,9 +225,9 @@
 	})
 	require.Greater(t, end.Changes, 10_000)
 	t.Logf("heap halfway %d KB, at the end %d KB, %d changes", half>>10, last>>10, end.Changes)
-	require.Zero(t, end.Broken(), end.Notes)
-	require.Zero(t, end.OpenEnd)
-	require.LessOrEqual(t, end.KeptMax, 40)
+	require.Zero(t, end.Violations(), end.Notes)
+	require.Zero(t, end.OpenAtEnd)
+	require.LessOrEqual(t, end.MaxVersionsKept, 40)
 	for _, x := range s.brokers {
 		b := x.(*virtualBroker)
 		require.Equal(t, 1, b.shardMap.Stats().RetainedVersions, "versions without users are retained")
--- a/test/fleet/mass_test.go
+++ b/test/fleet/mass_test.go
@@ -33,8 +33,8 @@
 	t.Parallel()
 	size := map[string]string{"brokers": "12", "nodes": "20", "seconds": "14", "rate": "20"}
 	s := play(t, mass(t, size, "join", "herd", "zone"), world.Fault{})
-	assert.Zero(t, s.Broken(), s.Notes)
-	assert.Greater(t, s.Worth, 0.4)
+	assert.Zero(t, s.Violations(), s.Notes)
+	assert.Greater(t, s.EarnedShare, 0.4)
 }
 
 // TestColdNodesAmongHundreds: 300 brokers in virtual time, six in ten of 200 nodes replaced, asked for more than what is
@@ -43,9 +43,9 @@
 	t.Parallel()
 	size := map[string]string{"brokers": "300", "nodes": "200", "seconds": "14", "rate": "500"}
 	s := world.New(mass(t, size, "join"), 3).Run(nil)
-	assert.Zero(t, s.Broken(), s.Notes)
-	assert.Greater(t, s.Worth, 0.5)
-	assert.Positive(t, s.ColdUsed, "cold nodes are used")
+	assert.Zero(t, s.Violations(), s.Notes)
+	assert.Greater(t, s.EarnedShare, 0.5)
+	assert.Positive(t, s.WarmupUsed, "cold nodes are used")
 	assert.Greater(t, s.Fairness, 0.9, "brokers fare alike")
 }
 
@@ -78,9 +78,9 @@
 			e := mass(t, size, c.on...)
 			e.Script = append(e.Script, c.more...)
 			s := world.New(e, 5).Run(nil)
-			t.Logf("worth %.3f, fairness %.3f, cold use %.3f, busy %.4f", s.Worth, s.Fairness, s.ColdUsed, s.BusyShare)
-			assert.Zero(t, s.Broken(), s.Notes)
-			assert.Greater(t, s.Worth, c.worth)
+			t.Logf("worth %.3f, fairness %.3f, cold use %.3f, busy %.4f", s.EarnedShare, s.Fairness, s.WarmupUsed, s.PartsRejectedShare)
+			assert.Zero(t, s.Violations(), s.Notes)
+			assert.Greater(t, s.EarnedShare, c.worth)
 			assert.Greater(t, s.Fairness, c.fair)
 		})
 	}
@@ -100,10 +100,10 @@
 				size := map[string]string{"brokers": c.brokers, "told": c.told, "nodes": "40", "seconds": "14", "rate": "150",
 					"hot": "8", "idle": "0.1"}
 				s := world.New(mass(t, size, "join", "herd"), seed+1).Run(nil)
-				fallen += s.ColdFallen
+				fallen += s.WarmingOverloaded
 				if c.told == "0" {
-					assert.Zero(t, s.Broken(), s.Notes)
-					assert.Positive(t, s.ColdUsed)
+					assert.Zero(t, s.Violations(), s.Notes)
+					assert.Positive(t, s.WarmupUsed)
 				}
 			}
 			assert.Equal(t, c.told != "0", fallen > 0, "%d fell", fallen)
@@ -129,7 +129,7 @@
 	t.Parallel()
 	size := map[string]string{"brokers": "12", "nodes": "20", "seconds": "11", "rate": "40"}
 	e := mass(t, size)
-	e.Copies, e.Links.Delay, e.Links.Repeat = true, exp.Span{1, 15}, 0.2
+	e.AllowHedging, e.Links.Delay, e.Links.DuplicateShare = true, exp.Span{1, 15}, 0.2
 	for i := range 4 {
 		e.Script = append(e.Script, exp.Event{At: 3000, For: 3000, Kind: "link_cut", On: i})
 	}
@@ -143,10 +143,10 @@
 	s, err := w.RunLive(t.Context(), world.LiveOptions{Binary: built, Dir: t.TempDir()}, nil)
 	require.NoError(t, err)
 	links := w.LinkStats()
-	t.Logf("%d taken, %d answered, %d refused, %d failed, worth %.3f, %+v", s.Taken, s.Answered, s.Refused, s.Failed,
-		s.Worth, links)
-	assert.Zero(t, s.Broken(), s.Notes)
-	assert.Greater(t, s.Worth, 0.5)
-	assert.Positive(t, links.Repeated, "answers came twice")
+	t.Logf("%d taken, %d answered, %d refused, %d failed, worth %.3f, %+v", s.Received, s.Answered, s.Rejected, s.Failed,
+		s.EarnedShare, links)
+	assert.Zero(t, s.Violations(), s.Notes)
+	assert.Greater(t, s.EarnedShare, 0.5)
+	assert.Positive(t, links.Duplicated, "answers came twice")
 	assert.Positive(t, links.Reset, "connections that lost something were reset when the way was back")
 }
--- a/test/fleet/zones_test.go
+++ b/test/fleet/zones_test.go
@@ -53,7 +53,7 @@
 	w.Fault = fault
 	s, err := w.RunLive(t.Context(), world.LiveOptions{Binary: built, Dir: t.TempDir()}, nil)
 	require.NoError(t, err)
-	t.Logf("%d taken, %d answered, %d refused, %d failed, worth %.3f", s.Taken, s.Answered, s.Refused, s.Failed, s.Worth)
+	t.Logf("%d taken, %d answered, %d refused, %d failed, worth %.3f", s.Received, s.Answered, s.Rejected, s.Failed, s.EarnedShare)
 	return s
 }
 
@@ -61,8 +61,8 @@
 func TestZoneCutOff(t *testing.T) {
 	t.Parallel()
 	s := play(t, zones(t, 9, exp.Event{At: 1500, For: 4000, Kind: "zone_cut", On: 1}), world.Fault{})
-	assert.Zero(t, s.Broken(), s.Notes)
-	assert.Greater(t, s.Worth, 0.8, "two replicas of three are within reach of two brokers")
+	assert.Zero(t, s.Violations(), s.Notes)
+	assert.Greater(t, s.EarnedShare, 0.8, "two replicas of three are within reach of two brokers")
 }
 
 // TestAgentsSilent: all agents fall silent for 10 s while a node drains and is replaced and another restarts.
@@ -72,15 +72,15 @@
 		exp.Event{At: 1000, For: 10000, Kind: "silent", On: 1}, exp.Event{At: 1000, For: 10000, Kind: "silent", On: 2},
 		exp.Event{At: 1500, For: 2000, Kind: "drain", On: 3}, exp.Event{At: 4000, For: 2000, Kind: "down", On: 7}),
 		world.Fault{})
-	assert.Zero(t, s.Broken(), s.Notes)
-	assert.Greater(t, s.Worth, 0.85, "the last list serves")
+	assert.Zero(t, s.Violations(), s.Notes)
+	assert.Greater(t, s.EarnedShare, 0.85, "the last list serves")
 }
 
 // TestLateDrainIsSeen plants a fault: agents hide that nodes drain, and the checker must find what that breaks.
 func TestLateDrainIsSeen(t *testing.T) {
 	t.Parallel()
 	s := play(t, zones(t, 7, exp.Event{At: 500, For: 500, Kind: "drain", On: 4}), world.Fault{IgnoreDrain: true})
-	assert.Positive(t, s.DrainLate)
+	assert.Positive(t, s.SentAfterDrain)
 }
 
 // TestBackWithAnOldList: a broker is killed outright and comes back with the list it first began with, of which a node
@@ -90,6 +90,6 @@
 	s := play(t, zones(t, 14, exp.Event{At: 500, For: 4000, Kind: "drain", On: 4},
 		exp.Event{At: 2000, For: 1500, Kind: "down", On: 8}, exp.Event{At: 7000, For: 1500, Kind: "broker", On: 0},
 		exp.Event{At: 10000, For: 500, Kind: "broker", On: 2}), world.Fault{})
-	assert.Zero(t, s.Broken(), s.Notes)
-	assert.Greater(t, s.Worth, 0.85)
+	assert.Zero(t, s.Violations(), s.Notes)
+	assert.Greater(t, s.EarnedShare, 0.85)
 }
--- a/test/slices_test.go
+++ b/test/slices_test.go
@@ -31,15 +31,15 @@
 			t.Parallel()
 			e, err := exp.Load("../experiments/reshard.jsonnet", map[string]string{"arm": "follow", "every": "300", "seconds": "8"})
 			require.NoError(t, err)
-			e.Rate, e.News.Outages, e.News.Spoilt = 30, nil, 0.2
+			e.Rate, e.Updates.Outages, e.Updates.MalformedShare = 30, nil, 0.2
 			s, err := world.New(e, 5).RunLive(context.Background(),
 				world.LiveOptions{Binary: built, Dir: t.TempDir(), Flight: over.flight}, nil)
 			require.NoError(t, err)
-			require.Zero(t, s.Broken(), s.Notes)
-			require.Greater(t, s.Taken, 100)
+			require.Zero(t, s.Violations(), s.Notes)
+			require.Greater(t, s.Received, 100)
 			require.Greater(t, s.Changes, 10)
 			require.Positive(t, s.Answered)
-			require.Positive(t, s.Refusals, "spoilt maps were refused")
+			require.Positive(t, s.MapsRejected, "spoilt maps were refused")
 		})
 	}
 }
