--- a/internal/lab/exp/exp.go
+++ b/internal/lab/exp/exp.go
@@ -1,4 +1,4 @@
-// Package exp reads the lab's experiments: Jsonnet files, held against api/experiment.schema.json.
+// Package exp reads experiments of the emulator: Jsonnet files that api/experiment.schema.json validates.
 package exp
 
 import (
@@ -14,26 +14,26 @@
 	"ternstage/internal/lab/model"
 )
 
-// Span is a range from which figures are drawn evenly.
+// Span is a range of values, minimum and maximum.
 type Span [2]float64
 
-// Draw draws a figure.
+// Draw returns a value from the range, uniformly distributed.
 func (s Span) Draw(r *rand.Rand) float64 { return s[0] + (s[1]-s[0])*r.Float64() }
 
-// The arms of an experiment.
+// The arms of an experiment, which differ in how brokers get the shard map.
 const (
-	Follow = "follow" // the broker follows the catalogue
-	Sighup = "sighup" // it reads the map at the start and at each SIGHUP, and nodes fence nothing
-	Naive  = "naive"  // as that, and it sends again on any error, whatever the class
+	Follow = "follow" // brokers watch the catalogue
+	Sighup = "sighup" // brokers read the map at the start and at each SIGHUP; backends do not check epochs
+	Naive  = "naive"  // like sighup, and brokers retry after any error, whatever the class
 )
 
-// Class is a class of queries.
+// Class is a class of requests. Times are ms.
 type Class struct {
 	Name             string  `json:"name"`
-	Effect           string  `json:"effect"`
-	Share            float64 `json:"share"`
-	Parts            Span    `json:"parts"`
-	Work             Span    `json:"work"`
+	Effect           string  `json:"effect"` // read_like or non_idempotent
+	Share            float64 `json:"share"`  // of all requests
+	Parts            Span    `json:"parts"`  // parts of a request
+	Work             Span    `json:"work"`   // cost of a part, in ms of one core
 	LatencyObjective float64 `json:"aim"`
 	Deadline         float64 `json:"deadline"`
 	PriorityWeight   float64 `json:"worth"`
@@ -42,99 +42,99 @@
 	PartialFactor    float64 `json:"partial_worth"`
 }
 
-// Once tells that a part of the class must not run twice.
+// NonIdempotent reports whether a part of the class must not run twice.
 func (c Class) NonIdempotent() bool { return c.Effect == "non_idempotent" }
 
-// Experiment is one experiment. Times are ms.
+// Experiment is one experiment. Times are ms unless a name says otherwise.
 type Experiment struct {
 	Name              string  `json:"name"`
 	Seconds           float64 `json:"seconds"`
 	Arm               string  `json:"arm"`
-	SighupMs          float64 `json:"sighup_ms"`
+	SighupMs          float64 `json:"sighup_ms"` // between two SIGHUPs, in the arms without a watch
 	Backends          int     `json:"nodes"`
 	Brokers           int     `json:"brokers"`
-	Shards            int     `json:"slices"`
-	BucketsPerShard   int     `json:"districts"`
+	Shards            int     `json:"slices"`    // at the start
+	BucketsPerShard   int     `json:"districts"` // at the start
 	ReplicasPerShard  int     `json:"reach"`
-	Rate              float64 `json:"rate"`
-	MaxAttempts       int     `json:"tries"`
-	ClientRetries     int     `json:"retries"`
-	RetiredShards     int     `json:"history"` // retired slices that a broker remembers; 0: as many as the product
-	ClientMapAge      Span    `json:"client_news_ms"`
-	Zones             int     `json:"zones"`        // nodes and brokers stand in so many, in turn
-	CrossZoneDelay    Span    `json:"cross"`        // ms one way between them
-	AllowHedging      bool    `json:"copies"`       // a second copy may be out, where a repeat is safe
-	PushEndpoints     bool    `json:"pushed"`       // the list is pushed to an agent beside each broker
-	Script            []Event `json:"script"`       // what goes wrong when, besides what is drawn
-	ConfiguredBrokers int     `json:"told_brokers"` // how many brokers each is told there are; 0: as many as there are
+	Rate              float64 `json:"rate"`           // requests per second over all brokers
+	MaxAttempts       int     `json:"tries"`          // for a part
+	ClientRetries     int     `json:"retries"`        // of a rejected request, at most
+	RetiredShards     int     `json:"history"`        // that a broker remembers; 0: the broker's default
+	ClientMapAge      Span    `json:"client_news_ms"` // staleness of the shard map that a client uses
+	Zones             int     `json:"zones"`          // backends and brokers are assigned to zones in turn
+	CrossZoneDelay    Span    `json:"cross"`          // one way
+	AllowHedging      bool    `json:"copies"`         // of idempotent requests
+	PushEndpoints     bool    `json:"pushed"`         // a discovery agent beside each broker gets the list pushed
+	Script            []Event `json:"script"`         // faults at stated times, besides the random ones
+	ConfiguredBrokers int     `json:"told_brokers"`   // broker count in the brokers' settings; 0: the true one
 	Traffic           struct {
-		HotFactor float64 `json:"hot"`  // x the mean: what the first broker is asked for; 0: as the others
-		IdleShare float64 `json:"idle"` // share of the brokers, the last ones, that are asked for nothing
+		HotFactor float64 `json:"hot"`  // rate of the first broker over the mean rate; 0: as the others
+		IdleShare float64 `json:"idle"` // share of the brokers, the last ones, that get no requests
 	} `json:"traffic"`
 	Clocks struct {
-		MaxOffset   float64 `json:"apart"` // ms: brokers' clocks are up to so far from the true time
-		FirstOffset float64 `json:"jump"`  // ms by which the first broker's is ahead
+		MaxOffset   float64 `json:"apart"` // of the brokers' clocks from the true time, either way
+		FirstOffset float64 `json:"jump"`  // by which the first broker's clock is ahead
 	} `json:"clocks"`
-	Links struct { // live: relays on the links between brokers and nodes
-		Delay          Span    `json:"delay"`  // ms by which what goes over them is late, one way
-		DuplicateShare float64 `json:"repeat"` // share of answers that come twice
+	Links struct { // live runs only: relays between brokers and backends
+		Delay          Span    `json:"delay"`  // one way
+		DuplicateShare float64 `json:"repeat"` // share of answers that are sent twice
 	} `json:"links"`
 	Classes []Class `json:"classes"`
 	Backend struct {
 		Cores            int     `json:"cores"`
-		QueueLimit       int     `json:"room"`
-		InitialCapacity  float64 `json:"cold_from"`
-		WarmUp           float64 `json:"warm"`
-		OverloadMultiple float64 `json:"fall_multiple"`
+		QueueLimit       int     `json:"room"`          // parts that may wait
+		InitialCapacity  float64 `json:"cold_from"`     // share of the full capacity at the start of its process
+		WarmUp           float64 `json:"warm"`          // until it has the full capacity
+		OverloadMultiple float64 `json:"fall_multiple"` // work over capacity within OverloadWindow that it survives
 		OverloadWindow   float64 `json:"fall_for"`
-		Pause            Span    `json:"pause"` // how long each stands still by itself; 0: never
-		PauseInterval    Span    `json:"pause_every"`
-		ReportInterval   Span    `json:"report_every"` // ms between measures of load; 0: none told
+		Pause            Span    `json:"pause"`        // length of spontaneous pauses; 0: none
+		PauseInterval    Span    `json:"pause_every"`  // from the start of a pause to the next start
+		ReportInterval   Span    `json:"report_every"` // between measurements of load; 0: it reports no load
 	} `json:"node"`
 	Changes struct {
-		Interval     float64 `json:"every"` // 0: none
-		CopyTime     Span    `json:"copy"`
-		HandoverTime Span    `json:"handover"`
-		AbortShare   float64 `json:"abort"`
-		Split        float64 `json:"split"`
+		Interval     float64 `json:"every"`    // mean time between changes of the shard map; 0: none
+		CopyTime     Span    `json:"copy"`     // from the start of a move to the handover
+		HandoverTime Span    `json:"handover"` // from the handover to the end of the move
+		AbortShare   float64 `json:"abort"`    // share of moves that are aborted
+		Split        float64 `json:"split"`    // Split, Merge and Move are relative frequencies
 		Merge        float64 `json:"merge"`
 		Move         float64 `json:"move"`
 	} `json:"changes"`
 	Updates struct {
-		EndpointListDelay Span    `json:"list"`
-		BackendDelay      Span    `json:"node"`
-		CatalogueDelay    Span    `json:"catalogue"`
-		LostShare         float64 `json:"lost"`
-		DuplicateShare    float64 `json:"twice"`
-		MalformedShare    float64 `json:"spoilt"`
+		EndpointListDelay Span    `json:"list"`      // until a broker sees a change of the endpoint list
+		BackendDelay      Span    `json:"node"`      // until a backend learns of a new shard map
+		CatalogueDelay    Span    `json:"catalogue"` // of answers of the catalogue
+		LostShare         float64 `json:"lost"`      // share of its answers that are lost
+		DuplicateShare    float64 `json:"twice"`     // share of its answers that arrive twice
+		MalformedShare    float64 `json:"spoilt"`    // share of its answers that are malformed
 		Outages           []struct {
-			At  float64 `json:"at"`
+			At  float64 `json:"at"` // from the start of the run
 			For float64 `json:"for"`
-		} `json:"outages"`
+		} `json:"outages"` // of the catalogue
 	} `json:"news"`
 	Faults struct {
-		Interval float64  `json:"every"` // 0: none
+		Interval float64  `json:"every"` // mean time between random faults; 0: none
 		For      Span     `json:"for"`
 		Kinds    []string `json:"kinds"`
 	} `json:"troubles"`
-	Expect map[string]Bound `json:"expect"`
+	Expect map[string]Bound `json:"expect"` // bounds by the JSON name of a figure of the summary
 }
 
-// Event is a trouble at a stated time.
+// Event is a fault at a stated time. Times are ms.
 type Event struct {
-	At   float64 `json:"at"`
+	At   float64 `json:"at"` // from the start of the run
 	For  float64 `json:"for"`
 	Kind string  `json:"kind"`
-	On   int     `json:"on"` // the node, the zone of zone_cut, the broker of broker and silent
+	On   int     `json:"on"` // backend; zone for zone_cut; broker for broker, silent and link_cut
 }
 
-// Bound is what a figure of the summary must keep.
+// Bound limits a figure of the summary.
 type Bound struct {
 	Min *float64 `json:"min"`
 	Max *float64 `json:"max"`
 }
 
-// Load reads an experiment. vars are the template's external variables.
+// Load reads an experiment from a Jsonnet file. vars are the file's external variables.
 func Load(path string, vars map[string]string) (*Experiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -143,7 +143,7 @@
 	return LoadText(path, string(text), vars)
 }
 
-// LoadText is Load of a text that messages call by a name.
+// LoadText reads an experiment from a Jsonnet text. Error messages call it by path.
 func LoadText(path, text string, vars map[string]string) (*Experiment, error) {
 	e := &Experiment{}
 	if err := jsonnetfile.LoadText(path, text, api.ExperimentSchema, vars, e); err != nil {
@@ -151,27 +151,29 @@
 	}
 	e.applyDefaults()
 	if e.ReplicasPerShard > e.Backends {
-		return nil, fmt.Errorf("%s: reach: %d holders of %d nodes", path, e.ReplicasPerShard, e.Backends)
+		return nil, fmt.Errorf("%s: reach: %d replicas of a shard, but only %d nodes", path, e.ReplicasPerShard, e.Backends)
 	}
 	for i, v := range e.Script {
-		most := map[string]int{"zone_cut": e.Zones, "broker": e.Brokers, "silent": e.Brokers,
+		targets := map[string]int{"zone_cut": e.Zones, "broker": e.Brokers, "silent": e.Brokers,
 			"link_cut": e.Brokers}[v.Kind]
-		if most == 0 {
-			most = e.Backends
+		if targets == 0 {
+			targets = e.Backends
 		}
-		if v.On < 0 || v.On >= most {
-			return nil, fmt.Errorf("%s: script[%d]: %s on %d of %d", path, i, v.Kind, v.On, most)
+		if v.On < 0 || v.On >= targets {
+			return nil, fmt.Errorf("%s: script[%d]: on: %d for kind %s, want 0 to %d", path, i, v.On, v.Kind, targets-1)
 		}
 	}
 	for i, c := range e.Classes {
-		if int(c.Parts[0]) < 1 || c.Parts[1] < c.Parts[0] || int(c.Parts[1]) > e.Shards || c.Deadline < c.LatencyObjective {
-			return nil, fmt.Errorf("%s: classes[%d]: parts %v of %d slices, aim %v, deadline %v", path, i, c.Parts,
-				e.Shards, c.LatencyObjective, c.Deadline)
+		if int(c.Parts[0]) < 1 || c.Parts[1] < c.Parts[0] || int(c.Parts[1]) > e.Shards ||
+			c.Deadline < c.LatencyObjective {
+			return nil, fmt.Errorf("%s: classes[%d]: parts %v, want a range within 1 to %d (slices); "+
+				"aim %v, deadline %v, want aim <= deadline", path, i, c.Parts, e.Shards, c.LatencyObjective, c.Deadline)
 		}
 	}
 	return e, nil
 }
 
+// setDefault sets a field to v if it has the zero value.
 func setDefault[T comparable](to *T, v T) {
 	var zero T
 	if *to == zero {
@@ -179,6 +181,7 @@
 	}
 }
 
+// applyDefaults sets the fields that the file leaves out.
 func (e *Experiment) applyDefaults() {
 	setDefault(&e.Arm, Follow)
 	setDefault(&e.SighupMs, 10_000)
@@ -210,25 +213,28 @@
 	}
 }
 
-// NodeOptions are the figures of a node.
+// BackendOptions returns the options of every emulated backend.
 func (e *Experiment) BackendOptions() model.Options {
-	return model.Options{Cores: e.Backend.Cores, QueueLimit: e.Backend.QueueLimit, InitialCapacity: e.Backend.InitialCapacity, WarmUp: e.Backend.WarmUp,
+	return model.Options{Cores: e.Backend.Cores, QueueLimit: e.Backend.QueueLimit,
+		InitialCapacity: e.Backend.InitialCapacity, WarmUp: e.Backend.WarmUp,
 		OverloadMultiple: e.Backend.OverloadMultiple, OverloadWindow: e.Backend.OverloadWindow}
 }
 
-// Settings are what a broker's module is told.
-func (e *Experiment) Settings(me int, layout scheduler.Placement) scheduler.Settings {
-	told := e.BrokerCount()
-	s := scheduler.Settings{BrokerIndex: me % told, BrokerCount: told, TimerResolution: 5, Shards: e.Shards, Cells: e.Backends, CellsPerShard: e.ReplicasPerShard,
-		LocalZone: e.ZoneOf(me), AllowHedging: e.AllowHedging,
-		Placement: layout, MaxPartsPerCall: 1, PollEndpoints: !e.PushEndpoints, MaxStaleness: 10_000, CanCancel: true, MaxAttempts: e.MaxAttempts,
-		MaxRetryAfter: 1000, DrainGrace: 1000, SlowStart: scheduler.SlowStartSettings{
-			InitialCapacity: e.Backend.InitialCapacity, Duration: e.Backend.WarmUp, WorkMultiple: e.Backend.OverloadMultiple, Window: e.Backend.OverloadWindow},
+// Settings returns the scheduler settings of a broker.
+func (e *Experiment) Settings(broker int, placement scheduler.Placement) scheduler.Settings {
+	brokers := e.ConfiguredBrokerCount()
+	s := scheduler.Settings{BrokerIndex: broker % brokers, BrokerCount: brokers, TimerResolution: 5,
+		Shards: e.Shards, Cells: e.Backends, CellsPerShard: e.ReplicasPerShard,
+		LocalZone: e.ZoneOf(broker), AllowHedging: e.AllowHedging,
+		Placement: placement, MaxPartsPerCall: 1, PollEndpoints: !e.PushEndpoints, MaxStaleness: 10_000,
+		CanCancel: true, MaxAttempts: e.MaxAttempts, MaxRetryAfter: 1000, DrainGrace: 1000,
+		SlowStart: scheduler.SlowStartSettings{InitialCapacity: e.Backend.InitialCapacity, Duration: e.Backend.WarmUp,
+			WorkMultiple: e.Backend.OverloadMultiple, Window: e.Backend.OverloadWindow},
 		AnswerGrace: 20}
 	for _, c := range e.Classes {
-		k := scheduler.Class{LatencyObjective: c.LatencyObjective, Deadline: c.Deadline, PriorityWeight: c.PriorityWeight, LateFactor: c.LateFactor, MinCompleteness: c.MinCompleteness,
-			CompletenessTarget: 1,
-			PartialFactor:      c.PartialFactor}
+		k := scheduler.Class{LatencyObjective: c.LatencyObjective, Deadline: c.Deadline,
+			PriorityWeight: c.PriorityWeight, LateFactor: c.LateFactor, MinCompleteness: c.MinCompleteness,
+			CompletenessTarget: 1, PartialFactor: c.PartialFactor}
 		if c.NonIdempotent() && e.Arm != Naive {
 			k.Idempotency = scheduler.NonIdempotent
 		}
@@ -237,21 +243,22 @@
 	return s
 }
 
-// HasLinks tells that relays stand on the links between brokers and nodes.
+// HasLinks reports whether a live run needs relays between brokers and backends.
 func (e *Experiment) HasLinks() bool {
 	return e.Links.Delay[1] > 0 || e.Links.DuplicateShare > 0 ||
 		slices.ContainsFunc(e.Script, func(v Event) bool { return v.Kind == "link_cut" })
 }
 
-// ToldBrokers is how many brokers each is told there are.
-func (e *Experiment) BrokerCount() int {
+// ConfiguredBrokerCount returns the number of brokers in the brokers' settings, which need not be the true one.
+func (e *Experiment) ConfiguredBrokerCount() int {
 	if e.ConfiguredBrokers > 0 {
 		return e.ConfiguredBrokers
 	}
 	return e.Brokers
 }
 
-// ClockOf is by how much a broker's clock is ahead of the true time, in ms.
+// ClockOffset returns by how many ms a broker's clock is ahead of the true time. Without a jump of the first
+// broker's clock, the offsets are spread over -MaxOffset to MaxOffset.
 func (e *Experiment) ClockOffset(broker int) float64 {
 	if broker == 0 && e.Clocks.FirstOffset != 0 {
 		return e.Clocks.FirstOffset
@@ -259,17 +266,19 @@
 	return e.Clocks.MaxOffset * (2*float64(broker*67%e.Brokers)/float64(e.Brokers) - 1)
 }
 
-// ZoneOf is the zone of the node or broker of that number.
+// ZoneOf returns the zone of a backend or broker by its index.
 func (e *Experiment) ZoneOf(i int) int { return i % e.Zones }
 
-// NodeID is the name of a node.
+// BackendID returns the name of a backend by its index.
 func BackendID(i int) string { return fmt.Sprintf("node-%d", i) }
 
-// Map is the map at the start: slices in a row, each on Reach nodes of a ring.
+// InitialMap returns the shard map at the start. Shard i has its replicas on the backends i, i+1, and so on, in a
+// ring.
 func (e *Experiment) InitialMap() shardmap.Snapshot {
 	w := shardmap.Snapshot{Epoch: 1, Buckets: e.Shards * e.BucketsPerShard}
 	for i := range e.Shards {
-		s := &shardmap.Shard{ID: i, Range: shardmap.Range{Start: i * e.BucketsPerShard, End: (i + 1) * e.BucketsPerShard}}
+		s := &shardmap.Shard{ID: i,
+			Range: shardmap.Range{Start: i * e.BucketsPerShard, End: (i + 1) * e.BucketsPerShard}}
 		for j := range e.ReplicasPerShard {
 			s.Replicas = append(s.Replicas, BackendID((i+j)%e.Backends))
 		}
--- a/internal/lab/world/live.go
+++ b/internal/lab/world/live.go
@@ -453,7 +453,7 @@
 		"seed":   fmt.Sprintf("%016x", b.world.seed+uint64(b.index)*7919+uint64(b.gen)),
 		"limits": map[string]any{"cores": 1, "memory_mb": memoryMB, "sockets": maxFiles},
 		"known":  b.initialList,
-		"settings": map[string]any{"areas": zones, "balancers": e.BrokerCount(), "me": b.index % e.BrokerCount(),
+		"settings": map[string]any{"areas": zones, "balancers": e.ConfiguredBrokerCount(), "me": b.index % e.ConfiguredBrokerCount(),
 			"zone":          e.ZoneOf(b.index),
 			"resolution_ms": 5, "callers": map[string]any{"marks_retry": true}, "discovery": mode,
 			"categories": classes, "customers": []any{},
