--- a/internal/lab/ledger/ledger.go
+++ b/internal/lab/ledger/ledger.go
@@ -1,137 +1,137 @@
-// Package ledger counts what many brokers do together: how much of what cold nodes may be sent they use, how
-// much nodes turn away, and how evenly queries fare over brokers. It has no I/O and no clock; times are ms,
-// work is ms of one core.
+// Package ledger sums up what all brokers of a run do together: how much of the work that warming backends may be
+// sent they send, how many parts backends reject, and how evenly the share of answered requests is spread over
+// brokers. It has no I/O and no clock. Times are ms, work is ms of one core.
 package ledger
 
 import "math"
 
-// Broker is what one broker did.
+// Broker holds the counts of one broker.
 type Broker struct {
-	PartsSent, PartsRejected   int // parts sent; of them turned away as busy
-	Answered, Rejected, Failed int // queries by how they ended; without: failed
+	PartsSent, PartsRejected   int // parts sent, and those of them that backends rejected
+	Answered, Rejected, Failed int // requests by outcome
 }
 
-// Ended is how many of its queries have ended.
+// Ended returns the number of its requests that have ended.
 func (b Broker) Ended() int { return b.Answered + b.Rejected + b.Failed }
 
-// Cold is what a cold node was sent and might have been sent in some time.
+// Allowance is the work that warming backends were sent and the work that slow start allowed in the same time.
 type Allowance struct{ Used, Allowed float64 }
 
-// Share is how much of it was used, 0 if nothing might be sent.
-func (c Allowance) Share() float64 {
-	if c.Allowed <= 0 {
+// Share returns the share of the allowed work that was used, 0 if none was allowed.
+func (a Allowance) Share() float64 {
+	if a.Allowed <= 0 {
 		return 0
 	}
-	return c.Used / c.Allowed
+	return a.Used / a.Allowed
 }
 
-// Moment is what was counted in some time from At on, in ms.
+// Interval holds the counts of one or more consecutive steps.
 type Interval struct {
 	StartMs, DurationMs                        float64
 	Allowance                                  Allowance
-	PartsSent, PartsRejected, RequestsRejected int // parts, and queries
+	PartsSent, PartsRejected, RequestsRejected int
 }
 
-// Node is what became of a node while it was cold.
+// Backend holds the counts of a backend while it warmed up.
 type Backend struct {
 	Allowance
-	Brokers       map[int]bool // brokers that sent it something
-	PartsRejected int          // parts that it turned away
+	Brokers       map[int]bool // brokers that sent it parts
+	PartsRejected int
 }
 
-// mostMoments bounds the moments that are kept: beyond it two become one.
+// maxIntervals bounds the intervals that are kept. When it is reached, each two intervals are merged.
 const maxIntervals = 1024
 
-// Ledger is the counts of a run. Its memory is one entry for each broker, for each node that was cold with at
-// most one for each broker in it, and mostMoments.
+// Ledger holds the counts of a run. Its memory is bounded by the number of brokers, of pairs of a warming backend
+// and a broker, and by maxIntervals.
 type Ledger struct {
 	Brokers          []Broker
-	Backends         map[string]*Backend
+	Backends         map[string]*Backend // that warmed up, by name
 	Intervals        []Interval
-	Total            Allowance // over the whole run
-	WhileRejecting   Allowance // of the steps in which a query was refused
-	current          Interval
-	stepsPerInterval int // steps in a moment
+	Total            Allowance // of the whole run
+	WhileRejecting   Allowance // of the steps in which brokers rejected requests
+	current          Interval  // step that has not ended
+	stepsPerInterval int
 	steps            int
 }
 
-// New makes a ledger for so many brokers.
+// New returns an empty ledger for a number of brokers.
 func New(brokers int) *Ledger {
 	return &Ledger{Brokers: make([]Broker, brokers), Backends: map[string]*Backend{}, stepsPerInterval: 1}
 }
 
-// node is a cold node's entry.
+// backend returns the entry of a warming backend and creates it if needed.
 func (l *Ledger) backend(name string) *Backend {
-	n := l.Backends[name]
-	if n == nil {
-		n = &Backend{Brokers: map[int]bool{}}
-		l.Backends[name] = n
+	b := l.Backends[name]
+	if b == nil {
+		b = &Backend{Brokers: map[int]bool{}}
+		l.Backends[name] = b
 	}
-	return n
+	return b
 }
 
-// Sent notes a part that a broker sent.
+// PartSent counts a part that a broker sent.
 func (l *Ledger) PartSent(broker int) {
 	l.Brokers[broker].PartsSent++
 	l.current.PartsSent++
 }
 
-// Busy notes that a part was turned away, by the cold node of that name, or by a warm one if it is empty.
-func (l *Ledger) PartRejected(broker int, cold string) {
+// PartRejected counts a part that a backend rejected. warmingBackend is its name, or empty if it has warmed up.
+func (l *Ledger) PartRejected(broker int, warmingBackend string) {
 	l.Brokers[broker].PartsRejected++
-	if l.current.PartsRejected++; cold != "" {
-		l.backend(cold).PartsRejected++
+	if l.current.PartsRejected++; warmingBackend != "" {
+		l.backend(warmingBackend).PartsRejected++
 	}
 }
 
-// Answered notes an answered query of a broker.
+// RequestAnswered counts a request that a broker answered.
 func (l *Ledger) RequestAnswered(broker int) { l.Brokers[broker].Answered++ }
 
-// Refused notes a refusal; the step counts as one in which nodes were short.
+// RequestRejected counts a request that a broker rejected. The current step then counts for WhileRejecting.
 func (l *Ledger) RequestRejected(broker int) {
 	l.Brokers[broker].Rejected++
 	l.current.RequestsRejected++
 }
 
-// Failed notes a failure.
+// RequestFailed counts a request that failed.
 func (l *Ledger) RequestFailed(broker int) { l.Brokers[broker].Failed++ }
 
-// Cold notes work that reached a cold node from a broker.
-func (l *Ledger) WorkSent(node string, broker int, work float64) {
+// WorkSent adds work that a broker sent to a warming backend.
+func (l *Ledger) WorkSent(backend string, broker int, work float64) {
 	l.current.Allowance.Used += work
-	n := l.backend(node)
-	n.Used += work
-	n.Brokers[broker] = true
+	b := l.backend(backend)
+	b.Used += work
+	b.Brokers[broker] = true
 }
 
-// May notes that a cold node might be sent so much work in this step.
-func (l *Ledger) WorkAllowed(node string, work float64) {
+// WorkAllowed adds work that a warming backend may be sent in the current step.
+func (l *Ledger) WorkAllowed(backend string, work float64) {
 	l.current.Allowance.Allowed += work
-	l.backend(node).Allowed += work
+	l.backend(backend).Allowed += work
 }
 
-// Step ends a step of so many ms.
-func (l *Ledger) EndStep(at, took float64) {
-	m := l.current
-	l.Total = l.Total.plus(m.Allowance)
-	if m.RequestsRejected > 0 {
-		l.WhileRejecting = l.WhileRejecting.plus(m.Allowance)
+// EndStep ends the current step, which began at startMs.
+func (l *Ledger) EndStep(startMs, durationMs float64) {
+	step := l.current
+	l.Total = l.Total.plus(step.Allowance)
+	if step.RequestsRejected > 0 {
+		l.WhileRejecting = l.WhileRejecting.plus(step.Allowance)
 	}
 	l.current = Interval{}
-	m.StartMs, m.DurationMs = at, took
+	step.StartMs, step.DurationMs = startMs, durationMs
 	if l.steps%l.stepsPerInterval == 0 {
 		if len(l.Intervals) == maxIntervals {
 			l.mergeIntervals()
 		}
-		l.Intervals = append(l.Intervals, m)
+		l.Intervals = append(l.Intervals, step)
 	} else {
 		last := &l.Intervals[len(l.Intervals)-1]
-		*last = last.plus(m)
+		*last = last.plus(step)
 	}
 	l.steps++
 }
 
-// halve makes one moment of two, and of all that follow as long ones.
+// mergeIntervals merges each two intervals. Later intervals are as long as the merged ones.
 func (l *Ledger) mergeIntervals() {
 	for i := range len(l.Intervals) / 2 {
 		l.Intervals[i] = l.Intervals[2*i].plus(l.Intervals[2*i+1])
@@ -140,45 +140,47 @@
 	l.stepsPerInterval *= 2
 }
 
-func (c Allowance) plus(o Allowance) Allowance {
-	return Allowance{c.Used + o.Used, c.Allowed + o.Allowed}
+func (a Allowance) plus(o Allowance) Allowance {
+	return Allowance{a.Used + o.Used, a.Allowed + o.Allowed}
 }
 
-// and is two moments as one, of which the first came first.
-func (m Interval) plus(o Interval) Interval {
-	return Interval{m.StartMs, m.DurationMs + o.DurationMs, m.Allowance.plus(o.Allowance), m.PartsSent + o.PartsSent, m.PartsRejected + o.PartsRejected,
-		m.RequestsRejected + o.RequestsRejected}
+// plus returns the interval together with the one that follows it.
+func (i Interval) plus(next Interval) Interval {
+	return Interval{i.StartMs, i.DurationMs + next.DurationMs, i.Allowance.plus(next.Allowance),
+		i.PartsSent + next.PartsSent, i.PartsRejected + next.PartsRejected,
+		i.RequestsRejected + next.RequestsRejected}
 }
 
-// BusyParts is how many parts were turned away, and their share of those sent.
-func (l *Ledger) RejectedParts() (n int, share float64) {
+// RejectedParts returns the number of parts that backends rejected, and their share of all parts sent.
+func (l *Ledger) RejectedParts() (count int, share float64) {
 	sent := 0
 	for _, b := range l.Brokers {
-		n, sent = n+b.PartsRejected, sent+b.PartsSent
+		count, sent = count+b.PartsRejected, sent+b.PartsSent
 	}
-	return n, float64(n) / math.Max(1, float64(sent))
+	return count, float64(count) / math.Max(1, float64(sent))
 }
 
-// Fairness is Jain's index over brokers of the share of their queries that was answered, of those with so
-// many at least: 1 if all fare alike, 1/n if one has everything. It is 0 if there is none.
-func (l *Ledger) Fairness(least int) float64 {
-	var x []float64
+// Fairness returns Jain's fairness index of the share of answered requests over the brokers with at least
+// minRequests ended requests. It is 1 if all have the same share, 1/n if one of n brokers has all answers, and 0 if
+// there is no such broker.
+func (l *Ledger) Fairness(minRequests int) float64 {
+	var shares []float64
 	for _, b := range l.Brokers {
-		if n := b.Ended(); n > 0 && n >= least {
-			x = append(x, float64(b.Answered)/float64(n))
+		if n := b.Ended(); n > 0 && n >= minRequests {
+			shares = append(shares, float64(b.Answered)/float64(n))
 		}
 	}
-	return Jain(x)
+	return Jain(shares)
 }
 
-// Jain is Jain's index of fairness.
-func Jain(x []float64) float64 {
+// Jain returns Jain's fairness index of the values, 0 if all are 0.
+func Jain(values []float64) float64 {
 	sum, squares := 0.0, 0.0
-	for _, v := range x {
+	for _, v := range values {
 		sum, squares = sum+v, squares+v*v
 	}
 	if squares == 0 {
 		return 0
 	}
-	return sum * sum / (float64(len(x)) * squares)
+	return sum * sum / (float64(len(values)) * squares)
 }
--- a/internal/lab/ledger/ledger_test.go
+++ b/internal/lab/ledger/ledger_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestLedger(t *testing.T) {
+// TestTotalsSharesAndFairness checks the totals of a few recorded events.
+func TestTotalsSharesAndFairness(t *testing.T) {
 	l := New(3)
 	l.WorkSent("node-1", 2, 30)
 	l.WorkAllowed("node-1", 100)
@@ -16,26 +17,27 @@
 	l.RequestRejected(1)
 	l.EndStep(100, 100)
 	assert.Equal(t, 0.2, l.Total.Share())
-	assert.Equal(t, 0.1, l.WhileRejecting.Share(), "only the step with a refusal")
+	assert.Equal(t, 0.1, l.WhileRejecting.Share(), "only the step with a rejected request")
 	l.RequestAnswered(0)
 	l.RequestFailed(0)
 	assert.InDelta(t, 0.5, l.Fairness(1), 1e-9, "one of two brokers has all answers")
-	assert.Zero(t, l.Fairness(5), "none has so many")
+	assert.Zero(t, l.Fairness(5), "no broker has that many requests")
 	assert.InDelta(t, 1, Jain([]float64{0.3, 0.3, 0.3}), 1e-9)
 	l.PartSent(2)
 	l.PartSent(2)
 	l.PartRejected(2, "node-1")
-	n, share := l.RejectedParts()
-	assert.Equal(t, 1, n)
+	count, share := l.RejectedParts()
+	assert.Equal(t, 1, count)
 	assert.Equal(t, 0.5, share)
-	n1 := l.Backends["node-1"]
-	assert.Equal(t, Allowance{40, 200}, n1.Allowance)
-	assert.Len(t, n1.Brokers, 2)
-	assert.Equal(t, 1, n1.PartsRejected)
+	backend := l.Backends["node-1"]
+	assert.Equal(t, Allowance{40, 200}, backend.Allowance)
+	assert.Len(t, backend.Brokers, 2)
+	assert.Equal(t, 1, backend.PartsRejected)
 }
 
-// TestMomentsAreBounded: a long run keeps its moments in the room it has, and loses no count.
-func TestMomentsAreBounded(t *testing.T) {
+// TestIntervalsAreBounded: a long run must keep no more than maxIntervals intervals, without gaps, and merging
+// them must not lose counts.
+func TestIntervalsAreBounded(t *testing.T) {
 	l := New(1)
 	const steps = 5*maxIntervals + 3
 	for i := range steps {
