--- a/internal/lab/loopback/loopback_test.go
+++ b/internal/lab/loopback/loopback_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestFreeStaysFree: an address that was found free can be listened at later, whatever ports others take meanwhile.
+// TestFreeStaysFree: an address from Free must stay usable while other listeners take ports. With ports of 127.0.0.1
+// a later listener could get the same port.
 func TestFreeStaysFree(t *testing.T) {
 	var found []string
 	for range 300 {
@@ -16,7 +17,7 @@
 		require.NoError(t, err)
 		assert.NotContains(t, found, a)
 		found = append(found, a)
-		other, err := net.Listen("tcp", "127.0.0.1:0") // what the next test would do
+		other, err := net.Listen("tcp", "127.0.0.1:0") // as another test does
 		require.NoError(t, err)
 		defer func() { _ = other.Close() }()
 	}
--- a/internal/lab/product/product.go
+++ b/internal/lab/product/product.go
@@ -1,4 +1,4 @@
-// Package product builds the program under test as deploy/balancer.toml does, for tests that start it.
+// Package product builds the program, for tests that start it, the way deploy/balancer.toml does.
 package product
 
 import (
@@ -8,7 +8,8 @@
 	"path/filepath"
 )
 
-// Build builds ternstage into a folder, with the race detector where TERNSTAGE_RACE is set.
+// Build builds ternstage into a directory and returns the path of the binary. If TERNSTAGE_RACE is set, the binary
+// has the race detector.
 func Build(dir string) (string, error) {
 	path := filepath.Join(dir, "ternstage")
 	args := []string{"build", "-ldflags=-linkmode=external", "-o", path}
@@ -18,7 +19,7 @@
 	cmd := exec.Command("go", append(args, "ternstage/cmd/ternstage")...)
 	cmd.Env = append(os.Environ(), "CGO_ENABLED=1")
 	if out, err := cmd.CombinedOutput(); err != nil {
-		return "", fmt.Errorf("building the program under test: %w\n%s", err, out)
+		return "", fmt.Errorf("go build of ternstage: %w\n%s", err, out)
 	}
 	return path, nil
 }
--- a/internal/lab/relay/relay_test.go
+++ b/internal/lab/relay/relay_test.go
@@ -13,12 +13,12 @@
 	"ternstage/internal/lab/loopback"
 )
 
-// echo sends back whatever comes, and says on a channel what came.
-func echo(t *testing.T) (addr string, came chan string) {
+// startEcho starts a server that sends back what it receives and also puts it into a channel.
+func startEcho(t *testing.T) (addr string, received chan string) {
 	ln, err := net.Listen("tcp", loopback.Own())
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = ln.Close() })
-	came = make(chan string, 100)
+	received = make(chan string, 100)
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -33,29 +33,32 @@
 						_ = c.Close()
 						return
 					}
-					came <- string(b[:n])
+					received <- string(b[:n])
 					_, _ = c.Write(b[:n])
 				}
 			}()
 		}
 	}()
-	return ln.Addr().String(), came
+	return ln.Addr().String(), received
 }
 
-func start(t *testing.T, frames bool) (*Relay, net.Conn, chan string) {
-	target, came := echo(t)
+// startRelay starts a relay before an echo server and returns it with a connection through it.
+func startRelay(t *testing.T, frames bool) (*Relay, net.Conn, chan string) {
+	target, received := startEcho(t)
 	r, err := New(target, frames)
 	require.NoError(t, err)
 	t.Cleanup(r.Close)
 	c, err := net.Dial("tcp", r.Addr())
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = c.Close() })
-	return r, c, came
+	return r, c, received
 }
 
+// hello is a frame.
 const hello = "\x00\x00\x00\x05hello"
 
-func get(t *testing.T, c net.Conn, n int) string {
+// readString reads n bytes.
+func readString(t *testing.T, c net.Conn, n int) string {
 	_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	b := make([]byte, n)
 	_, err := io.ReadFull(c, b)
@@ -63,48 +66,51 @@
 	return string(b)
 }
 
-func TestPassesOnAndDelays(t *testing.T) {
-	r, c, _ := start(t, true)
+// TestForwardsAndDelays checks that data goes both ways unchanged, and that each way takes the delay.
+func TestForwardsAndDelays(t *testing.T) {
+	r, c, _ := startRelay(t, true)
 	_, _ = c.Write([]byte(hello))
-	assert.Equal(t, hello, get(t, c, len(hello)))
+	assert.Equal(t, hello, readString(t, c, len(hello)))
 	r.Set(Fault{Delay: 60 * time.Millisecond, Jitter: 20 * time.Millisecond})
-	at := time.Now()
+	sentAt := time.Now()
 	_, _ = c.Write([]byte(hello))
-	assert.Equal(t, hello, get(t, c, len(hello)))
-	assert.GreaterOrEqual(t, time.Since(at), 120*time.Millisecond, "there and back")
+	assert.Equal(t, hello, readString(t, c, len(hello)))
+	assert.GreaterOrEqual(t, time.Since(sentAt), 120*time.Millisecond, "the delay of both ways")
 }
 
-func TestRepeatsWholeFrames(t *testing.T) {
-	r, c, came := start(t, true)
+// TestDuplicatesFramesOfTarget checks that frames of the target come twice and data to it once.
+func TestDuplicatesFramesOfTarget(t *testing.T) {
+	r, c, received := startRelay(t, true)
 	r.Set(Fault{DuplicateShare: 1})
 	_, _ = c.Write([]byte(hello))
-	assert.Equal(t, hello+hello, get(t, c, 2*len(hello)))
-	assert.Equal(t, hello, <-came, "what goes to the target goes once")
-	assert.Empty(t, came)
+	assert.Equal(t, hello+hello, readString(t, c, 2*len(hello)))
+	assert.Equal(t, hello, <-received, "data to the target is not duplicated")
+	assert.Empty(t, received)
 	assert.Equal(t, 1, r.Stats().Duplicated)
 }
 
-// TestCutIsSilentAndResetsLater: nothing gets through and nobody is told; new connections come up and stay silent; once
-// the way is back those that lost something are reset, and new ones work. One that sent nothing meanwhile goes on.
+// TestCutIsSilentAndResetsLater: during a cut no data may pass and no side may get an error, and new connections are
+// accepted without an answer. Once the cut ends, connections that lost data must be reset, new ones must work, and
+// one that sent nothing during the cut goes on.
 func TestCutIsSilentAndResetsLater(t *testing.T) {
-	r, c, came := start(t, true)
+	r, c, received := startRelay(t, true)
 	idle, err := net.Dial("tcp", r.Addr())
 	require.NoError(t, err)
 	_, _ = idle.Write([]byte(hello))
-	get(t, idle, len(hello))
-	<-came
+	readString(t, idle, len(hello))
+	<-received
 	r.Set(Fault{Cut: true})
 	_, err = c.Write([]byte(hello))
 	require.NoError(t, err)
 	late, err := net.Dial("tcp", r.Addr())
-	require.NoError(t, err, "it comes up")
+	require.NoError(t, err, "the relay accepts connections during a cut")
 	_, _ = late.Write([]byte(hello))
 	for _, x := range []net.Conn{c, late} {
 		_ = x.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 		_, err = x.Read(make([]byte, 1))
-		assert.ErrorIs(t, err, os.ErrDeadlineExceeded, "silent")
+		assert.ErrorIs(t, err, os.ErrDeadlineExceeded, "neither data nor an error")
 	}
-	assert.Empty(t, came)
+	assert.Empty(t, received)
 	r.Set(Fault{})
 	for _, x := range []net.Conn{c, late} {
 		_ = x.SetReadDeadline(time.Now().Add(5 * time.Second))
@@ -112,10 +118,10 @@
 		assert.Error(t, err)
 	}
 	_, _ = idle.Write([]byte(hello))
-	assert.Equal(t, hello, get(t, idle, len(hello)))
-	again, err := net.Dial("tcp", r.Addr())
+	assert.Equal(t, hello, readString(t, idle, len(hello)))
+	fresh, err := net.Dial("tcp", r.Addr())
 	require.NoError(t, err)
-	_, _ = again.Write([]byte(hello))
-	assert.Equal(t, hello, get(t, again, len(hello)))
+	_, _ = fresh.Write([]byte(hello))
+	assert.Equal(t, hello, readString(t, fresh, len(hello)))
 	assert.Positive(t, r.Stats().Reset)
 }
