--- a/internal/lab/result/charts.go
+++ b/internal/lab/result/charts.go
@@ -14,15 +14,15 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Point is where a run stood after so many seconds, counted from its start.
+// Point holds the counts of a run from its start to a second.
 type Point struct {
 	Second                               int
 	Received, Answered, Rejected, Failed int
 	Changes                              int
-	EarnedShare                          float64
+	EarnedShare                          float64 // so far; see Summary
 }
 
-// PointOf is a point of a run's summary so far.
+// PointOf returns the point of a run's summary so far.
 func PointOf(second int, s Summary) Point {
 	return Point{second, s.Received, s.Answered, s.Rejected, s.Failed, s.Changes, s.EarnedShare}
 }
@@ -32,8 +32,8 @@
 	chartHeight = 9 * vg.Centimeter
 )
 
-// WriteSeries keeps the course of a run: series.csv, and charts of what was answered, refused and failed in
-// each second and of worth so far.
+// WriteSeries writes the points of a run into a directory as series.csv. It draws charts of the requests answered,
+// rejected and failed in each second and of the earned share so far.
 func WriteSeries(dir string, points []Point) error {
 	f, err := os.Create(filepath.Join(dir, "series.csv"))
 	if err != nil {
@@ -55,57 +55,59 @@
 	}
 	ends := plot.New()
 	ends.Title.Text, ends.X.Label.Text, ends.Y.Label.Text = "Queries that ended in each second", "s", "queries"
-	rate := func(of func(Point) int) plotter.XYs {
-		var out plotter.XYs
+	perSecond := func(count func(Point) int) plotter.XYs {
+		var xy plotter.XYs
 		for i := 1; i < len(points); i++ {
-			out = append(out, plotter.XY{X: float64(points[i].Second), Y: float64(of(points[i]) - of(points[i-1]))})
+			xy = append(xy, plotter.XY{X: float64(points[i].Second),
+				Y: float64(count(points[i]) - count(points[i-1]))})
 		}
-		return out
+		return xy
 	}
-	if err := plotutil.AddLines(ends, "answered", rate(func(p Point) int { return p.Answered }),
-		"refused", rate(func(p Point) int { return p.Rejected }), "failed",
-		rate(func(p Point) int { return p.Failed }),
-		"changes of the map", rate(func(p Point) int { return p.Changes })); err != nil {
+	if err := plotutil.AddLines(ends, "answered", perSecond(func(p Point) int { return p.Answered }),
+		"refused", perSecond(func(p Point) int { return p.Rejected }), "failed",
+		perSecond(func(p Point) int { return p.Failed }),
+		"changes of the map", perSecond(func(p Point) int { return p.Changes })); err != nil {
 		return err
 	}
 	ends.Legend.Top = true
 	if err := ends.Save(chartWidth, chartHeight, filepath.Join(dir, "ends.svg")); err != nil {
 		return err
 	}
-	worth := plot.New()
-	worth.Title.Text, worth.X.Label.Text, worth.Y.Label.Text = "Worth in time over worth asked, so far", "s",
+	earned := plot.New()
+	earned.Title.Text, earned.X.Label.Text, earned.Y.Label.Text = "Worth in time over worth asked, so far", "s",
 		"share"
 	var xy plotter.XYs
 	for _, p := range points {
 		xy = append(xy, plotter.XY{X: float64(p.Second), Y: p.EarnedShare})
 	}
-	if err := plotutil.AddLines(worth, xy); err != nil {
+	if err := plotutil.AddLines(earned, xy); err != nil {
 		return err
 	}
-	worth.Y.Min, worth.Y.Max = 0, 1.02
-	return worth.Save(chartWidth, chartHeight, filepath.Join(dir, "worth.svg"))
+	earned.Y.Min, earned.Y.Max = 0, 1.02
+	return earned.Save(chartWidth, chartHeight, filepath.Join(dir, "worth.svg"))
 }
 
-// WriteRuns draws the worth of each seed.
+// WriteRuns draws a histogram of the earned share of the runs, if there are several.
 func WriteRuns(dir string, s Summary) error {
-	var worth plotter.Values
+	var shares plotter.Values
 	for _, r := range s.Runs {
-		worth = append(worth, r.EarnedShare)
+		shares = append(shares, r.EarnedShare)
 	}
-	if len(worth) < 2 {
+	if len(shares) < 2 {
 		return nil
 	}
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "Seeds by their worth", "worth in time over worth asked",
 		"seeds"
-	h, err := plotter.NewHist(worth, min(40, len(worth)))
+	histogram, err := plotter.NewHist(shares, min(40, len(shares)))
 	if err != nil {
 		return err
 	}
-	p.Add(h)
+	p.Add(histogram)
 	return p.Save(chartWidth, chartHeight, filepath.Join(dir, "seeds.svg"))
 }
 
+// reportTemplate is the page that Report writes.
 var reportTemplate = template.Must(template.New("report").Parse(`<!DOCTYPE html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Summary.Name}}</title>
 <style>body{font-family:sans-serif;margin:2em;max-width:60em}td,th{padding:.1em .8em;text-align:right}
@@ -128,10 +130,10 @@
 </body></html>
 `))
 
-// Row is a figure of a report.
+// Row is a figure in the table of a report.
 type Row struct{ Name, Value string }
 
-// Report writes report.html from what a folder keeps.
+// Report writes report.html into a directory, from the summary and the charts that are there.
 func Report(dir string) error {
 	s, err := Read(dir)
 	if err != nil {
@@ -159,11 +161,10 @@
 	}{s, charts, rows})
 }
 
-// Compare is a table of two summaries' figures.
+// Compare returns a Markdown table of the figures of two summaries.
 func Compare(a, b Summary) string {
 	out := fmt.Sprintf("| figure | %s, %s | %s, %s | difference | ratio |\n| --- | --- | --- | --- | --- |\n",
-		a.Name, a.Arm,
-		b.Name, b.Arm)
+		a.Name, a.Arm, b.Name, b.Arm)
 	x, y := a.Figures(), b.Figures()
 	for _, name := range a.figureNames() {
 		ratio := "-"
--- a/internal/lab/result/fleet.go
+++ b/internal/lab/result/fleet.go
@@ -16,33 +16,35 @@
 	"ternstage/internal/lab/ledger"
 )
 
-// The charts of a fleet.
+// Files of the charts that WriteFleet draws.
 const (
 	warmupChart  = "cold.svg"
 	brokersChart = "brokers.svg"
 )
 
-// WriteFleet keeps what many brokers did together: moments.csv, nodes.csv (while they were cold) and
-// brokers.csv, and charts of what cold nodes might be sent and were, and of how brokers fared.
+// WriteFleet writes the counts of a ledger into a directory: moments.csv with the intervals, nodes.csv with the
+// backends that warmed up, and brokers.csv. It draws charts of the work of warming backends and of the brokers'
+// shares of answered requests.
 func WriteFleet(dir string, l *ledger.Ledger) error {
 	itoa, ftoa := strconv.Itoa, func(x float64) string { return strconv.FormatFloat(x, 'f', 1, 64) }
-	moments := [][]string{{"at_ms", "for_ms", "cold_may_ms", "cold_sent_ms", "parts_sent", "parts_busy",
+	intervals := [][]string{{"at_ms", "for_ms", "cold_may_ms", "cold_sent_ms", "parts_sent", "parts_busy",
 		"queries_refused"}}
-	for _, m := range l.Intervals {
-		moments = append(moments, []string{ftoa(m.StartMs), ftoa(m.DurationMs), ftoa(m.Allowance.Allowed), ftoa(m.Allowance.Used),
-			itoa(m.PartsSent), itoa(m.PartsRejected), itoa(m.RequestsRejected)})
+	for _, i := range l.Intervals {
+		intervals = append(intervals, []string{ftoa(i.StartMs), ftoa(i.DurationMs), ftoa(i.Allowance.Allowed),
+			ftoa(i.Allowance.Used), itoa(i.PartsSent), itoa(i.PartsRejected), itoa(i.RequestsRejected)})
 	}
-	nodes := [][]string{{"node", "may_ms", "sent_ms", "brokers", "parts_busy"}}
+	backends := [][]string{{"node", "may_ms", "sent_ms", "brokers", "parts_busy"}}
 	for _, name := range slices.Sorted(maps.Keys(l.Backends)) {
-		n := l.Backends[name]
-		nodes = append(nodes, []string{name, ftoa(n.Allowed), ftoa(n.Used), itoa(len(n.Brokers)), itoa(n.PartsRejected)})
+		b := l.Backends[name]
+		backends = append(backends, []string{name, ftoa(b.Allowed), ftoa(b.Used), itoa(len(b.Brokers)),
+			itoa(b.PartsRejected)})
 	}
 	brokers := [][]string{{"broker", "parts_sent", "parts_busy", "answered", "refused", "failed"}}
 	for i, b := range l.Brokers {
 		brokers = append(brokers, []string{itoa(i), itoa(b.PartsSent), itoa(b.PartsRejected), itoa(b.Answered),
 			itoa(b.Rejected), itoa(b.Failed)})
 	}
-	for name, rows := range map[string][][]string{"moments.csv": moments, "nodes.csv": nodes,
+	for name, rows := range map[string][][]string{"moments.csv": intervals, "nodes.csv": backends,
 		"brokers.csv": brokers} {
 		if err := writeCSV(filepath.Join(dir, name), rows); err != nil {
 			return err
@@ -54,6 +56,7 @@
 	return drawBrokers(filepath.Join(dir, brokersChart), l.Brokers)
 }
 
+// writeCSV writes rows to a CSV file.
 func writeCSV(path string, rows [][]string) error {
 	f, err := os.Create(path)
 	if err != nil {
@@ -63,30 +66,31 @@
 	return csv.NewWriter(f).WriteAll(rows)
 }
 
-// drawCold draws over time what cold nodes might be sent and were, as cores, and queries refused a second.
-func drawWarmup(path string, moments []ledger.Interval) error {
-	var may, used, refused plotter.XYs
-	for _, m := range moments {
-		s := m.StartMs / 1000
-		may = append(may, plotter.XY{X: s, Y: m.Allowance.Allowed / m.DurationMs})
-		used = append(used, plotter.XY{X: s, Y: m.Allowance.Used / m.DurationMs})
-		refused = append(refused, plotter.XY{X: s, Y: float64(m.RequestsRejected) * 1000 / m.DurationMs})
+// drawWarmup draws over time the work that warming backends may be sent and were sent, in ms per ms, and the rejected
+// requests per second.
+func drawWarmup(path string, intervals []ledger.Interval) error {
+	var allowed, used, rejected plotter.XYs
+	for _, i := range intervals {
+		second := i.StartMs / 1000
+		allowed = append(allowed, plotter.XY{X: second, Y: i.Allowance.Allowed / i.DurationMs})
+		used = append(used, plotter.XY{X: second, Y: i.Allowance.Used / i.DurationMs})
+		rejected = append(rejected, plotter.XY{X: second, Y: float64(i.RequestsRejected) * 1000 / i.DurationMs})
 	}
-	if len(may) < 2 {
+	if len(allowed) < 2 {
 		return nil
 	}
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text = "Cold nodes", "s"
 	p.Y.Label.Text = "ms of work in a ms; queries a second"
 	p.Legend.Top = true
-	err := plotutil.AddLines(p, "might be sent", may, "were sent", used, "queries refused", refused)
+	err := plotutil.AddLines(p, "might be sent", allowed, "were sent", used, "queries refused", rejected)
 	if err != nil {
 		return err
 	}
 	return p.Save(chartWidth, chartHeight, path)
 }
 
-// drawBrokers draws what share of its queries each broker answered, from the least to the most.
+// drawBrokers draws the share of answered requests of each broker, in ascending order.
 func drawBrokers(path string, brokers []ledger.Broker) error {
 	var shares []float64
 	for _, b := range brokers {
@@ -99,8 +103,8 @@
 	}
 	slices.SortFunc(shares, func(a, b float64) int { return cmp.Compare(a, b) })
 	var xy plotter.XYs
-	for i, x := range shares {
-		xy = append(xy, plotter.XY{X: float64(i), Y: x})
+	for i, share := range shares {
+		xy = append(xy, plotter.XY{X: float64(i), Y: share})
 	}
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text = "Brokers by the share of their queries answered", "brokers"
--- a/internal/lab/result/result.go
+++ b/internal/lab/result/result.go
@@ -1,4 +1,4 @@
-// Package result is what a run of the lab found: the summary, its table and its charts.
+// Package result holds the results of runs of the emulator, reads and writes them, and draws their charts.
 package result
 
 import (
@@ -16,53 +16,54 @@
 	"ternstage/internal/lab/exp"
 )
 
-// Summary is one run, or the sums over several.
+// Summary holds the results of one run, or the combined results of several runs; see Sum.
 type Summary struct {
 	Name string `json:"name"`
 	Arm  string `json:"arm"`
 	Seed uint64 `json:"seed"`
 	Mode string `json:"mode"`
 	check.Counts
-	Changes             int       `json:"changes"`
-	Epochs              int       `json:"epochs"`
-	Shards              int       `json:"slices_end"`
-	MaxVersionsKept     int       `json:"versions_kept_max"`
-	PartsInFlight       int       `json:"parts_caught"`   // were out when their slice was retired
-	PartsReplaced       int       `json:"parts_replaced"` // went on as parts of other slices
-	PartsSplit          int       `json:"parts_split"`
-	NotHolder           int       `json:"moved"` // nodes' word that they do not hold a part's districts
-	NotHolderSameEpoch  int       `json:"moved_same_epoch"`
-	MapsRejected        int       `json:"maps_refused"`
-	HintReads           uint64    `json:"hint_reads"`
-	StaleRequests       int       `json:"stale_requests"`
-	BehindRequests      int       `json:"behind_requests"` // named slices of a newer map than the broker's
-	OpenAtEnd           int       `json:"open_at_end"`
-	P50Ms               float64   `json:"p50_ms"`
+	Changes             int       `json:"changes"`           // of the shard map
+	Epochs              int       `json:"epochs"`            // epoch of the authoritative shard map at the end
+	Shards              int       `json:"slices_end"`        // at the end
+	MaxRetainedVersions int       `json:"versions_kept_max"` // most map versions that a broker kept at once
+	PartsInFlight       int       `json:"parts_caught"`      // parts in flight when their shard was retired
+	PartsReplaced       int       `json:"parts_replaced"`    // parts replaced by parts of other shards
+	PartsSplit          int       `json:"parts_split"`       // of those, parts replaced by more than one
+	NotHolder           int       `json:"moved"`             // not-holder replies of backends
+	NotHolderSameEpoch  int       `json:"moved_same_epoch"`  // of those, replies at the epoch of the broker's map
+	MapsRejected        int       `json:"maps_refused"`      // invalid snapshots and batches of changes
+	HintedPolls         uint64    `json:"hint_reads"`        // polls after a report of a newer epoch; virtual time only
+	StaleRequests       int       `json:"stale_requests"`    // requests not accepted because of their shards
+	BehindRequests      int       `json:"behind_requests"`   // requests rejected as they named shards of a newer map
+	OpenAtEnd           int       `json:"open_at_end"`       // requests without a final answer; virtual time only
+	P50Ms               float64   `json:"p50_ms"`            // latency of answered requests, client retries included
 	P99Ms               float64   `json:"p99_ms"`
-	EarnedShare         float64   `json:"worth"`
-	PartsRejected       int       `json:"busy"`       // parts that nodes turned away; in virtual time
-	PartsRejectedShare  float64   `json:"busy_share"` // of those sent
-	WarmupUsed          float64   `json:"cold_used"`  // of what cold nodes may be sent: how much they were
-	WarmupUsedRejecting float64   `json:"cold_short"` // the same while queries were refused
-	Fairness            float64   `json:"fairness"`   // Jain's index over brokers of the share of queries answered
-	WallS               float64   `json:"wall_s"`
-	SimulatedS          float64   `json:"simulated_s"`
-	Notes               []string  `json:"notes,omitempty"`
-	Runs                []Summary `json:"runs,omitempty"`
+	EarnedShare         float64   `json:"worth"`           // share of all priority weight that answers earned
+	PartsRejected       int       `json:"busy"`            // by backends
+	PartsRejectedShare  float64   `json:"busy_share"`      // of the parts sent
+	WarmupUsed          float64   `json:"cold_used"`       // sent share of the work allowed to warming backends
+	WarmupUsedRejecting float64   `json:"cold_short"`      // the same over the steps in which requests were rejected
+	Fairness            float64   `json:"fairness"`        // Jain's index of the brokers' answered shares
+	WallS               float64   `json:"wall_s"`          // duration of the run
+	SimulatedS          float64   `json:"simulated_s"`     // virtual duration of the run
+	Notes               []string  `json:"notes,omitempty"` // the first violations
+	Runs                []Summary `json:"runs,omitempty"`  // if there are several
 }
 
-// Add adds what a broker counted.
-func (s *Summary) Add(m core.ReshardingStats, t shardmap.Stats) {
-	s.PartsInFlight += int(m.InFlight)
-	s.PartsReplaced += int(m.Replaced)
-	s.PartsSplit += int(m.Split)
-	s.BehindRequests += int(m.Behind)
-	s.NotHolder += int(t.NotHolder)
-	s.NotHolderSameEpoch += int(t.SameEpoch)
-	s.MapsRejected += int(t.Rejected)
+// Add adds the counts of a broker.
+func (s *Summary) Add(resharding core.ReshardingStats, shardMap shardmap.Stats) {
+	s.PartsInFlight += int(resharding.InFlight)
+	s.PartsReplaced += int(resharding.Replaced)
+	s.PartsSplit += int(resharding.Split)
+	s.BehindRequests += int(resharding.Behind)
+	s.NotHolder += int(shardMap.NotHolder)
+	s.NotHolderSameEpoch += int(shardMap.SameEpoch)
+	s.MapsRejected += int(shardMap.Rejected)
 }
 
-// Sum puts runs together: counts are added, worth and latencies are means, weighted by what was taken.
+// Sum combines runs. Counts and durations are added. Shares, latencies and the fairness index are means, weighted by
+// the number of requests received. It keeps the first two notes of each run, at most 40 in all.
 func Sum(runs []Summary) Summary {
 	if len(runs) == 1 {
 		return runs[0]
@@ -72,24 +73,25 @@
 		return out
 	}
 	out.Name, out.Arm, out.Seed, out.Mode, out.Runs = runs[0].Name, runs[0].Arm, runs[0].Seed, runs[0].Mode, runs
-	o := reflect.ValueOf(&out).Elem()
+	outValue := reflect.ValueOf(&out).Elem()
 	for _, r := range runs {
-		addCounts(o, reflect.ValueOf(r))
+		addCounts(outValue, reflect.ValueOf(r))
 		w := float64(r.Received)
 		out.EarnedShare += r.EarnedShare * w
 		out.P50Ms += r.P50Ms * w
 		out.P99Ms += r.P99Ms * w
 		out.PartsRejectedShare += r.PartsRejectedShare * w
-		out.WarmupUsed, out.WarmupUsedRejecting = out.WarmupUsed+r.WarmupUsed*w, out.WarmupUsedRejecting+r.WarmupUsedRejecting*w
+		out.WarmupUsed += r.WarmupUsed * w
+		out.WarmupUsedRejecting += r.WarmupUsedRejecting * w
 		out.Fairness += r.Fairness * w
 		out.WallS += r.WallS
 		out.SimulatedS += r.SimulatedS
 		out.Notes = append(out.Notes, r.Notes[:min(len(r.Notes), 2)]...)
 	}
 	out.Notes = out.Notes[:min(len(out.Notes), 40)]
-	out.MaxVersionsKept = 0
+	out.MaxRetainedVersions = 0 // a maximum, but addCounts has added it up
 	for _, r := range runs {
-		out.MaxVersionsKept = max(out.MaxVersionsKept, r.MaxVersionsKept)
+		out.MaxRetainedVersions = max(out.MaxRetainedVersions, r.MaxRetainedVersions)
 	}
 	if n := float64(max(out.Received, 1)); true {
 		out.EarnedShare, out.P50Ms, out.P99Ms = out.EarnedShare/n, out.P50Ms/n, out.P99Ms/n
@@ -99,6 +101,8 @@
 	return out
 }
 
+// addCounts adds the int fields of one summary to those of another, also of embedded structs. Of the unsigned
+// fields it adds only HintedPolls, not the seed.
 func addCounts(to, from reflect.Value) {
 	for i := range from.NumField() {
 		switch f := from.Field(i); f.Kind() {
@@ -107,13 +111,13 @@
 		case reflect.Struct:
 			addCounts(to.Field(i), f)
 		}
-		if from.Type().Field(i).Name == "HintReads" {
+		if from.Type().Field(i).Name == "HintedPolls" {
 			to.Field(i).SetUint(to.Field(i).Uint() + from.Field(i).Uint())
 		}
 	}
 }
 
-// Figures are the summary's numbers by name.
+// Figures returns the numbers of the summary by their JSON names.
 func (s Summary) Figures() map[string]float64 {
 	s.Runs, s.Notes = nil, nil
 	text, _ := json.Marshal(s)
@@ -128,11 +132,12 @@
 	return out
 }
 
-// Judge names the bounds that the summary does not keep, and the rules that were broken.
-func (s Summary) CheckBounds(bounds map[string]exp.Bound) (passed int, faults []string) {
+// CheckBounds checks that no rule was violated and that the figures are within their bounds. It returns the number of
+// checks that passed and a description of each that failed.
+func (s Summary) CheckBounds(bounds map[string]exp.Bound) (passed int, failures []string) {
 	figures := s.Figures()
 	if n := s.Violations(); n > 0 {
-		faults = append(faults, fmt.Sprintf("rules were broken %d times: %s", n, strings.Join(s.Notes[:min(3,
+		failures = append(failures, fmt.Sprintf("rules were broken %d times: %s", n, strings.Join(s.Notes[:min(3,
 			len(s.Notes))], "; ")))
 	} else {
 		passed++
@@ -144,22 +149,22 @@
 	sort.Strings(names)
 	for _, name := range names {
 		b := bounds[name]
-		x, known := figures[name]
+		value, known := figures[name]
 		switch {
 		case !known:
-			faults = append(faults, fmt.Sprintf("expect: %s is no figure of the summary", name))
-		case b.Min != nil && x < *b.Min:
-			faults = append(faults, fmt.Sprintf("%s is %v, %v at least", name, x, *b.Min))
-		case b.Max != nil && x > *b.Max:
-			faults = append(faults, fmt.Sprintf("%s is %v, %v at most", name, x, *b.Max))
+			failures = append(failures, fmt.Sprintf("expect: the summary has no figure %q", name))
+		case b.Min != nil && value < *b.Min:
+			failures = append(failures, fmt.Sprintf("%s is %v, want at least %v", name, value, *b.Min))
+		case b.Max != nil && value > *b.Max:
+			failures = append(failures, fmt.Sprintf("%s is %v, want at most %v", name, value, *b.Max))
 		default:
 			passed++
 		}
 	}
-	return passed, faults
+	return passed, failures
 }
 
-// names are the figures' names in order.
+// figureNames returns the names of the figures in order, without the seed.
 func (s Summary) figureNames() []string {
 	var names []string
 	for name := range s.Figures() {
@@ -171,7 +176,7 @@
 	return names
 }
 
-// Table is the summary as a Markdown table, one row a figure.
+// Table returns the summary as a Markdown table with one row for each figure.
 func (s Summary) Table() string {
 	figures := s.Figures()
 	var b strings.Builder
@@ -182,7 +187,7 @@
 	return b.String()
 }
 
-// Read is the summary that a folder keeps.
+// Read reads the summary from a directory that Write wrote.
 func Read(dir string) (s Summary, err error) {
 	text, err := os.ReadFile(filepath.Join(dir, "summary.json"))
 	if err != nil {
@@ -194,7 +199,7 @@
 	return s, nil
 }
 
-// Write keeps a summary in a folder: summary.json and a table in Markdown and CSV.
+// Write writes a summary into a directory: summary.json, and its table as summary.md and summary.csv.
 func Write(dir string, s Summary) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -206,8 +211,8 @@
 	var csv strings.Builder
 	csv.WriteString("figure,value\n")
 	for _, line := range strings.Split(strings.TrimSpace(s.Table()), "\n")[2:] {
-		f := strings.Split(line, "|")
-		fmt.Fprintf(&csv, "%s,%s\n", strings.TrimSpace(f[1]), strings.TrimSpace(f[2]))
+		cells := strings.Split(line, "|")
+		fmt.Fprintf(&csv, "%s,%s\n", strings.TrimSpace(cells[1]), strings.TrimSpace(cells[2]))
 	}
 	for name, data := range map[string][]byte{"summary.json": append(text, '\n'),
 		"summary.md":  []byte(s.Table()),
--- a/internal/lab/world/live.go
+++ b/internal/lab/world/live.go
@@ -383,7 +383,7 @@
 	var mapStats shardmap.Stats
 	if errors.Join(json.Unmarshal(text, &resharding), json.Unmarshal(text, &mapStats)) == nil {
 		r.Add(resharding, mapStats)
-		r.MaxVersionsKept = max(r.MaxVersionsKept, mapStats.MaxRetainedVersions)
+		r.MaxRetainedVersions = max(r.MaxRetainedVersions, mapStats.MaxRetainedVersions)
 	}
 }
 
--- a/internal/lab/world/virtual.go
+++ b/internal/lab/world/virtual.go
@@ -159,11 +159,11 @@
 }
 
 func (b *virtualBroker) addStats(r *result.Summary) {
-	r.MaxVersionsKept = max(r.MaxVersionsKept, b.maxVersions(), b.pastMaxVersions)
+	r.MaxRetainedVersions = max(r.MaxRetainedVersions, b.maxVersions(), b.pastMaxVersions)
 	r.Add(b.pastResharding, b.pastMapStats)
 	if b.core != nil {
 		r.Add(b.core.ReshardingStats(), b.shardMap.Stats())
-		r.HintReads += b.mapPoller.HintedPolls()
+		r.HintedPolls += b.mapPoller.HintedPolls()
 		r.OpenAtEnd += b.core.OpenRequests()
 	}
 }
--- a/internal/lab/world/world_test.go
+++ b/internal/lab/world/world_test.go
@@ -227,7 +227,7 @@
 	t.Logf("heap halfway %d KB, at the end %d KB, %d changes", half>>10, last>>10, end.Changes)
 	require.Zero(t, end.Violations(), end.Notes)
 	require.Zero(t, end.OpenAtEnd)
-	require.LessOrEqual(t, end.MaxVersionsKept, 40)
+	require.LessOrEqual(t, end.MaxRetainedVersions, 40)
 	for _, x := range s.brokers {
 		b := x.(*virtualBroker)
 		require.Equal(t, 1, b.shardMap.Stats().RetainedVersions, "versions without users are retained")
