--- a/internal/lab/world/fleet.go
+++ b/internal/lab/world/fleet.go
@@ -84,7 +84,8 @@
 		changeRand: rand.New(rand.NewPCG(seed, 4)), loadReportRand: rand.New(rand.NewPCG(seed, 5)),
 		cutZone: -1, agentSilentUntil: make([]float64, s.e.Brokers),
 		linksCutUntil: make([]float64, s.e.Brokers), agentUpdatedAt: make([]float64, s.e.Brokers),
-		movePacer: shardmap.HandoverPacer{MaxConcurrent: 2, InitialCapacity: s.e.Backend.InitialCapacity, WarmupMs: s.e.Backend.WarmUp}}
+		movePacer: shardmap.HandoverPacer{MaxConcurrent: 2, InitialCapacity: s.e.Backend.InitialCapacity,
+			WarmupMs: s.e.Backend.WarmUp}}
 	if _, err := f.shardMap.Reset(s.e.InitialMap()); err != nil {
 		panic(err) // exp.Load has checked the experiment
 	}
@@ -433,7 +434,7 @@
 	if n.IsWarmingUp(s.now) && n.Fault != model.Draining {
 		warmingUp = n.ID
 	}
-	wasFallen := n.Overloaded
+	wasOverloaded := n.Overloaded
 	end, done := n.Arrive(s.now, j)
 	if q := s.queries[j.RequestID]; q != nil && q.broker != nil {
 		s.ledger.PartSent(q.broker.number())
@@ -445,7 +446,7 @@
 		}
 	}
 	switch {
-	case n.Overloaded && !wasFallen:
+	case n.Overloaded && !wasOverloaded:
 		s.check.BackendOverloaded(n.ID, n.IsWarmingUp(s.now))
 		s.fleet.stopBackend(n)
 	case end == model.NoOutcome && done > 0:
@@ -458,7 +459,8 @@
 // measureLoad renews the load report at intervals; in between, answers carry the last one.
 func (n *backend) measureLoad() {
 	s := n.world
-	n.loadReport = fmt.Sprintf("inflight=%d,latency_ms=%.1f,queue=%d", n.PartCount(), n.smoothedServiceMs, n.QueueLength())
+	n.loadReport = fmt.Sprintf("inflight=%d,latency_ms=%.1f,queue=%d", n.PartCount(), n.smoothedServiceMs,
+		n.QueueLength())
 	s.schedule(s.now+s.e.Backend.ReportInterval.Draw(s.fleet.loadReportRand), n.measureLoad)
 }
 
@@ -666,7 +668,8 @@
 // than one, have a fault.
 func (f *fleet) injectBackendFault(kind string, n *backend, durationMs float64, scripted bool) {
 	s := f.world
-	if n.hasFault || n.Overloaded || !scripted && (n.IsWarmingUp(s.now) || f.faultyBackends() > max(1, len(f.backends)/6)) {
+	if n.hasFault || n.Overloaded ||
+		!scripted && (n.IsWarmingUp(s.now) || f.faultyBackends() > max(1, len(f.backends)/6)) {
 		return
 	}
 	n.hasFault = true
--- a/internal/lab/world/live.go
+++ b/internal/lab/world/live.go
@@ -439,7 +439,8 @@
 	for _, c := range e.Classes {
 		classes = append(classes, map[string]any{"name": c.Name, "effect": c.Effect, "aim_ms": c.LatencyObjective,
 			"deadline_ms": c.Deadline, "worth": c.PriorityWeight, "late_worth": c.LateFactor, "dedup_window_ms": 0})
-		minShares, completeFrom, partial = append(minShares, c.MinCompleteness), append(completeFrom, 1), append(partial, c.PartialFactor)
+		minShares, completeFrom, partial = append(minShares, c.MinCompleteness), append(completeFrom, 1),
+			append(partial, c.PartialFactor)
 		fetchParts = append(fetchParts, 0)
 	}
 	mode, zones := "on_request", []string{}
@@ -453,7 +454,8 @@
 		"seed":   fmt.Sprintf("%016x", b.world.seed+uint64(b.index)*7919+uint64(b.gen)),
 		"limits": map[string]any{"cores": 1, "memory_mb": memoryMB, "sockets": maxFiles},
 		"known":  b.initialList,
-		"settings": map[string]any{"areas": zones, "balancers": e.ConfiguredBrokerCount(), "me": b.index % e.ConfiguredBrokerCount(),
+		"settings": map[string]any{"areas": zones, "balancers": e.ConfiguredBrokerCount(),
+			"me":            b.index % e.ConfiguredBrokerCount(),
 			"zone":          e.ZoneOf(b.index),
 			"resolution_ms": 5, "callers": map[string]any{"marks_retry": true}, "discovery": mode,
 			"categories": classes, "customers": []any{},
@@ -461,8 +463,8 @@
 				"complete_from": completeFrom, "fetch_parts": fetchParts, "incomplete_worth": partial, "min_share": minShares},
 			"invariants": map[string]any{"ask_within_ms": askWithinMs, "cold_from": e.Backend.InitialCapacity,
 				"drain_grace_ms": 1000,
-				"fall_ms":        e.Backend.OverloadWindow, "fall_multiple": e.Backend.OverloadMultiple, "grace_to_answer_ms": 20,
-				"warm_within_ms": e.Backend.WarmUp},
+				"fall_ms":        e.Backend.OverloadWindow, "fall_multiple": e.Backend.OverloadMultiple,
+				"grace_to_answer_ms": 20, "warm_within_ms": e.Backend.WarmUp},
 			"limits": map[string]any{"cancel": true, "dial_timeout_ms": 250, "keepalive_ms": 30000, "max_open": 4000,
 				"max_retry_after_ms": 1000, "multiplex": 32, "parallel_tries": e.AllowHedging, "retry_after": true,
 				"try_limit": e.MaxAttempts}}}
--- a/internal/lab/world/virtual.go
+++ b/internal/lab/world/virtual.go
@@ -481,8 +481,8 @@
 		d.returnOutcome(scheduler.ConnectFailed, nil)
 		return
 	}
-	d.job = &model.Job{RequestID: d.attempt.Request, Class: q.ask.Class, NonIdempotent: q.ask.NonIdempotent, Buckets: d.attempt.Buckets,
-		Epoch: d.attempt.Epoch, Work: q.workOf(d.attempt.Buckets), Context: d}
+	d.job = &model.Job{RequestID: d.attempt.Request, Class: q.ask.Class, NonIdempotent: q.ask.NonIdempotent,
+		Buckets: d.attempt.Buckets, Epoch: d.attempt.Epoch, Work: q.workOf(d.attempt.Buckets), Context: d}
 	d.job.Unfenced = s.Fault.Unfenced
 	if s.e.Arm != exp.Follow {
 		d.job.Epoch = 0
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -254,7 +254,8 @@
 	// The client's shard map may be stale.
 	v := s.fleet.versionAt(s.now - s.e.ClientMapAge.Draw(s.loadRand))
 	at, weightSum := v.ShardAt(s.loadRand.IntN(v.Buckets)), 0.0
-	q := &query{world: s, class: c, firstDue: s.now, isFirst: true, ask: &check.Request{Class: i, NonIdempotent: c.NonIdempotent(),
+	q := &query{world: s, class: c, firstDue: s.now, isFirst: true, ask: &check.Request{Class: i,
+		NonIdempotent:   c.NonIdempotent(),
 		MinCompleteness: c.MinCompleteness,
 		Deadline:        s.now + c.Deadline*(0.6+0.4*s.loadRand.Float64())}}
 	for range min(n, v.Len()) {
--- a/internal/lab/world/world_test.go
+++ b/internal/lab/world/world_test.go
@@ -95,16 +95,20 @@
 		f     Fault
 		count func(result.Summary) int
 	}{
-		"lost":                          {Fault{LoseAnswer: true}, func(s result.Summary) int { return s.Lost }},
-		"falsely complete":              {Fault{MarkComplete: true}, func(s result.Summary) int { return s.FalselyComplete }},
-		"short":                         {Fault{DropHit: true}, func(s result.Summary) int { return s.BelowMinCompleteness }},
-		"wrong value":                   {Fault{ForeignValue: true}, func(s result.Summary) int { return s.WrongValues }},
-		"counted twice":                 {Fault{DuplicateValue: true}, func(s result.Summary) int { return s.CountedTwice }},
+		"lost": {Fault{LoseAnswer: true}, func(s result.Summary) int { return s.Lost }},
+		"falsely complete": {Fault{MarkComplete: true},
+			func(s result.Summary) int { return s.FalselyComplete }},
+		"short": {Fault{DropHit: true},
+			func(s result.Summary) int { return s.BelowMinCompleteness }},
+		"wrong value": {Fault{ForeignValue: true}, func(s result.Summary) int { return s.WrongValues }},
+		"counted twice": {Fault{DuplicateValue: true},
+			func(s result.Summary) int { return s.CountedTwice }},
 		"late drain":                    {Fault{IgnoreDrain: true}, func(s result.Summary) int { return s.SentAfterDrain }},
 		"two attempts at once":          {Fault{DuplicateAttempt: true}, func(s result.Summary) int { return s.Overlaps }},
 		"non-idempotent part run twice": {Fault{DuplicateAttempt: true}, func(s result.Summary) int { return s.RanTwice }},
 		"buckets not held":              {Fault{Unfenced: true}, func(s result.Summary) int { return s.Overlaps }},
-		"overloaded while warming up":   {Fault{HideStarts: true}, func(s result.Summary) int { return s.WarmingOverloaded }},
+		"overloaded while warming up": {Fault{HideStarts: true},
+			func(s result.Summary) int { return s.WarmingOverloaded }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
