--- a/experiments/mass.jsonnet
+++ b/experiments/mass.jsonnet
@@ -1,14 +1,18 @@
-// Hundreds of brokers that share nothing, before a large fleet, each with little traffic. Variables: seconds, rate,
-// brokers, nodes; and what happens, 1 or 0: join (six in ten nodes are replaced within 7 s), herd (seven in ten
-// brokers are killed at once), zone (one of three zones is cut off), roll (half of the nodes are replaced in steps).
-// hot: what the first broker is asked for, by the mean; idle: the share of brokers asked for nothing; told: how many
-// brokers each is told there are, 0 for the truth; apart, jump: ms by which clocks are off, and the first broker's.
+// A large fleet with hundreds of brokers that share no state and get little traffic each. External variables:
+//   seconds, rate, brokers, nodes: duration and size;
+//   join, herd, zone, roll: 1 for an event, 0 without it: six in ten backends are replaced within 7 s, seven in ten
+//     brokers are killed at once, one of three zones is cut off, half of the backends are replaced in steps;
+//   hot: request rate of the first broker over the mean rate;
+//   idle: share of the brokers that get no requests;
+//   told: number of brokers in the brokers' settings, 0 for the true one;
+//   apart, jump: largest offset of the brokers' clocks, and offset of the first broker's clock, in ms.
 local on(name) = std.extVar(name) != '0';
 local number(name) = std.parseJson(std.extVar(name));
 local brokers = number('brokers');
 local nodes = number('nodes');
 local none = { max: 0 };
-// Of three neighbours, which hold the same slice, one at least stays: so it is with releases.
+// Three neighbouring backends hold the same shard. At least one of them stays, as in a rolling release. The sort
+// spreads the replaced backends over the fleet.
 local mixed(of) = std.sort(of, function(n) (n * 67) % nodes);
 local six = mixed([n for n in std.range(0, nodes - 1) if std.member([0, 1, 3], n % 5)]);
 local half = mixed([n for n in std.range(0, nodes - 1) if n % 2 == 0]);
--- a/experiments/reshard-large.jsonnet
+++ b/experiments/reshard-large.jsonnet
@@ -1,5 +1,6 @@
-// The size that the project is after: 1,000 nodes, 100,000 slices, 20 brokers, a change every second.
-// Variables: seconds (600 for the figures in the docs), every, arm.
+// Resharding at the target size of the project: 1,000 backends, 100,000 shards, 20 brokers, one change of the shard
+// map per second on average. External variables: seconds (600 for the figures in the docs) and arm (follow, sighup,
+// naive).
 local none = { max: 0 };
 {
   name: 'reshard-large',
--- a/experiments/reshard.jsonnet
+++ b/experiments/reshard.jsonnet
@@ -1,5 +1,6 @@
-// Slices are split, merged and moved under load, while nodes hang, fail, crawl, drain and restart and brokers die.
-// Variables: every (ms between changes, 0 for none), arm (follow, sighup, naive), seconds.
+// Shards are split, merged and moved under load, while backends hang, fail, slow down, drain and restart, and brokers
+// are killed. External variables: every (mean time between changes of the shard map in ms, 0 for none), arm (follow,
+// sighup, naive) and seconds.
 local every = std.parseJson(std.extVar('every'));
 local seconds = std.parseJson(std.extVar('seconds'));
 local arm = std.extVar('arm');
--- a/experiments/up.jsonnet
+++ b/experiments/up.jsonnet
@@ -1,4 +1,4 @@
-// A small fleet under some load, whose slices change now and then: what emulator up plays, until it is ended.
+// A small fleet under light load whose shard map changes every few seconds: the experiment of `emulator up`.
 {
   name: 'up',
   seconds: 7200,
--- a/experiments/zones.jsonnet
+++ b/experiments/zones.jsonnet
@@ -1,7 +1,7 @@
-// Three zones, a list that is pushed to an agent beside each broker and falls silent, nodes that pause by themselves,
-// zones that are cut off, in a deployment like the second one: all parts needed, sets spread over the zones, copies.
-// Variables: seconds, rate, and one switch for each trouble, 1 or 0: stand, slow, vanish, down, drain, broker,
-// zone_cut, silent, pause.
+// Three zones. The endpoint list is pushed to a discovery agent beside each broker, the replicas of a shard are
+// spread over the zones, answers need all parts, and hedged requests are allowed. Agents stop responding, backends
+// pause spontaneously and zones are cut off. External variables: seconds, rate, and 1 or 0 for each kind of fault:
+// stand, slow, vanish, down, drain, broker, zone_cut, silent, pause.
 local on(name) = std.extVar(name) != '0';
 local none = { max: 0 };
 {
