--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -101,25 +101,25 @@
 }
 
 // UpdateMap gives the backend a version of the shard map. It ignores one that is not newer than its own.
-func (n *Backend) UpdateMap(v *shardmap.Version) {
-	if n.shardMap == nil || v.Epoch > n.shardMap.Epoch {
-		n.shardMap = v
+func (b *Backend) UpdateMap(v *shardmap.Version) {
+	if b.shardMap == nil || v.Epoch > b.shardMap.Epoch {
+		b.shardMap = v
 	}
 }
 
 // Epoch returns the epoch of its shard map, 0 if it has none.
-func (n *Backend) Epoch() uint64 {
-	if n.shardMap == nil {
+func (b *Backend) Epoch() uint64 {
+	if b.shardMap == nil {
 		return 0
 	}
-	return n.shardMap.Epoch
+	return b.shardMap.Epoch
 }
 
 // holds reports whether it may run parts of these buckets according to its shard map.
-func (n *Backend) holds(buckets shardmap.Range) bool {
+func (b *Backend) holds(buckets shardmap.Range) bool {
 	for at := buckets.Start; at < buckets.End; {
-		s := n.shardMap.ShardAt(at)
-		if s == nil || !s.Executes(n.ID) {
+		s := b.shardMap.ShardAt(at)
+		if s == nil || !s.Executes(b.ID) {
 			return false
 		}
 		at = s.End
@@ -128,78 +128,78 @@
 }
 
 // Capacity returns the work per ms that it can do now, which is the number of cores once it has warmed up.
-func (n *Backend) Capacity(now float64) float64 {
+func (b *Backend) Capacity(now float64) float64 {
 	share := 1.0
-	if n.Started > 0 && n.options.WarmUp > 0 {
-		share = min(1, n.options.InitialCapacity+(1-n.options.InitialCapacity)*(now-n.Started)/n.options.WarmUp)
+	if b.Started > 0 && b.options.WarmUp > 0 {
+		share = min(1, b.options.InitialCapacity+(1-b.options.InitialCapacity)*(now-b.Started)/b.options.WarmUp)
 	}
-	return share * float64(n.options.Cores)
+	return share * float64(b.options.Cores)
 }
 
 // IsWarmingUp reports whether it has not reached its full capacity yet.
-func (n *Backend) IsWarmingUp(now float64) bool {
-	return n.Started > 0 && now < n.Started+n.options.WarmUp
+func (b *Backend) IsWarmingUp(now float64) bool {
+	return b.Started > 0 && now < b.Started+b.options.WarmUp
 }
 
 // QueueLength returns the number of parts that wait.
-func (n *Backend) QueueLength() int { return len(n.queue) }
+func (b *Backend) QueueLength() int { return len(b.queue) }
 
 // PartCount returns the number of parts that wait or run.
-func (n *Backend) PartCount() int { return len(n.queue) + len(n.running) }
+func (b *Backend) PartCount() int { return len(b.queue) + len(b.running) }
 
 // Arrive handles a part that has reached the backend. It returns the outcome of a part that does not run.
 // Otherwise it returns NoOutcome, with the time at which the part is done, or 0 if it waits. A stopped or overloaded
 // backend returns NoOutcome and 0.
-func (n *Backend) Arrive(now float64, j *Job) (outcome Outcome, done float64) {
+func (b *Backend) Arrive(now float64, j *Job) (outcome Outcome, done float64) {
 	j.Arrived = now
-	n.trackLoad(now, j.Work)
+	b.trackLoad(now, j.Work)
 	switch {
-	case n.Overloaded || n.Fault == Down:
+	case b.Overloaded || b.Fault == Down:
 		return NoOutcome, 0
-	case n.Fault == Draining:
+	case b.Fault == Draining:
 		return Rejected, 0
 	case j.Unfenced:
-	case j.Epoch > 0 && (n.shardMap == nil || j.Epoch > n.shardMap.Epoch || !n.holds(j.Buckets)):
+	case j.Epoch > 0 && (b.shardMap == nil || j.Epoch > b.shardMap.Epoch || !b.holds(j.Buckets)):
 		// It does not hold the buckets yet, or no longer. If the part was routed by an epoch that it does not
 		// know, another backend may hold the buckets at that epoch.
 		return NotHolder, 0
-	case j.Epoch == 0 && n.shardMap != nil && !n.holds(j.Buckets):
+	case j.Epoch == 0 && b.shardMap != nil && !b.holds(j.Buckets):
 		return Failed, 0 // for a sender without epochs this is an error like any other
 	}
-	if len(n.queue) >= n.options.QueueLimit {
+	if len(b.queue) >= b.options.QueueLimit {
 		return Rejected, 0
 	}
-	j.MapEpoch = n.Epoch()
-	if len(n.running) < n.options.Cores {
-		return NoOutcome, n.startPart(now, j)
+	j.MapEpoch = b.Epoch()
+	if len(b.running) < b.options.Cores {
+		return NoOutcome, b.startPart(now, j)
 	}
-	n.queue = append(n.queue, j)
+	b.queue = append(b.queue, j)
 	return NoOutcome, 0
 }
 
 // trackLoad adds the work of a part to the recent load, also if the backend rejects it, and sets Overloaded if a
 // backend that warms up gets too much.
-func (n *Backend) trackLoad(now, work float64) {
-	if n.options.OverloadMultiple <= 0 {
+func (b *Backend) trackLoad(now, work float64) {
+	if b.options.OverloadMultiple <= 0 {
 		return
 	}
-	n.recentLoad, n.recentWork = append(n.recentLoad, load{now, work}), n.recentWork+work
-	for n.recentLoad[0].at < now-n.options.OverloadWindow {
-		n.recentWork -= n.recentLoad[0].work
-		n.recentLoad = n.recentLoad[1:]
+	b.recentLoad, b.recentWork = append(b.recentLoad, load{now, work}), b.recentWork+work
+	for b.recentLoad[0].at < now-b.options.OverloadWindow {
+		b.recentWork -= b.recentLoad[0].work
+		b.recentLoad = b.recentLoad[1:]
 	}
-	if n.IsWarmingUp(now) && n.recentWork > n.options.OverloadMultiple*n.Capacity(now)*n.options.OverloadWindow {
-		n.Overloaded = true
+	if b.IsWarmingUp(now) && b.recentWork > b.options.OverloadMultiple*b.Capacity(now)*b.options.OverloadWindow {
+		b.Overloaded = true
 	}
 }
 
 // startPart starts a part. It returns the time at which the part is done.
-func (n *Backend) startPart(now float64, j *Job) (done float64) {
+func (b *Backend) startPart(now float64, j *Job) (done float64) {
 	j.Started = now
-	n.running = append(n.running, j)
-	n.PartsRun++
-	serviceMs := j.Work * float64(n.options.Cores) / n.Capacity(now)
-	if n.Fault == Slow {
+	b.running = append(b.running, j)
+	b.PartsRun++
+	serviceMs := j.Work * float64(b.options.Cores) / b.Capacity(now)
+	if b.Fault == Slow {
 		serviceMs *= SlowFactor
 	}
 	return now + serviceMs
@@ -207,45 +207,45 @@
 
 // Finish ends a part that is due and starts the next one that waits, which is done at the returned time. moved are
 // the parts before it in the queue whose buckets have been handed over since they arrived; they do not run.
-func (n *Backend) Finish(now float64, j *Job) (outcome Outcome, moved []*Job, next *Job, done float64) {
-	if j.Done || n.Fault == Down || n.Overloaded {
+func (b *Backend) Finish(now float64, j *Job) (outcome Outcome, moved []*Job, next *Job, done float64) {
+	if j.Done || b.Fault == Down || b.Overloaded {
 		return NoOutcome, nil, nil, 0
 	}
 	j.Done = true
-	n.running = slices.DeleteFunc(n.running, func(x *Job) bool { return x == j })
+	b.running = slices.DeleteFunc(b.running, func(x *Job) bool { return x == j })
 	switch {
-	case n.Fault == Hang:
+	case b.Fault == Hang:
 		outcome = NoOutcome
-	case n.Fault == Fail && n.rand.Float64() < FailShare:
+	case b.Fault == Fail && b.rand.Float64() < FailShare:
 		outcome = Failed
 	}
-	for len(n.queue) > 0 && next == nil {
-		first := n.queue[0]
-		n.queue = n.queue[1:]
-		if first.Epoch > 0 && !first.Unfenced && !n.holds(first.Buckets) {
+	for len(b.queue) > 0 && next == nil {
+		first := b.queue[0]
+		b.queue = b.queue[1:]
+		if first.Epoch > 0 && !first.Unfenced && !b.holds(first.Buckets) {
 			moved = append(moved, first)
 			continue
 		}
-		next, done = first, n.startPart(now, first)
-		first.MapEpoch = n.Epoch()
+		next, done = first, b.startPart(now, first)
+		first.MapEpoch = b.Epoch()
 	}
 	return outcome, moved, next, done
 }
 
 // Kill stops the process. It returns the parts that are lost with it, the running ones first, each in the order of
 // arrival.
-func (n *Backend) Kill() []*Job {
-	all := append(slices.Clone(n.running), n.queue...)
-	n.running, n.queue, n.Fault = nil, nil, Down
+func (b *Backend) Kill() []*Job {
+	all := append(slices.Clone(b.running), b.queue...)
+	b.running, b.queue, b.Fault = nil, nil, Down
 	return all
 }
 
 // Drop removes a cancelled part that has not started from the queue.
-func (n *Backend) Drop(j *Job) {
-	n.queue = slices.DeleteFunc(n.queue, func(x *Job) bool { return x == j })
+func (b *Backend) Drop(j *Job) {
+	b.queue = slices.DeleteFunc(b.queue, func(x *Job) bool { return x == j })
 }
 
 // Restart starts a new process, which has to warm up.
-func (n *Backend) Restart(now float64, version *shardmap.Version) {
-	n.Started, n.Fault, n.Overloaded, n.shardMap, n.recentLoad, n.recentWork = now, Healthy, false, version, nil, 0
+func (b *Backend) Restart(now float64, version *shardmap.Version) {
+	b.Started, b.Fault, b.Overloaded, b.shardMap, b.recentLoad, b.recentWork = now, Healthy, false, version, nil, 0
 }
