--- a/internal/lab/exp/exp.go
+++ b/internal/lab/exp/exp.go
@@ -34,12 +34,12 @@
 	Share            float64 `json:"share"`  // of all requests
 	Parts            Span    `json:"parts"`  // parts of a request
 	Work             Span    `json:"work"`   // cost of a part, in ms of one core
-	LatencyObjective float64 `json:"aim"`
+	LatencyObjective float64 `json:"aim"`    // until then an answer counts in full
 	Deadline         float64 `json:"deadline"`
-	PriorityWeight   float64 `json:"worth"`
-	LateFactor       float64 `json:"late_worth"`
-	MinCompleteness  float64 `json:"floor"`
-	PartialFactor    float64 `json:"partial_worth"`
+	PriorityWeight   float64 `json:"worth"`         // of an answer
+	LateFactor       float64 `json:"late_worth"`    // multiplies the weight of an answer after the latency objective
+	MinCompleteness  float64 `json:"floor"`         // share of the part weights that an answer must hold
+	PartialFactor    float64 `json:"partial_worth"` // multiplies weight times completeness of a partial answer
 }
 
 // NonIdempotent reports whether a part of the class must not run twice.
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -18,7 +18,7 @@
 	InitialCapacity  float64 // share of the full capacity at the start of the process
 	WarmUp           float64 // until the process has the full capacity
 	OverloadMultiple float64 // while it warms up, more work than so many times its capacity
-	OverloadWindow   float64 // within this time makes it fail; no limit if OverloadMultiple is 0
+	OverloadWindow   float64 // within this time makes it fail; OverloadMultiple 0: it never fails
 }
 
 // Fault is an injected fault of a backend.
@@ -47,7 +47,7 @@
 // The outcomes of a part.
 const (
 	OK        Outcome = iota
-	Failed            // it ran and failed, or a sender without epochs got an error; see Backend.Arrive
+	Failed            // it ran and failed, or it did not run: not held, and the sender uses no epochs
 	Rejected          // it did not run
 	NotHolder         // it did not run: the backend does not hold its buckets
 	NoOutcome         // no answer, or none yet
