--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -1,5 +1,5 @@
-// Package check counts the rules from what reached clients and nodes, and never from what a broker says of
-// itself.
+// Package check counts violations of the rules that a run must keep. It judges only by what reached clients and
+// backends, never by what a broker reports about itself.
 package check
 
 import (
@@ -12,301 +12,324 @@
 	"ternstage/internal/lab/model"
 )
 
-// Counts are the rules, and what happened to those who asked.
+// Counts holds the number of requests by outcome and of violations by rule.
 type Counts struct {
-	Taken    int `json:"taken"`
+	Received int `json:"taken"`
 	Answered int `json:"answered"`
-	Refused  int `json:"refused"`
+	Rejected int `json:"refused"`
 	Failed   int `json:"failed"`
 
-	Lost         int `json:"lost"`          // no final answer by the deadline, or more than one
-	BindTwice    int `json:"bind_twice"`    // districts of a part that must not run twice that ran twice
-	Overlaps     int `json:"overlaps"`      // two attempts at once, or executed by who did not hold it
-	FalselyWhole int `json:"falsely_whole"` // marked whole and not
-	Short        int `json:"short"`         // answered from less than the least share
-	WrongValue   int `json:"wrong_value"`   // a value that was not made for it
-	CountedTwice int `json:"counted_twice"` // districts that two values stand for
-	DrainLate    int `json:"drain_late"`    // new work later than 1 s after a drain was told
-	ColdFallen   int `json:"cold_fallen"`   // cold nodes pushed over
+	// Lost counts requests without a final answer by the deadline or with more than one.
+	Lost int `json:"lost"`
+	// RanTwice counts bucket ranges of non-idempotent parts that ran more than once.
+	RanTwice int `json:"bind_twice"`
+	// Overlaps counts attempts that arrived beside another one of the same buckets, and parts that a backend
+	// executed without holding their buckets.
+	Overlaps int `json:"overlaps"`
+	// FalselyComplete counts answers marked complete that were not.
+	FalselyComplete int `json:"falsely_whole"`
+	// BelowMinCompleteness counts answers with less weight than their class allows.
+	BelowMinCompleteness int `json:"short"`
+	// WrongValues counts values that belong to another request or other buckets, or cover only some of a part.
+	WrongValues int `json:"wrong_value"`
+	// CountedTwice counts values whose buckets another value of the answer covers as well.
+	CountedTwice int `json:"counted_twice"`
+	// SentAfterDrain counts attempts sent more than 1 s after the broker was notified of the drain.
+	SentAfterDrain int `json:"drain_late"`
+	// WarmingOverloaded counts backends that failed under overload while warming up.
+	WarmingOverloaded int `json:"cold_fallen"`
 }
 
-// Broken is how often a rule was broken.
-func (c Counts) Broken() int {
-	return c.Lost + c.BindTwice + c.Overlaps + c.FalselyWhole + c.Short + c.WrongValue + c.CountedTwice +
-		c.DrainLate + c.ColdFallen
+// Violations returns the number of violations of all rules.
+func (c Counts) Violations() int {
+	return c.Lost + c.RanTwice + c.Overlaps + c.FalselyComplete + c.BelowMinCompleteness + c.WrongValues +
+		c.CountedTwice + c.SentAfterDrain + c.WarmingOverloaded
 }
 
-// Ask is a query as its client sent it.
-type Ask struct {
-	ID       string
-	Class    int
-	Once     bool
-	Floor    float64
-	Deadline float64
-	Parts    []Part
-	finals   int
-	void     bool // its broker died
+// Request is a request as its client sent it.
+type Request struct {
+	ID              string
+	Class           int
+	NonIdempotent   bool
+	MinCompleteness float64
+	Deadline        float64
+	Parts           []Part
+	finalAnswers    int
+	answerWaived    bool // no answer is due: its broker has stopped or did not accept it
 }
 
-// Anew is the query as its client asks it again.
-func (a *Ask) Anew() *Ask {
-	next := *a
-	next.finals, next.void, next.Parts = 0, false, slices.Clone(a.Parts)
+// ClientRetry returns a copy for a client retry, without the answers recorded so far.
+func (r *Request) ClientRetry() *Request {
+	next := *r
+	next.finalAnswers, next.answerWaived, next.Parts = 0, false, slices.Clone(r.Parts)
 	return &next
 }
 
-// Part is a part as its client named it.
+// Part is a part as its client requested it.
 type Part struct {
-	Shard     int
-	Weight    float64
-	Districts shardmap.Range // that the name stands for, for ever
+	Shard   int
+	Weight  float64
+	Buckets shardmap.Range // of the shard in the client's map; a shard ID always means the same buckets
 }
 
-// Hit is a value of an answer.
-type Hit struct {
-	Shard     int
-	Districts shardmap.Range
-	Doc       string
+// Value is a value of an answer.
+type Value struct {
+	Shard   int
+	Buckets shardmap.Range
+	Doc     string
 }
 
 const (
-	slack     = 1e-4   // of weights, as the rules allow
-	grace     = 70.0   // ms past the deadline in which a final answer still counts; live, with threads between
-	graceLive = 150.0  // broker and checker, so many
-	drainMost = 1050.0 // ms, as the rule on sockets has it
-	notesMost = 20
+	weightTolerance = 1e-4 // on sums of part weights; the rules allow it
+	// virtualGraceMs and liveGraceMs say how long after the deadline a final answer still counts. In a live run
+	// threads run between broker and checker.
+	virtualGraceMs  = 70.0
+	liveGraceMs     = 150.0
+	maxDrainDelayMs = 1050.0 // from the notice of a drain; the rule allows 1 s
+	maxNotes        = 20
 )
 
-// Checker holds what is needed to judge. Its memory is bounded by what is open.
+// Checker checks the rules. Its memory is bounded by the requests and attempts that are open.
 type Checker struct {
 	Counts
-	Notes []string // the first breaches, in words
-
-	asks map[string]*Ask
-	ran  map[string][]shardmap.Range  // of queries that must not run twice
-	out  map[string][]*shardmap.Range // at nodes: of attempts that are out
-
-	// Later, if set, is asked to look once more in a moment at what seems to be out twice: live, the word
-	// that one attempt is given up and the next attempt come over two connections, and threads read them.
-	Later func(look func())
-	// Copies allows a second attempt of what may be repeated to be out, and no more than two.
-	Copies bool
-	// Unasked is how long, in ms, a new process may go without having asked for the list before what the last
-	// one was told counts as told to it. 0 where lists are pushed: what an agent has counts at once.
-	Unasked float64
-	told    map[[2]string]float64 // broker and node: when it was told that the node drains
+	Notes []string // the first violations, in words
+
+	requests map[string]*Request
+	runs     map[string][]shardmap.Range  // by request: buckets of non-idempotent parts that have run
+	inFlight map[string][]*shardmap.Range // by request: buckets of the attempts in flight at backends
+
+	// Recheck, if set, runs a function a moment later, to confirm that two attempts are in flight. In a live run
+	// the cancellation of one attempt and the next attempt arrive over two connections that different threads
+	// read.
+	Recheck func(check func())
+	// AllowHedging allows a second attempt beside one in flight if the request is idempotent, but no third.
+	AllowHedging bool
+	// FirstPollMs is the time in ms after which a new broker process that has not polled the endpoint list
+	// counts as notified of what the previous process knew. It is 0 where lists are pushed: a new process then
+	// has the list of its discovery agent at once.
+	FirstPollMs     float64
+	drainNotifiedAt map[[2]string]float64 // by broker and backend, in ms
 }
 
-// New makes a checker.
+// New returns a checker without requests.
 func New() *Checker {
-	return &Checker{asks: map[string]*Ask{}, ran: map[string][]shardmap.Range{},
-		out:  map[string][]*shardmap.Range{},
-		told: map[[2]string]float64{}}
+	return &Checker{requests: map[string]*Request{}, runs: map[string][]shardmap.Range{},
+		inFlight:        map[string][]*shardmap.Range{},
+		drainNotifiedAt: map[[2]string]float64{}}
 }
 
-func (c *Checker) breach(n *int, format string, args ...any) {
-	*n++
-	if len(c.Notes) < notesMost {
+// recordViolation increments a count and notes the violation, up to maxNotes.
+func (c *Checker) recordViolation(count *int, format string, args ...any) {
+	*count++
+	if len(c.Notes) < maxNotes {
 		c.Notes = append(c.Notes, fmt.Sprintf(format, args...))
 	}
 }
 
-// Asked notes a query that a broker has taken.
-func (c *Checker) Asked(a *Ask) {
-	c.Taken++
-	c.asks[a.ID] = a
+// RequestReceived records a request that a broker received.
+func (c *Checker) RequestReceived(r *Request) {
+	c.Received++
+	c.requests[r.ID] = r
 }
 
-// Void notes that a query's broker has died: nobody owes it an answer.
-func (c *Checker) Void(id string) {
-	if a := c.asks[id]; a != nil {
-		a.void = true
+// WaiveAnswer records that no answer to a request is due, as its broker has stopped or did not accept it.
+func (c *Checker) WaiveAnswer(id string) {
+	if r := c.requests[id]; r != nil {
+		r.answerWaived = true
 	}
 }
 
-// Refusal and Failure note final answers that serve nothing.
-func (c *Checker) Refusal(now float64, id string) {
-	c.final(now, id)
-	c.Refused++
+// RequestRejected records the rejection of a request as its final answer.
+func (c *Checker) RequestRejected(now float64, id string) {
+	c.recordFinalAnswer(now, id)
+	c.Rejected++
 }
 
-// Failure notes a failure.
-func (c *Checker) Failure(now float64, id string) {
-	c.final(now, id)
+// RequestFailed records the failure of a request as its final answer.
+func (c *Checker) RequestFailed(now float64, id string) {
+	c.recordFinalAnswer(now, id)
 	c.Failed++
 }
 
-func (c *Checker) final(now float64, id string) *Ask {
-	a := c.asks[id]
-	if a == nil {
-		c.breach(&c.Lost, "%s was answered and never asked", id)
+// recordFinalAnswer checks that a final answer is the only one and in time. It returns the request, or nil if it
+// is unknown.
+func (c *Checker) recordFinalAnswer(now float64, id string) *Request {
+	r := c.requests[id]
+	if r == nil {
+		c.recordViolation(&c.Lost, "%s was answered and never asked", id)
 		return nil
 	}
-	if a.finals++; a.finals > 1 {
-		c.breach(&c.Lost, "%s was answered %d times", id, a.finals)
-	} else if now > a.Deadline+c.grace() {
-		c.breach(&c.Lost, "%s was answered %.0f ms late", id, now-a.Deadline)
+	if r.finalAnswers++; r.finalAnswers > 1 {
+		c.recordViolation(&c.Lost, "%s was answered %d times", id, r.finalAnswers)
+	} else if now > r.Deadline+c.answerGraceMs() {
+		c.recordViolation(&c.Lost, "%s was answered %.0f ms late", id, now-r.Deadline)
 	}
-	return a
+	return r
 }
 
-// Answer judges an answer and gives the share of weight that is in.
-func (c *Checker) Answer(now float64, id string, whole bool, hits []Hit) (share float64) {
-	a := c.final(now, id)
+// RequestAnswered checks an answer and its values. It returns the share of the weight that the answer holds.
+func (c *Checker) RequestAnswered(now float64, id string, complete bool, values []Value) (share float64) {
+	r := c.recordFinalAnswer(now, id)
 	c.Answered++
-	if a == nil {
+	if r == nil {
 		return 0
 	}
-	by := map[int][]Hit{}
-	for _, h := range hits {
-		if h.Doc != model.Value(id, h.Districts) {
-			c.breach(&c.WrongValue, "%s: %q for districts %v", id, h.Doc, h.Districts)
+	byShard := map[int][]Value{}
+	for _, v := range values {
+		if v.Doc != model.Value(id, v.Buckets) {
+			c.recordViolation(&c.WrongValues, "%s: %q for districts %v", id, v.Doc, v.Buckets)
 		}
-		by[h.Shard] = append(by[h.Shard], h)
+		byShard[v.Shard] = append(byShard[v.Shard], v)
 	}
-	for _, p := range a.Parts {
-		list := by[p.Shard]
-		delete(by, p.Shard)
-		sort.Slice(list, func(i, j int) bool { return list[i].Districts.Start < list[j].Districts.Start })
-		at, full := p.Districts.Start, len(list) > 0
-		for _, h := range list {
-			if h.Districts.Start < at {
-				c.breach(&c.CountedTwice, "%s: %v after %d", id, h.Districts, at)
+	for _, p := range r.Parts {
+		list := byShard[p.Shard]
+		delete(byShard, p.Shard)
+		sort.Slice(list, func(i, j int) bool { return list[i].Buckets.Start < list[j].Buckets.Start })
+		end, hasNoGap := p.Buckets.Start, len(list) > 0 // the values up to end cover the part without a gap
+		for _, v := range list {
+			if v.Buckets.Start < end {
+				c.recordViolation(&c.CountedTwice, "%s: %v after %d", id, v.Buckets, end)
 			}
-			full = full && h.Districts.Start == at
-			at = h.Districts.End
+			hasNoGap = hasNoGap && v.Buckets.Start == end
+			end = v.Buckets.End
 		}
 		switch {
-		case full && at == p.Districts.End:
+		case hasNoGap && end == p.Buckets.End:
 			share += p.Weight
-		case len(list) > 0: // half of a part: it counts for nothing and should not stand there
-			c.breach(&c.WrongValue, "%s: part %d has only some of %v", id, p.Shard, p.Districts)
+		case len(list) > 0: // some buckets of a part count for nothing and must not be in an answer
+			c.recordViolation(&c.WrongValues, "%s: part %d has only some of %v", id, p.Shard, p.Buckets)
 		}
 	}
-	if len(by) > 0 {
-		c.breach(&c.WrongValue, "%s: values for %d parts that were not asked for", id, len(by))
+	if len(byShard) > 0 {
+		c.recordViolation(&c.WrongValues, "%s: values for %d parts that were not asked for", id, len(byShard))
 	}
-	if whole && share < 1-slack {
-		c.breach(&c.FalselyWhole, "%s: marked whole from %.3f", id, share)
+	if complete && share < 1-weightTolerance {
+		c.recordViolation(&c.FalselyComplete, "%s: marked whole from %.3f", id, share)
 	}
-	if share < a.Floor-slack {
-		c.breach(&c.Short, "%s: answered from %.3f of at least %.3f", id, share, a.Floor)
+	if share < r.MinCompleteness-weightTolerance {
+		c.recordViolation(&c.BelowMinCompleteness, "%s: answered from %.3f of at least %.3f", id, share,
+			r.MinCompleteness)
 	}
 	return share
 }
 
-// Over forgets a query after its time: what has no answer by then is lost.
-func (c *Checker) Over(id string) {
-	a := c.asks[id]
-	if a == nil {
+// CloseRequest forgets a request after its deadline. A request without a final answer is lost.
+func (c *Checker) CloseRequest(id string) {
+	r := c.requests[id]
+	if r == nil {
 		return
 	}
-	delete(c.asks, id)
-	if a.finals == 0 && !a.void {
-		c.breach(&c.Lost, "%s was never answered", id)
+	delete(c.requests, id)
+	if r.finalAnswers == 0 && !r.answerWaived {
+		c.recordViolation(&c.Lost, "%s was never answered", id)
 	}
 }
 
-// Forget drops what is known of a query at nodes, once nothing of it can come any more.
-func (c *Checker) Forget(id string) { delete(c.ran, id) }
+// ForgetRuns forgets which parts of a request have run, once no more of them can arrive.
+func (c *Checker) ForgetRuns(id string) { delete(c.runs, id) }
 
-// Came notes that an attempt has reached a node: another of the same districts must not be out.
-func (c *Checker) Came(id string, r shardmap.Range) {
-	twice := 0
-	for _, o := range c.out[id] {
-		if !o.Overlaps(r) {
+// AttemptArrived records that an attempt has reached a backend. No other attempt for the same buckets may be in
+// flight, except a hedged request.
+func (c *Checker) AttemptArrived(id string, buckets shardmap.Range) {
+	hedged := 0
+	for _, other := range c.inFlight[id] {
+		if !other.Overlaps(buckets) {
 			continue
 		}
-		if a := c.asks[id]; c.Copies && twice == 0 && a != nil && !a.Once {
-			twice++
+		if r := c.requests[id]; c.AllowHedging && hedged == 0 && r != nil && !r.NonIdempotent {
+			hedged++
 			continue
 		}
-		if c.Later == nil {
-			c.breach(&c.Overlaps, "%s: districts %v came while %v were out", id, r, o)
+		if c.Recheck == nil {
+			c.recordViolation(&c.Overlaps, "%s: districts %v came while %v were out", id, buckets, other)
 			continue
 		}
-		c.Later(func() {
-			if slices.Contains(c.out[id], o) {
-				c.breach(&c.Overlaps, "%s: districts %v came while %v were out", id, r, o)
+		c.Recheck(func() {
+			if slices.Contains(c.inFlight[id], other) {
+				c.recordViolation(&c.Overlaps, "%s: districts %v came while %v were out", id, buckets, other)
 			}
 		})
 	}
-	c.out[id] = append(c.out[id], &r)
+	c.inFlight[id] = append(c.inFlight[id], &buckets)
 }
 
-func (c *Checker) grace() float64 {
-	if c.Later != nil {
-		return graceLive
+// answerGraceMs returns how long after the deadline a final answer still counts.
+func (c *Checker) answerGraceMs() float64 {
+	if c.Recheck != nil {
+		return liveGraceMs
 	}
-	return grace
+	return virtualGraceMs
 }
 
-// Gone notes that an attempt is out no more: answered, given up, or its connection has ended.
-func (c *Checker) Gone(id string, r shardmap.Range) {
-	list := c.out[id]
-	for i, o := range list {
-		if *o == r {
+// AttemptEnded records the end of an attempt: it is answered or cancelled, or its connection has ended.
+func (c *Checker) AttemptEnded(id string, buckets shardmap.Range) {
+	list := c.inFlight[id]
+	for i, other := range list {
+		if *other == buckets {
 			list[i] = list[len(list)-1]
 			if list = list[:len(list)-1]; len(list) == 0 {
-				delete(c.out, id)
+				delete(c.inFlight, id)
 			} else {
-				c.out[id] = list
+				c.inFlight[id] = list
 			}
 			return
 		}
 	}
 }
 
-// Ran notes that a node has begun a part. holds tells whether it held the districts at its epoch, by the
-// truth.
-func (c *Checker) Ran(node, id string, r shardmap.Range, once, holds bool) {
+// PartStarted records that a backend has started to run a part. holds says whether the backend held the buckets
+// in the authoritative shard map at its own epoch.
+func (c *Checker) PartStarted(backend, id string, buckets shardmap.Range, nonIdempotent, holds bool) {
 	if !holds {
-		c.breach(&c.Overlaps, "%s executed %s %v, which another held", node, id, r)
+		c.recordViolation(&c.Overlaps, "%s executed %s %v, which another held", backend, id, buckets)
 	}
-	if !once {
+	if !nonIdempotent {
 		return
 	}
-	for _, o := range c.ran[id] {
-		if o.Overlaps(r) {
-			c.breach(&c.BindTwice, "%s: districts %v ran again at %s", id, r, node)
+	for _, other := range c.runs[id] {
+		if other.Overlaps(buckets) {
+			c.recordViolation(&c.RanTwice, "%s: districts %v ran again at %s", id, buckets, backend)
 		}
 	}
-	c.ran[id] = append(c.ran[id], r)
+	c.runs[id] = append(c.runs[id], buckets)
 }
 
-// Told notes that a broker has been told that a node drains or is gone; Untold that it serves again.
-func (c *Checker) Told(now float64, broker, node string) {
-	if at, ok := c.told[[2]string{broker, node}]; !ok || now < at {
-		c.told[[2]string{broker, node}] = now
+// DrainNotified records that a broker was notified that a backend is draining or removed.
+func (c *Checker) DrainNotified(now float64, broker, backend string) {
+	if at, ok := c.drainNotifiedAt[[2]string{broker, backend}]; !ok || now < at {
+		c.drainNotifiedAt[[2]string{broker, backend}] = now
 	}
 }
 
-// Untold notes that a broker was told that the node serves.
-func (c *Checker) Untold(broker, node string) { delete(c.told, [2]string{broker, node}) }
+// ReadyNotified records that a broker was notified that a backend is ready.
+func (c *Checker) ReadyNotified(broker, backend string) {
+	delete(c.drainNotifiedAt, [2]string{broker, backend})
+}
 
-// Restarted notes that a broker's process is a new one: what was told to the last one counts as told once it
-// might have heard it, if it does not hear it sooner.
-func (c *Checker) Restarted(now float64, broker string) {
-	for k := range c.told {
+// BrokerRestarted records that a broker has a new process. It counts as notified of the drains that the previous
+// one knew after FirstPollMs, or sooner if DrainNotified says so.
+func (c *Checker) BrokerRestarted(now float64, broker string) {
+	for k := range c.drainNotifiedAt {
 		if k[0] == broker {
-			c.told[k] = now + c.Unasked
+			c.drainNotifiedAt[k] = now + c.FirstPollMs
 		}
 	}
 }
 
-// Sent notes that a broker began to send new work to a node.
-func (c *Checker) Sent(now float64, broker, node string) {
-	if at, ok := c.told[[2]string{broker, node}]; ok && now > at+drainMost {
-		c.breach(&c.DrainLate, "%s sent to %s %.0f ms after it was told of its drain", broker, node, now-at)
+// AttemptSent records that a broker sent a new attempt to a backend.
+func (c *Checker) AttemptSent(now float64, broker, backend string) {
+	if at, ok := c.drainNotifiedAt[[2]string{broker, backend}]; ok && now > at+maxDrainDelayMs {
+		c.recordViolation(&c.SentAfterDrain, "%s sent to %s %.0f ms after it was told of its drain", broker, backend,
+			now-at)
 	}
 }
 
-// Fell notes that a node fell over; cold ones must not.
-func (c *Checker) Fell(node string, cold bool) {
-	if cold {
-		c.breach(&c.ColdFallen, "%s was cold and fell over", node)
+// BackendOverloaded records that a backend failed under overload. That violates a rule only while it warms up.
+func (c *Checker) BackendOverloaded(backend string, warmingUp bool) {
+	if warmingUp {
+		c.recordViolation(&c.WarmingOverloaded, "%s was cold and fell over", backend)
 	}
 }
 
-// String names the first breaches.
+// String returns the first violations in words.
 func (c *Checker) String() string { return strings.Join(c.Notes, "; ") }
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -1,6 +1,6 @@
-// Package model is a rate node without I/O and clock: cores that serve parts in turn, a waiting room, a cold
-// start that may end in falling over, troubles, and the slices that it holds by its own epoch. Both drivers
-// of the lab play it, one in virtual time and one behind sockets.
+// Package model models a backend without I/O and clock: cores that serve parts in order, a bounded queue, a slow
+// start during which overload makes it fail, injected faults, and the shards that it holds by its own version of
+// the shard map. The emulator uses it in virtual time and behind sockets.
 package model
 
 import (
@@ -11,110 +11,115 @@
 	"ternstage/internal/decision/shardmap"
 )
 
-// Options are a node's figures. Times are ms.
+// Options are the properties of a backend. Times are ms.
 type Options struct {
-	Cores        int
-	Room         int     // parts that may wait
-	ColdFrom     float64 // share of its capacity with which it starts
-	Warm         float64 // until it has all of it
-	FallMultiple float64 // sent more than so many times what it can do then,
-	FallFor      float64 // for so long, it falls over
+	Cores            int
+	QueueLimit       int     // parts that may wait
+	InitialCapacity  float64 // share of the full capacity at the start of the process
+	WarmUp           float64 // until the process has the full capacity
+	OverloadMultiple float64 // while it warms up, more work than so many times its capacity
+	OverloadWindow   float64 // within this time makes it fail; OverloadMultiple 0: it never fails
 }
 
-// Trouble is what is wrong with a node.
-type Trouble uint8
+// Fault is an injected fault of a backend.
+type Fault uint8
 
-// The troubles of a node.
+// The faults of a backend.
 const (
-	Sound Trouble = iota
-	Hang          // takes parts and answers none
-	Slow          // takes SlowBy times as long
-	Fail          // answers most parts with an error, after having run them
-	Down          // its process is gone
-	Drain         // completes what it has and turns away the rest
+	Healthy  Fault = iota
+	Hang           // accepts parts and answers none
+	Slow           // takes SlowFactor times as long
+	Fail           // answers FailShare of the parts with an error, after running them
+	Down           // its process is stopped
+	Draining       // completes the parts that it has and rejects new ones
 )
 
-// SlowBy is how many times longer a slow node takes, FailShare how often a failing one fails.
 const (
-	SlowBy    = 5.0
+	// SlowFactor is the service time of a slow backend over that of a healthy one.
+	SlowFactor = 5.0
+	// FailShare is the share of parts that a backend with the fault Fail answers with an error.
 	FailShare = 0.8
 )
 
-// End is how a part ended at the node.
-type End uint8
+// Outcome is how a part ended at a backend.
+type Outcome uint8
 
-// The ends of a part at a node.
+// The outcomes of a part.
 const (
-	OK    End = iota
-	Err       // it ran, and failed
-	Busy      // turned away, never ran
-	Moved     // the node does not hold its districts; never ran
-	None      // no answer at all
+	OK        Outcome = iota
+	Failed            // it ran and failed, or it did not run: not held, and the sender uses no epochs
+	Rejected          // it did not run
+	NotHolder         // it did not run: the backend does not hold its buckets
+	NoOutcome         // no answer, or none yet
 )
 
-// Job is a part at a node.
+// Job is a part at a backend.
 type Job struct {
-	Query     string
-	Class     int
-	Once      bool // it must not run twice
-	Districts shardmap.Range
-	Epoch     uint64 // by which it was routed; 0: the sender knows of no epochs, and nothing is fenced
-	Work      float64
-	Unfenced  bool // for tests of the checkers: it is executed by whoever gets it
-
-	Arrived, Began float64
-	View           uint64 // the node's epoch when it took it
-	Done           bool
-	Context        any // the driver's own
-}
-
-// Value is what a node answers for districts of a query: a checker can tell whose it is, and of what.
-func Value(query string, r shardmap.Range) string { return fmt.Sprintf("%s@%v", query, r) }
-
-// Node is one process of a rate node.
-type Node struct {
-	ID      string
-	Started float64 // 0: long ago
-	Trouble Trouble
-	Fallen  bool
-
-	o       Options
-	rnd     *rand.Rand
-	view    *shardmap.Version
-	queue   []*Job
-	running []*Job
-	sent    []load // in the window of falling over
-	sum     float64
-	Ran     uint64
+	RequestID     string
+	Class         int
+	NonIdempotent bool // it must not run twice
+	Buckets       shardmap.Range
+	Epoch         uint64  // epoch of the map that routed it; 0: the sender uses no epochs
+	Work          float64 // ms of one core
+	Unfenced      bool    // for tests of the checkers: any backend runs it
+
+	Arrived, Started float64 // ms
+	MapEpoch         uint64  // epoch of the backend when it accepted or started the part
+	Done             bool
+	Context          any // data of the caller
 }
 
+// Value returns a backend's answer for a range of buckets of a request. It names both, so that a checker can tell
+// where a value belongs.
+func Value(requestID string, buckets shardmap.Range) string {
+	return fmt.Sprintf("%s@%v", requestID, buckets)
+}
+
+// Backend is the process of a backend, with its successors after a restart.
+type Backend struct {
+	ID         string
+	Started    float64 // start of the process in ms; 0: it has warmed up long ago
+	Fault      Fault
+	Overloaded bool // it has failed under overload
+
+	options    Options
+	rand       *rand.Rand
+	shardMap   *shardmap.Version // nil if it has none
+	queue      []*Job
+	running    []*Job
+	recentLoad []load  // parts that arrived within OverloadWindow
+	recentWork float64 // sum of their work
+	PartsRun   uint64
+}
+
+// load is the work of a part and the time of its arrival in ms.
 type load struct{ at, work float64 }
 
-// New makes a node that knows the map in this version.
-func New(id string, o Options, view *shardmap.Version, seed uint64) *Node {
-	return &Node{ID: id, o: o, view: view, rnd: rand.New(rand.NewPCG(seed, 0))}
+// New returns a backend with a version of the shard map.
+func New(id string, o Options, version *shardmap.Version, seed uint64) *Backend {
+	return &Backend{ID: id, options: o, shardMap: version, rand: rand.New(rand.NewPCG(seed, 0))}
 }
 
-// Learn gives the node news of the map. What is older than what it knows says nothing.
-func (n *Node) Learn(v *shardmap.Version) {
-	if n.view == nil || v.Epoch > n.view.Epoch {
-		n.view = v
+// UpdateMap gives the backend a version of the shard map. It ignores one that is not newer than its own.
+func (b *Backend) UpdateMap(v *shardmap.Version) {
+	if b.shardMap == nil || v.Epoch > b.shardMap.Epoch {
+		b.shardMap = v
 	}
 }
 
-// Epoch is that of the map it knows; 0 if it knows none.
-func (n *Node) Epoch() uint64 {
-	if n.view == nil {
+// Epoch returns the epoch of its shard map, 0 if it has none.
+func (b *Backend) Epoch() uint64 {
+	if b.shardMap == nil {
 		return 0
 	}
-	return n.view.Epoch
+	return b.shardMap.Epoch
 }
 
-// holds tells whether it may execute districts by the map it knows.
-func (n *Node) holds(r shardmap.Range) bool {
-	for at := r.Start; at < r.End; {
-		s := n.view.ShardAt(at)
-		if s == nil || !s.Executes(n.ID) {
+// holds reports whether it may run parts of these buckets according to its shard map.
+func (b *Backend) holds(buckets shardmap.Range) bool {
+	for at := buckets.Start; at < buckets.End; {
+		s := b.shardMap.ShardAt(at)
+		if s == nil || !s.Executes(b.ID) {
 			return false
 		}
 		at = s.End
@@ -122,118 +127,125 @@
 	return true
 }
 
-// Capacity is the work in a ms that it can do now.
-func (n *Node) Capacity(now float64) float64 {
+// Capacity returns the work per ms that it can do now, which is the number of cores once it has warmed up.
+func (b *Backend) Capacity(now float64) float64 {
 	share := 1.0
-	if n.Started > 0 && n.o.Warm > 0 {
-		share = min(1, n.o.ColdFrom+(1-n.o.ColdFrom)*(now-n.Started)/n.o.Warm)
+	if b.Started > 0 && b.options.WarmUp > 0 {
+		share = min(1, b.options.InitialCapacity+(1-b.options.InitialCapacity)*(now-b.Started)/b.options.WarmUp)
 	}
-	return share * float64(n.o.Cores)
+	return share * float64(b.options.Cores)
 }
 
-// Cold tells that it is not warm yet.
-func (n *Node) Cold(now float64) bool { return n.Started > 0 && now < n.Started+n.o.Warm }
+// IsWarmingUp reports whether it has not reached its full capacity yet.
+func (b *Backend) IsWarmingUp(now float64) bool {
+	return b.Started > 0 && now < b.Started+b.options.WarmUp
+}
 
-// Waiting is how many parts wait.
-func (n *Node) Waiting() int { return len(n.queue) }
+// QueueLength returns the number of parts that wait.
+func (b *Backend) QueueLength() int { return len(b.queue) }
 
-// Out is how many parts it has.
-func (n *Node) Out() int { return len(n.queue) + len(n.running) }
+// PartCount returns the number of parts that wait or run.
+func (b *Backend) PartCount() int { return len(b.queue) + len(b.running) }
 
-// Arrive takes a part. end tells at once what becomes of it, or None if it will begin or wait; then done is
-// when it ends, 0 while it waits.
-func (n *Node) Arrive(now float64, j *Job) (end End, done float64) {
+// Arrive handles a part that has reached the backend. It returns the outcome of a part that does not run.
+// Otherwise it returns NoOutcome, with the time at which the part is done, or 0 if it waits. A stopped or overloaded
+// backend returns NoOutcome and 0.
+func (b *Backend) Arrive(now float64, j *Job) (outcome Outcome, done float64) {
 	j.Arrived = now
-	n.press(now, j.Work)
+	b.trackLoad(now, j.Work)
 	switch {
-	case n.Fallen || n.Trouble == Down:
-		return None, 0
-	case n.Trouble == Drain:
-		return Busy, 0
+	case b.Overloaded || b.Fault == Down:
+		return NoOutcome, 0
+	case b.Fault == Draining:
+		return Rejected, 0
 	case j.Unfenced:
-	case j.Epoch > 0 && (n.view == nil || j.Epoch > n.view.Epoch || !n.holds(j.Districts)):
-		// Not yet, or no longer. A part routed by an epoch that it does not know may be another's by that epoch.
-		return Moved, 0
-	case j.Epoch == 0 && n.view != nil && !n.holds(j.Districts):
-		return Err, 0 // to who knows of no epochs it is an error like others
+	case j.Epoch > 0 && (b.shardMap == nil || j.Epoch > b.shardMap.Epoch || !b.holds(j.Buckets)):
+		// It does not hold the buckets yet, or no longer. If the part was routed by an epoch that it does not
+		// know, another backend may hold the buckets at that epoch.
+		return NotHolder, 0
+	case j.Epoch == 0 && b.shardMap != nil && !b.holds(j.Buckets):
+		return Failed, 0 // for a sender without epochs this is an error like any other
 	}
-	if len(n.queue) >= n.o.Room {
-		return Busy, 0
+	if len(b.queue) >= b.options.QueueLimit {
+		return Rejected, 0
 	}
-	j.View = n.Epoch()
-	if len(n.running) < n.o.Cores {
-		return None, n.begin(now, j)
+	j.MapEpoch = b.Epoch()
+	if len(b.running) < b.options.Cores {
+		return NoOutcome, b.startPart(now, j)
 	}
-	n.queue = append(n.queue, j)
-	return None, 0
+	b.queue = append(b.queue, j)
+	return NoOutcome, 0
 }
 
-// press counts the work that reached it and tells whether it falls over: all counts, also what it turns away.
-func (n *Node) press(now, work float64) {
-	if n.o.FallMultiple <= 0 {
+// trackLoad adds the work of a part to the recent load, also if the backend rejects it, and sets Overloaded if a
+// backend that warms up gets too much.
+func (b *Backend) trackLoad(now, work float64) {
+	if b.options.OverloadMultiple <= 0 {
 		return
 	}
-	n.sent, n.sum = append(n.sent, load{now, work}), n.sum+work
-	for n.sent[0].at < now-n.o.FallFor {
-		n.sum -= n.sent[0].work
-		n.sent = n.sent[1:]
+	b.recentLoad, b.recentWork = append(b.recentLoad, load{now, work}), b.recentWork+work
+	for b.recentLoad[0].at < now-b.options.OverloadWindow {
+		b.recentWork -= b.recentLoad[0].work
+		b.recentLoad = b.recentLoad[1:]
 	}
-	if n.Cold(now) && n.sum > n.o.FallMultiple*n.Capacity(now)*n.o.FallFor {
-		n.Fallen = true
+	if b.IsWarmingUp(now) && b.recentWork > b.options.OverloadMultiple*b.Capacity(now)*b.options.OverloadWindow {
+		b.Overloaded = true
 	}
 }
 
-func (n *Node) begin(now float64, j *Job) (done float64) {
-	j.Began = now
-	n.running = append(n.running, j)
-	n.Ran++
-	took := j.Work * float64(n.o.Cores) / n.Capacity(now)
-	if n.Trouble == Slow {
-		took *= SlowBy
+// startPart starts a part. It returns the time at which the part is done.
+func (b *Backend) startPart(now float64, j *Job) (done float64) {
+	j.Started = now
+	b.running = append(b.running, j)
+	b.PartsRun++
+	serviceMs := j.Work * float64(b.options.Cores) / b.Capacity(now)
+	if b.Fault == Slow {
+		serviceMs *= SlowFactor
 	}
-	return now + took
+	return now + serviceMs
 }
 
-// Finish ends a part whose time has come. Of those that wait the next one begins and ends at done; moved are
-// those whose districts have been handed over while they waited: they never ran.
-func (n *Node) Finish(now float64, j *Job) (end End, moved []*Job, next *Job, done float64) {
-	if j.Done || n.Trouble == Down || n.Fallen {
-		return None, nil, nil, 0
+// Finish ends a part that is due and starts the next one that waits, which is done at the returned time. moved are
+// the parts before it in the queue whose buckets have been handed over since they arrived; they do not run.
+func (b *Backend) Finish(now float64, j *Job) (outcome Outcome, moved []*Job, next *Job, done float64) {
+	if j.Done || b.Fault == Down || b.Overloaded {
+		return NoOutcome, nil, nil, 0
 	}
 	j.Done = true
-	n.running = slices.DeleteFunc(n.running, func(x *Job) bool { return x == j })
+	b.running = slices.DeleteFunc(b.running, func(x *Job) bool { return x == j })
 	switch {
-	case n.Trouble == Hang:
-		end = None
-	case n.Trouble == Fail && n.rnd.Float64() < FailShare:
-		end = Err
+	case b.Fault == Hang:
+		outcome = NoOutcome
+	case b.Fault == Fail && b.rand.Float64() < FailShare:
+		outcome = Failed
 	}
-	for len(n.queue) > 0 && next == nil {
-		x := n.queue[0]
-		n.queue = n.queue[1:]
-		if x.Epoch > 0 && !x.Unfenced && !n.holds(x.Districts) {
-			moved = append(moved, x)
+	for len(b.queue) > 0 && next == nil {
+		first := b.queue[0]
+		b.queue = b.queue[1:]
+		if first.Epoch > 0 && !first.Unfenced && !b.holds(first.Buckets) {
+			moved = append(moved, first)
 			continue
 		}
-		next, done = x, n.begin(now, x)
-		x.View = n.Epoch()
+		next, done = first, b.startPart(now, first)
+		first.MapEpoch = b.Epoch()
 	}
-	return end, moved, next, done
+	return outcome, moved, next, done
 }
 
-// Kill ends the process: what it has is gone. It gives that, in the order in which it came.
-func (n *Node) Kill() []*Job {
-	all := append(slices.Clone(n.running), n.queue...)
-	n.running, n.queue, n.Trouble = nil, nil, Down
+// Kill stops the process. It returns the parts that are lost with it, the running ones first, each in the order of
+// arrival.
+func (b *Backend) Kill() []*Job {
+	all := append(slices.Clone(b.running), b.queue...)
+	b.running, b.queue, b.Fault = nil, nil, Down
 	return all
 }
 
-// Drop takes a part off that has not begun and that nobody waits for any more.
-func (n *Node) Drop(j *Job) {
-	n.queue = slices.DeleteFunc(n.queue, func(x *Job) bool { return x == j })
+// Drop removes a cancelled part that has not started from the queue.
+func (b *Backend) Drop(j *Job) {
+	b.queue = slices.DeleteFunc(b.queue, func(x *Job) bool { return x == j })
 }
 
-// Restart starts the process anew, cold.
-func (n *Node) Restart(now float64, view *shardmap.Version) {
-	n.Started, n.Trouble, n.Fallen, n.view, n.sent, n.sum = now, Sound, false, view, nil, 0
+// Restart starts a new process, which has to warm up.
+func (b *Backend) Restart(now float64, version *shardmap.Version) {
+	b.Started, b.Fault, b.Overloaded, b.shardMap, b.recentLoad, b.recentWork = now, Healthy, false, version, nil, 0
 }
