--- a/test/harness_test.go
+++ b/test/harness_test.go
@@ -26,13 +26,17 @@
 
 const patience = 15 * time.Second // for a condition; never waited out when all is well
 
-var built string
+var (
+	built    string // path of the program under test
+	buildDir string // where programs are built; removed at the end
+)
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "ternstage")
 	if err != nil {
 		panic(err)
 	}
+	buildDir = dir
 	if built, err = product.Build(dir); err != nil {
 		panic(err)
 	}
@@ -202,6 +206,9 @@
 	listen   string   // its address
 	drained  bool     // its clients are sent away: it is ready once it says so to the operators
 	program  string   // the binary to start; "" for the one that TestMain built
+
+	discovery *discovery // the endpoint list that several brokers share; a new one if nil
+	name      string     // of the broker; "n0" if ""
 }
 
 func freeAddress(t *testing.T) string {
@@ -256,7 +263,13 @@
 	if o.settings == nil {
 		o.settings = settings()
 	}
-	d := newDiscovery(t, o.members)
+	d := o.discovery
+	if d == nil {
+		d = newDiscovery(t, o.members)
+	}
+	if o.name == "" {
+		o.name = "n0"
+	}
 	d.agent = o.settings["discovery"] == "pushed"
 	addr, grpc := freeAddress(t), freeAddress(t)
 	if o.listen != "" {
@@ -266,7 +279,7 @@
 	if o.sockets > 0 {
 		limits["sockets"] = o.sockets
 	}
-	text, err := json.Marshal(map[string]any{"name": "n0", "listen": addr, "discovery": d.addr,
+	text, err := json.Marshal(map[string]any{"name": o.name, "listen": addr, "discovery": d.addr,
 		"seed": "8c1f30d27a5be964", "limits": limits, "known": d.list, "settings": o.settings})
 	require.NoError(t, err)
 	file := filepath.Join(t.TempDir(), "flight.toml")
--- a/test/upgrade_versions_test.go
+++ b/test/upgrade_versions_test.go
@@ -10,7 +10,6 @@
 	"os"
 	"os/exec"
 	"path/filepath"
-	"slices"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -21,85 +20,129 @@
 	"github.com/stretchr/testify/require"
 )
 
-// released is the commit whose program is taken for the one that is in service.
-const released = "aa8ad37"
+// build is a program and the messages that it logs about what it shares with other builds.
+type build struct {
+	name, path                             string
+	suspensionsRead, handedOver, takenOver string
+}
+
+// currentBuild returns the build under test.
+func currentBuild() build {
+	return build{"this build", built, "suspensions read", "slow-start sends handed over", "slow-start sends taken over"}
+}
+
+// release is an earlier released commit, whose program is built once per run of the test binary.
+type release struct {
+	build
+	compile func() (path string, err error)
+}
+
+func newRelease(commit, suspensionsRead, handedOver, takenOver string) release {
+	return release{
+		build:   build{name: commit, suspensionsRead: suspensionsRead, handedOver: handedOver, takenOver: takenOver},
+		compile: sync.OnceValues(func() (string, error) { return compileCommit(commit) }),
+	}
+}
+
+var releases = []release{
+	newRelease("aa8ad37", "held leafs read", "cold sends handed over", "cold sends taken over"),
+	newRelease("511dc77", "suspensions read", "slow-start sends handed over", "slow-start sends taken over"),
+}
 
-// buildReleased builds the program of that commit from the history of this clone, as product.Build builds this one.
-func buildReleased(t *testing.T) string {
+// compiled returns the build of the release. It skips the test if the clone lacks the commit.
+func (r release) compiled(t *testing.T) build {
 	t.Helper()
-	root, err := filepath.Abs("..")
-	require.NoError(t, err)
-	if out, err := exec.Command("git", "-C", root, "cat-file", "-e", released+"^{commit}").CombinedOutput(); err != nil {
-		t.Skipf("commit %s is not in this clone, so its program cannot be built: %v %s", released, err, out)
+	if out, err := exec.Command("git", "cat-file", "-e", r.name+"^{commit}").CombinedOutput(); err != nil {
+		t.Skipf("commit %s is not in this clone, so its program cannot be built: %v %s", r.name, err, out)
 	}
-	dir := t.TempDir()
-	text, err := exec.Command("git", "-C", root, "archive", released).Output()
+	path, err := r.compile()
 	require.NoError(t, err)
-	untar := exec.Command("tar", "-x", "-C", dir)
-	untar.Stdin = bytes.NewReader(text)
-	out, err := untar.CombinedOutput()
-	require.NoError(t, err, "%s", out)
-	path := filepath.Join(t.TempDir(), "ternstage-"+released)
+	r.path = path
+	return r.build
+}
+
+// compileCommit builds the program of a commit of this clone with the flags of product.Build and returns its path.
+func compileCommit(commit string) (string, error) {
+	root, err := filepath.Abs("..")
+	if err != nil {
+		return "", err
+	}
+	source := filepath.Join(buildDir, "source-"+commit)
+	if err := os.Mkdir(source, 0o700); err != nil {
+		return "", err
+	}
+	archive, err := exec.Command("git", "-C", root, "archive", commit).Output()
+	if err != nil {
+		return "", fmt.Errorf("archive commit %s: %w", commit, err)
+	}
+	extract := exec.Command("tar", "-x", "-C", source)
+	extract.Stdin = bytes.NewReader(archive)
+	if out, err := extract.CombinedOutput(); err != nil {
+		return "", fmt.Errorf("extract commit %s: %w: %s", commit, err, out)
+	}
+	path := filepath.Join(buildDir, "ternstage-"+commit)
 	args := []string{"build", "-trimpath", "-ldflags=-linkmode=external", "-o", path}
 	if os.Getenv("TERNSTAGE_RACE") != "" {
 		args = append(args, "-race")
 	}
-	build := exec.Command("go", append(args, "./cmd/ternstage")...)
-	build.Dir, build.Env = dir, append(os.Environ(), "CGO_ENABLED=1")
-	out, err = build.CombinedOutput()
-	require.NoError(t, err, "%s", out)
-	return path
+	compile := exec.Command("go", append(args, "./cmd/ternstage")...)
+	compile.Dir, compile.Env = source, append(os.Environ(), "CGO_ENABLED=1")
+	if out, err := compile.CombinedOutput(); err != nil {
+		return "", fmt.Errorf("build commit %s: %w: %s", commit, err, out)
+	}
+	return path, nil
 }
 
-// A says is a line of the log that this test looks for: what the released program writes, to the letter, and the
-// wordings of this build that mean the same.
-type says struct {
-	released string
-	now      []string
+// process is a running program of a known build.
+type process struct {
+	*program
+	build build
 }
 
-var (
-	suspendedRead = says{"held leafs read", []string{"suspensions read"}}
-	handedOver    = says{"cold sends handed over", []string{"slow-start sends handed over"}}
-	takenOver     = says{"cold sends taken over", []string{"slow-start sends taken over"}}
-)
+func startBuild(t *testing.T, b build, o options) process {
+	t.Helper()
+	o.program = b.path
+	return process{start(t, o), b}
+}
 
-// line is the first line that a program logged of what s says; nil if there is none.
-func (s says) line(p *program) map[string]any {
-	wordings := s.now
-	if p.Path != built {
-		wordings = []string{s.released}
-	}
-	for text := range strings.Lines(p.logged()) {
+// firstLine returns the fields of the first log line with a message, nil if there is none.
+func (p process) firstLine(message string) map[string]any {
+	for line := range strings.Lines(p.logged()) {
 		var fields map[string]any
-		if json.Unmarshal([]byte(text), &fields) != nil {
-			continue
-		}
-		if msg, _ := fields["msg"].(string); slices.Contains(wordings, msg) {
+		if json.Unmarshal([]byte(line), &fields) == nil && fields["msg"] == message {
 			return fields
 		}
 	}
 	return nil
 }
 
-// wait is line once there is one.
-func (s says) wait(t *testing.T, p *program) map[string]any {
+// waitForLine waits for a log line with a message and returns its fields.
+func (p process) waitForLine(t *testing.T, message string) map[string]any {
 	t.Helper()
 	var fields map[string]any
-	require.Eventually(t, func() bool { fields = s.line(p); return fields != nil }, patience, 5*time.Millisecond,
-		"none of %q, %q in the log", s.released, s.now)
+	require.Eventually(t, func() bool { fields = p.firstLine(message); return fields != nil }, patience,
+		5*time.Millisecond, "no %q in the log of %s", message, p.build.name)
 	return fields
 }
 
-// waitSome is wait for a line that tells of one send to cold nodes at least.
-func (s says) waitSome(t *testing.T, p *program) {
+// requireWarmupAttempts waits for a log line with a message and requires that it counts at least one attempt at a
+// backend that is warming up.
+func (p process) requireWarmupAttempts(t *testing.T, message string) {
 	t.Helper()
-	fields := s.wait(t, p)
+	fields := p.waitForLine(t, message)
 	sent, ok := fields["sent"].(float64)
-	require.True(t, ok, "no number of sends: %v", fields)
+	require.True(t, ok, "no number of attempts: %v", fields)
 	assert.Positive(t, sent, "%v", fields)
 }
 
+// assertStateUsable asserts that the process logged no panic, no data race and no state file that exists but cannot be
+// used.
+func (p process) assertStateUsable(t *testing.T) {
+	t.Helper()
+	assert.NotRegexp(t, `not read|cannot be (read|opened)|torn|this build reads|number of (peers|brokers)|`+
+		`not (kept|saved)|panic|DATA RACE`, p.logged(), p.build.name)
+}
+
 // traffic is clients of the address that processes share.
 type traffic struct {
 	served, unheard, other atomic.Int64
@@ -109,7 +152,7 @@
 	faults                 []string // the first
 }
 
-// drive has eight clients ask until end; half of them keep their connections.
+// drive starts eight clients that send requests until end; half of them reuse their connections.
 func drive(t *testing.T, addr string) *traffic {
 	f := &traffic{stop: make(chan struct{})}
 	for c := range 8 {
@@ -171,6 +214,15 @@
 	f.clients.Wait()
 }
 
+// requireAllServed stops the clients and asserts that every request was served.
+func (f *traffic) requireAllServed(t *testing.T) {
+	t.Helper()
+	f.end()
+	assert.Zero(t, f.unheard.Load(), "requests without a response: %q", f.faults)
+	assert.Zero(t, f.other.Load(), "requests not served: %q", f.faults)
+	t.Log(f.served.Load(), "requests were served")
+}
+
 // more waits until so many further queries are served.
 func (f *traffic) more(t *testing.T, n int64) {
 	t.Helper()
@@ -188,89 +240,186 @@
 	}
 }
 
-// grace is drain_grace_ms of the settings. A suspended node counts as draining: the process that is told may send to it
-// for as long, where the others are worse. One that starts later may not at all.
-const grace = time.Second
+// drainGrace is drain_grace_ms of the settings. A suspended backend counts as draining: the process that is told to
+// suspend it may send to it for this long if the other replicas are worse. A process that starts later may not at all.
+const drainGrace = time.Second
 
-// takeOver has another process take over from one that serves under load. A node is suspended at the one that serves and
-// its clients are sent away; the next one starts beside it, reads both, and takes over what was sent to the cold node.
-func takeOver(t *testing.T, ns *nodes, f *traffic, from *program, o options, id, cold string) *program {
+// takeOver replaces a process that serves under load by a process of another build. A backend is suspended at the old
+// process and its clients are drained; the new process starts beside it, reads both, and takes over the counts of
+// attempts at the backend that is warming up.
+func takeOver(t *testing.T, ns *nodes, f *traffic, from process, to build, o options, suspended, warming string) process {
 	t.Helper()
-	drain, record := o.tmp+"/ternstage-held-leafs.json.drain", o.tmp+"/ternstage-cold-sent.json"
+	drainFile, handoverFile := o.tmp+"/ternstage-held-leafs.json.drain", o.tmp+"/ternstage-cold-sent.json"
 	f.more(t, 200)
-	require.Equal(t, 200, call(from, "PUT", "/v1/leafs/"+id+"/suspend"))
-	time.Sleep(grace)
-	over := time.Now()
+	require.Equal(t, 200, call(from.program, "PUT", "/v1/leafs/"+suspended+"/suspend"))
+	time.Sleep(drainGrace)
+	graceOver := time.Now()
 	f.more(t, 200)
-	require.Equal(t, 200, call(from, "PUT", "/v1/aggregator/drain"))
-	require.FileExists(t, drain)
-	healths(t, from, 503)
+	require.Equal(t, 200, call(from.program, "PUT", "/v1/aggregator/drain"))
+	require.FileExists(t, drainFile)
+	healths(t, from.program, 503)
 
-	// The next one reads what that one wrote, and that one sees what the next one is told.
+	// The new process reads what the old one wrote, and the old one notices the call that the new one gets.
 	o.drained = true
-	next := start(t, o)
-	healths(t, next, 503)
-	assert.Contains(t, fmt.Sprint(suspendedRead.wait(t, next)), "["+id+"]", "and no other")
-	require.Equal(t, 200, call(next, "PUT", "/v1/aggregator/activate"))
-	require.NoFileExists(t, drain)
-	healths(t, next, 200)
+	next := startBuild(t, to, o)
+	healths(t, next.program, 503)
+	assert.Contains(t, fmt.Sprint(next.waitForLine(t, to.suspensionsRead)), "["+suspended+"]", "and no other")
+	require.Equal(t, 200, call(next.program, "PUT", "/v1/aggregator/activate"))
+	require.NoFileExists(t, drainFile)
+	healths(t, next.program, 200)
 	f.more(t, 200)
 
-	// It takes over while a drain holds that the other was told of.
-	require.Equal(t, 200, call(from, "PUT", "/v1/aggregator/drain"))
-	healths(t, next, 503)
-	require.Equal(t, 200, call(next, "GET", "/v1/readyz"))
+	// The new process takes over during a drain that was requested at the old one.
+	require.Equal(t, 200, call(from.program, "PUT", "/v1/aggregator/drain"))
+	healths(t, next.program, 503)
+	require.Equal(t, 200, call(next.program, "GET", "/v1/readyz"))
 	from.stop()
-	gone := time.Now()
-	healths(t, next, 503) // nobody else is there to say it
-	require.Equal(t, 200, call(next, "PUT", "/v1/aggregator/activate"))
-	healths(t, next, 200)
+	stopped := time.Now()
+	healths(t, next.program, 503) // only the new process is left to report the drain
+	require.Equal(t, 200, call(next.program, "PUT", "/v1/aggregator/activate"))
+	healths(t, next.program, 200)
 
-	handedOver.waitSome(t, from)
-	text, err := os.ReadFile(record)
+	from.requireWarmupAttempts(t, from.build.handedOver)
+	text, err := os.ReadFile(handoverFile)
 	require.NoError(t, err)
 	assert.Contains(t, string(text), `{"form":"ternstage cold sent","version":1,"written_unix_ms":`)
-	takenOver.waitSome(t, next)
-	require.Eventually(t, func() bool { return sentTo(ns, cold, gone) > 0 }, patience, 5*time.Millisecond,
-		"the cold node is used by the next process")
+	next.requireWarmupAttempts(t, to.takenOver)
+	require.Eventually(t, func() bool { return sentTo(ns, warming, stopped) > 0 }, patience, 5*time.Millisecond,
+		"the new process does not use the backend that is warming up")
 	f.more(t, 400)
-	assert.Zero(t, sentTo(ns, id, over), "%s got something though it is suspended", id)
-	for _, p := range []*program{from, next} { // of files that are there and cannot be used
-		assert.NotRegexp(t, `not read|cannot be read|torn|this build reads|number of (peers|brokers)|not (kept|saved)|`+
-			`panic|DATA RACE`, p.logged())
-	}
+	assert.Zero(t, sentTo(ns, suspended, graceOver), "%s got an attempt while suspended", suspended)
+	from.assertStateUsable(t)
+	next.assertStateUsable(t)
 	return next
 }
 
-// TestUpgradeFromReleasedVersionUnderLoadAndBack: under load, this build takes over from the released one on the listener
-// that both inherit, and the released one takes over from this one again. Each reads what the other wrote: the suspended
-// node gets nothing from the next process from its first query on, the drain holds there until it is told to activate, and
-// what was sent to a cold node counts there. All queries are served. Guards the forms of all that two builds share.
-func TestUpgradeFromReleasedVersionUnderLoadAndBack(t *testing.T) {
-	old := buildReleased(t)
-	ns, o := pair(t)
-	o.settings = settings()
-	o.settings["invariants"].(map[string]any)["warm_within_ms"] = 120_000 // s-0 is cold to the end
-	ns.members[0].UpSinceMS = time.Now().UnixMilli()
-	released, current := o, o
-	released.program = old
-
-	first := start(t, released)
-	f := drive(t, first.addr)
-	second := takeOver(t, ns, f, first, current, "s-2", "s-0")
-
-	// What the released program reads is of this build's own writing.
-	require.Equal(t, 200, call(second, "PUT", "/v1/leafs/s-2/resume"))
-	back := time.Now()
-	require.Eventually(t, func() bool { return sentTo(ns, "s-2", back) > 0 }, patience, 5*time.Millisecond)
-	third := takeOver(t, ns, f, second, released, "s-3", "s-0")
-	require.Equal(t, 200, call(third, "PUT", "/v1/leafs/s-3/resume"))
-	back = time.Now()
-	require.Eventually(t, func() bool { return sentTo(ns, "s-3", back) > 0 }, patience, 5*time.Millisecond)
+// requireResumed resumes a suspended backend and waits until it gets attempts again.
+func requireResumed(t *testing.T, ns *nodes, p process, id string) {
+	t.Helper()
+	require.Equal(t, 200, call(p.program, "PUT", "/v1/leafs/"+id+"/resume"))
+	resumed := time.Now()
+	require.Eventually(t, func() bool { return sentTo(ns, id, resumed) > 0 }, patience, 5*time.Millisecond)
+}
 
-	f.end()
-	assert.Zero(t, f.unheard.Load(), "requests turned back unheard: %q", f.faults)
-	assert.Zero(t, f.other.Load(), "requests not served: %q", f.faults)
-	t.Log(f.served.Load(), "queries were served")
-	third.stop()
+// versionSettings returns the settings for these tests, in which a backend that has just started warms up to the end.
+func versionSettings() map[string]any {
+	s := settings()
+	s["invariants"].(map[string]any)["warm_within_ms"] = 120_000
+	return s
+}
+
+// TestUpgradeFromReleaseUnderLoadAndBack replaces a released build by this one under load, on a listener that both
+// inherit, and this one by the released build again. Each must read what the other wrote: the suspended backend gets no
+// attempt from the first request of the new process on, the drain holds until activate, and the counts of attempts at a
+// backend that is warming up are taken over. All requests are served. Guards against incompatible state files.
+func TestUpgradeFromReleaseUnderLoadAndBack(t *testing.T) {
+	for _, r := range releases {
+		t.Run(r.name, func(t *testing.T) {
+			old, current := r.compiled(t), currentBuild()
+			ns, o := pair(t)
+			o.settings = versionSettings()
+			ns.members[0].UpSinceMS = time.Now().UnixMilli() // s-0 warms up
+
+			first := startBuild(t, old, o)
+			f := drive(t, first.addr)
+			second := takeOver(t, ns, f, first, current, o, "s-2", "s-0")
+
+			// The released build now reads files that this build wrote.
+			requireResumed(t, ns, second, "s-2")
+			third := takeOver(t, ns, f, second, old, o, "s-3", "s-0")
+			requireResumed(t, ns, third, "s-3")
+
+			f.requireAllServed(t)
+			third.stop()
+		})
+	}
+}
+
+// TestUpgradeWithBothVersionsSideBySide runs a broker of a released build and one of this build in one fleet, both under
+// load, with the same endpoint list and settings. Then both are restarted with the other build, as in a rolling upgrade
+// and its rollback, and must use the state files that they find. All requests are served. Guards against builds that
+// disagree on the endpoint list, the settings or the backend protocol.
+func TestUpgradeWithBothVersionsSideBySide(t *testing.T) {
+	for _, r := range releases {
+		t.Run(r.name, func(t *testing.T) {
+			builds := []build{r.compiled(t), currentBuild()}
+			ns := startNodes(t, wires[0], nil)
+			ns.members[0].UpSinceMS = time.Now().UnixMilli() // s-0 warms up
+			d := newDiscovery(t, ns.members)
+			brokers := make([]options, 2)
+			for i := range brokers {
+				brokers[i] = options{mgmt: true, tmp: t.TempDir(), discovery: d, name: fmt.Sprint("n", i), settings: versionSettings()}
+				brokers[i].settings["balancers"], brokers[i].settings["me"] = 2, i
+				// The load stays within the tenant's allowance, so that no broker may reject a request.
+				brokers[i].settings["customers"].([]any)[0].(map[string]any)["allowance_per_s"] = 10_000
+			}
+			suspended := []string{"s-2", "s-3"}
+
+			fleet := startFleet(t, brokers, builds)
+			for i, p := range fleet {
+				require.Equal(t, 200, call(p.program, "PUT", "/v1/leafs/"+suspended[i]+"/suspend"))
+			}
+			var graceOver time.Time
+			requireBothServe(t, fleet, func() {
+				require.Eventually(t, func() bool { return sentTo(ns, "s-0", time.Time{}) > 0 }, patience, 5*time.Millisecond,
+					"the backend that is warming up is not used")
+				informed := 0
+				d.change(func() {
+					d.list.Members[0].Phase = "DRAINING"
+					informed = len(d.ends) + len(fleet)
+				})
+				require.Eventually(t, func() bool { d.mu.Lock(); defer d.mu.Unlock(); return len(d.ends) >= informed },
+					patience, 5*time.Millisecond)
+				time.Sleep(drainGrace)
+				graceOver = time.Now()
+			})
+			assert.Zero(t, sentTo(ns, "s-0", graceOver), "a draining backend got an attempt")
+
+			// Each broker is restarted with the other build, on the files in its $TMPDIR.
+			d.change(func() { d.list.Members[0].Phase = "SERVING" })
+			fleet = startFleet(t, brokers, []build{builds[1], builds[0]})
+			for i, p := range fleet {
+				assert.Contains(t, fmt.Sprint(p.waitForLine(t, p.build.suspensionsRead)), "["+suspended[i]+"]", "and no other")
+			}
+			requireBothServe(t, fleet, func() {
+				for i, p := range fleet {
+					requireResumed(t, ns, p, suspended[i])
+				}
+			})
+		})
+	}
+}
+
+// startFleet starts a process for each broker, of the build with the same index.
+func startFleet(t *testing.T, brokers []options, builds []build) []process {
+	t.Helper()
+	fleet := make([]process, len(brokers))
+	for i := range fleet {
+		fleet[i] = startBuild(t, builds[i], brokers[i])
+	}
+	return fleet
+}
+
+// requireBothServe loads all processes at once while change runs and stops them. It requires that all requests are
+// served, before and after the change, and that no process logs a panic or a state file that it cannot use.
+func requireBothServe(t *testing.T, fleet []process, change func()) {
+	t.Helper()
+	loads := make([]*traffic, len(fleet))
+	for i, p := range fleet {
+		loads[i] = drive(t, p.addr)
+	}
+	for _, f := range loads {
+		f.more(t, 200)
+	}
+	change()
+	for _, f := range loads {
+		f.more(t, 400)
+	}
+	for _, f := range loads {
+		f.requireAllServed(t)
+	}
+	for _, p := range fleet {
+		p.stop()
+		p.assertStateUsable(t)
+	}
 }
