--- a/test/admin_test.go
+++ b/test/admin_test.go
@@ -12,9 +12,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// admin runs `ternstage admin` and gives its exit code and what it printed.
+// admin runs `ternstage admin` and returns its exit code and output.
 func admin(t *testing.T, args ...string) (code int, out string) {
-	c := exec.Command(built, append([]string{"admin"}, args...)...)
+	c := exec.Command(programPath, append([]string{"admin"}, args...)...)
 	var b bytes.Buffer
 	c.Stdout, c.Stderr = &b, &b
 	err := c.Run()
@@ -25,11 +25,11 @@
 	return 0, b.String()
 }
 
-// TestAdminCommands: each command says yes with 0, no with 1, no answer in its bound with 2, and a command line that cannot
-// be used with 3; it may be repeated; what it prints as JSON can be read.
+// TestAdminCommands checks the exit codes of the commands: 0 for success, 1 if the broker declines, 2 without an
+// answer in time, 3 for an unusable command line. Commands may be repeated, and their JSON output can be parsed.
 func TestAdminCommands(t *testing.T) {
 	tmp := t.TempDir()
-	ns, p := site(t, nil, options{mgmt: true, tmp: tmp})
+	backends, p := startWithBackends(t, nil, options{adminAPI: true, stateDir: tmp})
 	for _, c := range []struct {
 		args []string
 		code int
@@ -50,15 +50,16 @@
 		{[]string{"ready", "--mgmt", ""}, 3, "no address"},
 		{[]string{"ready", "--mgmt", freeAddress(t), "--within", "300ms"}, 2, "no answer"},
 	} {
-		code, out := admin(t, append([]string{"--mgmt", p.mgmt}, c.args...)...)
+		code, out := admin(t, append([]string{"--mgmt", p.adminAddr}, c.args...)...)
 		assert.Equal(t, c.code, code, "%v: %s", c.args, out)
 		assert.Contains(t, out, c.out, "%v", c.args)
 	}
 	since := time.Now()
-	serves(t, p, "out", 32)
-	assert.Zero(t, sentTo(ns, "s-1", since), "the command's yes holds")
+	requireServed(t, p, "out", 32)
+	assert.Zero(t, attemptsSince(backends, "s-1", since),
+		"a backend got an attempt after the command that suspended it succeeded")
 
-	code, out := admin(t, "--mgmt", p.mgmt, "--json", "resume", "s-1", "s-9")
+	code, out := admin(t, "--mgmt", p.adminAddr, "--json", "resume", "s-1", "s-9")
 	assert.Equal(t, 1, code)
 	var got struct {
 		Calls []struct {
@@ -75,20 +76,20 @@
 	assert.Equal(t, 1, got.Exit)
 }
 
-// TestAdminWaitsWithinItsBound: the broker stands still. The command repeats the call until its bound and says that there was
-// no answer; where the broker goes on before, it has its yes.
-func TestAdminWaitsWithinItsBound(t *testing.T) {
-	_, p := site(t, nil, options{mgmt: true})
+// TestAdminCommandTimeout stops the broker. The command must repeat its call until its timeout and then report that
+// there was no answer; if the broker continues before, the command must succeed.
+func TestAdminCommandTimeout(t *testing.T) {
+	_, p := startWithBackends(t, nil, options{adminAPI: true})
 	require.NoError(t, p.Process.Signal(syscall.SIGSTOP))
 	at := time.Now()
-	code, out := admin(t, "--mgmt", p.mgmt, "--within", "700ms", "suspend", "s-1", "s-2", "s-3")
+	code, out := admin(t, "--mgmt", p.adminAddr, "--within", "700ms", "suspend", "s-1", "s-2", "s-3")
 	assert.Equal(t, 2, code, out)
-	assert.Less(t, time.Since(at), 2*time.Second, "the bound is on the whole")
+	assert.Less(t, time.Since(at), 2*time.Second, "the timeout bounds all calls together")
 	go func() {
-		time.Sleep(1800 * time.Millisecond) // one try of the command is over by then
+		time.Sleep(1800 * time.Millisecond) // the first call of the command has timed out by then
 		_ = p.Process.Signal(syscall.SIGCONT)
 	}()
-	code, out = admin(t, "--mgmt", p.mgmt, "--within", "8s", "suspend", "s-1")
+	code, out = admin(t, "--mgmt", p.adminAddr, "--within", "8s", "suspend", "s-1")
 	assert.Equal(t, 0, code, out)
-	assert.Equal(t, 200, call(p, "PUT", "/v1/leafs/s-1/resume"))
+	assert.Equal(t, 200, adminCall(p, "PUT", "/v1/leafs/s-1/resume"))
 }
--- a/test/deploy_test.go
+++ b/test/deploy_test.go
@@ -12,9 +12,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestDeployNamesWhatTheProgramIsMadeOf: `node` has each package of this repository that ternstage is built of, the
-// decisions aside, and none besides.
-func TestDeployNamesWhatTheProgramIsMadeOf(t *testing.T) {
+// TestDeployListsPackagesOfProgram requires that `node` in deploy/balancer.toml lists exactly the packages of this
+// repository that ternstage is built from, without those of `policy`.
+func TestDeployListsPackagesOfProgram(t *testing.T) {
 	text, err := os.ReadFile("../deploy/balancer.toml")
 	require.NoError(t, err)
 	var deploy struct{ Node, Policy []string }
--- a/test/fleet/mass_test.go
+++ b/test/fleet/mass_test.go
@@ -11,15 +11,15 @@
 	"ternstage/internal/lab/world"
 )
 
-// mass is the experiment of that name at a size, with what happens switched on.
-func mass(t *testing.T, size map[string]string, on ...string) *exp.Experiment {
+// massExperiment returns the experiment mass.jsonnet at a size, with some of its events enabled.
+func massExperiment(t *testing.T, size map[string]string, enabled ...string) *exp.Experiment {
 	t.Helper()
 	vars := map[string]string{"join": "0", "herd": "0", "zone": "0", "roll": "0", "hot": "1", "idle": "0", "told": "0",
 		"apart": "0", "jump": "0"}
 	for k, v := range size {
 		vars[k] = v
 	}
-	for _, k := range on {
+	for _, k := range enabled {
 		vars[k] = "1"
 	}
 	e, err := exp.LoadText("mass.jsonnet", experiments.Mass, vars)
@@ -27,47 +27,51 @@
 	return e
 }
 
-// TestMostReplacedAmongTwelve: before twelve processes six in ten nodes are replaced within 7 s; meanwhile eight of the
-// twelve are killed at once (SIGKILL) and come back with an old list, and the ways to one of three zones are cut.
-func TestMostReplacedAmongTwelve(t *testing.T) {
+// TestMostBackendsReplacedAmongTwelveBrokers replaces six in ten backends within 7 s. Meanwhile eight of twelve
+// brokers are killed at once (SIGKILL) and restarted with an old list, and the links to one of three zones are cut.
+func TestMostBackendsReplacedAmongTwelveBrokers(t *testing.T) {
 	t.Parallel()
 	size := map[string]string{"brokers": "12", "nodes": "20", "seconds": "14", "rate": "20"}
-	s := play(t, mass(t, size, "join", "herd", "zone"), world.Fault{})
+	s := playLive(t, massExperiment(t, size, "join", "herd", "zone"), world.Fault{})
 	assert.Zero(t, s.Broken(), s.Notes)
 	assert.Greater(t, s.Worth, 0.4)
 }
 
-// TestColdNodesAmongHundreds: 300 brokers in virtual time, six in ten of 200 nodes replaced, asked for more than what is
-// left can serve. No node is pushed over by what all send together, and each rule holds over all of them.
-func TestColdNodesAmongHundreds(t *testing.T) {
+// TestWarmingBackendsAmongHundredsOfBrokers plays 300 brokers in virtual time while six in ten of 200 backends are
+// replaced and the load exceeds what the others can serve. The load of all brokers together must overload no backend,
+// and every rule must hold over all brokers.
+func TestWarmingBackendsAmongHundredsOfBrokers(t *testing.T) {
 	t.Parallel()
 	size := map[string]string{"brokers": "300", "nodes": "200", "seconds": "14", "rate": "500"}
-	s := world.New(mass(t, size, "join"), 3).Run(nil)
+	s := world.New(massExperiment(t, size, "join"), 3).Run(nil)
 	assert.Zero(t, s.Broken(), s.Notes)
 	assert.Greater(t, s.Worth, 0.5)
-	assert.Positive(t, s.ColdUsed, "cold nodes are used")
-	assert.Greater(t, s.Fairness, 0.9, "brokers fare alike")
+	assert.Positive(t, s.ColdUsed, "no warming backend was used")
+	assert.Greater(t, s.Fairness, 0.9, "brokers are served unequally")
 }
 
-// TestHardCasesAmongMany: what each of many brokers takes for true is not, or their traffic is as uneven as can be, while
-// six in ten nodes are replaced. No node is pushed over by what all send together, and nothing else is broken.
-func TestHardCasesAmongMany(t *testing.T) {
+// TestHardCasesAmongManyBrokers gives many brokers wrong assumptions or very uneven load while six in ten backends
+// are replaced. Their load together must overload no backend, and every rule must hold.
+func TestHardCasesAmongManyBrokers(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		size  map[string]string
-		on    []string
-		more  []exp.Event
-		worth float64
-		fair  float64
+		size        map[string]string
+		enabled     []string
+		script      []exp.Event
+		minWeight   float64
+		minFairness float64
 	}{
-		"one is asked ten times the mean, a tenth nothing": {size: map[string]string{"hot": "10", "idle": "0.1"},
-			on: []string{"join"}, worth: 0.5, fair: 0.85},
-		"told 300, 90 are there":          {size: map[string]string{"brokers": "90", "told": "300"}, on: []string{"join"}, worth: 0.5, fair: 0.9},
-		"told 90, 300 are there":          {size: map[string]string{"brokers": "300", "told": "90"}, on: []string{"join"}, worth: 0.5, fair: 0.8},
-		"clocks apart, one by a second":   {size: map[string]string{"apart": "50", "jump": "1000"}, on: []string{"join"}, worth: 0.5, fair: 0.85},
-		"thirty start at once, ten twice": {more: atOnce(30, 10), worth: 0.6, fair: 0.85},
-		"a third cut off with their zone": {on: []string{"join", "zone"}, worth: 0.3, fair: 0.7},
-		"most killed while most nodes go": {on: []string{"join", "herd"}, worth: 0.4, fair: 0.8},
+		"one gets ten times the mean load, a tenth none": {size: map[string]string{"hot": "10", "idle": "0.1"},
+			enabled: []string{"join"}, minWeight: 0.5, minFairness: 0.85},
+		"90 brokers that assume 300": {size: map[string]string{"brokers": "90", "told": "300"},
+			enabled: []string{"join"}, minWeight: 0.5, minFairness: 0.9},
+		"300 brokers that assume 90": {size: map[string]string{"brokers": "300", "told": "90"},
+			enabled: []string{"join"}, minWeight: 0.5, minFairness: 0.8},
+		"clocks differ, one jumps a second": {size: map[string]string{"apart": "50", "jump": "1000"},
+			enabled: []string{"join"}, minWeight: 0.5, minFairness: 0.85},
+		"thirty restart at once, ten twice":  {script: replacedAtOnce(30, 10), minWeight: 0.6, minFairness: 0.85},
+		"a third cut off with their zone":    {enabled: []string{"join", "zone"}, minWeight: 0.3, minFairness: 0.7},
+		"most brokers and backends replaced": {enabled: []string{"join", "herd"}, minWeight: 0.4, minFairness: 0.8},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -75,60 +79,63 @@
 			for k, v := range c.size {
 				size[k] = v
 			}
-			e := mass(t, size, c.on...)
-			e.Script = append(e.Script, c.more...)
+			e := massExperiment(t, size, c.enabled...)
+			e.Script = append(e.Script, c.script...)
 			s := world.New(e, 5).Run(nil)
-			t.Logf("worth %.3f, fairness %.3f, cold use %.3f, busy %.4f", s.Worth, s.Fairness, s.ColdUsed, s.BusyShare)
+			t.Logf("weight %.3f, fairness %.3f, warm-up use %.3f, busy %.4f", s.Worth, s.Fairness, s.ColdUsed, s.BusyShare)
 			assert.Zero(t, s.Broken(), s.Notes)
-			assert.Greater(t, s.Worth, c.worth)
-			assert.Greater(t, s.Fairness, c.fair)
+			assert.Greater(t, s.Worth, c.minWeight)
+			assert.Greater(t, s.Fairness, c.minFairness)
 		})
 	}
 }
 
-// TestColdNodesAmongTwentyAndThirty: one broker is asked eight times the mean and a tenth nothing, most nodes are replaced,
-// and most brokers are killed meanwhile and come back with an old list. What all processes together send a cold node
-// stays within its budget, which the lab counts in work and with no slack for chance. Ones that take themselves for alone
-// push nodes over: the check is seen to find that.
-func TestColdNodesAmongTwentyAndThirty(t *testing.T) {
+// TestWarmingBackendsAmongTwentyAndThirtyBrokers has one broker get eight times the mean load and a tenth of the
+// brokers none, while most backends are replaced, and most brokers are killed and restarted with an old list. What
+// all brokers together send to a warming backend must stay within its budget, which the lab counts in work and
+// without slack for chance. Brokers that assume to be alone must overload backends: that shows that the check detects
+// it.
+func TestWarmingBackendsAmongTwentyAndThirtyBrokers(t *testing.T) {
 	t.Parallel()
-	for _, c := range []struct{ brokers, told string }{{"20", "0"}, {"30", "0"}, {"30", "1"}} {
-		t.Run(c.brokers+" told "+c.told, func(t *testing.T) {
+	for _, c := range []struct{ brokers, assumed string }{{"20", "0"}, {"30", "0"}, {"30", "1"}} {
+		t.Run(c.brokers+" assumed "+c.assumed, func(t *testing.T) {
 			t.Parallel()
-			fallen := 0
+			overloaded := 0
 			for seed := range uint64(3) {
-				size := map[string]string{"brokers": c.brokers, "told": c.told, "nodes": "40", "seconds": "14", "rate": "150",
-					"hot": "8", "idle": "0.1"}
-				s := world.New(mass(t, size, "join", "herd"), seed+1).Run(nil)
-				fallen += s.ColdFallen
-				if c.told == "0" {
+				size := map[string]string{"brokers": c.brokers, "told": c.assumed, "nodes": "40", "seconds": "14",
+					"rate": "150", "hot": "8", "idle": "0.1"}
+				s := world.New(massExperiment(t, size, "join", "herd"), seed+1).Run(nil)
+				overloaded += s.ColdFallen
+				if c.assumed == "0" {
 					assert.Zero(t, s.Broken(), s.Notes)
 					assert.Positive(t, s.ColdUsed)
 				}
 			}
-			assert.Equal(t, c.told != "0", fallen > 0, "%d fell", fallen)
+			assert.Equal(t, c.assumed != "0", overloaded > 0, "%d backends overloaded", overloaded)
 		})
 	}
 }
 
-// atOnce is so many nodes that drain and are replaced at one moment, of which the first few start once more 3 s later.
-func atOnce(nodes, twice int) (script []exp.Event) {
-	for i := range nodes {
+// replacedAtOnce returns a script in which a number of backends drain and are replaced at the same time; the first
+// few restart once more 3 s later.
+func replacedAtOnce(backends, restarted int) (script []exp.Event) {
+	for i := range backends {
 		script = append(script, exp.Event{At: 4000, For: 1000, Kind: "drain", On: i * 3 % 100})
 	}
-	for i := range twice {
+	for i := range restarted {
 		script = append(script, exp.Event{At: 8000, For: 500, Kind: "down", On: i * 3 % 100})
 	}
 	return script
 }
 
-// TestLinksCutDelayedAndRepeated: relays stand on each link between twelve processes and twenty nodes. All is late by 1 to
-// 15 ms, and one answer in five comes twice; four brokers lose all their links at once for 3 s, a fifth for 1 s again and
-// again, while a third of the nodes is replaced. Each query still has one final answer, and no value counts twice.
+// TestLinksCutDelayedAndRepeated puts relays on every link between twelve brokers and twenty backends. They delay
+// everything by 1 to 15 ms and deliver one answer in five twice. Four brokers lose all links at once for 3 s, a fifth
+// loses its links for 1 s repeatedly, while a third of the backends is replaced. Each request must still get one
+// final answer, and no document may count twice.
 func TestLinksCutDelayedAndRepeated(t *testing.T) {
 	t.Parallel()
 	size := map[string]string{"brokers": "12", "nodes": "20", "seconds": "11", "rate": "40"}
-	e := mass(t, size)
+	e := massExperiment(t, size)
 	e.Copies, e.Links.Delay, e.Links.Repeat = true, exp.Span{1, 15}, 0.2
 	for i := range 4 {
 		e.Script = append(e.Script, exp.Event{At: 3000, For: 3000, Kind: "link_cut", On: i})
@@ -140,13 +147,13 @@
 		e.Script = append(e.Script, exp.Event{At: 1000 + 700*float64(i), For: 500, Kind: "drain", On: i * 3})
 	}
 	w := world.New(e, 11)
-	s, err := w.RunLive(t.Context(), world.LiveOptions{Binary: built, Dir: t.TempDir()}, nil)
+	s, err := w.RunLive(t.Context(), world.LiveOptions{Binary: programPath, Dir: t.TempDir()}, nil)
 	require.NoError(t, err)
 	links := w.LinkStats()
-	t.Logf("%d taken, %d answered, %d refused, %d failed, worth %.3f, %+v", s.Taken, s.Answered, s.Refused, s.Failed,
+	t.Logf("%d accepted, %d answered, %d rejected, %d failed, weight %.3f, %+v", s.Taken, s.Answered, s.Refused, s.Failed,
 		s.Worth, links)
 	assert.Zero(t, s.Broken(), s.Notes)
 	assert.Greater(t, s.Worth, 0.5)
-	assert.Positive(t, links.Repeated, "answers came twice")
-	assert.Positive(t, links.Reset, "connections that lost something were reset when the way was back")
+	assert.Positive(t, links.Repeated, "no answer was delivered twice")
+	assert.Positive(t, links.Reset, "no connection that lost bytes was reset after the cut")
 }
--- a/test/fleet/zones_test.go
+++ b/test/fleet/zones_test.go
@@ -1,6 +1,6 @@
-// Package fleet starts several processes of the program against the lab's world on loopback and breaks what is
-// between them: the way to a zone, the agents that lists are pushed to, nodes, and the processes themselves. The
-// rules are counted at the nodes and clients, over all processes.
+// Package fleet runs several processes of the program against the simulated clients and backends of the lab on
+// loopback. It injects faults: links to a zone, the agents that lists are pushed to, backends, and the processes
+// themselves. The rules are checked at the backends and clients, over all processes.
 package fleet
 
 import (
@@ -18,14 +18,14 @@
 	"ternstage/internal/lab/world"
 )
 
-var built string
+var programPath string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "ternstage-fleet")
 	if err != nil {
 		panic(err)
 	}
-	if built, err = product.Build(dir); err != nil {
+	if programPath, err = product.Build(dir); err != nil {
 		panic(err)
 	}
 	code := m.Run()
@@ -33,8 +33,8 @@
 	os.Exit(code)
 }
 
-// zones is the experiment of that name without its drawn troubles, and with a script in their place.
-func zones(t *testing.T, seconds float64, script ...exp.Event) *exp.Experiment {
+// zonesExperiment returns the experiment zones.jsonnet with a script in place of its random faults.
+func zonesExperiment(t *testing.T, seconds float64, script ...exp.Event) *exp.Experiment {
 	t.Helper()
 	vars := map[string]string{"seconds": fmt.Sprint(seconds), "rate": "90", "pause": "1"}
 	for _, kind := range []string{"stand", "slow", "vanish", "down", "drain", "broker", "zone_cut", "silent"} {
@@ -46,48 +46,53 @@
 	return e
 }
 
-// play plays it against real processes.
-func play(t *testing.T, e *exp.Experiment, fault world.Fault) result.Summary {
+// playLive runs an experiment against real processes.
+func playLive(t *testing.T, e *exp.Experiment, fault world.Fault) result.Summary {
 	t.Helper()
 	w := world.New(e, 7)
 	w.Fault = fault
-	s, err := w.RunLive(t.Context(), world.LiveOptions{Binary: built, Dir: t.TempDir()}, nil)
+	s, err := w.RunLive(t.Context(), world.LiveOptions{Binary: programPath, Dir: t.TempDir()}, nil)
 	require.NoError(t, err)
-	t.Logf("%d taken, %d answered, %d refused, %d failed, worth %.3f", s.Taken, s.Answered, s.Refused, s.Failed, s.Worth)
+	t.Logf("%d accepted, %d answered, %d rejected, %d failed, weight %.3f", s.Taken, s.Answered, s.Refused, s.Failed,
+		s.Worth)
 	return s
 }
 
-// TestZoneCutOff: a zone is cut off from the others under load, both ways, without a word; then it is back.
+// TestZoneCutOff cuts all links between a zone and the others under load, silently and in both directions, and
+// restores them.
 func TestZoneCutOff(t *testing.T) {
 	t.Parallel()
-	s := play(t, zones(t, 9, exp.Event{At: 1500, For: 4000, Kind: "zone_cut", On: 1}), world.Fault{})
+	s := playLive(t, zonesExperiment(t, 9, exp.Event{At: 1500, For: 4000, Kind: "zone_cut", On: 1}), world.Fault{})
 	assert.Zero(t, s.Broken(), s.Notes)
-	assert.Greater(t, s.Worth, 0.8, "two replicas of three are within reach of two brokers")
+	assert.Greater(t, s.Worth, 0.8, "two brokers still reach two of three replicas")
 }
 
-// TestAgentsSilent: all agents fall silent for 10 s while a node drains and is replaced and another restarts.
-func TestAgentsSilent(t *testing.T) {
+// TestUnresponsiveAgents has all agents stop answering for 10 s while a backend drains and is replaced and another
+// restarts.
+func TestUnresponsiveAgents(t *testing.T) {
 	t.Parallel()
-	s := play(t, zones(t, 16, exp.Event{At: 1000, For: 10000, Kind: "silent", On: 0},
+	s := playLive(t, zonesExperiment(t, 16, exp.Event{At: 1000, For: 10000, Kind: "silent", On: 0},
 		exp.Event{At: 1000, For: 10000, Kind: "silent", On: 1}, exp.Event{At: 1000, For: 10000, Kind: "silent", On: 2},
 		exp.Event{At: 1500, For: 2000, Kind: "drain", On: 3}, exp.Event{At: 4000, For: 2000, Kind: "down", On: 7}),
 		world.Fault{})
 	assert.Zero(t, s.Broken(), s.Notes)
-	assert.Greater(t, s.Worth, 0.85, "the last list serves")
+	assert.Greater(t, s.Worth, 0.85, "the last list is not in use")
 }
 
-// TestLateDrainIsSeen plants a fault: agents hide that nodes drain, and the checker must find what that breaks.
-func TestLateDrainIsSeen(t *testing.T) {
+// TestLateDrainIsDetected plants a fault: agents hide that backends drain. The checker must find the attempts that
+// break the rule.
+func TestLateDrainIsDetected(t *testing.T) {
 	t.Parallel()
-	s := play(t, zones(t, 7, exp.Event{At: 500, For: 500, Kind: "drain", On: 4}), world.Fault{IgnoreDrain: true})
+	s := playLive(t, zonesExperiment(t, 7, exp.Event{At: 500, For: 500, Kind: "drain", On: 4}),
+		world.Fault{IgnoreDrain: true})
 	assert.Positive(t, s.DrainLate)
 }
 
-// TestBackWithAnOldList: a broker is killed outright and comes back with the list it first began with, of which a node
-// has drained and gone and another has started anew, cold.
-func TestBackWithAnOldList(t *testing.T) {
+// TestBrokerRestartsWithOldList kills a broker and restarts it with its first list, of which one backend has drained
+// and been removed and another has restarted and warms up.
+func TestBrokerRestartsWithOldList(t *testing.T) {
 	t.Parallel()
-	s := play(t, zones(t, 14, exp.Event{At: 500, For: 4000, Kind: "drain", On: 4},
+	s := playLive(t, zonesExperiment(t, 14, exp.Event{At: 500, For: 4000, Kind: "drain", On: 4},
 		exp.Event{At: 2000, For: 1500, Kind: "down", On: 8}, exp.Event{At: 7000, For: 1500, Kind: "broker", On: 0},
 		exp.Event{At: 10000, For: 500, Kind: "broker", On: 2}), world.Fault{})
 	assert.Zero(t, s.Broken(), s.Notes)
--- a/test/harness_test.go
+++ b/test/harness_test.go
@@ -1,4 +1,4 @@
-// Package test starts the real program as a process and speaks to it as clients, nodes and discovery would.
+// Package test starts the program as a process. The tests play its clients, its backends and discovery.
 package test
 
 import (
@@ -24,11 +24,11 @@
 	"ternstage/internal/lab/product"
 )
 
-const patience = 15 * time.Second // for a condition; never waited out when all is well
+const waitTimeout = 15 * time.Second // bounds the wait for a condition that a working program fulfils much sooner
 
 var (
-	built    string // path of the program under test
-	buildDir string // where programs are built; removed at the end
+	programPath string // path of the program under test
+	buildDir    string // where programs are built; removed at the end
 )
 
 func TestMain(m *testing.M) {
@@ -37,7 +37,7 @@
 		panic(err)
 	}
 	buildDir = dir
-	if built, err = product.Build(dir); err != nil {
+	if programPath, err = product.Build(dir); err != nil {
 		panic(err)
 	}
 	code := m.Run()
@@ -45,11 +45,11 @@
 	os.Exit(code)
 }
 
-// settings are those of a small site: 4 cells in a ring, 8 shards on 3 nodes each.
+// settings returns the settings of a small site: 8 shards with 3 replicas each, on 4 cells in a ring.
 func settings() map[string]any {
-	class := func(name, effect string, worth float64, late float64) map[string]any {
-		return map[string]any{"name": name, "effect": effect, "aim_ms": 700, "deadline_ms": 1000, "worth": worth,
-			"late_worth": late, "dedup_window_ms": 5000}
+	class := func(name, effect string, weight float64, lateWeight float64) map[string]any {
+		return map[string]any{"name": name, "effect": effect, "aim_ms": 700, "deadline_ms": 1000, "worth": weight,
+			"late_worth": lateWeight, "dedup_window_ms": 5000}
 	}
 	return map[string]any{
 		"areas": []string{"salt-lake"}, "balancers": 1, "me": 0, "zone": 0, "resolution_ms": 5,
@@ -69,7 +69,8 @@
 	}
 }
 
-type member struct {
+// endpoint is an entry of the endpoint list, as discovery serves it.
+type endpoint struct {
 	ID        string `json:"id"`
 	Address   string `json:"host_port"`
 	Locality  string `json:"locality"`
@@ -80,55 +81,56 @@
 	UpSinceMS int64  `json:"up_since_ms"`
 }
 
-type list struct {
-	Revision int      `json:"revision"`
-	Complete bool     `json:"complete"`
-	Members  []member `json:"members"`
+// endpointList is the endpoint list, as discovery serves it.
+type endpointList struct {
+	Revision  int        `json:"revision"`
+	Complete  bool       `json:"complete"`
+	Endpoints []endpoint `json:"members"`
 }
 
-// discovery is a stand-in of the list service.
-type discovery struct {
+// discoveryServer simulates the service that serves the endpoint list.
+type discoveryServer struct {
 	*http.Server
-	addr  string
-	mu    sync.Mutex
-	list  list
-	next  chan struct{} // closed at the next change
-	told  time.Time     // when the latest revision was first written
-	calls []time.Time
-	ends  []time.Time // of answers
-	down  bool
-	agent bool     // lists are pushed to it: it answers at once with what it has
-	mute  bool     // it is silent
-	raw   [][]byte // answers as sent
+	addr         string
+	mu           sync.Mutex
+	list         endpointList
+	changed      chan struct{} // closed at the next change of the list
+	answeredAt   time.Time     // when the endpoint list was last written
+	callTimes    []time.Time
+	answerTimes  []time.Time // when each answer was complete
+	unavailable  bool
+	isAgent      bool     // it plays the agent to which lists are pushed: it answers at once with what it has
+	unresponsive bool     // it accepts calls and never answers
+	answers      [][]byte // bodies of the answers
 
-	targets []string // of calls
+	targets []string // request URIs of the calls
 }
 
-func newDiscovery(t *testing.T, members []member) *discovery {
+func newDiscovery(t *testing.T, members []endpoint) *discoveryServer {
 	ln, err := net.Listen("tcp", loopback.Own())
 	require.NoError(t, err)
-	d := &discovery{addr: ln.Addr().String(), list: list{41, true, members}, next: make(chan struct{})}
+	d := &discoveryServer{addr: ln.Addr().String(), list: endpointList{41, true, members}, changed: make(chan struct{})}
 	d.Server = &http.Server{Handler: d}
 	go func() { _ = d.Serve(ln) }()
 	t.Cleanup(func() { _ = d.Close() })
 	return d
 }
 
-func (d *discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *discoveryServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.calls, d.targets = append(d.calls, time.Now()), append(d.targets, r.URL.RequestURI())
+	d.callTimes, d.targets = append(d.callTimes, time.Now()), append(d.targets, r.URL.RequestURI())
 	index, _ := strconv.Atoi(r.URL.Query().Get("index"))
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait"))
 	by := time.After(time.Duration(wait) * time.Millisecond)
-	if d.mute {
+	if d.unresponsive {
 		d.mu.Unlock()
 		<-r.Context().Done()
 		d.mu.Lock()
 		return
 	}
-	for waiting := !d.agent; waiting && index >= d.list.Revision && !d.down; {
-		next := d.next
+	for waiting := !d.isAgent; waiting && index >= d.list.Revision && !d.unavailable; {
+		next := d.changed
 		d.mu.Unlock()
 		select {
 		case <-next:
@@ -139,49 +141,50 @@
 		}
 		d.mu.Lock()
 	}
-	if d.down {
+	if d.unavailable {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	text, _ := json.Marshal(d.list)
-	if d.agent && r.URL.Query().Has("index") && index == d.list.Revision {
+	if d.isAgent && r.URL.Query().Has("index") && index == d.list.Revision {
 		text = fmt.Appendf(nil, `{"revision":%d,"complete":false,"members":[]}`, index)
 	}
-	d.raw, d.told = append(d.raw, text), time.Now()
+	d.answers, d.answeredAt = append(d.answers, text), time.Now()
 	_, _ = w.Write(text)
-	d.ends = append(d.ends, time.Now())
+	d.answerTimes = append(d.answerTimes, time.Now())
 }
 
-// change alters the list and wakes those who watch.
-func (d *discovery) change(f func()) {
+// change applies f to the list, increments its revision and answers the waiting watches.
+func (d *discoveryServer) change(f func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f()
 	d.list.Revision++
-	close(d.next)
-	d.next = make(chan struct{})
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
-func (d *discovery) toldSince(at time.Time) bool {
+// answeredSince reports whether the list was written to a caller after a time.
+func (d *discoveryServer) answeredSince(at time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.told.After(at)
+	return d.answeredAt.After(at)
 }
 
 // program is the process under test.
 type program struct {
 	*exec.Cmd
-	t          *testing.T
-	addr, grpc string
-	mgmt       string // the operators' door, "" for none
-	config     string // its file
-	discovery  *discovery
-	mu         sync.Mutex
-	log        bytes.Buffer
-	done       chan error
+	t                    *testing.T
+	httpAddr, flightAddr string
+	adminAddr            string // address of the admin API, "" for none
+	configPath           string // path of its configuration file
+	discovery            *discoveryServer
+	mu                   sync.Mutex
+	log                  bytes.Buffer
+	exited               chan error
 }
 
-// Write collects the log.
+// Write appends to the log; it receives the process's standard error.
 func (p *program) Write(b []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -194,66 +197,68 @@
 	return p.log.String()
 }
 
+// options configure a program that a test starts. A zero value is the default.
 type options struct {
-	settings map[string]any
-	members  []member
-	flight   bool
-	sockets  int
-	memory   int
-	mgmt     bool     // with the operators' door
-	tmp      string   // its $TMPDIR, where held leafs are kept; a new one if ""
-	inherit  *os.File // a listener for clients, given as descriptor 5
-	listen   string   // its address
-	drained  bool     // its clients are sent away: it is ready once it says so to the operators
-	program  string   // the binary to start; "" for the one that TestMain built
+	settings       map[string]any
+	endpoints      []endpoint
+	flight         bool
+	maxDescriptors int
+	memoryMB       int
+	adminAPI       bool     // with the admin API
+	stateDir       string   // its $TMPDIR, which holds the state files; a new directory if ""
+	listener       *os.File // the clients' listener, inherited as descriptor 5
+	listenAddr     string   // address of the listener
+	startsDrained  bool     // it starts draining: it is ready once the admin API reports so, while its health is 503
+	binary         string   // the binary to start; "" for the one that TestMain built
 
-	discovery *discovery // the endpoint list that several brokers share; a new one if nil
-	name      string     // of the broker; "n0" if ""
+	discovery *discoveryServer // the endpoint list that several brokers share; a new one if nil
+	name      string           // name of the broker; "n0" if ""
 }
 
+// freeAddress returns a loopback address that nothing listens on.
 func freeAddress(t *testing.T) string {
 	a, err := loopback.Free()
 	require.NoError(t, err)
 	return a
 }
 
-// launch starts the program without waiting for it to serve.
+// launch starts the program without waiting until it serves.
 func launch(t *testing.T, config []byte, env ...string) *program {
-	return launchWith(t, config, nil, env...)
+	return launchWithListener(t, config, nil, env...)
 }
 
-// launchWith starts the program with a listener as descriptor 5, where one is given.
-func launchWith(t *testing.T, config []byte, inherit *os.File, env ...string) *program {
-	return launchOf(t, built, config, inherit, env...)
+// launchWithListener starts the program like launch, with a listener as descriptor 5 unless it is nil.
+func launchWithListener(t *testing.T, config []byte, listener *os.File, env ...string) *program {
+	return launchBinary(t, programPath, config, listener, env...)
 }
 
-// launchOf is launchWith of any binary.
-func launchOf(t *testing.T, binary string, config []byte, inherit *os.File, env ...string) *program {
-	return launchBy(t, config, func(c *exec.Cmd) {
+// launchBinary starts a binary like launchWithListener.
+func launchBinary(t *testing.T, binary string, config []byte, listener *os.File, env ...string) *program {
+	return launchCommand(t, config, func(c *exec.Cmd) {
 		c.Path, c.Args = binary, []string{binary}
 		c.Env = append(c.Env, env...)
-		if inherit == nil {
+		if listener == nil {
 			return
 		}
 		null, err := os.Open(os.DevNull)
 		require.NoError(t, err)
 		t.Cleanup(func() { _ = null.Close() })
-		c.ExtraFiles = []*os.File{null, null, inherit} // descriptors 3, 4 and 5
+		c.ExtraFiles = []*os.File{null, null, listener} // descriptors 3, 4 and 5
 		c.Env = append(c.Env, "BALANCER_INHERITED_FD=5")
 	})
 }
 
-// launchBy starts the program by a command that the test has had its say on.
-func launchBy(t *testing.T, config []byte, say func(*exec.Cmd)) *program {
+// launchCommand starts the program by a command that configure may change.
+func launchCommand(t *testing.T, config []byte, configure func(*exec.Cmd)) *program {
 	path := filepath.Join(t.TempDir(), "config.json")
 	require.NoError(t, os.WriteFile(path, config, 0o600))
-	p := &program{Cmd: exec.Command(built), t: t, config: path, done: make(chan error, 1)}
-	// The race detector would sleep for a second at the end.
+	p := &program{Cmd: exec.Command(programPath), t: t, configPath: path, exited: make(chan error, 1)}
+	// The race detector would otherwise sleep for a second at the exit.
 	p.Env = append(os.Environ(), "GORACE=atexit_sleep_ms=0", "BALANCER_CONFIG="+path)
-	say(p.Cmd)
+	configure(p.Cmd)
 	p.Stderr = p
 	require.NoError(t, p.Start())
-	go func() { p.done <- p.Wait() }()
+	go func() { p.exited <- p.Wait() }()
 	t.Cleanup(func() { _ = p.Process.Kill() })
 	return p
 }
@@ -265,50 +270,52 @@
 	}
 	d := o.discovery
 	if d == nil {
-		d = newDiscovery(t, o.members)
+		d = newDiscovery(t, o.endpoints)
 	}
 	if o.name == "" {
 		o.name = "n0"
 	}
-	d.agent = o.settings["discovery"] == "pushed"
-	addr, grpc := freeAddress(t), freeAddress(t)
-	if o.listen != "" {
-		addr = o.listen
+	d.isAgent = o.settings["discovery"] == "pushed"
+	httpAddr, flightAddr := freeAddress(t), freeAddress(t)
+	if o.listenAddr != "" {
+		httpAddr = o.listenAddr
 	}
-	limits := map[string]any{"cores": 1, "memory_mb": max(o.memory, 192), "sockets": 1024}
-	if o.sockets > 0 {
-		limits["sockets"] = o.sockets
+	limits := map[string]any{"cores": 1, "memory_mb": max(o.memoryMB, 192), "sockets": 1024}
+	if o.maxDescriptors > 0 {
+		limits["sockets"] = o.maxDescriptors
 	}
-	text, err := json.Marshal(map[string]any{"name": o.name, "listen": addr, "discovery": d.addr,
+	config, err := json.Marshal(map[string]any{"name": o.name, "listen": httpAddr, "discovery": d.addr,
 		"seed": "8c1f30d27a5be964", "limits": limits, "known": d.list, "settings": o.settings})
 	require.NoError(t, err)
-	file := filepath.Join(t.TempDir(), "flight.toml")
-	require.NoError(t, os.WriteFile(file, fmt.Appendf(nil, "enabled = %v\nnodes = %v\nlisten = %q\n",
-		o.flight, o.flight, grpc), 0o600))
-	env := []string{"TERNSTAGE_FLIGHT=" + file}
-	mgmt := ""
-	if o.mgmt {
-		if o.tmp == "" {
-			o.tmp = t.TempDir()
+	flightFile := filepath.Join(t.TempDir(), "flight.toml")
+	require.NoError(t, os.WriteFile(flightFile, fmt.Appendf(nil, "enabled = %v\nnodes = %v\nlisten = %q\n",
+		o.flight, o.flight, flightAddr), 0o600))
+	env := []string{"TERNSTAGE_FLIGHT=" + flightFile}
+	adminAddr := ""
+	if o.adminAPI {
+		if o.stateDir == "" {
+			o.stateDir = t.TempDir()
 		}
-		mgmt = freeAddress(t)
-		env = append(env, "BALANCER_MGMT="+mgmt, "TMPDIR="+o.tmp)
+		adminAddr = freeAddress(t)
+		env = append(env, "BALANCER_MGMT="+adminAddr, "TMPDIR="+o.stateDir)
 	}
-	if o.program == "" {
-		o.program = built
+	if o.binary == "" {
+		o.binary = programPath
 	}
-	p := launchOf(t, o.program, text, o.inherit, env...)
-	p.addr, p.grpc, p.discovery, p.mgmt = addr, grpc, d, mgmt
-	up := func() bool { return o.drained || p.health() == 200 }
-	if !assert.Eventually(t, func() bool { return up() && (!o.mgmt || call(p, "GET", "/v1/readyz") == 200) }, patience,
-		5*time.Millisecond) {
-		require.FailNow(t, "the program does not serve", p.logged())
+	p := launchBinary(t, o.binary, config, o.listener, env...)
+	p.httpAddr, p.flightAddr, p.discovery, p.adminAddr = httpAddr, flightAddr, d, adminAddr
+	isServing := func() bool { return o.startsDrained || p.healthStatus() == 200 }
+	if !assert.Eventually(t, func() bool {
+		return isServing() && (!o.adminAPI || adminCall(p, "GET", "/v1/readyz") == 200)
+	}, waitTimeout, 5*time.Millisecond) {
+		require.FailNow(t, "the program did not become ready", p.logged())
 	}
 	return p
 }
 
-func (p *program) health() int {
-	r, err := http.Get("http://" + p.addr + "/_health")
+// healthStatus returns the HTTP status of the health check, 0 if there is no answer.
+func (p *program) healthStatus() int {
+	r, err := http.Get("http://" + p.httpAddr + "/_health")
 	if err != nil {
 		return 0
 	}
@@ -316,19 +323,20 @@
 	return r.StatusCode
 }
 
-// stop ends the program as a planned restart does, and sees that it ends well.
+// stop ends the program by SIGTERM and requires a successful exit without a data race.
 func (p *program) stop() {
 	require.NoError(p.t, p.Process.Signal(syscall.SIGTERM))
 	select {
-	case err := <-p.done:
+	case err := <-p.exited:
 		require.NoError(p.t, err, p.logged())
-	case <-time.After(patience):
-		require.Fail(p.t, "the program does not end", p.logged())
+	case <-time.After(waitTimeout):
+		require.Fail(p.t, "the program did not exit after SIGTERM", p.logged())
 	}
 	require.NotContains(p.t, p.logged(), "DATA RACE")
 }
 
-func (p *program) waitLog(text string) {
-	require.Eventually(p.t, func() bool { return strings.Contains(p.logged(), text) }, patience,
+// waitForLog waits until the log contains a text.
+func (p *program) waitForLog(text string) {
+	require.Eventually(p.t, func() bool { return strings.Contains(p.logged(), text) }, waitTimeout,
 		5*time.Millisecond, "no %q in the log", text)
 }
--- a/test/ops_test.go
+++ b/test/ops_test.go
@@ -22,9 +22,9 @@
 	"ternstage/internal/lab/loopback"
 )
 
-// call makes one operator's call and gives its status, 0 if there was no answer.
-func call(p *program, method, path string) int {
-	r, _ := http.NewRequest(method, "http://"+p.mgmt+path, nil)
+// adminCall makes a call of the admin API and returns its status, 0 if there was no answer.
+func adminCall(p *program, method, path string) int {
+	r, _ := http.NewRequest(method, "http://"+p.adminAddr+path, nil)
 	c := &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	a, err := c.Do(r)
 	if err != nil {
@@ -35,12 +35,12 @@
 	return a.StatusCode
 }
 
-// raw sends bytes to the door and reads what comes back until the door closes, with the time it took.
-func raw(t *testing.T, p *program, text string) (string, time.Duration) {
-	c, err := net.Dial("tcp", p.mgmt)
+// adminRaw sends bytes to the admin API. It returns what came back until the close, and how long that took.
+func adminRaw(t *testing.T, p *program, text string) (string, time.Duration) {
+	c, err := net.Dial("tcp", p.adminAddr)
 	require.NoError(t, err)
-	defer c.Close()
-	require.NoError(t, c.SetDeadline(time.Now().Add(patience)))
+	defer func() { _ = c.Close() }()
+	require.NoError(t, c.SetDeadline(time.Now().Add(waitTimeout)))
 	at := time.Now()
 	_, err = io.WriteString(c, text)
 	require.NoError(t, err)
@@ -48,21 +48,22 @@
 	return string(out), time.Since(at)
 }
 
-// TestDoor: each call is answered yes or no as it should, and within a second whatever other callers do.
-func TestDoor(t *testing.T) {
-	_, p := site(t, nil, options{mgmt: true})
-	// Callers that say nothing or half a call and stay.
-	var hold []net.Conn
+// TestAdminAPIBesideIdleCallers makes valid and invalid calls while 80 other callers send nothing or half a call.
+// Each call must have the right status, within a second.
+func TestAdminAPIBesideIdleCallers(t *testing.T) {
+	_, p := startWithBackends(t, nil, options{adminAPI: true})
+	// Callers that send nothing or half a call and keep their connections.
+	var idle []net.Conn
 	for i := range 80 {
-		c, err := net.Dial("tcp", p.mgmt)
+		c, err := net.Dial("tcp", p.adminAddr)
 		require.NoError(t, err)
 		if i%2 == 1 {
 			_, _ = io.WriteString(c, "PUT /v1/leafs/s-1/sus")
 		}
-		hold = append(hold, c)
+		idle = append(idle, c)
 	}
 	defer func() {
-		for _, c := range hold {
+		for _, c := range idle {
 			_ = c.Close()
 		}
 	}()
@@ -72,7 +73,7 @@
 	}{
 		{"GET", "/v1/readyz", 200},
 		{"PUT", "/v1/leafs/s-1/suspend", 200},
-		{"PUT", "/v1/leafs/s-1/suspend", 200}, // again: the same, and nothing changes twice
+		{"PUT", "/v1/leafs/s-1/suspend", 200}, // repeated: same answer, no further change
 		{"PUT", "/v1/leafs/s-1/resume", 200},
 		{"PUT", "/v1/leafs/s-1/resume", 200},
 		{"PUT", "/v1/leafs/s-9/suspend", 404}, // never listed
@@ -88,11 +89,11 @@
 		{"GET", "/v1/readyz", 200},
 	} {
 		at := time.Now()
-		assert.Equal(t, c.status, call(p, c.method, c.path), "%s %s", c.method, c.path)
-		assert.Less(t, time.Since(at), 300*time.Millisecond, "%s %s beside 80 callers that stay", c.method,
+		assert.Equal(t, c.status, adminCall(p, c.method, c.path), "%s %s", c.method, c.path)
+		assert.Less(t, time.Since(at), 300*time.Millisecond, "%s %s beside 80 idle callers", c.method,
 			c.path)
 	}
-	// What cannot be a call is answered no, and closed.
+	// Invalid calls are answered with an error and closed.
 	for _, c := range []struct {
 		text   string
 		status string
@@ -105,144 +106,148 @@
 			strings.Repeat("x", 8192), "413"},
 		{"PUT /v1/aggregator/drain HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n", "400"},
 		{"HELLO\r\n\r\n", "400"},
-		{"GET /v1/readyz HTTP/1.1\r\nHost: a\r\n", "408"}, // half a call: answered no in time
+		{"GET /v1/readyz HTTP/1.1\r\nHost: a\r\n", "408"}, // half a call: answered in time
 	} {
-		out, took := raw(t, p, c.text)
+		out, took := adminRaw(t, p, c.text)
 		assert.Contains(t, out, "HTTP/1.1 "+c.status+" ", c.text[:min(30, len(c.text))])
 		assert.Less(t, took, time.Second)
 	}
-	// Those that stayed had a no within the second, and the door is not held up by them.
-	for _, c := range hold[:4] {
-		require.NoError(t, c.SetReadDeadline(time.Now().Add(patience)))
+	// The idle callers have been answered within a second, and do not block the admin API.
+	for _, c := range idle[:4] {
+		require.NoError(t, c.SetReadDeadline(time.Now().Add(waitTimeout)))
 		out, _ := io.ReadAll(c)
 		assert.Contains(t, string(out), "HTTP/1.1 ")
 	}
-	assert.Equal(t, 200, call(p, "GET", "/v1/readyz"))
-	p.waitLog(`"code":"O03"`)
+	assert.Equal(t, 200, adminCall(p, "GET", "/v1/readyz"))
+	p.waitForLog(`"code":"O03"`)
 }
 
-// TestDoorCatchesLateness: the checker of the second holds against a door that is made to answer late.
-func TestDoorCatchesLateness(t *testing.T) {
-	_, p := site(t, nil, options{mgmt: true})
-	require.NoError(t, p.Process.Signal(syscall.SIGSTOP)) // a door that is held up
+// TestAdminLatencyCheckDetectsDelay delays the admin API and requires that the latency check of the other tests would
+// fail.
+func TestAdminLatencyCheckDetectsDelay(t *testing.T) {
+	_, p := startWithBackends(t, nil, options{adminAPI: true})
+	require.NoError(t, p.Process.Signal(syscall.SIGSTOP)) // delays the admin API
 	defer func() { _ = p.Process.Signal(syscall.SIGCONT) }()
 	at := time.Now()
 	go func() {
 		time.Sleep(1200 * time.Millisecond)
 		_ = p.Process.Signal(syscall.SIGCONT)
 	}()
-	assert.Equal(t, 200, call(p, "GET", "/v1/readyz"))
-	assert.GreaterOrEqual(t, time.Since(at), time.Second, "the check of the second would not see it")
+	assert.Equal(t, 200, adminCall(p, "GET", "/v1/readyz"))
+	assert.GreaterOrEqual(t, time.Since(at), time.Second, "the latency check would not detect the delay")
 }
 
-// sentTo counts the parts that a node got after a moment.
-func sentTo(ns *nodes, node string, after time.Time) int {
+// attemptsSince returns the number of attempts that a backend got after a time.
+func attemptsSince(backends *backendSet, backend string, after time.Time) int {
 	n := 0
-	for _, s := range ns.all() {
-		if s.node == node && s.at.After(after) {
+	for _, s := range backends.attempts() {
+		if s.backend == backend && s.receivedAt.After(after) {
 			n++
 		}
 	}
 	return n
 }
 
-// TestHeld: a held leaf gets nothing new once the door said yes, across a restart of the program with the
-// same $TMPDIR, and is used again after one resume.
-func TestHeld(t *testing.T) {
+// TestSuspensionAcrossRestart suspends a backend. It must get no attempt once the call succeeded, also from the next
+// process with the same $TMPDIR, and be used again after one resume.
+func TestSuspensionAcrossRestart(t *testing.T) {
 	tmp := t.TempDir()
-	ns, p := site(t, nil, options{mgmt: true, tmp: tmp})
-	asked := 0
-	ask := func(p *program, n int) {
+	backends, p := startWithBackends(t, nil, options{adminAPI: true, stateDir: tmp})
+	sent := 0
+	send := func(p *program, n int) {
 		for i := range n {
-			asked++
-			assert.Equal(t, "served", askHTTP(context.Background(), p, query{id: fmt.Sprintf("h%d", asked),
-				class: "quote", tenant: "gangasagar-life", shards: []int{i % 8}, wait: time.Second}).end)
+			sent++
+			assert.Equal(t, "served", sendHTTP(context.Background(), p, request{id: fmt.Sprintf("h%d", sent),
+				class: "quote", tenant: "gangasagar-life", shards: []int{i % 8}, timeout: time.Second}).outcome)
 		}
 	}
-	ask(p, 16)
-	require.Positive(t, sentTo(ns, "s-2", time.Time{}), "the leaf was never used")
-	require.Equal(t, 200, call(p, "PUT", "/v1/leafs/s-2/suspend"))
-	yes := time.Now()
-	ask(p, 32)
-	assert.Zero(t, sentTo(ns, "s-2", yes), "sent to a held leaf after the yes")
+	send(p, 16)
+	require.Positive(t, attemptsSince(backends, "s-2", time.Time{}), "the backend was never used")
+	require.Equal(t, 200, adminCall(p, "PUT", "/v1/leafs/s-2/suspend"))
+	suspendedAt := time.Now()
+	send(p, 32)
+	assert.Zero(t, attemptsSince(backends, "s-2", suspendedAt),
+		"a suspended backend got an attempt after the call succeeded")
 
-	// The next process reads the ban at its start, before it serves.
+	// The next process reads the suspension before it serves.
 	p.stop()
-	q := start(t, options{mgmt: true, tmp: tmp, members: ns.members})
-	again := time.Now()
-	ask(q, 32)
-	assert.Zero(t, sentTo(ns, "s-2", again), "the ban did not hold across the restart")
-	q.waitLog("suspensions read")
+	next := start(t, options{adminAPI: true, stateDir: tmp, endpoints: backends.endpoints})
+	restartedAt := time.Now()
+	send(next, 32)
+	assert.Zero(t, attemptsSince(backends, "s-2", restartedAt), "the suspension did not hold across the restart")
+	next.waitForLog("suspensions read")
 
-	require.Equal(t, 200, call(q, "PUT", "/v1/leafs/s-2/resume"))
-	back := time.Now()
+	require.Equal(t, 200, adminCall(next, "PUT", "/v1/leafs/s-2/resume"))
+	resumedAt := time.Now()
 	require.Eventually(t, func() bool {
-		ask(q, 8)
-		return sentTo(ns, "s-2", back) > 0
-	}, patience, time.Millisecond, "a leaf that is resumed is used again")
+		send(next, 8)
+		return attemptsSince(backends, "s-2", resumedAt) > 0
+	}, waitTimeout, time.Millisecond, "the resumed backend is not used")
 }
 
-// TestHeldFileTorn: a torn file of held leafs is a clear line in the log, and the program starts.
-func TestHeldFileTorn(t *testing.T) {
+// TestTornSuspensionsFile starts the program with a truncated file of suspensions. The program must log that and
+// start.
+func TestTornSuspensionsFile(t *testing.T) {
 	tmp := t.TempDir()
 	require.NoError(t, os.WriteFile(tmp+"/ternstage-held-leafs.json", []byte(`{"form":"ternstage held`), 0o600))
-	_, p := site(t, nil, options{mgmt: true, tmp: tmp})
-	p.waitLog("suspensions not read")
+	_, p := startWithBackends(t, nil, options{adminAPI: true, stateDir: tmp})
+	p.waitForLog("suspensions not read")
 	assert.Contains(t, p.logged(), "torn or not JSON")
-	assert.Equal(t, 200, call(p, "GET", "/v1/readyz"))
+	assert.Equal(t, 200, adminCall(p, "GET", "/v1/readyz"))
 }
 
-// TestSentAway: after a drain health says no at once, a kept connection is served, every connection is gone
-// by 4 s, the program does not end, and health says yes after activate.
-func TestSentAway(t *testing.T) {
-	_, p := site(t, nil, options{mgmt: true})
+// TestDrainBroker drains the broker. Its health must be 503 at once, an open connection must still be served, every
+// connection must end within 4 s, and the process must stay and be healthy again after activate.
+func TestDrainBroker(t *testing.T) {
+	_, p := startWithBackends(t, nil, options{adminAPI: true})
 	busy, idle := dial(t, p), dial(t, p)
 	r := bufio.NewReader(busy)
-	ask := func(id string) (status int, closing bool) {
-		_, err := io.WriteString(busy, sized(id, good))
+	send := func(id string) (status int, closing bool) {
+		_, err := io.WriteString(busy, requestText(id, validBody))
 		require.NoError(t, err)
 		a, err := http.ReadResponse(r, nil)
 		require.NoError(t, err, id)
 		_, _ = io.Copy(io.Discard, a.Body)
 		return a.StatusCode, a.Close
 	}
-	_, _ = ask("before")
-	require.Equal(t, 200, call(p, "PUT", "/v1/aggregator/drain"))
+	_, _ = send("before")
+	require.Equal(t, 200, adminCall(p, "PUT", "/v1/aggregator/drain"))
 	at := time.Now()
-	assert.Equal(t, 503, p.health())
-	status, closing := ask("kept")
+	assert.Equal(t, 503, p.healthStatus())
+	status, closing := send("kept")
 	assert.Equal(t, 200, status)
 	if !closing {
-		time.Sleep(700 * time.Millisecond) // past the time in which new connections still come
-		status, closing = ask("later")
+		time.Sleep(700 * time.Millisecond) // past the time in which new connections are accepted
+		status, closing = send("later")
 		assert.Equal(t, 200, status)
-		assert.True(t, closing, "the last answer of a kept connection says so")
+		assert.True(t, closing, "the last answer on a connection must announce the close")
 	}
 	require.NoError(t, idle.SetReadDeadline(time.Now().Add(4*time.Second)))
 	_, err := idle.Read(make([]byte, 1))
-	assert.ErrorIs(t, err, io.EOF, "an idle connection is closed")
+	assert.ErrorIs(t, err, io.EOF, "the idle connection was not closed")
 	assert.Less(t, time.Since(at), 4*time.Second)
 	select {
-	case err := <-p.done:
-		require.Fail(t, "the program ended", "%v", err)
+	case err := <-p.exited:
+		require.Fail(t, "the program exited", "%v", err)
 	default:
 	}
-	require.Equal(t, 200, call(p, "PUT", "/v1/aggregator/activate"))
-	assert.Equal(t, 200, p.health())
+	require.Equal(t, 200, adminCall(p, "PUT", "/v1/aggregator/activate"))
+	assert.Equal(t, 200, p.healthStatus())
 }
 
-// TestUpgrade: a second process on the same listener, given as descriptor 5, takes over under load; the old
-// one ends on SIGTERM, and no request goes unheard.
-func TestUpgrade(t *testing.T) {
+// TestUpgradeUnderLoad starts a second process on the inherited listener (descriptor 5) under load and ends the first
+// by SIGTERM. No request may be lost or rejected.
+func TestUpgradeUnderLoad(t *testing.T) {
 	ln, err := net.Listen("tcp", loopback.Own())
 	require.NoError(t, err)
-	file := keptListener(t, ln)
+	file := blockingListener(t, ln)
 	tmp := t.TempDir()
-	ns := startNodes(t, wires[0], nil)
-	o := options{mgmt: true, tmp: tmp, inherit: file, listen: ln.Addr().String(), members: ns.members}
+	backends := startBackends(t, protocols[0], nil)
+	o := options{adminAPI: true, stateDir: tmp, listener: file, listenAddr: ln.Addr().String(),
+		endpoints: backends.endpoints}
 	old := start(t, o)
 
-	var served, unheard, other atomic.Int64
+	var served, unanswered, notServed atomic.Int64
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
 	for c := range 8 {
@@ -255,9 +260,9 @@
 					return
 				default:
 				}
-				q := query{id: fmt.Sprintf("u%d-%d", c, i), class: "quote", tenant: "gangasagar-life",
-					shards: []int{i % 8}, wait: time.Second}
-				r, _ := http.NewRequest("POST", "http://"+old.addr+"/quote", strings.NewReader(q.text()))
+				q := request{id: fmt.Sprintf("u%d-%d", c, i), class: "quote", tenant: "gangasagar-life",
+					shards: []int{i % 8}, timeout: time.Second}
+				r, _ := http.NewRequest("POST", "http://"+old.httpAddr+"/quote", strings.NewReader(q.encodedBody()))
 				r.Header.Set("X-Request-Id", q.id)
 				r.Header.Set("X-Class", q.class)
 				r.Header.Set("X-Tenant", q.tenant)
@@ -265,11 +270,11 @@
 				a, err := tr.RoundTrip(r)
 				switch {
 				case err != nil:
-					unheard.Add(1)
+					unanswered.Add(1)
 				case a.StatusCode == 200:
 					served.Add(1)
 				default:
-					other.Add(1)
+					notServed.Add(1)
 				}
 				if a != nil {
 					_, _ = io.Copy(io.Discard, a.Body)
@@ -281,38 +286,40 @@
 	}
 	time.Sleep(300 * time.Millisecond)
 	next := start(t, o)
-	require.Eventually(t, func() bool { return call(next, "GET", "/v1/readyz") == 200 }, 6*time.Second,
+	require.Eventually(t, func() bool { return adminCall(next, "GET", "/v1/readyz") == 200 }, 6*time.Second,
 		5*time.Millisecond)
 	before := served.Load()
 	old.stop()
 	time.Sleep(500 * time.Millisecond)
 	close(stop)
 	clients.Wait()
-	assert.Zero(t, unheard.Load(), "requests turned back unheard")
-	assert.Zero(t, other.Load(), "requests not served")
-	assert.Greater(t, served.Load(), before, "the new process serves")
+	assert.Zero(t, unanswered.Load(), "requests without a response")
+	assert.Zero(t, notServed.Load(), "requests not served")
+	assert.Greater(t, served.Load(), before, "the new process served nothing")
 	assert.Contains(t, next.logged(), `"serving"`)
 }
 
-// TestInheritedNotAListener: a descriptor 5 that is no listening socket is a clear error at the start.
+// TestInheritedNotAListener passes a descriptor 5 that is no listening socket. The program must exit with an error
+// that says so.
 func TestInheritedNotAListener(t *testing.T) {
 	f, err := os.CreateTemp(t.TempDir(), "not-a-socket")
 	require.NoError(t, err)
-	defer f.Close()
-	ns := startNodes(t, wires[0], nil)
-	d := newDiscovery(t, ns.members)
+	defer func() { _ = f.Close() }()
+	backends := startBackends(t, protocols[0], nil)
+	d := newDiscovery(t, backends.endpoints)
 	text := fmt.Appendf(nil, `{"name":"n0","listen":%q,"discovery":%q,"seed":"1","settings":%s}`,
 		freeAddress(t), d.addr, must(json.Marshal(settings())))
-	p := launchWith(t, text, f)
+	p := launchWithListener(t, text, f)
 	select {
-	case err := <-p.done:
+	case err := <-p.exited:
 		require.Error(t, err)
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		require.Fail(t, "the program started")
 	}
 	assert.Contains(t, p.logged(), "descriptor 5: not a socket")
 }
 
+// must returns v. It panics if err is not nil.
 func must[T any](v T, err error) T {
 	if err != nil {
 		panic(err)
@@ -320,10 +327,10 @@
 	return v
 }
 
-// keptListener is a listener as the platform keeps it, to be given to processes. The file is made blocking
-// here once: Go's exec would set a non-blocking one back to blocking at each start, under the programs that
-// share it, which the platform does not do.
-func keptListener(t *testing.T, ln net.Listener) *os.File {
+// blockingListener returns the file of a listener as the platform passes it to processes. It makes the file blocking
+// once: otherwise Go's exec would set it back to blocking at each start, under the processes that share it, which the
+// platform does not do.
+func blockingListener(t *testing.T, ln net.Listener) *os.File {
 	f, err := ln.(*net.TCPListener).File()
 	require.NoError(t, err)
 	_ = ln.Close() // the file keeps the socket
@@ -336,22 +343,22 @@
 	return kept
 }
 
-// TestSharedListenerSetBack: Go's exec sets the shared listener back to blocking as it starts the second
-// process; the first must not be held in accept by that.
-func TestSharedListenerSetBack(t *testing.T) {
+// TestSharedListenerSetToBlocking has Go's exec set the shared listener back to blocking while it starts the second
+// process. The first must not block in accept.
+func TestSharedListenerSetToBlocking(t *testing.T) {
 	ln, err := net.Listen("tcp", loopback.Own())
 	require.NoError(t, err)
 	a := ln.Addr().String()
-	file, err := ln.(*net.TCPListener).File() // not made blocking once, as keptListener does
+	file, err := ln.(*net.TCPListener).File() // not made blocking, unlike in blockingListener
 	require.NoError(t, err)
 	_ = ln.Close()
-	ns := startNodes(t, wires[0], nil)
-	first := start(t, options{inherit: file, listen: a, members: ns.members})
-	start(t, options{inherit: file, listen: a, members: ns.members})
+	backends := startBackends(t, protocols[0], nil)
+	first := start(t, options{listener: file, listenAddr: a, endpoints: backends.endpoints})
+	start(t, options{listener: file, listenAddr: a, endpoints: backends.endpoints})
 	c := &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for range 50 {
-		a, err := c.Get("http://" + first.addr + "/_health")
-		require.NoError(t, err, "a process is held in accept")
+		a, err := c.Get("http://" + first.httpAddr + "/_health")
+		require.NoError(t, err, "a process blocks in accept")
 		_ = a.Body.Close()
 	}
 }
--- a/test/pushed_test.go
+++ b/test/pushed_test.go
@@ -10,105 +10,110 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pushed starts a program whose list is pushed to an agent beside it.
-func pushed(t *testing.T) (*nodes, *program) {
+// startWithAgent starts a program that reads its endpoint list from a local agent, to which lists are pushed.
+func startWithAgent(t *testing.T) (*backendSet, *program) {
 	s := settings()
 	s["discovery"] = "pushed"
-	return site(t, nil, options{settings: s})
+	return startWithBackends(t, nil, options{settings: s})
 }
 
-// steady asks for all shards, one after another, until it is stopped, and gives how the queries ended.
-func steady(t *testing.T, p *program) (stop func() map[string]int) {
-	over, done := make(chan struct{}), make(chan map[string]int)
+// startSteadyLoad sends requests for all shards, one after another, until it is stopped. stop returns the number of
+// requests by outcome.
+func startSteadyLoad(t *testing.T, p *program) (stop func() map[string]int) {
+	stopped, result := make(chan struct{}), make(chan map[string]int)
 	go func() {
-		ends := map[string]int{}
-		defer func() { done <- ends }()
+		outcomes := map[string]int{}
+		defer func() { result <- outcomes }()
 		for i := 0; ; i++ {
 			select {
-			case <-over:
+			case <-stopped:
 				return
 			default:
-				a := askHTTP(t.Context(), p, query{id: fmt.Sprintf("steady-%d", i), class: "quote", tenant: "gangasagar-life",
-					shards: []int{i % 8}, wait: 900 * time.Millisecond})
-				ends[a.end]++
+				a := sendHTTP(t.Context(), p, request{id: fmt.Sprintf("steady-%d", i), class: "quote",
+					tenant: "gangasagar-life", shards: []int{i % 8}, timeout: 900 * time.Millisecond})
+				outcomes[a.outcome]++
 				time.Sleep(2 * time.Millisecond)
 			}
 		}
 	}()
-	return func() map[string]int { close(over); return <-done }
+	return func() map[string]int { close(stopped); return <-result }
 }
 
-// TestPushedList: nobody tells the program of news, and the agent answers at once: it is read at a steady pace,
-// without the whole list each time, and a drain that it has counts as told from then on.
+// TestPushedList polls an agent that answers at once. The program must poll at a steady rate and ask only for
+// changes, and a drain takes effect from the moment at which the agent has it.
 func TestPushedList(t *testing.T) {
-	ns, p := pushed(t)
-	stop := steady(t, p)
+	backends, p := startWithAgent(t)
+	stop := startSteadyLoad(t, p)
 	time.Sleep(300 * time.Millisecond)
 	p.discovery.mu.Lock()
-	first := len(p.discovery.calls)
+	first := len(p.discovery.callTimes)
 	p.discovery.mu.Unlock()
-	used := cpu(t, p.Process.Pid)
-	p.discovery.change(func() { p.discovery.list.Members[2].Phase = "DRAINING" })
-	told := time.Now()
+	used := cpuTime(t, p.Process.Pid)
+	p.discovery.change(func() { p.discovery.list.Endpoints[2].Phase = "DRAINING" })
+	changedAt := time.Now()
 	time.Sleep(2 * time.Second)
 	p.discovery.mu.Lock()
-	calls := len(p.discovery.calls) - first
-	whole := 0
+	calls := len(p.discovery.callTimes) - first
+	completeCalls := 0
 	for _, target := range p.discovery.targets[first:] {
 		if !strings.Contains(target, "index=") {
-			whole++
+			completeCalls++
 		}
 	}
 	p.discovery.mu.Unlock()
-	assert.Less(t, sentTo(ns, "s-2", told.Add(time.Second)), 1, "nothing new 1 s after the agent had it")
+	assert.Less(t, attemptsSince(backends, "s-2", changedAt.Add(time.Second)), 1,
+		"a draining backend got an attempt 1 s after the agent had the drain")
 	assert.InDelta(t, 20, calls, 6, "ten calls a second")
-	assert.Zero(t, whole, "only what has changed is asked for")
-	assert.Less(t, cpu(t, p.Process.Pid)-used, 700*time.Millisecond)
-	ends := stop()
-	assert.Equal(t, map[string]int{"served": ends["served"]}, ends)
+	assert.Zero(t, completeCalls, "the program asked for the complete list")
+	assert.Less(t, cpuTime(t, p.Process.Pid)-used, 700*time.Millisecond)
+	outcomes := stop()
+	assert.Equal(t, map[string]int{"served": outcomes["served"]}, outcomes)
 	p.stop()
 }
 
-// TestAgentSilent: the agent is silent, then refuses, then is there again under a lower version. Serving goes on
-// with the last list, a drain heard before holds, and what was told meanwhile is read at once.
-func TestAgentSilent(t *testing.T) {
-	ns, p := pushed(t)
-	p.discovery.change(func() { p.discovery.list.Members[1].Phase = "DRAINING" })
-	told := time.Now()
-	require.Eventually(t, func() bool { return p.discovery.toldSince(told) }, patience, 5*time.Millisecond)
-	stop := steady(t, p)
+// TestUnresponsiveAgent has the agent stop answering and come back with a lower revision. The last list must stay in
+// use, a drain known before must hold, and a change made meanwhile must be read at once.
+func TestUnresponsiveAgent(t *testing.T) {
+	backends, p := startWithAgent(t)
+	p.discovery.change(func() { p.discovery.list.Endpoints[1].Phase = "DRAINING" })
+	since := time.Now()
+	require.Eventually(t, func() bool { return p.discovery.answeredSince(since) }, waitTimeout, 5*time.Millisecond)
+	stop := startSteadyLoad(t, p)
 	p.discovery.mu.Lock()
-	p.discovery.mute = true
+	p.discovery.unresponsive = true
 	p.discovery.mu.Unlock()
-	p.waitLog(`"code":"D07"`)
-	p.discovery.change(func() { p.discovery.list.Members[2].Phase = "DRAINING" })
+	p.waitForLog(`"code":"D07"`)
+	p.discovery.change(func() { p.discovery.list.Endpoints[2].Phase = "DRAINING" })
 	time.Sleep(1200 * time.Millisecond)
-	assert.Zero(t, sentTo(ns, "s-1", told.Add(time.Second)), "a drain that was heard holds")
+	assert.Zero(t, attemptsSince(backends, "s-1", since.Add(time.Second)), "a draining backend got an attempt")
 	p.discovery.mu.Lock()
-	p.discovery.mute = false
-	p.discovery.list.Revision = 3 // it has started anew and counts from elsewhere
+	p.discovery.unresponsive = false
+	p.discovery.list.Revision = 3 // a restarted agent counts from another revision
 	p.discovery.mu.Unlock()
-	told = time.Now()
-	p.waitLog("discovery responds again")
-	assert.Less(t, time.Since(told), 900*time.Millisecond, "patience and a period")
-	time.Sleep(time.Until(told.Add(1500 * time.Millisecond)))
-	assert.Zero(t, sentTo(ns, "s-2", told.Add(time.Second)), "what came while it was silent")
-	ends := stop()
-	assert.Equal(t, map[string]int{"served": ends["served"]}, ends, "the last list serves")
+	since = time.Now()
+	p.waitForLog("discovery responds again")
+	assert.Less(t, time.Since(since), 900*time.Millisecond, "the timeout of a call and one polling period")
+	time.Sleep(time.Until(since.Add(1500 * time.Millisecond)))
+	assert.Zero(t, attemptsSince(backends, "s-2", since.Add(time.Second)),
+		"a backend that drained while the agent was unresponsive got an attempt")
+	outcomes := stop()
+	assert.Equal(t, map[string]int{"served": outcomes["served"]}, outcomes, "the last list is not in use")
 	p.stop()
-	assert.Equal(t, 1, strings.Count(p.logged(), `"code":"D07"`), "one line a silence")
+	assert.Equal(t, 1, strings.Count(p.logged(), `"code":"D07"`),
+		"want one log line for each time the agent is unresponsive")
 }
 
-// TestWatchDoesNotSpin: a list service that answers a watch at once, with nothing new, is not called on and on.
+// TestWatchDoesNotSpin has discovery answer watches at once and without a change. The program must limit its rate of
+// calls.
 func TestWatchDoesNotSpin(t *testing.T) {
-	_, p := site(t, nil, options{})
+	_, p := startWithBackends(t, nil, options{})
 	p.discovery.mu.Lock()
-	p.discovery.agent = true
-	first := len(p.discovery.calls)
+	p.discovery.isAgent = true
+	first := len(p.discovery.callTimes)
 	p.discovery.mu.Unlock()
-	p.discovery.change(func() {}) // wakes the watch that is out
+	p.discovery.change(func() {}) // answers the waiting watch
 	time.Sleep(time.Second)
 	p.discovery.mu.Lock()
 	defer p.discovery.mu.Unlock()
-	assert.InDelta(t, 50, len(p.discovery.calls)-first, 15)
+	assert.InDelta(t, 50, len(p.discovery.callTimes)-first, 15)
 }
--- a/test/upgrade_versions_test.go
+++ b/test/upgrade_versions_test.go
@@ -28,7 +28,8 @@
 
 // currentBuild returns the build under test.
 func currentBuild() build {
-	return build{"this build", built, "suspensions read", "slow-start sends handed over", "slow-start sends taken over"}
+	return build{"this build", programPath, "suspensions read", "slow-start sends handed over",
+		"slow-start sends taken over"}
 }
 
 // release is an earlier released commit, whose program is built once per run of the test binary.
@@ -101,7 +102,7 @@
 
 func startBuild(t *testing.T, b build, o options) process {
 	t.Helper()
-	o.program = b.path
+	o.binary = b.path
 	return process{start(t, o), b}
 }
 
@@ -120,7 +121,7 @@
 func (p process) waitForLine(t *testing.T, message string) map[string]any {
 	t.Helper()
 	var fields map[string]any
-	require.Eventually(t, func() bool { fields = p.firstLine(message); return fields != nil }, patience,
+	require.Eventually(t, func() bool { fields = p.firstLine(message); return fields != nil }, waitTimeout,
 		5*time.Millisecond, "no %q in the log of %s", message, p.build.name)
 	return fields
 }
@@ -135,25 +136,25 @@
 	assert.Positive(t, sent, "%v", fields)
 }
 
-// assertStateUsable asserts that the process logged no panic, no data race and no state file that exists but cannot be
-// used.
+// assertStateUsable asserts that the process logged no panic, no data race and no state file that exists but cannot
+// be used.
 func (p process) assertStateUsable(t *testing.T) {
 	t.Helper()
 	assert.NotRegexp(t, `not read|cannot be (read|opened)|torn|this build reads|number of (peers|brokers)|`+
 		`not (kept|saved)|panic|DATA RACE`, p.logged(), p.build.name)
 }
 
-// traffic is clients of the address that processes share.
+// traffic is the load of clients on one address, and how their requests ended.
 type traffic struct {
-	served, unheard, other atomic.Int64
-	stop                   chan struct{}
-	clients                sync.WaitGroup
-	mu                     sync.Mutex
-	faults                 []string // the first
+	served, unanswered, notServed atomic.Int64
+	stop                          chan struct{}
+	clients                       sync.WaitGroup
+	mu                            sync.Mutex
+	failures                      []string // the first ten
 }
 
-// drive starts eight clients that send requests until end; half of them reuse their connections.
-func drive(t *testing.T, addr string) *traffic {
+// startTraffic starts eight clients that send requests until end; half of them reuse their connections.
+func startTraffic(t *testing.T, addr string) *traffic {
 	f := &traffic{stop: make(chan struct{})}
 	for c := range 8 {
 		f.clients.Go(func() {
@@ -165,8 +166,8 @@
 					return
 				case <-time.After(2 * time.Millisecond):
 				}
-				f.ask(tr, addr, query{id: fmt.Sprintf("v%d-%d", c, i), class: "quote", tenant: "gangasagar-life",
-					shards: []int{i % 8}, wait: time.Second})
+				f.send(tr, addr, request{id: fmt.Sprintf("v%d-%d", c, i), class: "quote", tenant: "gangasagar-life",
+					shards: []int{i % 8}, timeout: time.Second})
 			}
 		})
 	}
@@ -174,37 +175,42 @@
 	return f
 }
 
-func (f *traffic) ask(tr *http.Transport, addr string, q query) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience) // a call that nobody accepts is unheard too
+// send sends a request and counts how it ended.
+func (f *traffic) send(tr *http.Transport, addr string, q request) {
+	// A connection that nobody accepts counts as unanswered.
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	r, _ := http.NewRequestWithContext(ctx, "POST", "http://"+addr+"/"+q.class, strings.NewReader(q.text()))
+	r, _ := http.NewRequestWithContext(ctx, "POST", "http://"+addr+"/"+q.class, strings.NewReader(q.encodedBody()))
 	r.Header.Set("X-Request-Id", q.id)
 	r.Header.Set("X-Class", q.class)
 	r.Header.Set("X-Tenant", q.tenant)
 	r.Header.Set("X-Deadline", "1.000")
 	a, err := tr.RoundTrip(r)
 	if err != nil {
-		f.unheard.Add(1)
-		f.fault(q, err.Error())
+		f.unanswered.Add(1)
+		f.recordFailure(q, err.Error())
 		return
 	}
-	defer a.Body.Close()
-	if text, err := io.ReadAll(a.Body); err != nil || a.StatusCode != 200 || !bytes.Contains(text, []byte(doc(q.id))) {
-		f.other.Add(1)
-		f.fault(q, fmt.Sprint(a.StatusCode, " ", err, " ", string(text)))
+	defer func() { _ = a.Body.Close() }()
+	if text, err := io.ReadAll(a.Body); err != nil || a.StatusCode != 200 ||
+		!bytes.Contains(text, []byte(documentOf(q.id))) {
+		f.notServed.Add(1)
+		f.recordFailure(q, fmt.Sprint(a.StatusCode, " ", err, " ", string(text)))
 		return
 	}
 	f.served.Add(1)
 }
 
-func (f *traffic) fault(q query, what string) {
+// recordFailure records one of the first ten failures.
+func (f *traffic) recordFailure(q request, what string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.faults) < 10 {
-		f.faults = append(f.faults, time.Now().Format("05.000 ")+q.id+" "+what)
+	if len(f.failures) < 10 {
+		f.failures = append(f.failures, time.Now().Format("05.000 ")+q.id+" "+what)
 	}
 }
 
+// end stops the clients and waits for their last requests. It may be called again.
 func (f *traffic) end() {
 	select {
 	case <-f.stop:
@@ -214,91 +220,95 @@
 	f.clients.Wait()
 }
 
-// requireAllServed stops the clients and asserts that every request was served.
-func (f *traffic) requireAllServed(t *testing.T) {
+// assertAllServed stops the clients and asserts that every request was served.
+func (f *traffic) assertAllServed(t *testing.T) {
 	t.Helper()
 	f.end()
-	assert.Zero(t, f.unheard.Load(), "requests without a response: %q", f.faults)
-	assert.Zero(t, f.other.Load(), "requests not served: %q", f.faults)
+	assert.Zero(t, f.unanswered.Load(), "requests without a response: %q", f.failures)
+	assert.Zero(t, f.notServed.Load(), "requests not served: %q", f.failures)
 	t.Log(f.served.Load(), "requests were served")
 }
 
-// more waits until so many further queries are served.
-func (f *traffic) more(t *testing.T, n int64) {
+// waitForServed waits until n further requests are served.
+func (f *traffic) waitForServed(t *testing.T, n int64) {
 	t.Helper()
 	from := f.served.Load()
-	require.Eventually(t, func() bool { return f.served.Load() >= from+n }, patience, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return f.served.Load() >= from+n }, waitTimeout, 5*time.Millisecond)
 }
 
-// healths sees that health is so at every process that accepts on the shared address.
-func healths(t *testing.T, p *program, want int) {
+// requireHealth waits until the health check returns a status and requires that every process on the shared address
+// returns it.
+func requireHealth(t *testing.T, p *program, want int) {
 	t.Helper()
-	require.Eventually(t, func() bool { return p.health() == want }, patience, 5*time.Millisecond)
-	time.Sleep(60 * time.Millisecond) // of which the other process needs 20 to look
+	require.Eventually(t, func() bool { return p.healthStatus() == want }, waitTimeout, 5*time.Millisecond)
+	time.Sleep(60 * time.Millisecond) // the other process notices the state file within 20 ms
 	for range 20 {
-		require.Equal(t, want, p.health())
+		require.Equal(t, want, p.healthStatus())
 	}
 }
 
 // drainGrace is drain_grace_ms of the settings. A suspended backend counts as draining: the process that is told to
-// suspend it may send to it for this long if the other replicas are worse. A process that starts later may not at all.
+// suspend it may send to it for this long if the other replicas are worse. A process that starts later may not at
+// all.
 const drainGrace = time.Second
 
 // takeOver replaces a process that serves under load by a process of another build. A backend is suspended at the old
 // process and its clients are drained; the new process starts beside it, reads both, and takes over the counts of
 // attempts at the backend that is warming up.
-func takeOver(t *testing.T, ns *nodes, f *traffic, from process, to build, o options, suspended, warming string) process {
+func takeOver(t *testing.T, backends *backendSet, f *traffic, from process, to build, o options, suspended,
+	warming string) process {
 	t.Helper()
-	drainFile, handoverFile := o.tmp+"/ternstage-held-leafs.json.drain", o.tmp+"/ternstage-cold-sent.json"
-	f.more(t, 200)
-	require.Equal(t, 200, call(from.program, "PUT", "/v1/leafs/"+suspended+"/suspend"))
+	drainFile, handoverFile := o.stateDir+"/ternstage-held-leafs.json.drain", o.stateDir+"/ternstage-cold-sent.json"
+	f.waitForServed(t, 200)
+	require.Equal(t, 200, adminCall(from.program, "PUT", "/v1/leafs/"+suspended+"/suspend"))
 	time.Sleep(drainGrace)
 	graceOver := time.Now()
-	f.more(t, 200)
-	require.Equal(t, 200, call(from.program, "PUT", "/v1/aggregator/drain"))
+	f.waitForServed(t, 200)
+	require.Equal(t, 200, adminCall(from.program, "PUT", "/v1/aggregator/drain"))
 	require.FileExists(t, drainFile)
-	healths(t, from.program, 503)
+	requireHealth(t, from.program, 503)
 
 	// The new process reads what the old one wrote, and the old one notices the call that the new one gets.
-	o.drained = true
+	o.startsDrained = true
 	next := startBuild(t, to, o)
-	healths(t, next.program, 503)
+	requireHealth(t, next.program, 503)
 	assert.Contains(t, fmt.Sprint(next.waitForLine(t, to.suspensionsRead)), "["+suspended+"]", "and no other")
-	require.Equal(t, 200, call(next.program, "PUT", "/v1/aggregator/activate"))
+	require.Equal(t, 200, adminCall(next.program, "PUT", "/v1/aggregator/activate"))
 	require.NoFileExists(t, drainFile)
-	healths(t, next.program, 200)
-	f.more(t, 200)
+	requireHealth(t, next.program, 200)
+	f.waitForServed(t, 200)
 
 	// The new process takes over during a drain that was requested at the old one.
-	require.Equal(t, 200, call(from.program, "PUT", "/v1/aggregator/drain"))
-	healths(t, next.program, 503)
-	require.Equal(t, 200, call(next.program, "GET", "/v1/readyz"))
+	require.Equal(t, 200, adminCall(from.program, "PUT", "/v1/aggregator/drain"))
+	requireHealth(t, next.program, 503)
+	require.Equal(t, 200, adminCall(next.program, "GET", "/v1/readyz"))
 	from.stop()
 	stopped := time.Now()
-	healths(t, next.program, 503) // only the new process is left to report the drain
-	require.Equal(t, 200, call(next.program, "PUT", "/v1/aggregator/activate"))
-	healths(t, next.program, 200)
+	requireHealth(t, next.program, 503) // only the new process is left to report the drain
+	require.Equal(t, 200, adminCall(next.program, "PUT", "/v1/aggregator/activate"))
+	requireHealth(t, next.program, 200)
 
 	from.requireWarmupAttempts(t, from.build.handedOver)
 	text, err := os.ReadFile(handoverFile)
 	require.NoError(t, err)
 	assert.Contains(t, string(text), `{"form":"ternstage cold sent","version":1,"written_unix_ms":`)
 	next.requireWarmupAttempts(t, to.takenOver)
-	require.Eventually(t, func() bool { return sentTo(ns, warming, stopped) > 0 }, patience, 5*time.Millisecond,
-		"the new process does not use the backend that is warming up")
-	f.more(t, 400)
-	assert.Zero(t, sentTo(ns, suspended, graceOver), "%s got an attempt while suspended", suspended)
+	require.Eventually(t, func() bool { return attemptsSince(backends, warming, stopped) > 0 }, waitTimeout,
+		5*time.Millisecond, "the new process does not use the backend that is warming up")
+	f.waitForServed(t, 400)
+	assert.Zero(t, attemptsSince(backends, suspended, graceOver), "%s got an attempt while suspended", suspended)
 	from.assertStateUsable(t)
 	next.assertStateUsable(t)
 	return next
 }
 
 // requireResumed resumes a suspended backend and waits until it gets attempts again.
-func requireResumed(t *testing.T, ns *nodes, p process, id string) {
+func requireResumed(t *testing.T, backends *backendSet, p process, id string) {
 	t.Helper()
-	require.Equal(t, 200, call(p.program, "PUT", "/v1/leafs/"+id+"/resume"))
+	require.Equal(t, 200, adminCall(p.program, "PUT", "/v1/leafs/"+id+"/resume"))
 	resumed := time.Now()
-	require.Eventually(t, func() bool { return sentTo(ns, id, resumed) > 0 }, patience, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return attemptsSince(backends, id, resumed) > 0 }, waitTimeout,
+		5*time.Millisecond)
 }
 
 // versionSettings returns the settings for these tests, in which a backend that has just started warms up to the end.
@@ -309,46 +319,47 @@
 }
 
 // TestUpgradeFromReleaseUnderLoadAndBack replaces a released build by this one under load, on a listener that both
-// inherit, and this one by the released build again. Each must read what the other wrote: the suspended backend gets no
-// attempt from the first request of the new process on, the drain holds until activate, and the counts of attempts at a
-// backend that is warming up are taken over. All requests are served. Guards against incompatible state files.
+// inherit, and this one by the released build again. Each must read what the other wrote: the suspended backend gets
+// no attempt from the first request of the new process on, the drain holds until activate, and the counts of attempts
+// at a backend that is warming up are taken over. All requests are served. Guards against incompatible state files.
 func TestUpgradeFromReleaseUnderLoadAndBack(t *testing.T) {
 	for _, r := range releases {
 		t.Run(r.name, func(t *testing.T) {
 			old, current := r.compiled(t), currentBuild()
-			ns, o := pair(t)
+			backends, o := newPair(t)
 			o.settings = versionSettings()
-			ns.members[0].UpSinceMS = time.Now().UnixMilli() // s-0 warms up
+			backends.endpoints[0].UpSinceMS = time.Now().UnixMilli() // s-0 warms up
 
 			first := startBuild(t, old, o)
-			f := drive(t, first.addr)
-			second := takeOver(t, ns, f, first, current, o, "s-2", "s-0")
+			f := startTraffic(t, first.httpAddr)
+			second := takeOver(t, backends, f, first, current, o, "s-2", "s-0")
 
 			// The released build now reads files that this build wrote.
-			requireResumed(t, ns, second, "s-2")
-			third := takeOver(t, ns, f, second, old, o, "s-3", "s-0")
-			requireResumed(t, ns, third, "s-3")
+			requireResumed(t, backends, second, "s-2")
+			third := takeOver(t, backends, f, second, old, o, "s-3", "s-0")
+			requireResumed(t, backends, third, "s-3")
 
-			f.requireAllServed(t)
+			f.assertAllServed(t)
 			third.stop()
 		})
 	}
 }
 
-// TestUpgradeWithBothVersionsSideBySide runs a broker of a released build and one of this build in one fleet, both under
-// load, with the same endpoint list and settings. Then both are restarted with the other build, as in a rolling upgrade
-// and its rollback, and must use the state files that they find. All requests are served. Guards against builds that
-// disagree on the endpoint list, the settings or the backend protocol.
+// TestUpgradeWithBothVersionsSideBySide runs a broker of a released build and one of this build in one fleet, both
+// under load, with the same endpoint list and settings. Then both are restarted with the other build, as in a rolling
+// upgrade and its rollback, and must use the state files that they find. All requests are served. Guards against
+// builds that disagree on the endpoint list, the settings or the backend protocol.
 func TestUpgradeWithBothVersionsSideBySide(t *testing.T) {
 	for _, r := range releases {
 		t.Run(r.name, func(t *testing.T) {
 			builds := []build{r.compiled(t), currentBuild()}
-			ns := startNodes(t, wires[0], nil)
-			ns.members[0].UpSinceMS = time.Now().UnixMilli() // s-0 warms up
-			d := newDiscovery(t, ns.members)
+			backends := startBackends(t, protocols[0], nil)
+			backends.endpoints[0].UpSinceMS = time.Now().UnixMilli() // s-0 warms up
+			d := newDiscovery(t, backends.endpoints)
 			brokers := make([]options, 2)
 			for i := range brokers {
-				brokers[i] = options{mgmt: true, tmp: t.TempDir(), discovery: d, name: fmt.Sprint("n", i), settings: versionSettings()}
+				brokers[i] = options{adminAPI: true, stateDir: t.TempDir(), discovery: d, name: fmt.Sprint("n", i),
+					settings: versionSettings()}
 				brokers[i].settings["balancers"], brokers[i].settings["me"] = 2, i
 				// The load stays within the tenant's allowance, so that no broker may reject a request.
 				brokers[i].settings["customers"].([]any)[0].(map[string]any)["allowance_per_s"] = 10_000
@@ -357,33 +368,33 @@
 
 			fleet := startFleet(t, brokers, builds)
 			for i, p := range fleet {
-				require.Equal(t, 200, call(p.program, "PUT", "/v1/leafs/"+suspended[i]+"/suspend"))
+				require.Equal(t, 200, adminCall(p.program, "PUT", "/v1/leafs/"+suspended[i]+"/suspend"))
 			}
 			var graceOver time.Time
 			requireBothServe(t, fleet, func() {
-				require.Eventually(t, func() bool { return sentTo(ns, "s-0", time.Time{}) > 0 }, patience, 5*time.Millisecond,
-					"the backend that is warming up is not used")
+				require.Eventually(t, func() bool { return attemptsSince(backends, "s-0", time.Time{}) > 0 }, waitTimeout,
+					5*time.Millisecond, "the backend that is warming up is not used")
 				informed := 0
 				d.change(func() {
-					d.list.Members[0].Phase = "DRAINING"
-					informed = len(d.ends) + len(fleet)
+					d.list.Endpoints[0].Phase = "DRAINING"
+					informed = len(d.answerTimes) + len(fleet)
 				})
-				require.Eventually(t, func() bool { d.mu.Lock(); defer d.mu.Unlock(); return len(d.ends) >= informed },
-					patience, 5*time.Millisecond)
+				require.Eventually(t, func() bool { d.mu.Lock(); defer d.mu.Unlock(); return len(d.answerTimes) >= informed },
+					waitTimeout, 5*time.Millisecond)
 				time.Sleep(drainGrace)
 				graceOver = time.Now()
 			})
-			assert.Zero(t, sentTo(ns, "s-0", graceOver), "a draining backend got an attempt")
+			assert.Zero(t, attemptsSince(backends, "s-0", graceOver), "a draining backend got an attempt")
 
 			// Each broker is restarted with the other build, on the files in its $TMPDIR.
-			d.change(func() { d.list.Members[0].Phase = "SERVING" })
+			d.change(func() { d.list.Endpoints[0].Phase = "SERVING" })
 			fleet = startFleet(t, brokers, []build{builds[1], builds[0]})
 			for i, p := range fleet {
 				assert.Contains(t, fmt.Sprint(p.waitForLine(t, p.build.suspensionsRead)), "["+suspended[i]+"]", "and no other")
 			}
 			requireBothServe(t, fleet, func() {
 				for i, p := range fleet {
-					requireResumed(t, ns, p, suspended[i])
+					requireResumed(t, backends, p, suspended[i])
 				}
 			})
 		})
@@ -406,17 +417,17 @@
 	t.Helper()
 	loads := make([]*traffic, len(fleet))
 	for i, p := range fleet {
-		loads[i] = drive(t, p.addr)
+		loads[i] = startTraffic(t, p.httpAddr)
 	}
 	for _, f := range loads {
-		f.more(t, 200)
+		f.waitForServed(t, 200)
 	}
 	change()
 	for _, f := range loads {
-		f.more(t, 400)
+		f.waitForServed(t, 400)
 	}
 	for _, f := range loads {
-		f.requireAllServed(t)
+		f.assertAllServed(t)
 	}
 	for _, p := range fleet {
 		p.stop()
