--- a/internal/lab/ledger/ledger.go
+++ b/internal/lab/ledger/ledger.go
@@ -39,7 +39,7 @@
 	PartsRejected int
 }
 
-// maxIntervals bounds the intervals that are kept. When it is reached, each two intervals are merged.
+// maxIntervals bounds the number of intervals. When it is reached, each pair of consecutive intervals is merged.
 const maxIntervals = 1024
 
 // Ledger holds the counts of a run. Its memory is bounded by the number of brokers, of pairs of a warming backend
@@ -131,7 +131,7 @@
 	l.steps++
 }
 
-// mergeIntervals merges each two intervals. Later intervals are as long as the merged ones.
+// mergeIntervals merges each pair of consecutive intervals. New intervals then have the length of the merged ones.
 func (l *Ledger) mergeIntervals() {
 	for i := range len(l.Intervals) / 2 {
 		l.Intervals[i] = l.Intervals[2*i].plus(l.Intervals[2*i+1])
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -13,12 +13,14 @@
 
 // Options are the properties of a backend. Times are ms.
 type Options struct {
-	Cores            int
-	QueueLimit       int     // parts that may wait
-	InitialCapacity  float64 // share of the full capacity at the start of the process
-	WarmUp           float64 // until the process has the full capacity
-	OverloadMultiple float64 // while it warms up, more work than so many times its capacity
-	OverloadWindow   float64 // within this time makes it fail; OverloadMultiple 0: it never fails
+	Cores           int
+	QueueLimit      int     // parts that may wait
+	InitialCapacity float64 // share of the full capacity at the start of the process
+	WarmUp          float64 // until the process has the full capacity
+	// A backend that warms up fails if the work that arrives within OverloadWindow exceeds OverloadMultiple times
+	// its capacity over that time. With an OverloadMultiple of 0 it never fails.
+	OverloadMultiple float64
+	OverloadWindow   float64
 }
 
 // Fault is an injected fault of a backend.
@@ -107,7 +109,7 @@
 	}
 }
 
-// Epoch returns the epoch of its shard map, 0 if it has none.
+// Epoch returns the epoch of the backend's shard map, 0 if it has none.
 func (b *Backend) Epoch() uint64 {
 	if b.shardMap == nil {
 		return 0
@@ -115,7 +117,7 @@
 	return b.shardMap.Epoch
 }
 
-// holds reports whether it may run parts of these buckets according to its shard map.
+// holds reports whether the backend may run parts of these buckets according to its shard map.
 func (b *Backend) holds(buckets shardmap.Range) bool {
 	for at := buckets.Start; at < buckets.End; {
 		s := b.shardMap.ShardAt(at)
@@ -127,7 +129,7 @@
 	return true
 }
 
-// Capacity returns the work per ms that it can do now, which is the number of cores once it has warmed up.
+// Capacity returns the work per ms that the backend can do now. Once it has warmed up, that is its number of cores.
 func (b *Backend) Capacity(now float64) float64 {
 	share := 1.0
 	if b.Started > 0 && b.options.WarmUp > 0 {
@@ -136,7 +138,7 @@
 	return share * float64(b.options.Cores)
 }
 
-// IsWarmingUp reports whether it has not reached its full capacity yet.
+// IsWarmingUp reports whether the backend has not reached its full capacity yet.
 func (b *Backend) IsWarmingUp(now float64) bool {
 	return b.Started > 0 && now < b.Started+b.options.WarmUp
 }
@@ -205,8 +207,9 @@
 	return now + serviceMs
 }
 
-// Finish ends a part that is due and starts the next one that waits, which is done at the returned time. moved are
-// the parts before it in the queue whose buckets have been handed over since they arrived; they do not run.
+// Finish ends a part that is due. It starts the next queued part and returns that part with the time at which it is
+// done. moved are the parts that were queued before next and do not run, because their buckets have been handed over
+// since they arrived.
 func (b *Backend) Finish(now float64, j *Job) (outcome Outcome, moved []*Job, next *Job, done float64) {
 	if j.Done || b.Fault == Down || b.Overloaded {
 		return NoOutcome, nil, nil, 0
--- a/test/fleet/mass_test.go
+++ b/test/fleet/mass_test.go
@@ -93,8 +93,8 @@
 // TestWarmingBackendsAmongTwentyAndThirtyBrokers has one broker get eight times the mean load and a tenth of the
 // brokers none, while most backends are replaced, and most brokers are killed and restarted with an old list. What
 // all brokers together send to a warming backend must stay within its budget, which the lab counts in work and
-// without slack for chance. Brokers that assume to be alone must overload backends: that shows that the check detects
-// it.
+// without slack for chance. Brokers that assume that they are alone must overload backends, which shows that
+// the check detects it.
 func TestWarmingBackendsAmongTwentyAndThirtyBrokers(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ brokers, assumed string }{{"20", "0"}, {"30", "0"}, {"30", "1"}} {
