--- a/test/ops_test.go
+++ b/test/ops_test.go
@@ -126,7 +126,8 @@
 // fail.
 func TestAdminLatencyCheckDetectsDelay(t *testing.T) {
 	_, p := startWithBackends(t, nil, options{adminAPI: true})
-	require.NoError(t, p.Process.Signal(syscall.SIGSTOP)) // delays the admin API
+	require.NoError(t, p.Process.Signal(syscall.SIGSTOP))                     // delays the admin API
+	require.Eventually(t, p.allThreadsStopped, waitTimeout, time.Millisecond) // a signal takes effect later
 	defer func() { _ = p.Process.Signal(syscall.SIGCONT) }()
 	at := time.Now()
 	go func() {
